--- a/crates/verbenaslip-node/src/capacity.rs
+++ b/crates/verbenaslip-node/src/capacity.rs
@@ -13,7 +13,9 @@
 use verbenaslip_base::head::Head;
 use verbenaslip_base::name::{AvailabilityZone, Upstream};
 use verbenaslip_gossip as gossip;
-use verbenaslip_policy::plan::{Machine, Offer, Order, Planner, Settings, Size, State, View};
+use verbenaslip_policy::plan::{
+    Machine, MachineClass, MachineState, Offer, Order, Planner, Settings, View,
+};
 
 use crate::node::{Node, Todo};
 use crate::notice::Notice;
@@ -79,7 +81,7 @@
         let row = self.hub.table().row(&head.team, &head.class);
         let reserve = row.map_or(0, |row| row.reserve_percent);
         let scaled = work * self.instances as f64;
-        self.capacity.planner.arrival(hour, second, &head.model, scaled, reserve);
+        self.capacity.planner.record_work(hour, second, &head.model, scaled, reserve);
     }
 
     /// Plans, if this instance leads and there is a cloud.
@@ -96,7 +98,7 @@
         self.out.push(Output::Survey);
         let Some(survey) = self.capacity.survey.take() else { return };
         let view = self.view(survey);
-        for order in self.capacity.planner.step(self.now, &view) {
+        for order in self.capacity.planner.tick(self.now, &view) {
             self.order_capacity(order);
         }
     }
@@ -109,8 +111,8 @@
     /// Takes the cloud's answer to a start.
     pub(crate) fn started(&mut self, request: u128, name: Option<&Upstream>) {
         match name {
-            Some(name) => self.capacity.planner.started(request, name),
-            None => self.capacity.planner.refused(self.now, request, &mut self.rng),
+            Some(name) => self.capacity.planner.record_started(request, name),
+            None => self.capacity.planner.record_refused(self.now, request, &mut self.rng),
         }
     }
 
@@ -127,13 +129,13 @@
             let record = self.gossip.record(&listed.name);
             let announcement = record.map(gossip::Record::announcement);
             if let Some(announced) = announcement.filter(|it| it.kind == Kind::Engine) {
-                let size = Size { machine: listed.machine.clone(), slots: announced.slots };
-                self.capacity.planner.learn(size);
+                let size = MachineClass { name: listed.machine.clone(), slots: announced.slots };
+                self.capacity.planner.set_machine_class(size);
             }
             let state = match announcement.map(|it| it.phase) {
-                None | Some(Phase::Warming) => State::Starting,
-                Some(Phase::Ready) => State::Ready,
-                Some(Phase::Leaving { .. }) => State::Leaving,
+                None | Some(Phase::Warming) => MachineState::Starting,
+                Some(Phase::Ready) => MachineState::Ready,
+                Some(Phase::Leaving { .. }) => MachineState::Leaving,
             };
             machines.push(Machine {
                 state,
@@ -141,7 +143,7 @@
                 running: announcement.map_or(0, |it| it.load.running),
                 name: listed.name,
                 zone: listed.zone,
-                machine: listed.machine,
+                class: listed.machine,
                 market: listed.market,
             });
         }
--- a/crates/verbenaslip-node/src/input.rs
+++ b/crates/verbenaslip-node/src/input.rs
@@ -8,7 +8,7 @@
 use verbenaslip_base::fence::Fence;
 use verbenaslip_base::name::{Instance, Upstream};
 use verbenaslip_gossip::Frame;
-use verbenaslip_policy::route::Batch;
+use verbenaslip_policy::route::CacheBatch;
 use verbenaslip_request::caller::{Arrival, Ticket};
 use verbenaslip_request::run;
 use verbenaslip_state::order;
@@ -137,7 +137,7 @@
         /// The engine.
         upstream: Upstream,
         /// What became of it.
-        batch: Batch,
+        batch: CacheBatch,
     },
     /// This instance stops within the time given.
     Stop {
--- a/crates/verbenaslip-node/src/members.rs
+++ b/crates/verbenaslip-node/src/members.rs
@@ -68,7 +68,7 @@
         instances.push(own.instance);
         instances.sort();
         self.instances = instances.len();
-        self.dispatcher.members(self.now, &instances);
+        self.dispatcher.set_members(self.now, &instances);
         self.tell_publishers(&others);
         let addresses: Vec<(Instance, SocketAddr)> =
             others.into_iter().map(|peer| (peer.instance, peer.address)).collect();
@@ -77,7 +77,7 @@
 
     /// Tells the neighbours about this instance.
     pub(crate) fn share(&mut self) {
-        let limits = self.dispatcher.report(self.now);
+        let limits = self.dispatcher.tick_limits(self.now);
         let voter = self.is_voter();
         let leads = self.leads();
         let share = Share { voter, leads, limits };
@@ -90,7 +90,7 @@
         for record in self.gossip.usable(now) {
             let mut announcement = record.announcement().clone();
             announcement.load = record.load(now);
-            self.dispatcher.announce(now, &announcement);
+            self.dispatcher.handle_announcement(now, &announcement);
         }
     }
 
@@ -165,7 +165,7 @@
             }
             UpstreamEvent::Leaving { upstream, notice } => {
                 if let Some(record) = self.gossip.record(&upstream) {
-                    self.dispatcher.announce(self.now, record.announcement());
+                    self.dispatcher.handle_announcement(self.now, record.announcement());
                 }
                 let leaving = request::Input::Leaving { upstream: upstream.clone(), notice };
                 self.push(Todo::Request(leaving));
@@ -173,7 +173,7 @@
             }
             UpstreamEvent::Lapsed(upstream) => {
                 // What ran there is told to the policy one by one, when the requests ask to retry.
-                let _ = self.dispatcher.lost(self.now, &upstream);
+                let _ = self.dispatcher.remove_upstream(self.now, &upstream);
                 self.push(Todo::Request(request::Input::Lapsed(upstream.clone())));
                 self.step_orders(order::Input::Gone(upstream.clone()));
                 let record = self.gossip.record(&upstream);
@@ -197,7 +197,7 @@
     fn usable(&mut self, upstream: &Upstream) {
         let Some(record) = self.gossip.record(upstream) else { return };
         let announcement = record.announcement();
-        self.dispatcher.announce(self.now, announcement);
+        self.dispatcher.handle_announcement(self.now, announcement);
         if announcement.phase == Phase::Ready {
             self.push(Todo::Request(request::Input::Ready(upstream.clone())));
         }
@@ -208,7 +208,7 @@
         let reports = self.gossip.reports(self.now);
         let found = reports.into_iter().find(|report| report.instance == instance);
         let Some(share) = found.and_then(|report| Share::decode(report.bytes)) else { return };
-        self.dispatcher.heard(self.now, instance, &share.limits);
+        self.dispatcher.handle_report(self.now, instance, &share.limits);
         if share.leads {
             self.leader = Some(instance.clone());
         }
@@ -226,7 +226,7 @@
 
     fn isolated(&mut self, isolated: bool) {
         if isolated {
-            self.dispatcher.doubt(self.now);
+            self.dispatcher.reset_shares(self.now);
         }
         let stays = |member: &&gossip::Member| member.state() != State::Left;
         let known = self.gossip.members().filter(stays).count() + 1;
--- a/crates/verbenaslip-node/src/node.rs
+++ b/crates/verbenaslip-node/src/node.rs
@@ -177,7 +177,7 @@
     /// Returns why the platform should send no callers here; empty when it should.
     pub fn unready(&self) -> Vec<Arc<str>> {
         let mut reasons = self.closed();
-        if !self.dispatcher.limiter().settled(self.now) {
+        if !self.dispatcher.limiter().has_base_share(self.now) {
             reasons.push("it has no part of the limits yet, so that requests would wait".into());
         }
         reasons
@@ -252,7 +252,9 @@
             }
             Input::Surveyed(survey) => self.surveyed(survey),
             Input::Started { request, name } => self.started(request, name.as_ref()),
-            Input::Cached { upstream, batch } => self.dispatcher.cached(&upstream, &batch),
+            Input::Cached { upstream, batch } => {
+                self.dispatcher.handle_cache_events(&upstream, &batch)
+            }
             Input::Stop { remaining } => self.begin_stop(remaining),
             other => self.traffic(other),
         }
@@ -341,7 +343,7 @@
     }
 
     fn use_table(&mut self, revision: Revision, table: Arc<Table>) {
-        self.dispatcher.table(self.now, &table);
+        self.dispatcher.set_table(self.now, &table);
         self.tables.push_back(Version { revision, table });
         if self.tables.len() > crate::edits::TABLES {
             self.tables.pop_front();
--- a/crates/verbenaslip-node/src/notice.rs
+++ b/crates/verbenaslip-node/src/notice.rs
@@ -7,7 +7,7 @@
 use verbenaslip_base::head::Head;
 use verbenaslip_base::name::{AvailabilityZone, Instance, Operator, Team, Upstream};
 use verbenaslip_policy::plan;
-use verbenaslip_policy::retry::Verdict;
+use verbenaslip_policy::retry::Decision;
 use verbenaslip_request::claim::Ruling;
 use verbenaslip_request::output::Outcome;
 use verbenaslip_state::command::Swap;
@@ -154,7 +154,7 @@
         /// The request.
         head: Box<Head>,
         /// What was decided.
-        verdict: Verdict,
+        verdict: Decision,
     },
     /// The quorum answered a claim, or did not.
     Claimed {
--- a/crates/verbenaslip-node/src/serve.rs
+++ b/crates/verbenaslip-node/src/serve.rs
@@ -8,7 +8,7 @@
 use verbenaslip_base::refusal::{Reason, Refusal};
 use verbenaslip_policy::admit::Admission;
 use verbenaslip_policy::dispatch::Dispatch;
-use verbenaslip_policy::retry::{self, Fate};
+use verbenaslip_policy::retry::{self, FailureKind};
 use verbenaslip_policy::route::Choice;
 use verbenaslip_request::caller::Arrival;
 use verbenaslip_request::claim::{self as asked, Ruling};
@@ -55,7 +55,7 @@
     /// Why the queue gave it up before it asked.
     given: Option<Refusal>,
     /// What became of its last run.
-    fate: Fate,
+    fate: FailureKind,
     /// The claim that was granted.
     claim: Option<Claim>,
 }
@@ -110,7 +110,7 @@
         for given in self.dispatcher.expire(self.now, &mut self.rng) {
             self.given_up(given.head.request, given.refusal);
         }
-        for dispatch in self.dispatcher.next(self.now, &mut self.rng) {
+        for dispatch in self.dispatcher.next_dispatches(self.now, &mut self.rng) {
             self.dispatched(&dispatch);
         }
     }
@@ -169,14 +169,14 @@
             wanted: false,
             early: None,
             given: None,
-            fate: Fate::Lost,
+            fate: FailureKind::Lost,
             claim: None,
         });
     }
 
     fn ran(&mut self, attempt: Attempt, event: &Event) {
         match event {
-            Event::Tokens { .. } => self.dispatcher.first_token(self.now, attempt.request),
+            Event::Tokens { .. } => self.dispatcher.record_first_token(self.now, attempt.request),
             Event::Failed(failure) => {
                 if let Some(known) = self.known.get_mut(&attempt.request) {
                     known.fate = fate(failure);
@@ -306,21 +306,21 @@
         }
         known.wanted = true;
         let (head, arrived) = (known.head.clone(), known.arrived);
-        if !self.dispatcher.ready(request) {
+        if !self.dispatcher.mark_ready(request) {
             self.dispatcher.adopt(self.now, head, arrived, &wanted.without);
         }
     }
 
     /// Chooses where a running request goes on while it still runs where it was.
     fn place_elsewhere(&mut self, request: Request) {
-        let choice = self.dispatcher.elsewhere(self.now, request, &mut self.rng);
+        let choice = self.dispatcher.choose_alternative(self.now, request, &mut self.rng);
         let place = choice.as_ref().and_then(|choice| self.place_of(choice, 0));
         let (Some(choice), Some(place)) = (choice, place) else {
             let refusal = Refusal { reason: Reason::NoUpstream, retry: None };
             let input = request::Input::NoPlace { request, wait: Some(ASK_AGAIN), refusal };
             return self.push(Todo::Request(input));
         };
-        self.dispatcher.moved(self.now, request, &choice);
+        self.dispatcher.record_move(self.now, request, &choice);
         self.push(Todo::Request(request::Input::Placed { request, place }));
     }
 
@@ -367,24 +367,27 @@
             address: announcement.address,
             kind: announcement.kind,
             priority,
-            cached: choice.cached,
+            cached: choice.cached_tokens,
             imports: announcement.kind == verbenaslip_base::announce::Kind::Engine,
         })
     }
 
     fn retry(&mut self, head: &Head, upstream: &Upstream) {
         let request = head.request;
-        let fate = self.known.get(&request).map_or(Fate::Lost, |known| known.fate);
-        let verdict = self.dispatcher.failed(self.now, request, upstream, fate, &mut self.rng);
+        let fate = self.known.get(&request).map_or(FailureKind::Lost, |known| known.fate);
+        let verdict =
+            self.dispatcher.handle_failure(self.now, request, upstream, fate, &mut self.rng);
         self.note(Notice::Retried { head: Box::new(head.clone()), verdict });
         // The queue itself holds the run back for the delay; the request may ask for it at once.
-        let granted = matches!(verdict, retry::Verdict::After(_)).then_some(Duration::ZERO);
+        let granted = matches!(verdict, retry::Decision::RetryAfter(_)).then_some(Duration::ZERO);
         self.push(Todo::Request(request::Input::Retry { request, granted }));
     }
 
     fn done(&mut self, request: Request, outcome: Outcome) {
         match &outcome {
-            Outcome::Whole { position } => self.dispatcher.ended(self.now, request, *position),
+            Outcome::Whole { position } => {
+                self.dispatcher.record_completion(self.now, request, *position)
+            }
             _ => drop(self.dispatcher.cancel(self.now, request)),
         }
         if let Some(known) = self.known.remove(&request) {
@@ -398,12 +401,12 @@
 }
 
 /// Says what a failure means for another run.
-fn fate(failure: &Failure) -> Fate {
+fn fate(failure: &Failure) -> FailureKind {
     match failure.cause {
-        Cause::Refused => Fate::NotRun,
-        _ if failure.not_run => Fate::Unreached,
-        Cause::Error => Fate::Faulty,
-        _ => Fate::Lost,
+        Cause::Refused => FailureKind::Refused,
+        _ if failure.not_run => FailureKind::Unreachable,
+        Cause::Error => FailureKind::Error,
+        _ => FailureKind::Lost,
     }
 }
 
--- a/crates/verbenaslip-policy/benches/bench/engine.rs
+++ b/crates/verbenaslip-policy/benches/bench/engine.rs
@@ -5,7 +5,7 @@
 
 use verbenaslip_base::announce::{Announcement, Load, Phase};
 use verbenaslip_base::attempt::Request;
-use verbenaslip_policy::route::Change;
+use verbenaslip_policy::route::CacheEvent;
 
 /// Tokens of a prompt that one iteration computes at most.
 const CHUNK: u32 = 2048;
@@ -21,7 +21,7 @@
     pub waiting: Vec<Job>,
     pub batch: Vec<Job>,
     pub cache: Lru,
-    pub events: Vec<Change>,
+    pub events: Vec<CacheEvent>,
     pub reported: Load,
     pub busy: Duration,
     pub computed: u64,
@@ -129,8 +129,8 @@
                 job.made = 1;
                 progress.push(Progress::First(job.request, job.attempt));
                 let (stored, evicted) = self.cache.store(&job.prefix);
-                self.events.extend(stored.into_iter().map(Change::Stored));
-                self.events.extend(evicted.into_iter().map(Change::Evicted));
+                self.events.extend(stored.into_iter().map(CacheEvent::Stored));
+                self.events.extend(evicted.into_iter().map(CacheEvent::Evicted));
             }
         }
         self.batch.retain(|job| {
@@ -211,4 +211,4 @@
 }
 
 /// Cache events that were published and are still on their way.
-pub type Mail = VecDeque<(Duration, verbenaslip_policy::route::Batch)>;
+pub type Mail = VecDeque<(Duration, verbenaslip_policy::route::CacheBatch)>;
--- a/crates/verbenaslip-policy/benches/bench/policy.rs
+++ b/crates/verbenaslip-policy/benches/bench/policy.rs
@@ -11,8 +11,8 @@
 use verbenaslip_base::name::{AvailabilityZone, Instance, Model, Upstream};
 use verbenaslip_policy::admit::Admission;
 use verbenaslip_policy::dispatch::Dispatcher;
-use verbenaslip_policy::retry::{Fate, Verdict};
-use verbenaslip_policy::route::Batch;
+use verbenaslip_policy::retry::{Decision, FailureKind};
+use verbenaslip_policy::route::CacheBatch;
 use verbenaslip_table::{Row, Table};
 
 /// Instances that decide.
@@ -28,7 +28,7 @@
 pub trait Policy {
     fn announce(&mut self, now: Duration, announcement: &Announcement);
     fn lost(&mut self, now: Duration, upstream: &Upstream);
-    fn cached(&mut self, upstream: &Upstream, batch: &Batch);
+    fn cached(&mut self, upstream: &Upstream, batch: &CacheBatch);
     fn arrive(&mut self, now: Duration, instance: usize, head: Head) -> Vec<Act>;
     fn first(&mut self, now: Duration, instance: usize, request: Request);
     fn ended(&mut self, now: Duration, instance: usize, request: Request, tokens: u32);
@@ -55,8 +55,8 @@
         let start = |(index, name): (usize, &Instance)| {
             let zone = AvailabilityZone::from(zones[index % zones.len()]);
             let mut dispatcher = Dispatcher::new(Duration::ZERO, name.clone(), zone, 1);
-            dispatcher.table(Duration::ZERO, &table);
-            dispatcher.members(Duration::ZERO, &names);
+            dispatcher.set_table(Duration::ZERO, &table);
+            dispatcher.set_members(Duration::ZERO, &names);
             dispatcher
         };
         let dispatchers = names.iter().enumerate().map(start).collect();
@@ -69,10 +69,12 @@
         let mut acts: Vec<Act> = given
             .map(|given| Act::Refuse { request: given.head.request, retry: given.refusal.retry })
             .collect();
-        acts.extend(dispatcher.next(now, &mut self.rng).into_iter().map(|dispatch| Act::Run {
-            request: dispatch.head.request,
-            upstream: dispatch.choice.upstream,
-            priority: dispatch.priority,
+        acts.extend(dispatcher.next_dispatches(now, &mut self.rng).into_iter().map(|dispatch| {
+            Act::Run {
+                request: dispatch.head.request,
+                upstream: dispatch.choice.upstream,
+                priority: dispatch.priority,
+            }
         }));
         acts
     }
@@ -80,15 +82,21 @@
 
 impl Policy for Ours {
     fn announce(&mut self, now: Duration, announcement: &Announcement) {
-        self.dispatchers.iter_mut().for_each(|dispatcher| dispatcher.announce(now, announcement));
+        self.dispatchers
+            .iter_mut()
+            .for_each(|dispatcher| dispatcher.handle_announcement(now, announcement));
     }
 
     fn lost(&mut self, now: Duration, upstream: &Upstream) {
-        self.dispatchers.iter_mut().for_each(|dispatcher| drop(dispatcher.lost(now, upstream)));
+        self.dispatchers
+            .iter_mut()
+            .for_each(|dispatcher| drop(dispatcher.remove_upstream(now, upstream)));
     }
 
-    fn cached(&mut self, upstream: &Upstream, batch: &Batch) {
-        self.dispatchers.iter_mut().for_each(|dispatcher| dispatcher.cached(upstream, batch));
+    fn cached(&mut self, upstream: &Upstream, batch: &CacheBatch) {
+        self.dispatchers
+            .iter_mut()
+            .for_each(|dispatcher| dispatcher.handle_cache_events(upstream, batch));
     }
 
     fn arrive(&mut self, now: Duration, instance: usize, mut head: Head) -> Vec<Act> {
@@ -102,24 +110,24 @@
                 vec![Act::Refuse { request, retry: refusal.retry }]
             }
             Admission::Admitted | Admission::Queued(_) => {
-                dispatcher.ready(request);
+                dispatcher.mark_ready(request);
                 self.act(now, instance)
             }
         }
     }
 
     fn first(&mut self, now: Duration, instance: usize, request: Request) {
-        self.dispatchers[instance].first_token(now, request);
+        self.dispatchers[instance].record_first_token(now, request);
     }
 
     fn ended(&mut self, now: Duration, instance: usize, request: Request, tokens: u32) {
-        self.dispatchers[instance].ended(now, request, tokens);
+        self.dispatchers[instance].record_completion(now, request, tokens);
     }
 
     fn failed(&mut self, now: Duration, instance: usize, request: Request, at: &Upstream) -> bool {
         let dispatcher = &mut self.dispatchers[instance];
-        let verdict = dispatcher.failed(now, request, at, Fate::Lost, &mut self.rng);
-        matches!(verdict, Verdict::After(_))
+        let verdict = dispatcher.handle_failure(now, request, at, FailureKind::Lost, &mut self.rng);
+        matches!(verdict, Decision::RetryAfter(_))
     }
 
     fn poll(&mut self, now: Duration, instance: usize) -> Vec<Act> {
@@ -128,9 +136,9 @@
 
     fn spread(&mut self, now: Duration) {
         for from in 0..self.dispatchers.len() {
-            let report = self.dispatchers[from].report(now);
+            let report = self.dispatchers[from].tick_limits(now);
             for to in (0..self.dispatchers.len()).filter(|to| *to != from) {
-                self.dispatchers[to].heard(now, &self.names[from], &report);
+                self.dispatchers[to].handle_report(now, &self.names[from], &report);
             }
         }
     }
@@ -201,7 +209,7 @@
         self.known.remove(upstream);
     }
 
-    fn cached(&mut self, _: &Upstream, _: &Batch) {}
+    fn cached(&mut self, _: &Upstream, _: &CacheBatch) {}
 
     fn arrive(&mut self, _: Duration, instance: usize, head: Head) -> Vec<Act> {
         let request = head.request;
--- a/crates/verbenaslip-policy/benches/bench/speed.rs
+++ b/crates/verbenaslip-policy/benches/bench/speed.rs
@@ -51,22 +51,22 @@
 fn request(upstreams: u32) -> f64 {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut dispatcher = Dispatcher::new(Duration::ZERO, "i0".into(), "z0".into(), 1);
-    dispatcher.members(Duration::ZERO, &["i0".into()]);
-    dispatcher.table(Duration::ZERO, &table(1));
+    dispatcher.set_members(Duration::ZERO, &["i0".into()]);
+    dispatcher.set_table(Duration::ZERO, &table(1));
     for second in 0..8 {
-        dispatcher.report(Duration::from_secs(second));
+        dispatcher.tick_limits(Duration::from_secs(second));
     }
     let now = Duration::from_secs(7);
     for number in 0..upstreams {
-        dispatcher.announce(now, &announcement(number));
+        dispatcher.handle_announcement(now, &announcement(number));
     }
     let begin = Instant::now();
     for id in 0..REQUESTS {
         let head = head(u128::from(id), now + Duration::from_secs(30));
         dispatcher.offer(now, head, now, &mut rng);
-        dispatcher.ready(Request(u128::from(id)));
-        for dispatch in dispatcher.next(now, &mut rng) {
-            dispatcher.ended(now, dispatch.head.request, 40);
+        dispatcher.mark_ready(Request(u128::from(id)));
+        for dispatch in dispatcher.next_dispatches(now, &mut rng) {
+            dispatcher.record_completion(now, dispatch.head.request, 40);
         }
     }
     begin.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS)
--- a/crates/verbenaslip-policy/benches/bench/world.rs
+++ b/crates/verbenaslip-policy/benches/bench/world.rs
@@ -8,7 +8,7 @@
 use verbenaslip_base::announce::{Announcement, Kind, Load, Market, Phase};
 use verbenaslip_base::attempt::Request;
 use verbenaslip_base::name::{Model, Upstream};
-use verbenaslip_policy::route::Batch;
+use verbenaslip_policy::route::CacheBatch;
 
 use super::engine::{Engine, Job, Progress, Speed};
 use super::measure::{Measures, Outcome, measure};
@@ -42,7 +42,7 @@
     Arrive(usize),
     Step(usize),
     Report(usize),
-    Cache(usize, Batch),
+    Cache(usize, CacheBatch),
     Spread,
     Poll,
     Notice,
@@ -399,7 +399,8 @@
         if count.is_multiple_of(12) {
             return;
         }
-        let batch = Batch { next, gap: count % 12 == 1 && count > 1, changes };
+        let batch =
+            CacheBatch { next_sequence: next, gap: count % 12 == 1 && count > 1, events: changes };
         self.at(self.now + seconds(2.0), Event::Cache(index, batch));
     }
 
--- a/crates/verbenaslip-policy/src/dispatch.rs
+++ b/crates/verbenaslip-policy/src/dispatch.rs
@@ -15,8 +15,8 @@
 use crate::admit::{Admission, Given, Item, Queue, Returns};
 use crate::limit::{Limiter, Report};
 use crate::pool::Pool;
-use crate::retry::{Ask as Retry, Fate, Moved, Retries, Verdict, Why};
-use crate::route::{Ask, Batch, Choice, Loss, Router};
+use crate::retry::{Ask as Retry, Decision, Denial, FailureKind, Moved, Retries};
+use crate::route::{Ask, CacheBatch, Choice, Loss, Router};
 use crate::row::Terms;
 use crate::wave::Wave;
 
@@ -70,7 +70,7 @@
     }
 
     /// Puts a table in force, also for what already waits and runs.
-    pub fn table(&mut self, now: Duration, table: &Table) {
+    pub fn set_table(&mut self, now: Duration, table: &Table) {
         self.table = table.clone();
         let rows: Vec<(Key, Terms)> =
             table.rows().iter().map(|row| (row.key(), Terms::from(row))).collect();
@@ -82,28 +82,28 @@
     }
 
     /// Takes over the instances that membership counts as alive, this one counted.
-    pub fn members(&mut self, now: Duration, members: &[Instance]) {
+    pub fn set_members(&mut self, now: Duration, members: &[Instance]) {
         self.limiter.members(now, members);
         self.router.instances(members.len().max(1) as u32);
     }
 
     /// Takes another instance's report of its part of the limits.
-    pub fn heard(&mut self, now: Duration, from: &Instance, report: &Report) {
+    pub fn handle_report(&mut self, now: Duration, from: &Instance, report: &Report) {
         self.limiter.heard(now, from, report);
     }
 
     /// Returns the report to spread; called about once a second.
-    pub fn report(&mut self, now: Duration) -> Report {
+    pub fn tick_limits(&mut self, now: Duration) -> Report {
         self.limiter.step(now)
     }
 
     /// Falls back to safe parts of the limits, as when others counted this instance as dead.
-    pub fn doubt(&mut self, now: Duration) {
+    pub fn reset_shares(&mut self, now: Duration) {
         self.limiter.doubt(now);
     }
 
     /// Takes an announcement that was made at a time on this instance's clock.
-    pub fn announce(&mut self, heard: Duration, announcement: &Announcement) {
+    pub fn handle_announcement(&mut self, heard: Duration, announcement: &Announcement) {
         let leaving = matches!(announcement.phase, Phase::Leaving { notice: Some(_) });
         self.router.announce(heard, announcement);
         if leaving {
@@ -112,14 +112,14 @@
     }
 
     /// Takes cache events of an upstream.
-    pub fn cached(&mut self, upstream: &Upstream, batch: &Batch) {
+    pub fn handle_cache_events(&mut self, upstream: &Upstream, batch: &CacheBatch) {
         self.router.cached(upstream, batch);
     }
 
     /// Forgets an upstream that is gone and returns what ran there.
     ///
     /// Each of those requests is then to be told by [`Dispatcher::failed`].
-    pub fn lost(&mut self, now: Duration, upstream: &Upstream) -> Loss {
+    pub fn remove_upstream(&mut self, now: Duration, upstream: &Upstream) -> Loss {
         if let Some(announcement) = self.router.announcement(upstream).cloned() {
             self.note_loss(now, &announcement.zone, upstream);
         }
@@ -170,12 +170,12 @@
     }
 
     /// Allows a request that was taken in to run: it is journalled, and claimed where it must be.
-    pub fn ready(&mut self, request: Request) -> bool {
+    pub fn mark_ready(&mut self, request: Request) -> bool {
         self.queues.values_mut().any(|queue| queue.ready(request))
     }
 
     /// Returns all runs that can start now.
-    pub fn next(&mut self, now: Duration, rng: &mut impl Rng) -> Vec<Dispatch> {
+    pub fn next_dispatches(&mut self, now: Duration, rng: &mut impl Rng) -> Vec<Dispatch> {
         self.requeue(now);
         let busy = self.queues.iter().filter(|(_, queue)| !queue.is_empty());
         let models: Vec<Model> = busy.map(|(model, _)| model.clone()).collect();
@@ -199,12 +199,12 @@
     }
 
     /// Notes a request's first token.
-    pub fn first_token(&mut self, now: Duration, request: Request) {
+    pub fn record_first_token(&mut self, now: Duration, request: Request) {
         self.router.first_token(now, request);
     }
 
     /// Notes that a request's answer is whole, with so many tokens.
-    pub fn ended(&mut self, now: Duration, request: Request, tokens: u32) {
+    pub fn record_completion(&mut self, now: Duration, request: Request, tokens: u32) {
         let home = self.router.home(request).cloned();
         let Some(running) = self.running.remove(&request) else { return };
         let item = running.item;
@@ -220,23 +220,23 @@
     /// Notes that a request's run failed, and decides whether it runs again.
     ///
     /// If so, [`Dispatcher::next`] gives the new run when its time has come.
-    pub fn failed(
+    pub fn handle_failure(
         &mut self,
         now: Duration,
         request: Request,
         upstream: &Upstream,
-        fate: Fate,
+        fate: FailureKind,
         rng: &mut impl Rng,
-    ) -> Verdict {
+    ) -> Decision {
         self.router.failed(now, request);
         let Some(running) = self.running.remove(&request) else {
-            return Verdict::Never(Why::MayHaveRun);
+            return Decision::Denied(Denial::MayHaveRun);
         };
         self.limiter.ended(&running.item.key, i64::from(running.estimate));
         self.leave(&running.item);
         let ask = self.retry(now, &running, upstream, fate);
         let verdict = self.retries.ask(now, &ask, rng);
-        if let Verdict::After(delay) = verdict {
+        if let Decision::RetryAfter(delay) = verdict {
             let mut item = running.item;
             item.begun = true;
             item.avoid.retain(|avoided| avoided != upstream);
@@ -247,7 +247,12 @@
     }
 
     /// Chooses where a running request could go on, as when its upstream is leaving.
-    pub fn elsewhere(&self, now: Duration, request: Request, rng: &mut impl Rng) -> Option<Choice> {
+    pub fn choose_alternative(
+        &self,
+        now: Duration,
+        request: Request,
+        rng: &mut impl Rng,
+    ) -> Option<Choice> {
         let item = &self.running.get(&request)?.item;
         let mut ask = ask(item);
         ask.avoid.extend(self.router.home(request).cloned());
@@ -255,7 +260,7 @@
     }
 
     /// Notes that a running request was moved to another upstream.
-    pub fn moved(&mut self, now: Duration, request: Request, choice: &Choice) {
+    pub fn record_move(&mut self, now: Duration, request: Request, choice: &Choice) {
         let Some(running) = self.running.get_mut(&request) else { return };
         running.runs += 1;
         self.router.withdrawn(now, request);
@@ -354,7 +359,13 @@
         Some(Refusal { reason: Reason::Limit, retry: Some(retry) })
     }
 
-    fn retry(&self, now: Duration, running: &Running, upstream: &Upstream, fate: Fate) -> Retry {
+    fn retry(
+        &self,
+        now: Duration,
+        running: &Running,
+        upstream: &Upstream,
+        fate: FailureKind,
+    ) -> Retry {
         let zone = self.router.announcement(upstream).map(|announcement| &announcement.zone);
         let wave = match zone {
             Some(zone) => self.wave.on(now, zone),
--- a/crates/verbenaslip-policy/src/limit/limiter.rs
+++ b/crates/verbenaslip-policy/src/limit/limiter.rs
@@ -173,7 +173,7 @@
     }
 
     /// Says whether this instance has its even part: the others have heard of it by now.
-    pub fn settled(&self, now: Duration) -> bool {
+    pub fn has_base_share(&self, now: Duration) -> bool {
         now.saturating_sub(self.started) >= HOLD
     }
 
@@ -185,7 +185,9 @@
     /// Returns the even part of a limit that is this instance's own without asking anyone.
     fn floor(&self, now: Duration) -> Floor {
         // An instance that others have not yet heard of is not yet counted in their even parts.
-        Floor { part: if self.settled(now) { FLOOR / self.peers.count() as f64 } else { 0.0 } }
+        Floor {
+            part: if self.has_base_share(now) { FLOOR / self.peers.count() as f64 } else { 0.0 },
+        }
     }
 
     /// Falls back to the even part after a freeze.
@@ -209,7 +211,7 @@
     }
 
     fn move_parts(&mut self, now: Duration) {
-        let settled = self.settled(now);
+        let settled = self.has_base_share(now);
         let isolated = !self.peers.majority(now);
         let complete = self.peers.complete(now);
         for row in self.rows.values_mut() {
--- a/crates/verbenaslip-policy/src/plan/offer.rs
+++ b/crates/verbenaslip-policy/src/plan/offer.rs
@@ -22,7 +22,7 @@
     /// The zone.
     pub zone: AvailabilityZone,
     /// The machine class.
-    pub machine: Arc<str>,
+    pub class: Arc<str>,
     /// How it is paid for.
     pub market: Market,
     /// Price in millionths of the currency unit for an hour.
@@ -37,7 +37,7 @@
     }
 
     fn key(&self) -> Key {
-        (self.zone.clone(), self.machine.clone(), self.market)
+        (self.zone.clone(), self.class.clone(), self.market)
     }
 }
 
--- a/crates/verbenaslip-policy/src/plan/order.rs
+++ b/crates/verbenaslip-policy/src/plan/order.rs
@@ -30,11 +30,11 @@
     /// Where it runs.
     pub zone: AvailabilityZone,
     /// Its class.
-    pub machine: Arc<str>,
+    pub class: Arc<str>,
     /// How it is paid for.
     pub market: Market,
     /// How far it is.
-    pub state: State,
+    pub state: MachineState,
     /// The models that it has loaded, or is to load when it starts.
     pub models: Vec<Model>,
     /// Requests that it runs.
@@ -43,7 +43,7 @@
 
 /// Says how far a machine is.
 #[data(copy, ord, hash)]
-pub enum State {
+pub enum MachineState {
     /// Ordered, booting or loading.
     Starting,
     /// Takes work.
@@ -58,11 +58,11 @@
     /// Starts a machine; the same request is the same order, whoever repeats it.
     Start {
         /// The identity of the order.
-        request: u128,
+        id: u128,
         /// Where.
         zone: AvailabilityZone,
         /// The machine class.
-        machine: Arc<str>,
+        class: Arc<str>,
         /// How it is paid for.
         market: Market,
         /// The model that it is to load.
--- a/crates/verbenaslip-policy/src/plan/planner.rs
+++ b/crates/verbenaslip-policy/src/plan/planner.rs
@@ -11,8 +11,8 @@
 use crate::plan::forecast::Forecast;
 use crate::plan::mix::{Capacity, Mix};
 use crate::plan::offer::{Offer, Offers};
-use crate::plan::order::{Machine, Order, Pending, State, View};
-use crate::plan::settings::{Settings, Size};
+use crate::plan::order::{Machine, MachineState, Order, Pending, View};
+use crate::plan::settings::{MachineClass, Settings};
 use crate::plan::store::Store;
 
 /// How long before it is needed a machine must be ready.
@@ -59,13 +59,13 @@
     }
 
     /// Learns of work; an instance that sees one of `n` arrivals tells `n` times its own work.
-    pub fn arrival(&mut self, hour: u64, second: u32, model: &Model, work: f64, reserve: u32) {
+    pub fn record_work(&mut self, hour: u64, second: u32, model: &Model, work: f64, reserve: u32) {
         self.forecast.add(hour, second, model, work, reserve);
     }
 
     /// Learns how many requests a machine class runs at once, from an engine that runs on one.
-    pub fn learn(&mut self, size: Size) {
-        match self.settings.sizes.iter_mut().find(|known| known.machine == size.machine) {
+    pub fn set_machine_class(&mut self, size: MachineClass) {
+        match self.settings.sizes.iter_mut().find(|known| known.name == size.name) {
             Some(known) => *known = size,
             None => self.settings.sizes.push(size),
         }
@@ -77,20 +77,20 @@
     }
 
     /// Notes that a start was granted.
-    pub fn started(&mut self, request: u128, name: &Upstream) {
+    pub fn record_started(&mut self, request: u128, name: &Upstream) {
         let Some(pending) = self.pending.get_mut(&request) else { return };
         pending.name = Some(name.clone());
         self.offers.granted(&pending.offer);
     }
 
     /// Notes that a start was refused; the next step tries the next best offer.
-    pub fn refused(&mut self, now: Duration, request: u128, rng: &mut impl Rng) {
+    pub fn record_refused(&mut self, now: Duration, request: u128, rng: &mut impl Rng) {
         let Some(pending) = self.pending.remove(&request) else { return };
         self.offers.refused(now, &pending.offer, rng);
     }
 
     /// Decides; called every few seconds on the leader.
-    pub fn step(&mut self, now: Duration, view: &View) -> Vec<Order> {
+    pub fn tick(&mut self, now: Duration, view: &View) -> Vec<Order> {
         self.forecast.turn(view.hour);
         if view.hour != self.hour {
             self.hour = view.hour;
@@ -145,7 +145,7 @@
     fn capacity(&self, view: &View, model: &Model) -> Capacity {
         let mut capacity = Capacity::default();
         for machine in self.serving(view, model) {
-            capacity.add(&machine.zone, machine.market, self.settings.slots(&machine.machine));
+            capacity.add(&machine.zone, machine.market, self.settings.slots(&machine.class));
         }
         for pending in self.pending.values().filter(|pending| pending.model == *model) {
             capacity.add(&pending.offer.zone, pending.offer.market, pending.slots);
@@ -161,8 +161,8 @@
     ) -> impl Iterator<Item = &'a Machine> {
         view.machines.iter().filter(move |machine| {
             let loading = self.loading.contains_key(&(machine.name.clone(), model.clone()));
-            let stays =
-                machine.state != State::Leaving && !self.draining.contains_key(&machine.name);
+            let stays = machine.state != MachineState::Leaving
+                && !self.draining.contains_key(&machine.name);
             stays && (machine.models.contains(model) || loading)
         })
     }
@@ -178,7 +178,8 @@
     ) {
         let need = self.need(view, model, self.lead(now, model, 1));
         let seconds = self.settings.load(model);
-        let empty = view.machines.iter().filter(|m| m.state == State::Ready && m.models.is_empty());
+        let empty =
+            view.machines.iter().filter(|m| m.state == MachineState::Ready && m.models.is_empty());
         for machine in empty {
             let taken = self.loading.keys().any(|(name, _)| *name == machine.name);
             if taken || self.draining.contains_key(&machine.name) {
@@ -189,7 +190,7 @@
             }
             // One that waits for the store counts as well: a machine started in its place would
             // have to load from the same store, and later.
-            capacity.add(&machine.zone, machine.market, self.settings.slots(&machine.machine));
+            capacity.add(&machine.zone, machine.market, self.settings.slots(&machine.class));
             if !self.store.book(now, seconds) {
                 continue;
             }
@@ -233,7 +234,7 @@
     /// Returns the offers that may be tried now, each with its slots.
     fn allowed<'a>(&self, now: Duration, view: &'a View) -> Vec<(&'a Offer, u32)> {
         let may = view.offers.iter().filter(|offer| self.offers.may(now, offer));
-        let sized = may.map(|offer| (offer, self.settings.slots(&offer.machine)));
+        let sized = may.map(|offer| (offer, self.settings.slots(&offer.class)));
         sized.filter(|(_, slots)| *slots > 0).collect()
     }
 
@@ -245,7 +246,7 @@
 
     fn order(&mut self, now: Duration, offer: Offer, model: &Model, slots: u32) -> Order {
         let market = format!("{:?}", offer.market);
-        let parts = [offer.zone.as_str(), &offer.machine, &market, model.as_str()];
+        let parts = [offer.zone.as_str(), &offer.class, &market, model.as_str()];
         let ordinal = self.ordinals.entry(parts.join("/")).or_default();
         let request = identity(self.hour, *ordinal, &parts);
         *ordinal += 1;
@@ -288,7 +289,7 @@
     ) -> Option<Upstream> {
         let spare = |machine: &&Machine| {
             let mut left = capacity.clone();
-            left.take(&machine.zone, machine.market, self.settings.slots(&machine.machine));
+            left.take(&machine.zone, machine.market, self.settings.slots(&machine.class));
             let reserve = self.forecast.reserve(model) * f64::from(left.total());
             let kept =
                 machine.market == Market::Reclaimable || f64::from(left.on_demand) >= reserve;
@@ -296,13 +297,13 @@
         };
         let price = |machine: &Machine| {
             let same = view.offers.iter().find(|offer| {
-                let class = offer.machine == machine.machine && offer.market == machine.market;
+                let class = offer.class == machine.class && offer.market == machine.market;
                 class && offer.zone == machine.zone
             });
-            same.map_or(f64::MAX, |offer| offer.unit(self.settings.slots(&offer.machine)))
+            same.map_or(f64::MAX, |offer| offer.unit(self.settings.slots(&offer.class)))
         };
         let alone = |machine: &&Machine| machine.models.len() <= 1;
-        let ready = |machine: &&Machine| machine.state == State::Ready;
+        let ready = |machine: &&Machine| machine.state == MachineState::Ready;
         let spares = self.serving(view, model).filter(ready).filter(alone).filter(spare);
         let dearest = spares.max_by(|a, b| price(a).total_cmp(&price(b)))?;
         Some(dearest.name.clone())
@@ -312,8 +313,9 @@
     fn stop(&mut self, now: Duration, view: &View, orders: &mut Vec<Order>) {
         for (name, since) in &self.draining {
             let machine = view.machines.iter().find(|machine| machine.name == *name);
-            let idle = machine
-                .is_some_and(|machine| machine.state == State::Leaving && machine.running == 0);
+            let idle = machine.is_some_and(|machine| {
+                machine.state == MachineState::Leaving && machine.running == 0
+            });
             if idle || now.saturating_sub(*since) >= self.settings.drain {
                 orders.push(Order::Stop { name: name.clone() });
             }
@@ -332,9 +334,9 @@
 
 fn order(request: u128, pending: &Pending) -> Order {
     Order::Start {
-        request,
+        id: request,
         zone: pending.offer.zone.clone(),
-        machine: pending.offer.machine.clone(),
+        class: pending.offer.class.clone(),
         market: pending.offer.market,
         model: pending.model.clone(),
     }
--- a/crates/verbenaslip-policy/src/plan/settings.rs
+++ b/crates/verbenaslip-policy/src/plan/settings.rs
@@ -10,7 +10,7 @@
 #[data(float)]
 pub struct Settings {
     /// The machine classes that may be started.
-    pub sizes: Vec<Size>,
+    pub sizes: Vec<MachineClass>,
     /// The models and how large they are.
     pub weights: Vec<Weights>,
     /// Bytes a second that the weight store gives to all.
@@ -45,7 +45,7 @@
 impl Settings {
     /// Returns the slots of a machine class; zero for one that may not be started.
     pub(crate) fn slots(&self, machine: &str) -> u32 {
-        let size = self.sizes.iter().find(|size| &*size.machine == machine);
+        let size = self.sizes.iter().find(|size| &*size.name == machine);
         size.map_or(0, |size| size.slots)
     }
 
@@ -58,9 +58,9 @@
 
 /// Describes a machine class.
 #[data]
-pub struct Size {
+pub struct MachineClass {
     /// The cloud's name of the class.
-    pub machine: Arc<str>,
+    pub name: Arc<str>,
     /// How many requests an engine on it runs at once.
     pub slots: u32,
 }
--- a/crates/verbenaslip-policy/src/retry.rs
+++ b/crates/verbenaslip-policy/src/retry.rs
@@ -35,7 +35,7 @@
     /// Whether a second run does no harm.
     pub idempotent: bool,
     /// What became of the failed run.
-    pub fate: Fate,
+    pub fate: FailureKind,
     /// How many runs there were.
     pub runs: u32,
     /// The row's retries for a hundred successes.
@@ -46,15 +46,15 @@
 
 /// Says what became of a failed run, as far as it matters for another one.
 #[data(copy, ord, hash)]
-pub enum Fate {
+pub enum FailureKind {
     /// It surely did not run: its upstream could not be reached.
-    Unreached,
+    Unreachable,
     /// It surely did not run: its upstream refused it.
-    NotRun,
+    Refused,
     /// Its upstream was lost or went silent under it.
     Lost,
     /// Its upstream answered with an error.
-    Faulty,
+    Error,
 }
 
 /// Describes what work that a wave has set free finds elsewhere.
@@ -68,16 +68,16 @@
 
 /// Decides whether a failed run is followed by another.
 #[data(copy)]
-pub enum Verdict {
+pub enum Decision {
     /// Runs again, this long from now.
-    After(Duration),
+    RetryAfter(Duration),
     /// Does not run again.
-    Never(Why),
+    Denied(Denial),
 }
 
 /// Names why a failed run is not followed by another.
 #[data(copy, ord, hash)]
-pub enum Why {
+pub enum Denial {
     /// It may have run, and a second run would do harm.
     MayHaveRun,
     /// The team has used its budget.
@@ -102,33 +102,34 @@
     }
 
     /// Decides about another run and pays for it.
-    pub fn ask(&mut self, now: Duration, ask: &Ask, rng: &mut impl Rng) -> Verdict {
-        if !ask.idempotent && !matches!(ask.fate, Fate::Unreached | Fate::NotRun) {
-            return Verdict::Never(Why::MayHaveRun);
+    pub fn ask(&mut self, now: Duration, ask: &Ask, rng: &mut impl Rng) -> Decision {
+        if !ask.idempotent && !matches!(ask.fate, FailureKind::Unreachable | FailureKind::Refused) {
+            return Decision::Denied(Denial::MayHaveRun);
         }
         // A reclaim is nobody's fault, so moved work is not paid for; but all of it at once on the
         // upstreams that are left would make them late as well, so it is spread by their room.
         if let Some(moved) = ask.wave {
-            return Verdict::After(spread(moved, rng));
+            return Decision::RetryAfter(spread(moved, rng));
         }
         // The first engines to die do so before anybody can call it a wave. Charged to a budget,
         // the work that ran there would end as unknown although it could go on elsewhere; that it
         // ran bounds how much there is, and the count of runs stops a request that kills engines.
-        if matches!(ask.fate, Fate::Unreached | Fate::Lost) && ask.runs <= FREE_RUNS {
-            return Verdict::After(backoff(ask.runs, rng));
+        if matches!(ask.fate, FailureKind::Unreachable | FailureKind::Lost) && ask.runs <= FREE_RUNS
+        {
+            return Decision::RetryAfter(backoff(ask.runs, rng));
         }
         let row = self.rows.entry(ask.key.clone()).or_insert_with(|| Budget::new(now));
         if !row.has(now) {
-            return Verdict::Never(Why::Team);
+            return Decision::Denied(Denial::Team);
         }
         let upstream =
             self.upstreams.entry(ask.upstream.clone()).or_insert_with(|| Budget::new(now));
         if !upstream.has(now) {
-            return Verdict::Never(Why::Upstream);
+            return Decision::Denied(Denial::Upstream);
         }
         row.pay();
         upstream.pay();
-        Verdict::After(backoff(ask.runs, rng))
+        Decision::RetryAfter(backoff(ask.runs, rng))
     }
 
     /// Forgets an upstream that is gone.
--- a/crates/verbenaslip-policy/src/route.rs
+++ b/crates/verbenaslip-policy/src/route.rs
@@ -13,7 +13,7 @@
 mod router;
 mod score;
 
-pub use self::cache::{Batch, Cache, Change};
+pub use self::cache::{Cache, CacheBatch, CacheEvent};
 pub use self::health::Health;
 pub use self::latency::Latency;
 pub use self::router::{Ask, Choice, Loss, Router};
--- a/crates/verbenaslip-policy/src/route/cache.rs
+++ b/crates/verbenaslip-policy/src/route/cache.rs
@@ -18,18 +18,18 @@
 
 /// Carries cache events of an upstream, numbered without holes.
 #[data]
-pub struct Batch {
+pub struct CacheBatch {
     /// The number after the last of these events.
-    pub next: u64,
+    pub next_sequence: u64,
     /// Whether events before these were lost.
     pub gap: bool,
     /// The events, oldest first.
-    pub changes: Vec<Change>,
+    pub events: Vec<CacheEvent>,
 }
 
 /// Tells of one block.
 #[data(copy, ord, hash)]
-pub enum Change {
+pub enum CacheEvent {
     /// The block is cached now.
     Stored(u64),
     /// The block is cached no more.
@@ -63,16 +63,16 @@
     }
 
     /// Takes events; those that were taken before are taken again without harm.
-    pub fn events(&mut self, batch: &Batch) {
+    pub fn events(&mut self, batch: &CacheBatch) {
         if batch.gap {
-            let first = batch.next.saturating_sub(batch.changes.len() as u64);
+            let first = batch.next_sequence.saturating_sub(batch.events.len() as u64);
             self.lost = self.lost.saturating_add(first.saturating_sub(self.next).max(1));
         }
-        self.next = self.next.max(batch.next);
-        for change in &batch.changes {
+        self.next = self.next.max(batch.next_sequence);
+        for change in &batch.events {
             match *change {
-                Change::Stored(block) => self.put(block, 1.0),
-                Change::Evicted(block) => self.drop_block(block),
+                CacheEvent::Stored(block) => self.put(block, 1.0),
+                CacheEvent::Evicted(block) => self.drop_block(block),
             }
         }
     }
--- a/crates/verbenaslip-policy/src/route/router.rs
+++ b/crates/verbenaslip-policy/src/route/router.rs
@@ -11,7 +11,7 @@
 use verbenaslip_base::name::{AvailabilityZone, Model, Upstream};
 
 use crate::pool::Pool;
-use crate::route::cache::{Batch, Cache};
+use crate::route::cache::{Cache, CacheBatch};
 use crate::route::engine::{Engine, Sent};
 use crate::route::score::Prediction;
 use crate::row::Terms;
@@ -53,7 +53,7 @@
     /// The upstream.
     pub upstream: Upstream,
     /// Prompt tokens that are expected to be cached there.
-    pub cached: u32,
+    pub cached_tokens: u32,
     /// Expected seconds to the first token.
     pub first: f64,
     /// Expected seconds to the whole answer.
@@ -120,7 +120,7 @@
     }
 
     /// Takes cache events of an upstream.
-    pub fn cached(&mut self, upstream: &Upstream, batch: &Batch) {
+    pub fn cached(&mut self, upstream: &Upstream, batch: &CacheBatch) {
         if let Some(engine) = self.engines.get_mut(upstream) {
             engine.cache.events(batch);
         }
@@ -154,7 +154,7 @@
         self.take_back(head.request);
         let service = self.service(&head.model);
         let Some(engine) = self.engines.get_mut(&choice.upstream) else { return };
-        let computed = head.prompt.saturating_sub(choice.cached);
+        let computed = head.prompt.saturating_sub(choice.cached_tokens);
         let sent = Sent {
             at: now,
             first: None,
@@ -343,7 +343,15 @@
         let left = ask.head.deadline.saturating_sub(now).as_secs_f64();
         let cost = prediction.cost(left, now.saturating_sub(ask.arrived), &ask.terms);
         let upstream = engine.announcement.upstream.clone();
-        (cost, Choice { upstream, cached, first: prediction.first, whole: prediction.whole })
+        (
+            cost,
+            Choice {
+                upstream,
+                cached_tokens: cached,
+                first: prediction.first,
+                whole: prediction.whole,
+            },
+        )
     }
 
     fn predict(&self, now: Duration, ask: &Ask, engine: &Engine, cached: u32) -> Prediction {
--- a/crates/verbenaslip-policy/tests/dispatch.rs
+++ b/crates/verbenaslip-policy/tests/dispatch.rs
@@ -9,7 +9,7 @@
 use verbenaslip_base::refusal::Reason;
 use verbenaslip_policy::admit::Admission;
 use verbenaslip_policy::dispatch::{Dispatch, Dispatcher};
-use verbenaslip_policy::retry::{Fate, Verdict, Why};
+use verbenaslip_policy::retry::{Decision, Denial, FailureKind};
 use verbenaslip_table::{Row, Table};
 
 use crate::common::{engine, head, key, ms, rng};
@@ -26,7 +26,7 @@
 impl Node {
     fn new(row: impl FnOnce(&mut Row)) -> Self {
         let mut dispatcher = Dispatcher::new(ms(0), "i0".into(), "z0".into(), 1);
-        dispatcher.members(ms(0), &["i0".into()]);
+        dispatcher.set_members(ms(0), &["i0".into()]);
         let mut node = Self { dispatcher, rng: rng(1), now: ms(0) };
         node.table(row);
         node.wait(8);
@@ -38,7 +38,7 @@
     fn wait(&mut self, seconds: u64) {
         for _ in 0..seconds {
             self.now += ms(1_000);
-            self.dispatcher.report(self.now);
+            self.dispatcher.tick_limits(self.now);
         }
     }
 
@@ -46,14 +46,14 @@
         let mut row = Row::new("a", "class");
         edit(&mut row);
         let table = Table::new([row]).expect("the row is allowed");
-        self.dispatcher.table(self.now, &table);
+        self.dispatcher.set_table(self.now, &table);
     }
 
     fn announce(&mut self, sequence: u64) {
         for number in 0..6 {
             let zone = format!("z{}", number % 3);
             let announcement = engine(&format!("e{number}"), &zone, sequence);
-            self.dispatcher.announce(self.now, &announcement);
+            self.dispatcher.handle_announcement(self.now, &announcement);
         }
     }
 
@@ -61,12 +61,12 @@
         let mut head = head(id, "a");
         head.deadline = self.now + ms(30_000);
         let admission = self.dispatcher.offer(self.now, head, self.now, &mut self.rng);
-        self.dispatcher.ready(Request(id));
+        self.dispatcher.mark_ready(Request(id));
         admission
     }
 
     fn next(&mut self) -> Vec<Dispatch> {
-        self.dispatcher.next(self.now, &mut self.rng)
+        self.dispatcher.next_dispatches(self.now, &mut self.rng)
     }
 }
 
@@ -78,9 +78,9 @@
     assert_eq!(runs.len(), 1);
     assert!(node.next().is_empty());
     node.now += ms(100);
-    node.dispatcher.first_token(node.now, Request(1));
+    node.dispatcher.record_first_token(node.now, Request(1));
     node.now += ms(900);
-    node.dispatcher.ended(node.now, Request(1), 40);
+    node.dispatcher.record_completion(node.now, Request(1), 40);
     assert_eq!((node.dispatcher.running(), node.dispatcher.waiting()), (0, 0));
     assert_eq!(node.dispatcher.limiter().running(&key("a", "class")), 0);
 }
@@ -97,14 +97,14 @@
         for number in 0..6 {
             let mut leaving = engine(&format!("e{number}"), "z0", 2);
             leaving.phase = Phase::Leaving { notice: Some(10_000) };
-            node.dispatcher.announce(node.now, &leaving);
+            node.dispatcher.handle_announcement(node.now, &leaving);
         }
     };
     let cases = [
         Case { name: "all are leaving", set: leave, reason: Reason::NoUpstream, hint: true },
         Case {
             name: "the row is gone",
-            set: |node| node.dispatcher.table(node.now, &Table::default()),
+            set: |node| node.dispatcher.set_table(node.now, &Table::default()),
             reason: Reason::NoRow,
             hint: false,
         },
@@ -150,7 +150,7 @@
     node.table(|row| row.concurrency = 6);
     assert_eq!(node.next().len(), 2);
     node.table(|row| row.concurrency = 3);
-    node.dispatcher.ended(node.now, Request(1), 10);
+    node.dispatcher.record_completion(node.now, Request(1), 10);
     assert!(node.next().is_empty(), "five run, three are allowed");
 }
 
@@ -170,7 +170,7 @@
     for name in ["e0", "e3"] {
         let mut leaving = engine(name, "z0", 2);
         leaving.phase = Phase::Leaving { notice: Some(2_000) };
-        node.dispatcher.announce(node.now, &leaving);
+        node.dispatcher.handle_announcement(node.now, &leaving);
     }
     (100..110).for_each(|id| {
         node.offer(id);
@@ -179,12 +179,18 @@
     node.wait(2);
     let mut delays = Vec::new();
     for name in ["e0", "e3"] {
-        node.dispatcher.lost(node.now, &name.into());
+        node.dispatcher.remove_upstream(node.now, &name.into());
     }
     for run in runs.iter().filter(|run| taken(&run.choice.upstream)) {
         let (request, name) = (run.head.request, &run.choice.upstream);
-        let verdict = node.dispatcher.failed(node.now, request, name, Fate::Lost, &mut node.rng);
-        let Verdict::After(delay) = verdict else { panic!("{verdict:?}") };
+        let verdict = node.dispatcher.handle_failure(
+            node.now,
+            request,
+            name,
+            FailureKind::Lost,
+            &mut node.rng,
+        );
+        let Decision::RetryAfter(delay) = verdict else { panic!("{verdict:?}") };
         delays.push(delay);
     }
     assert!(delays.iter().any(|delay| *delay > ms(50)), "all at once: {delays:?}");
@@ -192,12 +198,12 @@
     for number in [1, 2, 4, 5] {
         let mut announcement = engine(&format!("e{number}"), &format!("z{}", number % 3), 9);
         announcement.load.running = 8;
-        node.dispatcher.announce(node.now, &announcement);
+        node.dispatcher.handle_announcement(node.now, &announcement);
     }
     assert!(node.next().is_empty(), "every slot is taken");
     node.now += ms(10);
     for run in runs.iter().filter(|run| !taken(&run.choice.upstream)) {
-        node.dispatcher.ended(node.now, run.head.request, 20);
+        node.dispatcher.record_completion(node.now, run.head.request, 20);
     }
     let again = node.next().into_iter().filter(|run| run.head.request.0 < 100).count();
     assert_eq!(again, delays.len(), "all run again");
@@ -210,16 +216,16 @@
     confirm.idempotent = false;
     confirm.deadline = node.now + ms(30_000);
     node.dispatcher.offer(node.now, confirm, node.now, &mut node.rng);
-    node.dispatcher.ready(Request(1));
+    node.dispatcher.mark_ready(Request(1));
     let run = node.next().remove(0);
-    let verdict = node.dispatcher.failed(
+    let verdict = node.dispatcher.handle_failure(
         node.now,
         Request(1),
         &run.choice.upstream,
-        Fate::Lost,
+        FailureKind::Lost,
         &mut node.rng,
     );
-    assert_eq!(verdict, Verdict::Never(Why::MayHaveRun));
+    assert_eq!(verdict, Decision::Denied(Denial::MayHaveRun));
     assert!(node.next().is_empty());
 }
 
@@ -241,7 +247,13 @@
         let runs = if case.runs { node.next() } else { Vec::new() };
         if case.failed {
             let upstream = runs[0].choice.upstream.clone();
-            node.dispatcher.failed(node.now, Request(1), &upstream, Fate::Lost, &mut node.rng);
+            node.dispatcher.handle_failure(
+                node.now,
+                Request(1),
+                &upstream,
+                FailureKind::Lost,
+                &mut node.rng,
+            );
         }
         let home = node.dispatcher.cancel(node.now, Request(1));
         assert_eq!(home.is_some(), case.runs && !case.failed, "{}", case.name);
@@ -259,13 +271,19 @@
     node.offer(1);
     let run = node.next().remove(0);
     for _ in 0..2 {
-        node.dispatcher.first_token(node.now, Request(1));
-        node.dispatcher.ended(node.now, Request(1), 10);
+        node.dispatcher.record_first_token(node.now, Request(1));
+        node.dispatcher.record_completion(node.now, Request(1), 10);
         let upstream = &run.choice.upstream;
-        node.dispatcher.failed(node.now, Request(1), upstream, Fate::Lost, &mut node.rng);
-        node.dispatcher.lost(node.now, upstream);
+        node.dispatcher.handle_failure(
+            node.now,
+            Request(1),
+            upstream,
+            FailureKind::Lost,
+            &mut node.rng,
+        );
+        node.dispatcher.remove_upstream(node.now, upstream);
         node.dispatcher.cancel(node.now, Request(99));
-        node.dispatcher.moved(node.now, Request(1), &run.choice);
+        node.dispatcher.record_move(node.now, Request(1), &run.choice);
     }
     assert_eq!(node.dispatcher.running() + node.dispatcher.waiting(), 0);
     assert_eq!(node.dispatcher.limiter().running(&key("a", "class")), 0);
--- a/crates/verbenaslip-policy/tests/plan.rs
+++ b/crates/verbenaslip-policy/tests/plan.rs
@@ -6,7 +6,7 @@
 use verbenaslip_base::announce::Market;
 use verbenaslip_base::name::{Model, Upstream};
 use verbenaslip_policy::plan::{
-    Machine, Offer, Order, Planner, Settings, Size, State, View, Weights,
+    Machine, MachineClass, MachineState, Offer, Order, Planner, Settings, View, Weights,
 };
 
 use crate::common::rng;
@@ -51,7 +51,7 @@
         for hour in 0..hours {
             for second in (0..3_600).step_by(10) {
                 let work = if second < 120 { 600.0 } else { 100.0 };
-                self.planner.arrival(hour, second, &model, work, reserve);
+                self.planner.record_work(hour, second, &model, work, reserve);
             }
         }
         self.now = hours * 3_600;
@@ -64,9 +64,9 @@
             self.view.second = (self.now % 3_600) as u32;
             let model = Model::from("model");
             let work = if self.view.second < 120 { 600.0 } else { 100.0 };
-            self.planner.arrival(self.view.hour, self.view.second, &model, work, self.reserve);
+            self.planner.record_work(self.view.hour, self.view.second, &model, work, self.reserve);
             self.boot();
-            let orders = self.planner.step(Duration::from_secs(self.now), &self.view);
+            let orders = self.planner.tick(Duration::from_secs(self.now), &self.view);
             orders.into_iter().for_each(|order| self.obey(order));
             self.now += 10;
         }
@@ -75,9 +75,9 @@
     fn boot(&mut self) {
         for machine in &mut self.view.machines {
             if self.boot.get(&machine.name).is_some_and(|ready| *ready <= self.now)
-                && machine.state == State::Starting
+                && machine.state == MachineState::Starting
             {
-                machine.state = State::Ready;
+                machine.state = MachineState::Ready;
             }
         }
     }
@@ -85,11 +85,10 @@
     fn obey(&mut self, order: Order) {
         self.orders.push(order.clone());
         match order {
-            Order::Start { request, zone, machine, market, model } => {
-                let offer =
-                    Offer { zone: zone.clone(), machine: machine.clone(), market, price: 0 };
+            Order::Start { id: request, zone, class: machine, market, model } => {
+                let offer = Offer { zone: zone.clone(), class: machine.clone(), market, price: 0 };
                 if (self.refuse)(&offer) {
-                    self.planner.refused(
+                    self.planner.record_refused(
                         Duration::from_secs(self.now),
                         request,
                         &mut rng(self.now),
@@ -98,7 +97,7 @@
                 }
                 if !self.granted.contains_key(&request) {
                     let name = Upstream::new(format!("m{}", self.granted.len()));
-                    let state = State::Starting;
+                    let state = MachineState::Starting;
                     let models = vec![model];
                     self.boot.insert(name.clone(), self.now + 90);
                     self.granted.insert(request, name.clone());
@@ -106,7 +105,7 @@
                     self.view.machines.push(Machine {
                         name,
                         zone,
-                        machine,
+                        class: machine,
                         market,
                         state,
                         models,
@@ -114,12 +113,12 @@
                     });
                 }
                 if !self.deaf {
-                    self.planner.started(request, &self.granted[&request]);
+                    self.planner.record_started(request, &self.granted[&request]);
                 }
             }
             Order::Drain { name } => {
                 let machines = self.view.machines.iter_mut();
-                machines.filter(|m| m.name == name).for_each(|m| m.state = State::Leaving);
+                machines.filter(|m| m.name == name).for_each(|m| m.state = MachineState::Leaving);
             }
             Order::Stop { name } => self.view.machines.retain(|machine| machine.name != name),
             Order::Load { upstream, model } => {
@@ -132,7 +131,7 @@
     /// Returns the ready slots, by zone.
     fn ready(&self) -> BTreeMap<String, u32> {
         let mut zones = BTreeMap::new();
-        for machine in self.view.machines.iter().filter(|m| m.state == State::Ready) {
+        for machine in self.view.machines.iter().filter(|m| m.state == MachineState::Ready) {
             *zones.entry(machine.zone.to_string()).or_default() += SLOTS;
         }
         zones
@@ -150,14 +149,14 @@
 
 fn settings() -> Settings {
     Settings {
-        sizes: vec![Size { machine: "large".into(), slots: SLOTS }],
+        sizes: vec![MachineClass { name: "large".into(), slots: SLOTS }],
         weights: vec![Weights { model: "model".into(), bytes: 10_000_000_000 }],
         ..Settings::default()
     }
 }
 
 fn offer(zone: &str, market: Market, price: u64) -> Offer {
-    Offer { zone: zone.into(), machine: "large".into(), market, price }
+    Offer { zone: zone.into(), class: "large".into(), market, price }
 }
 
 /// Returns three zones in which on-demand machines cost twice as much.
@@ -269,7 +268,7 @@
     cloud.planner = second.planner;
     // The new leader does not see yet what was started.
     let machines = std::mem::take(&mut cloud.view.machines);
-    let orders = cloud.planner.step(Duration::from_secs(cloud.now), &cloud.view);
+    let orders = cloud.planner.tick(Duration::from_secs(cloud.now), &cloud.view);
     assert!(!orders.is_empty());
     for order in orders {
         cloud.obey(order);
@@ -326,7 +325,7 @@
     let model = Model::from("model");
     for hour in 0..3 {
         for second in (0..3_600).step_by(10) {
-            cloud.planner.arrival(hour, second, &model, 300.0 + f64::from(second % 70), 0);
+            cloud.planner.record_work(hour, second, &model, 300.0 + f64::from(second % 70), 0);
         }
     }
     cloud.now = 3 * 3_600;
@@ -335,9 +334,9 @@
             cloud.view.hour = cloud.now / 3_600;
             cloud.view.second = (cloud.now % 3_600) as u32;
             let work = 300.0 + f64::from(step * 10 % 70);
-            cloud.planner.arrival(cloud.view.hour, cloud.view.second, &model, work, 0);
+            cloud.planner.record_work(cloud.view.hour, cloud.view.second, &model, work, 0);
             cloud.boot();
-            let orders = cloud.planner.step(Duration::from_secs(cloud.now), &cloud.view);
+            let orders = cloud.planner.tick(Duration::from_secs(cloud.now), &cloud.view);
             orders.into_iter().for_each(|order| cloud.obey(order));
             cloud.now += 10;
         }
@@ -358,9 +357,9 @@
         cloud.view.machines.push(Machine {
             name: Upstream::new(format!("empty{number}")),
             zone: ["z0", "z1", "z2"][number % 3].into(),
-            machine: "large".into(),
+            class: "large".into(),
             market: Market::Reclaimable,
-            state: State::Ready,
+            state: MachineState::Ready,
             models: Vec::new(),
             running: 0,
         });
--- a/crates/verbenaslip-policy/tests/retry.rs
+++ b/crates/verbenaslip-policy/tests/retry.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use verbenaslip_policy::retry::{Ask, Fate, Moved, Retries, Verdict, Why};
+use verbenaslip_policy::retry::{Ask, Decision, Denial, FailureKind, Moved, Retries};
 use verbenaslip_policy::wave::Wave;
 
 use crate::common::{key, ms, rng};
@@ -14,7 +14,7 @@
         key: key("a", "class"),
         upstream: "e0".into(),
         idempotent: true,
-        fate: Fate::Faulty,
+        fate: FailureKind::Error,
         runs: 1,
         percent: 10,
         wave: None,
@@ -28,28 +28,28 @@
     struct Case {
         name: &'static str,
         idempotent: bool,
-        fate: Fate,
+        fate: FailureKind,
         wave: bool,
         again: bool,
     }
     let case = |name, idempotent, fate, wave, again| Case { name, idempotent, fate, wave, again };
     let cases = [
-        case("idempotent and lost", true, Fate::Lost, false, true),
-        case("idempotent and faulty", true, Fate::Faulty, false, true),
-        case("not reached", false, Fate::Unreached, false, true),
-        case("refused by the upstream", false, Fate::NotRun, false, true),
-        case("lost", false, Fate::Lost, false, false),
-        case("faulty", false, Fate::Faulty, false, false),
-        case("lost in a wave", false, Fate::Lost, true, false),
+        case("idempotent and lost", true, FailureKind::Lost, false, true),
+        case("idempotent and faulty", true, FailureKind::Error, false, true),
+        case("not reached", false, FailureKind::Unreachable, false, true),
+        case("refused by the upstream", false, FailureKind::Refused, false, true),
+        case("lost", false, FailureKind::Lost, false, false),
+        case("faulty", false, FailureKind::Error, false, false),
+        case("lost in a wave", false, FailureKind::Lost, true, false),
     ];
     for case in cases {
         let wave = case.wave.then_some(Moved { work: 1.0, room: 4 });
         let ask = Ask { idempotent: case.idempotent, fate: case.fate, wave, ..ask() };
         let verdict = Retries::default().ask(ms(0), &ask, &mut rng(1));
-        let again = matches!(verdict, Verdict::After(_));
+        let again = matches!(verdict, Decision::RetryAfter(_));
         assert_eq!(again, case.again, "{}: {verdict:?}", case.name);
         if !case.again {
-            assert_eq!(verdict, Verdict::Never(Why::MayHaveRun), "{}", case.name);
+            assert_eq!(verdict, Decision::Denied(Denial::MayHaveRun), "{}", case.name);
         }
     }
 }
@@ -66,7 +66,8 @@
     for second in 0..60 {
         for run in 0..100 {
             let now = ms(second * 1_000 + run * 10);
-            granted += u32::from(matches!(retries.ask(now, &ask(), &mut rng), Verdict::After(_)));
+            granted +=
+                u32::from(matches!(retries.ask(now, &ask(), &mut rng), Decision::RetryAfter(_)));
         }
     }
     // At most 20 are saved up, and one comes in 10 s.
@@ -76,11 +77,11 @@
 #[test]
 fn a_quiet_team_may_retry_once() {
     let (mut retries, mut rng) = (Retries::default(), rng(1));
-    assert!(matches!(retries.ask(ms(0), &ask(), &mut rng), Verdict::After(_)));
-    assert_eq!(retries.ask(ms(10), &ask(), &mut rng), Verdict::Never(Why::Team));
+    assert!(matches!(retries.ask(ms(0), &ask(), &mut rng), Decision::RetryAfter(_)));
+    assert_eq!(retries.ask(ms(10), &ask(), &mut rng), Decision::Denied(Denial::Team));
     let later = Duration::from_secs(1_000);
-    assert!(matches!(retries.ask(later, &ask(), &mut rng), Verdict::After(_)));
-    assert_eq!(retries.ask(later, &ask(), &mut rng), Verdict::Never(Why::Team));
+    assert!(matches!(retries.ask(later, &ask(), &mut rng), Decision::RetryAfter(_)));
+    assert_eq!(retries.ask(later, &ask(), &mut rng), Decision::Denied(Denial::Team));
 }
 
 #[test]
@@ -89,7 +90,7 @@
     let mut granted = 0;
     for team in 0..50 {
         let ask = Ask { key: key(&format!("t{team}"), "class"), ..ask() };
-        granted += u32::from(matches!(retries.ask(ms(0), &ask, &mut rng), Verdict::After(_)));
+        granted += u32::from(matches!(retries.ask(ms(0), &ask, &mut rng), Decision::RetryAfter(_)));
     }
     assert_eq!(granted, 1, "the upstream's own budget bounds them");
 }
@@ -101,8 +102,8 @@
         let longest = ms(50 << (runs - 1)).min(ms(10_000));
         let delays: Vec<Duration> = (0..20)
             .map(|_| match Retries::default().ask(ms(0), &Ask { runs, ..ask() }, &mut rng) {
-                Verdict::After(delay) => delay,
-                Verdict::Never(why) => panic!("{why:?}"),
+                Decision::RetryAfter(delay) => delay,
+                Decision::Denied(why) => panic!("{why:?}"),
             })
             .collect();
         assert!(delays.iter().all(|d| *d >= longest / 2 && *d <= longest), "{runs}: {delays:?}");
@@ -119,8 +120,8 @@
     let mut early = 0;
     for _ in 0..100 {
         match Retries::default().ask(ms(0), &Ask { wave, ..ask() }, &mut rng) {
-            Verdict::After(delay) => early += u32::from(delay < ms(500)),
-            Verdict::Never(why) => panic!("{why:?}"),
+            Decision::RetryAfter(delay) => early += u32::from(delay < ms(500)),
+            Decision::Denied(why) => panic!("{why:?}"),
         }
     }
     assert!(early <= 25, "{early} of 100 come back in the first half second");
--- a/crates/verbenaslip-policy/tests/route.rs
+++ b/crates/verbenaslip-policy/tests/route.rs
@@ -5,7 +5,7 @@
 use verbenaslip_base::announce::{Announcement, Load, Phase};
 use verbenaslip_base::head::Head;
 use verbenaslip_base::name::Upstream;
-use verbenaslip_policy::route::{Ask, Batch, Cache, Change, Router};
+use verbenaslip_policy::route::{Ask, Cache, CacheBatch, CacheEvent, Router};
 
 use crate::common::{engine, head, ms, rng, terms};
 
@@ -205,20 +205,23 @@
     // the loss of all.
     struct Case {
         name: &'static str,
-        batches: Vec<Batch>,
+        batches: Vec<CacheBatch>,
         known: bool,
     }
-    let stored: Vec<Change> = (1..=100).map(Change::Stored).collect();
-    let all = Batch { next: 100, gap: false, changes: stored.clone() };
-    let gap = |next| Batch { next, gap: true, changes: Vec::new() };
-    let evicted: Vec<Change> = (1..=100).map(Change::Evicted).collect();
+    let stored: Vec<CacheEvent> = (1..=100).map(CacheEvent::Stored).collect();
+    let all = CacheBatch { next_sequence: 100, gap: false, events: stored.clone() };
+    let gap = |next| CacheBatch { next_sequence: next, gap: true, events: Vec::new() };
+    let evicted: Vec<CacheEvent> = (1..=100).map(CacheEvent::Evicted).collect();
     let cases = [
         Case { name: "stored", batches: vec![all.clone()], known: true },
         Case { name: "ten of them lost after", batches: vec![all.clone(), gap(110)], known: true },
         Case { name: "two hundred lost", batches: vec![all.clone(), gap(300)], known: false },
         Case {
             name: "evicted",
-            batches: vec![all.clone(), Batch { next: 200, gap: false, changes: evicted.clone() }],
+            batches: vec![
+                all.clone(),
+                CacheBatch { next_sequence: 200, gap: false, events: evicted.clone() },
+            ],
             known: false,
         },
         Case { name: "sent twice", batches: vec![all.clone(), all.clone()], known: true },
@@ -227,7 +230,7 @@
             batches: vec![
                 all.clone(),
                 gap(900),
-                Batch { next: 1_000, gap: false, changes: stored },
+                CacheBatch { next_sequence: 1_000, gap: false, events: stored },
             ],
             known: true,
         },
--- a/crates/verbenaslip/src/control/cloud.rs
+++ b/crates/verbenaslip/src/control/cloud.rs
@@ -100,7 +100,7 @@
         let (Ok(prices), Ok(machines)) = (self.cloud.prices(), self.cloud.list()) else { return };
         let offer = |price: cloud::Price| Offer {
             zone: price.zone,
-            machine: price.machine,
+            class: price.machine,
             market: price.market,
             price: price.price,
         };
@@ -117,7 +117,7 @@
 
     fn order(&self, order: plan::Order) {
         match order {
-            plan::Order::Start { request, zone, machine, market, model } => {
+            plan::Order::Start { id: request, zone, class: machine, market, model } => {
                 let identity: Arc<str> = format!("{request:032x}").into();
                 let order = cloud::Order { request: identity, zone, machine, market, model };
                 // Without an answer nobody knows whether it starts; the plan sends it again.
--- a/crates/verbenaslip/src/control/notice.rs
+++ b/crates/verbenaslip/src/control/notice.rs
@@ -7,7 +7,7 @@
 use verbenaslip_base::name::{Instance, Model};
 use verbenaslip_node::notice::Notice;
 use verbenaslip_policy::plan::Order;
-use verbenaslip_policy::retry::{Verdict, Why};
+use verbenaslip_policy::retry::{Decision, Denial};
 use verbenaslip_request::claim::Ruling;
 use verbenaslip_request::output::Outcome;
 use verbenaslip_state::command::Swap;
@@ -50,9 +50,9 @@
             }
             Notice::InForce { took, .. } => metric.edit_in_force(*took),
             Notice::Retried { head, verdict } => match verdict {
-                Verdict::After(_) => metric.retries(&head.team, &head.class, 1),
-                Verdict::Never(Why::MayHaveRun) => {}
-                Verdict::Never(_) => metric.retries_denied(&head.team, &head.class, 1),
+                Decision::RetryAfter(_) => metric.retries(&head.team, &head.class, 1),
+                Decision::Denied(Denial::MayHaveRun) => {}
+                Decision::Denied(_) => metric.retries_denied(&head.team, &head.class, 1),
             },
             Notice::Claimed { ruling, .. } => metric.claims(ruled(ruling), 1),
             Notice::TakenOver(_) => metric.takeovers(1),
@@ -120,7 +120,7 @@
             Notice::Unreadable(what) => {
                 Event::LogDamaged { file: "replicated state".into(), offset: 0, cause: what.into() }
             }
-            Notice::Retried { head, verdict: Verdict::Never(why) } => {
+            Notice::Retried { head, verdict: Decision::Denied(why) } => {
                 let (request, team) = (head.request, head.team);
                 Event::RetryDenied { request, team, cause: kebab(&why).into() }
             }
@@ -300,7 +300,7 @@
 
 fn planned(order: Order) -> Option<Event> {
     Some(match order {
-        Order::Start { zone, machine, market, model, .. } => {
+        Order::Start { zone, class: machine, market, model, .. } => {
             Event::StartOrdered { market: format!("{market:?}").into(), machine, zone, model }
         }
         Order::Stop { name } => Event::StopOrdered { name: name.as_str().into() },
--- a/crates/verbenaslip/src/control/outside.rs
+++ b/crates/verbenaslip/src/control/outside.rs
@@ -12,7 +12,7 @@
 use verbenaslip_base::fence::Fence;
 use verbenaslip_base::name::Upstream;
 use verbenaslip_node::Input;
-use verbenaslip_policy::route::{Batch, Change};
+use verbenaslip_policy::route::{CacheBatch, CacheEvent};
 use verbenaslip_request::run::Cause;
 use verbenaslip_state::order::dispatcher::{Answer, Holding};
 use verbenaslip_state::order::{Role, Task};
@@ -114,11 +114,11 @@
         return None;
     }
     let change = |event: &engine::Change| match event.op {
-        Op::Stored => Change::Stored(event.block),
-        Op::Evicted => Change::Evicted(event.block),
+        Op::Stored => CacheEvent::Stored(event.block),
+        Op::Evicted => CacheEvent::Evicted(event.block),
     };
     let changes = cache.events.iter().map(change).collect();
-    let batch = Batch { next: cache.next, gap: cache.gap, changes };
+    let batch = CacheBatch { next_sequence: cache.next, gap: cache.gap, events: changes };
     Some(Input::Cached { upstream, batch })
 }
 
