--- a/crates/verbenaslip-cli/tests/operator.rs
+++ b/crates/verbenaslip-cli/tests/operator.rs
@@ -20,7 +20,7 @@
 use verbenaslip_node::status::{
     Load as RowLoad, Log, Peer, Standing, Status, Upstream, Voter, Work,
 };
-use verbenaslip_replica::output::Duty;
+use verbenaslip_replica::output::ReplicaRole;
 use verbenaslip_table::{Revision, Row, Table};
 
 use stand_in::{StandIn, Step, json, nobody, table};
@@ -427,7 +427,7 @@
         group: None,
         term: 7,
         leader: Some("entry-1".into()),
-        duty: Duty::Leader,
+        duty: ReplicaRole::Leader,
         last: 40,
         commit: 39,
         snapshot: 12,
--- a/crates/verbenaslip-disk/benches/voters.rs
+++ b/crates/verbenaslip-disk/benches/voters.rs
@@ -5,14 +5,14 @@
 use std::time::{Duration, Instant};
 
 use verbenaslip_base::name::Instance;
-use verbenaslip_disk::Folder;
+use verbenaslip_disk::DataDirectory;
 use verbenaslip_replica::Replica;
 use verbenaslip_replica::entry::{Entry, Payload, Position};
 use verbenaslip_replica::input::Input;
 use verbenaslip_replica::message::Message;
 use verbenaslip_replica::output::Output;
 use verbenaslip_replica::setup::Setup;
-use verbenaslip_replica::storage::{Hard, Recovered, Storage, Write};
+use verbenaslip_replica::storage::{HardState, Recovered, Storage, Write};
 use verbenaslip_replica::voter::Identity;
 
 /// Time between two looks at the timers.
@@ -36,7 +36,7 @@
     fn new(size: usize) -> Self {
         let open = |number: usize| {
             let setup = Setup::new(name(number), (0..size).map(name).collect(), number as u64);
-            let recovered = Recovered::fresh(Identity(number as u128 + 1));
+            let recovered = Recovered::empty(Identity(number as u128 + 1));
             Replica::open(setup, recovered, Duration::ZERO)
         };
         let voters = (0..size).map(open).collect();
@@ -59,8 +59,10 @@
                     let to = (0..self.voters.len()).find(|n| name(*n) == to);
                     self.queue.push((number, to.expect("a known voter"), message));
                 }
-                Output::Store { mark, .. } => self.step(number, Input::Stored { mark }),
-                Output::WantSnapshot { index } => {
+                Output::Store { sequence: mark, .. } => {
+                    self.step(number, Input::Stored { sequence: mark })
+                }
+                Output::RequestSnapshot { index } => {
                     let state = Arc::from([0; 100].as_slice());
                     self.step(number, Input::Snapshot { index, state });
                 }
@@ -83,7 +85,7 @@
         while self.now < end {
             self.now += TICK;
             for number in 0..self.voters.len() {
-                if self.voters[number].wake() <= self.now {
+                if self.voters[number].next_tick() <= self.now {
                     self.step(number, Input::Tick);
                 }
             }
@@ -134,7 +136,7 @@
         let _ = std::fs::remove_dir_all(&path);
         store_many(&path, 100, 100);
         let begun = Instant::now();
-        Folder::open(&path).expect("the folder opens");
+        DataDirectory::open(&path).expect("the folder opens");
         micros(begun) / 1_000.0
     });
     let _ = std::fs::remove_dir_all(&path);
@@ -154,8 +156,8 @@
 }
 
 fn store_many(path: &Path, syncs: u64, batch: u64) {
-    let (mut folder, _) = Folder::open(path).expect("the folder opens");
-    folder.write(&[Write::Hard(Hard::default())]).expect("the folder takes the term");
+    let (mut folder, _) = DataDirectory::open(path).expect("the folder opens");
+    folder.write(&[Write::HardState(HardState::default())]).expect("the folder takes the term");
     let command: Arc<[u8]> = vec![7; COMMAND].into();
     for sync in 0..syncs {
         let entry = |index| Entry {
--- a/crates/verbenaslip-disk/src/folder.rs
+++ b/crates/verbenaslip-disk/src/folder.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use verbenaslip_replica::entry::{Entry, Position};
-use verbenaslip_replica::storage::{Error, Hard, Recovered, Snapshot, Step, Storage, Write};
+use verbenaslip_replica::storage::{Error, HardState, Recovered, Snapshot, Step, Storage, Write};
 use verbenaslip_replica::voter::Identity;
 
 use crate::files::{Files, LOCK, System};
@@ -25,7 +25,7 @@
 }
 
 /// Keeps one voter's state in a folder that is open here and nowhere else.
-pub struct Folder {
+pub struct DataDirectory {
     pub(crate) files: Box<dyn Files>,
     pub(crate) identity: Identity,
     pub(crate) segments: Vec<Segment>,
@@ -62,7 +62,7 @@
     }
 }
 
-impl Folder {
+impl DataDirectory {
     /// Opens a folder, creating it where needed, and reads what it holds.
     ///
     /// # Errors
@@ -106,7 +106,7 @@
     /// Writes one write.
     fn take(&mut self, write: &Write) -> Result<(), Error> {
         match write {
-            Write::Hard(hard) => self.keep_hard(hard),
+            Write::HardState(hard) => self.keep_hard(hard),
             Write::Append(entries) => entries.iter().try_for_each(|entry| self.append(entry)),
             Write::Truncate { from } => self.truncate(*from),
             Write::Compact { snapshot, first } => self.compact(snapshot, *first),
@@ -115,7 +115,7 @@
     }
 
     /// Replaces the term and vote.
-    fn keep_hard(&mut self, hard: &Hard) -> Result<(), Error> {
+    fn keep_hard(&mut self, hard: &HardState) -> Result<(), Error> {
         let content = postcard::to_stdvec(hard).unwrap_or_default();
         self.replace(name::HARD, &checked::encode(&content))
     }
@@ -309,7 +309,7 @@
     }
 }
 
-impl Storage for Folder {
+impl Storage for DataDirectory {
     fn load(&mut self) -> Result<Recovered, Error> {
         self.guard(Self::flush)?;
         self.read_all()
--- a/crates/verbenaslip-disk/src/lib.rs
+++ b/crates/verbenaslip-disk/src/lib.rs
@@ -1,6 +1,6 @@
 //! The replicated log's files: checksummed, synced, safe against torn tails.
 //!
-//! [`Folder`] keeps one voter's state in one data folder and implements
+//! [`DataDirectory`] keeps one voter's state in one data folder and implements
 //! [`verbenaslip_replica::storage::Storage`]. It holds:
 //!
 //! | file | content | how it changes |
@@ -29,4 +29,4 @@
 mod load;
 mod name;
 
-pub use folder::{Folder, Options};
+pub use folder::{DataDirectory, Options};
--- a/crates/verbenaslip-disk/src/load.rs
+++ b/crates/verbenaslip-disk/src/load.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 
 use verbenaslip_replica::entry::Entry;
-use verbenaslip_replica::storage::{Error, Hard, Recovered, Snapshot, Step, Torn};
+use verbenaslip_replica::storage::{Error, HardState, Recovered, Snapshot, Step, Torn};
 use verbenaslip_replica::voter::Identity;
 
-use crate::folder::{Folder, Head, Segment, failure};
+use crate::folder::{DataDirectory, Head, Segment, failure};
 use crate::segment::{HEADER, Scan};
 use crate::{checked, name, segment};
 
@@ -17,7 +17,7 @@
     torn: Option<Torn>,
 }
 
-impl Folder {
+impl DataDirectory {
     /// Reads everything, and cuts what never became durable.
     pub(crate) fn read_all(&mut self) -> Result<Recovered, Error> {
         let names = self.names()?;
@@ -28,8 +28,14 @@
         let end = snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index);
         check_follows(end, &entries)?;
         let count = entries.len();
-        let recovered =
-            Recovered { identity: self.identity, hard, snapshot, entries, torn }.settled();
+        let recovered = Recovered {
+            identity: self.identity,
+            hard_state: hard,
+            snapshot,
+            entries,
+            torn_tail: torn,
+        }
+        .without_stale_entries();
         if recovered.entries.is_empty() && (count > 0 || !self.segments.is_empty()) {
             self.drop_log()?;
         }
@@ -79,12 +85,12 @@
     }
 
     /// Reads the term and vote.
-    fn read_hard(&mut self, names: &[String]) -> Result<Hard, Error> {
+    fn read_hard(&mut self, names: &[String]) -> Result<HardState, Error> {
         let Some(content) = self.read_checked(name::HARD)? else {
             // The term is written before the first entry, so it can't be missing beside one.
             let log = names.iter().any(|name| is_log(name) || name::snapshot_index(name).is_some());
             let missing = || damaged(name::HARD, 0, &"it is missing beside a log");
-            return if log { Err(missing()) } else { Ok(Hard::default()) };
+            return if log { Err(missing()) } else { Ok(HardState::default()) };
         };
         postcard::from_bytes(&content).map_err(|_| damaged(name::HARD, 0, &"it can't be read"))
     }
--- a/crates/verbenaslip-disk/tests/power.rs
+++ b/crates/verbenaslip-disk/tests/power.rs
@@ -4,10 +4,10 @@
 
 use std::sync::Arc;
 
-use verbenaslip_disk::{Folder, Options};
+use verbenaslip_disk::{DataDirectory, Options};
 use verbenaslip_replica::config::Config;
 use verbenaslip_replica::entry::{Entry, Payload, Position};
-use verbenaslip_replica::storage::{Error, Hard, Recovered, Snapshot, Storage, Write};
+use verbenaslip_replica::storage::{Error, HardState, Recovered, Snapshot, Storage, Write};
 use verbenaslip_replica::voter::{Group, Identity};
 
 use memory::{Loss, Memory};
@@ -41,7 +41,7 @@
 }
 
 fn hard(term: u64) -> Write {
-    Write::Hard(Hard { group: Some(Group(1)), term, voted: Some(Identity(term.into())) })
+    Write::HardState(HardState { group: Some(Group(1)), term, voted: Some(Identity(term.into())) })
 }
 
 fn snapshot(term: u64, index: u64) -> Arc<Snapshot> {
@@ -72,7 +72,7 @@
 /// What a folder must hold after writes.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Model {
-    hard: Hard,
+    hard: HardState,
     snapshot: Option<Arc<Snapshot>>,
     entries: Vec<Entry>,
 }
@@ -80,7 +80,7 @@
 impl Model {
     fn take(&mut self, write: &Write) {
         match write {
-            Write::Hard(hard) => self.hard = *hard,
+            Write::HardState(hard) => self.hard = *hard,
             Write::Append(entries) => self.entries.extend(entries.iter().cloned()),
             Write::Truncate { from } => self.entries.retain(|e| e.position.index < *from),
             Write::Compact { snapshot, .. } => self.snapshot = Some(snapshot.clone()),
@@ -102,7 +102,7 @@
         let due: Vec<&Entry> = self.entries.iter().filter(|e| e.position.index > end).collect();
         let there: Vec<&Entry> =
             recovered.entries.iter().filter(|e| e.position.index > end).collect();
-        recovered.hard == self.hard && recovered.snapshot == self.snapshot && there == due
+        recovered.hard_state == self.hard && recovered.snapshot == self.snapshot && there == due
     }
 }
 
@@ -110,7 +110,7 @@
 /// writes after that may have reached.
 fn live(files: &Memory) -> (Model, Vec<Model>) {
     let mut acknowledged = Model::default();
-    let Ok((mut folder, _)) = Folder::open_on(files.clone(), FRESH) else {
+    let Ok((mut folder, _)) = DataDirectory::open_on(files.clone(), FRESH) else {
         return (acknowledged, Vec::new());
     };
     for batch in life() {
@@ -158,14 +158,18 @@
             files.fail_at(operation);
             let (acknowledged, reached) = live(&files);
             let after = files.lose(loss);
-            let opened = Folder::open_on(after.clone(), FRESH);
+            let opened = DataDirectory::open_on(after.clone(), FRESH);
             let (folder, recovered) = opened.unwrap_or_else(|error| {
                 panic!("operation {operation}, {loss:?}: {error}, files {:?}", after.names())
             });
             let is_kept = acknowledged.is_in(&recovered)
                 || reached.iter().any(|model| is_between(&acknowledged, model, &recovered));
             let places: Vec<Position> = recovered.entries.iter().map(|e| e.position).collect();
-            assert!(is_kept, "operation {operation}, {loss:?}: {:?} {places:?}", recovered.hard);
+            assert!(
+                is_kept,
+                "operation {operation}, {loss:?}: {:?} {places:?}",
+                recovered.hard_state
+            );
             assert!(fits(&recovered), "operation {operation}, {loss:?}: {places:?}");
             goes_on(folder, &recovered, &after);
         }
@@ -184,8 +188,8 @@
 /// Tells whether a folder holds a state that the writes after the last acknowledgement passed.
 fn is_between(acknowledged: &Model, model: &Model, recovered: &Recovered) -> bool {
     // The term and snapshot files are durable at once, the log's records only with the sync.
-    let hard = [acknowledged.hard, model.hard].contains(&recovered.hard);
-    let same = Model { hard: recovered.hard, ..model.clone() };
+    let hard = [acknowledged.hard, model.hard].contains(&recovered.hard_state);
+    let same = Model { hard: recovered.hard_state, ..model.clone() };
     hard && (same.is_in(recovered) || holds_committed(acknowledged, model, recovered))
 }
 
@@ -202,13 +206,13 @@
 }
 
 /// Checks that a recovered folder takes more, and keeps it.
-fn goes_on(mut folder: Folder, recovered: &Recovered, files: &Memory) {
+fn goes_on(mut folder: DataDirectory, recovered: &Recovered, files: &Memory) {
     let end = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index);
     let last = recovered.entries.last().map_or(end, |entry| entry.position.index);
     let writes = [hard(9), append(9, last + 1..=last + 3)];
     folder.write(&writes).and_then(|()| folder.sync()).expect("a recovered folder takes writes");
     let (_, again) =
-        Folder::open_on(files.lose(Loss::All), FRESH).expect("what was synced can be read");
+        DataDirectory::open_on(files.lose(Loss::All), FRESH).expect("what was synced can be read");
     assert_eq!(
         again.entries.last().map(|e| e.position),
         Some(Position { term: 9, index: last + 3 })
@@ -222,12 +226,13 @@
 #[test]
 fn what_is_read_at_opening_is_durable() {
     let files = Memory::default();
-    let (mut folder, _) = Folder::open_on(files.clone(), FRESH).expect("a new folder opens");
+    let (mut folder, _) = DataDirectory::open_on(files.clone(), FRESH).expect("a new folder opens");
     folder.write(&[hard(1), append(1, 1..=3)]).expect("the writes are taken");
     drop(folder);
     let files = files.end();
-    let (_, seen) = Folder::open_on(files.clone(), FRESH).expect("the folder opens again");
-    let (_, kept) = Folder::open_on(files.lose(Loss::All), FRESH).expect("and after a power loss");
+    let (_, seen) = DataDirectory::open_on(files.clone(), FRESH).expect("the folder opens again");
+    let (_, kept) =
+        DataDirectory::open_on(files.lose(Loss::All), FRESH).expect("and after a power loss");
     assert_eq!(seen.entries.len(), 3);
     assert_eq!(kept.entries, seen.entries);
 }
@@ -238,7 +243,8 @@
 fn a_full_disk_stops_the_folder_and_corrupts_nothing() {
     for room in 0..300 {
         let files = Memory::default();
-        let (mut folder, _) = Folder::open_on(files.clone(), FRESH).expect("a new folder opens");
+        let (mut folder, _) =
+            DataDirectory::open_on(files.clone(), FRESH).expect("a new folder opens");
         let first = [hard(1), append(1, 1..=3)];
         folder.write(&first).and_then(|()| folder.sync()).expect("there is room");
         files.leave_room(Some(room));
@@ -248,9 +254,9 @@
         files.leave_room(None);
         assert_eq!(folder.write(&[hard(3)]), Err(Error::Stopped), "it goes on after a failure");
         assert_eq!(folder.sync(), Err(Error::Stopped));
-        let (_, recovered) = Folder::open_on(files.end(), FRESH).expect("it opens again");
+        let (_, recovered) = DataDirectory::open_on(files.end(), FRESH).expect("it opens again");
         assert!(recovered.entries.len() >= 3, "room {room}: acknowledged entries are gone");
-        assert!(recovered.hard.term <= 2);
+        assert!(recovered.hard_state.term <= 2);
     }
 }
 
@@ -259,7 +265,7 @@
 #[test]
 fn a_flipped_bit_anywhere_is_an_error_that_names_the_place() {
     let files = Memory::default();
-    let (mut folder, _) = Folder::open_on(files.clone(), LARGE).expect("a new folder opens");
+    let (mut folder, _) = DataDirectory::open_on(files.clone(), LARGE).expect("a new folder opens");
     let compact = Write::Compact { snapshot: snapshot(1, 4), first: 1 };
     for batch in [vec![hard(1), append(1, 1..=5)], vec![append(1, 6..=9)], vec![compact]] {
         folder.write(&batch).and_then(|()| folder.sync()).expect("the writes are taken");
@@ -273,7 +279,7 @@
         for offset in 0..guarded {
             let files = files.end();
             files.flip(&name, offset);
-            let Err(error) = Folder::open_on(files, LARGE) else {
+            let Err(error) = DataDirectory::open_on(files, LARGE) else {
                 panic!("{name} is damaged at {offset} and opens");
             };
             assert!(matches!(&error, Error::Damaged { file, .. } if **file == name), "{error}");
@@ -286,7 +292,8 @@
 fn missing_files_are_errors() {
     for missing in ["identity", "hard", "log-00000000000000000001"] {
         let files = Memory::default();
-        let (mut folder, _) = Folder::open_on(files.clone(), LARGE).expect("a new folder opens");
+        let (mut folder, _) =
+            DataDirectory::open_on(files.clone(), LARGE).expect("a new folder opens");
         let large: Arc<[u8]> = vec![1; 250_000].into();
         for index in 1..=20 {
             let position = Position { term: 1, index };
@@ -296,7 +303,9 @@
         }
         let mut files = files.end();
         verbenaslip_disk::files::Files::remove(&mut files, missing).expect("the file was there");
-        let Err(error) = Folder::open_on(files, LARGE) else { panic!("opens without {missing}") };
+        let Err(error) = DataDirectory::open_on(files, LARGE) else {
+            panic!("opens without {missing}")
+        };
         assert!(matches!(error, Error::Damaged { .. }), "{missing}: {error}");
     }
 }
--- a/crates/verbenaslip-disk/tests/system.rs
+++ b/crates/verbenaslip-disk/tests/system.rs
@@ -2,9 +2,9 @@
 
 use std::sync::Arc;
 
-use verbenaslip_disk::Folder;
+use verbenaslip_disk::DataDirectory;
 use verbenaslip_replica::entry::{Entry, Payload, Position};
-use verbenaslip_replica::storage::{Error, Hard, Storage, Write};
+use verbenaslip_replica::storage::{Error, HardState, Storage, Write};
 use verbenaslip_replica::voter::Group;
 
 /// Returns a new path for a test's folder.
@@ -17,22 +17,22 @@
 #[test]
 fn a_folder_keeps_its_content_and_identity() {
     let path = place("keeps");
-    let (mut folder, fresh) = Folder::open(&path).expect("a new folder opens");
-    let hard = Hard { group: Some(Group(3)), term: 4, voted: Some(fresh.identity) };
+    let (mut folder, fresh) = DataDirectory::open(&path).expect("a new folder opens");
+    let hard = HardState { group: Some(Group(3)), term: 4, voted: Some(fresh.identity) };
     let command: Arc<[u8]> = vec![5; 200_000].into();
     let entry = |index| Entry {
         position: Position { term: 4, index },
         payload: Payload::Command(command.clone()),
     };
-    let writes = [Write::Hard(hard), Write::Append((1..=50).map(entry).collect())];
+    let writes = [Write::HardState(hard), Write::Append((1..=50).map(entry).collect())];
     folder.write(&writes).and_then(|()| folder.sync()).expect("the writes are taken");
     drop(folder);
-    let (mut folder, recovered) = Folder::open(&path).expect("it opens again");
+    let (mut folder, recovered) = DataDirectory::open(&path).expect("it opens again");
     assert_eq!(recovered.identity, fresh.identity);
-    assert_eq!(recovered.hard, hard);
+    assert_eq!(recovered.hard_state, hard);
     assert_eq!(recovered.entries, (1..=50).map(entry).collect::<Vec<_>>());
     assert_eq!(folder.load().expect("it can be read again"), recovered);
-    let other = Folder::open(place("other")).expect("another folder opens").1;
+    let other = DataDirectory::open(place("other")).expect("another folder opens").1;
     assert_ne!(other.identity, fresh.identity);
 }
 
@@ -41,9 +41,9 @@
 #[test]
 fn a_folder_opens_once() {
     let path = place("once");
-    let first = Folder::open(&path).expect("a new folder opens");
-    let Err(error) = Folder::open(&path) else { panic!("it opened twice") };
+    let first = DataDirectory::open(&path).expect("a new folder opens");
+    let Err(error) = DataDirectory::open(&path) else { panic!("it opened twice") };
     assert!(matches!(error, Error::Locked { .. }), "{error}");
     drop(first);
-    Folder::open(&path).expect("it opens when the first is gone");
+    DataDirectory::open(&path).expect("it opens when the first is gone");
 }
--- a/crates/verbenaslip-disk/tests/voters.rs
+++ b/crates/verbenaslip-disk/tests/voters.rs
@@ -9,12 +9,12 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use verbenaslip_base::name::Instance;
-use verbenaslip_disk::{Folder, Options};
+use verbenaslip_disk::{DataDirectory, Options};
 use verbenaslip_replica::Replica;
 use verbenaslip_replica::input::Input;
 use verbenaslip_replica::message::Message;
 use verbenaslip_replica::output::{Answer, Output};
-use verbenaslip_replica::setup::{Setup, Size};
+use verbenaslip_replica::setup::{Limits, Setup};
 use verbenaslip_replica::storage::{Storage, Write};
 use verbenaslip_replica::voter::Identity;
 
@@ -28,7 +28,7 @@
 
 struct Voter {
     replica: Replica,
-    folder: Folder,
+    folder: DataDirectory,
     files: Memory,
     /// Writes that are not handed to the folder yet, and the mark of the last one.
     writes: Vec<Write>,
@@ -53,10 +53,10 @@
 
 fn open(number: usize, files: Memory, now: Duration, seed: u64) -> Voter {
     let options = Options { fresh: Identity(number as u128 + 1), segment: 600 };
-    let (folder, recovered) = Folder::open_on(files.clone(), options)
+    let (folder, recovered) = DataDirectory::open_on(files.clone(), options)
         .unwrap_or_else(|error| panic!("voter {number}: {error}, {:?}", files.names()));
     let mut setup = Setup::new(name(number), (0..VOTERS).map(name).collect(), seed);
-    setup.size = Size { entries: 20, tail: 5, ..Size::default() };
+    setup.limits = Limits { entries: 20, tail: 5, ..Limits::default() };
     let applied = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index);
     let replica = Replica::open(setup, recovered, now);
     Voter { replica, folder, files, writes: Vec::new(), mark: 0, applied }
@@ -92,7 +92,7 @@
                 let to = (0..VOTERS).find(|n| name(*n) == to).expect("a known voter");
                 self.queue.push((number, to, message));
             }
-            Output::Store { mark, write } => {
+            Output::Store { sequence: mark, write } => {
                 voter.writes.push(write);
                 voter.mark = mark;
             }
@@ -105,7 +105,7 @@
                 voter.applied = snapshot.position.index;
                 self.installs += 1;
             }
-            Output::WantSnapshot { index } => {
+            Output::RequestSnapshot { index } => {
                 let state = Arc::from(index.to_le_bytes().as_slice());
                 self.step(number, Input::Snapshot { index, state });
             }
@@ -125,7 +125,7 @@
         if syncs {
             voter.folder.sync().expect("the folder syncs");
             let mark = voter.mark;
-            self.step(number, Input::Stored { mark });
+            self.step(number, Input::Stored { sequence: mark });
         }
     }
 
--- a/crates/verbenaslip-fleet/src/core.rs
+++ b/crates/verbenaslip-fleet/src/core.rs
@@ -20,7 +20,7 @@
 use verbenaslip_base::name::{Instance, Upstream};
 use verbenaslip_replica::Replica;
 use verbenaslip_replica::input as replica;
-use verbenaslip_replica::setup::{Setup as LogSetup, Size};
+use verbenaslip_replica::setup::{Limits as LogLimits, Setup as LogSetup};
 
 use crate::clock;
 use crate::core::begin::Seeker;
@@ -146,7 +146,11 @@
         let founders = founders.iter().map(|address| name_of(*address)).collect();
         let mut log = LogSetup::new(name_of(own.address), founders, seed);
         log.timing = timing;
-        log.size = Size { command: COMMAND, waiting: 2 * COMMAND, ..Size::default() };
+        log.limits = LogLimits {
+            max_command_bytes: COMMAND,
+            max_pending_bytes: 2 * COMMAND,
+            ..LogLimits::default()
+        };
         Self {
             setup: Settings { voters, duty, rule, secret },
             now,
@@ -221,7 +225,7 @@
         let report = if self.leads() { Duration::MAX } else { self.link.wake() };
         let idle = !self.leads() && self.waiting.is_empty() && self.hub.is_empty();
         let sweep = if idle { Duration::MAX } else { self.sweep };
-        self.replica.wake().min(report).min(sweep).min(self.push_at).min(self.branch.wake())
+        self.replica.next_tick().min(report).min(sweep).min(self.push_at).min(self.branch.wake())
     }
 
     /// Returns the log's replica, for its status.
@@ -248,7 +252,7 @@
             }
             Input::Frame(frame) => self.frame(*frame),
             Input::Call { id, ask } => self.called(id, ask),
-            Input::Stored(mark) => self.step_log(replica::Input::Stored { mark }),
+            Input::Stored(mark) => self.step_log(replica::Input::Stored { sequence: mark }),
             Input::Ordered { id, outcome } => self.ordered(id, outcome),
             Input::Seeds(seeds) => self.link.reseed(seeds),
             Input::Rule(rule) => self.set_rule(rule),
@@ -325,7 +329,7 @@
         if !self.leads() {
             self.send_away();
         }
-        self.step_log(replica::Input::Transfer);
+        self.step_log(replica::Input::TransferLeadership);
     }
 
     pub(crate) fn send(&mut self, to: SocketAddr, frame: Frame) {
--- a/crates/verbenaslip-fleet/src/core/log.rs
+++ b/crates/verbenaslip-fleet/src/core/log.rs
@@ -42,7 +42,7 @@
         let token = self.token();
         self.changing = Some(token);
         self.note(Note::Voters { change: change.clone() });
-        self.step_log(replica::Input::Change { token, change });
+        self.step_log(replica::Input::ChangeVoters { token, change });
     }
 
     fn logged(&mut self, output: LogOutput) {
@@ -53,20 +53,22 @@
                     self.send(to, Frame::Log { from, message: Box::new(message) });
                 }
             }
-            LogOutput::Store { mark, write } => self.out.push(Output::Store { mark, write }),
+            LogOutput::Store { sequence: mark, write } => {
+                self.out.push(Output::Store { mark, write })
+            }
             LogOutput::Apply { position, command } => self.apply(position, &command),
             LogOutput::Install(snapshot) => self.install(&snapshot),
             LogOutput::Answer { token, answer } => self.proposed(token, &answer),
-            LogOutput::Role(role) => {
-                let (term, duty, leader) = (role.term, role.duty, role.leader);
+            LogOutput::RoleChanged(role) => {
+                let (term, duty, leader) = (role.term, role.role, role.leader);
                 self.note(Note::Role { term, duty, leader });
             }
-            LogOutput::WantSnapshot { .. } => {
+            LogOutput::RequestSnapshot { .. } => {
                 let (index, state) = (self.applied, Arc::from(self.ledger.snapshot()));
                 self.step_log(replica::Input::Snapshot { index, state });
             }
-            LogOutput::Stranger(voter) => self.stranger(voter),
-            LogOutput::Confirmed { .. } | LogOutput::Unconfirmed { .. } => {}
+            LogOutput::IdentityChanged(voter) => self.stranger(voter),
+            LogOutput::ReadIndex { .. } | LogOutput::ReadRejected { .. } => {}
         }
     }
 
--- a/crates/verbenaslip-fleet/src/core/note.rs
+++ b/crates/verbenaslip-fleet/src/core/note.rs
@@ -24,7 +24,7 @@
         /// The term.
         term: u64,
         /// What this core is.
-        duty: output::Duty,
+        duty: output::ReplicaRole,
         /// The leader, where known.
         leader: Option<Instance>,
     },
--- a/crates/verbenaslip-fleet/tests/net/mod.rs
+++ b/crates/verbenaslip-fleet/tests/net/mod.rs
@@ -206,7 +206,7 @@
 
     fn empty_disk(&mut self) -> Recovered {
         self.identities += 1;
-        Recovered::fresh(Identity(self.identities))
+        Recovered::empty(Identity(self.identities))
     }
 
     fn start(&mut self, index: usize, founds: bool) {
@@ -554,7 +554,7 @@
 fn store(disk: &mut Recovered, write: Write) {
     let after = |entry: &LogEntry, index: u64| entry.position.index >= index;
     match write {
-        Write::Hard(hard) => disk.hard = hard,
+        Write::HardState(hard) => disk.hard_state = hard,
         Write::Append(entries) => disk.entries.extend(entries),
         Write::Truncate { from } => disk.entries.retain(|entry| !after(entry, from)),
         Write::Compact { snapshot, first } => {
--- a/crates/verbenaslip-instance/src/core.rs
+++ b/crates/verbenaslip-instance/src/core.rs
@@ -9,7 +9,7 @@
 use displaydoc::Display;
 use serde_json::json;
 use tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender};
-use verbenaslip_disk::Folder;
+use verbenaslip_disk::DataDirectory;
 use verbenaslip_fleet::Core as Decisions;
 use verbenaslip_fleet::core::{Input, Output, Setup};
 use verbenaslip_fleet::duty;
@@ -196,7 +196,7 @@
 impl Core {
     /// Opens the folder and starts the decisions from what it holds.
     fn open(&mut self, first: bool) -> Result<(), Error> {
-        let (folder, recovered) = Folder::open(&self.core.folder).map_err(Error::Folder)?;
+        let (folder, recovered) = DataDirectory::open(&self.core.folder).map_err(Error::Folder)?;
         let identity = recovered.identity;
         let disk = Disk::spawn(folder, self.stored.clone()).map_err(Error::Thread)?;
         let (now, unix) = (monotonic::now(), monotonic::unix());
@@ -220,8 +220,8 @@
             voters: usize::try_from(self.core.losses * 2 + 1).unwrap_or(3),
             announce: settings.upstreams.announce,
             timing: Timing {
-                heartbeat: HEARTBEAT,
-                election: ELECTION,
+                heartbeat_interval: HEARTBEAT,
+                election_timeout: ELECTION,
                 change: COPY,
                 ..Timing::default()
             },
--- a/crates/verbenaslip-instance/tests/line.rs
+++ b/crates/verbenaslip-instance/tests/line.rs
@@ -23,7 +23,7 @@
 }
 
 fn vote() -> Frame {
-    let body = Body::Vote { last: Position::default(), transfer: false };
+    let body = Body::Vote { last_position: Position::default(), transfer: false };
     let message = Message { group: None, sender: Identity(1), target: None, term: 4, body };
     Frame::Log { from: Instance::new("core"), message: Box::new(message) }
 }
--- a/crates/verbenaslip-node/src/lead.rs
+++ b/crates/verbenaslip-node/src/lead.rs
@@ -5,7 +5,7 @@
 use verbenaslip_base::name::{Instance, Operator};
 use verbenaslip_replica::config::Change;
 use verbenaslip_replica::input as log;
-use verbenaslip_replica::output::{Duty, Role};
+use verbenaslip_replica::output::{ReplicaRole, RoleUpdate};
 use verbenaslip_replica::setup::{Setup, Timing};
 use verbenaslip_state::{Command, Outcome, order, watch};
 use verbenaslip_table::{Edit, Revision, change, edit};
@@ -29,8 +29,8 @@
         let founders = self.setup.voters.iter().map(|founder| founder.instance.clone()).collect();
         let mut setup = Setup::new(self.setup.instance.clone(), founders, self.setup.seed);
         setup.timing = Timing {
-            heartbeat: self.setup.timing.heartbeat,
-            election: self.setup.timing.election,
+            heartbeat_interval: self.setup.timing.heartbeat,
+            election_timeout: self.setup.timing.election,
             ..Timing::default()
         };
         let mut events = Vec::new();
@@ -180,12 +180,12 @@
         self.propose(Command::Edit(edit), Purpose::Nobody, QUIET);
     }
 
-    fn role(&mut self, role: Role) {
+    fn role(&mut self, role: RoleUpdate) {
         self.leader.clone_from(&role.leader);
         self.push(Todo::Watch(watch::Input::Leader(role.leader.clone())));
         // A leadership that ended must not serve until the next beat.
         self.lead();
-        if role.duty == Duty::Leader {
+        if role.role == ReplicaRole::Leader {
             self.bootstrap();
         }
         self.note(Notice::Leader { term: role.term, leader: role.leader });
--- a/crates/verbenaslip-node/src/node.rs
+++ b/crates/verbenaslip-node/src/node.rs
@@ -243,7 +243,7 @@
                 let notice = u32::try_from(notice.as_millis()).unwrap_or(u32::MAX);
                 self.push(Todo::Gossip(gossip::Input::Reclaimed { upstream, notice }));
             }
-            Input::Stored { mark } => self.push(Todo::Log(log::Input::Stored { mark })),
+            Input::Stored { mark } => self.push(Todo::Log(log::Input::Stored { sequence: mark })),
             Input::Ordered { upstream, fence, answer } => {
                 self.step_orders(order::Input::Answer { upstream, fence, answer });
             }
--- a/crates/verbenaslip-node/src/setup.rs
+++ b/crates/verbenaslip-node/src/setup.rs
@@ -68,8 +68,8 @@
     fn default() -> Self {
         let log = verbenaslip_replica::setup::Timing::default();
         Self {
-            heartbeat: log.heartbeat,
-            election: log.election,
+            heartbeat: log.heartbeat_interval,
+            election: log.election_timeout,
             lease: verbenaslip_gossip::LEASE,
             request: RequestTiming::default(),
         }
--- a/crates/verbenaslip-node/src/status.rs
+++ b/crates/verbenaslip-node/src/status.rs
@@ -8,7 +8,7 @@
 use verbenaslip_base::data;
 use verbenaslip_base::name::{AvailabilityZone, Class, Instance, Team};
 use verbenaslip_gossip::State;
-use verbenaslip_replica::output::Duty;
+use verbenaslip_replica::output::ReplicaRole;
 use verbenaslip_replica::status as log;
 use verbenaslip_table::{Revision, row};
 
@@ -62,7 +62,7 @@
     /// The leader, where known.
     pub leader: Option<Instance>,
     /// What this instance does.
-    pub duty: Duty,
+    pub duty: ReplicaRole,
     /// The last entry.
     pub last: u64,
     /// The last committed index that it knows.
@@ -254,12 +254,12 @@
             group: status.group.map(|group| format!("{:032x}", group.0).into()),
             term: status.term,
             leader: status.leader,
-            duty: status.duty,
-            last: status.last,
-            commit: status.commit,
-            snapshot: status.snapshot,
-            lease: status.lease,
-            joint: status.joint,
+            duty: status.role,
+            last: status.last_index,
+            commit: status.commit_index,
+            snapshot: status.snapshot_index,
+            lease: status.lease_remaining,
+            joint: status.is_joint,
             voters: status.voters.into_iter().map(Voter::of).collect(),
         }
     }
@@ -270,9 +270,9 @@
         Self {
             instance: progress.voter.instance,
             identity: progress.voter.identity.to_string().into(),
-            votes: progress.votes,
-            matched: progress.matched,
-            silent: progress.silent,
+            votes: progress.is_voter,
+            matched: progress.match_index,
+            silent: progress.since_last_response,
         }
     }
 }
--- a/crates/verbenaslip-node/src/stop.rs
+++ b/crates/verbenaslip-node/src/stop.rs
@@ -52,7 +52,7 @@
         let leads = self.leads_others();
         if leads && self.now >= stop.transfer {
             stop.transfer = self.now + TRANSFER;
-            self.push(Todo::Log(log::Input::Transfer));
+            self.push(Todo::Log(log::Input::TransferLeadership));
         }
         let handed = stop.idle.is_some_and(|idle| !leads || self.now >= idle + PATIENCE);
         let settled = self.proposals.len() == 0;
--- a/crates/verbenaslip-node/src/voter.rs
+++ b/crates/verbenaslip-node/src/voter.rs
@@ -8,7 +8,7 @@
 use verbenaslip_base::name::Instance;
 use verbenaslip_replica::config::Change;
 use verbenaslip_replica::entry::Position;
-use verbenaslip_replica::output::{self as log, Role};
+use verbenaslip_replica::output::{self as log, RoleUpdate};
 use verbenaslip_replica::setup::Setup;
 use verbenaslip_replica::storage::{Recovered, Snapshot, Write};
 use verbenaslip_replica::voter;
@@ -35,7 +35,7 @@
     /// A proposal or change was answered.
     Answered { token: u64, answer: Answer },
     /// The role, term or known leader has changed.
-    Role(Role),
+    Role(RoleUpdate),
     /// A voter's instance runs another folder.
     Stranger(voter::Voter),
     /// The state could not be read.
@@ -85,7 +85,7 @@
         if self.broken {
             return;
         }
-        if let input::Input::Change { token, .. } = &input {
+        if let input::Input::ChangeVoters { token, .. } = &input {
             self.changes.insert(*token);
         }
         let mut outputs = std::mem::take(&mut self.outputs);
@@ -119,12 +119,12 @@
         change: Change,
         out: &mut Vec<Event>,
     ) {
-        self.step(now, input::Input::Change { token, change }, out);
+        self.step(now, input::Input::ChangeVoters { token, change }, out);
     }
 
     /// Returns when the next tick is due.
     pub(crate) fn wake(&self) -> Duration {
-        self.replica.wake()
+        self.replica.next_tick()
     }
 
     /// Returns the log, for its status.
@@ -140,14 +140,14 @@
     fn take(&mut self, now: Duration, output: log::Output, out: &mut Vec<Event>) {
         match output {
             log::Output::Send { to, message } => out.push(Event::Send { to, message }),
-            log::Output::Store { mark, write } => out.push(Event::Store { mark, write }),
+            log::Output::Store { sequence: mark, write } => out.push(Event::Store { mark, write }),
             log::Output::Apply { position, command } => self.apply(position, &command, out),
             log::Output::Install(snapshot) => self.install(&snapshot, out),
             log::Output::Answer { token, answer } => self.answer(token, answer, out),
-            log::Output::Role(role) => out.push(Event::Role(role)),
-            log::Output::WantSnapshot { .. } => self.compact(now, out),
-            log::Output::Stranger(voter) => out.push(Event::Stranger(voter)),
-            log::Output::Confirmed { .. } | log::Output::Unconfirmed { .. } => {}
+            log::Output::RoleChanged(role) => out.push(Event::Role(role)),
+            log::Output::RequestSnapshot { .. } => self.compact(now, out),
+            log::Output::IdentityChanged(voter) => out.push(Event::Stranger(voter)),
+            log::Output::ReadIndex { .. } | log::Output::ReadRejected { .. } => {}
         }
     }
 
@@ -217,9 +217,9 @@
             log::Answer::Rejected(log::Rejection::NotLeader { leader }) => {
                 Answer::Elsewhere { leader }
             }
-            log::Answer::Rejected(log::Rejection::Transferring | log::Rejection::Busy { .. }) => {
-                Answer::Elsewhere { leader: None }
-            }
+            log::Answer::Rejected(
+                log::Rejection::TransferInProgress | log::Rejection::Busy { .. },
+            ) => Answer::Elsewhere { leader: None },
             log::Answer::Rejected(rejection) => Answer::Refused(rejection.to_string().into()),
             log::Answer::Unknown => Answer::Unknown,
         };
--- a/crates/verbenaslip-node/tests/hostile.rs
+++ b/crates/verbenaslip-node/tests/hostile.rs
@@ -255,8 +255,12 @@
 
 fn absurd() -> Vec<(&'static str, Message)> {
     let last = Position { term: u64::MAX, index: u64::MAX };
-    let append =
-        |entries| log::Body::Append { previous: last, entries, commit: u64::MAX, round: u64::MAX };
+    let append = |entries| log::Body::Append {
+        previous: last,
+        entries,
+        commit_index: u64::MAX,
+        round: u64::MAX,
+    };
     let reserve = request::Reserve {
         request: Request(u128::MAX),
         digest: u128::MAX,
@@ -280,12 +284,15 @@
     let drain = |at| Command::Drain(Drain { by: by(), instance: peer(0), at });
     let nothing = Revision(u64::MAX);
     vec![
-        ("a vote of no group", said(None, u64::MAX, log::Body::Vote { last, transfer: true })),
+        (
+            "a vote of no group",
+            said(None, u64::MAX, log::Body::Vote { last_position: last, transfer: true }),
+        ),
         ("a vote of another group", {
-            let body = log::Body::Vote { last, transfer: true };
+            let body = log::Body::Vote { last_position: last, transfer: true };
             said(Some(Group(3)), u64::MAX, body)
         }),
-        ("a pre-vote", said(Some(Group(3)), u64::MAX, log::Body::PreVote { last })),
+        ("a pre-vote", said(Some(Group(3)), u64::MAX, log::Body::PreVote { last_position: last })),
         ("a heartbeat", said(Some(Group(3)), u64::MAX, append(Vec::new()))),
         ("a heartbeat of no group", said(None, u64::MAX, append(Vec::new()))),
         ("a call to campaign", said(Some(Group(3)), u64::MAX, log::Body::Campaign)),
--- a/crates/verbenaslip-node/tests/wire.rs
+++ b/crates/verbenaslip-node/tests/wire.rs
@@ -87,21 +87,21 @@
         entry(Payload::Command(Arc::from([1, 2, 3]))),
         entry(Payload::Config(config.clone())),
     ];
-    let head = log::Head { position: last, config, total: 9 };
+    let head = log::SnapshotHeader { position: last, config, total_bytes: 9 };
     let bodies = vec![
-        log::Body::PreVote { last },
-        log::Body::PreVoted { granted: true },
-        log::Body::Vote { last, transfer: true },
-        log::Body::Voted { granted: false },
-        log::Body::Append { previous: last, entries, commit: 199, round: 7 },
-        log::Body::Appended { matched: 200, round: 7 },
-        log::Body::Diverged { previous: 200, hint: last, round: 7 },
-        log::Body::Chunk { head, offset: 4, bytes: Arc::from([9]), round: 7 },
-        log::Body::Chunked { position: last, received: 5, round: 7 },
+        log::Body::PreVote { last_position: last },
+        log::Body::PreVoteResponse { granted: true },
+        log::Body::Vote { last_position: last, transfer: true },
+        log::Body::VoteResponse { granted: false },
+        log::Body::Append { previous: last, entries, commit_index: 199, round: 7 },
+        log::Body::AppendResponse { match_index: 200, round: 7 },
+        log::Body::AppendConflict { previous_index: 200, hint: last, round: 7 },
+        log::Body::SnapshotChunk { header: head, offset: 4, bytes: Arc::from([9]), round: 7 },
+        log::Body::SnapshotChunkResponse { position: last, received_bytes: 5, round: 7 },
         log::Body::Campaign,
-        log::Body::Found,
-        log::Body::Fresh,
-        log::Body::Stranger,
+        log::Body::FoundingQuery,
+        log::Body::FoundingResponse,
+        log::Body::IdentityChanged,
     ];
     let message = |body| log::Message {
         group: Some(Group(1)),
--- a/crates/verbenaslip-node/tests/world/disk.rs
+++ b/crates/verbenaslip-node/tests/world/disk.rs
@@ -20,7 +20,7 @@
 impl Disk {
     /// Creates a folder with an identity of its own.
     pub fn new(number: usize) -> Self {
-        let synced = Recovered::fresh(Identity(number as u128 + 1));
+        let synced = Recovered::empty(Identity(number as u128 + 1));
         Self { synced, pending: Vec::new() }
     }
 
@@ -47,13 +47,13 @@
 
     /// Returns what a start finds.
     pub fn recovered(&self) -> Recovered {
-        self.synced.clone().settled()
+        self.synced.clone().without_stale_entries()
     }
 }
 
 fn apply(content: &mut Recovered, write: Write) {
     match write {
-        Write::Hard(hard) => content.hard = hard,
+        Write::HardState(hard) => content.hard_state = hard,
         Write::Append(entries) => content.entries.extend(entries),
         Write::Truncate { from } => content.entries.retain(|entry| entry.position.index < from),
         Write::Compact { snapshot, first } => {
--- a/crates/verbenaslip-replica/src/change.rs
+++ b/crates/verbenaslip-replica/src/change.rs
@@ -132,7 +132,7 @@
         };
         let config = self.log.config();
         if leading.transfer.is_some() {
-            return Some(Answer::Rejected(Rejection::Transferring));
+            return Some(Answer::Rejected(Rejection::TransferInProgress));
         }
         if leading.change.is_some() || config.is_joint() {
             return Some(Answer::Rejected(Rejection::Changing));
--- a/crates/verbenaslip-replica/src/election.rs
+++ b/crates/verbenaslip-replica/src/election.rs
@@ -41,7 +41,8 @@
         self.state = State::Candidate(Campaign { stage: Stage::PreVote, term, granted });
         let last = self.log.last();
         for voter in self.others() {
-            let mut message = self.message(Some(voter.identity), Body::PreVote { last });
+            let mut message =
+                self.message(Some(voter.identity), Body::PreVote { last_position: last });
             message.term = term;
             self.hold(&voter.instance, message);
         }
@@ -63,7 +64,8 @@
         self.state = State::Candidate(Campaign { stage, term, granted: BTreeSet::new() });
         let last = self.log.last();
         for voter in self.others() {
-            let message = self.message(Some(voter.identity), Body::Vote { last, transfer });
+            let message =
+                self.message(Some(voter.identity), Body::Vote { last_position: last, transfer });
             self.hold(&voter.instance, message);
         }
     }
@@ -81,7 +83,7 @@
     pub(crate) fn pre_vote(&mut self, from: &Instance, message: &Message, last: Position) {
         let newer = message.term > self.hard.term;
         let granted = newer && !self.is_loyal() && last >= self.log.last();
-        let mut answer = self.message(Some(message.sender), Body::PreVoted { granted });
+        let mut answer = self.message(Some(message.sender), Body::PreVoteResponse { granted });
         if granted {
             answer.term = message.term;
         }
@@ -122,7 +124,7 @@
             self.hard.voted = Some(message.sender);
             self.rest();
         }
-        let answer = self.message(Some(message.sender), Body::Voted { granted });
+        let answer = self.message(Some(message.sender), Body::VoteResponse { granted });
         self.hold(from, answer);
     }
 
@@ -148,7 +150,7 @@
     /// If a voter that acknowledged a heartbeat gave its vote to somebody else soon after, the old
     /// leader, cut off from the news, would still act under its lease: two leaders at one time.
     fn is_loyal(&self) -> bool {
-        let election = self.setup.timing.election;
+        let election = self.setup.timing.election_timeout;
         self.is_leader() || self.heard.is_some_and(|heard| self.now < heard + election)
     }
 
--- a/crates/verbenaslip-replica/src/follow.rs
+++ b/crates/verbenaslip-replica/src/follow.rs
@@ -12,7 +12,7 @@
     pub(crate) fn lead_by(&mut self, from: &Instance, message: Message) {
         if message.term < self.hard.term {
             // The sender has been replaced; it steps down when it sees the newer term.
-            let answer = Body::Appended { matched: 0, round: 0 };
+            let answer = Body::AppendResponse { match_index: 0, round: 0 };
             let answer = self.message(Some(message.sender), answer);
             self.hold(from, answer);
             return;
@@ -22,18 +22,20 @@
         }
         self.hear(from, message.term);
         let answer = match message.body {
-            Body::Append { previous, entries, commit, round } => {
+            Body::Append { previous, entries, commit_index, round } => {
                 if !is_chain(previous, &entries, message.term) {
                     return;
                 }
-                self.append_from(previous, entries, commit, round)
+                self.append_from(previous, entries, commit_index, round)
+            }
+            Body::SnapshotChunk { header, offset, bytes, round } => {
+                self.chunk(header, offset, &bytes, round)
             }
-            Body::Chunk { head, offset, bytes, round } => self.chunk(head, offset, &bytes, round),
             _ => return,
         };
         let Some(answer) = answer else { return };
         let claimed = match &answer {
-            Body::Appended { matched, .. } => *matched,
+            Body::AppendResponse { match_index: matched, .. } => *matched,
             _ => 0,
         };
         let answer = self.message(Some(message.sender), answer);
@@ -63,7 +65,7 @@
             || self.log.term(previous.index) == Some(previous.term);
         if !known {
             let hint = self.log.meet(previous);
-            return Some(Body::Diverged { previous: previous.index, hint, round });
+            return Some(Body::AppendConflict { previous_index: previous.index, hint, round });
         }
         let mut matched = previous.index + entries.len() as u64;
         let heartbeat = entries.is_empty();
@@ -73,7 +75,7 @@
             // What is not durable yet is answered with the append that brought it.
             matched = matched.min(self.outbox.index());
         }
-        Some(Body::Appended { matched, round })
+        Some(Body::AppendResponse { match_index: matched, round })
     }
 
     /// Adds the entries that are not there yet, in place of those that differ.
--- a/crates/verbenaslip-replica/src/found.rs
+++ b/crates/verbenaslip-replica/src/found.rs
@@ -54,7 +54,7 @@
         self.founding.fresh.clear();
         for instance in self.setup.founders.clone() {
             if instance != self.setup.instance {
-                let message = self.message(None, Body::Found);
+                let message = self.message(None, Body::FoundingQuery);
                 self.send(&instance, message);
             }
         }
@@ -64,7 +64,7 @@
     /// Answers the question whether this folder is new.
     pub(crate) fn asked_to_found(&mut self, from: &Instance, sender: Identity) {
         if self.is_new() && self.setup.founders.contains(from) {
-            let answer = self.message(Some(sender), Body::Fresh);
+            let answer = self.message(Some(sender), Body::FoundingResponse);
             self.send(from, answer);
         }
     }
--- a/crates/verbenaslip-replica/src/input.rs
+++ b/crates/verbenaslip-replica/src/input.rs
@@ -36,9 +36,9 @@
     /// All writes up to a mark are durable.
     Stored {
         /// The mark of the last one.
-        mark: u64,
+        sequence: u64,
     },
-    /// The state machine gives its state, as asked for by `WantSnapshot`.
+    /// The state machine gives its state, as asked for by `RequestSnapshot`.
     Snapshot {
         /// The last applied index that it covers.
         index: u64,
@@ -46,9 +46,9 @@
         state: Arc<[u8]>,
     },
     /// This replica will stop: it hands leadership over if it has it.
-    Transfer,
+    TransferLeadership,
     /// Asks for another voter set; answered once, with the token.
-    Change {
+    ChangeVoters {
         /// Chosen by the proposer, unique among its open proposals and changes.
         token: u64,
         /// The change.
--- a/crates/verbenaslip-replica/src/lead.rs
+++ b/crates/verbenaslip-replica/src/lead.rs
@@ -103,7 +103,7 @@
     /// Returns when this leader steps down unless a quorum answers.
     fn deserted(&self, timing: &Timing) -> Duration {
         let heard = self.rounds.confirmed().map_or(self.since, |round| round.began);
-        heard + timing.election * 2
+        heard + timing.election_timeout * 2
     }
 }
 
@@ -124,7 +124,7 @@
     /// Takes the question whether this is still the leader.
     pub(crate) fn confirm(&mut self, token: u64) {
         let State::Leader(leading) = &mut self.state else {
-            self.out.push(Output::Unconfirmed { token, leader: self.leader.clone() });
+            self.out.push(Output::ReadRejected { token, leader: self.leader.clone() });
             return;
         };
         let round = leading.rounds.number() + 1;
@@ -152,7 +152,7 @@
             return;
         }
         if self.now >= leading.beat {
-            leading.beat = self.now + self.setup.timing.heartbeat;
+            leading.beat = self.now + self.setup.timing.heartbeat_interval;
             leading.beating = true;
         }
         self.tick_change();
@@ -216,7 +216,7 @@
         leading.confirms.retain(|confirm| {
             let waits = !leased && confirm.round > confirmed;
             if !waits {
-                out.push(Output::Confirmed { token: confirm.token, index });
+                out.push(Output::ReadIndex { token: confirm.token, index });
             }
             waits
         });
@@ -230,7 +230,7 @@
         }
         for confirm in leading.confirms {
             let leader = self.leader.clone();
-            self.out.push(Output::Unconfirmed { token: confirm.token, leader });
+            self.out.push(Output::ReadRejected { token: confirm.token, leader });
         }
         let Some(change) = leading.change else { return };
         let rejection = Rejection::NotLeader { leader: self.leader.clone() };
@@ -243,15 +243,15 @@
             return Err(Rejection::NotLeader { leader: self.leader.clone() });
         };
         if leading.transfer.is_some() {
-            return Err(Rejection::Transferring);
+            return Err(Rejection::TransferInProgress);
         }
-        let limit = self.setup.size.command;
+        let limit = self.setup.limits.max_command_bytes;
         if size > limit {
             return Err(Rejection::TooLarge { size: size as u64, limit: limit as u64 });
         }
         let pending = leading.proposals.len();
-        let full = leading.waiting + size > self.setup.size.waiting;
-        if pending >= self.setup.size.pending || (full && pending > 0) {
+        let full = leading.waiting + size > self.setup.limits.max_pending_bytes;
+        if pending >= self.setup.limits.pending || (full && pending > 0) {
             return Err(Rejection::Busy { pending: pending as u64 });
         }
         Ok(())
--- a/crates/verbenaslip-replica/src/lib.rs
+++ b/crates/verbenaslip-replica/src/lib.rs
@@ -22,7 +22,7 @@
 //!    vote, an acknowledgement) is held back until [`input::Input::Stored`] says it is synced.
 //! 5. An entry of the leader's own term that a quorum has stored is committed, and with it all
 //!    before. It is applied in order, and the proposal's token is answered, exactly once.
-//! 6. [`output::Output::WantSnapshot`] asks the state machine for its state; the log before it is
+//! 6. [`output::Output::RequestSnapshot`] asks the state machine for its state; the log before it is
 //!    dropped but for a tail. A follower that is further behind gets the snapshot in chunks.
 //! 7. The voter set changes by [`input::Input::Change`]: a new voter first catches up, then a joint
 //!    configuration needs a quorum of the old and of the new set, then the new set alone counts.
--- a/crates/verbenaslip-replica/src/message.rs
+++ b/crates/verbenaslip-replica/src/message.rs
@@ -30,7 +30,7 @@
         const FIXED: usize = 96;
         match &self.body {
             Body::Append { entries, .. } => FIXED + entries.iter().map(Entry::size).sum::<usize>(),
-            Body::Chunk { bytes, .. } => FIXED + bytes.len(),
+            Body::SnapshotChunk { bytes, .. } => FIXED + bytes.len(),
             _ => FIXED,
         }
     }
@@ -42,22 +42,22 @@
     /// Asks whether a vote would be given, without starting a term.
     PreVote {
         /// The sender's last entry.
-        last: Position,
+        last_position: Position,
     },
     /// Answers a pre-vote.
-    PreVoted {
+    PreVoteResponse {
         /// Whether the vote would be given.
         granted: bool,
     },
     /// Asks for a vote.
     Vote {
         /// The sender's last entry.
-        last: Position,
+        last_position: Position,
         /// Whether the leader of the term before asked for this election, having given up its lease.
         transfer: bool,
     },
     /// Answers a vote.
-    Voted {
+    VoteResponse {
         /// Whether the vote is given.
         granted: bool,
     },
@@ -68,30 +68,30 @@
         /// The entries.
         entries: Vec<Entry>,
         /// The leader's commit index.
-        commit: u64,
+        commit_index: u64,
         /// The leader's round.
         round: u64,
     },
     /// Answers an append: everything up to an index is stored.
-    Appended {
+    AppendResponse {
         /// The last index known to be equal and stored.
-        matched: u64,
+        match_index: u64,
         /// The round that is answered.
         round: u64,
     },
     /// Answers an append that does not follow the log.
-    Diverged {
+    AppendConflict {
         /// The index that was not there, or was of another term.
-        previous: u64,
+        previous_index: u64,
         /// The last position that might be equal.
         hint: Position,
         /// The round that is answered.
         round: u64,
     },
     /// Carries a part of a snapshot.
-    Chunk {
+    SnapshotChunk {
         /// What the whole snapshot is.
-        head: Head,
+        header: SnapshotHeader,
         /// Where the part begins.
         offset: u64,
         /// The part.
@@ -100,31 +100,31 @@
         round: u64,
     },
     /// Answers a part of a snapshot.
-    Chunked {
+    SnapshotChunkResponse {
         /// The snapshot.
         position: Position,
         /// How many bytes of it have been received from its start.
-        received: u64,
+        received_bytes: u64,
         /// The round that is answered.
         round: u64,
     },
     /// Tells a follower to campaign at once, since the leader is stopping.
     Campaign,
     /// Asks another founder whether its folder is new.
-    Found,
+    FoundingQuery,
     /// Answers that the folder is new.
-    Fresh,
+    FoundingResponse,
     /// Answers that another folder is here now than the one that was meant.
-    Stranger,
+    IdentityChanged,
 }
 
 /// Describes a snapshot that comes in chunks.
 #[data]
-pub struct Head {
+pub struct SnapshotHeader {
     /// The last entry that it covers.
     pub position: Position,
     /// The voter set in force there.
     pub config: Config,
     /// Its bytes.
-    pub total: u64,
+    pub total_bytes: u64,
 }
--- a/crates/verbenaslip-replica/src/outbox.rs
+++ b/crates/verbenaslip-replica/src/outbox.rs
@@ -76,10 +76,10 @@
                 self.cut(0);
                 self.appends.push_back(Pending { mark, index: snapshot.position.index });
             }
-            Write::Hard(_) => self.hard = mark,
+            Write::HardState(_) => self.hard = mark,
             Write::Compact { .. } => {}
         }
-        out.push(Output::Store { mark, write });
+        out.push(Output::Store { sequence: mark, write });
     }
 
     /// Sends an output that promises nothing but the term once that is durable.
--- a/crates/verbenaslip-replica/src/output.rs
+++ b/crates/verbenaslip-replica/src/output.rs
@@ -24,7 +24,7 @@
     /// Writes and syncs; then the mark is given back as `Input::Stored`.
     Store {
         /// Rises by one with each write.
-        mark: u64,
+        sequence: u64,
         /// What to write.
         write: Write,
     },
@@ -46,28 +46,28 @@
         answer: Answer,
     },
     /// Answers a confirmation: this was the leader after the question.
-    Confirmed {
+    ReadIndex {
         /// The question's token.
         token: u64,
         /// Reads are current once everything up to this index is applied.
         index: u64,
     },
     /// Answers a confirmation: this is not, or no longer, the leader.
-    Unconfirmed {
+    ReadRejected {
         /// The question's token.
         token: u64,
         /// The leader, where known.
         leader: Option<Instance>,
     },
     /// Tells that the role, the term or the known leader has changed.
-    Role(Role),
+    RoleChanged(RoleUpdate),
     /// Asks for the state at this applied index or later, so that the log can be compacted.
-    WantSnapshot {
+    RequestSnapshot {
         /// The index.
         index: u64,
     },
     /// Tells that a voter's instance now runs another folder; it should be replaced by this one.
-    Stranger(Voter),
+    IdentityChanged(Voter),
 }
 
 /// Says what became of a proposal.
@@ -91,7 +91,7 @@
         leader: Option<Instance>,
     },
     /// the leader is handing over (ask again in a moment)
-    Transferring,
+    TransferInProgress,
     /// the command has {size} bytes, {limit} are allowed (split it)
     TooLarge {
         /// Its bytes.
@@ -114,18 +114,18 @@
 
 /// Says what a replica is.
 #[data]
-pub struct Role {
+pub struct RoleUpdate {
     /// The term.
     pub term: u64,
     /// The leader, where known; also this replica itself.
     pub leader: Option<Instance>,
     /// What this replica is.
-    pub duty: Duty,
+    pub role: ReplicaRole,
 }
 
 /// Names what a replica does in its term.
 #[data(copy, ord, hash)]
-pub enum Duty {
+pub enum ReplicaRole {
     /// Follows a leader or waits for one.
     Follower,
     /// Asks for votes.
--- a/crates/verbenaslip-replica/src/receive.rs
+++ b/crates/verbenaslip-replica/src/receive.rs
@@ -20,24 +20,31 @@
             return;
         }
         match &message.body {
-            Body::PreVote { last } => self.pre_vote(from, &message, *last),
-            Body::PreVoted { granted } => self.pre_voted(&message, *granted),
-            Body::Vote { last, transfer } => self.vote(from, &message, *last, *transfer),
-            Body::Voted { granted } => self.voted(&message, *granted),
-            Body::Append { .. } | Body::Chunk { .. } => self.lead_by(from, message),
-            Body::Appended { .. } | Body::Diverged { .. } | Body::Chunked { .. } => {
+            Body::PreVote { last_position: last } => self.pre_vote(from, &message, *last),
+            Body::PreVoteResponse { granted } => self.pre_voted(&message, *granted),
+            Body::Vote { last_position: last, transfer } => {
+                self.vote(from, &message, *last, *transfer)
+            }
+            Body::VoteResponse { granted } => self.voted(&message, *granted),
+            Body::Append { .. } | Body::SnapshotChunk { .. } => self.lead_by(from, message),
+            Body::AppendResponse { .. }
+            | Body::AppendConflict { .. }
+            | Body::SnapshotChunkResponse { .. } => {
                 self.answered(&message);
             }
             Body::Campaign => self.asked_to_campaign(&message),
-            Body::Found => self.asked_to_found(from, message.sender),
-            Body::Fresh => self.told_fresh(from, message.sender),
-            Body::Stranger => self.told_stranger(from, &message),
+            Body::FoundingQuery => self.asked_to_found(from, message.sender),
+            Body::FoundingResponse => self.told_fresh(from, message.sender),
+            Body::IdentityChanged => self.told_stranger(from, &message),
         }
     }
 
     /// Tells whether a message is for this folder and from its group.
     fn admits(&mut self, from: &Instance, message: &Message) -> bool {
-        if matches!(message.body, Body::Found | Body::Fresh | Body::Stranger) {
+        if matches!(
+            message.body,
+            Body::FoundingQuery | Body::FoundingResponse | Body::IdentityChanged
+        ) {
             return message.target.is_none_or(|target| target == self.identity);
         }
         let Some(group) = message.group else { return false };
@@ -47,8 +54,8 @@
         if message.target != Some(self.identity) {
             // A leader that still counts on a folder that was lost here would wait forever for its
             // acknowledgements. It learns of the new folder, and an operator or a plan replaces it.
-            if matches!(message.body, Body::Append { .. } | Body::Chunk { .. }) {
-                let answer = self.message(Some(message.sender), Body::Stranger);
+            if matches!(message.body, Body::Append { .. } | Body::SnapshotChunk { .. }) {
+                let answer = self.message(Some(message.sender), Body::IdentityChanged);
                 self.send(from, answer);
             }
             return false;
@@ -56,7 +63,10 @@
         // A group that addresses this very folder counts it among its members, or is about to.
         let joins = matches!(
             message.body,
-            Body::PreVote { .. } | Body::Vote { .. } | Body::Append { .. } | Body::Chunk { .. }
+            Body::PreVote { .. }
+                | Body::Vote { .. }
+                | Body::Append { .. }
+                | Body::SnapshotChunk { .. }
         );
         if self.hard.group.is_none() && joins {
             self.hard.group = Some(group);
@@ -75,7 +85,7 @@
             return;
         }
         if leading.strangers.insert(from.clone(), voter.identity) != Some(voter.identity) {
-            self.out.push(Output::Stranger(voter));
+            self.out.push(Output::IdentityChanged(voter));
         }
     }
 }
@@ -83,7 +93,7 @@
 /// Tells whether a message's numbers are such as a group may reach.
 fn is_plausible(message: &Message) -> bool {
     let chunk = match &message.body {
-        Body::Chunk { head, .. } => Some(head.position),
+        Body::SnapshotChunk { header: head, .. } => Some(head.position),
         _ => None,
     };
     message.term < UNREACHED
--- a/crates/verbenaslip-replica/src/replica.rs
+++ b/crates/verbenaslip-replica/src/replica.rs
@@ -16,10 +16,10 @@
 use crate::log::Log;
 use crate::message::{Body, Message};
 use crate::outbox::Outbox;
-use crate::output::{Answer, Duty, Output, Role};
+use crate::output::{Answer, Output, ReplicaRole, RoleUpdate};
 use crate::setup::Setup;
 use crate::snapshot::Receiving;
-use crate::storage::{Hard, Recovered, Snapshot, Write};
+use crate::storage::{HardState, Recovered, Snapshot, Write};
 use crate::voter::{Group, Identity, Voter};
 
 /// Decides for one voter; see the crate's page for how the parts follow each other.
@@ -27,7 +27,7 @@
 pub struct Replica {
     pub(crate) setup: Setup,
     pub(crate) identity: Identity,
-    pub(crate) hard: Hard,
+    pub(crate) hard: HardState,
     /// Whether the term, vote or group has changed since it was last written.
     pub(crate) unsaved: bool,
     pub(crate) log: Log,
@@ -50,7 +50,7 @@
     pub(crate) now: Duration,
     pub(crate) out: Vec<Output>,
     generator: Pcg32,
-    pub(crate) shown: Role,
+    pub(crate) shown: RoleUpdate,
 }
 
 /// Holds what a replica does in its term.
@@ -69,9 +69,10 @@
     ///
     /// A snapshot in it comes out as `Install` at the first step.
     pub fn open(setup: Setup, recovered: Recovered, now: Duration) -> Self {
-        let recovered = recovered.settled();
+        let recovered = recovered.without_stale_entries();
         let (base, config) = base(&recovered);
-        let hard = if is_half_founded(&recovered) { Hard::default() } else { recovered.hard };
+        let hard =
+            if is_half_founded(&recovered) { HardState::default() } else { recovered.hard_state };
         let mut log = Log::new(base, config);
         for entry in recovered.entries {
             if entry.position.index == log.last().index + 1 {
@@ -85,7 +86,7 @@
         // that both give orders. So a restarted voter behaves as if it had just heard a leader.
         let heard = hard.group.map(|_| now);
         let election = now + timeout(&setup, &mut generator);
-        let shown = Role { term: hard.term, leader: None, duty: Duty::Follower };
+        let shown = RoleUpdate { term: hard.term, leader: None, role: ReplicaRole::Follower };
         let out: Vec<Output> = recovered.snapshot.iter().cloned().map(Output::Install).collect();
         Self {
             setup,
@@ -122,10 +123,10 @@
             Input::Message { from, message } => self.receive(&from, message),
             Input::Propose { token, command } => self.propose(token, command),
             Input::Confirm { token } => self.confirm(token),
-            Input::Stored { mark } => self.stored(mark),
+            Input::Stored { sequence: mark } => self.stored(mark),
             Input::Snapshot { index, state } => self.compact(index, state),
-            Input::Transfer => self.transfer(),
-            Input::Change { token, change } => self.change(token, change),
+            Input::TransferLeadership => self.transfer(),
+            Input::ChangeVoters { token, change } => self.change(token, change),
         }
         self.tick();
         self.advance();
@@ -136,7 +137,7 @@
     }
 
     /// Returns when the next `Tick` is due.
-    pub fn wake(&self) -> Duration {
+    pub fn next_tick(&self) -> Duration {
         match &self.state {
             State::Leader(leading) => leading.wake(&self.setup.timing),
             _ if self.may_campaign() => self.election,
@@ -302,7 +303,7 @@
     /// Writes the term, vote and group if they have changed.
     pub(crate) fn save(&mut self) {
         if std::mem::take(&mut self.unsaved) {
-            self.outbox.store(Write::Hard(self.hard), &mut self.out);
+            self.outbox.store(Write::HardState(self.hard), &mut self.out);
         }
     }
 
@@ -363,12 +364,12 @@
 fn is_half_founded(recovered: &Recovered) -> bool {
     let own = Some(Group(recovered.identity.0));
     let empty = recovered.entries.is_empty() && recovered.snapshot.is_none();
-    empty && recovered.hard.group == own && recovered.hard.term == 1
+    empty && recovered.hard_state.group == own && recovered.hard_state.term == 1
 }
 
 /// Draws an election timeout between once and twice the shortest one.
 fn timeout(setup: &Setup, generator: &mut Pcg32) -> Duration {
-    let shortest = setup.timing.election;
+    let shortest = setup.timing.election_timeout;
     let nanos = u64::try_from(shortest.as_nanos()).unwrap_or(u64::MAX).max(1);
     shortest + Duration::from_nanos(generator.random_range(0..nanos))
 }
--- a/crates/verbenaslip-replica/src/replicate.rs
+++ b/crates/verbenaslip-replica/src/replicate.rs
@@ -42,23 +42,29 @@
         }
         peer.heard = Some(self.now);
         let newest = leading.rounds.number();
-        let (Body::Appended { round, .. }
-        | Body::Diverged { round, .. }
-        | Body::Chunked { round, .. }) = &message.body
+        let (Body::AppendResponse { round, .. }
+        | Body::AppendConflict { round, .. }
+        | Body::SnapshotChunkResponse { round, .. }) = &message.body
         else {
             return;
         };
         peer.round = peer.round.max((*round).min(newest));
         match message.body {
-            Body::Appended { matched, .. } if matched <= self.log.last().index => {
+            Body::AppendResponse { match_index: matched, .. }
+                if matched <= self.log.last().index =>
+            {
                 peer.matches(matched);
                 settle(peer, matched);
             }
-            Body::Diverged { previous, hint, .. } if is_current(peer, previous) => {
+            Body::AppendConflict { previous_index: previous, hint, .. }
+                if is_current(peer, previous) =>
+            {
                 let meet = self.log.meet(hint);
                 peer.probe(meet.index + 1);
             }
-            Body::Chunked { position, received, .. } => advance(peer, position, received),
+            Body::SnapshotChunkResponse { position, received_bytes: received, .. } => {
+                advance(peer, position, received)
+            }
             _ => {}
         }
     }
@@ -81,7 +87,7 @@
 
     /// Sends entries as far as the window allows, or a heartbeat when one is due.
     fn stream(&mut self, peer: &mut Peer, round: u64, beat: bool) {
-        let size = self.setup.size;
+        let size = self.setup.limits;
         let mut due = beat;
         loop {
             let Flow::Stream { flight } = &mut peer.flow else { return };
@@ -104,7 +110,7 @@
     fn send_append(&mut self, peer: &Peer, round: u64, entries: Vec<Entry>) {
         let index = peer.next - 1;
         let previous = Position { term: self.log.term(index).unwrap_or(0), index };
-        self.send_to(peer, Body::Append { previous, entries, commit: self.commit, round });
+        self.send_to(peer, Body::Append { previous, entries, commit_index: self.commit, round });
     }
 
     /// Sends a follower a message of the present term.
--- a/crates/verbenaslip-replica/src/rescue.rs
+++ b/crates/verbenaslip-replica/src/rescue.rs
@@ -4,7 +4,7 @@
 
 use crate::config::Config;
 use crate::entry::{Entry, Payload, Position};
-use crate::storage::{Hard, Recovered, Write};
+use crate::storage::{HardState, Recovered, Write};
 use crate::voter::{Group, Voter};
 
 /// Makes one folder the only voter of a new group, with everything that it holds.
@@ -15,11 +15,11 @@
 /// new group, whose identity is drawn by the caller, keeps voters of the old one out if they return;
 /// their folders must be moved away before they are added.
 pub fn alone(recovered: &Recovered, instance: impl Into<Instance>, group: Group) -> Vec<Write> {
-    let last = recovered.newest();
+    let last = recovered.last_position();
     let voter = Voter { instance: instance.into(), identity: recovered.identity };
-    let term = recovered.hard.term.max(last.term) + 1;
-    let hard = Hard { group: Some(group), term, voted: Some(recovered.identity) };
+    let term = recovered.hard_state.term.max(last.term) + 1;
+    let hard = HardState { group: Some(group), term, voted: Some(recovered.identity) };
     let position = Position { term, index: last.index + 1 };
     let payload = Payload::Config(Config::of(vec![voter]));
-    vec![Write::Hard(hard), Write::Append(vec![Entry { position, payload }])]
+    vec![Write::HardState(hard), Write::Append(vec![Entry { position, payload }])]
 }
--- a/crates/verbenaslip-replica/src/setup.rs
+++ b/crates/verbenaslip-replica/src/setup.rs
@@ -21,7 +21,7 @@
     /// The times.
     pub timing: Timing,
     /// The sizes.
-    pub size: Size,
+    pub limits: Limits,
 }
 
 impl Setup {
@@ -32,7 +32,7 @@
             founders,
             seed,
             timing: Timing::default(),
-            size: Size::default(),
+            limits: Limits::default(),
         }
     }
 }
@@ -41,10 +41,10 @@
 #[data(copy)]
 pub struct Timing {
     /// Between two rounds of heartbeats.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// The shortest election timeout, the longest being twice that. For this long after hearing a
     /// leader, or after a restart, a voter refuses votes.
-    pub election: Duration,
+    pub election_timeout: Duration,
     /// How far the rate of a clock may be off, in thousandths. The clock must go on while the process
     /// is stopped; one that stands still while a machine is suspended lets a lease outlive its time.
     pub drift: u32,
@@ -55,8 +55,8 @@
 impl Default for Timing {
     fn default() -> Self {
         Self {
-            heartbeat: Duration::from_millis(250),
-            election: Duration::from_secs(1),
+            heartbeat_interval: Duration::from_millis(250),
+            election_timeout: Duration::from_secs(1),
             drift: 20,
             change: Duration::from_secs(60),
         }
@@ -70,15 +70,15 @@
     /// gives its vote to somebody else.
     pub fn lease(&self) -> Duration {
         let drift = self.drift.min(MILLE - 1);
-        self.election * (MILLE - drift) / (MILLE + drift)
+        self.election_timeout * (MILLE - drift) / (MILLE + drift)
     }
 }
 
 /// Holds the sizes, in bytes where not said otherwise.
 #[data(copy)]
-pub struct Size {
+pub struct Limits {
     /// The largest command.
-    pub command: usize,
+    pub max_command_bytes: usize,
     /// The most that one append or chunk carries.
     pub message: usize,
     /// How many appends may be on the way to one voter.
@@ -86,7 +86,7 @@
     /// How many proposals may wait for a quorum,
     pub pending: usize,
     /// and how many bytes they may have together.
-    pub waiting: usize,
+    pub max_pending_bytes: usize,
     /// A snapshot is asked for after this many entries,
     pub entries: u64,
     /// or after this many bytes of entries.
@@ -99,14 +99,14 @@
     pub snapshot: u64,
 }
 
-impl Default for Size {
+impl Default for Limits {
     fn default() -> Self {
         Self {
-            command: 256 << 10,
+            max_command_bytes: 256 << 10,
             message: 64 << 10,
             window: 4,
             pending: 16 << 10,
-            waiting: 8 << 20,
+            max_pending_bytes: 8 << 20,
             entries: 8 << 10,
             bytes: 8 << 20,
             tail: 1 << 10,
--- a/crates/verbenaslip-replica/src/snapshot.rs
+++ b/crates/verbenaslip-replica/src/snapshot.rs
@@ -4,7 +4,7 @@
 
 use crate::entry::Position;
 use crate::log::Log;
-use crate::message::{Body, Head};
+use crate::message::{Body, SnapshotHeader};
 use crate::output::Output;
 use crate::peer::{Flow, Peer};
 use crate::replica::Replica;
@@ -16,14 +16,14 @@
 /// Holds the part of a snapshot that has arrived.
 #[derive(Debug)]
 pub(crate) struct Receiving {
-    head: Head,
+    head: SnapshotHeader,
     bytes: Vec<u8>,
 }
 
 impl Replica {
     /// Asks for a snapshot when enough has been applied since the last one.
     pub(crate) fn want_snapshot(&mut self) {
-        let size = self.setup.size;
+        let size = self.setup.limits;
         let covered = self.snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index);
         let since = self.applied.saturating_sub(covered.max(self.wanted));
         let many = since >= size.entries;
@@ -31,7 +31,7 @@
         if since > 0 && (many || large) {
             self.wanted = self.applied;
             self.grown = 0;
-            self.out.push(Output::WantSnapshot { index: self.applied });
+            self.out.push(Output::RequestSnapshot { index: self.applied });
         }
     }
 
@@ -44,7 +44,8 @@
         let Some(term) = self.log.term(index) else { return };
         let Some(config) = self.log.config_at(index).cloned() else { return };
         let snapshot = Arc::new(Snapshot { position: Position { term, index }, config, state });
-        let through = self.log.before_tail(index, self.setup.size.tail, self.setup.size.tail_bytes);
+        let through =
+            self.log.before_tail(index, self.setup.limits.tail, self.setup.limits.tail_bytes);
         self.save();
         self.log.compact(through);
         self.snapshot = Some(snapshot.clone());
@@ -55,7 +56,7 @@
     /// Takes a part of a snapshot, and returns the answer.
     pub(crate) fn chunk(
         &mut self,
-        head: Head,
+        head: SnapshotHeader,
         offset: u64,
         bytes: &[u8],
         round: u64,
@@ -66,9 +67,9 @@
         }
         if position.index <= self.commit {
             self.receiving = None;
-            return Some(Body::Appended { matched: position.index, round });
+            return Some(Body::AppendResponse { match_index: position.index, round });
         }
-        if head.total > self.setup.size.snapshot {
+        if head.total_bytes > self.setup.limits.snapshot {
             return None;
         }
         let mut receiving = self
@@ -77,17 +78,17 @@
             .filter(|receiving| receiving.head == head)
             .unwrap_or(Receiving { head, bytes: Vec::new() });
         let received = receiving.bytes.len() as u64;
-        let fits = received + bytes.len() as u64 <= receiving.head.total;
+        let fits = received + bytes.len() as u64 <= receiving.head.total_bytes;
         if offset == received && fits {
             receiving.bytes.extend_from_slice(bytes);
         }
         let received = receiving.bytes.len() as u64;
-        if received == receiving.head.total {
+        if received == receiving.head.total_bytes {
             self.install(receiving);
-            return Some(Body::Appended { matched: position.index, round });
+            return Some(Body::AppendResponse { match_index: position.index, round });
         }
         self.receiving = Some(receiving);
-        Some(Body::Chunked { position, received, round })
+        Some(Body::SnapshotChunkResponse { position, received_bytes: received, round })
     }
 
     /// Starts sending a follower the snapshot, since the entries it lacks are gone.
@@ -98,13 +99,13 @@
 
     /// Sends the next chunk, the last one again, or a bare heartbeat.
     pub(crate) fn feed_snapshot(&mut self, peer: &mut Peer, round: u64, beat: bool) {
-        let resend = self.setup.timing.heartbeat * RESEND;
+        let resend = self.setup.timing.heartbeat_interval * RESEND;
         let Flow::Snapshot { snapshot, offset, sent } = &mut peer.flow else { return };
         if sent.is_some_and(|sent| self.now < sent + resend) {
             if beat {
                 let previous = Position::default();
                 let entries = Vec::new();
-                self.send_to(peer, Body::Append { previous, entries, commit: 0, round });
+                self.send_to(peer, Body::Append { previous, entries, commit_index: 0, round });
             }
             return;
         }
@@ -115,12 +116,12 @@
         *sent = Some(self.now);
         let total = snapshot.state.len();
         let from = usize::try_from(*offset).map_or(total, |offset| offset.min(total));
-        let to = total.min(from.saturating_add(self.setup.size.message));
-        let body = Body::Chunk {
-            head: Head {
+        let to = total.min(from.saturating_add(self.setup.limits.message));
+        let body = Body::SnapshotChunk {
+            header: SnapshotHeader {
                 position: snapshot.position,
                 config: snapshot.config.clone(),
-                total: total as u64,
+                total_bytes: total as u64,
             },
             offset: *offset,
             bytes: snapshot.state[from..to].into(),
@@ -132,7 +133,7 @@
     /// Replaces log and state by a snapshot that has arrived whole.
     fn install(&mut self, receiving: Receiving) {
         let Receiving { head, bytes } = receiving;
-        let Head { position, config, .. } = head;
+        let SnapshotHeader { position, config, .. } = head;
         let snapshot = Arc::new(Snapshot { position, config: config.clone(), state: bytes.into() });
         self.save();
         self.outbox.store(Write::Install(snapshot.clone()), &mut self.out);
--- a/crates/verbenaslip-replica/src/status.rs
+++ b/crates/verbenaslip-replica/src/status.rs
@@ -6,7 +6,7 @@
 use verbenaslip_base::data;
 use verbenaslip_base::name::Instance;
 
-use crate::output::{Duty, Output, Role};
+use crate::output::{Output, ReplicaRole, RoleUpdate};
 use crate::replica::{Replica, State};
 use crate::voter::{Group, Identity, Voter};
 
@@ -24,17 +24,17 @@
     /// The leader, where known.
     pub leader: Option<Instance>,
     /// What this replica does.
-    pub duty: Duty,
+    pub role: ReplicaRole,
     /// The last entry.
-    pub last: u64,
+    pub last_index: u64,
     /// The last committed index it knows.
-    pub commit: u64,
+    pub commit_index: u64,
     /// The last index that the snapshot covers.
-    pub snapshot: u64,
+    pub snapshot_index: u64,
     /// How much longer the lease lasts, on the leader alone.
-    pub lease: Option<Duration>,
+    pub lease_remaining: Option<Duration>,
     /// Whether the voter set is being changed.
-    pub joint: bool,
+    pub is_joint: bool,
     /// The voters, and those that catch up; the progress is known to the leader alone.
     pub voters: Vec<Progress>,
 }
@@ -45,17 +45,17 @@
     /// The voter.
     pub voter: Voter,
     /// Whether its vote counts already.
-    pub votes: bool,
+    pub is_voter: bool,
     /// How far its log is known to be equal to the leader's.
-    pub matched: Option<u64>,
+    pub match_index: Option<u64>,
     /// How long ago it last answered.
-    pub silent: Option<Duration>,
+    pub since_last_response: Option<Duration>,
 }
 
 impl Progress {
     /// Starts without knowledge of a voter.
     fn of(voter: Voter, votes: bool) -> Self {
-        Self { voter, votes, matched: None, silent: None }
+        Self { voter, is_voter: votes, match_index: None, since_last_response: None }
     }
 }
 
@@ -69,32 +69,33 @@
             group: self.hard.group,
             term: self.hard.term,
             leader: self.leader.clone(),
-            duty: self.duty(),
-            last: self.log.last().index,
-            commit: self.commit,
-            snapshot: self.snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index),
-            lease,
-            joint: self.log.config().is_joint(),
+            role: self.duty(),
+            last_index: self.log.last().index,
+            commit_index: self.commit,
+            snapshot_index: self.snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index),
+            lease_remaining: lease,
+            is_joint: self.log.config().is_joint(),
             voters: self.progress(now),
         }
     }
 
     /// Returns what this replica does.
-    pub(crate) fn duty(&self) -> Duty {
+    pub(crate) fn duty(&self) -> ReplicaRole {
         match &self.state {
-            State::Follower => Duty::Follower,
-            State::Candidate(_) => Duty::Candidate,
-            State::Leader(leading) if leading.ready => Duty::Leader,
-            State::Leader(_) => Duty::Elected,
+            State::Follower => ReplicaRole::Follower,
+            State::Candidate(_) => ReplicaRole::Candidate,
+            State::Leader(leading) if leading.ready => ReplicaRole::Leader,
+            State::Leader(_) => ReplicaRole::Elected,
         }
     }
 
     /// Tells of a changed role.
     pub(crate) fn show(&mut self) {
-        let role = Role { term: self.hard.term, leader: self.leader.clone(), duty: self.duty() };
+        let role =
+            RoleUpdate { term: self.hard.term, leader: self.leader.clone(), role: self.duty() };
         if role != self.shown {
             self.shown = role.clone();
-            self.out.push(Output::Role(role));
+            self.out.push(Output::RoleChanged(role));
         }
     }
 
@@ -110,8 +111,8 @@
                 let progress = voters
                     .entry(peer.voter.identity)
                     .or_insert_with(|| Progress::of(peer.voter.clone(), false));
-                progress.matched = Some(peer.matched);
-                progress.silent = peer.heard.map(|heard| now.saturating_sub(heard));
+                progress.match_index = Some(peer.matched);
+                progress.since_last_response = peer.heard.map(|heard| now.saturating_sub(heard));
             }
         }
         let mut voters: Vec<Progress> = voters.into_values().collect();
--- a/crates/verbenaslip-replica/src/storage.rs
+++ b/crates/verbenaslip-replica/src/storage.rs
@@ -38,7 +38,7 @@
 #[data]
 pub enum Write {
     /// Replaces the term and vote.
-    Hard(Hard),
+    HardState(HardState),
     /// Adds entries, which follow the last one kept.
     Append(Vec<Entry>),
     /// Drops the entry at `from` and all after it; a power loss may leave a part of them. The term
@@ -60,7 +60,7 @@
 
 /// Holds what must never be forgotten between two votes.
 #[data(copy, default)]
-pub struct Hard {
+pub struct HardState {
     /// The group, none before the first contact with it.
     pub group: Option<Group>,
     /// The latest term seen.
@@ -86,23 +86,29 @@
     /// The identity of the folder.
     pub identity: Identity,
     /// The term and vote.
-    pub hard: Hard,
+    pub hard_state: HardState,
     /// The newest whole snapshot.
     pub snapshot: Option<Arc<Snapshot>>,
     /// The entries kept, without gaps; they may begin before the end of the snapshot.
     pub entries: Vec<Entry>,
     /// What was cut from the end of the log as a write that never became durable.
-    pub torn: Option<Torn>,
+    pub torn_tail: Option<Torn>,
 }
 
 impl Recovered {
     /// Returns what a newly created folder holds.
-    pub fn fresh(identity: Identity) -> Self {
-        Self { identity, hard: Hard::default(), snapshot: None, entries: Vec::new(), torn: None }
+    pub fn empty(identity: Identity) -> Self {
+        Self {
+            identity,
+            hard_state: HardState::default(),
+            snapshot: None,
+            entries: Vec::new(),
+            torn_tail: None,
+        }
     }
 
     /// Returns the position of the newest entry that the folder holds or that its snapshot covers.
-    pub fn newest(&self) -> Position {
+    pub fn last_position(&self) -> Position {
         let end = self.snapshot.as_ref().map(|snapshot| snapshot.position).unwrap_or_default();
         self.entries.last().map_or(end, |entry| entry.position.max(end))
     }
@@ -112,7 +118,7 @@
     /// A power loss between keeping an installed snapshot and dropping the old log leaves both; the
     /// old entries may differ from what the group committed.
     #[must_use]
-    pub fn settled(mut self) -> Self {
+    pub fn without_stale_entries(mut self) -> Self {
         let Some(snapshot) = &self.snapshot else { return self };
         let end = snapshot.position;
         let Some(first) = self.entries.first().map(|entry| entry.position) else { return self };
--- a/crates/verbenaslip-replica/src/transfer.rs
+++ b/crates/verbenaslip-replica/src/transfer.rs
@@ -24,7 +24,7 @@
 impl Replica {
     /// Begins to hand leadership over, if there is somebody else.
     pub(crate) fn transfer(&mut self) {
-        let until = self.now + self.setup.timing.election * 2;
+        let until = self.now + self.setup.timing.election_timeout * 2;
         let alone = self.others().is_empty();
         let State::Leader(leading) = &mut self.state else { return };
         if !alone && leading.transfer.is_none() {
--- a/crates/verbenaslip-replica/tests/count.rs
+++ b/crates/verbenaslip-replica/tests/count.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use verbenaslip_replica::setup::Size;
+use verbenaslip_replica::setup::Limits;
 
 use world::{Traffic, World, ms};
 
@@ -35,7 +35,7 @@
 #[test]
 fn traffic_stays_within_its_bounds() {
     for case in CASES {
-        let mut world = World::with(case.voters, 1, Size::default());
+        let mut world = World::with(case.voters, 1, Limits::default());
         world.settle();
         world.run(ms(10_000));
         let idle = cost(&mut world, 60, Traffic::default(), |world| world.run(ms(1_000)));
@@ -68,7 +68,13 @@
 // Cause: messages without a bound.
 #[test]
 fn messages_are_bounded() {
-    let size = Size { command: 10_000, message: 4_000, entries: 20, tail: 5, ..Size::default() };
+    let size = Limits {
+        max_command_bytes: 10_000,
+        message: 4_000,
+        entries: 20,
+        tail: 5,
+        ..Limits::default()
+    };
     let mut world = World::with(3, 1, size);
     let leader = world.settle();
     let follower = world.others(leader)[0];
--- a/crates/verbenaslip-replica/tests/fault.rs
+++ b/crates/verbenaslip-replica/tests/fault.rs
@@ -439,7 +439,7 @@
     let tokens: Vec<u64> = (0..10).map(|_| world.propose(leader)).collect();
     world.transfer(leader);
     let late = world.propose(leader);
-    assert_eq!(world.answers.get(&late), Some(&Answer::Rejected(Rejection::Transferring)));
+    assert_eq!(world.answers.get(&late), Some(&Answer::Rejected(Rejection::TransferInProgress)));
     assert!(world.until(ms(500), |world| world.leased().is_some_and(|new| new != leader)));
     for token in tokens {
         let answer = world.answers.get(&token);
@@ -661,7 +661,7 @@
     }
     let group = verbenaslip_replica::voter::Group(1234);
     let disk = &mut world.nodes[leader].disk;
-    assert!(disk.content.newest().index >= index);
+    assert!(disk.content.last_position().index >= index);
     for write in verbenaslip_replica::rescue::alone(&disk.content, instance(leader), group) {
         disk.keep(write);
     }
--- a/crates/verbenaslip-replica/tests/rule.rs
+++ b/crates/verbenaslip-replica/tests/rule.rs
@@ -10,10 +10,10 @@
 use verbenaslip_replica::config::{Change, Config};
 use verbenaslip_replica::entry::{Entry, Payload, Position};
 use verbenaslip_replica::input::Input;
-use verbenaslip_replica::message::{Body, Head, Message};
+use verbenaslip_replica::message::{Body, Message, SnapshotHeader};
 use verbenaslip_replica::output::{Answer, Output, Rejection};
 use verbenaslip_replica::setup::{Setup, Timing};
-use verbenaslip_replica::storage::{Hard, Recovered, Write};
+use verbenaslip_replica::storage::{HardState, Recovered, Write};
 use verbenaslip_replica::voter::{Group, Identity, Voter};
 
 const GROUP: Group = Group(1);
@@ -44,11 +44,11 @@
     fn open(voters: u128, term: u64, entries: Vec<Entry>) -> Self {
         let config = Config::of((0..voters).map(voter).collect());
         let first = Entry { position: position(1, 1), payload: Payload::Config(config) };
-        let hard = Hard { group: Some(GROUP), term, voted: None };
+        let hard = HardState { group: Some(GROUP), term, voted: None };
         let entries = [vec![first], entries].concat();
-        let recovered = Recovered { hard, entries, ..Recovered::fresh(Identity(1)) };
+        let recovered = Recovered { hard_state: hard, entries, ..Recovered::empty(Identity(1)) };
         let replica = Replica::open(Setup::new("n0", Vec::new(), 1), recovered, Duration::ZERO);
-        let now = Timing::default().election * 3;
+        let now = Timing::default().election_timeout * 3;
         Self { replica, now, mark: 0 }
     }
 
@@ -57,11 +57,11 @@
         let mut bench = Self::open(voters, term - 1, entries);
         bench.step(Input::Tick);
         for number in 1..voters {
-            bench.hear(number, term, Body::PreVoted { granted: true });
+            bench.hear(number, term, Body::PreVoteResponse { granted: true });
         }
         bench.stored();
         for number in 1..voters {
-            bench.hear(number, term, Body::Voted { granted: true });
+            bench.hear(number, term, Body::VoteResponse { granted: true });
         }
         assert!(bench.replica.is_leader());
         bench
@@ -71,7 +71,7 @@
         let mut out = Vec::new();
         self.replica.step(self.now, input, &mut out);
         for output in &out {
-            if let Output::Store { mark, .. } = output {
+            if let Output::Store { sequence: mark, .. } = output {
                 self.mark = *mark;
             }
         }
@@ -87,12 +87,12 @@
 
     /// Lets the leader begin its next round.
     fn beat(&mut self) {
-        self.now += Timing::default().heartbeat;
+        self.now += Timing::default().heartbeat_interval;
         self.step(Input::Tick);
     }
 
     fn stored(&mut self) -> Vec<Output> {
-        self.step(Input::Stored { mark: self.mark })
+        self.step(Input::Stored { sequence: self.mark })
     }
 }
 
@@ -111,14 +111,19 @@
     let append = |entries: Vec<Entry>| Body::Append {
         previous: position(1, 1),
         entries,
-        commit: 1,
+        commit_index: 1,
         round: 1,
     };
     let config = Config::of((0..3).map(voter).collect());
-    let head = Head { position: position(4, 50), config, total: 3 };
-    let chunk = Body::Chunk { head, offset: 0, bytes: Arc::from([1, 2, 3].as_slice()), round: 1 };
+    let head = SnapshotHeader { position: position(4, 50), config, total_bytes: 3 };
+    let chunk = Body::SnapshotChunk {
+        header: head,
+        offset: 0,
+        bytes: Arc::from([1, 2, 3].as_slice()),
+        round: 1,
+    };
     let cases = [
-        ("vote", Body::Vote { last: position(1, 1), transfer: false }),
+        ("vote", Body::Vote { last_position: position(1, 1), transfer: false }),
         ("entries", append(vec![command(4, 2)])),
         ("heartbeat of a new term", append(Vec::new())),
         ("entries in place of others", append(vec![command(4, 2), command(4, 3)])),
@@ -132,7 +137,7 @@
         let out = bench.hear(1, 4, body);
         assert_eq!(sends(&out), 0, "{name}: an answer left before the write was durable");
         assert!(stores(&out) > 0, "{name}: nothing is written");
-        let early = bench.step(Input::Stored { mark: bench.mark - 1 });
+        let early = bench.step(Input::Stored { sequence: bench.mark - 1 });
         assert_eq!(sends(&early), 0, "{name}: an answer left before its last write was durable");
         assert_eq!(sends(&bench.stored()), 1, "{name}: no answer came");
     }
@@ -143,15 +148,16 @@
 #[test]
 fn a_heartbeat_is_answered_at_once_for_what_is_durable() {
     let mut bench = Bench::open(3, 4, Vec::new());
-    let append = |previous, entries, round| Body::Append { previous, entries, commit: 1, round };
+    let append =
+        |previous, entries, round| Body::Append { previous, entries, commit_index: 1, round };
     let out = bench.hear(1, 4, append(position(1, 1), vec![command(4, 2)], 1));
     assert_eq!(sends(&out), 0);
     let out = bench.hear(1, 4, append(position(4, 2), Vec::new(), 2));
     let [Output::Send { message, .. }] = &out[..] else { panic!("one answer: {out:?}") };
-    assert_eq!(message.body, Body::Appended { matched: 1, round: 2 });
+    assert_eq!(message.body, Body::AppendResponse { match_index: 1, round: 2 });
     let out = bench.stored();
     let [Output::Send { message, .. }] = &out[..] else { panic!("one answer: {out:?}") };
-    assert_eq!(message.body, Body::Appended { matched: 2, round: 1 });
+    assert_eq!(message.body, Body::AppendResponse { match_index: 2, round: 1 });
 }
 
 // Symptom: an old leader commits an edit that is gone. Sequence: a follower stores entries of term 3,
@@ -160,7 +166,7 @@
 #[test]
 fn answers_of_an_older_term_never_leave() {
     let mut bench = Bench::open(3, 2, Vec::new());
-    let append = |entries, previous| Body::Append { previous, entries, commit: 1, round: 1 };
+    let append = |entries, previous| Body::Append { previous, entries, commit_index: 1, round: 1 };
     bench.hear(1, 3, append(vec![command(3, 2)], position(1, 1)));
     bench.hear(2, 4, append(vec![command(4, 2)], position(1, 1)));
     let out = bench.stored();
@@ -179,11 +185,11 @@
     let mut bench = Bench::elected(5, 4, vec![command(2, 2)]);
     bench.stored();
     for number in 1..4 {
-        bench.hear(number, 4, Body::Appended { matched: 2, round: 1 });
+        bench.hear(number, 4, Body::AppendResponse { match_index: 2, round: 1 });
     }
     assert_eq!(bench.replica.commit(), 0, "an entry of term 2 was committed by counting copies");
     for number in 1..3 {
-        bench.hear(number, 4, Body::Appended { matched: 3, round: 1 });
+        bench.hear(number, 4, Body::AppendResponse { match_index: 3, round: 1 });
     }
     assert_eq!(bench.replica.commit(), 3);
 }
@@ -195,7 +201,7 @@
     let mut bench = Bench::elected(3, 4, Vec::new());
     let out = bench.step(Input::Propose { token: 5, command: Arc::from([1].as_slice()) });
     assert_eq!(stores(&out), 1);
-    bench.hear(1, 4, Body::Appended { matched: 3, round: 1 });
+    bench.hear(1, 4, Body::AppendResponse { match_index: 3, round: 1 });
     assert_eq!(bench.replica.commit(), 0, "one durable copy of three is no quorum");
     let out = bench.stored();
     let answer = Output::Answer { token: 5, answer: Answer::Committed(position(4, 3)) };
@@ -208,31 +214,37 @@
 fn broken_messages_change_nothing_committed() {
     let far = position(u64::MAX, u64::MAX);
     let config = Config::of((0..3).map(voter).collect());
-    let head = Head { position: far, config, total: u64::MAX };
-    let append = |previous, entries| Body::Append { previous, entries, commit: u64::MAX, round: 9 };
+    let head = SnapshotHeader { position: far, config, total_bytes: u64::MAX };
+    let append =
+        |previous, entries| Body::Append { previous, entries, commit_index: u64::MAX, round: 9 };
     let bodies = [
         append(position(1, 1), vec![command(1, 2), command(9, 4)]),
         append(position(0, 0), vec![command(4, 1)]),
         append(far, vec![command(9, 1)]),
         append(far, Vec::new()),
         append(position(4, 2), vec![command(3, 3)]),
-        Body::Appended { matched: u64::MAX, round: u64::MAX },
-        Body::Diverged { previous: u64::MAX, hint: far, round: u64::MAX },
-        Body::Diverged { previous: 0, hint: position(0, 0), round: 0 },
-        Body::Chunk { head, offset: u64::MAX, bytes: Arc::from([].as_slice()), round: 1 },
-        Body::Chunked { position: far, received: u64::MAX, round: u64::MAX },
-        Body::Voted { granted: true },
-        Body::PreVoted { granted: true },
+        Body::AppendResponse { match_index: u64::MAX, round: u64::MAX },
+        Body::AppendConflict { previous_index: u64::MAX, hint: far, round: u64::MAX },
+        Body::AppendConflict { previous_index: 0, hint: position(0, 0), round: 0 },
+        Body::SnapshotChunk {
+            header: head,
+            offset: u64::MAX,
+            bytes: Arc::from([].as_slice()),
+            round: 1,
+        },
+        Body::SnapshotChunkResponse { position: far, received_bytes: u64::MAX, round: u64::MAX },
+        Body::VoteResponse { granted: true },
+        Body::PreVoteResponse { granted: true },
         Body::Campaign,
-        Body::Fresh,
-        Body::Found,
-        Body::Stranger,
+        Body::FoundingResponse,
+        Body::FoundingQuery,
+        Body::IdentityChanged,
     ];
     for terms in [[4, 4], [4, u64::MAX], [u64::MAX, u64::MAX], [0, 4]] {
         for body in &bodies {
             let mut bench = Bench::elected(3, 4, vec![command(2, 2)]);
             bench.stored();
-            bench.hear(1, 4, Body::Appended { matched: 3, round: 1 });
+            bench.hear(1, 4, Body::AppendResponse { match_index: 3, round: 1 });
             assert_eq!(bench.replica.commit(), 3);
             for term in terms {
                 bench.hear(2, term, body.clone());
@@ -252,17 +264,17 @@
 #[test]
 fn a_vote_is_written_also_when_the_term_is_known() {
     let mut bench = Bench::open(3, 4, Vec::new());
-    let out = bench.hear(1, 4, Body::Vote { last: position(1, 1), transfer: false });
-    let voted = Hard { group: Some(GROUP), term: 4, voted: Some(voter(1).identity) };
+    let out = bench.hear(1, 4, Body::Vote { last_position: position(1, 1), transfer: false });
+    let voted = HardState { group: Some(GROUP), term: 4, voted: Some(voter(1).identity) };
     let writes = out.iter().filter_map(|output| match output {
         Output::Store { write, .. } => Some(write),
         _ => None,
     });
-    assert_eq!(writes.collect::<Vec<_>>(), [&Write::Hard(voted)]);
+    assert_eq!(writes.collect::<Vec<_>>(), [&Write::HardState(voted)]);
     assert_eq!(sends(&bench.stored()), 1);
-    let out = bench.hear(2, 4, Body::Vote { last: position(1, 1), transfer: false });
+    let out = bench.hear(2, 4, Body::Vote { last_position: position(1, 1), transfer: false });
     let [Output::Send { message, .. }] = &out[..] else { panic!("one answer: {out:?}") };
-    assert_eq!(message.body, Body::Voted { granted: false });
+    assert_eq!(message.body, Body::VoteResponse { granted: false });
 }
 
 // Symptom: committed edits are gone after an election. Sequence: a voter that lacks them asks one that
@@ -280,19 +292,19 @@
     for (last, given) in cases {
         for transfer in [false, true] {
             let mut bench = Bench::open(3, 3, vec![command(3, 2)]);
-            bench.hear(1, 4, Body::Vote { last, transfer });
+            bench.hear(1, 4, Body::Vote { last_position: last, transfer });
             let out = bench.stored();
             let granted = out.iter().any(|output| {
                 let Output::Send { message, .. } = output else { return false };
-                matches!(message.body, Body::Voted { granted: true })
+                matches!(message.body, Body::VoteResponse { granted: true })
             });
             assert_eq!(granted, given, "{last:?}");
         }
         let mut bench = Bench::open(3, 3, vec![command(3, 2)]);
-        let out = bench.hear(1, 4, Body::PreVote { last });
+        let out = bench.hear(1, 4, Body::PreVote { last_position: last });
         let granted = out.iter().any(|output| {
             let Output::Send { message, .. } = output else { return false };
-            matches!(message.body, Body::PreVoted { granted: true })
+            matches!(message.body, Body::PreVoteResponse { granted: true })
         });
         assert_eq!(granted, given, "pre-vote, {last:?}");
     }
@@ -305,11 +317,11 @@
     let mut bench = Bench::elected(3, 4, vec![command(2, 2)]);
     bench.stored();
     let change = Change::Remove(voter(2).instance);
-    assert_eq!(stores(&bench.step(Input::Change { token: 1, change })), 0);
+    assert_eq!(stores(&bench.step(Input::ChangeVoters { token: 1, change })), 0);
     bench.beat();
-    bench.hear(1, 4, Body::Appended { matched: 2, round: 2 });
+    bench.hear(1, 4, Body::AppendResponse { match_index: 2, round: 2 });
     assert!(!bench.replica.voters().is_joint(), "the change began before an entry of the own term");
-    bench.hear(1, 4, Body::Appended { matched: 3, round: 2 });
+    bench.hear(1, 4, Body::AppendResponse { match_index: 3, round: 2 });
     assert!(bench.replica.voters().is_joint());
 }
 
@@ -319,15 +331,15 @@
 fn a_new_voter_must_have_answered_just_now() {
     let mut bench = Bench::elected(3, 4, Vec::new());
     bench.stored();
-    bench.hear(1, 4, Body::Appended { matched: 2, round: 1 });
-    bench.step(Input::Change { token: 1, change: Change::Add(voter(3)) });
-    bench.hear(3, 4, Body::Appended { matched: 2, round: 1 });
+    bench.hear(1, 4, Body::AppendResponse { match_index: 2, round: 1 });
+    bench.step(Input::ChangeVoters { token: 1, change: Change::Add(voter(3)) });
+    bench.hear(3, 4, Body::AppendResponse { match_index: 2, round: 1 });
     bench.beat();
     for number in [1, 2] {
-        bench.hear(number, 4, Body::Appended { matched: 2, round: 2 });
+        bench.hear(number, 4, Body::AppendResponse { match_index: 2, round: 2 });
     }
     assert!(!bench.replica.voters().is_joint(), "the new voter was not heard since the question");
-    bench.hear(3, 4, Body::Appended { matched: 2, round: 2 });
+    bench.hear(3, 4, Body::AppendResponse { match_index: 2, round: 2 });
     assert!(bench.replica.voters().is_joint());
 }
 
@@ -347,10 +359,10 @@
             _ => None,
         })
     };
-    let early = answer(bench.step(Input::Change { token: 1, change: change() }));
+    let early = answer(bench.step(Input::ChangeVoters { token: 1, change: change() }));
     assert_eq!(early, Some(Answer::Rejected(Rejection::Changing)));
-    bench.hear(1, 4, Body::Appended { matched: 3, round: 1 });
-    let late = answer(bench.step(Input::Change { token: 2, change: change() }));
+    bench.hear(1, 4, Body::AppendResponse { match_index: 3, round: 1 });
+    let late = answer(bench.step(Input::ChangeVoters { token: 2, change: change() }));
     assert_eq!(late, Some(Answer::Committed(position(3, 2))));
 }
 
@@ -361,19 +373,19 @@
 fn a_replacement_asks_a_quorum_of_both_sets() {
     let mut bench = Bench::elected(3, 4, Vec::new());
     bench.stored();
-    bench.hear(1, 4, Body::Appended { matched: 2, round: 1 });
+    bench.hear(1, 4, Body::AppendResponse { match_index: 2, round: 1 });
     let change = Change::Replace { old: voter(2).instance, new: voter(3) };
-    bench.step(Input::Change { token: 1, change });
+    bench.step(Input::ChangeVoters { token: 1, change });
     bench.beat();
-    bench.hear(1, 4, Body::Appended { matched: 2, round: 1 });
-    bench.hear(3, 4, Body::Appended { matched: 2, round: 2 });
+    bench.hear(1, 4, Body::AppendResponse { match_index: 2, round: 1 });
+    bench.hear(3, 4, Body::AppendResponse { match_index: 2, round: 2 });
     assert!(!bench.replica.voters().is_joint(), "the old set was not heard since the question");
-    bench.hear(1, 4, Body::Appended { matched: 2, round: 2 });
+    bench.hear(1, 4, Body::AppendResponse { match_index: 2, round: 2 });
     assert!(bench.replica.voters().is_joint());
     bench.stored();
-    bench.hear(3, 4, Body::Appended { matched: 3, round: 1 });
+    bench.hear(3, 4, Body::AppendResponse { match_index: 3, round: 1 });
     assert_eq!(bench.replica.commit(), 2, "one voter of three of the old set has the change");
-    bench.hear(1, 4, Body::Appended { matched: 3, round: 1 });
+    bench.hear(1, 4, Body::AppendResponse { match_index: 3, round: 1 });
     assert_eq!(bench.replica.commit(), 3);
     assert!(!bench.replica.voters().is_joint());
 }
@@ -388,9 +400,9 @@
     };
     let mut bench = Bench::elected(5, 4, Vec::new());
     bench.stored();
-    bench.hear(1, 4, Body::Appended { matched: 2, round: 1 });
-    assert_eq!(campaigns(&bench.step(Input::Transfer)), 0);
-    assert_eq!(campaigns(&bench.hear(2, 4, Body::Appended { matched: 2, round: 1 })), 1);
+    bench.hear(1, 4, Body::AppendResponse { match_index: 2, round: 1 });
+    assert_eq!(campaigns(&bench.step(Input::TransferLeadership)), 0);
+    assert_eq!(campaigns(&bench.hear(2, 4, Body::AppendResponse { match_index: 2, round: 1 })), 1);
 }
 
 // Symptom: a panic, or a commit index that falls, after a peer with a broken build sends nonsense.
@@ -414,7 +426,7 @@
                     let index = random.random_range(0..20);
                     bench.step(Input::Snapshot { index, state: Arc::from([2].as_slice()) });
                 }
-                4 => drop(bench.step(Input::Transfer)),
+                4 => drop(bench.step(Input::TransferLeadership)),
                 _ => {
                     let body = nonsense(&mut random);
                     let (from, term) = (random.random_range(0..4), number(&mut random));
@@ -442,17 +454,19 @@
     let place = |random: &mut Pcg32| position(number(random), number(random));
     let granted = random.random_range(0..2) == 0;
     match random.random_range(0..12) {
-        0 => Body::PreVote { last: place(random) },
-        1 => Body::PreVoted { granted },
-        2 => Body::Vote { last: place(random), transfer: granted },
-        3 => Body::Voted { granted },
-        4 => Body::Appended { matched: number(random), round: number(random) },
-        5 => {
-            Body::Diverged { previous: number(random), hint: place(random), round: number(random) }
-        }
-        6 => Body::Chunked {
+        0 => Body::PreVote { last_position: place(random) },
+        1 => Body::PreVoteResponse { granted },
+        2 => Body::Vote { last_position: place(random), transfer: granted },
+        3 => Body::VoteResponse { granted },
+        4 => Body::AppendResponse { match_index: number(random), round: number(random) },
+        5 => Body::AppendConflict {
+            previous_index: number(random),
+            hint: place(random),
+            round: number(random),
+        },
+        6 => Body::SnapshotChunkResponse {
             position: place(random),
-            received: number(random),
+            received_bytes: number(random),
             round: number(random),
         },
         7 => Body::Campaign,
@@ -462,13 +476,17 @@
             let next =
                 |n: u64| command(number(&mut random.clone()), previous.index.wrapping_add(n));
             let entries = (1..=count).map(next).collect();
-            Body::Append { previous, entries, commit: number(random), round: number(random) }
+            Body::Append { previous, entries, commit_index: number(random), round: number(random) }
         }
         _ => {
             let config = Config::of((0..random.random_range(0..4)).map(voter).collect());
-            let head = Head { position: place(random), config, total: random.random_range(0..5) };
+            let head = SnapshotHeader {
+                position: place(random),
+                config,
+                total_bytes: random.random_range(0..5),
+            };
             let bytes = vec![1; random.random_range(0..5)].into();
-            Body::Chunk { head, offset: random.random_range(0..3), bytes, round: 1 }
+            Body::SnapshotChunk { header: head, offset: random.random_range(0..3), bytes, round: 1 }
         }
     }
 }
@@ -477,7 +495,7 @@
 fn a_lease_is_shorter_than_a_refusal_by_the_drift_of_two_clocks() {
     let timing = Timing::default();
     let slow = timing.lease() * 1000 / (1000 - timing.drift);
-    let fast = timing.election * 1000 / (1000 + timing.drift);
+    let fast = timing.election_timeout * 1000 / (1000 + timing.drift);
     assert!(slow <= fast, "a lease of {slow:?} true time, a refusal of {fast:?}");
-    assert!(timing.lease() > timing.heartbeat * 3);
+    assert!(timing.lease() > timing.heartbeat_interval * 3);
 }
--- a/crates/verbenaslip-replica/tests/schedules.rs
+++ b/crates/verbenaslip-replica/tests/schedules.rs
@@ -4,7 +4,7 @@
 
 use rand::RngExt;
 use verbenaslip_replica::config::Change;
-use verbenaslip_replica::output::{Answer, Duty};
+use verbenaslip_replica::output::{Answer, ReplicaRole};
 use verbenaslip_replica::voter::Voter;
 
 use world::{Weather, World, instance, ms};
@@ -289,7 +289,7 @@
         sum.steps += self.world.steps;
         sum.committed += self.proposals.iter().map(|(t, ..)| t).filter(is_committed).count() as u64;
         sum.changes += self.changes.iter().map(|(t, _)| t).filter(is_committed).count() as u64;
-        sum.elections += roles.filter(|role| role.duty == Duty::Leader).count() as u64;
+        sum.elections += roles.filter(|role| role.role == ReplicaRole::Leader).count() as u64;
         sum.snapshots += self.world.received;
         sum.crashes += self.tally.crashes;
         sum.disks += self.tally.disks;
--- a/crates/verbenaslip-replica/tests/world/disk.rs
+++ b/crates/verbenaslip-replica/tests/world/disk.rs
@@ -12,14 +12,14 @@
 impl Disk {
     /// Creates a new folder.
     pub fn new(identity: u128) -> Self {
-        Self { content: Recovered::fresh(Identity(identity)) }
+        Self { content: Recovered::empty(Identity(identity)) }
     }
 
     /// Keeps one write.
     pub fn keep(&mut self, write: Write) {
         let entries = &mut self.content.entries;
         match write {
-            Write::Hard(hard) => self.content.hard = hard,
+            Write::HardState(hard) => self.content.hard_state = hard,
             Write::Append(more) => entries.extend(more),
             Write::Truncate { from } => entries.retain(|entry| entry.position.index < from),
             Write::Compact { snapshot, first } => {
--- a/crates/verbenaslip-replica/tests/world/mod.rs
+++ b/crates/verbenaslip-replica/tests/world/mod.rs
@@ -19,7 +19,7 @@
 use verbenaslip_replica::input::Input;
 use verbenaslip_replica::message::{Body, Message};
 use verbenaslip_replica::output::{Answer, Output};
-use verbenaslip_replica::setup::{Setup, Size, Timing};
+use verbenaslip_replica::setup::{Limits, Setup, Timing};
 
 pub use self::disk::Disk;
 pub use self::monitor::Monitor;
@@ -102,7 +102,7 @@
     pub largest: u64,
     pub random: Pcg64Mcg,
     pub steps: u64,
-    pub size: Size,
+    pub size: Limits,
     /// The kinds of message that are held up instead of sent.
     pub snare: Option<Snare>,
     pub snared: Vec<(usize, usize, Message)>,
@@ -125,12 +125,12 @@
 impl World {
     /// Starts founders with new folders.
     pub fn new(founders: usize, seed: u64) -> Self {
-        let size = Size { entries: 40, tail: 10, message: 512, window: 3, ..Size::default() };
+        let size = Limits { entries: 40, tail: 10, message: 512, window: 3, ..Limits::default() };
         Self::with(founders, seed, size)
     }
 
     /// Starts founders with new folders and given sizes.
-    pub fn with(founders: usize, seed: u64, size: Size) -> Self {
+    pub fn with(founders: usize, seed: u64, size: Limits) -> Self {
         let mut world = Self {
             now: Duration::ZERO,
             nodes: Vec::new(),
@@ -256,13 +256,13 @@
     /// Asks a node for another voter set, and returns the token.
     pub fn change(&mut self, node: usize, change: Change) -> u64 {
         let token = self.token();
-        self.step(node, Input::Change { token, change });
+        self.step(node, Input::ChangeVoters { token, change });
         token
     }
 
     /// Asks a node to hand over.
     pub fn transfer(&mut self, node: usize) {
-        self.step(node, Input::Transfer);
+        self.step(node, Input::TransferLeadership);
     }
 
     /// Proposes at whoever leads until one command is committed, and returns its index.
@@ -379,7 +379,7 @@
     fn start(&mut self, node: usize) {
         let founders = (0..self.founders).map(instance).collect();
         let mut setup = Setup::new(instance(node), founders, self.random.random());
-        setup.size = self.size;
+        setup.limits = self.size;
         setup.timing = Timing { change: ms(20_000), ..Timing::default() };
         let now = self.now;
         self.nodes[node].start(setup, now);
@@ -410,7 +410,7 @@
             Event::Synced { node, life, mark } => {
                 if self.nodes[node].life == life {
                     self.nodes[node].sync(mark);
-                    self.step(node, Input::Stored { mark });
+                    self.step(node, Input::Stored { sequence: mark });
                 }
             }
             Event::Snapshot { node, life } => {
@@ -425,7 +425,7 @@
     fn perform(&mut self, node: usize, output: Output) {
         match output {
             Output::Send { to, message } => self.send(node, &to, message),
-            Output::Store { mark, write } => {
+            Output::Store { sequence: mark, write } => {
                 self.nodes[node].pending.push((mark, write));
                 let delay = self.between(self.weather.sync);
                 let life = self.nodes[node].life;
@@ -443,7 +443,7 @@
                 let chain = self.nodes[node].chain;
                 self.monitor.installed(node, snapshot.position, chain);
             }
-            Output::WantSnapshot { .. } => {
+            Output::RequestSnapshot { .. } => {
                 let life = self.nodes[node].life;
                 self.push(ms(1), Event::Snapshot { node, life });
             }
@@ -452,15 +452,15 @@
                 let before = self.answers.insert(token, answer);
                 assert_eq!(before, None, "proposal {token} was answered twice");
             }
-            Output::Confirmed { token, index } => {
+            Output::ReadIndex { token, index } => {
                 self.monitor.confirmed(token, index);
                 assert_eq!(self.reads.insert(token, Some(index)), None, "a read answered twice");
             }
-            Output::Unconfirmed { token, .. } => {
+            Output::ReadRejected { token, .. } => {
                 assert_eq!(self.reads.insert(token, None), None, "a read answered twice");
             }
-            Output::Role(role) => self.nodes[node].roles.push(role),
-            Output::Stranger(voter) => self.nodes[node].strangers.push(voter),
+            Output::RoleChanged(role) => self.nodes[node].roles.push(role),
+            Output::IdentityChanged(voter) => self.nodes[node].strangers.push(voter),
         }
     }
 
@@ -491,7 +491,7 @@
     /// Makes sure that a node is woken when its next timer is due.
     fn schedule(&mut self, node: usize) {
         let Some(replica) = &self.nodes[node].replica else { return };
-        let at = self.nodes[node].clock.due(replica.wake()).max(self.now);
+        let at = self.nodes[node].clock.due(replica.next_tick()).max(self.now);
         if self.nodes[node].timer.is_none_or(|timer| at < timer) {
             self.nodes[node].timer = Some(at);
             self.push(at - self.now, Event::Timer { node });
@@ -528,7 +528,7 @@
 
 /// Tells whether a message is one that a leader sends to a follower.
 pub fn is_leaders(message: &Message) -> bool {
-    matches!(message.body, Body::Append { .. } | Body::Chunk { .. })
+    matches!(message.body, Body::Append { .. } | Body::SnapshotChunk { .. })
 }
 
 impl World {
--- a/crates/verbenaslip-replica/tests/world/monitor.rs
+++ b/crates/verbenaslip-replica/tests/world/monitor.rs
@@ -114,7 +114,7 @@
     /// Checks that a leader that is ready has everything that was ever committed.
     fn check_leader(&mut self, replica: &Replica) {
         let status = replica.status(std::time::Duration::ZERO);
-        if status.duty != verbenaslip_replica::output::Duty::Leader {
+        if status.role != verbenaslip_replica::output::ReplicaRole::Leader {
             return;
         }
         let (committed, commit) = (self.committed, replica.commit());
--- a/crates/verbenaslip-replica/tests/world/node.rs
+++ b/crates/verbenaslip-replica/tests/world/node.rs
@@ -7,7 +7,7 @@
 use verbenaslip_replica::config::Config;
 use verbenaslip_replica::entry::{Payload, Position};
 use verbenaslip_replica::input::Input;
-use verbenaslip_replica::output::Role;
+use verbenaslip_replica::output::RoleUpdate;
 use verbenaslip_replica::setup::Setup;
 use verbenaslip_replica::storage::{Snapshot, Write};
 use verbenaslip_replica::voter::Voter;
@@ -52,7 +52,7 @@
     pub timer: Option<Duration>,
     /// A running hash over all applied commands.
     pub chain: u64,
-    pub roles: Vec<Role>,
+    pub roles: Vec<RoleUpdate>,
     pub strangers: Vec<Voter>,
     /// How many snapshots were installed.
     pub installs: u32,
@@ -145,14 +145,14 @@
         format!(
             "{} {:?} term {} leader {:?} last {} commit {} snapshot {} lease {:?} joint {}{}",
             status.instance,
-            status.duty,
+            status.role,
             status.term,
             status.leader.map(|leader| leader.to_string()),
-            status.last,
-            status.commit,
-            status.snapshot,
-            status.lease,
-            status.joint,
+            status.last_index,
+            status.commit_index,
+            status.snapshot_index,
+            status.lease_remaining,
+            status.is_joint,
             if self.frozen { " frozen" } else { "" },
         )
     }
--- a/crates/verbenaslip/src/server.rs
+++ b/crates/verbenaslip/src/server.rs
@@ -9,7 +9,7 @@
 use crossbeam::channel::{self, Receiver, Sender};
 use displaydoc::Display;
 use verbenaslip_base::hash;
-use verbenaslip_disk::Folder;
+use verbenaslip_disk::DataDirectory;
 use verbenaslip_node::setup::{Founder, Setup, Timing};
 use verbenaslip_replica::storage::{self, Recovered, Storage};
 use verbenaslip_request::setup::{Limit, Timing as RequestTiming};
@@ -262,12 +262,12 @@
 
 fn open_folder(settings: &Settings) -> Result<Opened, Error> {
     let Some(path) = &settings.instance.data else { return Ok((None, None)) };
-    let (folder, recovered) = Folder::open(path).map_err(Error::Folder)?;
-    if let Some(torn) = &recovered.torn {
+    let (folder, recovered) = DataDirectory::open(path).map_err(Error::Folder)?;
+    if let Some(torn) = &recovered.torn_tail {
         let (file, offset, bytes) = (torn.file.clone(), torn.offset, torn.bytes);
         Event::TornTail { file, offset, bytes }.log();
     }
-    let index = recovered.newest().index;
+    let index = recovered.last_position().index;
     let founds = settings.cluster.voters.iter().any(|it| it.name == settings.instance.name);
     if index > 0 {
         Event::LogRecovered { index }.log();
--- a/crates/verbenaslip/src/settings/section.rs
+++ b/crates/verbenaslip/src/settings/section.rs
@@ -232,8 +232,8 @@
         let log = verbenaslip_replica::setup::Timing::default();
         let request = verbenaslip_request::setup::Timing::default();
         Self {
-            heartbeat: log.heartbeat,
-            election: log.election,
+            heartbeat: log.heartbeat_interval,
+            election: log.election_timeout,
             upstream_lease: verbenaslip_gossip::LEASE,
             stall: request.stall,
             absence: request.absence,
