--- a/crates/verbenaslip-fleet/src/clock.rs
+++ b/crates/verbenaslip-fleet/src/clock.rs
@@ -15,20 +15,20 @@
 
 impl Clock {
     /// Starts from this machine's own time of day, in Unix milliseconds.
-    pub fn open(now: Duration, unix: u64) -> Self {
-        Self { offset: offset(now, unix), agreed: false }
+    pub fn new(now: Duration, unix: u64) -> Self {
+        Self { offset: offset_ms(now, unix), agreed: false }
     }
 
     /// Follows this machine's time of day until the fleet has agreed on one.
-    pub fn hint(&mut self, now: Duration, unix: u64) {
+    pub fn follow_local(&mut self, now: Duration, unix: u64) {
         if !self.agreed {
-            self.offset = offset(now, unix);
+            self.offset = offset_ms(now, unix);
         }
     }
 
     /// Takes the time that the fleet agreed on.
-    pub fn agree(&mut self, now: Duration, unix: u64) {
-        self.offset = offset(now, unix);
+    pub fn set_agreed(&mut self, now: Duration, unix: u64) {
+        self.offset = offset_ms(now, unix);
         self.agreed = true;
     }
 
@@ -38,13 +38,13 @@
     }
 
     /// Returns the time of day in Unix milliseconds.
-    pub fn unix(&self, now: Duration) -> u64 {
-        at(now, self.offset)
+    pub fn unix_ms(&self, now: Duration) -> u64 {
+        unix_ms(now, self.offset)
     }
 }
 
 /// Returns the time of day, in Unix milliseconds, from a steady clock and its offset.
-pub fn at(now: Duration, offset: i64) -> u64 {
+pub fn unix_ms(now: Duration, offset: i64) -> u64 {
     u64::try_from(millis(now).saturating_add(offset)).unwrap_or(0)
 }
 
@@ -55,7 +55,7 @@
 }
 
 /// Returns the offset between a steady clock and a time of day, in milliseconds.
-pub fn offset(now: Duration, unix: u64) -> i64 {
+pub fn offset_ms(now: Duration, unix: u64) -> i64 {
     i64::try_from(unix).unwrap_or(i64::MAX).saturating_sub(millis(now))
 }
 
--- a/crates/verbenaslip-fleet/src/core.rs
+++ b/crates/verbenaslip-fleet/src/core.rs
@@ -27,11 +27,11 @@
 use crate::core::branch::Branch;
 use crate::core::call::Waiting;
 pub use crate::core::io::{Input, Output, Setup};
-pub use crate::core::note::Note;
+pub use crate::core::note::Event;
 use crate::departure::Departure;
 use crate::duty::{self, Dispatcher};
 use crate::frame::Frame;
-use crate::hub::{Hub, Known};
+use crate::hub::{Hub, Progress};
 use crate::ledger::Ledger;
 use crate::limit::Limits;
 use crate::link::Link;
@@ -89,7 +89,7 @@
     /// When changes may be pushed next.
     pub(crate) push_at: Duration,
     /// What every instance that answers has, by what came last.
-    pub(crate) known_to_all: Known,
+    pub(crate) known_to_all: Progress,
     /// How many entries there were under the leader before, where that is known.
     pub(crate) expected: Option<usize>,
     /// Whether as many have reported.
@@ -140,9 +140,25 @@
 
 impl Core {
     /// Starts from what the folder holds; the first outputs come with the first step.
-    pub fn open(setup: Setup, now: Duration) -> Self {
-        let Setup { own, seeds, founders, recovered, voters, announce, .. } = setup;
-        let Setup { timing, duty, rule, secret, seed, unix, .. } = setup;
+    pub fn new(setup: Setup, now: Duration) -> Self {
+        let Setup {
+            local_peer: own,
+            seeds,
+            founders,
+            recovered,
+            target_voter_count: voters,
+            announce_interval: announce,
+            ..
+        } = setup;
+        let Setup {
+            log_timing: timing,
+            order_timing: duty,
+            quarantine_policy: rule,
+            fingerprint_secret: secret,
+            seed,
+            unix_ms: unix,
+            ..
+        } = setup;
         let founders = founders.iter().map(|address| name_of(*address)).collect();
         let mut log = LogSetup::new(name_of(own.address), founders, seed);
         log.timing = timing;
@@ -162,7 +178,7 @@
             registry: Registry::open(announce),
             voucher: Voucher::default(),
             hub: Hub::default(),
-            link: Link::open(own, seeds, now, unix),
+            link: Link::new(own, seeds, now, unix),
             dispatcher: Dispatcher::default(),
             planners: BTreeMap::new(),
             waiting: BTreeMap::new(),
@@ -182,7 +198,7 @@
             out: Vec::new(),
             sweep: now,
             push_at: now,
-            known_to_all: Known::default(),
+            known_to_all: Progress::default(),
             expected: None,
             gathered: false,
             adopted: now,
@@ -221,9 +237,9 @@
     }
 
     /// Returns when the next tick is due.
-    pub fn wake(&self) -> Duration {
-        let report = if self.leads() { Duration::MAX } else { self.link.wake() };
-        let idle = !self.leads() && self.waiting.is_empty() && self.hub.is_empty();
+    pub fn next_wakeup(&self) -> Duration {
+        let report = if self.is_leading() { Duration::MAX } else { self.link.next_wakeup() };
+        let idle = !self.is_leading() && self.waiting.is_empty() && self.hub.is_empty();
         let sweep = if idle { Duration::MAX } else { self.sweep };
         self.replica.next_tick().min(report).min(sweep).min(self.push_at).min(self.branch.wake())
     }
@@ -234,7 +250,7 @@
     }
 
     /// Tells whether this core leads under a lease.
-    pub fn leads(&self) -> bool {
+    pub fn is_leading(&self) -> bool {
         self.reign.is_some()
     }
 
@@ -246,16 +262,16 @@
     fn take(&mut self, input: Input) {
         match input {
             Input::Tick => {}
-            Input::Unix(unix) => {
+            Input::WallClock(unix) => {
                 self.unix = unix;
-                self.link.clock_mut().hint(self.now, unix);
+                self.link.clock_mut().follow_local(self.now, unix);
             }
             Input::Frame(frame) => self.frame(*frame),
-            Input::Call { id, ask } => self.called(id, ask),
+            Input::Call { id, request: ask } => self.called(id, ask),
             Input::Stored(mark) => self.step_log(replica::Input::Stored { sequence: mark }),
-            Input::Ordered { id, outcome } => self.ordered(id, outcome),
-            Input::Seeds(seeds) => self.link.reseed(seeds),
-            Input::Rule(rule) => self.set_rule(rule),
+            Input::OrderFinished { id, outcome } => self.ordered(id, outcome),
+            Input::Seeds(seeds) => self.link.set_seeds(seeds),
+            Input::QuarantinePolicy(rule) => self.set_rule(rule),
             Input::Stop => self.stop(),
         }
     }
@@ -263,36 +279,40 @@
     fn frame(&mut self, frame: Frame) {
         match frame {
             Frame::Log { from, message } => {
-                if let Some(from) = address_of(&from).filter(|_| !self.leads()) {
+                if let Some(from) = address_of(&from).filter(|_| !self.is_leading()) {
                     self.link.meet(from);
                 }
                 self.step_log(replica::Input::Message { from, message: *message });
             }
             Frame::Heartbeat(heartbeat) => self.take_heartbeat(*heartbeat),
-            Frame::Update(update) if !self.leads() => self.updated(*update),
-            Frame::Seen { address, stamp, revision } => self.seen(address, stamp, revision),
-            Frame::Leads { leader } => self.link.called(self.now, leader),
-            Frame::Elsewhere { from, leader, cores } => {
-                self.link.elsewhere(self.now, from, leader, &cores);
+            Frame::Update(update) if !self.is_leading() => self.updated(*update),
+            Frame::Acknowledged { address, version: stamp, revision } => {
+                self.seen(address, stamp, revision)
             }
-            Frame::Request { from, token, ask } => self.requested(from, token, *ask),
-            Frame::Response { token, told } => self.answered_by_leader(token, told),
-            Frame::Account(account) => self.accounted(&account),
-            Frame::Borrow { from, loans } if self.leads() => self.lend(from, &loans),
-            Frame::Borrow { from, loans } => self.pass_loans(from, loans),
-            Frame::Lent(lent) => self.pass_lent(lent),
-            Frame::Ended { address } => self.ended(address),
-            Frame::Update(_) | Frame::Heard { .. } | Frame::ReportTo { .. } => {}
+            Frame::NewLeader { leader } => self.link.handle_new_leader(self.now, leader),
+            Frame::Redirect { from, leader, cores } => {
+                self.link.handle_redirect(self.now, from, leader, &cores);
+            }
+            Frame::Request { from, token, request: ask } => self.requested(from, token, *ask),
+            Frame::Response { token, response: told } => self.answered_by_leader(token, told),
+            Frame::CrashReport(account) => self.accounted(&account),
+            Frame::RequestLoans { from, requests: loans } if self.is_leading() => {
+                self.lend(from, &loans)
+            }
+            Frame::RequestLoans { from, requests: loans } => self.pass_loans(from, loans),
+            Frame::GrantLoans(lent) => self.pass_lent(lent),
+            Frame::EntryStopped { address } => self.ended(address),
+            Frame::Update(_) | Frame::CrashReportReceived { .. } | Frame::ReportTo { .. } => {}
         }
     }
 
     /// Reports to the leader, as every instance does.
     fn heartbeat(&mut self) {
-        if self.leads() {
+        if self.is_leading() {
             return;
         }
         if let Some(leader) = self.replica.leader().and_then(address_of) {
-            self.link.aim(leader, self.now);
+            self.link.set_leader(leader, self.now);
         }
         if self.link.leader(self.now).is_none() {
             let voters = self.replica.voters().members();
@@ -300,12 +320,12 @@
                 voters.filter_map(|voter| address_of(&voter.instance)).collect();
             voters.into_iter().for_each(|voter| self.link.meet(voter));
         }
-        if self.now < self.link.wake() {
+        if self.now < self.link.next_wakeup() {
             return;
         }
         let report = self.report();
-        let clock = clock::offset(self.now, self.unix);
-        let unix = clock::at(self.now, self.hub.offset(self.now, clock));
+        let clock = clock::offset_ms(self.now, self.unix);
+        let unix = clock::unix_ms(self.now, self.hub.time_offset_ms(self.now, clock));
         if let Some((targets, heartbeat)) = self.link.heartbeat(self.now, unix, report) {
             for to in targets {
                 self.send(to, Frame::Heartbeat(Box::new(heartbeat.clone())));
@@ -316,7 +336,7 @@
     /// Forgets an entry that has ended: acknowledgements would else wait for it.
     fn ended(&mut self, entry: SocketAddr) {
         self.hub.forget(entry);
-        if self.leads() {
+        if self.is_leading() {
             self.advance_spread();
         } else {
             self.confirm_soon();
@@ -326,7 +346,7 @@
     /// Hands over what this core does for others.
     fn stop(&mut self) {
         self.stopping = true;
-        if !self.leads() {
+        if !self.is_leading() {
             self.send_away();
         }
         self.step_log(replica::Input::TransferLeadership);
@@ -338,8 +358,8 @@
         }
     }
 
-    pub(crate) fn note(&mut self, note: Note) {
-        self.out.push(Output::Note(note));
+    pub(crate) fn note(&mut self, note: Event) {
+        self.out.push(Output::Event(note));
     }
 
     pub(crate) fn token(&mut self) -> u64 {
@@ -349,8 +369,8 @@
 
     /// Returns the agreed time of day.
     pub(crate) fn agreed(&self) -> u64 {
-        let own = clock::offset(self.now, self.unix);
-        clock::at(self.now, self.hub.offset(self.now, own))
+        let own = clock::offset_ms(self.now, self.unix);
+        clock::unix_ms(self.now, self.hub.time_offset_ms(self.now, own))
     }
 }
 
--- a/crates/verbenaslip-fleet/src/core/begin.rs
+++ b/crates/verbenaslip-fleet/src/core/begin.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use crate::core::{Core, Note, Reign};
+use crate::core::{Core, Event, Reign};
 use crate::departure::Departure;
 use crate::frame::{Frame, Heartbeat};
 use crate::history::History;
-use crate::hub::{Changes, Known};
+use crate::hub::{Changes, Progress};
 use crate::link::Knowledge;
 use crate::registry::{Record, Standing, Told};
-use crate::view::Stamp;
+use crate::view::Version;
 
 /// How long after its last question an instance still looks for a leader: two questions' time.
 const SEEKING: Duration = Duration::from_millis(1_600);
@@ -47,7 +47,7 @@
 
     /// Tells whether no other core can have led since this one did: it has the lease of the same term again.
     fn may_resume(&self, term: u64) -> bool {
-        self.lapsed == Some(term) && self.link.view().stamp.term <= term
+        self.lapsed == Some(term) && self.link.view().version.term <= term
     }
 
     /// Goes on leading by what is known here since before the lease lapsed.
@@ -60,8 +60,8 @@
         // Instances that were turned away meanwhile report again before they count as all there are.
         self.reign = Some(Reign { term, since: self.now });
         (self.expected, self.gathered) = (None, false);
-        self.known_to_all = self.hub.known_to_all(self.now);
-        self.note(Note::Resumed { term });
+        self.known_to_all = self.hub.acknowledged_by_all(self.now);
+        self.note(Event::LeadershipResumed { term });
         self.call_seekers();
         self.advance_calls();
     }
@@ -70,7 +70,7 @@
         self.reign = Some(Reign { term, since: self.now });
         self.lapsed = None;
         self.open_hub();
-        self.known_to_all = Known::default();
+        self.known_to_all = Progress::default();
         self.adopted = self.now;
         self.known_cores = self.cores();
         self.closing.clear();
@@ -82,7 +82,7 @@
         self.departing.clear();
         self.noting_departures = None;
         self.noting_joins = None;
-        let before = self.link.view().stamp;
+        let before = self.link.view().version;
         let floor = self.link.history().map_or(before.change, History::floor);
         let told = Told { change: before.change, floor };
         let records = self.remembered();
@@ -96,18 +96,18 @@
         }
         let (upstreams, departed) = (records.len(), departures.len());
         self.registry.adopt(self.now, told, gone.into_iter().chain(records), departures);
-        self.hub.follow(before);
+        self.hub.continue_from(before);
         self.expected = self.link.entries(self.now);
         self.gathered = false;
         self.open_quarantine();
         self.open_rollouts();
         self.open_limits();
-        self.note(Note::Began {
+        self.note(Event::LeadershipStarted {
             term,
             upstreams,
             logged: upstreams - known,
             departures: departed,
-            held: self.quarantine.blocklist().held.len(),
+            quarantined: self.quarantine.blocklist().held.len(),
         });
         self.call_seekers();
         self.push_soon();
@@ -144,7 +144,7 @@
     fn call_seekers(&mut self) {
         let leader = self.link.own().address;
         for seeker in std::mem::take(&mut self.seekers).into_keys() {
-            self.send(seeker, Frame::Leads { leader });
+            self.send(seeker, Frame::NewLeader { leader });
         }
     }
 
@@ -155,7 +155,7 @@
         }
         let (at, entry) = (self.now, heartbeat.peer.voter.is_none());
         self.seekers
-            .insert(heartbeat.peer.address, Seeker { at, entry, reports: heartbeat.number });
+            .insert(heartbeat.peer.address, Seeker { at, entry, reports: heartbeat.sequence });
     }
 
     fn drop_seekers(&mut self) {
@@ -171,7 +171,7 @@
         let all_fresh = entries.clone().all(|seeker| seeker.reports <= FRESH);
         // A few that have just started beside many that go on are no start of all.
         let restarted = expected > known / 2 && all_fresh;
-        self.hub.lead(self.now, expected, restarted);
+        self.hub.start_leading(self.now, expected, restarted);
         let sheet = self.ledger.edition().map(|edition| edition.sheet.clone());
         self.hub.refresh(self.now, sheet.as_deref());
     }
@@ -186,10 +186,10 @@
     fn end(&mut self) {
         let Some(reign) = self.reign.take() else { return };
         self.lapsed = Some(reign.term);
-        self.note(Note::Lapsed { term: reign.term });
+        self.note(Event::LeaseLost { term: reign.term });
         let is_there = |it: &&Record| !matches!(it.standing, Standing::Gone | Standing::Lost);
         self.link.keep(Knowledge {
-            stamp: Stamp { term: reign.term, change: self.registry.stamp() },
+            stamp: Version { term: reign.term, change: self.registry.stamp() },
             records: self.registry.records().filter(is_there).cloned().collect(),
             history: self.registry.history(),
             departures: self.registry.departures().clone(),
@@ -198,7 +198,7 @@
             limits: self.limits.clone(),
             changes: self.changes(),
         });
-        self.hub.release();
+        self.hub.release_subscribers();
         self.advance_calls();
     }
 }
--- a/crates/verbenaslip-fleet/src/core/call.rs
+++ b/crates/verbenaslip-fleet/src/core/call.rs
@@ -5,13 +5,13 @@
 
 use verbenaslip_base::name::Upstream;
 
-use crate::core::{Core, Note, Output, address_of};
+use crate::core::{Core, Event, Output, address_of};
 use crate::departure::Departure;
 use crate::frame::{Frame, Request, Response};
 use crate::ledger::Command;
 use crate::registry::{Announcement, Change, Run, Standing};
 use crate::rollout::{Admission, Order};
-use crate::view::Stamp;
+use crate::view::Version;
 use crate::voucher;
 
 /// How long a call waits for an answer that is sure; its sender turns to another core after 1 s.
@@ -70,10 +70,10 @@
             && self.vouches(announcement)
         {
             self.voucher.note(self.now, announcement);
-            return self.answer(Asker::Here(id), Response::Noted);
+            return self.answer(Asker::Here(id), Response::Acknowledged);
         }
         if leaving(&ask).is_some_and(|it| self.voucher.has_acknowledged(self.now, &it)) {
-            return self.answer(Asker::Here(id), Response::Noted);
+            return self.answer(Asker::Here(id), Response::Acknowledged);
         }
         self.enter(Asker::Here(id), ask);
     }
@@ -85,7 +85,7 @@
     /// go on calling, while the leader takes it for silent.
     fn vouches(&self, announcement: &Announcement) -> bool {
         let known = self.link.view().upstreams.get(&announcement.run.upstream);
-        !self.leads()
+        !self.is_leading()
             && self.link.is_in_touch(self.now)
             && voucher::renews(known, self.link.departures(), announcement)
     }
@@ -98,10 +98,10 @@
             return;
         }
         // Passed on further it could go round between cores that each believe in another leader.
-        if self.leads() {
+        if self.is_leading() {
             self.enter(asker, ask);
         } else {
-            self.answer(asker, Response::Unsure);
+            self.answer(asker, Response::Unavailable);
         }
     }
 
@@ -112,7 +112,7 @@
             return;
         }
         match told {
-            Response::Unsure => self.set_stage(token, Stage::Leader),
+            Response::Unavailable => self.set_stage(token, Stage::Leader),
             told => self.conclude(token, told),
         }
     }
@@ -153,7 +153,7 @@
     /// those of hundreds of upstreams that go together would take a leader of 300 entries all of its time: one
     /// would notice leavings that are acknowledged seconds late, though all knew of them.
     pub(crate) fn advance_spread(&mut self) {
-        let known = self.hub.known_to_all(self.now);
+        let known = self.hub.acknowledged_by_all(self.now);
         let before = std::mem::replace(&mut self.known_to_all, known);
         if known.change > before.change || known.revision > before.revision {
             self.advance_calls();
@@ -191,24 +191,24 @@
         }
         match waiting.stage {
             Stage::Leader => self.go_on(key),
-            Stage::Passed { again } if self.leads() || again <= self.now => {
+            Stage::Passed { again } if self.is_leading() || again <= self.now => {
                 self.restart(key);
             }
             Stage::Spread { change, until } => {
-                if !self.leads() {
+                if !self.is_leading() {
                     return self.restart(key);
                 }
                 let seen =
                     until <= self.now || (self.is_settled() && self.known_to_all.change >= change);
                 if seen && self.is_noted(key) {
                     self.note_acknowledged(key, change);
-                    self.conclude(key, Response::Noted);
+                    self.conclude(key, Response::Acknowledged);
                 }
             }
-            Stage::Force if !self.leads() => self.restart(key),
+            Stage::Force if !self.is_leading() => self.restart(key),
             Stage::Force if self.is_in_force() => {
                 let revision = self.ledger.revision();
-                self.conclude(key, Response::Adopted { revision });
+                self.conclude(key, Response::RouteTableAdopted { revision });
             }
             Stage::Passed { .. } | Stage::Committed { .. } | Stage::Force => {}
         }
@@ -220,7 +220,7 @@
     }
 
     fn go_on(&mut self, key: u64) {
-        if self.leads() {
+        if self.is_leading() {
             self.serve(key);
         } else {
             self.pass(key);
@@ -231,7 +231,7 @@
     fn serve(&mut self, key: u64) {
         let Some(waiting) = self.waiting.get(&key) else { return };
         match waiting.ask.clone() {
-            Request::Adopt(edition) => {
+            Request::AdoptRouteTable(edition) => {
                 if self.ledger.edition().is_some()
                     && edition.sheet.revision <= self.ledger.revision()
                 {
@@ -240,9 +240,9 @@
                 let token = self.propose(&Command::Adopt(edition));
                 self.set_stage(key, Stage::Committed { token });
             }
-            Request::Read => {
+            Request::ReadRouteTable => {
                 let document = self.ledger.edition().map(|edition| edition.document.clone());
-                self.conclude(key, document.map_or(Response::Empty, Response::Document));
+                self.conclude(key, document.map_or(Response::NoRouteTable, Response::Document));
             }
             Request::Announce(announcement) => self.announced(key, *announcement),
             Request::Withdraw { upstream, incarnation } => {
@@ -269,7 +269,7 @@
     /// Begins a roll-out, or answers for one that the log holds.
     fn start_rollout(&mut self, key: u64, order: Order) {
         let Some(edition) = self.ledger.edition() else {
-            return self.conclude(key, Response::Unsure);
+            return self.conclude(key, Response::Unavailable);
         };
         if edition.sheet.service(&order.service).is_none() {
             return self.conclude(key, Response::UnknownService(order.service));
@@ -294,14 +294,14 @@
         match self.registry.announce(self.now, announcement, served) {
             Change::Nothing => {
                 let late = self.registry.late(self.now, &run, sequence);
-                late.into_iter().for_each(|late| self.note(Note::Late(late)));
+                late.into_iter().for_each(|late| self.note(Event::StaleAnnouncement(late)));
             }
             Change::Foreign => {
-                self.note(Note::Foreign(run.clone()));
+                self.note(Event::UnknownService(run.clone()));
                 // Another writer's word, also that the upstream goes, says nothing of the one that serves
                 // under its name.
                 if self.registry.run(&run.upstream).is_some() {
-                    return self.conclude(key, Response::Noted);
+                    return self.conclude(key, Response::Acknowledged);
                 }
             }
             Change::Update | Change::Leaving => {
@@ -315,7 +315,7 @@
         if leaves {
             self.depart(key, Departure { run, standing: Standing::Leaving });
         } else {
-            self.conclude(key, Response::Noted);
+            self.conclude(key, Response::Acknowledged);
         }
     }
 
@@ -323,7 +323,7 @@
         let known = self.registry.run(&upstream).map_or(0, |run| run.incarnation);
         let run = Run { upstream, incarnation: incarnation.unwrap_or(known) };
         if self.registry.withdraw(self.now, &run) != Change::Nothing {
-            self.note(Note::Withdrawn(run.clone()));
+            self.note(Event::UpstreamWithdrawn(run.clone()));
         }
         self.depart(key, Departure { run, standing: Standing::Gone });
     }
@@ -395,9 +395,14 @@
         if waited.is_zero() {
             return;
         }
-        let spread = self.hub.spread(self.now, change);
-        let change = Stamp { term: self.replica.term(), change };
-        self.note(Note::Acknowledged { departure, waited, change, spread });
+        let spread = self.hub.ack_counts(self.now, change);
+        let change = Version { term: self.replica.term(), change };
+        self.note(Event::DepartureAcknowledged {
+            departure,
+            waited,
+            version: change,
+            acks: spread,
+        });
     }
 
     fn pass(&mut self, key: u64) {
@@ -411,7 +416,7 @@
         waiting.stage = Stage::Passed { again };
         let ask = Box::new(waiting.ask.clone());
         // It keeps its name each time it is passed on: the answer to an earlier time answers it as well.
-        self.send(leader, Frame::Request { from: own, token: key, ask });
+        self.send(leader, Frame::Request { from: own, token: key, request: ask });
     }
 
     fn find(&self, at: impl Fn(Stage) -> bool) -> Option<u64> {
@@ -427,20 +432,20 @@
     fn give_up(&mut self, key: u64) {
         let Some(waiting) = self.waiting.get(&key) else { return };
         let what = match waiting.ask {
-            Request::Adopt(_) => "adopt",
-            Request::Read => "read",
+            Request::AdoptRouteTable(_) => "adopt",
+            Request::ReadRouteTable => "read",
             Request::Announce(_) => "announce",
             Request::Withdraw { .. } => "withdraw",
             Request::StartRollout(_) => "start_rollout",
             Request::ReadRollout(_) => "read_rollout",
         };
-        self.note(Note::Unsure { what });
-        self.conclude(key, Response::Unsure);
+        self.note(Event::CallTimedOut { call: what });
+        self.conclude(key, Response::Unavailable);
     }
 
     fn conclude(&mut self, key: u64, told: Response) {
         let Some(Waiting { asker, ask, .. }) = self.waiting.remove(&key) else { return };
-        if told == Response::Noted
+        if told == Response::Acknowledged
             && matches!(asker, Asker::Here(_))
             && let Some(departure) = leaving(&ask)
         {
@@ -451,14 +456,16 @@
 
     fn answer(&mut self, asker: Asker, told: Response) {
         match asker {
-            Asker::Here(id) => self.out.push(Output::Reply { id, told }),
-            Asker::There { address, token } => self.send(address, Frame::Response { token, told }),
+            Asker::Here(id) => self.out.push(Output::Reply { id, response: told }),
+            Asker::There { address, token } => {
+                self.send(address, Frame::Response { token, response: told })
+            }
         }
     }
 
     pub(crate) fn note_upstream(&mut self, upstream: &Upstream) {
         if let Some(record) = self.registry.record(upstream).cloned() {
-            self.note(Note::Upstream { record: Box::new(record) });
+            self.note(Event::Upstream { record: Box::new(record) });
         }
     }
 }
--- a/crates/verbenaslip-fleet/src/core/duties.rs
+++ b/crates/verbenaslip-fleet/src/core/duties.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::core::lead::GATHER;
-use crate::core::{Core, Note, Output};
+use crate::core::{Core, Event, Output};
 use crate::duty::{Dispatcher, Order, Outcome, Scale, Task};
 use crate::ledger::{Command, Window};
 use crate::plan::{self, Demand, Planner};
@@ -35,17 +35,17 @@
         for number in due {
             let end = window_end(number, timing.window);
             let complete = unix >= end.saturating_add(COUNT_SLACK)
-                && self.hub.counted(self.now, end.saturating_add(COUNT_SLACK));
+                && self.hub.counts_complete(self.now, end.saturating_add(COUNT_SLACK));
             let settled = complete || unix >= end.saturating_add(settle);
             if !settled {
                 continue;
             }
-            let counts = self.hub.sum(number);
+            let counts = self.hub.window_counts(number);
             if counts.is_empty() || !self.closing.insert(number) {
                 continue;
             }
             let requests = counts.values().sum();
-            self.note(Note::Closed { window: number, requests });
+            self.note(Event::WindowClosed { window: number, requests });
             self.propose(&Command::Close(Window { number, counts }));
         }
     }
@@ -97,15 +97,20 @@
             };
             let base = plan::with_limited(base, self.limited(&service.name));
             let Some(planner) = self.planners.get_mut(&service.name) else { continue };
-            planner.spread(self.hub.widest());
+            planner.spread(self.hub.max_fan_out());
             let dispatcher = &mut self.dispatcher;
-            let demand = Demand { base, busy: self.hub.busy(self.now, &service.name) };
+            let demand = Demand { base, busy: self.hub.busy_engines(self.now, &service.name) };
             let before = orders.len();
             orders.extend(planner.plan(self.now, scaling, demand, &have, || dispatcher.draw()));
             sizes.extend(planner.size_by_load().map(|size| (service.name.clone(), size)));
             if orders.len() > before {
                 let service = service.name.clone();
-                planned.push(Note::Planned { service, base, busy: demand.busy, upstreams });
+                planned.push(Event::ScalingPlanned {
+                    service,
+                    initial_count: base,
+                    busy_upstreams: demand.busy,
+                    upstreams,
+                });
             }
         }
         planned.into_iter().for_each(|note| self.note(note));
--- a/crates/verbenaslip-fleet/src/core/io.rs
+++ b/crates/verbenaslip-fleet/src/core/io.rs
@@ -6,7 +6,7 @@
 use verbenaslip_replica::setup::Timing as LogTiming;
 use verbenaslip_replica::storage::{Recovered, Write};
 
-use crate::core::note::Note;
+use crate::core::note::Event;
 use crate::duty::{self, Order, Outcome};
 use crate::frame::{Frame, Peer, Request, Response};
 use crate::quarantine::Rule;
@@ -14,7 +14,7 @@
 /// Sets a core up.
 pub struct Setup {
     /// This instance; its voter is that of the folder.
-    pub own: Peer,
+    pub local_peer: Peer,
     /// Addresses of some cores to join through.
     pub seeds: Vec<SocketAddr>,
     /// The cores that form the log at the very first start of all; empty at any other.
@@ -22,21 +22,21 @@
     /// What the data folder holds.
     pub recovered: Recovered,
     /// How many voters are wanted: twice the disks that may be lost at once, and one.
-    pub voters: usize,
+    pub target_voter_count: usize,
     /// Time between two announcements of an upstream.
-    pub announce: Duration,
+    pub announce_interval: Duration,
     /// The times of the log.
-    pub timing: LogTiming,
+    pub log_timing: LogTiming,
     /// The times of orders to the cloud; none when there is none.
-    pub duty: Option<duty::Timing>,
+    pub order_timing: Option<duty::Timing>,
     /// When requests are held back that end upstreams.
-    pub rule: Rule,
+    pub quarantine_policy: Rule,
     /// By what fingerprints of requests are made that nobody can foresee, if this core is the first to lead.
-    pub secret: u128,
+    pub fingerprint_secret: u128,
     /// Seeds every random choice.
     pub seed: u64,
     /// What this machine's clock shows, in Unix milliseconds.
-    pub unix: u64,
+    pub unix_ms: u64,
 }
 
 /// Tells a core what happened.
@@ -45,7 +45,7 @@
     /// Only time has passed.
     Tick,
     /// The machine's clock shows this, in Unix milliseconds.
-    Unix(u64),
+    WallClock(u64),
     /// A frame has come.
     Frame(Box<Frame>),
     /// Somebody outside asks for something; answered once, with the same identity.
@@ -53,12 +53,12 @@
         /// Names the call in its answer.
         id: u64,
         /// What is asked.
-        ask: Request,
+        request: Request,
     },
     /// All writes up to a mark are durable.
     Stored(u64),
     /// The cloud has answered an order.
-    Ordered {
+    OrderFinished {
         /// The order.
         id: u64,
         /// What became of it.
@@ -67,7 +67,7 @@
     /// The settings name other addresses to join through.
     Seeds(Vec<SocketAddr>),
     /// The settings say something else of requests that end upstreams.
-    Rule(Rule),
+    QuarantinePolicy(Rule),
     /// This instance is about to stop.
     Stop,
 }
@@ -83,7 +83,7 @@
         frame: Frame,
     },
     /// Sends the same frame to several instances.
-    Cast {
+    Multicast {
         /// Where to.
         to: Vec<SocketAddr>,
         /// What it says.
@@ -92,7 +92,7 @@
     /// Writes and syncs; the mark comes back as [`Input::Stored`].
     Store {
         /// Rises with each write.
-        mark: u64,
+        sequence: u64,
         /// What to write.
         write: Write,
     },
@@ -101,10 +101,10 @@
         /// The call.
         id: u64,
         /// The answer.
-        told: Response,
+        response: Response,
     },
     /// Gives the cloud an order.
     Order(Order),
     /// Tells what this instance now believes, for the logs.
-    Note(Note),
+    Event(Event),
 }
--- a/crates/verbenaslip-fleet/src/core/lead.rs
+++ b/crates/verbenaslip-fleet/src/core/lead.rs
@@ -9,14 +9,14 @@
 
 use crate::clock;
 use crate::core::{Core, Output, address_of};
-use crate::frame::{Frame, Heartbeat, Round};
-use crate::hub::{Hub, Push, Source};
+use crate::frame::{FleetStatus, Frame, Heartbeat};
+use crate::hub::{Hub, PendingPush, UpdateSource};
 use crate::ledger::Command;
-use crate::limit::Turn;
-use crate::parent::{self, FEW};
-use crate::quota::Loan;
+use crate::limit::TimeSlot;
+use crate::parent::{self, MAX_DIRECT_ENTRIES};
+use crate::quota::LoanRequest;
 use crate::registry::{Change as RegistryChange, Record, Run, Standing};
-use crate::view::Stamp;
+use crate::view::Version;
 use crate::voucher::Mark;
 
 /// After this absence a voter is replaced by a core that has none. Killed machines are back within
@@ -54,7 +54,7 @@
     /// Looks whether as many entries have reported as there were under the leader before.
     fn gather(&mut self) {
         let Some(expected) = self.expected.filter(|_| !self.is_settled()) else { return };
-        self.gathered = self.hub.live(self.now) >= expected;
+        self.gathered = self.hub.reachable_entry_count(self.now) >= expected;
     }
 
     /// Has the upstreams committed that have come, one command at a time.
@@ -98,8 +98,8 @@
         self.take_marks(&heartbeat.marks);
         self.take_rollouts(&heartbeat);
         self.take_limits(&heartbeat.limits);
-        heartbeat.leaving.iter().for_each(|run| self.take_leaving(run));
-        self.hub.take(self.now, reign.term, self.link.number(), heartbeat);
+        heartbeat.departing.iter().for_each(|run| self.take_leaving(run));
+        self.hub.handle_heartbeat(self.now, reign.term, self.link.number(), heartbeat);
         self.gather();
         self.advance_spread();
         self.tell(to);
@@ -125,13 +125,13 @@
     /// A leader that has just begun and hears no other core yet leaves the entries of a large fleet waiting a moment:
     /// told everything here, hundreds of them would take all of its time.
     fn send_to_site(&mut self, heartbeat: &Heartbeat) -> bool {
-        let many = self.hub.entries().max(self.expected.unwrap_or(0)) > FEW;
+        let many = self.hub.entry_count().max(self.expected.unwrap_or(0)) > MAX_DIRECT_ENTRIES;
         if heartbeat.peer.voter.is_some() || !many {
             return false;
         }
         let to = heartbeat.peer.address;
-        let mut sites = self.hub.sites(self.now);
-        sites.retain(|site| Some(site.address) != heartbeat.lost);
+        let mut sites = self.hub.parent_cores(self.now);
+        sites.retain(|site| Some(site.address) != heartbeat.lost_parent);
         let Some(core) = parent::choose(&sites, to, &heartbeat.peer.zone) else {
             return !self.is_settled();
         };
@@ -141,9 +141,9 @@
     }
 
     /// Lends units of teams' limits.
-    pub(crate) fn lend(&mut self, to: SocketAddr, loans: &[Loan]) {
-        let lent = self.hub.lend(loans);
-        self.send(to, Frame::Lent(lent));
+    pub(crate) fn lend(&mut self, to: SocketAddr, loans: &[LoanRequest]) {
+        let lent = self.hub.grant_loans(loans);
+        self.send(to, Frame::GrantLoans(lent));
     }
 
     /// Takes a core's word of the upstreams that have called it.
@@ -157,12 +157,12 @@
     }
 
     /// Takes the word of an instance that it has what somebody waits for.
-    pub(crate) fn seen(&mut self, address: SocketAddr, stamp: Stamp, revision: u64) {
-        let term = self.reign.map_or(self.link.view().stamp.term, |reign| reign.term);
+    pub(crate) fn seen(&mut self, address: SocketAddr, stamp: Version, revision: u64) {
+        let term = self.reign.map_or(self.link.view().version.term, |reign| reign.term);
         if stamp.term == term {
-            self.hub.seen(self.now, address, stamp.change, revision);
+            self.hub.handle_acknowledgement(self.now, address, stamp.change, revision);
         }
-        if self.leads() {
+        if self.is_leading() {
             self.advance_spread();
         } else {
             self.confirm_soon();
@@ -177,10 +177,11 @@
         if self.now < self.push_at {
             return;
         }
-        if !self.leads() {
+        if !self.is_leading() {
             return self.push_below();
         }
-        let behind = self.hub.behind(self.now, self.registry.stamp(), self.ledger.revision());
+        let behind =
+            self.hub.lagging_subscribers(self.now, self.registry.stamp(), self.ledger.revision());
         if behind.is_empty() {
             self.push_at = Duration::MAX;
             return;
@@ -201,8 +202,8 @@
 
     /// Looks at what is due from time to time.
     pub(crate) fn sweep(&mut self) {
-        if self.leads() {
-            self.known_to_all = self.hub.known_to_all(self.now);
+        if self.is_leading() {
+            self.known_to_all = self.hub.acknowledged_by_all(self.now);
         }
         self.advance_calls();
         if self.reign.is_none() {
@@ -210,7 +211,7 @@
         }
         let sheet = self.ledger.edition().map(|edition| edition.sheet.clone());
         self.hub.refresh(self.now, sheet.as_deref());
-        self.hub.set_time(self.now, clock::offset(self.now, self.unix));
+        self.hub.update_time_offset(self.now, clock::offset_ms(self.now, self.unix));
         self.known_cores = self.cores();
         let lapse = self.registry.tick(self.now);
         self.note_lost(lapse.lost);
@@ -231,26 +232,26 @@
     /// Answers an instance's report.
     fn tell(&mut self, to: SocketAddr) {
         let round = self.round(to);
-        let update = self.with_hub(false, |hub, source| hub.answer(to, source, round));
+        let update = self.with_hub(false, |hub, source| hub.heartbeat_answer(to, source, round));
         if let Some(update) = update.flatten() {
             self.send(to, Frame::Update(Box::new(update)));
         }
     }
 
     /// Says how the fleet stands.
-    fn round(&self, to: SocketAddr) -> Round {
+    fn round(&self, to: SocketAddr) -> FleetStatus {
         let is_core = self.hub.peer(to).is_some_and(|peer| peer.voter.is_some());
         let of = self.hub.places().max(1);
-        Round {
+        FleetStatus {
             cores: self.known_cores.clone(),
-            sites: if is_core { self.hub.sites(self.now) } else { Vec::new() },
+            parent_cores: if is_core { self.hub.parent_cores(self.now) } else { Vec::new() },
             incarnation: self.link.own().incarnation,
-            number: 0,
-            entries: u32::try_from(self.hub.entries()).unwrap_or(u32::MAX),
-            plans: self.planned,
-            confirmed: Some(Duration::ZERO),
-            turn: Some(Turn { place: 0, of }),
-            list: self.needs_entries(),
+            sequence: 0,
+            entry_count: u32::try_from(self.hub.entry_count()).unwrap_or(u32::MAX),
+            plans_change: self.planned,
+            plans_age: Some(Duration::ZERO),
+            time_slot: Some(TimeSlot { index: 0, count: of }),
+            list_entries: self.needs_entries(),
         }
     }
 
@@ -262,9 +263,9 @@
     /// Tells instances what they lack, between their reports.
     fn push(&mut self, to: &[SocketAddr]) {
         let now = self.now;
-        let pushes = self.with_hub(self.spreads(), |hub, source| hub.push(now, to, source));
-        for Push { to, update } in pushes.unwrap_or_default() {
-            self.out.push(Output::Cast { to, frame: Frame::Update(Box::new(update)) });
+        let pushes = self.with_hub(self.spreads(), |hub, source| hub.push_updates(now, to, source));
+        for PendingPush { to, update } in pushes.unwrap_or_default() {
+            self.out.push(Output::Multicast { to, frame: Frame::Update(Box::new(update)) });
         }
     }
 
@@ -272,24 +273,24 @@
     fn with_hub<T>(
         &mut self,
         urgent: bool,
-        tell: impl FnOnce(&mut Hub, &Source<'_>) -> T,
+        tell: impl FnOnce(&mut Hub, &UpdateSource<'_>) -> T,
     ) -> Option<T> {
         let (term, unix) = (self.reign?.term, self.agreed());
         let mut hub = std::mem::take(&mut self.hub);
         let own = self.link.own().address;
-        let source = Source {
+        let source = UpdateSource {
             from: own,
             leader: own,
-            heard: Duration::ZERO,
+            leader_contact_age: Duration::ZERO,
             term,
             records: &self.registry,
-            sheet: self.ledger.edition().map(|edition| &edition.sheet),
+            route_table: self.ledger.edition().map(|edition| &edition.sheet),
             blocklist: self.quarantine.blocklist(),
-            plans: &self.plans,
+            rollout_plans: &self.plans,
             limits: &self.limits,
             changes: self.changes(),
-            urgent,
-            unix,
+            ack_requested: urgent,
+            unix_ms: unix,
         };
         let told = tell(&mut hub, &source);
         self.hub = hub;
@@ -301,7 +302,7 @@
         let voters = self.replica.voters().members();
         let mut cores: Vec<SocketAddr> =
             voters.filter_map(|voter| address_of(&voter.instance)).collect();
-        cores.extend(self.hub.cores(self.now).map(|peer| peer.address));
+        cores.extend(self.hub.reachable_cores(self.now).map(|peer| peer.address));
         cores.sort_unstable();
         cores.dedup();
         cores
@@ -321,7 +322,7 @@
             return self.change(Change::Replace { old: new.instance.clone(), new });
         }
         let is_voter = |voter: &Voter| voters.iter().any(|it| it.instance == voter.instance);
-        let spare = self.hub.cores(self.now).filter_map(|peer| peer.voter.clone());
+        let spare = self.hub.reachable_cores(self.now).filter_map(|peer| peer.voter.clone());
         let Some(spare) = spare.into_iter().find(|voter| !is_voter(voter)) else {
             self.absent.clear();
             return;
@@ -339,7 +340,7 @@
     /// The log tells of it as well, but once, and maybe before this leader's lease has begun. One
     /// would notice it at the next lost disk: of three voters only one would be left.
     fn emptied(&self, voters: &[Voter]) -> Option<Voter> {
-        let others = self.hub.cores(self.now).filter_map(|peer| peer.voter.as_ref());
+        let others = self.hub.reachable_cores(self.now).filter_map(|peer| peer.voter.as_ref());
         let lost =
             |it: &&Voter| voters.iter().any(|voter| voter.instance == it.instance && voter != *it);
         others.into_iter().find(lost).cloned()
@@ -347,7 +348,8 @@
 
     fn long_absent(&mut self, voters: &[Voter]) -> Option<Instance> {
         let own = self.replica.voter().instance;
-        let heard: Vec<SocketAddr> = self.hub.cores(self.now).map(|peer| peer.address).collect();
+        let heard: Vec<SocketAddr> =
+            self.hub.reachable_cores(self.now).map(|peer| peer.address).collect();
         let present = |it: &Instance| address_of(it).is_some_and(|it| heard.contains(&it));
         for voter in voters {
             if voter.instance == own || present(&voter.instance) {
--- a/crates/verbenaslip-fleet/src/core/limit.rs
+++ b/crates/verbenaslip-fleet/src/core/limit.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use crate::core::{Core, Note};
-use crate::limit::{self, Limit, Sighting};
+use crate::core::{Core, Event};
+use crate::limit::{self, Limit, Observation};
 use crate::upstream::{Record, Run, Standing};
 
 impl Core {
@@ -14,15 +14,15 @@
     }
 
     /// Takes the limits that an entry's answers have named, and has all others told.
-    pub(crate) fn take_limits(&mut self, sightings: &[Sighting]) {
+    pub(crate) fn take_limits(&mut self, sightings: &[Observation]) {
         let mut changed = false;
         for sighting in sightings {
-            let Sighting { run, limit } = sighting;
+            let Observation { run, limit } = sighting;
             let there = self.registry.run(&run.upstream) == Some(run);
-            if there && limit.changes(self.limits.get(run)) {
+            if there && limit.supersedes(self.limits.get(run)) {
                 Arc::make_mut(&mut self.limits).insert(run.clone(), *limit);
                 changed = true;
-                self.note(Note::Limit(sighting.clone()));
+                self.note(Event::LimitChanged(sighting.clone()));
             }
         }
         if changed {
--- a/crates/verbenaslip-fleet/src/core/log.rs
+++ b/crates/verbenaslip-fleet/src/core/log.rs
@@ -9,7 +9,7 @@
 use verbenaslip_replica::storage::Snapshot;
 use verbenaslip_replica::voter::Voter;
 
-use crate::core::{Core, Note, Output, address_of};
+use crate::core::{Core, Event, Output, address_of};
 use crate::frame::Frame;
 use crate::ledger::{Command, Ledger};
 
@@ -41,7 +41,7 @@
         }
         let token = self.token();
         self.changing = Some(token);
-        self.note(Note::Voters { change: change.clone() });
+        self.note(Event::VotersChanged { change: change.clone() });
         self.step_log(replica::Input::ChangeVoters { token, change });
     }
 
@@ -54,14 +54,14 @@
                 }
             }
             LogOutput::Store { sequence: mark, write } => {
-                self.out.push(Output::Store { mark, write })
+                self.out.push(Output::Store { sequence: mark, write })
             }
             LogOutput::Apply { position, command } => self.apply(position, &command),
             LogOutput::Install(snapshot) => self.install(&snapshot),
             LogOutput::Answer { token, answer } => self.proposed(token, &answer),
             LogOutput::RoleChanged(role) => {
                 let (term, duty, leader) = (role.term, role.role, role.leader);
-                self.note(Note::Role { term, duty, leader });
+                self.note(Event::Role { term, role: duty, leader });
             }
             LogOutput::RequestSnapshot { .. } => {
                 let (index, state) = (self.applied, Arc::from(self.ledger.snapshot()));
@@ -126,7 +126,7 @@
 
     /// Replaces a voter whose disk was lost: its instance already runs another folder.
     fn stranger(&mut self, voter: Voter) {
-        if self.leads() {
+        if self.is_leading() {
             self.change(Change::Replace { old: voter.instance.clone(), new: voter });
         }
     }
@@ -135,12 +135,12 @@
         self.adopted = self.now;
         let Some(edition) = self.ledger.edition() else { return };
         let (revision, routes) = (edition.sheet.revision, edition.sheet.routes.len());
-        self.note(Note::Sheet { revision, routes });
+        self.note(Event::RouteTable { revision, routes });
         self.push_soon();
     }
 
     fn unreadable(&mut self, what: &str) {
         self.broken = true;
-        self.note(Note::Unreadable(what.into()));
+        self.note(Event::UnreadableLog(what.into()));
     }
 }
--- a/crates/verbenaslip-fleet/src/core/note.rs
+++ b/crates/verbenaslip-fleet/src/core/note.rs
@@ -7,29 +7,29 @@
 use verbenaslip_replica::output;
 
 use crate::departure::Departure;
-use crate::hub::Spread;
-use crate::limit::Sighting;
+use crate::hub::AckCounts;
+use crate::limit::Observation;
 use crate::quarantine::Finding;
 use crate::registry::Late;
 use crate::rollout::Rollout;
 use crate::rollout::verdict::{Stage, Verdict};
 use crate::upstream::Run;
-use crate::view::Stamp;
+use crate::view::Version;
 
 /// A decision, or a change of what is known.
 #[derive(Clone, Debug)]
-pub enum Note {
+pub enum Event {
     /// The role in the log.
     Role {
         /// The term.
         term: u64,
         /// What this core is.
-        duty: output::ReplicaRole,
+        role: output::ReplicaRole,
         /// The leader, where known.
         leader: Option<Instance>,
     },
     /// A route table is in force.
-    Sheet {
+    RouteTable {
         /// Its revision.
         revision: u64,
         /// Its routes.
@@ -41,22 +41,22 @@
         record: Box<crate::registry::Record>,
     },
     /// An upstream said that it goes.
-    Withdrawn(Run),
+    UpstreamWithdrawn(Run),
     /// An announcement was passed over, since what is known is newer.
-    Late(Late),
+    StaleAnnouncement(Late),
     /// That an upstream goes was acknowledged.
-    Acknowledged {
+    DepartureAcknowledged {
         /// The run, and how it goes.
         departure: Departure,
         /// How long its caller has waited.
         waited: Duration,
         /// The change by which instances know it.
-        change: Stamp,
+        version: Version,
         /// Who knew it by then.
-        spread: Spread,
+        acks: AckCounts,
     },
     /// This core begins to lead.
-    Began {
+    LeadershipStarted {
         /// The term.
         term: u64,
         /// The upstreams that it knows.
@@ -66,27 +66,27 @@
         /// The runs that it knows to go or have gone.
         departures: usize,
         /// The requests that it holds back.
-        held: usize,
+        quarantined: usize,
     },
     /// This core no longer holds the lease by which it led.
-    Lapsed {
+    LeaseLost {
         /// The term.
         term: u64,
     },
     /// This core has the lease of the same term again, and goes on.
-    Resumed {
+    LeadershipResumed {
         /// The term.
         term: u64,
     },
     /// An announcement names a service that no route table knows, and would displace an upstream.
-    Foreign(Run),
+    UnknownService(Run),
     /// The voters are changed.
-    Voters {
+    VotersChanged {
         /// The change.
         change: verbenaslip_replica::config::Change,
     },
     /// Something was decided of a request that ends upstreams.
-    Found(Finding),
+    QuarantineDecided(Finding),
     /// What the candidate of a roll-out gets has changed.
     RolloutStage {
         /// The roll-out.
@@ -106,30 +106,30 @@
         exposure: (u64, u64),
     },
     /// An upstream names another limit than before, or none any more.
-    Limit(Sighting),
+    LimitChanged(Observation),
     /// A window of usage was closed.
-    Closed {
+    WindowClosed {
         /// Its number.
         window: u64,
         /// Requests in it.
         requests: u64,
     },
     /// Other counts of a service's upstreams are ordered.
-    Planned {
+    ScalingPlanned {
         /// The service.
         service: Arc<str>,
         /// With how many upstreams it began.
-        base: u32,
+        initial_count: u32,
         /// How many would be busy all the time with what callers ask for, where that is known.
-        busy: Option<f64>,
+        busy_upstreams: Option<f64>,
         /// How many there are.
         upstreams: u32,
     },
     /// A call could not be answered for sure in time.
-    Unsure {
+    CallTimedOut {
         /// What was asked.
-        what: &'static str,
+        call: &'static str,
     },
     /// The log holds what this version can't read.
-    Unreadable(String),
+    UnreadableLog(String),
 }
--- a/crates/verbenaslip-fleet/src/core/quarantine.rs
+++ b/crates/verbenaslip-fleet/src/core/quarantine.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::account::Account;
-use crate::core::{Core, Note};
+use crate::core::{Core, Event};
 use crate::frame::Frame;
 use crate::ledger::Command;
 use crate::quarantine::{Crash, Finding, Quarantine, Rule};
@@ -29,7 +29,10 @@
         for answer in &account.answers {
             self.quarantine.answered(self.now, unix, answer);
         }
-        self.send(account.from, Frame::Heard { term: reign.term, number: account.number });
+        self.send(
+            account.from,
+            Frame::CrashReportReceived { term: reign.term, number: account.number },
+        );
         self.spread_findings();
     }
 
@@ -43,7 +46,7 @@
     pub(crate) fn set_rule(&mut self, rule: Rule) {
         self.setup.rule = rule.clone();
         self.quarantine.set_rule(rule);
-        if self.leads() {
+        if self.is_leading() {
             self.spread_findings();
         }
     }
@@ -51,7 +54,7 @@
     /// Decides what is due of such requests, and has the log hold it.
     pub(crate) fn tend_quarantine(&mut self) {
         let (now, unix) = (self.now, self.agreed());
-        let entries = self.hub.entries_heard(now);
+        let entries = self.hub.reachable_entries(now);
         self.quarantine.set_key(self.ledger.quarantine().key);
         self.quarantine.tick(now, unix, &entries);
         self.spread_findings();
@@ -65,7 +68,7 @@
     fn spread_findings(&mut self) {
         let (findings, changed) = self.quarantine.take_findings();
         let urgent = findings.iter().any(|finding| matches!(finding, Finding::Blocked { .. }));
-        findings.into_iter().for_each(|finding| self.note(Note::Found(finding)));
+        findings.into_iter().for_each(|finding| self.note(Event::QuarantineDecided(finding)));
         if !changed {
             return;
         }
--- a/crates/verbenaslip-fleet/src/core/rollout.rs
+++ b/crates/verbenaslip-fleet/src/core/rollout.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::core::{Core, Note};
+use crate::core::{Core, Event};
 use crate::frame::Heartbeat;
 use crate::ledger::Command;
 use crate::registry::{Record, Standing};
@@ -29,10 +29,10 @@
     /// Takes what an entry reports of versions.
     pub(crate) fn take_rollouts(&mut self, heartbeat: &Heartbeat) {
         let (entry, incarnation) = (heartbeat.peer.address, heartbeat.peer.incarnation);
-        let own = heartbeat.rollouts.iter().map(|it| (entry, incarnation, heartbeat.number, it));
-        let below = heartbeat.below.iter().flat_map(|below| &below.rollouts).flat_map(|it| {
+        let own = heartbeat.rollouts.iter().map(|it| (entry, incarnation, heartbeat.sequence, it));
+        let below = heartbeat.aggregate.iter().flat_map(|below| &below.rollouts).flat_map(|it| {
             let Origin { address, incarnation } = it.origin;
-            it.reports.iter().map(move |report| (address, incarnation, it.number, report))
+            it.reports.iter().map(move |report| (address, incarnation, it.sequence, report))
         });
         for (entry, incarnation, number, report) in own.chain(below) {
             for controller in self.controllers.values_mut() {
@@ -96,9 +96,9 @@
     fn fleet(&self, service: &str) -> Fleet {
         let rollout = self.ledger.rollouts().get(service);
         let candidate = rollout.map(|rollout| &rollout.order.version);
-        let entries = self.hub.entries_heard(self.now);
+        let entries = self.hub.reachable_entries(self.now);
         // Cores list their entries from the first report on that is asked for it.
-        let listed = entries.len() >= self.hub.live(self.now);
+        let listed = entries.len() >= self.hub.reachable_entry_count(self.now);
         let mut fleet = Fleet { entries, settled: self.is_settled() && listed, ..Fleet::default() };
         for record in self.registry.of_service(service) {
             let it = &record.announcement;
@@ -119,10 +119,10 @@
         let (stage, exposure) = (controller.stage(), controller.exposure());
         let verdict = controller.verdict().filter(|_| undecided).cloned();
         if stage != before {
-            self.note(Note::RolloutStage { rollout: rollout.clone(), stage, exposure });
+            self.note(Event::RolloutStage { rollout: rollout.clone(), stage, exposure });
         }
         if let Some(verdict) = verdict {
-            self.note(Note::RolloutDecided { rollout, verdict: Box::new(verdict), exposure });
+            self.note(Event::RolloutDecided { rollout, verdict: Box::new(verdict), exposure });
         }
     }
 
--- a/crates/verbenaslip-fleet/src/changes.rs
+++ b/crates/verbenaslip-fleet/src/delta_map.rs
@@ -7,19 +7,19 @@
 /// Values are whole, so a report that is lost or doubled does no harm; and a report tells only those that may not have
 /// arrived, so that it costs by what has changed, not by what there is.
 #[derive(Clone, Debug)]
-pub(crate) struct Changes<K, V> {
+pub(crate) struct DeltaMap<K, V> {
     values: BTreeMap<K, (V, u64)>,
 }
 
-impl<K, V> Default for Changes<K, V> {
+impl<K, V> Default for DeltaMap<K, V> {
     fn default() -> Self {
         Self { values: BTreeMap::new() }
     }
 }
 
-impl<K: Ord + Clone, V: PartialEq + Clone> Changes<K, V> {
+impl<K: Ord + Clone, V: PartialEq + Clone> DeltaMap<K, V> {
     /// Takes a value for the report with this number.
-    pub(crate) fn put(&mut self, number: u64, key: K, value: V) {
+    pub(crate) fn insert(&mut self, number: u64, key: K, value: V) {
         match self.values.get_mut(&key) {
             Some(held) if held.0 == value => {}
             Some(held) => *held = (value, number),
@@ -40,7 +40,7 @@
     }
 
     /// Goes through the values that were told first after the report with this number.
-    pub(crate) fn since(&self, number: u64) -> impl Iterator<Item = (&K, &V)> {
+    pub(crate) fn changed_since(&self, number: u64) -> impl Iterator<Item = (&K, &V)> {
         let newer = self.values.iter().filter(move |(_, (_, told))| *told > number);
         newer.map(|(key, (value, _))| (key, value))
     }
--- a/crates/verbenaslip-fleet/src/entry.rs
+++ b/crates/verbenaslip-fleet/src/entry.rs
@@ -6,7 +6,7 @@
 use crate::account::{Accounts, Answered, Sighting};
 use crate::frame::{Frame, Peer};
 use crate::link::{Link, Report, Targets};
-use crate::quota::Loan;
+use crate::quota::LoanRequest;
 use crate::transition::Transitions;
 use crate::view::View;
 
@@ -28,8 +28,8 @@
 
 impl Entry {
     /// Starts without a view.
-    pub fn open(own: Peer, seeds: Vec<SocketAddr>, now: Duration, unix: u64) -> Self {
-        Self { link: Link::open(own, seeds, now, unix), accounts: Accounts::default() }
+    pub fn new(own: Peer, seeds: Vec<SocketAddr>, now: Duration, unix: u64) -> Self {
+        Self { link: Link::new(own, seeds, now, unix), accounts: Accounts::default() }
     }
 
     /// Returns what is known of the fleet.
@@ -43,90 +43,96 @@
     }
 
     /// Returns when [`heartbeat`](Self::heartbeat) or [`account`](Self::account) is due.
-    pub fn wake(&self) -> Duration {
+    pub fn next_wakeup(&self) -> Duration {
         let account = self.accounts.wake().unwrap_or(Duration::MAX);
-        self.link.wake().min(account)
+        self.link.next_wakeup().min(account)
     }
 
     /// Returns when [`heartbeat`](Self::heartbeat) is due.
-    pub fn heartbeat_at(&self) -> Duration {
-        self.link.wake()
+    pub fn next_heartbeat_at(&self) -> Duration {
+        self.link.next_wakeup()
     }
 
     /// Takes under which requests upstreams ended, and answers to requests that are suspected.
-    pub fn met(&mut self, now: Duration, crashes: Vec<Sighting>, answers: Vec<Answered>) {
+    pub fn record_outcomes(
+        &mut self,
+        now: Duration,
+        crashes: Vec<Sighting>,
+        answers: Vec<Answered>,
+    ) {
         self.accounts.take(now, crashes, answers);
     }
 
     /// Tells the leader of that if it is due.
-    pub fn account(&mut self, now: Duration) -> Option<Envelope> {
+    pub fn next_crash_report(&mut self, now: Duration) -> Option<Envelope> {
         self.accounts.wake().filter(|due| now >= *due)?;
         let Some(leader) = self.link.leader(now) else {
             self.accounts.wait(now);
             return None;
         };
         let account = self.accounts.account(now, self.link.own().address)?;
-        Some(Envelope { to: vec![leader], frame: Frame::Account(Box::new(account)) })
+        Some(Envelope { to: vec![leader], frame: Frame::CrashReport(Box::new(account)) })
     }
 
     /// Asks for units of teams' limits.
-    pub fn borrow(&self, now: Duration, loans: Vec<Loan>) -> Option<Envelope> {
+    pub fn request_loans(&self, now: Duration, loans: Vec<LoanRequest>) -> Option<Envelope> {
         let target = self.link.target(now).filter(|_| !loans.is_empty())?;
         let from = self.link.own().address;
-        Some(Envelope { to: vec![target], frame: Frame::Borrow { from, loans } })
+        Some(Envelope { to: vec![target], frame: Frame::RequestLoans { from, requests: loans } })
     }
 
     /// Says that this entry ends.
-    pub fn end(&self, now: Duration) -> Option<Envelope> {
+    pub fn stop_notice(&self, now: Duration) -> Option<Envelope> {
         let address = self.link.own().address;
-        Some(Envelope { to: vec![self.link.target(now)?], frame: Frame::Ended { address } })
+        Some(Envelope { to: vec![self.link.target(now)?], frame: Frame::EntryStopped { address } })
     }
 
     /// Takes other addresses to join through.
-    pub fn reseed(&mut self, seeds: Vec<SocketAddr>) {
-        self.link.reseed(seeds);
+    pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
+        self.link.set_seeds(seeds);
     }
 
     /// Reports if that is due; `unix` is what this machine's clock shows.
-    pub fn heartbeat(&mut self, now: Duration, unix: u64, report: Report) -> Option<Envelope> {
+    pub fn next_heartbeat(&mut self, now: Duration, unix: u64, report: Report) -> Option<Envelope> {
         let (to, heartbeat) = self.link.heartbeat(now, unix, report)?;
         Some(Envelope { to, frame: Frame::Heartbeat(Box::new(heartbeat)) })
     }
 
     /// Takes a frame; returns what is to be sent at once.
-    pub fn take(&mut self, now: Duration, frame: Frame) -> Option<Envelope> {
+    pub fn handle_frame(&mut self, now: Duration, frame: Frame) -> Option<Envelope> {
         match frame {
             Frame::Update(update) => {
                 let from = update.from;
-                let seen = self.link.update(now, *update).then(|| self.link.seen());
-                self.accounts.follow(now, self.link.view().stamp.term);
+                let seen =
+                    self.link.handle_update(now, *update).then(|| self.link.acknowledgement());
+                self.accounts.follow(now, self.link.view().version.term);
                 Some(Envelope { to: vec![from], frame: seen? })
             }
-            Frame::Heard { term, number } => {
+            Frame::CrashReportReceived { term, number } => {
                 self.accounts.confirm(term, number);
                 None
             }
-            Frame::Elsewhere { from, leader, cores } => {
-                self.link.elsewhere(now, from, leader, &cores);
+            Frame::Redirect { from, leader, cores } => {
+                self.link.handle_redirect(now, from, leader, &cores);
                 None
             }
             Frame::ReportTo { core } => {
                 self.link.report_to(now, core);
                 None
             }
-            Frame::Leads { leader } => {
-                self.link.called(now, leader);
+            Frame::NewLeader { leader } => {
+                self.link.handle_new_leader(now, leader);
                 None
             }
             Frame::Log { .. }
             | Frame::Heartbeat(_)
-            | Frame::Borrow { .. }
-            | Frame::Lent(_)
-            | Frame::Ended { .. }
-            | Frame::Seen { .. }
+            | Frame::RequestLoans { .. }
+            | Frame::GrantLoans(_)
+            | Frame::EntryStopped { .. }
+            | Frame::Acknowledged { .. }
             | Frame::Request { .. }
             | Frame::Response { .. }
-            | Frame::Account(_) => None,
+            | Frame::CrashReport(_) => None,
         }
     }
 }
--- a/crates/verbenaslip-fleet/src/frame.rs
+++ b/crates/verbenaslip-fleet/src/frame.rs
@@ -11,17 +11,17 @@
 
 use crate::account::Account;
 use crate::ledger::Edition;
-use crate::limit::{Limits, Sighting, Turn};
+use crate::limit::{Limits, Observation, TimeSlot};
 use crate::load::Work;
-use crate::parent::Site;
+use crate::parent::ParentCore;
 use crate::quarantine::Blocklist;
-use crate::quota::{Lent, Loan, Refund};
+use crate::quota::{LoanGrant, LoanRequest, Refund};
 use crate::registry::{Announcement, Record, Run};
 use crate::rollout::report::Report;
 use crate::rollout::{Order, Plans, Rollout};
 use crate::sheet::Sheet;
 use crate::usage::{Count, Counted, Origin};
-use crate::view::Stamp;
+use crate::view::Version;
 use crate::voucher::Mark;
 
 /// Says something to another instance; any frame may be lost, late, doubled or overtaken.
@@ -44,16 +44,16 @@
         core: SocketAddr,
     },
     /// An instance confirms an update that somebody waits for; a core, that all entries below it have it as well.
-    Seen {
+    Acknowledged {
         /// The instance.
         address: SocketAddr,
         /// How new its list of upstreams is now.
-        stamp: Stamp,
+        version: Version,
         /// The revision of its route table.
         revision: u64,
     },
     /// The receiver of a heartbeat hears no reports: it does not lead, or has lost the leader.
-    Elsewhere {
+    Redirect {
         /// The receiver.
         from: SocketAddr,
         /// Who leads, where known.
@@ -62,7 +62,7 @@
         cores: Vec<SocketAddr>,
     },
     /// The sender leads now; it was asked for the leader a moment ago.
-    Leads {
+    NewLeader {
         /// Its address.
         leader: SocketAddr,
     },
@@ -73,35 +73,35 @@
         /// Comes back in the answer.
         token: u64,
         /// What is asked.
-        ask: Box<Request>,
+        request: Box<Request>,
     },
     /// Answers a call that was passed on.
     Response {
         /// The token it came with.
         token: u64,
         /// The answer.
-        told: Response,
+        response: Response,
     },
     /// An entry tells the leader under which requests upstreams ended.
-    Account(Box<Account>),
+    CrashReport(Box<Account>),
     /// The leader has an account.
-    Heard {
+    CrashReportReceived {
         /// Its term.
         term: u64,
         /// The number of the account.
         number: u64,
     },
     /// An instance asks for units of teams' limits.
-    Borrow {
+    RequestLoans {
         /// Where the answer goes.
         from: SocketAddr,
         /// What it asks for.
-        loans: Vec<Loan>,
+        requests: Vec<LoanRequest>,
     },
     /// Answers what an instance has asked for.
-    Lent(Vec<Lent>),
+    GrantLoans(Vec<LoanGrant>),
     /// An entry has ended as planned, and is not waited for.
-    Ended {
+    EntryStopped {
         /// The entry.
         address: SocketAddr,
     },
@@ -115,16 +115,16 @@
             Self::Heartbeat(_) => "heartbeat",
             Self::Update(_) => "update",
             Self::ReportTo { .. } => "report_to",
-            Self::Seen { .. } => "seen",
-            Self::Elsewhere { .. } => "elsewhere",
-            Self::Leads { .. } => "leads",
+            Self::Acknowledged { .. } => "seen",
+            Self::Redirect { .. } => "elsewhere",
+            Self::NewLeader { .. } => "leads",
             Self::Request { .. } => "request",
             Self::Response { .. } => "response",
-            Self::Account(_) => "account",
-            Self::Heard { .. } => "heard",
-            Self::Borrow { .. } => "borrow",
-            Self::Lent(_) => "lent",
-            Self::Ended { .. } => "ended",
+            Self::CrashReport(_) => "account",
+            Self::CrashReportReceived { .. } => "heard",
+            Self::RequestLoans { .. } => "borrow",
+            Self::GrantLoans(_) => "lent",
+            Self::EntryStopped { .. } => "ended",
         }
     }
 }
@@ -152,62 +152,62 @@
     /// The core that this entry reports to; none as long as it was told of none.
     pub parent: Option<SocketAddr>,
     /// The core that it has reported to, and that has ceased to answer a moment ago.
-    pub lost: Option<SocketAddr>,
+    pub lost_parent: Option<SocketAddr>,
     /// How new its list of upstreams is.
-    pub seen: Stamp,
+    pub version: Version,
     /// The revision of its route table; zero without one.
     pub revision: u64,
     /// What its machine's clock shows, in Unix milliseconds.
-    pub unix: u64,
+    pub unix_ms: u64,
     /// Up to when its counts are complete, in milliseconds of the agreed time of day.
-    pub counted: u64,
+    pub counted_until: u64,
     /// Requests that began lately, by window and team: whole counts, so that a report that is lost
     /// or doubled does no harm.
     pub counts: Vec<Count>,
     /// Counts the reports of this life of the instance.
-    pub number: u64,
+    pub sequence: u64,
     /// Units of teams' limits that were lent and not used.
     pub refunds: Vec<Refund>,
     /// What engines are asked for.
-    pub work: Vec<Work>,
+    pub engine_work: Vec<Work>,
     /// Upstreams that have announced themselves at this core, and say nothing new.
     pub marks: Vec<Mark>,
     /// What requests met at the versions of services that are rolled out.
     pub rollouts: Vec<Report>,
     /// Limits that upstreams have named or ended, as far as the leader is not known to know them.
-    pub limits: Vec<Sighting>,
+    pub limits: Vec<Observation>,
     /// Upstreams that have said in an answer that they go.
-    pub leaving: Vec<Run>,
+    pub departing: Vec<Run>,
     /// What the entries that report to this core have reported to it.
-    pub below: Option<Below>,
+    pub aggregate: Option<Aggregate>,
 }
 
 /// Sums up what the entries that report to a core have reported to it.
 #[data(default)]
-pub struct Below {
+pub struct Aggregate {
     /// How many there are.
-    pub entries: u32,
+    pub entry_count: u32,
     /// How many have been heard lately: each of them has its turn under an upstream's limit.
-    pub places: u32,
+    pub slot_count: u32,
     /// Which ones are heard, as long as the leader asks for that.
-    pub listed: Vec<SocketAddr>,
+    pub entry_addresses: Vec<SocketAddr>,
     /// The change of the list of upstreams up to which this core and all of them have it.
-    pub covered: Stamp,
+    pub acknowledged: Version,
     /// The revision of the route table that this core and all of them have.
     pub revision: u64,
     /// Requests that began lately, by entry: what the leader may not know yet.
     pub counts: Vec<Counted>,
     /// What requests met at the versions of services that are rolled out.
-    pub rollouts: Vec<Relayed>,
+    pub rollouts: Vec<RelayedReport>,
 }
 
 /// Passes on what an entry reports of roll-outs.
 #[data]
-pub struct Relayed {
+pub struct RelayedReport {
     /// The entry.
     pub origin: Origin,
     /// The number of its report.
-    pub number: u64,
+    pub sequence: u64,
     /// What it reports.
     pub reports: Vec<Report>,
 }
@@ -220,60 +220,60 @@
     /// The leader.
     pub leader: SocketAddr,
     /// How long ago the sender has heard the leader.
-    pub heard: Duration,
+    pub leader_contact_age: Duration,
     /// The change up to which this tells everything.
-    pub stamp: Stamp,
+    pub version: Version,
     /// The change after which the records begin, by this leader or the one before; none when they are all there are.
-    pub base: Option<Stamp>,
+    pub base: Option<Version>,
     /// Upstreams that changed.
     pub records: Vec<Record>,
     /// The route table, if the instance has an older one.
-    pub sheet: Option<Arc<Sheet>>,
+    pub route_table: Option<Arc<Sheet>>,
     /// The requests that are suspected or held back, if that has changed.
     pub blocklist: Option<Arc<Blocklist>>,
     /// Which versions of services get requests, if that has changed.
-    pub plans: Option<Arc<Plans>>,
+    pub rollout_plans: Option<Arc<Plans>>,
     /// The limits that upstreams name, if that has changed.
     pub limits: Option<Arc<Limits>>,
     /// What is told only in answer to a report.
-    pub round: Option<Round>,
+    pub fleet_status: Option<FleetStatus>,
     /// The agreed time of day, in Unix milliseconds.
-    pub unix: u64,
+    pub unix_ms: u64,
     /// Whether somebody waits until this instance says that it has this.
-    pub urgent: bool,
+    pub ack_requested: bool,
 }
 
 /// Tells an instance how the fleet stands, in answer to its report.
 #[data(float)]
-pub struct Round {
+pub struct FleetStatus {
     /// The cores.
     pub cores: Vec<SocketAddr>,
     /// For a core: those that entries may report to.
-    pub sites: Vec<Site>,
+    pub parent_cores: Vec<ParentCore>,
     /// The incarnation of the sender, which remembers what it was reported for as long.
     pub incarnation: u64,
     /// The number of the report that is answered.
-    pub number: u64,
+    pub sequence: u64,
     /// How many entries there are.
-    pub entries: u32,
+    pub entry_count: u32,
     /// The change by which the newest plans of roll-outs are known.
-    pub plans: u64,
+    pub plans_change: u64,
     /// How long ago that was so for sure; none where it is not known.
-    pub confirmed: Option<Duration>,
+    pub plans_age: Option<Duration>,
     /// Which requests under an upstream's limit the instance may send, or the first of the entries below a core; none
     /// where it is not known.
-    pub turn: Option<Turn>,
+    pub time_slot: Option<TimeSlot>,
     /// For a core: whether the leader wants to know which entries report to it.
-    pub list: bool,
+    pub list_entries: bool,
 }
 
 /// Asks the leader for something.
 #[data(float)]
 pub enum Request {
     /// Put a route table in force.
-    Adopt(Box<Edition>),
+    AdoptRouteTable(Box<Edition>),
     /// Read the newest route table, as the operator wrote it.
-    Read,
+    ReadRouteTable,
     /// Take an upstream's announcement.
     Announce(Box<Announcement>),
     /// Take an upstream's word that it goes.
@@ -294,16 +294,16 @@
 #[data]
 pub enum Response {
     /// A route table of this or a higher revision is in force and stays.
-    Adopted {
+    RouteTableAdopted {
         /// The revision in force.
         revision: u64,
     },
     /// The newest route table.
     Document(Arc<[u8]>),
     /// There is no route table yet.
-    Empty,
+    NoRouteTable,
     /// The announcement is known wherever it must be.
-    Noted,
+    Acknowledged,
     /// How far the last roll-out of a service is; none where there was none.
     Rollout(Option<Rollout>),
     /// The service is being moved to this other version.
@@ -311,5 +311,5 @@
     /// The route table has no such service.
     UnknownService(Arc<str>),
     /// Nothing can be said for sure at this moment; ask again, or another core.
-    Unsure,
+    Unavailable,
 }
--- a/crates/verbenaslip-fleet/src/history.rs
+++ b/crates/verbenaslip-fleet/src/history.rs
@@ -18,14 +18,14 @@
     /// The change up to which everything was told at once, or is forgotten.
     floor: u64,
     /// The changes of upstreams that have changed since.
-    told: BTreeMap<Upstream, u64>,
+    record_change: BTreeMap<Upstream, u64>,
     /// Upstreams that have gone since, and by which change.
     removed: BTreeMap<Upstream, (u64, Record)>,
 }
 
 impl History {
     /// Starts from a whole list.
-    pub(crate) fn open(change: u64) -> Self {
+    pub(crate) fn new(change: u64) -> Self {
         Self { floor: change, ..Self::default() }
     }
 
@@ -36,7 +36,7 @@
 
     /// Returns the change by which an upstream was told, or a later one.
     pub(crate) fn change(&self, upstream: &Upstream) -> u64 {
-        self.told.get(upstream).copied().unwrap_or(self.floor)
+        self.record_change.get(upstream).copied().unwrap_or(self.floor)
     }
 
     /// Goes through the upstreams that have gone, with their changes.
@@ -47,13 +47,13 @@
     /// Notes that an upstream was told of.
     pub(crate) fn told(&mut self, upstream: &Upstream, change: u64) {
         self.removed.remove(upstream);
-        self.told.insert(upstream.clone(), change);
+        self.record_change.insert(upstream.clone(), change);
     }
 
     /// Notes that an upstream has gone; `record` says how.
-    pub(crate) fn removed_by(&mut self, change: u64, record: Record) {
+    pub(crate) fn record_removal(&mut self, change: u64, record: Record) {
         let upstream = record.announcement.run.upstream.clone();
-        self.told.remove(&upstream);
+        self.record_change.remove(&upstream);
         self.removed.insert(upstream, (change, record));
         if self.removed.len() > REMOVED {
             self.floor = self.floor.max(change);
--- a/crates/verbenaslip-fleet/src/hub/source.rs
+++ b/crates/verbenaslip-fleet/src/hub/source.rs
@@ -11,30 +11,30 @@
 use crate::rollout::Plans;
 use crate::sheet::Sheet;
 use crate::upstream::Record;
-use crate::view::Stamp;
+use crate::view::Version;
 
 /// Knows the upstreams and by which change each has changed: the leader's registry, or what a core was told.
-pub trait Records {
+pub trait ChangeSource {
     /// Returns the number of the last change.
-    fn stamp(&self) -> u64;
+    fn last_change(&self) -> u64;
     /// Tells whether what changed after a change is still known.
-    fn reaches(&self, change: u64) -> bool;
+    fn has_changes_since(&self, change: u64) -> bool;
     /// Returns what changed after a change; none when it is so old that everything must be told.
-    fn since(&self, change: u64) -> Option<Vec<Record>>;
+    fn changes_since(&self, change: u64) -> Option<Vec<Record>>;
     /// Returns all of them.
     fn all(&self) -> Vec<Record>;
 }
 
-impl Records for Registry {
-    fn stamp(&self) -> u64 {
+impl ChangeSource for Registry {
+    fn last_change(&self) -> u64 {
         Self::stamp(self)
     }
 
-    fn reaches(&self, change: u64) -> bool {
+    fn has_changes_since(&self, change: u64) -> bool {
         Self::reaches(self, change)
     }
 
-    fn since(&self, change: u64) -> Option<Vec<Record>> {
+    fn changes_since(&self, change: u64) -> Option<Vec<Record>> {
         Self::since(self, change)
     }
 
@@ -44,31 +44,31 @@
 }
 
 /// Holds what is told to other instances.
-pub struct Source<'a> {
+pub struct UpdateSource<'a> {
     /// Who tells.
     pub from: SocketAddr,
     /// The leader.
     pub leader: SocketAddr,
     /// How long ago the leader was heard.
-    pub heard: Duration,
+    pub leader_contact_age: Duration,
     /// The leader's term.
     pub term: u64,
     /// The upstreams.
-    pub records: &'a dyn Records,
+    pub records: &'a dyn ChangeSource,
     /// The route table.
-    pub sheet: Option<&'a Arc<Sheet>>,
+    pub route_table: Option<&'a Arc<Sheet>>,
     /// The requests that are suspected or held back.
     pub blocklist: &'a Arc<Blocklist>,
     /// Which versions of services get requests.
-    pub plans: &'a Arc<Plans>,
+    pub rollout_plans: &'a Arc<Plans>,
     /// The limits that upstreams name.
     pub limits: &'a Arc<Limits>,
     /// By which changes these three are so.
     pub changes: Changes,
     /// Whether somebody waits for the word of all instances that they have the changes.
-    pub urgent: bool,
+    pub ack_requested: bool,
     /// The agreed time of day, in Unix milliseconds.
-    pub unix: u64,
+    pub unix_ms: u64,
 }
 
 /// Says by which change something that is told whole was last told.
@@ -86,58 +86,58 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Lack {
     /// The change up to which it has the upstreams; none if it needs all of them.
-    pub(super) base: Option<Stamp>,
+    pub(super) base: Option<Version>,
     /// Whether it needs the route table.
     pub(super) sheet: bool,
     /// Whether its word is waited for.
     pub(super) urgent: bool,
 }
 
-impl Source<'_> {
+impl UpdateSource<'_> {
     /// Returns the revision of the route table.
     pub(super) fn revision(&self) -> u64 {
-        self.sheet.map_or(0, |sheet| sheet.revision)
+        self.route_table.map_or(0, |sheet| sheet.revision)
     }
 
     /// Returns the last change.
-    pub(super) fn stamp(&self) -> Stamp {
-        Stamp { term: self.term, change: self.records.stamp() }
+    pub(super) fn stamp(&self) -> Version {
+        Version { term: self.term, change: self.records.last_change() }
     }
 
     /// Makes an update that tells nothing to an instance that has a change.
     pub(super) fn nothing(&self, seen: u64) -> Update {
-        let stamp = Stamp { term: self.term, change: seen };
+        let stamp = Version { term: self.term, change: seen };
         Update {
             from: self.from,
             leader: self.leader,
-            heard: self.heard,
-            stamp,
+            leader_contact_age: self.leader_contact_age,
+            version: stamp,
             base: Some(stamp),
             records: Vec::new(),
-            sheet: None,
+            route_table: None,
             blocklist: None,
-            plans: None,
+            rollout_plans: None,
             limits: None,
-            round: None,
-            unix: self.unix,
-            urgent: false,
+            fleet_status: None,
+            unix_ms: self.unix_ms,
+            ack_requested: false,
         }
     }
 
     /// Makes the update for those that lack the same.
     pub(super) fn update(&self, lack: &Lack) -> Update {
         let base = lack.base.map(|base| base.change);
-        let changed = base.and_then(|base| self.records.since(base));
+        let changed = base.and_then(|base| self.records.changes_since(base));
         let lacks = |change: u64| base.is_none_or(|base| base < change);
         Update {
-            stamp: self.stamp(),
+            version: self.stamp(),
             base: lack.base,
             records: changed.unwrap_or_else(|| self.records.all()),
-            sheet: self.sheet.filter(|_| lack.sheet).cloned(),
+            route_table: self.route_table.filter(|_| lack.sheet).cloned(),
             blocklist: lacks(self.changes.blocklist).then(|| self.blocklist.clone()),
-            plans: lacks(self.changes.plans).then(|| self.plans.clone()),
+            rollout_plans: lacks(self.changes.plans).then(|| self.rollout_plans.clone()),
             limits: lacks(self.changes.limits).then(|| self.limits.clone()),
-            urgent: lack.urgent,
+            ack_requested: lack.urgent,
             ..self.nothing(0)
         }
     }
--- a/crates/verbenaslip-fleet/src/hub/subscriber.rs
+++ b/crates/verbenaslip-fleet/src/hub/subscriber.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use crate::frame::Peer;
-use crate::hub::{Known, SILENCE};
+use crate::hub::{Progress, SILENCE_TIMEOUT};
 
 /// What was sent and not confirmed for this long is sent again. With the time until the next report it comes before a
 /// leaving is acknowledged without that instance, after 600 ms.
@@ -26,7 +26,7 @@
     /// The newest change that it has confirmed.
     pub(super) seen: u64,
     /// What it has, and every entry that reports to it.
-    pub(super) covered: Known,
+    pub(super) covered: Progress,
     /// The newest change sent to it.
     pub(super) sent: u64,
     /// The term of the leader who made that change.
@@ -62,7 +62,7 @@
             heard: now,
             since: now,
             seen: 0,
-            covered: Known::default(),
+            covered: Progress::default(),
             sent: 0,
             sent_term: 0,
             pushed: Duration::ZERO,
@@ -98,7 +98,7 @@
 
     /// Notes that it was heard.
     pub(super) fn hear(&mut self, now: Duration) {
-        if !self.is_heard(now, SILENCE) {
+        if !self.is_heard(now, SILENCE_TIMEOUT) {
             self.since = now;
         }
         self.heard = now;
--- a/crates/verbenaslip-fleet/src/lib.rs
+++ b/crates/verbenaslip-fleet/src/lib.rs
@@ -31,9 +31,9 @@
 //! Messages may be lost, late, doubled or overtaken; every one of them can be sent again.
 
 pub mod account;
-pub(crate) mod changes;
 pub mod clock;
 pub mod core;
+pub(crate) mod delta_map;
 pub mod departure;
 pub mod duty;
 pub mod entry;
--- a/crates/verbenaslip-fleet/src/limit.rs
+++ b/crates/verbenaslip-fleet/src/limit.rs
@@ -22,12 +22,12 @@
     /// Requests a second from all entries together; none once the run names no limit any more.
     pub rate: Option<f64>,
     /// When the answer came that says so, in milliseconds of the agreed time of day.
-    pub at: u64,
+    pub reported_at_ms: u64,
 }
 
 /// Tells the leader of a limit that an answer has named, or of its end.
 #[data(float)]
-pub struct Sighting {
+pub struct Observation {
     /// The run that has answered.
     pub run: Run,
     /// What it said.
@@ -39,17 +39,19 @@
 
 /// Says which requests under a limit are an entry's to send: every `of`th.
 #[data(copy)]
-pub struct Turn {
+pub struct TimeSlot {
     /// Its place among the entries, from zero.
-    pub place: u32,
+    pub index: u32,
     /// How many entries there are.
-    pub of: u32,
+    pub count: u32,
 }
 
 impl Limit {
     /// Tells whether this is newer than what is known, and says something else.
-    pub fn changes(&self, known: Option<&Limit>) -> bool {
-        known.map_or(self.rate.is_some(), |known| self.at > known.at && self.differs(known))
+    pub fn supersedes(&self, known: Option<&Limit>) -> bool {
+        known.map_or(self.rate.is_some(), |known| {
+            self.reported_at_ms > known.reported_at_ms && self.differs(known)
+        })
     }
 
     fn differs(&self, other: &Limit) -> bool {
@@ -65,10 +67,10 @@
 
 /// Tells whether an upstream has been limited for so long that it is planned with.
 pub(crate) fn is_settled(limit: &Limit, unix: u64) -> bool {
-    limit.rate.is_some() && unix.saturating_sub(limit.at) >= SETTLED
+    limit.rate.is_some() && unix.saturating_sub(limit.reported_at_ms) >= SETTLED
 }
 
 /// Tells whether a limit is still worth remembering: one that is named, or ended a short while ago.
 pub(crate) fn lasts(limit: &Limit, unix: u64) -> bool {
-    limit.rate.is_some() || unix.saturating_sub(limit.at) <= MEMORY
+    limit.rate.is_some() || unix.saturating_sub(limit.reported_at_ms) <= MEMORY
 }
--- a/crates/verbenaslip-fleet/src/link.rs
+++ b/crates/verbenaslip-fleet/src/link.rs
@@ -12,15 +12,15 @@
 
 use verbenaslip_base::name::Team;
 
-use crate::changes::Changes;
 use crate::clock::Clock;
+use crate::delta_map::DeltaMap;
 use crate::departure::Departures;
-use crate::frame::{Below, Frame, Peer};
+use crate::frame::{Aggregate, Frame, Peer};
 use crate::history::History;
 use crate::hub;
-use crate::limit::{Limits, Sighting};
+use crate::limit::{Limits, Observation};
 use crate::load::Work;
-use crate::parent::Site;
+use crate::parent::ParentCore;
 use crate::quarantine::Blocklist;
 use crate::quota::Refund;
 use crate::registry::{Record, Run};
@@ -28,12 +28,12 @@
 use crate::rollout::report::Report as RolloutReport;
 use crate::transition::Transitions;
 use crate::usage::Count;
-use crate::view::{Stamp, View};
+use crate::view::{Version, View};
 use crate::voucher::Mark;
 
 /// Time between two reports: a quarter of the time in which a limit's part must move between
 /// entries, and 4 datagrams' worth of bytes a second.
-pub const HEARTBEAT: Duration = Duration::from_millis(250);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// After this silence of the leader every core is asked: three beats.
 const PATIENCE: Duration = Duration::from_millis(750);
@@ -86,26 +86,26 @@
     /// Units of teams' limits that were lent and not used.
     pub refunds: Vec<Refund>,
     /// What engines were asked for, by service.
-    pub work: Vec<Work>,
+    pub engine_work: Vec<Work>,
     /// Upstreams that a core vouches for.
     pub marks: Vec<Mark>,
     /// What requests met at the versions of services that are rolled out.
     pub rollouts: Vec<RolloutReport>,
     /// Limits that upstreams have named or ended, and the leader may not know.
-    pub limits: Vec<Sighting>,
+    pub limits: Vec<Observation>,
     /// Upstreams that have said in an answer that they go, and the leader may not know.
-    pub leaving: Vec<Run>,
+    pub departing: Vec<Run>,
     /// At a core: what the entries below it have reported.
-    pub below: Option<Below>,
+    pub aggregate: Option<Aggregate>,
     /// Up to when these have counted, where there are any.
-    pub counted: Option<u64>,
+    pub counted_until: Option<u64>,
 }
 
 /// Holds what a core knew when it ceased to lead.
 #[derive(Debug)]
 pub(crate) struct Knowledge {
     /// Its last change.
-    pub(crate) stamp: Stamp,
+    pub(crate) stamp: Version,
     /// The upstreams that are there.
     pub(crate) records: Vec<Record>,
     /// By which changes upstreams were told.
@@ -134,7 +134,7 @@
 /// Reports to the leader and takes its updates.
 #[derive(Debug)]
 pub struct Link {
-    own: Peer,
+    local_peer: Peer,
     seeds: Vec<SocketAddr>,
     /// Cores that others know of.
     hearsay: Vec<SocketAddr>,
@@ -166,11 +166,11 @@
     /// When the last reports were sent.
     reported: VecDeque<Reported>,
     /// Requests that began, with the report that told of them first.
-    counts: Changes<(u64, Team), u64>,
+    counts: DeltaMap<(u64, Team), u64>,
     /// The last report that was answered, by whom and by which incarnation of it.
     answered: Option<(SocketAddr, u64, u64)>,
     /// Cores that entries may report to, as a core is told.
-    sites: Vec<Site>,
+    sites: Vec<ParentCore>,
     /// Whether the leader asks a core for its entries.
     lists: bool,
     /// By which changes the list of requests, the plans and the limits were told.
@@ -179,12 +179,12 @@
 
 impl Link {
     /// Starts without a view.
-    pub fn open(own: Peer, seeds: Vec<SocketAddr>, now: Duration, unix: u64) -> Self {
-        let clock = Clock::open(now, unix);
-        let view = View { own: Some(own.address), ..View::default() };
+    pub fn new(own: Peer, seeds: Vec<SocketAddr>, now: Duration, unix: u64) -> Self {
+        let clock = Clock::new(now, unix);
+        let view = View { own_address: Some(own.address), ..View::default() };
         let history = own.voter.is_some().then(History::default);
         Self {
-            own,
+            local_peer: own,
             history,
             seeds,
             hearsay: Vec::new(),
@@ -203,7 +203,7 @@
             search: SEARCH,
             number: 0,
             reported: VecDeque::new(),
-            counts: Changes::default(),
+            counts: DeltaMap::default(),
             answered: None,
             sites: Vec::new(),
             lists: false,
@@ -235,8 +235,8 @@
     pub(crate) fn keep(&mut self, knowledge: Knowledge) {
         let Knowledge { stamp, records, history, departures, .. } = knowledge;
         let Knowledge { blocklist, plans, limits, changes, .. } = knowledge;
-        (self.view.stamp, self.view.blocklist, self.view.limits) = (stamp, blocklist, limits);
-        (self.view.plans, self.changes) = (plans, changes);
+        (self.view.version, self.view.blocklist, self.view.limits) = (stamp, blocklist, limits);
+        (self.view.rollout_plans, self.changes) = (plans, changes);
         let named = |it: Record| (it.announcement.run.upstream.clone(), it);
         self.view.upstreams = Arc::new(records.into_iter().map(named).collect());
         self.departures = departures;
@@ -245,7 +245,7 @@
 
     /// Returns this instance as the leader knows it.
     pub fn own(&self) -> &Peer {
-        &self.own
+        &self.local_peer
     }
 
     pub(crate) fn clock_mut(&mut self) -> &mut Clock {
@@ -253,12 +253,12 @@
     }
 
     /// Returns when the next report is due.
-    pub fn wake(&self) -> Duration {
+    pub fn next_wakeup(&self) -> Duration {
         if self.is_parent { self.due.min(self.since + self.patience()) } else { self.due }
     }
 
     /// Takes other addresses to join through.
-    pub fn reseed(&mut self, seeds: Vec<SocketAddr>) {
+    pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
     }
 
@@ -268,7 +268,7 @@
     /// voter while it was away. Asked for nobody else, an instance that starts then finds no leader
     /// although there is one, and neither do the seeds.
     pub(crate) fn meet(&mut self, core: SocketAddr) {
-        let known = core == self.own.address || self.hearsay.contains(&core);
+        let known = core == self.local_peer.address || self.hearsay.contains(&core);
         if !known && self.hearsay.len() < HEARSAY {
             self.hearsay.push(core);
         }
@@ -286,12 +286,12 @@
     /// Returns the leader, if it was heard lately.
     pub fn leader(&self, now: Duration) -> Option<SocketAddr> {
         let leading = if self.is_parent { self.leading } else { self.target };
-        leading.filter(|_| self.view.heard.is_some() && !self.quiet(now))
+        leading.filter(|_| self.view.leader_heard_at.is_some() && !self.quiet(now))
     }
 
     /// Returns whom this instance reports to, if that was heard lately.
     pub(crate) fn target(&self, now: Duration) -> Option<SocketAddr> {
-        self.target.filter(|_| self.view.heard.is_some() && !self.quiet(now))
+        self.target.filter(|_| self.view.leader_heard_at.is_some() && !self.quiet(now))
     }
 
     /// Returns the number of the last report.
@@ -306,11 +306,11 @@
 
     /// Returns the agreed time of day.
     pub(crate) fn unix(&self, now: Duration) -> u64 {
-        self.clock.unix(now)
+        self.clock.unix_ms(now)
     }
 
     /// Returns the cores that entries may report to.
-    pub(crate) fn sites(&self) -> &[Site] {
+    pub(crate) fn sites(&self) -> &[ParentCore] {
         &self.sites
     }
 
@@ -326,20 +326,21 @@
 
     /// Returns how many entries there were when the leader was last heard, if that was lately.
     pub(crate) fn entries(&self, now: Duration) -> Option<usize> {
-        let heard = self.view.heard?;
+        let heard = self.view.leader_heard_at?;
         let lately = now.saturating_sub(heard) <= LATELY;
-        lately.then(|| usize::try_from(self.view.entries).unwrap_or(usize::MAX))
+        lately.then(|| usize::try_from(self.view.entry_count).unwrap_or(usize::MAX))
     }
 
     /// Tells whether the view is as fresh as a leader's updates make it.
     pub(crate) fn is_in_touch(&self, now: Duration) -> bool {
-        self.view.heard.is_some_and(|heard| now.saturating_sub(heard) <= PATIENCE)
+        self.view.leader_heard_at.is_some_and(|heard| now.saturating_sub(heard) <= PATIENCE)
     }
 
     /// Says how new the list of upstreams is here.
-    pub fn seen(&self) -> Frame {
-        let (address, stamp, revision) = (self.own.address, self.view.stamp, self.view.revision());
-        Frame::Seen { address, stamp, revision }
+    pub fn acknowledgement(&self) -> Frame {
+        let (address, stamp, revision) =
+            (self.local_peer.address, self.view.version, self.view.revision());
+        Frame::Acknowledged { address, version: stamp, revision }
     }
 
     /// Returns when a report was sent, if it is one of the last.
--- a/crates/verbenaslip-fleet/src/link/merge.rs
+++ b/crates/verbenaslip-fleet/src/link/merge.rs
@@ -32,16 +32,16 @@
             let held = self.weigh(now, known, told);
             match (&mut self.history, &held) {
                 (Some(history), Some(_)) if !whole => history.told(&upstream, change),
-                (Some(history), None) => history.removed_by(change, gone),
+                (Some(history), None) => history.record_removal(change, gone),
                 _ => {}
             }
-            self.transitions.take(&upstream, then, held.as_ref().map(|it| it.standing));
+            self.transitions.record(&upstream, then, held.as_ref().map(|it| it.standing));
             if let Some(held) = held {
                 Arc::make_mut(&mut self.view.upstreams).insert(upstream, held);
             }
         }
         for (upstream, known) in before {
-            self.transitions.take(&upstream, Some(known.standing), None);
+            self.transitions.record(&upstream, Some(known.standing), None);
         }
     }
 
--- a/crates/verbenaslip-fleet/src/link/parent.rs
+++ b/crates/verbenaslip-fleet/src/link/parent.rs
@@ -7,7 +7,7 @@
 
 impl Link {
     /// Reports to a leader that is known from elsewhere, such as the log.
-    pub fn aim(&mut self, leader: SocketAddr, now: Duration) {
+    pub fn set_leader(&mut self, leader: SocketAddr, now: Duration) {
         if self.target != Some(leader) {
             self.target = Some(leader);
             self.is_parent = false;
@@ -32,15 +32,15 @@
     }
 
     /// Takes the word of a core that it leads since a moment ago; it may have been asked just before.
-    pub fn called(&mut self, now: Duration, leader: SocketAddr) {
+    pub fn handle_new_leader(&mut self, now: Duration, leader: SocketAddr) {
         if self.target(now).is_none() || !self.is_parent {
-            self.aim(leader, now);
+            self.set_leader(leader, now);
             self.due = now;
         }
     }
 
     /// Takes the word of a core that it does not lead, and hears no reports.
-    pub fn elsewhere(
+    pub fn handle_redirect(
         &mut self,
         now: Duration,
         from: SocketAddr,
@@ -52,9 +52,9 @@
             self.lose_parent(now);
             self.due = now + SENT_AWAY;
         }
-        let own = self.own.address;
+        let own = self.local_peer.address;
         if let Some(leader) = leader.filter(|leader| *leader != own && !self.is_parent) {
-            self.aim(leader, now);
+            self.set_leader(leader, now);
         }
     }
 
--- a/crates/verbenaslip-fleet/src/link/report.rs
+++ b/crates/verbenaslip-fleet/src/link/report.rs
@@ -6,7 +6,7 @@
 
 use crate::frame::Heartbeat;
 use crate::link::{
-    AVOIDED, HEARTBEAT, Link, REPORTS, Report, Reported, SEARCH, SEARCH_MOST, Targets,
+    AVOIDED, HEARTBEAT_INTERVAL, Link, REPORTS, Report, Reported, SEARCH, SEARCH_MOST, Targets,
 };
 use crate::usage::Count;
 
@@ -36,14 +36,23 @@
         if now < self.due {
             return None;
         }
-        self.clock.hint(now, unix);
+        self.clock.follow_local(now, unix);
         let told = self.told(now);
         let mut targets = self.targets(now);
         self.due = now + self.pause(targets.len());
         let parent = self.target.filter(|_| self.is_parent);
         targets.extend(self.farewell.take());
-        let Report { counts, refunds, work, marks, rollouts, limits, leaving, .. } = report;
-        let Report { below, counted, .. } = report;
+        let Report {
+            counts,
+            refunds,
+            engine_work: work,
+            marks,
+            rollouts,
+            limits,
+            departing: leaving,
+            ..
+        } = report;
+        let Report { aggregate: below, counted_until: counted, .. } = report;
         self.number += 1;
         let counts = self.changed(told, counts);
         self.reported.push_back(Reported { number: self.number, at: now, whole: told == 0 });
@@ -51,22 +60,22 @@
             self.reported.pop_front();
         }
         let heartbeat = Heartbeat {
-            peer: self.own.clone(),
+            peer: self.local_peer.clone(),
             parent,
-            lost: self.lost.map(|(core, _)| core),
-            seen: self.view.stamp,
+            lost_parent: self.lost.map(|(core, _)| core),
+            version: self.view.version,
             revision: self.view.revision(),
-            unix,
-            counted: counted.unwrap_or_else(|| self.clock.unix(now)),
+            unix_ms: unix,
+            counted_until: counted.unwrap_or_else(|| self.clock.unix_ms(now)),
             counts,
-            number: self.number,
+            sequence: self.number,
             refunds,
-            work,
+            engine_work: work,
             marks,
             rollouts,
             limits,
-            leaving,
-            below,
+            departing: leaving,
+            aggregate: below,
         };
         (!targets.is_empty()).then_some((targets, heartbeat))
     }
@@ -76,21 +85,21 @@
         let oldest = counts.iter().map(|count| count.window).min();
         self.counts.retain(|(window, _)| oldest.is_some_and(|oldest| *window >= oldest));
         for Count { window, team, requests } in counts {
-            self.counts.put(self.number, (window, team), requests);
+            self.counts.insert(self.number, (window, team), requests);
         }
         let count = |((window, team), requests): (&(u64, Team), &u64)| Count {
             window: *window,
             team: team.clone(),
             requests: *requests,
         };
-        self.counts.since(told).map(count).collect()
+        self.counts.changed_since(told).map(count).collect()
     }
 
     /// Returns the time until the next report, after one to so many cores.
     fn pause(&mut self, targets: usize) -> Duration {
         if targets <= 1 {
             self.search = SEARCH;
-            return HEARTBEAT;
+            return HEARTBEAT_INTERVAL;
         }
         let next = (self.search * 2).min(SEARCH_MOST);
         std::mem::replace(&mut self.search, next)
@@ -104,7 +113,7 @@
         if let Some(target) = self.target.filter(|_| !self.quiet(now)) {
             return vec![target];
         }
-        let own = self.own.address;
+        let own = self.local_peer.address;
         let mut known: Targets = self.cores();
         known.extend(&self.seeds);
         known.sort_unstable();
--- a/crates/verbenaslip-fleet/src/link/update.rs
+++ b/crates/verbenaslip-fleet/src/link/update.rs
@@ -4,21 +4,38 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::frame::{Round, Update};
+use crate::frame::{FleetStatus, Update};
 use crate::history::History;
 use crate::limit::Limits;
 use crate::link::{Link, PROMPT};
 use crate::quarantine::Blocklist;
 use crate::rollout::Plans;
-use crate::view::Stamp;
+use crate::view::Version;
 
 impl Link {
     /// Takes a leader's update; returns whether its sender waits to hear that they are here.
-    pub fn update(&mut self, now: Duration, update: Update) -> bool {
-        let Update { from, leader, heard, stamp, base, records, sheet, blocklist, .. } = update;
-        let Update { plans, limits, round, unix, urgent, .. } = update;
+    pub fn handle_update(&mut self, now: Duration, update: Update) -> bool {
+        let Update {
+            from,
+            leader,
+            leader_contact_age: heard,
+            version: stamp,
+            base,
+            records,
+            route_table: sheet,
+            blocklist,
+            ..
+        } = update;
+        let Update {
+            rollout_plans: plans,
+            limits,
+            fleet_status: round,
+            unix_ms: unix,
+            ack_requested: urgent,
+            ..
+        } = update;
         // A leader that was cut off and does not know it yet says what is no longer so.
-        if stamp.term < self.view.stamp.term {
+        if stamp.term < self.view.version.term {
             return false;
         }
         // A core that entries don't report to any more says nothing of the one that they do report to.
@@ -26,14 +43,15 @@
             self.since = now;
             self.target = Some(from);
             self.leading = Some(leader);
-            self.view.heard = self.view.heard.max(Some(now.saturating_sub(heard)));
-            let sent = round.as_ref().and_then(|round| self.sent(round.number));
+            self.view.leader_heard_at =
+                self.view.leader_heard_at.max(Some(now.saturating_sub(heard)));
+            let sent = round.as_ref().and_then(|round| self.sent(round.sequence));
             self.tell_time(now, sent, unix);
         }
         if let Some(sheet) = sheet {
-            self.view.take_sheet(&sheet);
+            self.view.update_route_table(&sheet);
         }
-        let held = self.view.stamp;
+        let held = self.view.version;
         let fits = match base {
             None => true,
             Some(base) if base.term == stamp.term => held.term == stamp.term && held >= base,
@@ -42,11 +60,11 @@
         };
         if fits && stamp >= held {
             if base.is_none() && self.history.is_some() {
-                self.history = Some(History::open(stamp.change));
+                self.history = Some(History::new(stamp.change));
             }
             self.merge(now, base.is_none(), stamp.change, records);
             self.take_whole(stamp.change, blocklist, plans, limits);
-            self.view.stamp = stamp;
+            self.view.version = stamp;
         }
         if let Some(round) = round {
             self.take_round(from, stamp.term, round);
@@ -66,7 +84,7 @@
             (self.view.blocklist, self.changes.blocklist) = (blocklist, change);
         }
         if let Some(plans) = plans {
-            (self.view.plans, self.changes.plans) = (plans, change);
+            (self.view.rollout_plans, self.changes.plans) = (plans, change);
         }
         if let Some(limits) = limits {
             (self.view.limits, self.changes.limits) = (limits, change);
@@ -74,23 +92,24 @@
     }
 
     /// Takes the answer to a report.
-    fn take_round(&mut self, from: SocketAddr, term: u64, round: Round) {
+    fn take_round(&mut self, from: SocketAddr, term: u64, round: FleetStatus) {
         self.confirm_plans(&round, term);
         let known = self.answered.filter(|it| (it.0, it.1) == (from, round.incarnation));
-        let whole = self.reported.iter().any(|it| it.number == round.number && it.whole);
-        let first = if whole { round.number } else { 0 };
-        let number = known.map_or(
-            first,
-            |(.., number)| {
-                if number > 0 { number.max(round.number) } else { first }
-            },
-        );
+        let whole = self.reported.iter().any(|it| it.number == round.sequence && it.whole);
+        let first = if whole { round.sequence } else { 0 };
+        let number =
+            known.map_or(
+                first,
+                |(.., number)| {
+                    if number > 0 { number.max(round.sequence) } else { first }
+                },
+            );
         self.answered = Some((from, round.incarnation, number));
         self.view.cores = round.cores;
         self.hearsay.clear();
-        self.view.entries = round.entries;
-        self.view.turn = round.turn.or(self.view.turn);
-        (self.sites, self.lists) = (round.sites, round.list);
+        self.view.entry_count = round.entry_count;
+        self.view.time_slot = round.time_slot.or(self.view.time_slot);
+        (self.sites, self.lists) = (round.parent_cores, round.list_entries);
     }
 
     /// Takes the time of day that a leader told in answer to a report that was sent at a time.
@@ -100,8 +119,8 @@
     fn tell_time(&mut self, now: Duration, sent: Option<Duration>, unix: u64) {
         let prompt = sent.is_some_and(|sent| now.saturating_sub(sent) <= PROMPT);
         if prompt || !self.clock.is_agreed() {
-            self.clock.agree(now, unix);
-            self.view.time = crate::clock::offset(now, unix);
+            self.clock.set_agreed(now, unix);
+            self.view.time_offset_ms = crate::clock::offset_ms(now, unix);
         }
     }
 
@@ -109,11 +128,11 @@
     ///
     /// An answer may come before the plans themselves: just after a machine stood still, or from a new leader. Taken
     /// for a sign that those known here hold, requests would go to a version that has been rolled back.
-    fn confirm_plans(&mut self, round: &Round, term: u64) {
-        let newest = Stamp { term, change: round.plans };
-        let Some((sent, age)) = self.sent(round.number).zip(round.confirmed) else { return };
-        if self.view.stamp >= newest {
-            self.view.confirmed = self.view.confirmed.max(sent.checked_sub(age));
+    fn confirm_plans(&mut self, round: &FleetStatus, term: u64) {
+        let newest = Version { term, change: round.plans_change };
+        let Some((sent, age)) = self.sent(round.sequence).zip(round.plans_age) else { return };
+        if self.view.version >= newest {
+            self.view.plans_confirmed_at = self.view.plans_confirmed_at.max(sent.checked_sub(age));
         }
     }
 }
--- a/crates/verbenaslip-fleet/src/parent.rs
+++ b/crates/verbenaslip-fleet/src/parent.rs
@@ -12,11 +12,11 @@
 
 /// Up to so many entries the leader hears by itself: the way by another core takes some milliseconds more, and
 /// saves a leader of so few nothing to speak of.
-pub const FEW: usize = 12;
+pub const MAX_DIRECT_ENTRIES: usize = 12;
 
 /// Names a core that entries may report to.
 #[data]
-pub struct Site {
+pub struct ParentCore {
     /// Where it is reached.
     pub address: SocketAddr,
     /// Where it runs.
@@ -26,11 +26,15 @@
 /// Chooses the core for an entry: one in its own availability zone, where there is one, since bytes between zones cost.
 ///
 /// By hash, so that an entry keeps its core, and the connection to it, for as long as the cores stay.
-pub fn choose(sites: &[Site], entry: SocketAddr, zone: &AvailabilityZone) -> Option<SocketAddr> {
-    let is_near = |site: &&Site| site.zone == *zone;
+pub fn choose(
+    sites: &[ParentCore],
+    entry: SocketAddr,
+    zone: &AvailabilityZone,
+) -> Option<SocketAddr> {
+    let is_near = |site: &&ParentCore| site.zone == *zone;
     let none_near = !sites.iter().any(|site| is_near(&site));
     let entry = number(entry);
-    let weight = |site: &&Site| hash::mix(number(site.address) ^ hash::mix(entry));
+    let weight = |site: &&ParentCore| hash::mix(number(site.address) ^ hash::mix(entry));
     let near = sites.iter().filter(|site| none_near || is_near(site));
     near.max_by_key(weight).map(|site| site.address)
 }
--- a/crates/verbenaslip-fleet/src/quota.rs
+++ b/crates/verbenaslip-fleet/src/quota.rs
@@ -27,26 +27,26 @@
 
 /// Asks for units of a team's limit.
 #[data(float)]
-pub struct Loan {
+pub struct LoanRequest {
     /// Comes back in the answer.
     pub id: u64,
     /// The team.
     pub team: Team,
     /// Units that a request waits for.
-    pub need: f64,
+    pub required: f64,
     /// Units beyond that for the requests that are likely to follow.
-    pub ahead: f64,
+    pub prefetch: f64,
 }
 
-/// Answers a [`Loan`].
+/// Answers a [`LoanRequest`].
 #[data(float)]
-pub struct Lent {
+pub struct LoanGrant {
     /// The loan.
     pub id: u64,
     /// Units that may be admitted: none, or all that is needed and more.
     pub units: f64,
     /// Without any: how long the bucket stays empty.
-    pub wait: Duration,
+    pub empty_for: Duration,
 }
 
 /// Gives back units that were lent and not used.
@@ -60,7 +60,7 @@
 
 /// Keeps the bucket of each team.
 #[derive(Debug, Default)]
-pub struct Quotas {
+pub struct TeamBuckets {
     buckets: BTreeMap<Team, Bucket>,
     restarted: bool,
 }
@@ -72,9 +72,9 @@
     at: Duration,
 }
 
-impl Quotas {
+impl TeamBuckets {
     /// Starts; `restarted` tells whether all entries have just started.
-    pub fn open(restarted: bool) -> Self {
+    pub fn new(restarted: bool) -> Self {
         Self { restarted, ..Self::default() }
     }
 
@@ -96,14 +96,14 @@
     /// Lends what a request needs, unless the bucket is empty.
     ///
     /// A request may be larger than what is left; larger than the whole bucket, it would else never be admitted.
-    pub fn lend(&mut self, loan: &Loan) -> Lent {
-        let Loan { id, need, ahead, .. } = *loan;
-        let lent = |units| Lent { id, units, wait: Duration::ZERO };
+    pub fn grant(&mut self, loan: &LoanRequest) -> LoanGrant {
+        let LoanRequest { id, required: need, prefetch: ahead, .. } = *loan;
+        let lent = |units| LoanGrant { id, units, empty_for: Duration::ZERO };
         let Some(bucket) = self.buckets.get_mut(&loan.team) else { return lent(need + ahead) };
         if bucket.level <= 0.0 {
             let wait = -bucket.level / bucket.quota.rate;
             let wait = Duration::try_from_secs_f64(wait).unwrap_or(Duration::MAX);
-            return Lent { id, units: 0.0, wait };
+            return LoanGrant { id, units: 0.0, empty_for: wait };
         }
         let spare = (bucket.level - need - bucket.quota.burst * KEPT).max(0.0);
         let units = need + ahead.min(spare);
--- a/crates/verbenaslip-fleet/src/registry.rs
+++ b/crates/verbenaslip-fleet/src/registry.rs
@@ -126,11 +126,11 @@
 
     /// Returns by which change each upstream has changed, for the time after this leader.
     pub(crate) fn history(&self) -> History {
-        let mut history = History::open(self.purged);
+        let mut history = History::new(self.purged);
         for held in self.records.values() {
             match held.record.standing {
                 Standing::Gone | Standing::Lost => {
-                    history.removed_by(held.stamp, held.record.clone());
+                    history.record_removal(held.stamp, held.record.clone());
                 }
                 Standing::Ready | Standing::Silent | Standing::Leaving => {
                     history.told(&held.record.announcement.run.upstream, held.stamp);
--- a/crates/verbenaslip-fleet/src/transition.rs
+++ b/crates/verbenaslip-fleet/src/transition.rs
@@ -28,7 +28,7 @@
 
 impl Transitions {
     /// Takes how an upstream stood and stands.
-    pub(crate) fn take(
+    pub(crate) fn record(
         &mut self,
         upstream: &Upstream,
         then: Option<Standing>,
--- a/crates/verbenaslip-fleet/src/usage.rs
+++ b/crates/verbenaslip-fleet/src/usage.rs
@@ -7,7 +7,7 @@
 use verbenaslip_base::data;
 use verbenaslip_base::name::Team;
 
-use crate::changes::Changes;
+use crate::delta_map::DeltaMap;
 
 /// Windows that an entry keeps and tells again, so that a leader elected a moment ago hears of the
 /// windows that its predecessor had not closed.
@@ -77,7 +77,7 @@
 /// Collects the counts of entries at the leader and at the cores.
 #[derive(Debug, Default)]
 pub struct Collector {
-    counts: Changes<Key, u64>,
+    counts: DeltaMap<Key, u64>,
     windows: BTreeSet<u64>,
 }
 
@@ -98,7 +98,7 @@
         for Count { window, team, requests } in counts {
             let key = (window, origin, team);
             if self.counts.get(&key).is_none_or(|known| *known < requests) {
-                self.counts.put(number, key, requests);
+                self.counts.insert(number, key, requests);
             }
             self.hold(window);
         }
@@ -107,7 +107,7 @@
     /// Lists what was not told yet with the report of a number, by entry.
     pub fn since(&self, number: u64) -> Vec<Counted> {
         let mut by_origin: BTreeMap<Origin, Vec<Count>> = BTreeMap::new();
-        for ((window, origin, team), requests) in self.counts.since(number) {
+        for ((window, origin, team), requests) in self.counts.changed_since(number) {
             let count = Count { window: *window, team: team.clone(), requests: *requests };
             by_origin.entry(*origin).or_default().push(count);
         }
--- a/crates/verbenaslip-fleet/src/view.rs
+++ b/crates/verbenaslip-fleet/src/view.rs
@@ -9,7 +9,7 @@
 use verbenaslip_base::name::Upstream;
 
 use crate::index::Index;
-use crate::limit::{Limits, Turn};
+use crate::limit::{Limits, TimeSlot};
 use crate::quarantine::Blocklist;
 use crate::registry::{Record, Run};
 use crate::rollout::Plans;
@@ -17,7 +17,7 @@
 
 /// Orders what leaders say: a higher term first, then a later change.
 #[data(copy, ord, default, hash)]
-pub struct Stamp {
+pub struct Version {
     /// The term of the leader.
     pub term: u64,
     /// The number of its last change.
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 pub struct View {
     /// How new the list of upstreams is.
-    pub stamp: Stamp,
+    pub version: Version,
     /// The route table in force here.
     pub routes: Option<Arc<Index>>,
     /// The upstreams.
@@ -36,41 +36,41 @@
     /// The requests that are suspected or held back.
     pub blocklist: Arc<Blocklist>,
     /// Which versions of services get requests.
-    pub plans: Arc<Plans>,
+    pub rollout_plans: Arc<Plans>,
     /// The limits that upstreams name.
     pub limits: Arc<Limits>,
     /// Which requests under such a limit this instance may send; none as long as that is not known.
-    pub turn: Option<Turn>,
+    pub time_slot: Option<TimeSlot>,
     /// Where this instance is reached by others.
-    pub own: Option<SocketAddr>,
+    pub own_address: Option<SocketAddr>,
     /// Where the cores are reached.
     pub cores: Vec<SocketAddr>,
     /// When the last report was sent whose answer says that the plans here are the newest.
-    pub confirmed: Option<Duration>,
+    pub plans_confirmed_at: Option<Duration>,
     /// How many entries there are.
-    pub entries: u32,
+    pub entry_count: u32,
     /// When the leader was last heard.
-    pub heard: Option<Duration>,
+    pub leader_heard_at: Option<Duration>,
     /// The agreed time of day less the steady clock, in milliseconds.
-    pub time: i64,
+    pub time_offset_ms: i64,
 }
 
 impl Default for View {
     fn default() -> Self {
         Self {
-            stamp: Stamp::default(),
+            version: Version::default(),
             routes: None,
             upstreams: Arc::default(),
             blocklist: Arc::default(),
-            plans: Arc::default(),
+            rollout_plans: Arc::default(),
             limits: Arc::default(),
-            turn: None,
-            own: None,
+            time_slot: None,
+            own_address: None,
             cores: Vec::new(),
-            confirmed: None,
-            entries: 1,
-            heard: None,
-            time: 0,
+            plans_confirmed_at: None,
+            entry_count: 1,
+            leader_heard_at: None,
+            time_offset_ms: 0,
         }
     }
 }
@@ -90,7 +90,7 @@
     ///
     /// An older one never comes back in the life of a process: callers that have seen the effect of
     /// a revision would see it undone.
-    pub fn take_sheet(&mut self, sheet: &Arc<Sheet>) -> bool {
+    pub fn update_route_table(&mut self, sheet: &Arc<Sheet>) -> bool {
         let newer = self.routes.is_none() || sheet.revision > self.revision();
         if newer {
             self.routes = Some(Arc::new(Index::open(sheet.clone())));
--- a/crates/verbenaslip-fleet/tests/cluster.rs
+++ b/crates/verbenaslip-fleet/tests/cluster.rs
@@ -5,27 +5,27 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use net::{Net, announcement, edition, run, withdraw};
+use net::{Network, announcement, route_table, run, withdraw};
 use verbenaslip_fleet::frame::{Request, Response};
 
 const SECOND: Duration = Duration::from_secs(1);
 
 fn adopt(revision: u64) -> Request {
-    Request::Adopt(Box::new(edition(revision)))
+    Request::AdoptRouteTable(Box::new(route_table(revision)))
 }
 
 fn document(revision: u64) -> Response {
-    Response::Document(edition(revision).document)
+    Response::Document(route_table(revision).document)
 }
 
 #[test]
 fn three_seeds_found_one_log_and_serve_from_any_core() {
-    let mut net = Net::found(3, 4);
+    let mut net = Network::new(3, 4);
     net.run(SECOND * 4);
     assert_eq!(net.leaders().len(), 1);
     for (core, revision) in [(0, 3), (1, 5), (2, 9)] {
-        assert_eq!(net.call(core, adopt(revision)), Some(Response::Adopted { revision }));
-        assert_eq!(net.call((core + 1) % 3, Request::Read), Some(document(revision)));
+        assert_eq!(net.call(core, adopt(revision)), Some(Response::RouteTableAdopted { revision }));
+        assert_eq!(net.call((core + 1) % 3, Request::ReadRouteTable), Some(document(revision)));
     }
     net.run(SECOND / 2);
     assert!(net.entries().all(|view| view.revision() == 9));
@@ -33,29 +33,29 @@
 
 #[test]
 fn an_older_or_equal_revision_is_acknowledged_and_changes_nothing() {
-    let mut net = Net::found(3, 1);
+    let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
     net.call(0, adopt(7));
-    assert_eq!(net.call(1, adopt(5)), Some(Response::Adopted { revision: 7 }));
-    let mut other = edition(7);
+    assert_eq!(net.call(1, adopt(5)), Some(Response::RouteTableAdopted { revision: 7 }));
+    let mut other = route_table(7);
     other.document = Arc::from(&b"other content under the same revision"[..]);
     assert_eq!(
-        net.call(2, Request::Adopt(Box::new(other))),
-        Some(Response::Adopted { revision: 7 })
+        net.call(2, Request::AdoptRouteTable(Box::new(other))),
+        Some(Response::RouteTableAdopted { revision: 7 })
     );
-    assert_eq!(net.call(1, Request::Read), Some(document(7)));
+    assert_eq!(net.call(1, Request::ReadRouteTable), Some(document(7)));
 }
 
 #[test]
 fn what_was_acknowledged_survives_the_power_loss_of_all() {
     // Symptom: an acknowledged table is gone. Sequence: every core loses power the moment one of
     // them has acknowledged it. Cause: an acknowledgement before a quorum has synced it.
-    let mut net = Net::found(3, 1);
+    let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
     assert!(net.call(0, adopt(4)).is_some());
     (0..3).for_each(|core| net.restart(core));
     net.run(SECOND * 6);
-    assert_eq!(net.call(1, Request::Read), Some(document(4)));
+    assert_eq!(net.call(1, Request::ReadRouteTable), Some(document(4)));
 }
 
 #[test]
@@ -65,17 +65,21 @@
     // entry loses power. Cause: an acknowledgement that only those disks hold.
     for (cores, voters, lost) in [(3, 3, 1), (6, 5, 2)] {
         for first in 0..cores {
-            let mut net = Net::found_with(cores, 4, voters);
+            let mut net = Network::with_voters(cores, 4, voters);
             net.run(SECOND * 8);
             assert!(net.call(first, adopt(4)).is_some());
             let wiped: Vec<usize> = (first..first + lost).map(|core| core % cores).collect();
             for core in 0..cores {
-                if wiped.contains(&core) { net.wipe(core) } else { net.restart(core) }
+                if wiped.contains(&core) {
+                    net.restart_with_empty_disk(core)
+                } else {
+                    net.restart(core)
+                }
             }
             (0..4).for_each(|entry| net.restart_entry(entry));
             net.run(SECOND * 10);
             assert_eq!(
-                net.call(first, Request::Read),
+                net.call(first, Request::ReadRouteTable),
                 Some(document(4)),
                 "{cores} cores, {wiped:?}"
             );
@@ -86,14 +90,14 @@
 
 #[test]
 fn the_loss_of_the_leader_stops_nothing_for_long() {
-    let mut net = Net::found(3, 2);
+    let mut net = Network::new(3, 2);
     net.run(SECOND * 4);
     net.call(0, adopt(4));
     let leader = net.leaders()[0];
     net.stop(leader);
     net.run(SECOND * 4);
     let other = (leader + 1) % 3;
-    assert_eq!(net.call(other, adopt(6)), Some(Response::Adopted { revision: 6 }));
+    assert_eq!(net.call(other, adopt(6)), Some(Response::RouteTableAdopted { revision: 6 }));
     net.run(SECOND / 2);
     assert!(net.entries().all(|view| view.revision() == 6));
 }
@@ -103,46 +107,50 @@
     // Symptom: nothing is acknowledged any more, or something acknowledged is gone. Sequence: a
     // core's disk is lost and the core comes back empty; once it has caught up, another's is lost.
     // Cause: the empty folder counted as the old voter, or not counted at all.
-    let mut net = Net::found(3, 1);
+    let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
     net.call(0, adopt(4));
     for core in [1, 2] {
-        net.wipe(core);
+        net.restart_with_empty_disk(core);
         net.run(SECOND * 6);
-        assert_eq!(net.call(0, Request::Read), Some(document(4)), "after losing disk {core}");
+        assert_eq!(
+            net.call(0, Request::ReadRouteTable),
+            Some(document(4)),
+            "after losing disk {core}"
+        );
     }
     net.stop(0);
     net.run(SECOND * 4);
-    assert_eq!(net.call(1, Request::Read), Some(document(4)));
+    assert_eq!(net.call(1, Request::ReadRouteTable), Some(document(4)));
 }
 
 #[test]
 fn a_core_at_a_new_address_takes_the_place_of_a_lost_one() {
-    let mut net = Net::found(3, 1);
+    let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
     net.call(0, adopt(4));
     net.stop(2);
-    let new = net.join();
+    let new = net.add_core();
     net.run(SECOND * 12);
     // Without the replacement this would leave one voter of three.
     net.stop(1);
     net.run(SECOND * 4);
-    assert_eq!(net.call(new, adopt(8)), Some(Response::Adopted { revision: 8 }));
+    assert_eq!(net.call(new, adopt(8)), Some(Response::RouteTableAdopted { revision: 8 }));
 }
 
 #[test]
 fn cores_that_lost_every_disk_never_found_a_second_log() {
     // Symptom: an older table, or none, is read as the newest. Sequence: two of three cores lose
     // their disks while the third is down. Cause: the empty ones found a log of their own.
-    let mut net = Net::found(3, 1);
+    let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
     net.call(0, adopt(4));
     net.stop(0);
-    net.wipe(1);
-    net.wipe(2);
+    net.restart_with_empty_disk(1);
+    net.restart_with_empty_disk(2);
     net.run(SECOND * 10);
     assert!(net.leaders().is_empty());
-    assert_eq!(net.call(1, Request::Read), Some(Response::Unsure));
+    assert_eq!(net.call(1, Request::ReadRouteTable), Some(Response::Unavailable));
 }
 
 #[test]
@@ -150,18 +158,18 @@
     // Symptom: a read gives an older table than the newest acknowledged. Sequence: the leader is cut
     // off, another one is elected and takes a table, the old one is asked. Cause: a leader that
     // trusts its memory instead of its lease.
-    let mut net = Net::found(3, 1);
+    let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
     net.call(0, adopt(4));
     let old = net.leaders()[0];
-    net.cut(old);
+    net.disconnect_core(old);
     net.run(SECOND * 4);
     let other = (old + 1) % 3;
-    assert_eq!(net.call(other, adopt(6)), Some(Response::Adopted { revision: 6 }));
-    assert_eq!(net.call(old, Request::Read), Some(Response::Unsure));
-    net.heal(old);
+    assert_eq!(net.call(other, adopt(6)), Some(Response::RouteTableAdopted { revision: 6 }));
+    assert_eq!(net.call(old, Request::ReadRouteTable), Some(Response::Unavailable));
+    net.reconnect_core(old);
     net.run(SECOND * 3);
-    assert_eq!(net.call(old, Request::Read), Some(document(6)));
+    assert_eq!(net.call(old, Request::ReadRouteTable), Some(document(6)));
 }
 
 #[test]
@@ -169,32 +177,32 @@
     // Symptom: a read gives an older table than the newest acknowledged. Sequence: the leader's machine stands
     // still for seconds; another core is elected and takes a table; the old leader wakes, and the first thing
     // that it reads is a call. Cause: the call is answered before the end of the lease is noticed.
-    let mut net = Net::found(3, 1);
+    let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
     net.call(0, adopt(4));
     let old = net.leaders()[0];
-    net.freeze(old);
+    net.pause(old);
     net.run(SECOND * 4);
     let other = (old + 1) % 3;
-    assert_eq!(net.call(other, adopt(6)), Some(Response::Adopted { revision: 6 }));
-    let call = net.ask(old, Request::Read);
-    assert_ne!(net.answer(call), Some(document(4)));
-    net.thaw(old);
+    assert_eq!(net.call(other, adopt(6)), Some(Response::RouteTableAdopted { revision: 6 }));
+    let call = net.start_call(old, Request::ReadRouteTable);
+    assert_ne!(net.take_response(call), Some(document(4)));
+    net.resume(old);
     net.run(SECOND);
-    assert_eq!(net.call(old, Request::Read), Some(document(6)));
+    assert_eq!(net.call(old, Request::ReadRouteTable), Some(document(6)));
 }
 
 #[test]
 fn an_entry_that_is_cut_off_keeps_what_it_has() {
-    let mut net = Net::found(3, 2);
+    let mut net = Network::new(3, 2);
     net.run(SECOND * 4);
     net.call(0, adopt(4));
     net.run(SECOND);
-    net.cut_entry(0);
+    net.disconnect_entry(0);
     net.call(0, adopt(6));
     net.run(SECOND * 5);
     assert_eq!(net.entry(0).revision(), 4);
-    net.heal_entry(0);
+    net.reconnect_entry(0);
     net.run(SECOND * 2);
     assert_eq!(net.entry(0).revision(), 6);
 }
@@ -204,14 +212,14 @@
     // Symptom: a request reaches an upstream long after its leaving was acknowledged. Sequence: an
     // upstream says that it drains; the core acknowledges; an entry has not heard of it. Cause: an
     // acknowledgement that waits for nobody.
-    let mut net = Net::found(3, 4);
+    let mut net = Network::new(3, 4);
     net.run(SECOND * 4);
     net.call(0, adopt(4));
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
     net.run(SECOND / 2);
     assert!(net.entries().all(|view| view.upstreams.len() == 1));
     let told = net.call(1, Request::Announce(Box::new(announcement("u", 2, true))));
-    assert_eq!(told, Some(Response::Noted));
+    assert_eq!(told, Some(Response::Acknowledged));
     let knows = |view: &verbenaslip_fleet::View| {
         let mut records = view.upstreams.values();
         records.all(|record| record.standing != verbenaslip_fleet::registry::Standing::Ready)
@@ -224,7 +232,7 @@
     // Symptom: a request reaches an upstream 2.7 s after its leaving was acknowledged. Sequence: all
     // cores restart, a new leader is elected, an upstream leaves, some entries still ask the other
     // cores one after the other. Cause: a leader that takes those who found it for all there are.
-    let mut net = Net::found(5, 12);
+    let mut net = Network::new(5, 12);
     net.run(SECOND * 5);
     net.call(0, adopt(4));
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
@@ -235,7 +243,7 @@
     }
     let leader = net.leaders()[0];
     let told = net.call(leader, Request::Announce(Box::new(announcement("u", 9, true))));
-    if told == Some(Response::Noted) {
+    if told == Some(Response::Acknowledged) {
         let ready = verbenaslip_fleet::registry::Standing::Ready;
         let stale = net
             .entries()
@@ -248,15 +256,15 @@
 fn the_time_of_day_is_that_of_most_machines() {
     // Symptom: usage is counted into a wrong window. Sequence: the clocks of two machines jump by
     // hours, that of the leader among them. Cause: windows cut by the leader's own clock.
-    let mut net = Net::found(3, 4);
+    let mut net = Network::new(3, 4);
     net.run(SECOND * 4);
     net.call(0, adopt(4));
     let leader = net.leaders()[0];
-    net.step_clock(leader, 7_200_000);
+    net.set_clock_skew(leader, 7_200_000);
     net.run(SECOND * 2);
-    let truth = net.truth();
+    let truth = net.true_unix_ms();
     for view in net.entries() {
-        let believed = i64::try_from(net.now().as_millis()).expect("small") + view.time;
+        let believed = i64::try_from(net.now().as_millis()).expect("small") + view.time_offset_ms;
         assert!((believed - truth).abs() < 100, "{believed} for {truth}");
     }
 }
@@ -268,18 +276,22 @@
     // Cause: the new leader heard of the empty folder before its lease began and dropped the update, so
     // two of three voters had lost their disks.
     for offset in (0..1_500).step_by(50) {
-        let mut net = Net::found(3, 1);
+        let mut net = Network::new(3, 1);
         net.run(SECOND * 4);
         net.call(0, adopt(4));
         let leader = net.leaders()[0];
         let (wiped, third) = ((leader + 1) % 3, (leader + 2) % 3);
         net.restart(leader);
         net.run(Duration::from_millis(offset));
-        net.wipe(wiped);
+        net.restart_with_empty_disk(wiped);
         net.run(SECOND * 9);
-        net.wipe(third);
+        net.restart_with_empty_disk(third);
         net.run(SECOND * 8);
-        assert_eq!(net.call(leader, Request::Read), Some(document(4)), "offset {offset} ms");
+        assert_eq!(
+            net.call(leader, Request::ReadRouteTable),
+            Some(document(4)),
+            "offset {offset} ms"
+        );
     }
 }
 
@@ -289,24 +301,24 @@
     // well. Sequence: a seed is away and replaced as a voter; later all lose power, and the two other seeds
     // their disks. Entries and emptied cores ask the seeds, and none of them knows the leader. Cause: the
     // leader's messages to the emptied voters, and what the replaced one knows of the others, unused.
-    let mut net = Net::found_with(6, 2, 5);
+    let mut net = Network::with_voters(6, 2, 5);
     net.run(Duration::from_secs(4));
     assert!(matches!(
-        net.call(0, Request::Adopt(Box::new(edition(5)))),
-        Some(Response::Adopted { .. })
+        net.call(0, Request::AdoptRouteTable(Box::new(route_table(5)))),
+        Some(Response::RouteTableAdopted { .. })
     ));
-    net.cut(2);
+    net.disconnect_core(2);
     net.run(Duration::from_secs(10));
-    net.heal(2);
+    net.reconnect_core(2);
     net.run(Duration::from_secs(1));
     (2..6).for_each(|core| net.restart(core));
-    (0..2).for_each(|core| net.wipe(core));
+    (0..2).for_each(|core| net.restart_with_empty_disk(core));
     (0..2).for_each(|entry| net.restart_entry(entry));
     net.run(Duration::from_secs(8));
     assert_eq!(net.leaders().len(), 1);
     assert!(net.entries().all(|view| view.revision() == 5), "entries have the routes again");
     for core in 0..6 {
-        let told = net.call(core, Request::Read);
+        let told = net.call(core, Request::ReadRouteTable);
         assert!(matches!(told, Some(Response::Document(_))), "core {core}: {told:?}");
     }
 }
@@ -319,16 +331,16 @@
     Kill,
 }
 
-fn strike(net: &mut Net, leader: usize, strike: Strike) {
+fn strike(net: &mut Network, leader: usize, strike: Strike) {
     match strike {
-        Strike::Freeze => net.freeze(leader),
-        Strike::Cut => net.cut(leader),
+        Strike::Freeze => net.pause(leader),
+        Strike::Cut => net.disconnect_core(leader),
         Strike::Kill => net.stop(leader),
     }
 }
 
 /// Tells whether any entry would send work to an upstream.
-fn is_used(net: &Net, name: &str) -> bool {
+fn is_used(net: &Network, name: &str) -> bool {
     let ready = |view: &verbenaslip_fleet::View| {
         let record = view.upstreams.get(name);
         record.is_some_and(|it| it.standing != verbenaslip_fleet::registry::Standing::Leaving)
@@ -337,7 +349,7 @@
 }
 
 /// Tells whether every entry sends work to an upstream.
-fn is_ready(net: &Net, name: &str) -> bool {
+fn is_ready(net: &Network, name: &str) -> bool {
     let ready = |view: &verbenaslip_fleet::View| {
         let record = view.upstreams.get(name);
         record.is_some_and(|it| it.standing == verbenaslip_fleet::registry::Standing::Ready)
@@ -360,25 +372,26 @@
         .flat_map(|kind| (0..60).step_by(3).map(move |ticks| (ticks * 5, kind)))
     {
         for leaving in [withdraw("u"), Request::Announce(Box::new(announcement("u", 8, true)))] {
-            let mut net = Net::found(3, 3);
+            let mut net = Network::new(3, 3);
             net.run(SECOND * 4);
             net.call(0, adopt(4));
             net.call(0, Request::Announce(Box::new(announcement("u", 7, false))));
             net.run(SECOND);
             let leader = net.leaders()[0];
             let (asked, other) = ((leader + 1) % 3, (leader + 2) % 3);
-            let mut call = net.ask(asked, leaving.clone());
+            let mut call = net.start_call(asked, leaving.clone());
             net.run(Duration::from_millis(strike_at));
             strike(&mut net, leader, kind);
-            let mut acknowledged = net.answer(call) == Some(Response::Noted);
+            let mut acknowledged = net.take_response(call) == Some(Response::Acknowledged);
             // Its sender asks again until it is acknowledged, as an upstream does.
             for _ in 0..6 {
                 net.run(SECOND / 2);
-                acknowledged = acknowledged || net.answer(call) == Some(Response::Noted);
+                acknowledged =
+                    acknowledged || net.take_response(call) == Some(Response::Acknowledged);
                 let late = if acknowledged { 9 } else { 7 };
-                net.ask(other, Request::Announce(Box::new(announcement("u", late, false))));
+                net.start_call(other, Request::Announce(Box::new(announcement("u", late, false))));
                 if !acknowledged {
-                    call = net.ask(asked, leaving.clone());
+                    call = net.start_call(asked, leaving.clone());
                 }
                 net.run(SECOND / 2);
                 let used = is_used(&net, "u");
@@ -394,11 +407,11 @@
     // Symptom: requests reach an upstream that has gone. Sequence: its leaving is acknowledged, all cores
     // lose power, and the first announcement that the new leader gets was held up since before. Cause:
     // departures that only memory holds.
-    let mut net = Net::found(3, 2);
+    let mut net = Network::new(3, 2);
     net.run(SECOND * 4);
     net.call(0, adopt(4));
     net.call(0, Request::Announce(Box::new(announcement("u", 7, false))));
-    assert_eq!(net.call(1, withdraw("u")), Some(Response::Noted));
+    assert_eq!(net.call(1, withdraw("u")), Some(Response::Acknowledged));
     (0..3).for_each(|core| net.restart(core));
     (0..2).for_each(|entry| net.restart_entry(entry));
     net.run(SECOND * 3);
@@ -412,7 +425,7 @@
     // Symptom: an upstream that serves gets no work after the next election. Sequence: another writer says
     // under its name, and a service that no route table knows, that it goes. Cause: a word that the
     // registry passed over, noted in the log all the same.
-    let mut net = Net::found(3, 1);
+    let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
     net.call(0, adopt(4));
@@ -420,7 +433,7 @@
         service: "none".into(),
         ..announcement("u", 9, true)
     };
-    assert_eq!(net.call(0, Request::Announce(Box::new(foreign))), Some(Response::Noted));
+    assert_eq!(net.call(0, Request::Announce(Box::new(foreign))), Some(Response::Acknowledged));
     (0..3).for_each(|core| net.restart(core));
     net.restart_entry(0);
     net.run(SECOND * 3);
@@ -433,12 +446,12 @@
     // one that crashed a moment ago, and a service that no route table knows yet, so it is not listed; it says
     // that it drains, and that is acknowledged; when the one before is forgotten, a held-up "ready" of it comes.
     // Cause: an acknowledgement of what nobody holds.
-    let mut net = Net::found(3, 1);
+    let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
     net.call(0, adopt(4));
     let told = net.call(0, Request::Announce(Box::new(announcement("v", 2, true))));
-    assert_eq!(told, Some(Response::Noted));
+    assert_eq!(told, Some(Response::Acknowledged));
     net.call(0, withdraw("u"));
     net.call(0, Request::Announce(Box::new(announcement("v", 1, false))));
     net.run(SECOND);
@@ -450,20 +463,24 @@
     // Symptom: a request reaches an upstream long after its leaving was acknowledged. Sequence: an entry
     // does not answer for a moment; the upstream, without an answer yet, says again that it goes, at the
     // same leader. Cause: a word that changes nothing any more acknowledged at once.
-    let mut net = Net::found(3, 2);
+    let mut net = Network::new(3, 2);
     net.run(SECOND * 4);
     net.call(0, adopt(4));
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
     net.run(SECOND / 2);
     let leader = net.leaders()[0];
-    net.cut_entry(0);
-    let first = net.ask(leader, withdraw("u"));
-    let second = net.ask(leader, withdraw("u"));
+    net.disconnect_entry(0);
+    let first = net.start_call(leader, withdraw("u"));
+    let second = net.start_call(leader, withdraw("u"));
     net.run(SECOND / 10);
-    assert_eq!(net.answer(first), None);
-    assert_eq!(net.answer(second), None, "one entry that answered a moment ago does not know it");
+    assert_eq!(net.take_response(first), None);
+    assert_eq!(
+        net.take_response(second),
+        None,
+        "one entry that answered a moment ago does not know it"
+    );
     net.run(SECOND);
-    assert_eq!(net.answer(second), Some(Response::Noted));
+    assert_eq!(net.take_response(second), Some(Response::Acknowledged));
 }
 
 #[test]
@@ -484,7 +501,7 @@
     for order in 0..120_usize {
         let mut left: Vec<usize> = (0..words.len()).collect();
         let mut rest = order;
-        let mut net = Net::found(3, 2);
+        let mut net = Network::new(3, 2);
         net.run(SECOND * 4);
         net.call(0, adopt(4));
         for place in (1..=words.len()).rev() {
@@ -513,7 +530,7 @@
     // Symptom: callers wait, and some are refused, for 0.2 s after there is a leader again. Sequence: all
     // lose power; entries ask the cores five times a second who leads; the answer changes just after they
     // have asked. Cause: a new leader that waits until it is asked again.
-    let mut net = Net::found(3, 6);
+    let mut net = Network::new(3, 6);
     net.run(SECOND * 4);
     net.call(0, adopt(4));
     (0..3).for_each(|core| net.restart(core));
@@ -530,7 +547,7 @@
     // Symptom: half of the callers that waited for a power loss to end are timed out. Sequence: all lose
     // power; the first upstreams to announce themselves get the requests of all who waited. Cause: a
     // leader that knows only who has announced itself since.
-    let mut net = Net::found(3, 2);
+    let mut net = Network::new(3, 2);
     net.run(SECOND * 4);
     net.call(0, adopt(4));
     for name in ["u", "v", "w"] {
@@ -540,7 +557,7 @@
         net.call(1, Request::Announce(Box::new(it)));
     }
     net.run(SECOND);
-    assert_eq!(net.call(0, withdraw("w")), Some(Response::Noted));
+    assert_eq!(net.call(0, withdraw("w")), Some(Response::Acknowledged));
     (0..3).for_each(|core| net.restart(core));
     (0..2).for_each(|entry| net.restart_entry(entry));
     while net.leaders().is_empty() {
@@ -558,7 +575,7 @@
     // Symptom: 190 requests are turned away in the seconds after a power loss. Sequence: an upstream crashes
     // and starts again at its address under another name; later all lose power. Cause: the log held both,
     // and what is meant for the first is refused by the second.
-    let mut net = Net::found(3, 1);
+    let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
     net.run(SECOND * 3);
@@ -579,7 +596,7 @@
     // Symptom: entries try upstreams that crashed long ago, and hold more of them every day. Sequence: an
     // upstream crashes; the leader counts it as silent, and forgets it a minute later. Cause: what is
     // forgotten at the leader is told to nobody.
-    let mut net = Net::found(3, 2);
+    let mut net = Network::new(3, 2);
     net.run(SECOND * 4);
     net.call(0, adopt(4));
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
@@ -592,7 +609,7 @@
     // Symptom: a healthy upstream gets no work for minutes after an election. Sequence: it is cut off for
     // longer than silent upstreams are remembered, comes back and serves; another core is elected. Cause: its
     // being forgotten kept in the log as if it had said that it goes, which nothing undoes.
-    let mut net = Net::found(3, 2);
+    let mut net = Network::new(3, 2);
     net.run(SECOND * 4);
     net.call(0, adopt(4));
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
@@ -613,7 +630,7 @@
 
 #[test]
 fn an_upstream_that_fell_silent_for_good_is_not_remembered_for_ever() {
-    let mut net = Net::found(3, 1);
+    let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
     net.call(0, adopt(4));
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
@@ -627,7 +644,7 @@
 #[test]
 fn an_edit_after_the_leader_was_lost_waits_only_until_all_entries_have_reported() {
     // Guards against a new leader that lets everybody wait for as long as entries may take, though all are there.
-    let mut net = Net::found_with(5, 25, 5);
+    let mut net = Network::with_voters(5, 25, 5);
     net.run(Duration::from_secs(5));
     assert!(net.call(0, adopt(4)).is_some());
     net.run(Duration::from_secs(1));
@@ -636,7 +653,7 @@
         net.run(Duration::from_millis(5));
     }
     let (leader, led) = (net.leaders()[0], net.now());
-    assert_eq!(net.call(leader, adopt(6)), Some(Response::Adopted { revision: 6 }));
+    assert_eq!(net.call(leader, adopt(6)), Some(Response::RouteTableAdopted { revision: 6 }));
     let waited = net.now() - led;
     assert!(waited <= Duration::from_millis(300), "{waited:?}");
     assert!(net.entries().all(|view| view.revision() == 6), "it is in force everywhere");
--- a/crates/verbenaslip-fleet/tests/disk.rs
+++ b/crates/verbenaslip-fleet/tests/disk.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use net::{Net, announcement, serving, withdraw};
+use net::{Network, announcement, route_table_with_service, withdraw};
 use verbenaslip_fleet::frame::{Request, Response};
 use verbenaslip_fleet::registry::Standing;
 
@@ -12,17 +12,17 @@
 /// By then a caller has an answer, sure or not: it turns to another core.
 const ANSWERED: Duration = SECOND;
 
-fn fleet() -> (Net, usize) {
-    let mut net = Net::found(3, 3);
+fn fleet() -> (Network, usize) {
+    let mut net = Network::new(3, 3);
     net.run(SECOND * 4);
-    net.call(0, Request::Adopt(Box::new(serving(4))));
+    net.call(0, Request::AdoptRouteTable(Box::new(route_table_with_service(4))));
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
     net.run(SECOND);
     let leader = net.leaders()[0];
     (net, leader)
 }
 
-fn is_used(net: &Net) -> bool {
+fn is_used(net: &Network) -> bool {
     let ready = |view: &verbenaslip_fleet::View| {
         view.upstreams.get("u").is_some_and(|it| it.standing != Standing::Leaving)
     };
@@ -36,14 +36,14 @@
     // acknowledgement that waits for the leader's own disk, or for all of them.
     for (stalled, asked) in (0..3).flat_map(|stalled| (0..3).map(move |asked| (stalled, asked))) {
         let (mut net, leader) = fleet();
-        net.stall((leader + stalled) % 3);
+        net.stall_disk((leader + stalled) % 3);
         let began = net.now();
-        assert_eq!(net.call((leader + asked) % 3, withdraw("u")), Some(Response::Noted));
+        assert_eq!(net.call((leader + asked) % 3, withdraw("u")), Some(Response::Acknowledged));
         assert!(net.now() - began <= ANSWERED, "{stalled} {asked}: {:?}", net.now() - began);
         assert!(!is_used(&net), "{stalled} {asked}: acknowledged before all knew");
-        let edit = Request::Adopt(Box::new(serving(6)));
+        let edit = Request::AdoptRouteTable(Box::new(route_table_with_service(6)));
         let told = net.call((leader + asked) % 3, edit);
-        assert_eq!(told, Some(Response::Adopted { revision: 6 }), "{stalled} {asked}");
+        assert_eq!(told, Some(Response::RouteTableAdopted { revision: 6 }), "{stalled} {asked}");
     }
 }
 
@@ -55,20 +55,24 @@
     for stalled in [[0, 1], [1, 2]] {
         let (mut net, leader) = fleet();
         let stalled = stalled.map(|core| (leader + core) % 3);
-        stalled.into_iter().for_each(|core| net.stall(core));
-        for ask in [withdraw("u"), Request::Adopt(Box::new(serving(8)))] {
+        stalled.into_iter().for_each(|core| net.stall_disk(core));
+        for ask in [withdraw("u"), Request::AdoptRouteTable(Box::new(route_table_with_service(8)))]
+        {
             let began = net.now();
-            assert_eq!(net.call(leader, ask), Some(Response::Unsure), "{stalled:?}");
+            assert_eq!(net.call(leader, ask), Some(Response::Unavailable), "{stalled:?}");
             assert!(net.now() - began <= ANSWERED, "{stalled:?}: {:?}", net.now() - began);
         }
         // What entries know of it does no harm, and a read needs no disk.
         assert!(!is_used(&net));
-        assert_eq!(net.call(leader, Request::Read), Some(Response::Document(serving(4).document)));
-        stalled.into_iter().for_each(|core| net.unstall(core));
+        assert_eq!(
+            net.call(leader, Request::ReadRouteTable),
+            Some(Response::Document(route_table_with_service(4).document))
+        );
+        stalled.into_iter().for_each(|core| net.resume_disk(core));
         net.run(SECOND);
         assert_eq!(
             net.call(leader, withdraw("u")),
-            Some(Response::Noted),
+            Some(Response::Acknowledged),
             "once they answer again"
         );
     }
--- a/crates/verbenaslip-fleet/tests/entry.rs
+++ b/crates/verbenaslip-fleet/tests/entry.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use verbenaslip_base::name::{AvailabilityZone, Instance};
-use verbenaslip_fleet::frame::{Frame, Peer, Round, Update};
+use verbenaslip_fleet::frame::{FleetStatus, Frame, Peer, Update};
 use verbenaslip_fleet::link::Report;
-use verbenaslip_fleet::view::Stamp;
+use verbenaslip_fleet::view::Version;
 use verbenaslip_fleet::{Entry, clock};
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -28,26 +28,27 @@
         incarnation: 1,
         voter: None,
     };
-    Entry::open(own, vec![SocketAddr::from(LEADER)], SECOND, unix(SECOND))
+    Entry::new(own, vec![SocketAddr::from(LEADER)], SECOND, unix(SECOND))
 }
 
 /// Has an entry report at a time; returns the leader's answer, written at once.
 fn answer(entry: &mut Entry, now: Duration) -> Frame {
-    let envelope = entry.heartbeat(now, unix(now), Report::default()).expect("a report is due");
+    let envelope =
+        entry.next_heartbeat(now, unix(now), Report::default()).expect("a report is due");
     let Frame::Heartbeat(heartbeat) = envelope.frame else { panic!("a report is a heartbeat") };
-    let round = Round {
+    let round = FleetStatus {
         cores: Vec::new(),
-        sites: Vec::new(),
+        parent_cores: Vec::new(),
         incarnation: 1,
-        number: heartbeat.number,
-        entries: 1,
-        plans: 0,
-        confirmed: Some(Duration::ZERO),
-        turn: None,
-        list: false,
+        sequence: heartbeat.sequence,
+        entry_count: 1,
+        plans_change: 0,
+        plans_age: Some(Duration::ZERO),
+        time_slot: None,
+        list_entries: false,
     };
     let Frame::Update(update) = nothing() else { panic!("an update") };
-    Frame::Update(Box::new(Update { round: Some(round), unix: unix(now), ..*update }))
+    Frame::Update(Box::new(Update { fleet_status: Some(round), unix_ms: unix(now), ..*update }))
 }
 
 #[test]
@@ -57,10 +58,10 @@
     // the time told by a message taken for the time at which it is read.
     let mut entry = entry();
     let prompt = answer(&mut entry, SECOND);
-    entry.take(SECOND, prompt);
+    entry.handle_frame(SECOND, prompt);
     let late = answer(&mut entry, SECOND * 2);
-    entry.take(SECOND * 5, late);
-    assert_eq!(clock::at(SECOND * 5, entry.view().time), unix(SECOND * 5));
+    entry.handle_frame(SECOND * 5, late);
+    assert_eq!(clock::unix_ms(SECOND * 5, entry.view().time_offset_ms), unix(SECOND * 5));
 }
 
 #[test]
@@ -68,19 +69,19 @@
     // Guards against an entry that keeps an upstream which the new leader has never heard of.
     let mut entry = entry();
     let told = |term, change, base: Option<(u64, u64)>| {
-        let base = base.map(|(term, change)| Stamp { term, change });
-        let stamp = Stamp { term, change };
+        let base = base.map(|(term, change)| Version { term, change });
+        let stamp = Version { term, change };
         let Frame::Update(update) = nothing() else { panic!("an update") };
-        Frame::Update(Box::new(Update { stamp, base, ..*update }))
+        Frame::Update(Box::new(Update { version: stamp, base, ..*update }))
     };
-    entry.take(SECOND, told(1, 100, None));
-    entry.take(SECOND, told(1, 103, Some((1, 100))));
-    entry.take(SECOND, told(2, 104, Some((1, 100))));
-    assert_eq!(entry.view().stamp, Stamp { term: 1, change: 103 });
-    entry.take(SECOND, told(2, 105, Some((1, 103))));
-    assert_eq!(entry.view().stamp, Stamp { term: 2, change: 105 });
-    entry.take(SECOND, told(2, 107, Some((2, 104))));
-    assert_eq!(entry.view().stamp, Stamp { term: 2, change: 107 });
+    entry.handle_frame(SECOND, told(1, 100, None));
+    entry.handle_frame(SECOND, told(1, 103, Some((1, 100))));
+    entry.handle_frame(SECOND, told(2, 104, Some((1, 100))));
+    assert_eq!(entry.view().version, Version { term: 1, change: 103 });
+    entry.handle_frame(SECOND, told(2, 105, Some((1, 103))));
+    assert_eq!(entry.view().version, Version { term: 2, change: 105 });
+    entry.handle_frame(SECOND, told(2, 107, Some((2, 104))));
+    assert_eq!(entry.view().version, Version { term: 2, change: 107 });
 }
 
 /// Makes a leader's update that tells nothing.
@@ -88,17 +89,17 @@
     Frame::Update(Box::new(Update {
         from: LEADER.into(),
         leader: LEADER.into(),
-        heard: Duration::ZERO,
-        stamp: Stamp { term: 3, change: 1 },
+        leader_contact_age: Duration::ZERO,
+        version: Version { term: 3, change: 1 },
         base: None,
         records: Vec::new(),
-        sheet: None,
+        route_table: None,
         blocklist: None,
-        plans: None,
+        rollout_plans: None,
         limits: None,
-        round: None,
-        unix: unix(SECOND),
-        urgent: false,
+        fleet_status: None,
+        unix_ms: unix(SECOND),
+        ack_requested: false,
     }))
 }
 
@@ -107,15 +108,15 @@
     // Guards against a request to a version that was rolled back, just after a standstill or from a new leader.
     let mut entry = entry();
     let first = answer(&mut entry, SECOND);
-    entry.take(SECOND, first);
-    assert_eq!(entry.view().confirmed, Some(SECOND));
+    entry.handle_frame(SECOND, first);
+    assert_eq!(entry.view().plans_confirmed_at, Some(SECOND));
     let mut answered = |now: Duration, term, plans| {
         let Frame::Update(mut update) = answer(&mut entry, now) else { panic!("an update") };
-        update.stamp = Stamp { term, change: 1 };
-        update.base = Some(update.stamp);
-        update.round.as_mut().expect("an answer").plans = plans;
-        entry.take(now, Frame::Update(update));
-        entry.view().confirmed
+        update.version = Version { term, change: 1 };
+        update.base = Some(update.version);
+        update.fleet_status.as_mut().expect("an answer").plans_change = plans;
+        entry.handle_frame(now, Frame::Update(update));
+        entry.view().plans_confirmed_at
     };
     assert_eq!(answered(SECOND * 2, 3, 2), Some(SECOND), "the same leader has newer ones");
     assert_eq!(answered(SECOND * 3, 4, 0), Some(SECOND), "a new leader's are not here yet");
--- a/crates/verbenaslip-fleet/tests/history.rs
+++ b/crates/verbenaslip-fleet/tests/history.rs
@@ -6,7 +6,7 @@
 use std::ops::Range;
 use std::time::Duration;
 
-use net::{Net, announcement, serving};
+use net::{Network, announcement, route_table_with_service};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use verbenaslip_fleet::frame::Request;
@@ -22,7 +22,7 @@
 
 /// Plays upstreams that announce themselves, and go with or without a word.
 struct World {
-    net: Net,
+    net: Network,
     random: Pcg64,
     /// The last announcement of each upstream that is there.
     there: BTreeMap<usize, u64>,
@@ -41,7 +41,7 @@
         let [high, low] = u16::try_from(upstream).expect("few").to_be_bytes();
         let named = announcement(&name(upstream), sequence, draining);
         let announced = Announcement { address: ([10, 9, high, low], 80).into(), ..named };
-        self.net.ask(core, Request::Announce(Box::new(announced)));
+        self.net.start_call(core, Request::Announce(Box::new(announced)));
     }
 
     fn announce_all(&mut self) {
@@ -62,7 +62,7 @@
                     self.there.remove(&upstream);
                     let withdrawn = net::withdraw(&name(upstream));
                     let core = self.random.random_range(0..CORES);
-                    self.net.ask(core, withdrawn);
+                    self.net.start_call(core, withdrawn);
                 }
                 // It ends without a word.
                 1 => drop(self.there.remove(&upstream)),
@@ -73,13 +73,13 @@
 
     /// Has upstreams come of which entries hear, and no core but the leader does.
     fn change_past_cores(&mut self, leader: usize) {
-        self.net.lose_updates(true);
+        self.net.drop_updates(true);
         for _ in 0..3 {
             self.next += 1;
             self.announce_at(self.next, false, leader);
         }
         self.net.run(Duration::from_millis(60));
-        self.net.lose_updates(false);
+        self.net.drop_updates(false);
     }
 
     /// Has the leader, another core or an entry be lost for a while.
@@ -91,30 +91,30 @@
         match self.random.random_range(0..9) {
             0 => self.net.restart(leader),
             1 => {
-                self.net.cut(leader);
+                self.net.disconnect_core(leader);
                 self.run(SECOND * 2);
-                self.net.heal(leader);
+                self.net.reconnect_core(leader);
             }
             2 => {
-                self.net.freeze(leader);
+                self.net.pause(leader);
                 self.run(SECOND * 2);
-                self.net.thaw(leader);
+                self.net.resume(leader);
             }
             3 => self.net.restart(core),
             4 => {
                 let entry = self.random.random_range(0..ENTRIES);
-                self.net.cut_entry(entry);
+                self.net.disconnect_entry(entry);
                 self.run(SECOND);
-                self.net.heal_entry(entry);
+                self.net.reconnect_entry(entry);
             }
             5 => self.net.restart_entry(entries[0]),
             // Some entries lack the last changes of a leader that is lost.
             6 | 7 => {
-                entries.iter().for_each(|entry| self.net.cut_entry(*entry));
+                entries.iter().for_each(|entry| self.net.disconnect_entry(*entry));
                 self.run(SECOND);
                 self.net.restart(leader);
                 self.run(SECOND);
-                entries.iter().for_each(|entry| self.net.heal_entry(*entry));
+                entries.iter().for_each(|entry| self.net.reconnect_entry(*entry));
             }
             // So do all cores but that one, which entries hear.
             _ => {
@@ -148,13 +148,13 @@
     let parse = |text: &str| text.parse::<u64>().expect("a number");
     for seed in bounds.map_or(SEEDS, |(from, to)| parse(from)..parse(to)) {
         let mut world = World {
-            net: Net::found_with(CORES, ENTRIES, CORES),
+            net: Network::with_voters(CORES, ENTRIES, CORES),
             random: Pcg64::seed_from_u64(seed),
             there: BTreeMap::new(),
             next: 0,
         };
         world.net.run(SECOND * 4);
-        world.net.call(0, Request::Adopt(Box::new(serving(1))));
+        world.net.call(0, Request::AdoptRouteTable(Box::new(route_table_with_service(1))));
         for _ in 0..STEPS {
             world.run(SECOND);
             world.harm();
--- a/crates/verbenaslip-fleet/tests/hub.rs
+++ b/crates/verbenaslip-fleet/tests/hub.rs
@@ -8,12 +8,12 @@
 
 use verbenaslip_base::name::{AvailabilityZone, Instance};
 use verbenaslip_fleet::frame::{Heartbeat, Peer};
-use verbenaslip_fleet::hub::{Changes, Hub, Source};
+use verbenaslip_fleet::hub::{Changes, Hub, UpdateSource};
 use verbenaslip_fleet::ledger::{Command, Edition, Ledger};
-use verbenaslip_fleet::quota::Loan;
+use verbenaslip_fleet::quota::LoanRequest;
 use verbenaslip_fleet::registry::{Announcement, Registry};
 use verbenaslip_fleet::sheet::{Quota, Sheet, TeamRow};
-use verbenaslip_fleet::view::Stamp;
+use verbenaslip_fleet::view::Version;
 
 const TERM: u64 = 3;
 
@@ -31,21 +31,21 @@
     };
     Heartbeat {
         peer,
-        seen: Stamp { term: TERM, change },
+        version: Version { term: TERM, change },
         revision: 0,
-        unix: 0,
-        counted: 0,
+        unix_ms: 0,
+        counted_until: 0,
         counts: Vec::new(),
-        number: 1,
+        sequence: 1,
         refunds: Vec::new(),
         parent: None,
-        lost: None,
-        below: None,
-        work: Vec::new(),
+        lost_parent: None,
+        aggregate: None,
+        engine_work: Vec::new(),
         marks: Vec::new(),
         rollouts: Vec::new(),
         limits: Vec::new(),
-        leaving: Vec::new(),
+        departing: Vec::new(),
     }
 }
 
@@ -67,29 +67,29 @@
     let all: Vec<SocketAddr> = hosts.clone().map(address).collect();
     for host in hosts {
         // One has nothing yet; the others have the first upstream.
-        hub.take(now, TERM, 0, heartbeat(host, if host == 7 { 0 } else { first }));
+        hub.handle_heartbeat(now, TERM, 0, heartbeat(host, if host == 7 { 0 } else { first }));
     }
     registry.announce(now, announcement(2), true);
     let registry = &registry;
-    let source = Source {
+    let source = UpdateSource {
         from: address(250),
         leader: address(250),
-        heard: Duration::ZERO,
+        leader_contact_age: Duration::ZERO,
         term: TERM,
         records: registry,
-        sheet: None,
+        route_table: None,
         blocklist: &Arc::default(),
-        plans: &Arc::default(),
+        rollout_plans: &Arc::default(),
         limits: &Arc::default(),
         changes: Changes::default(),
-        urgent: false,
-        unix: 0,
+        ack_requested: false,
+        unix_ms: 0,
     };
-    let pushes = hub.push(now, &all, &source);
+    let pushes = hub.push_updates(now, &all, &source);
     let sizes: Vec<(usize, usize)> =
         pushes.iter().map(|push| (push.to.len(), push.update.records.len())).collect();
     assert_eq!(sizes, [(1, 2), (199, 1)], "all upstreams to one, the new one to the others");
-    assert!(hub.behind(now, registry.stamp(), 0).is_empty());
+    assert!(hub.lagging_subscribers(now, registry.stamp(), 0).is_empty());
 }
 
 #[test]
@@ -107,10 +107,10 @@
     let document = b"table 1"[..].into();
     ledger.apply(Command::Adopt(Box::new(Edition { sheet, document })));
     let mut hub = Hub::default();
-    hub.lead(now, 9, true);
+    hub.start_leading(now, 9, true);
     hub.refresh(now, ledger.edition().map(|edition| &*edition.sheet));
-    let loan = |id| Loan { id, team: "red".into(), need: 100.0, ahead: 0.0 };
-    let loans: Vec<Loan> = (1..=9).map(loan).collect();
-    let lent: Vec<f64> = hub.lend(&loans).iter().map(|it| it.units).collect();
+    let loan = |id| LoanRequest { id, team: "red".into(), required: 100.0, prefetch: 0.0 };
+    let loans: Vec<LoanRequest> = (1..=9).map(loan).collect();
+    let lent: Vec<f64> = hub.grant_loans(&loans).iter().map(|it| it.units).collect();
     assert_eq!(lent, [100.0; 9], "the whole bucket, from the first request on");
 }
--- a/crates/verbenaslip-fleet/tests/leaving.rs
+++ b/crates/verbenaslip-fleet/tests/leaving.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use net::{Net, announcement, run, serving};
+use net::{Network, announcement, route_table_with_service, run};
 use verbenaslip_fleet::frame::{Request, Response};
 use verbenaslip_fleet::registry::{Announcement, Standing};
 
@@ -13,24 +13,24 @@
 const ENTRIES: usize = 12;
 
 /// Starts five cores, with one upstream that every entry knows.
-fn fleet() -> Net {
-    let mut net = Net::found_with(5, ENTRIES, 5);
+fn fleet() -> Network {
+    let mut net = Network::with_voters(5, ENTRIES, 5);
     net.run(SECOND * 5);
-    net.call(0, Request::Adopt(Box::new(serving(4))));
+    net.call(0, Request::AdoptRouteTable(Box::new(route_table_with_service(4))));
     announce(&mut net, announcement("u", 1, false));
     assert_eq!(standings(&net), [Some(Standing::Ready); ENTRIES]);
     net
 }
 
-fn announce(net: &mut Net, announcement: Announcement) {
+fn announce(net: &mut Network, announcement: Announcement) {
     let core = net.leaders()[0];
     let announced = net.call(core, Request::Announce(Box::new(announcement)));
-    assert_eq!(announced, Some(Response::Noted));
+    assert_eq!(announced, Some(Response::Acknowledged));
     net.run(SECOND);
 }
 
 /// Returns how each entry takes the upstream to stand.
-fn standings(net: &Net) -> Vec<Option<Standing>> {
+fn standings(net: &Network) -> Vec<Option<Standing>> {
     net.entries().map(|view| view.upstreams.get("u").map(|it| it.standing)).collect()
 }
 
@@ -38,7 +38,7 @@
 fn what_one_entry_was_told_all_know_and_later_announcements_do_not_undo_it() {
     // Guards against an upstream that is taken for ready by all entries but the one that it has answered.
     let mut net = fleet();
-    net.leave(3, run("u", 0));
+    net.observe_departure(3, run("u", 0));
     net.run(SECOND);
     assert_eq!(standings(&net), [Some(Standing::Leaving); ENTRIES]);
     announce(&mut net, announcement("u", 2, false));
@@ -49,7 +49,7 @@
 fn it_outlives_the_leader_that_was_told() {
     // Guards against a departure that only the lost leader knew.
     let mut net = fleet();
-    net.leave(3, run("u", 0));
+    net.observe_departure(3, run("u", 0));
     net.run(SECOND);
     let leader = net.leaders()[0];
     net.stop(leader);
@@ -65,7 +65,7 @@
     let mut reborn = announcement("u", 1, false);
     reborn.run = run("u", 7);
     announce(&mut net, reborn);
-    net.leave(3, run("u", 0));
+    net.observe_departure(3, run("u", 0));
     net.run(SECOND);
     assert_eq!(standings(&net), [Some(Standing::Ready); ENTRIES]);
 }
--- a/crates/verbenaslip-fleet/tests/ledger.rs
+++ b/crates/verbenaslip-fleet/tests/ledger.rs
@@ -2,7 +2,7 @@
 
 mod net;
 
-use net::{announcement, edition, run};
+use net::{announcement, route_table, run};
 use verbenaslip_fleet::departure::{Departure, MEMORY};
 use verbenaslip_fleet::fingerprint::Fingerprint;
 use verbenaslip_fleet::ledger::{Command, Ledger};
@@ -24,7 +24,7 @@
 #[test]
 fn a_snapshot_gives_back_who_has_come_and_gone() {
     let mut ledger = Ledger::default();
-    ledger.apply(Command::Adopt(Box::new(edition(3))));
+    ledger.apply(Command::Adopt(Box::new(route_table(3))));
     ledger.apply(Command::Join { records: vec![record("u", 1), record("v", 2)] });
     ledger.apply(depart("v", 1_000));
     let restored = Ledger::restore(&ledger.snapshot()).expect("it can be read");
@@ -38,7 +38,7 @@
     // Symptom: a core votes no more after an upgrade. Sequence: its folder holds a snapshot of the version
     // before. Cause: bytes that end where the newer version expects more.
     let mut ledger = Ledger::default();
-    ledger.apply(Command::Adopt(Box::new(edition(3))));
+    ledger.apply(Command::Adopt(Box::new(route_table(3))));
     let before = postcard::to_stdvec(&ledger).expect("it can be written");
     assert_eq!(Ledger::restore(&before), Ok(ledger));
 }
--- a/crates/verbenaslip-fleet/tests/levels.rs
+++ b/crates/verbenaslip-fleet/tests/levels.rs
@@ -5,10 +5,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use net::{Net, announcement, run, serving, withdraw};
+use net::{Network, announcement, route_table_with_service, run, withdraw};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
-use verbenaslip_fleet::core::Note;
+use verbenaslip_fleet::core::Event;
 use verbenaslip_fleet::duty;
 use verbenaslip_fleet::frame::{Request, Response};
 
@@ -24,19 +24,19 @@
     wait: Duration::from_secs(3),
 };
 
-fn fleet(entries: usize) -> Net {
-    let mut net = Net::found_counting(CORES, entries, LOSSES * 2 + 1, Some(TIMING));
+fn fleet(entries: usize) -> Network {
+    let mut net = Network::with_usage(CORES, entries, LOSSES * 2 + 1, Some(TIMING));
     net.run(SECOND * 6);
     assert_eq!(
-        net.call(0, Request::Adopt(Box::new(serving(1)))),
-        Some(Response::Adopted { revision: 1 })
+        net.call(0, Request::AdoptRouteTable(Box::new(route_table_with_service(1)))),
+        Some(Response::RouteTableAdopted { revision: 1 })
     );
     net.run(SECOND * 2);
     net
 }
 
 /// Returns the bytes of the leader and of the busiest other core, a second.
-fn bytes(net: &mut Net, mut play: impl FnMut(&mut Net)) -> (usize, usize) {
+fn bytes(net: &mut Network, mut play: impl FnMut(&mut Network)) -> (usize, usize) {
     net.count_traffic();
     let begin = net.now();
     while net.now() - begin < SECOND * 2 {
@@ -70,7 +70,7 @@
         let (leader, busiest) = bytes(&mut net, |net| {
             for _ in 0..100 {
                 let team = format!("team-{}", rng.random_range(0..333));
-                net.begin(rng.random_range(0..entries), &team);
+                net.begin_request(rng.random_range(0..entries), &team);
             }
         });
         println!("{entries} entries, 1,000 requests a second: {leader} bytes a second, {busiest}");
@@ -87,13 +87,13 @@
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
     net.run(SECOND);
     let began = net.now();
-    assert_eq!(net.call(1, withdraw("u")), Some(Response::Noted));
+    assert_eq!(net.call(1, withdraw("u")), Some(Response::Acknowledged));
     let took = net.now() - began;
     assert!(net.entries().all(|view| !view.upstreams.contains_key("u")));
     assert!(took <= SECOND / 2, "a leaving took {took:?}");
     let began = net.now();
-    let told = net.call(2, Request::Adopt(Box::new(serving(2))));
-    assert_eq!(told, Some(Response::Adopted { revision: 2 }));
+    let told = net.call(2, Request::AdoptRouteTable(Box::new(route_table_with_service(2))));
+    assert_eq!(told, Some(Response::RouteTableAdopted { revision: 2 }));
     let took = net.now() - began;
     assert!(net.entries().all(|view| view.revision() == 2));
     assert!(took <= SECOND, "an edit took {took:?}");
@@ -107,10 +107,11 @@
         let leader = net.leaders()[0];
         let lost = if is_leader { leader } else { (leader + 1) % CORES };
         net.stop(lost);
-        let (began, ask) = (net.now(), || Request::Adopt(Box::new(serving(2))));
+        let (began, ask) =
+            (net.now(), || Request::AdoptRouteTable(Box::new(route_table_with_service(2))));
         let core = (leader + 2) % CORES;
         let mut told = None;
-        while told != Some(Response::Adopted { revision: 2 }) {
+        while told != Some(Response::RouteTableAdopted { revision: 2 }) {
             told = net.call(core, ask());
             assert!(net.now() - began <= SECOND * 5, "not acknowledged after 5 s");
         }
@@ -128,11 +129,11 @@
         let mut net = fleet(60);
         let mut rng = Pcg64::seed_from_u64(seed);
         let mut truth: BTreeMap<u64, u64> = BTreeMap::new();
-        net.take_notes();
+        net.take_events();
         let mut lost: Option<usize> = None;
         for step in 0..120 {
             for _ in 0..20 {
-                let window = net.begin(rng.random_range(0..60), "red");
+                let window = net.begin_request(rng.random_range(0..60), "red");
                 *truth.entry(window).or_default() += 1;
             }
             net.run(SECOND / 10);
@@ -141,13 +142,13 @@
                     let core = rng.random_range(0..CORES);
                     match rng.random_range(0..3) {
                         0 => net.stop(core),
-                        1 => net.cut(core),
-                        _ => net.freeze(core),
+                        1 => net.disconnect_core(core),
+                        _ => net.pause(core),
                     }
                     lost = Some(core);
                 }
                 (Some(core), 20) => {
-                    net.heal(core);
+                    net.reconnect_core(core);
                     net.restart(core);
                     lost = None;
                 }
@@ -156,8 +157,8 @@
         }
         net.run(SECOND * 12);
         let mut closed = BTreeMap::new();
-        for (_, note) in net.take_notes() {
-            if let Note::Closed { window, requests } = note {
+        for (_, note) in net.take_events() {
+            if let Event::WindowClosed { window, requests } = note {
                 closed.insert(window, requests);
             }
         }
@@ -179,11 +180,13 @@
     let mut net = fleet(60);
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
     net.run(SECOND);
-    net.limit(7, run("u", 0), Some(2.0));
+    net.observe_limit(7, run("u", 0), Some(2.0));
     net.run(SECOND);
     assert!(net.entries().all(|view| view.limits.contains_key(&run("u", 0))));
-    let mut turns: Vec<(u32, u32)> =
-        net.entries().filter_map(|view| view.turn.map(|turn| (turn.place, turn.of))).collect();
+    let mut turns: Vec<(u32, u32)> = net
+        .entries()
+        .filter_map(|view| view.time_slot.map(|turn| (turn.index, turn.count)))
+        .collect();
     turns.sort_unstable();
     let all: Vec<(u32, u32)> = (0..60).map(|place| (place, 60)).collect();
     assert_eq!(turns, all, "each entry has a turn of its own");
--- a/crates/verbenaslip-fleet/tests/limit.rs
+++ b/crates/verbenaslip-fleet/tests/limit.rs
@@ -5,33 +5,33 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use net::{Net, announcement, run, serving, withdraw};
-use verbenaslip_fleet::core::Note;
+use net::{Network, announcement, route_table_with_service, run, withdraw};
+use verbenaslip_fleet::core::Event;
 use verbenaslip_fleet::frame::{Request, Response};
-use verbenaslip_fleet::limit::{Limit, Turn};
+use verbenaslip_fleet::limit::{Limit, TimeSlot};
 
 const SECOND: Duration = Duration::from_secs(1);
 
 const ENTRIES: usize = 12;
 
 /// Starts five cores, with one upstream that every entry knows.
-fn fleet() -> Net {
-    let mut net = Net::found_with(5, ENTRIES, 5);
+fn fleet() -> Network {
+    let mut net = Network::with_voters(5, ENTRIES, 5);
     net.run(SECOND * 5);
-    net.call(0, Request::Adopt(Box::new(serving(4))));
+    net.call(0, Request::AdoptRouteTable(Box::new(route_table_with_service(4))));
     announce(&mut net, 1);
     net.run(SECOND);
     net
 }
 
-fn announce(net: &mut Net, sequence: u64) {
+fn announce(net: &mut Network, sequence: u64) {
     let announcement = Box::new(announcement("u", sequence, false));
     let core = net.leaders()[0];
-    assert_eq!(net.call(core, Request::Announce(announcement)), Some(Response::Noted));
+    assert_eq!(net.call(core, Request::Announce(announcement)), Some(Response::Acknowledged));
 }
 
 /// Returns the limit that each entry knows.
-fn rates(net: &Net) -> Vec<Option<f64>> {
+fn rates(net: &Network) -> Vec<Option<f64>> {
     net.entries().map(|view| view.limits.get(&run("u", 0)).and_then(|it| it.rate)).collect()
 }
 
@@ -39,30 +39,30 @@
 fn what_one_entry_learns_all_entries_know_and_each_has_a_turn_of_its_own() {
     // Guards against a limit that only those keep to whom the upstream has answered.
     let mut net = fleet();
-    net.limit(3, run("u", 0), Some(2.0));
+    net.observe_limit(3, run("u", 0), Some(2.0));
     net.run(SECOND);
     assert_eq!(rates(&net), [Some(2.0); ENTRIES]);
     let of = u32::try_from(ENTRIES).expect("few");
-    let turns: Vec<Turn> = net.entries().filter_map(|view| view.turn).collect();
-    assert!(turns.iter().all(|turn| turn.of == of), "{turns:?}");
-    let places: BTreeSet<u32> = turns.iter().map(|turn| turn.place).collect();
+    let turns: Vec<TimeSlot> = net.entries().filter_map(|view| view.time_slot).collect();
+    assert!(turns.iter().all(|turn| turn.count == of), "{turns:?}");
+    let places: BTreeSet<u32> = turns.iter().map(|turn| turn.index).collect();
     assert_eq!(places, (0..of).collect::<BTreeSet<_>>());
-    let shared = |(_, note): &(usize, Note)| matches!(note, Note::Limit(_));
-    assert_eq!(net.take_notes().iter().filter(|it| shared(it)).count(), 1, "logged once");
+    let shared = |(_, note): &(usize, Event)| matches!(note, Event::LimitChanged(_));
+    assert_eq!(net.take_events().iter().filter(|it| shared(it)).count(), 1, "logged once");
 }
 
 #[test]
 fn a_limit_outlives_the_leader_and_its_end_reaches_all() {
     // Guards against entries that go on at full rate, or for ever at a low one, once the leader is lost.
     let mut net = fleet();
-    net.limit(3, run("u", 0), Some(2.0));
+    net.observe_limit(3, run("u", 0), Some(2.0));
     net.run(SECOND);
     let leader = net.leaders()[0];
     net.stop(leader);
     net.run(SECOND * 5);
     assert_eq!(rates(&net), [Some(2.0); ENTRIES]);
     announce(&mut net, 2);
-    net.limit(7, run("u", 0), None);
+    net.observe_limit(7, run("u", 0), None);
     net.run(SECOND);
     assert_eq!(rates(&net), [None; ENTRIES]);
     // The entry that had named the limit knows better by now.
@@ -73,7 +73,7 @@
 fn entries_tell_cores_that_have_lost_everything() {
     // Guards against a limit that is forgotten by all when the cores start again.
     let mut net = fleet();
-    net.limit(3, run("u", 0), Some(2.0));
+    net.observe_limit(3, run("u", 0), Some(2.0));
     net.run(SECOND);
     (0..5).for_each(|core| net.restart(core));
     net.run(SECOND * 5);
@@ -88,17 +88,17 @@
 fn values_that_differ_little_are_not_told_and_ended_runs_are_forgotten() {
     // Guards against an update to all entries with every answer, and against limits that pile up.
     let mut net = fleet();
-    net.limit(3, run("u", 0), Some(2.0));
+    net.observe_limit(3, run("u", 0), Some(2.0));
     net.run(SECOND);
-    let change = net.entry(0).stamp.change;
+    let change = net.entry(0).version.change;
     for step in 0..8 {
         let rate = if step % 2 == 0 { 2.1 } else { 1.95 };
-        net.limit(step, run("u", 0), Some(rate));
+        net.observe_limit(step, run("u", 0), Some(rate));
         announce(&mut net, 2 + step as u64);
         net.run(SECOND / 2);
     }
-    assert_eq!(net.entry(0).stamp.change, change);
-    net.limit(4, run("u", 0), Some(1.0));
+    assert_eq!(net.entry(0).version.change, change);
+    net.observe_limit(4, run("u", 0), Some(1.0));
     net.run(SECOND);
     assert_eq!(rates(&net), [Some(1.0); ENTRIES]);
     let core = net.leaders()[0];
@@ -110,11 +110,11 @@
 #[test]
 fn the_newest_word_holds_whichever_way_it_comes() {
     // Guards against a late report that brings back a limit which has ended.
-    let limit = |rate, at| Limit { rate, at };
+    let limit = |rate, at| Limit { rate, reported_at_ms: at };
     let ended = limit(None, 20);
-    assert!(limit(Some(1.0), 10).changes(None));
-    assert!(!limit(Some(1.0), 10).changes(Some(&ended)));
-    assert!(!ended.changes(None), "nothing has ended that was not known");
-    assert!(limit(Some(1.0), 30).changes(Some(&ended)));
-    assert!(!limit(Some(1.05), 30).changes(Some(&limit(Some(1.0), 20))));
+    assert!(limit(Some(1.0), 10).supersedes(None));
+    assert!(!limit(Some(1.0), 10).supersedes(Some(&ended)));
+    assert!(!ended.supersedes(None), "nothing has ended that was not known");
+    assert!(limit(Some(1.0), 30).supersedes(Some(&ended)));
+    assert!(!limit(Some(1.05), 30).supersedes(Some(&limit(Some(1.0), 20))));
 }
--- a/crates/verbenaslip-fleet/tests/net/mod.rs
+++ b/crates/verbenaslip-fleet/tests/net/mod.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 use verbenaslip_base::name::{AvailabilityZone, Instance, Team, Upstream};
-use verbenaslip_fleet::core::{Core, Input, Note, Output, Setup, name_of};
+use verbenaslip_fleet::core::{Core, Event, Input, Output, Setup, name_of};
 use verbenaslip_fleet::duty;
 use verbenaslip_fleet::frame::{Frame, Peer, Request, Response};
 use verbenaslip_fleet::ledger::Edition;
-use verbenaslip_fleet::limit::{Limit, Limits, Sighting};
+use verbenaslip_fleet::limit::{Limit, Limits, Observation};
 use verbenaslip_fleet::link::Report;
 use verbenaslip_fleet::quarantine::Rule;
 use verbenaslip_fleet::registry::{Announcement, Run, Standing};
@@ -32,13 +32,13 @@
 /// How long a call may take.
 const PATIENCE: Duration = Duration::from_secs(2);
 
-pub fn edition(revision: u64) -> Edition {
+pub fn route_table(revision: u64) -> Edition {
     let sheet = Arc::new(Sheet { revision, ..Sheet::default() });
     Edition { sheet, document: format!("table {revision}").into_bytes().into() }
 }
 
 /// Makes a table that knows the service of [`announcement`].
-pub fn serving(revision: u64) -> Edition {
+pub fn route_table_with_service(revision: u64) -> Edition {
     let service = Service {
         name: "pool".into(),
         health: "/healthz".into(),
@@ -47,7 +47,7 @@
         scaling: None,
     };
     let sheet = Sheet { revision, services: vec![service], ..Sheet::default() };
-    Edition { sheet: Arc::new(sheet), ..edition(revision) }
+    Edition { sheet: Arc::new(sheet), ..route_table(revision) }
 }
 
 pub fn announcement(name: &str, sequence: u64, draining: bool) -> Announcement {
@@ -87,7 +87,7 @@
 }
 
 /// Runs cores and entries against each other.
-pub struct Net {
+pub struct Network {
     now: Duration,
     ticks: u64,
     cores: Vec<Machine>,
@@ -111,7 +111,7 @@
     /// Upstreams that have said to an entry that they go.
     leaving: BTreeMap<usize, Vec<Run>>,
     /// What cores told for the log.
-    notes: Vec<(usize, Note)>,
+    notes: Vec<(usize, Event)>,
     /// The windows of usage that the leader closes; none are counted without.
     duty: Option<duty::Timing>,
     /// Requests that began at each entry, by window and team.
@@ -141,19 +141,19 @@
     ([10, network, high, low], 7_000).into()
 }
 
-impl Net {
+impl Network {
     /// Starts all for the first time; the first three cores are the seeds.
-    pub fn found(cores: usize, entries: usize) -> Self {
-        Self::found_with(cores, entries, 3)
+    pub fn new(cores: usize, entries: usize) -> Self {
+        Self::with_voters(cores, entries, 3)
     }
 
     /// Starts all for the first time, with so many voters as soon as there are cores for them.
-    pub fn found_with(cores: usize, entries: usize, voters: usize) -> Self {
-        Self::found_counting(cores, entries, voters, None)
+    pub fn with_voters(cores: usize, entries: usize, voters: usize) -> Self {
+        Self::with_usage(cores, entries, voters, None)
     }
 
     /// The same, with a leader that closes windows of usage.
-    pub fn found_counting(
+    pub fn with_usage(
         cores: usize,
         entries: usize,
         voters: usize,
@@ -186,13 +186,13 @@
         }
         for index in 0..entries {
             let own = peer(entry_address(index), 1, None);
-            net.entries.push(Entry::open(own, seeds(), net.now, EPOCH));
+            net.entries.push(Entry::new(own, seeds(), net.now, EPOCH));
         }
         net
     }
 
     /// Adds a core at a new address, with an empty disk, and returns its index.
-    pub fn join(&mut self) -> usize {
+    pub fn add_core(&mut self) -> usize {
         self.add(false)
     }
 
@@ -217,20 +217,20 @@
         let identity = machine.disk.identity;
         let voter = Voter { instance: name_of(address), identity };
         let setup = Setup {
-            own: peer(address, machine.starts, Some(voter)),
-            rule: Rule::default(),
-            secret: 7,
+            local_peer: peer(address, machine.starts, Some(voter)),
+            quarantine_policy: Rule::default(),
+            fingerprint_secret: 7,
             seeds: seeds(),
             founders: if founds { seeds() } else { vec![] },
             recovered: machine.disk.clone(),
-            voters: self.voters,
-            announce: Duration::from_millis(1_200),
-            timing: Timing::default(),
-            duty: self.duty,
+            target_voter_count: self.voters,
+            announce_interval: Duration::from_millis(1_200),
+            log_timing: Timing::default(),
+            order_timing: self.duty,
             seed: index as u64 * 100 + machine.starts,
-            unix: EPOCH,
+            unix_ms: EPOCH,
         };
-        machine.core = Some(Core::open(setup, self.now));
+        machine.core = Some(Core::new(setup, self.now));
     }
 
     pub fn stop(&mut self, core: usize) {
@@ -240,47 +240,47 @@
     /// Takes power from a core and gives it back: only what was synced is there.
     pub fn restart(&mut self, core: usize) {
         self.stop(core);
-        self.thaw(core);
+        self.resume(core);
         self.start(core, false);
     }
 
     /// Takes a core's disk and starts it with an empty one.
-    pub fn wipe(&mut self, core: usize) {
+    pub fn restart_with_empty_disk(&mut self, core: usize) {
         self.stop(core);
-        self.thaw(core);
+        self.resume(core);
         self.cores[core].disk = self.empty_disk();
         self.start(core, false);
     }
 
-    pub fn cut(&mut self, core: usize) {
+    pub fn disconnect_core(&mut self, core: usize) {
         self.cut.insert(core_address(core));
     }
 
     /// Lets a core stand still, as a machine that is suspended: its clock goes on.
-    pub fn freeze(&mut self, core: usize) {
+    pub fn pause(&mut self, core: usize) {
         self.frozen.insert(core_address(core));
     }
 
-    pub fn thaw(&mut self, core: usize) {
+    pub fn resume(&mut self, core: usize) {
         self.frozen.remove(&core_address(core));
     }
 
     /// Has cores get none of the leader's updates, or all of them again.
-    pub fn lose_updates(&mut self, lose: bool) {
+    pub fn drop_updates(&mut self, lose: bool) {
         self.loses_updates = lose;
     }
 
     /// Has a core's disk answer nothing; its process goes on.
-    pub fn stall(&mut self, core: usize) {
+    pub fn stall_disk(&mut self, core: usize) {
         self.stalled.insert(core);
     }
 
     /// Has a core's disk answer again.
-    pub fn unstall(&mut self, core: usize) {
+    pub fn resume_disk(&mut self, core: usize) {
         self.stalled.remove(&core);
     }
 
-    pub fn heal(&mut self, core: usize) {
+    pub fn reconnect_core(&mut self, core: usize) {
         self.cut.remove(&core_address(core));
     }
 
@@ -288,23 +288,23 @@
     pub fn restart_entry(&mut self, index: usize) {
         let incarnation = u64::try_from(self.now.as_millis()).expect("small");
         let own = peer(entry_address(index), incarnation, None);
-        self.entries[index] = Entry::open(own, seeds(), self.now, EPOCH);
+        self.entries[index] = Entry::new(own, seeds(), self.now, EPOCH);
     }
 
-    pub fn cut_entry(&mut self, entry: usize) {
+    pub fn disconnect_entry(&mut self, entry: usize) {
         self.cut.insert(entry_address(entry));
     }
 
     /// Has an entry's reports come through, and nothing reach it.
-    pub fn deafen_entry(&mut self, entry: usize) {
+    pub fn drop_frames_to_entry(&mut self, entry: usize) {
         self.deaf.insert(entry_address(entry));
     }
 
-    pub fn heal_entry(&mut self, entry: usize) {
+    pub fn reconnect_entry(&mut self, entry: usize) {
         self.cut.remove(&entry_address(entry));
     }
 
-    pub fn step_clock(&mut self, core: usize, millis: i64) {
+    pub fn set_clock_skew(&mut self, core: usize, millis: i64) {
         self.cores[core].skew = millis;
     }
 
@@ -313,12 +313,12 @@
     }
 
     /// Returns the true time of day in Unix milliseconds.
-    pub fn truth(&self) -> i64 {
+    pub fn true_unix_ms(&self) -> i64 {
         i64::try_from(EPOCH + u64::try_from(self.now.as_millis()).expect("small")).expect("small")
     }
 
     pub fn leaders(&self) -> Vec<usize> {
-        let leads = |machine: &Machine| machine.core.as_ref().is_some_and(Core::leads);
+        let leads = |machine: &Machine| machine.core.as_ref().is_some_and(Core::is_leading);
         (0..self.cores.len()).filter(|index| leads(&self.cores[*index])).collect()
     }
 
@@ -331,21 +331,21 @@
     }
 
     /// Has an entry learn by an answer that a run limits its requests, or does so no more.
-    pub fn limit(&mut self, entry: usize, run: Run, rate: Option<f64>) {
-        let at = u64::try_from(self.truth()).expect("positive");
-        self.limits.entry(entry).or_default().insert(run, Limit { rate, at });
+    pub fn observe_limit(&mut self, entry: usize, run: Run, rate: Option<f64>) {
+        let at = u64::try_from(self.true_unix_ms()).expect("positive");
+        self.limits.entry(entry).or_default().insert(run, Limit { rate, reported_at_ms: at });
     }
 
     /// Has an upstream say to an entry in an answer that it goes.
-    pub fn leave(&mut self, entry: usize, run: Run) {
+    pub fn observe_departure(&mut self, entry: usize, run: Run) {
         self.leaving.entry(entry).or_default().push(run);
     }
 
     /// Has a request of a team begin at an entry; returns the window that it is counted in.
-    pub fn begin(&mut self, entry: usize, team: &str) -> u64 {
+    pub fn begin_request(&mut self, entry: usize, team: &str) -> u64 {
         let length = self.duty.expect("usage is counted").window;
-        let time = self.entries[entry].view().time;
-        let unix = verbenaslip_fleet::clock::at(self.now, time);
+        let time = self.entries[entry].view().time_offset_ms;
+        let unix = verbenaslip_fleet::clock::unix_ms(self.now, time);
         let window = window_at(unix, length);
         let counts = self.counts.entry(entry).or_default();
         *counts.entry((window, Team::from(team))).or_default() += 1;
@@ -372,18 +372,18 @@
     }
 
     /// Lists what an entry has learnt and its leader is not known to know.
-    fn unshared(&self, entry: usize) -> Vec<Sighting> {
+    fn unshared(&self, entry: usize) -> Vec<Observation> {
         let known = &self.entries[entry].view().limits;
         let learnt = self.limits.get(&entry).into_iter().flatten();
-        let news = learnt.filter(|(run, limit)| limit.changes(known.get(run)));
-        news.map(|(run, limit)| Sighting { run: run.clone(), limit: *limit }).collect()
+        let news = learnt.filter(|(run, limit)| limit.supersedes(known.get(run)));
+        news.map(|(run, limit)| Observation { run: run.clone(), limit: *limit }).collect()
     }
 
     /// Calls a core and returns its answer.
     pub fn call(&mut self, core: usize, ask: Request) -> Option<Response> {
         self.calls += 1;
         let id = self.calls;
-        self.step(core, Input::Call { id, ask });
+        self.step(core, Input::Call { id, request: ask });
         let until = self.now + PATIENCE;
         while self.now < until && !self.replies.contains_key(&id) {
             self.tick();
@@ -392,14 +392,14 @@
     }
 
     /// Calls a core without waiting for the answer; returns the name of the call.
-    pub fn ask(&mut self, core: usize, ask: Request) -> u64 {
+    pub fn start_call(&mut self, core: usize, ask: Request) -> u64 {
         self.calls += 1;
-        self.step(core, Input::Call { id: self.calls, ask });
+        self.step(core, Input::Call { id: self.calls, request: ask });
         self.calls
     }
 
     /// Takes what cores have told for the log, each with its core.
-    pub fn take_notes(&mut self) -> Vec<(usize, Note)> {
+    pub fn take_events(&mut self) -> Vec<(usize, Event)> {
         std::mem::take(&mut self.notes)
     }
 
@@ -408,7 +408,7 @@
     }
 
     /// Takes the answer to a call, if it has come.
-    pub fn answer(&mut self, call: u64) -> Option<Response> {
+    pub fn take_response(&mut self, call: u64) -> Option<Response> {
         self.replies.remove(&call)
     }
 
@@ -446,18 +446,18 @@
             if self.frozen.contains(&core_address(index)) {
                 continue;
             }
-            let skewed = self.truth() + self.cores[index].skew;
-            self.step(index, Input::Unix(u64::try_from(skewed).expect("positive")));
+            let skewed = self.true_unix_ms() + self.cores[index].skew;
+            self.step(index, Input::WallClock(u64::try_from(skewed).expect("positive")));
             self.sync(index);
         }
-        let truth = u64::try_from(self.truth()).expect("positive");
+        let truth = u64::try_from(self.true_unix_ms()).expect("positive");
         for index in 0..self.entries.len() {
             let leaving = self.unshared_departures(index);
             let (limits, counts) = (self.unshared(index), self.counted(index));
-            let report = Report { limits, leaving, counts, ..Report::default() };
-            let envelope = self.entries[index].heartbeat(self.now, truth, report);
+            let report = Report { limits, departing: leaving, counts, ..Report::default() };
+            let envelope = self.entries[index].next_heartbeat(self.now, truth, report);
             self.post(entry_address(index), envelope);
-            let envelope = self.entries[index].account(self.now);
+            let envelope = self.entries[index].next_crash_report(self.now);
             self.post(entry_address(index), envelope);
         }
         let mut held = VecDeque::new();
@@ -485,7 +485,7 @@
             return self.step(index, Input::Frame(Box::new(frame)));
         }
         if let Some(index) = (0..self.entries.len()).find(|it| entry_address(*it) == to) {
-            let envelope = self.entries[index].take(self.now, frame);
+            let envelope = self.entries[index].handle_frame(self.now, frame);
             self.post(to, envelope);
         }
     }
@@ -512,18 +512,20 @@
                     self.count(from, &frame, 1);
                     self.mail.push_back((self.ticks + WAY, to, frame));
                 }
-                Output::Cast { .. } if self.cut.contains(&from) => {}
-                Output::Cast { to, frame } => {
+                Output::Multicast { .. } if self.cut.contains(&from) => {}
+                Output::Multicast { to, frame } => {
                     self.count(from, &frame, to.len());
                     let mail = to.into_iter().map(|to| (self.ticks + WAY, to, frame.clone()));
                     self.mail.extend(mail);
                 }
-                Output::Store { mark, write } => self.cores[index].pending.push((mark, write)),
-                Output::Reply { id, told } => {
+                Output::Store { sequence: mark, write } => {
+                    self.cores[index].pending.push((mark, write))
+                }
+                Output::Reply { id, response: told } => {
                     self.replies.insert(id, told);
                 }
                 Output::Order(_) => {}
-                Output::Note(note) => self.notes.push((index, note)),
+                Output::Event(note) => self.notes.push((index, note)),
             }
         }
     }
--- a/crates/verbenaslip-fleet/tests/notes.rs
+++ b/crates/verbenaslip-fleet/tests/notes.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
-use net::{Net, announcement, edition, run, withdraw};
-use verbenaslip_fleet::core::Note;
+use net::{Network, announcement, route_table, run, withdraw};
+use verbenaslip_fleet::core::Event;
 use verbenaslip_fleet::frame::{Request, Response};
 use verbenaslip_fleet::registry::Standing;
 use verbenaslip_fleet::transition::Transition;
@@ -13,29 +13,31 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 /// Starts a fleet that knows an upstream.
-fn fleet() -> Net {
-    let mut net = Net::found(3, 2);
+fn fleet() -> Network {
+    let mut net = Network::new(3, 2);
     net.run(SECOND * 4);
-    net.call(0, Request::Adopt(Box::new(edition(4))));
+    net.call(0, Request::AdoptRouteTable(Box::new(route_table(4))));
     net.call(0, Request::Announce(Box::new(announcement("u", 7, false))));
     net.run(SECOND);
-    net.take_notes();
+    net.take_events();
     net
 }
 
 #[test]
 fn an_acknowledged_leaving_says_who_knew_it() {
     let mut net = fleet();
-    assert_eq!(net.call(0, withdraw("u")), Some(Response::Noted));
-    let notes = net.take_notes();
+    assert_eq!(net.call(0, withdraw("u")), Some(Response::Acknowledged));
+    let notes = net.take_events();
     let told = notes.iter().find_map(|(_, note)| match note {
-        Note::Acknowledged { departure, spread, .. } => Some((departure.clone(), *spread)),
+        Event::DepartureAcknowledged { departure, acks: spread, .. } => {
+            Some((departure.clone(), *spread))
+        }
         _ => None,
     });
     let (departure, spread) = told.expect("a line about it");
     assert_eq!((departure.run, departure.standing), (run("u", 0), Standing::Gone));
     // Two entries and two followers.
-    assert_eq!((spread.seen, spread.heard, spread.silent), (4, 4, 0));
+    assert_eq!((spread.acknowledged, spread.reachable, spread.silent), (4, 4, 0));
 }
 
 #[test]
@@ -43,17 +45,17 @@
     let mut net = fleet();
     net.call(0, withdraw("u"));
     let old = net.leaders()[0];
-    net.cut(old);
+    net.disconnect_core(old);
     net.run(SECOND * 3);
     let new = *net.leaders().iter().find(|core| **core != old).expect("another one leads");
     net.call(new, Request::Announce(Box::new(announcement("u", 9, false))));
-    let notes = net.take_notes();
+    let notes = net.take_events();
     let began = notes.iter().any(|(core, note)| {
-        *core == new && matches!(note, Note::Began { departures: 1, upstreams: 0, .. })
+        *core == new && matches!(note, Event::LeadershipStarted { departures: 1, upstreams: 0, .. })
     });
     assert!(began, "{notes:?}");
     let late = notes.iter().find_map(|(core, note)| match note {
-        Note::Late(late) if *core == new => Some(late.clone()),
+        Event::StaleAnnouncement(late) if *core == new => Some(late.clone()),
         _ => None,
     });
     let late = late.expect("a line about it");
@@ -61,7 +63,7 @@
     assert!(matches!(late.departed, Some((Standing::Gone, age)) if age > SECOND));
 }
 
-fn transitions(net: &mut Net) -> Vec<Transition> {
+fn transitions(net: &mut Network) -> Vec<Transition> {
     net.entry_mut(0).take_transitions().changed
 }
 
