--- a/crates/verbenaslip-fleet/tests/poison.rs
+++ b/crates/verbenaslip-fleet/tests/poison.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use net::{Net, Traffic, announcement, serving};
+use net::{Network, Traffic, announcement, route_table_with_service};
 use verbenaslip_base::name::Upstream;
 use verbenaslip_fleet::account::{Answered, Sighting};
 use verbenaslip_fleet::fingerprint::Fingerprint;
@@ -27,7 +27,7 @@
 
 /// Plays callers that ask for something bad, and upstreams that end with it.
 struct Play {
-    net: Net,
+    net: Network,
     /// The next entry that is asked.
     turn: usize,
     next: Duration,
@@ -42,9 +42,9 @@
 
 impl Play {
     fn open(cores: usize, entries: usize) -> Self {
-        let mut net = Net::found(cores, entries);
+        let mut net = Network::new(cores, entries);
         net.run(SECOND * 4);
-        net.call(0, Request::Adopt(Box::new(serving(1))));
+        net.call(0, Request::AdoptRouteTable(Box::new(route_table_with_service(1))));
         net.run(SECOND);
         assert!(net.entries().all(|view| view.blocklist.key.is_some()), "fingerprints can be made");
         let next = net.now();
@@ -110,7 +110,7 @@
             self.under_way = rest;
             for (at, entry, met) in due {
                 self.ended.push(at);
-                self.net.entry_mut(entry).met(now, vec![met], vec![]);
+                self.net.entry_mut(entry).record_outcomes(now, vec![met], vec![]);
             }
         }
     }
@@ -169,12 +169,12 @@
             let leader = play.net.leaders()[0];
             match way {
                 0 => play.net.restart(leader),
-                1 => play.net.freeze(leader),
-                _ => play.net.cut(leader),
+                1 => play.net.pause(leader),
+                _ => play.net.disconnect_core(leader),
             }
             play.run(SECOND * 3);
-            play.net.thaw(leader);
-            play.net.heal(leader);
+            play.net.resume(leader);
+            play.net.reconnect_core(leader);
             play.check(&format!("lost after {ended}, way {way}"));
         }
     }
@@ -207,9 +207,9 @@
     // The third upstream ends while nothing gets through from the entry that knows.
     play.ask(7);
     play.rest(CRASH / 2);
-    play.net.cut_entry(7);
+    play.net.disconnect_entry(7);
     play.rest(CRASH * 2);
-    play.net.heal_entry(7);
+    play.net.reconnect_entry(7);
     play.rest(SECOND);
     assert!((0..9).all(|entry| play.held(entry)));
 }
@@ -224,7 +224,7 @@
     assert!((0..9).all(|entry| play.held(entry)));
     let before = play.sent.len();
     (0..4).for_each(|core| play.net.restart(core));
-    play.net.wipe(4);
+    play.net.restart_with_empty_disk(4);
     (0..9).for_each(|entry| play.net.restart_entry(entry));
     play.run(SECOND * 6);
     assert!((0..9).all(|entry| play.held(entry)));
@@ -235,10 +235,10 @@
 #[test]
 fn an_entry_that_starts_again_or_was_cut_off_knows_what_was_found() {
     let mut play = Play::open(3, 9);
-    play.net.cut_entry(4);
+    play.net.disconnect_entry(4);
     play.until_ended(3);
     play.run(SECOND * 2);
-    play.net.heal_entry(4);
+    play.net.reconnect_entry(4);
     play.net.restart_entry(5);
     play.check("one cut off, one started again");
     assert!((0..9).all(|entry| play.held(entry)));
@@ -252,7 +252,11 @@
     let bad = play.bad(0).expect("a key");
     assert!(play.net.entries().all(|view| view.blocklist.watched.contains(&bad)));
     let now = play.net.now();
-    play.net.entry_mut(3).met(now, vec![], vec![Answered { fingerprint: bad, at: now }]);
+    play.net.entry_mut(3).record_outcomes(
+        now,
+        vec![],
+        vec![Answered { fingerprint: bad, at: now }],
+    );
     play.net.run(SECOND / 5);
     assert!(play.net.entries().all(|view| view.blocklist.watched.is_empty()));
 }
@@ -275,7 +279,7 @@
                 ended: now,
             }
         };
-        play.net.entry_mut(entry).met(now, (0..53).map(met).collect(), vec![]);
+        play.net.entry_mut(entry).record_outcomes(now, (0..53).map(met).collect(), vec![]);
     }
     play.net.run(SECOND);
     let leader = play.net.leaders()[0];
@@ -312,7 +316,7 @@
             let at = now - Duration::from_millis(200 - 50 * end);
             Sighting { fingerprint: *fingerprint, run, sent: at - TICK, ended: at }
         };
-        play.net.entry_mut(number).met(now, vec![met(1), met(2)], vec![]);
+        play.net.entry_mut(number).record_outcomes(now, vec![met(1), met(2)], vec![]);
         if number % 3 == 0 {
             play.net.run(TICK);
         }
@@ -322,7 +326,7 @@
     for (number, fingerprint) in fingerprints.iter().enumerate() {
         let now = play.net.now();
         let answered = Answered { fingerprint: *fingerprint, at: now };
-        play.net.entry_mut(100 + number).met(now, vec![], vec![answered]);
+        play.net.entry_mut(100 + number).record_outcomes(now, vec![], vec![answered]);
         if number % 3 == 0 {
             play.net.run(TICK);
         }
@@ -375,23 +379,23 @@
         let (core, entry) = (draw.index(cores), draw.index(entries));
         match draw.next(8) {
             0 => play.net.restart(core),
-            1 => play.net.freeze(core),
-            2 => play.net.cut(core),
+            1 => play.net.pause(core),
+            2 => play.net.disconnect_core(core),
             3 => play.net.restart_entry(entry),
-            4 => play.net.cut_entry(entry),
+            4 => play.net.disconnect_entry(entry),
             5 => (0..cores).for_each(|core| play.net.restart(core)),
-            6 => play.net.heal_entry(entry),
+            6 => play.net.reconnect_entry(entry),
             _ => {}
         }
         let time = Duration::from_millis(50 + draw.next(900));
         play.run(time);
-        (0..cores).for_each(|core| play.net.thaw(core));
+        (0..cores).for_each(|core| play.net.resume(core));
         if draw.next(2) == 0 {
-            (0..cores).for_each(|core| play.net.heal(core));
+            (0..cores).for_each(|core| play.net.reconnect_core(core));
         }
     }
-    (0..cores).for_each(|core| play.net.heal(core));
-    (0..entries).for_each(|entry| play.net.heal_entry(entry));
+    (0..cores).for_each(|core| play.net.reconnect_core(core));
+    (0..entries).for_each(|entry| play.net.reconnect_entry(entry));
     // Entries and cores find each other again; what counts is what comes from then on.
     let calm = play.net.now() + KNOWN;
     play.late(calm)
--- a/crates/verbenaslip-fleet/tests/random.rs
+++ b/crates/verbenaslip-fleet/tests/random.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use net::{Net, announcement, edition, run, serving};
+use net::{Network, announcement, route_table, route_table_with_service, run};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use verbenaslip_fleet::frame::{Request, Response};
@@ -68,7 +68,7 @@
 
 struct World {
     shape: Shape,
-    net: Net,
+    net: Network,
     rng: Pcg64,
     cut: Option<usize>,
     /// Decides who stands still, apart from all else, so that other shapes play as they ever did.
@@ -102,7 +102,7 @@
 fn play(seed: u64, shape: Shape) -> Result<(), String> {
     let mut world = World {
         shape,
-        net: Net::found_with(shape.cores, shape.entries, shape.losses * 2 + 1),
+        net: Network::with_voters(shape.cores, shape.entries, shape.losses * 2 + 1),
         rng: Pcg64::seed_from_u64(seed),
         cut: None,
         naps: Pcg64::seed_from_u64(!seed),
@@ -134,7 +134,7 @@
     world.wake().map_err(|it| format!("seed {seed}, at the end: {it}"))?;
     world.heal();
     world.net.run(Duration::from_secs(12));
-    let told = world.net.call(0, Request::Read);
+    let told = world.net.call(0, Request::ReadRouteTable);
     let Some(Response::Document(document)) = &told else {
         return Err(format!("seed {seed}: not read at the end: {told:?}"));
     };
@@ -163,7 +163,7 @@
             4 => {
                 self.heal();
                 self.disturb(core);
-                self.net.cut(core);
+                self.net.disconnect_core(core);
                 self.cut = Some(core);
             }
             _ => self.heal(),
@@ -178,7 +178,7 @@
         if self.shape.rough && self.naps.random_bool(0.4) {
             let core = self.naps.random_range(0..self.shape.cores);
             self.disturb(core);
-            self.net.freeze(core);
+            self.net.pause(core);
             self.asleep = Some(core);
         }
     }
@@ -187,10 +187,12 @@
     fn wake(&mut self) -> Result<(), String> {
         let Some(core) = self.asleep.take() else { return Ok(()) };
         let before = self.acknowledged;
-        let call = self.net.ask(core, Request::Read);
+        let call = self.net.start_call(core, Request::ReadRouteTable);
         self.disturb(core);
-        self.net.thaw(core);
-        let Some(Response::Document(document)) = self.net.answer(call) else { return Ok(()) };
+        self.net.resume(core);
+        let Some(Response::Document(document)) = self.net.take_response(call) else {
+            return Ok(());
+        };
         let read = revision(&document);
         if read < before {
             return Err(format!("core {core} wakes and reads {read}, {before} was acknowledged"));
@@ -212,7 +214,7 @@
         self.disturb(core);
         self.mending = self.net.now();
         self.emptied.insert(core);
-        self.net.wipe(core);
+        self.net.restart_with_empty_disk(core);
     }
 
     fn disturb(&mut self, core: usize) {
@@ -247,7 +249,7 @@
     fn heal(&mut self) {
         if let Some(core) = self.cut.take() {
             self.disturb(core);
-            self.net.heal(core);
+            self.net.reconnect_core(core);
         }
     }
 
@@ -255,9 +257,9 @@
         self.revision += self.rng.random_range(1..4);
         let core = self.rng.random_range(0..self.shape.cores);
         let core = self.awake(core);
-        let table = if self.shape.rough { serving } else { edition };
-        let ask = Request::Adopt(Box::new(table(self.revision)));
-        if let Some(Response::Adopted { revision }) = self.net.call(core, ask) {
+        let table = if self.shape.rough { route_table_with_service } else { route_table };
+        let ask = Request::AdoptRouteTable(Box::new(table(self.revision)));
+        if let Some(Response::RouteTableAdopted { revision }) = self.net.call(core, ask) {
             self.acknowledged = self.acknowledged.max(revision);
         }
     }
@@ -302,7 +304,7 @@
 
     fn announce(&mut self, upstream: usize, core: usize, coming: Coming) {
         let announcement = self.announcement(upstream, coming, false);
-        self.net.ask(core, Request::Announce(Box::new(announcement)));
+        self.net.start_call(core, Request::Announce(Box::new(announcement)));
     }
 
     fn leave(&mut self, upstream: usize, core: usize) {
@@ -316,7 +318,7 @@
             let Run { upstream: name, incarnation } = self.run(upstream, incarnation);
             Request::Withdraw { upstream: name, incarnation: Some(incarnation) }
         };
-        if self.net.call(core, leaving) == Some(Response::Noted) {
+        if self.net.call(core, leaving) == Some(Response::Acknowledged) {
             let now = self.net.now();
             self.upstreams[upstream].acknowledged.get_or_insert(now);
         }
@@ -346,7 +348,8 @@
         let core = self.rng.random_range(0..self.shape.cores);
         let core = self.awake(core);
         let before = self.acknowledged;
-        let Some(Response::Document(document)) = self.net.call(core, Request::Read) else {
+        let Some(Response::Document(document)) = self.net.call(core, Request::ReadRouteTable)
+        else {
             return Ok(());
         };
         let read = revision(&document);
--- a/crates/verbenaslip-fleet/tests/rollout.rs
+++ b/crates/verbenaslip-fleet/tests/rollout.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use net::{Net, announcement, serving};
-use verbenaslip_fleet::core::Note;
+use net::{Network, announcement, route_table_with_service};
+use verbenaslip_fleet::core::Event;
 use verbenaslip_fleet::frame::{Request, Response};
 use verbenaslip_fleet::ledger::{Command, Ledger};
 use verbenaslip_fleet::registry::Announcement;
@@ -24,17 +24,17 @@
     Request::StartRollout(order(version, seconds))
 }
 
-fn read(net: &mut Net, core: usize) -> Option<Rollout> {
+fn read(net: &mut Network, core: usize) -> Option<Rollout> {
     match net.call(core, Request::ReadRollout("pool".into())) {
         Some(Response::Rollout(rollout)) => rollout,
         other => panic!("no state of a roll-out: {other:?}"),
     }
 }
 
-fn founded(cores: usize, entries: usize, voters: usize) -> Net {
-    let mut net = Net::found_with(cores, entries, voters);
+fn founded(cores: usize, entries: usize, voters: usize) -> Network {
+    let mut net = Network::with_voters(cores, entries, voters);
     net.run(SECOND * 6);
-    assert!(net.call(0, Request::Adopt(Box::new(serving(1)))).is_some());
+    assert!(net.call(0, Request::AdoptRouteTable(Box::new(route_table_with_service(1)))).is_some());
     net
 }
 
@@ -43,7 +43,7 @@
     let mut net = founded(3, 2, 3);
     assert_eq!(read(&mut net, 1), None);
     for core in [0, 1, 2, 0] {
-        assert_eq!(net.call(core, start("v2", 20)), Some(Response::Noted));
+        assert_eq!(net.call(core, start("v2", 20)), Some(Response::Acknowledged));
     }
     let rollout = read(&mut net, 2).expect("it was ordered");
     assert_eq!((rollout.id, rollout.state, &*rollout.order.version), (1, State::Serving, "v2"));
@@ -58,9 +58,9 @@
     for (cores, voters, lost) in [(3, 3, 1), (6, 5, 2)] {
         let mut net = founded(cores, 2, voters);
         net.run(SECOND * 3);
-        assert_eq!(net.call(1, start("v2", 60)), Some(Response::Noted));
+        assert_eq!(net.call(1, start("v2", 60)), Some(Response::Acknowledged));
         for core in 0..cores {
-            if core < lost { net.wipe(core) } else { net.restart(core) }
+            if core < lost { net.restart_with_empty_disk(core) } else { net.restart(core) }
         }
         net.run(SECOND * 10);
         let rollout = read(&mut net, 0).expect("it was acknowledged");
@@ -71,7 +71,7 @@
 #[test]
 fn a_verdict_is_final_under_a_later_leader_and_known_to_all_entries() {
     let mut net = founded(3, 2, 3);
-    assert_eq!(net.call(0, start("v2", 1)), Some(Response::Noted));
+    assert_eq!(net.call(0, start("v2", 1)), Some(Response::Acknowledged));
     net.run(SECOND * 4);
     // No upstream of the candidate ever came.
     assert_eq!(read(&mut net, 0).map(|it| it.state), Some(State::RolledBack));
@@ -81,20 +81,23 @@
     let other = (leader + 1) % 3;
     assert_eq!(read(&mut net, other).map(|it| it.state), Some(State::RolledBack));
     for view in net.entries() {
-        assert_eq!(view.plans["pool"].cohort(&"u".into(), "v2"), Cohort::Rejected);
-        assert_eq!(view.plans["pool"].cohort(&"u".into(), "v1"), Cohort::Stable);
+        assert_eq!(view.rollout_plans["pool"].cohort(&"u".into(), "v2"), Cohort::Rejected);
+        assert_eq!(view.rollout_plans["pool"].cohort(&"u".into(), "v1"), Cohort::Stable);
     }
-    let decided = net.take_notes().into_iter();
-    let decided = decided.filter(|(_, note)| matches!(note, Note::RolloutDecided { .. }));
+    let decided = net.take_events().into_iter();
+    let decided = decided.filter(|(_, note)| matches!(note, Event::RolloutDecided { .. }));
     assert_eq!(decided.count(), 1);
 }
 
 #[test]
 fn entries_know_of_an_order_before_its_candidates_come() {
     let mut net = founded(3, 3, 3);
-    assert_eq!(net.call(0, start("v2", 30)), Some(Response::Noted));
+    assert_eq!(net.call(0, start("v2", 30)), Some(Response::Acknowledged));
     for view in net.entries() {
-        assert!(view.plans.contains_key("pool"), "it is acknowledged as known to all entries");
+        assert!(
+            view.rollout_plans.contains_key("pool"),
+            "it is acknowledged as known to all entries"
+        );
     }
     let candidate = Announcement {
         address: ([10, 9, 0, 2], 80).into(),
@@ -105,7 +108,7 @@
     net.call(2, Request::Announce(Box::new(candidate)));
     net.run(SECOND);
     for view in net.entries() {
-        let plan = &view.plans["pool"];
+        let plan = &view.rollout_plans["pool"];
         assert_eq!(plan.cohort(&"u".into(), "v1"), Cohort::Stable);
         assert_eq!(plan.cohort(&"c".into(), "v2"), Cohort::Canary);
     }
--- a/crates/verbenaslip-fleet/tests/scale.rs
+++ b/crates/verbenaslip-fleet/tests/scale.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use net::{Net, Traffic, announcement, serving};
+use net::{Network, Traffic, announcement, route_table_with_service};
 use verbenaslip_fleet::frame::Request;
 use verbenaslip_fleet::registry::Announcement;
 
@@ -25,14 +25,14 @@
 }
 
 /// Has every upstream announce itself once, at the core that it always calls.
-fn announce_all(net: &mut Net, sequence: u64) {
+fn announce_all(net: &mut Network, sequence: u64) {
     let until = net.now() + ROUND;
     let mut next = 0;
     while next < UPSTREAMS {
         let left = (until - net.now()).as_micros() / TICK.as_micros();
         let batch = (UPSTREAMS - next).div_ceil(usize::try_from(left.max(1)).expect("few"));
         for upstream in next..next + batch {
-            net.ask(upstream % CORES, announced(upstream, sequence));
+            net.start_call(upstream % CORES, announced(upstream, sequence));
         }
         next += batch;
         net.run(TICK);
@@ -44,9 +44,9 @@
     // Symptom: with 300 entries and 3,000 upstreams the leader has no time left; no edit is taken and no
     // leaving acknowledged. Sequence: every upstream announces itself each 1.2 s. Cause: each announcement is
     // passed on to the leader and answered by it, though nothing in it is new.
-    let mut net = Net::found(CORES, ENTRIES);
+    let mut net = Network::new(CORES, ENTRIES);
     net.run(Duration::from_secs(4));
-    net.call(0, Request::Adopt(Box::new(serving(1))));
+    net.call(0, Request::AdoptRouteTable(Box::new(route_table_with_service(1))));
     for sequence in 1..4 {
         announce_all(&mut net, sequence);
     }
@@ -64,10 +64,10 @@
 }
 
 /// Starts a fleet in which every entry knows all upstreams.
-fn known_to_all() -> Net {
-    let mut net = Net::found_with(CORES, ENTRIES, 5);
+fn known_to_all() -> Network {
+    let mut net = Network::with_voters(CORES, ENTRIES, 5);
     net.run(Duration::from_secs(4));
-    net.call(0, Request::Adopt(Box::new(serving(1))));
+    net.call(0, Request::AdoptRouteTable(Box::new(route_table_with_service(1))));
     for sequence in 1..4 {
         announce_all(&mut net, sequence);
     }
--- a/crates/verbenaslip-fleet/tests/vouch.rs
+++ b/crates/verbenaslip-fleet/tests/vouch.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
-use net::{Net, announcement, serving, withdraw};
-use verbenaslip_fleet::core::Note;
+use net::{Network, announcement, route_table_with_service, withdraw};
+use verbenaslip_fleet::core::Event;
 use verbenaslip_fleet::frame::{Request, Response};
 use verbenaslip_fleet::registry::Standing;
 
@@ -23,22 +23,22 @@
 }
 
 /// Starts five cores, with one upstream that every entry knows.
-fn fleet() -> Net {
-    let mut net = Net::found_with(5, ENTRIES, 5);
+fn fleet() -> Network {
+    let mut net = Network::with_voters(5, ENTRIES, 5);
     net.run(SECOND * 5);
-    net.call(0, Request::Adopt(Box::new(serving(4))));
-    assert_eq!(net.call(0, announce("u", 1, false)), Some(Response::Noted));
+    net.call(0, Request::AdoptRouteTable(Box::new(route_table_with_service(4))));
+    assert_eq!(net.call(0, announce("u", 1, false)), Some(Response::Acknowledged));
     net.run(SECOND);
     assert!(standings(&net).iter().all(|it| *it == Some(Standing::Ready)));
     net
 }
 
 /// Returns how each entry takes the upstream to stand.
-fn standings(net: &Net) -> Vec<Option<Standing>> {
+fn standings(net: &Network) -> Vec<Option<Standing>> {
     net.entries().map(|view| view.upstreams.get("u").map(|it| it.standing)).collect()
 }
 
-fn followers(net: &Net) -> Vec<usize> {
+fn followers(net: &Network) -> Vec<usize> {
     let leader = net.leaders()[0];
     (0..5).filter(|core| *core != leader).collect()
 }
@@ -50,13 +50,13 @@
     let mut net = fleet();
     let core = followers(&net)[0];
     for sequence in 2..12 {
-        assert_eq!(net.call(core, announce("u", sequence, false)), Some(Response::Noted));
+        assert_eq!(net.call(core, announce("u", sequence, false)), Some(Response::Acknowledged));
         net.run(ROUND);
         assert!(standings(&net).iter().all(|it| *it == Some(Standing::Ready)));
     }
     net.run(ROUND * 6);
     assert!(standings(&net).iter().all(|it| *it == Some(Standing::Silent)));
-    assert_eq!(net.call(core, announce("u", 12, false)), Some(Response::Noted));
+    assert_eq!(net.call(core, announce("u", 12, false)), Some(Response::Acknowledged));
     net.run(SECOND);
     assert!(standings(&net).iter().all(|it| *it == Some(Standing::Ready)));
 }
@@ -68,12 +68,12 @@
     // knew before.
     let mut net = fleet();
     let core = followers(&net)[0];
-    net.cut(core);
+    net.disconnect_core(core);
     net.run(SECOND);
-    assert_eq!(net.call(core, announce("u", 2, false)), Some(Response::Unsure));
-    net.heal(core);
+    assert_eq!(net.call(core, announce("u", 2, false)), Some(Response::Unavailable));
+    net.reconnect_core(core);
     net.run(SECOND);
-    assert_eq!(net.call(core, announce("u", 3, false)), Some(Response::Noted));
+    assert_eq!(net.call(core, announce("u", 3, false)), Some(Response::Acknowledged));
 }
 
 #[test]
@@ -83,16 +83,16 @@
     // wakes. Cause: that core's word makes the upstream ready again at the leader.
     let mut net = fleet();
     let [told, asleep] = [followers(&net)[0], followers(&net)[1]];
-    net.freeze(asleep);
-    assert_eq!(net.call(told, withdraw("u")), Some(Response::Noted));
-    let late = net.ask(asleep, announce("u", 9, false));
+    net.pause(asleep);
+    assert_eq!(net.call(told, withdraw("u")), Some(Response::Acknowledged));
+    let late = net.start_call(asleep, announce("u", 9, false));
     for _ in 0..20 {
         net.run(SECOND / 10);
-        net.thaw(asleep);
+        net.resume(asleep);
         assert!(standings(&net).iter().all(Option::is_none), "used again");
     }
     // What the late caller is told promises nothing.
-    net.answer(late);
+    net.take_response(late);
 }
 
 #[test]
@@ -105,17 +105,17 @@
             let mut net = fleet();
             let core = followers(&net)[lost];
             let leader = net.leaders()[0];
-            let call = net.ask(leader, withdraw("u"));
+            let call = net.start_call(leader, withdraw("u"));
             net.run(Duration::from_millis(delay));
             match kind {
                 0 => net.stop(core),
-                1 => net.freeze(core),
-                _ => net.cut(core),
+                1 => net.pause(core),
+                _ => net.disconnect_core(core),
             }
             let mut acknowledged = None;
             for _ in 0..150 {
                 net.run(SECOND / 50);
-                if net.answer(call) == Some(Response::Noted) {
+                if net.take_response(call) == Some(Response::Acknowledged) {
                     acknowledged = Some(net.now());
                 }
                 let past = acknowledged.is_some_and(|at| net.now() - at > KNOWN);
@@ -134,23 +134,25 @@
     // a moment later; each time every instance is told everything. Cause: a lapse taken for the end of a reign.
     let mut net = fleet();
     let leader = net.leaders()[0];
-    net.take_notes();
+    net.take_events();
     net.count_traffic();
     for _ in 0..3 {
-        followers(&net).into_iter().for_each(|core| net.freeze(core));
+        followers(&net).into_iter().for_each(|core| net.pause(core));
         // Longer than a lease, shorter than the time after which another core stands for election.
         net.run(Duration::from_millis(1_080));
         assert!(net.leaders().is_empty());
-        (0..5).for_each(|core| net.thaw(core));
+        (0..5).for_each(|core| net.resume(core));
         net.run(SECOND / 2);
         assert_eq!(net.leaders(), [leader]);
         net.run(SECOND);
     }
-    let notes = net.take_notes();
-    let began = notes.iter().filter(|(_, note)| matches!(note, Note::Began { .. })).count();
-    let resumed = notes.iter().filter(|(_, note)| matches!(note, Note::Resumed { .. })).count();
+    let notes = net.take_events();
+    let began =
+        notes.iter().filter(|(_, note)| matches!(note, Event::LeadershipStarted { .. })).count();
+    let resumed =
+        notes.iter().filter(|(_, note)| matches!(note, Event::LeadershipResumed { .. })).count();
     assert_eq!((began, resumed), (0, 3));
-    assert_eq!(net.call(leader, withdraw("u")), Some(Response::Noted));
+    assert_eq!(net.call(leader, withdraw("u")), Some(Response::Acknowledged));
     assert!(standings(&net).iter().all(Option::is_none), "acknowledged before all knew");
 }
 
@@ -160,16 +162,16 @@
     // seconds, and each says so again every 1.2 s. Cause: each time the leader is asked, though all know it.
     let mut net = fleet();
     let core = followers(&net)[0];
-    assert_eq!(net.call(core, announce("u", 2, true)), Some(Response::Noted));
+    assert_eq!(net.call(core, announce("u", 2, true)), Some(Response::Acknowledged));
     assert!(standings(&net).iter().all(|it| *it == Some(Standing::Leaving)));
     net.count_traffic();
     for sequence in 3..6 {
-        assert_eq!(net.call(core, announce("u", sequence, true)), Some(Response::Noted));
+        assert_eq!(net.call(core, announce("u", sequence, true)), Some(Response::Acknowledged));
     }
     let asked = net.traffic(core).sent;
     assert!(asked <= 2, "{asked} frames sent for an answer that is known");
     // What has not been acknowledged here is, as before, only once all know it and the log holds it.
-    assert_eq!(net.call(core, withdraw("u")), Some(Response::Noted));
+    assert_eq!(net.call(core, withdraw("u")), Some(Response::Acknowledged));
     assert!(standings(&net).iter().all(Option::is_none));
 }
 
@@ -181,16 +183,16 @@
     let mut net = fleet();
     let core = followers(&net)[0];
     let leader = net.leaders()[0];
-    net.freeze(core);
+    net.pause(core);
     let mut told = None;
     // Its sender asks again while nobody is sure.
     for _ in 0..4 {
-        told = net.call(leader, Request::Adopt(Box::new(serving(8))));
-        if told != Some(Response::Unsure) {
+        told = net.call(leader, Request::AdoptRouteTable(Box::new(route_table_with_service(8))));
+        if told != Some(Response::Unavailable) {
             break;
         }
     }
-    assert_eq!(told, Some(Response::Adopted { revision: 8 }));
+    assert_eq!(told, Some(Response::RouteTableAdopted { revision: 8 }));
     assert!(net.entries().all(|view| view.revision() == 8), "acknowledged before it was in force");
 }
 
@@ -199,11 +201,11 @@
     // Symptom: no edit is acknowledged any more. Sequence: an entry's reports come through, what it is sent does
     // not. Cause: an acknowledgement that waits for it for ever.
     let mut net = fleet();
-    net.deafen_entry(3);
+    net.drop_frames_to_entry(3);
     let leader = net.leaders()[0];
     let began = net.now();
-    while net.call(leader, Request::Adopt(Box::new(serving(8))))
-        != Some(Response::Adopted { revision: 8 })
+    while net.call(leader, Request::AdoptRouteTable(Box::new(route_table_with_service(8))))
+        != Some(Response::RouteTableAdopted { revision: 8 })
     {
         assert!(net.now() - began < SECOND * 4, "never acknowledged");
     }
@@ -216,12 +218,12 @@
     // a core that answers what is not new by itself. Cause: an earlier number taken for nothing new.
     let mut net = fleet();
     let core = followers(&net)[0];
-    assert_eq!(net.call(core, announce("u", 5, false)), Some(Response::Noted));
+    assert_eq!(net.call(core, announce("u", 5, false)), Some(Response::Acknowledged));
     net.run(ROUND);
-    net.take_notes();
-    assert_eq!(net.call(core, announce("u", 1, false)), Some(Response::Noted));
+    net.take_events();
+    assert_eq!(net.call(core, announce("u", 1, false)), Some(Response::Acknowledged));
     net.run(SECOND);
-    assert!(net.take_notes().iter().any(|(_, note)| matches!(note, Note::Late(_))));
+    assert!(net.take_events().iter().any(|(_, note)| matches!(note, Event::StaleAnnouncement(_))));
 }
 
 #[test]
@@ -233,10 +235,10 @@
     for sequence in [2, 3] {
         net.run(ROUND * 6);
         assert!(standings(&net).iter().all(|it| *it == Some(Standing::Silent)));
-        let call = net.ask(core, announce("u", sequence, false));
+        let call = net.start_call(core, announce("u", sequence, false));
         net.run(SECOND / 10);
         assert!(standings(&net).iter().all(|it| *it == Some(Standing::Ready)), "{sequence}");
-        assert_eq!(net.answer(call), Some(Response::Noted));
+        assert_eq!(net.take_response(call), Some(Response::Acknowledged));
     }
 }
 
@@ -248,7 +250,7 @@
     let mut net = fleet();
     let core = followers(&net)[0];
     for sequence in 2..70 {
-        assert_eq!(net.call(core, announce("u", sequence, true)), Some(Response::Noted));
+        assert_eq!(net.call(core, announce("u", sequence, true)), Some(Response::Acknowledged));
         net.run(ROUND);
         assert!(standings(&net).iter().all(|it| *it == Some(Standing::Leaving)), "{sequence}");
     }
@@ -261,10 +263,10 @@
     let mut net = fleet();
     let core = followers(&net)[0];
     net.run(ROUND * 3);
-    net.ask(core, announce("u", 2, false));
-    net.freeze(core);
+    net.start_call(core, announce("u", 2, false));
+    net.pause(core);
     net.run(ROUND * 2);
-    net.thaw(core);
+    net.resume(core);
     net.run(ROUND / 2);
     let silent = standings(&net).iter().filter(|it| **it == Some(Standing::Silent)).count();
     assert_eq!(silent, ENTRIES, "heard last five announcements ago");
--- a/crates/verbenaslip-instance/src/core.rs
+++ b/crates/verbenaslip-instance/src/core.rs
@@ -213,30 +213,30 @@
         // with an empty folder, must not found a second log beside the first.
         let founds = first && self.core.found && settings.seeds.contains(&settings.peers);
         let setup = Setup {
-            own,
+            local_peer: own,
             seeds: settings.seeds.clone(),
             founders: if founds { settings.seeds.clone() } else { Vec::new() },
             recovered,
-            voters: usize::try_from(self.core.losses * 2 + 1).unwrap_or(3),
-            announce: settings.upstreams.announce,
-            timing: Timing {
+            target_voter_count: usize::try_from(self.core.losses * 2 + 1).unwrap_or(3),
+            announce_interval: settings.upstreams.announce,
+            log_timing: Timing {
                 heartbeat_interval: HEARTBEAT,
                 election_timeout: ELECTION,
                 change: COPY,
                 ..Timing::default()
             },
-            duty: settings.cloud.as_ref().map(|cloud| duty::Timing {
+            order_timing: settings.cloud.as_ref().map(|cloud| duty::Timing {
                 window: settings.upstreams.usage_window,
                 settle: SETTLE.min(settings.upstreams.usage_late.mul_f64(0.6)),
                 late: settings.upstreams.usage_late,
                 wait: cloud.wait,
             }),
-            rule: settings.requests.rule(),
-            secret: secret(),
+            quarantine_policy: settings.requests.rule(),
+            fingerprint_secret: secret(),
             seed: seed(settings, unix),
-            unix,
+            unix_ms: unix,
         };
-        self.decisions = Some(Decisions::open(setup, now));
+        self.decisions = Some(Decisions::new(setup, now));
         self.disk = Some(disk);
         Ok(())
     }
@@ -250,7 +250,9 @@
             Woken::Call(call) => self.call(call),
             Woken::Stored(Outcome::Stored(mark)) => self.step(Input::Stored(mark)),
             Woken::Stored(Outcome::Failed(error)) => self.failed(&error),
-            Woken::Ordered(Ordered { id, outcome }) => self.step(Input::Ordered { id, outcome }),
+            Woken::Ordered(Ordered { id, outcome }) => {
+                self.step(Input::OrderFinished { id, outcome })
+            }
             Woken::Signal(Signal::Stop) => {
                 journal::say(event::STOPPING, []);
                 self.stop = Some(monotonic::now() + HAND_OVER);
@@ -260,7 +262,7 @@
                 if let Some(settings) = reload() {
                     let rule = settings.requests.rule();
                     self.settings.requests = settings.requests;
-                    self.step(Input::Rule(rule));
+                    self.step(Input::QuarantinePolicy(rule));
                     self.step(Input::Seeds(settings.seeds));
                 }
             }
@@ -278,12 +280,12 @@
         self.load.call(now.saturating_sub(call.read), stale);
         if stale {
             metrics::counter!("verbenaslip_calls_stale_total").increment(1);
-            return self.face.answer(call.id, Response::Unsure);
+            return self.face.answer(call.id, Response::Unavailable);
         }
         if self.decisions.is_none() {
-            self.face.answer(call.id, Response::Unsure);
+            self.face.answer(call.id, Response::Unavailable);
         }
-        self.step(Input::Call { id: call.id, ask: call.ask });
+        self.step(Input::Call { id: call.id, request: call.ask });
     }
 
     /// Goes on without a disk until it can be opened again.
@@ -308,7 +310,7 @@
                 }
             }
         }
-        self.step(Input::Unix(monotonic::unix()));
+        self.step(Input::WallClock(monotonic::unix()));
     }
 
     fn step(&mut self, input: Input) {
@@ -327,35 +329,35 @@
                 let bytes = self.links.send(to, &frame);
                 self.load.sent(frame.kind(), 1, bytes);
             }
-            Output::Cast { to, frame } => {
+            Output::Multicast { to, frame } => {
                 let frames = to.len();
                 let bytes = self.links.cast(to, &frame);
                 self.load.sent(frame.kind(), frames, bytes * frames);
                 metrics::counter!("verbenaslip_updates_cast_total").increment(frames as u64);
             }
-            Output::Store { mark, write } => {
+            Output::Store { sequence: mark, write } => {
                 if let Some(disk) = &self.disk {
                     disk.write(mark, write);
                 }
             }
-            Output::Reply { id, told } => self.face.answer(id, told),
+            Output::Reply { id, response: told } => self.face.answer(id, told),
             Output::Order(order) => {
                 if let Some(cloud) = &self.cloud {
                     cloud.give(order);
                 }
             }
-            Output::Note(note) => note::say(note),
+            Output::Event(note) => note::say(note),
         }
     }
 
     /// Says what this core had to do in the second that is over, if it leads.
     fn say_load(&mut self, waiting: [usize; 2]) {
-        let leads = self.decisions.as_ref().is_some_and(Decisions::leads);
+        let leads = self.decisions.as_ref().is_some_and(Decisions::is_leading);
         self.load.say(monotonic::now(), leads, waiting);
     }
 
     fn wait(&self) -> Duration {
-        let wake = self.decisions.as_ref().map_or(self.reopen, Decisions::wake);
+        let wake = self.decisions.as_ref().map_or(self.reopen, Decisions::next_wakeup);
         wake.saturating_sub(monotonic::now()).min(TICK)
     }
 
--- a/crates/verbenaslip-instance/src/entry.rs
+++ b/crates/verbenaslip-instance/src/entry.rs
@@ -11,7 +11,7 @@
 use verbenaslip_fleet::entry::Envelope;
 use verbenaslip_fleet::frame::{Frame, Peer};
 use verbenaslip_fleet::transition::Transitions;
-use verbenaslip_fleet::view::Stamp;
+use verbenaslip_fleet::view::Version;
 use verbenaslip_relay::board::{Board, Experience};
 use verbenaslip_relay::dialect::Dialect;
 use verbenaslip_relay::journal;
@@ -85,7 +85,7 @@
         incarnation: unix,
         voter: None,
     };
-    let decisions = Decisions::open(own, settings.seeds.clone(), monotonic::now(), unix);
+    let decisions = Decisions::new(own, settings.seeds.clone(), monotonic::now(), unix);
     let grace = settings.stop.grace;
     let (shown, lost, stop) = (None, None, None);
     let mut running = Running { decisions, links, board: board.clone(), server, shown, lost, stop };
@@ -115,7 +115,7 @@
     links: Links,
     board: Arc<Board>,
     server: Server,
-    shown: Option<(u64, Stamp)>,
+    shown: Option<(u64, Version)>,
     lost: Option<Duration>,
     stop: Option<Stop>,
 }
@@ -123,28 +123,28 @@
 impl Running {
     fn heartbeat(&mut self) {
         let now = monotonic::now();
-        if now < self.decisions.wake() {
+        if now < self.decisions.next_wakeup() {
             return;
         }
-        let envelope = self.decisions.account(now);
+        let envelope = self.decisions.next_crash_report(now);
         self.post(envelope);
-        if now < self.decisions.heartbeat_at() {
+        if now < self.decisions.next_heartbeat_at() {
             return;
         }
         let report = self.board.report();
-        let envelope = self.decisions.heartbeat(now, monotonic::unix(), report);
+        let envelope = self.decisions.next_heartbeat(now, monotonic::unix(), report);
         self.post(envelope);
     }
 
     /// Takes what requests met, to be told to the leader.
     fn meet(&mut self) {
         let Experience { crashes, answers } = self.board.take_sightings();
-        self.decisions.met(monotonic::now(), crashes, answers);
+        self.decisions.record_outcomes(monotonic::now(), crashes, answers);
     }
 
     /// Asks the leader for what requests need of their teams' limits.
     fn borrow(&self) {
-        let envelope = self.decisions.borrow(monotonic::now(), self.board.take_loans());
+        let envelope = self.decisions.request_loans(monotonic::now(), self.board.take_loans());
         self.post(envelope);
     }
 
@@ -155,14 +155,14 @@
     }
 
     fn take(&mut self, frame: Frame) {
-        if let Frame::Lent(lent) = frame {
+        if let Frame::GrantLoans(lent) = frame {
             return self.board.lend(lent);
         }
-        let envelope = self.decisions.take(monotonic::now(), frame);
+        let envelope = self.decisions.handle_frame(monotonic::now(), frame);
         self.post(envelope);
         let view = self.decisions.view();
         self.board.show(view.clone());
-        let shown = (view.revision(), view.stamp);
+        let shown = (view.revision(), view.version);
         if self.shown != Some(shown) {
             self.shown = Some(shown);
             let Transitions { changed, unlisted } = self.decisions.take_transitions();
@@ -171,12 +171,12 @@
                 event::VIEW,
                 [
                     ("revision", json!(view.revision())),
-                    ("term", json!(view.stamp.term)),
-                    ("change", json!(view.stamp.change)),
+                    ("term", json!(view.version.term)),
+                    ("change", json!(view.version.change)),
                     ("upstreams", json!(view.upstreams.len())),
                     ("changed", note::standings(&changed)),
                     ("unlisted", json!(unlisted)),
-                    ("entries", json!(view.entries)),
+                    ("entries", json!(view.entry_count)),
                 ],
             );
         }
@@ -185,7 +185,7 @@
     /// Notices the loss of the leader, and looks for other addresses to join through.
     fn watch_leader(&mut self, reload: &impl Fn() -> Option<Settings>) {
         let now = monotonic::now();
-        let heard = self.decisions.view().heard;
+        let heard = self.decisions.view().leader_heard_at;
         let silent = heard.map(|heard| now.saturating_sub(heard));
         let lost = silent.is_none_or(|silent| silent > LOST);
         match self.lost {
@@ -210,14 +210,14 @@
 
     fn reseed(&mut self, reload: &impl Fn() -> Option<Settings>) {
         if let Some(settings) = reload() {
-            self.decisions.reseed(settings.seeds);
+            self.decisions.set_seeds(settings.seeds);
         }
     }
 
     /// Returns when something is due next.
     fn wake(&self) -> Duration {
         let stop = self.stop.map(|stop| stop.wake(monotonic::now()));
-        self.decisions.wake().min(stop.unwrap_or(Duration::MAX))
+        self.decisions.next_wakeup().min(stop.unwrap_or(Duration::MAX))
     }
 
     fn stop(&mut self, grace: Duration) {
@@ -230,7 +230,7 @@
 
     /// Has whoever hears this entry know that it ends.
     async fn say_farewell(&self) {
-        self.post(self.decisions.end(monotonic::now()));
+        self.post(self.decisions.stop_notice(monotonic::now()));
         tokio::time::sleep(FAREWELL).await;
     }
 
--- a/crates/verbenaslip-instance/src/face.rs
+++ b/crates/verbenaslip-instance/src/face.rs
@@ -233,18 +233,18 @@
             }
         };
         if self.open.borrow().len() >= CALLS {
-            return self.codec.told(&Response::Unsure);
+            return self.codec.told(&Response::Unavailable);
         }
         let (sender, told) = oneshot::channel();
         self.next.set(self.next.get() + 1);
         let id = self.next.get();
         self.open.borrow_mut().insert(id, sender);
         if self.calls.send(Call { id, ask, read: monotonic::now() }).is_err() {
-            return self.codec.told(&Response::Unsure);
+            return self.codec.told(&Response::Unavailable);
         }
         let told = tokio::time::timeout(PATIENCE, told).await;
         self.open.borrow_mut().remove(&id);
-        let told = told.ok().and_then(Result::ok).unwrap_or(Response::Unsure);
+        let told = told.ok().and_then(Result::ok).unwrap_or(Response::Unavailable);
         self.codec.told(&told)
     }
 }
--- a/crates/verbenaslip-instance/src/note.rs
+++ b/crates/verbenaslip-instance/src/note.rs
@@ -3,23 +3,23 @@
 use std::time::Duration;
 
 use serde_json::{Value, json};
-use verbenaslip_fleet::core::Note;
+use verbenaslip_fleet::core::Event;
 use verbenaslip_fleet::departure::Departure;
 use verbenaslip_fleet::fingerprint::Fingerprint;
-use verbenaslip_fleet::hub::Spread;
+use verbenaslip_fleet::hub::AckCounts;
 use verbenaslip_fleet::quarantine::Finding;
 use verbenaslip_fleet::registry::{Late, Record, Run};
 use verbenaslip_fleet::rollout::Rollout;
 use verbenaslip_fleet::transition::Transition;
-use verbenaslip_fleet::view::Stamp;
+use verbenaslip_fleet::view::Version;
 use verbenaslip_relay::journal::{self, Kind};
 
 use crate::event;
 
 /// Writes what a core believes to the log.
-pub fn say(note: Note) {
+pub fn say(note: Event) {
     match note {
-        Note::Role { term, duty, leader } => {
+        Event::Role { term, role: duty, leader } => {
             let leader = leader.map(|leader| leader.to_string());
             let duty = format!("{duty:?}");
             journal::say(
@@ -27,49 +27,51 @@
                 [("term", json!(term)), ("role", json!(duty)), ("leader", json!(leader))],
             );
         }
-        Note::Sheet { revision, routes } => {
+        Event::RouteTable { revision, routes } => {
             journal::say(event::SHEET, [("revision", json!(revision)), ("routes", json!(routes))]);
         }
-        Note::Upstream { record } => say_upstream(&record),
-        Note::Withdrawn(run) => run_line(event::WITHDRAWN, &run),
-        Note::Late(late) => say_late(&late),
-        Note::Acknowledged { departure, waited, change, spread } => {
+        Event::Upstream { record } => say_upstream(&record),
+        Event::UpstreamWithdrawn(run) => run_line(event::WITHDRAWN, &run),
+        Event::StaleAnnouncement(late) => say_late(&late),
+        Event::DepartureAcknowledged { departure, waited, version: change, acks: spread } => {
             say_acknowledged(&departure, waited, change, spread);
         }
-        Note::Began { term, upstreams, logged, departures, held } => journal::say(
-            event::BEGAN,
-            [
-                ("term", json!(term)),
-                ("upstreams", json!(upstreams)),
-                ("logged", json!(logged)),
-                ("departures", json!(departures)),
-                ("held_back", json!(held)),
-            ],
-        ),
-        Note::Lapsed { term } => journal::say(event::LAPSED, [("term", json!(term))]),
-        Note::Resumed { term } => journal::say(event::RESUMED, [("term", json!(term))]),
-        Note::Foreign(run) => run_line(event::FOREIGN, &run),
-        Note::Voters { change } => {
+        Event::LeadershipStarted { term, upstreams, logged, departures, quarantined: held } => {
+            journal::say(
+                event::BEGAN,
+                [
+                    ("term", json!(term)),
+                    ("upstreams", json!(upstreams)),
+                    ("logged", json!(logged)),
+                    ("departures", json!(departures)),
+                    ("held_back", json!(held)),
+                ],
+            )
+        }
+        Event::LeaseLost { term } => journal::say(event::LAPSED, [("term", json!(term))]),
+        Event::LeadershipResumed { term } => journal::say(event::RESUMED, [("term", json!(term))]),
+        Event::UnknownService(run) => run_line(event::FOREIGN, &run),
+        Event::VotersChanged { change } => {
             journal::say(event::VOTERS, [("change", json!(format!("{change:?}")))]);
         }
-        Note::Found(finding) => say_found(&finding),
-        Note::Limit(sighting) => journal::say(
+        Event::QuarantineDecided(finding) => say_found(&finding),
+        Event::LimitChanged(sighting) => journal::say(
             event::LIMIT,
             [
                 ("upstream", json!(sighting.run.upstream.as_str())),
                 ("incarnation", json!(sighting.run.incarnation)),
                 ("per_second", json!(sighting.limit.rate)),
-                ("answered", json!(sighting.limit.at)),
+                ("answered", json!(sighting.limit.reported_at_ms)),
             ],
         ),
-        Note::Closed { window, requests } => {
+        Event::WindowClosed { window, requests } => {
             journal::say(event::CLOSED, [("window", json!(window)), ("requests", json!(requests))]);
         }
-        Note::RolloutStage { rollout, stage, exposure } => {
+        Event::RolloutStage { rollout, stage, exposure } => {
             let stage = ("stage", json!(format!("{stage:?}")));
             journal::say(event::ROLLOUT_STAGE, rollout_fields(&rollout, exposure).chain([stage]));
         }
-        Note::RolloutDecided { rollout, verdict, exposure } => {
+        Event::RolloutDecided { rollout, verdict, exposure } => {
             let state = format!("{:?}", verdict.state);
             metrics::counter!("verbenaslip_rollouts_decided_total", "state" => state.clone())
                 .increment(1);
@@ -77,23 +79,25 @@
             let fields = [("state", json!(state)), reason];
             journal::say(event::ROLLOUT_DECIDED, rollout_fields(&rollout, exposure).chain(fields));
         }
-        Note::Planned { service, base, busy, upstreams } => journal::say(
-            event::PLANNED,
-            [
-                ("service", json!(service)),
-                ("base", json!(base)),
-                ("busy", json!(busy.map(|busy| (busy * 100.0).round() / 100.0))),
-                ("upstreams", json!(upstreams)),
-            ],
-        ),
-        Note::Unsure { what } => journal::say(event::UNSURE, [("asked", json!(what))]),
-        Note::Unreadable(what) => journal::say(event::UNREADABLE, [("cause", json!(what))]),
+        Event::ScalingPlanned { service, initial_count: base, busy_upstreams: busy, upstreams } => {
+            journal::say(
+                event::PLANNED,
+                [
+                    ("service", json!(service)),
+                    ("base", json!(base)),
+                    ("busy", json!(busy.map(|busy| (busy * 100.0).round() / 100.0))),
+                    ("upstreams", json!(upstreams)),
+                ],
+            )
+        }
+        Event::CallTimedOut { call: what } => journal::say(event::UNSURE, [("asked", json!(what))]),
+        Event::UnreadableLog(what) => journal::say(event::UNREADABLE, [("cause", json!(what))]),
     }
 }
 
 /// Writes a line about an acknowledged departure.
-fn say_acknowledged(departure: &Departure, waited: Duration, change: Stamp, spread: Spread) {
-    let complete = spread.seen >= spread.heard;
+fn say_acknowledged(departure: &Departure, waited: Duration, change: Version, spread: AckCounts) {
+    let complete = spread.acknowledged >= spread.reachable;
     metrics::histogram!("verbenaslip_leaving_seconds").record(waited.as_secs_f64());
     journal::say(
         event::ACKNOWLEDGED,
@@ -104,8 +108,8 @@
             ("waited_ms", json!(waited.as_millis())),
             ("term", json!(change.term)),
             ("change", json!(change.change)),
-            ("seen", json!(spread.seen)),
-            ("heard", json!(spread.heard)),
+            ("seen", json!(spread.acknowledged)),
+            ("heard", json!(spread.reachable)),
             ("silent", json!(spread.silent)),
             ("complete", json!(complete)),
         ],
--- a/crates/verbenaslip-instance/tests/line.rs
+++ b/crates/verbenaslip-instance/tests/line.rs
@@ -19,7 +19,7 @@
 }
 
 fn report(token: u64) -> Frame {
-    Frame::Response { token, told: Response::Noted }
+    Frame::Response { token, response: Response::Acknowledged }
 }
 
 fn vote() -> Frame {
@@ -62,7 +62,8 @@
     let stays = |id| call(id, Request::Announce(Box::new(announcement(false))));
     (0..REPORTS).for_each(|id| sender.send(stays(id)).expect("it is open"));
     let leaving = Request::Withdraw { upstream: Upstream::new("u"), incarnation: None };
-    let urgent = [Request::Read, Request::Announce(Box::new(announcement(true))), leaving];
+    let urgent =
+        [Request::ReadRouteTable, Request::Announce(Box::new(announcement(true))), leaving];
     for (id, ask) in (REPORTS..).zip(urgent) {
         sender.send(call(id, ask)).expect("it is open");
     }
@@ -89,7 +90,7 @@
 #[test]
 fn a_call_whose_sender_has_turned_to_another_core_is_stale() {
     // Guards against a core that answers nobody in time because it answers everybody late.
-    let call = Call { id: 1, ask: Request::Read, read: Duration::from_secs(5) };
+    let call = Call { id: 1, ask: Request::ReadRouteTable, read: Duration::from_secs(5) };
     assert!(!call.is_stale(Duration::from_millis(5_900)));
     assert!(call.is_stale(Duration::from_millis(6_100)));
 }
--- a/crates/verbenaslip-instance/tests/links.rs
+++ b/crates/verbenaslip-instance/tests/links.rs
@@ -17,7 +17,7 @@
 }
 
 fn frame(token: u64) -> Frame {
-    Frame::Response { token, told: Response::Noted }
+    Frame::Response { token, response: Response::Acknowledged }
 }
 
 fn received(inbox: &mut UnboundedReceiver<Frame>) -> Vec<u64> {
--- a/crates/verbenaslip-relay/src/board.rs
+++ b/crates/verbenaslip-relay/src/board.rs
@@ -11,7 +11,7 @@
 use verbenaslip_fleet::limit::{self, Limit, Limits};
 use verbenaslip_fleet::link::Report;
 use verbenaslip_fleet::load::Work;
-use verbenaslip_fleet::quota::{Lent, Loan, Refund};
+use verbenaslip_fleet::quota::{LoanGrant, LoanRequest, Refund};
 use verbenaslip_fleet::registry::{Record, Run, Standing};
 use verbenaslip_fleet::usage::{self, Tally};
 use verbenaslip_fleet::view::View;
@@ -76,14 +76,14 @@
     }
 
     /// Asks the leader for units of a team's limit: those that a request needs, and some for others ahead.
-    pub fn borrow(&self, team: &Team, need: f64, ahead: f64) -> oneshot::Receiver<Lent> {
+    pub fn borrow(&self, team: &Team, need: f64, ahead: f64) -> oneshot::Receiver<LoanGrant> {
         let (answer, answered) = oneshot::channel();
         let mut loans = lock(&self.loans);
         loans.last += 1;
         let id = loans.last;
         let at = monotonic::now();
         loans.waiting.insert(id, Borrower { team: team.clone(), answer, at });
-        loans.fresh.push(Loan { id, team: team.clone(), need, ahead });
+        loans.fresh.push(LoanRequest { id, team: team.clone(), required: need, prefetch: ahead });
         drop(loans);
         self.borrows.notify_one();
         answered
@@ -95,7 +95,7 @@
     }
 
     /// Takes what is to be asked for.
-    pub fn take_loans(&self) -> Vec<Loan> {
+    pub fn take_loans(&self) -> Vec<LoanRequest> {
         let mut loans = lock(&self.loans);
         let now = monotonic::now();
         loans.waiting.retain(|_, it| now.saturating_sub(it.at) <= ANSWERED);
@@ -103,11 +103,11 @@
     }
 
     /// Hands out what the leader has lent.
-    pub fn lend(&self, lent: Vec<Lent>) {
+    pub fn lend(&self, lent: Vec<LoanGrant>) {
         for lent in lent {
             let waiting = lock(&self.loans).waiting.remove(&lent.id);
             let Some(Borrower { team, answer, .. }) = waiting else { continue };
-            if let Err(Lent { units, .. }) = answer.send(lent) {
+            if let Err(LoanGrant { units, .. }) = answer.send(lent) {
                 self.refund(Refund { team, units });
             }
         }
@@ -155,12 +155,12 @@
     }
 
     /// Lists the limits that the leader is not known to know.
-    fn unshared_limits(&self) -> Vec<limit::Sighting> {
+    fn unshared_limits(&self) -> Vec<limit::Observation> {
         let view = self.view();
         let mut limits = lock(&self.limits);
         limits.retain(|run, _| view.record(run).is_some());
-        let news = limits.iter().filter(|(run, limit)| limit.changes(view.limits.get(run)));
-        let news = news.map(|(run, limit)| limit::Sighting { run: run.clone(), limit: *limit });
+        let news = limits.iter().filter(|(run, limit)| limit.supersedes(view.limits.get(run)));
+        let news = news.map(|(run, limit)| limit::Observation { run: run.clone(), limit: *limit });
         news.take(SIGHTINGS).collect()
     }
 
@@ -198,7 +198,15 @@
         let limits = self.unshared_limits();
         let counts = lock(&self.tally).counts();
         let leaving = self.unshared_departures();
-        Report { counts, refunds, work, rollouts, limits, leaving, ..Report::default() }
+        Report {
+            counts,
+            refunds,
+            engine_work: work,
+            rollouts,
+            limits,
+            departing: leaving,
+            ..Report::default()
+        }
     }
 
     /// Begins the planned stop: no new connection shall come.
@@ -255,7 +263,7 @@
 #[derive(Debug, Default)]
 struct Loans {
     last: u64,
-    fresh: Vec<Loan>,
+    fresh: Vec<LoanRequest>,
     waiting: BTreeMap<u64, Borrower>,
 }
 
@@ -266,7 +274,7 @@
 #[derive(Debug)]
 struct Borrower {
     team: Team,
-    answer: oneshot::Sender<Lent>,
+    answer: oneshot::Sender<LoanGrant>,
     at: Duration,
 }
 
--- a/crates/verbenaslip-relay/src/forward/context.rs
+++ b/crates/verbenaslip-relay/src/forward/context.rs
@@ -9,7 +9,7 @@
 use verbenaslip_base::hash;
 use verbenaslip_base::name::AvailabilityZone;
 use verbenaslip_fleet::account::Answered;
-use verbenaslip_fleet::limit::Sighting;
+use verbenaslip_fleet::limit::Observation;
 use verbenaslip_fleet::registry::Run;
 use verbenaslip_fleet::view::View;
 
@@ -83,7 +83,7 @@
             self.pool.borrow_mut().forget(&gone);
         }
         let limits = self.placement.borrow_mut().update_limits(monotonic::now(), &view);
-        for Sighting { run, limit } in limits {
+        for Observation { run, limit } in limits {
             notice::say_limit(&run, limit, None);
             self.board.limited(&run, limit);
         }
--- a/crates/verbenaslip-relay/src/forward/job.rs
+++ b/crates/verbenaslip-relay/src/forward/job.rs
@@ -97,7 +97,7 @@
         waited.take(monotonic::now(), &route.name, patience, route.objective)
     });
     let service = service(context, route);
-    context.budget.borrow_mut().earn(&service, view.entries);
+    context.budget.borrow_mut().earn(&service, view.entry_count);
     Ok(Job {
         head: &whole.head,
         body: &whole.body,
@@ -107,7 +107,7 @@
         rank: routes.rank(route, team),
         team,
         connections: routes.sheet().service(&service).map_or(u32::MAX, |it| it.connections),
-        entries: view.entries,
+        entries: view.entry_count,
         service,
         arrived: whole.arrived,
         limit: whole.arrived + patience.saturating_sub(EARLY),
--- a/crates/verbenaslip-relay/src/forward/life.rs
+++ b/crates/verbenaslip-relay/src/forward/life.rs
@@ -363,7 +363,7 @@
         return;
     }
     let Some(team) = job.team else { return };
-    let unix = clock::at(monotonic::now(), context.board.view().time);
+    let unix = clock::unix_ms(monotonic::now(), context.board.view().time_offset_ms);
     context.board.began(&team.name, unix, context.window);
 }
 
--- a/crates/verbenaslip-relay/src/forward/notice.rs
+++ b/crates/verbenaslip-relay/src/forward/notice.rs
@@ -55,7 +55,7 @@
             ("upstream", json!(run.upstream.as_str())),
             ("incarnation", json!(run.incarnation)),
             ("per_second", json!(limit.rate)),
-            ("answered", json!(limit.at)),
+            ("answered", json!(limit.reported_at_ms)),
             ("source", json!(source)),
             ("id", json!(id)),
         ],
--- a/crates/verbenaslip-relay/src/forward/trace.rs
+++ b/crates/verbenaslip-relay/src/forward/trace.rs
@@ -8,7 +8,7 @@
 use verbenaslip_base::name::{Team, Upstream};
 use verbenaslip_fleet::rollout::{Cohort, Plan};
 use verbenaslip_fleet::sheet::TeamRow;
-use verbenaslip_fleet::view::{Stamp, View};
+use verbenaslip_fleet::view::{Version, View};
 
 use crate::forward::job::Job;
 use crate::journal::{self, Kind};
@@ -64,7 +64,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Basis {
     /// How new the list of upstreams was.
-    stamp: Stamp,
+    stamp: Version,
     /// How long before the leader had been heard.
     age: Option<Duration>,
 }
@@ -72,8 +72,8 @@
 impl Basis {
     /// Notes what a decision goes by that is made now.
     pub fn of(view: &View) -> Self {
-        let age = view.heard.map(|heard| monotonic::now().saturating_sub(heard));
-        Self { stamp: view.stamp, age }
+        let age = view.leader_heard_at.map(|heard| monotonic::now().saturating_sub(heard));
+        Self { stamp: view.version, age }
     }
 }
 
@@ -123,7 +123,7 @@
 
 /// Returns the plan of a roll-out of the request's service, if there is one.
 fn rolled_out<'a>(view: &'a View, job: Option<&Job<'_>>) -> Option<&'a Plan> {
-    view.plans.get(&job?.service)
+    view.rollout_plans.get(&job?.service)
 }
 
 /// Tells whether a value is worth its place in a line.
--- a/crates/verbenaslip-relay/src/policy/allowance.rs
+++ b/crates/verbenaslip-relay/src/policy/allowance.rs
@@ -5,7 +5,7 @@
 
 use verbenaslip_base::name::Team;
 use verbenaslip_fleet::hub::SHARE_LEASE;
-use verbenaslip_fleet::quota::{Lent, Refund};
+use verbenaslip_fleet::quota::{LoanGrant, Refund};
 use verbenaslip_fleet::sheet::{Quota, TeamRow};
 use verbenaslip_fleet::view::View;
 
@@ -73,7 +73,7 @@
             return Verdict::Within;
         };
         let purse = self.purse(&team.name);
-        purse.refill(now, &quota, view.entries);
+        purse.refill(now, &quota, view.entry_count);
         purse.rate += units / RATE;
         if purse.lent >= units {
             purse.spend(units);
@@ -99,7 +99,7 @@
         now: Duration,
         team: &TeamRow,
         units: f64,
-        lent: Option<&Lent>,
+        lent: Option<&LoanGrant>,
     ) -> Result<(), Duration> {
         let Some(quota) = team.quota else { return Ok(()) };
         let purse = self.purse(&team.name);
@@ -111,8 +111,8 @@
                 Ok(())
             }
             Some(lent) => {
-                purse.empty = now + lent.wait.min(Duration::from_secs_f64(BACK.0));
-                Err(back(lent.wait, units, &quota))
+                purse.empty = now + lent.empty_for.min(Duration::from_secs_f64(BACK.0));
+                Err(back(lent.empty_for, units, &quota))
             }
             None => purse.spend_alone(units, &quota),
         }
@@ -190,7 +190,7 @@
 /// An entry that does not hear the leader can't know what others use meanwhile, so it falls back to an equal part of
 /// each limit, which the leader keeps for it.
 fn is_in_touch(now: Duration, view: &View) -> bool {
-    view.heard.is_some_and(|heard| now.saturating_sub(heard) <= SHARE_LEASE)
+    view.leader_heard_at.is_some_and(|heard| now.saturating_sub(heard) <= SHARE_LEASE)
 }
 
 /// Returns the units of a request under a quota.
--- a/crates/verbenaslip-relay/src/policy/limit.rs
+++ b/crates/verbenaslip-relay/src/policy/limit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use verbenaslip_fleet::limit::Turn;
+use verbenaslip_fleet::limit::TimeSlot;
 
 /// How long after its time a turn may still be used, so that a limit isn't lost to an entry that has nothing to send
 /// just then. All that is saved up in it may come at once.
@@ -19,14 +19,14 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limiter {
     rate: f64,
-    turn: Option<Turn>,
+    turn: Option<TimeSlot>,
     /// The first slot that is not used up.
     next: u64,
 }
 
 impl Limiter {
     /// Starts with the slot after the present one.
-    pub fn open(rate: f64, turn: Option<Turn>, time: Duration) -> Self {
+    pub fn open(rate: f64, turn: Option<TimeSlot>, time: Duration) -> Self {
         let mut limiter = Self { rate: rate.clamp(RATES.0, RATES.1), turn, next: 0 };
         limiter.next = limiter.slot(time) + 1;
         limiter
@@ -38,7 +38,7 @@
     }
 
     /// Takes another rate or another place among the entries; slots are counted anew.
-    pub fn change(&mut self, rate: f64, turn: Option<Turn>, time: Duration) {
+    pub fn change(&mut self, rate: f64, turn: Option<TimeSlot>, time: Duration) {
         let rate = rate.clamp(RATES.0, RATES.1);
         // With every change a slot may be another entry's that has used it already.
         if (rate, turn) != (self.rate, self.turn) {
@@ -66,7 +66,7 @@
 
     /// Finds the first slot of this entry that is neither used up nor too old.
     fn free(&self, time: Duration) -> Option<u64> {
-        let Turn { place, of } = self.turn?;
+        let TimeSlot { index: place, count: of } = self.turn?;
         let (place, of) = (u64::from(place), u64::from(of.max(1)));
         let oldest = self.slot(time.saturating_sub(BACKLOG));
         // Set back by seconds, the time of day would leave the entry without a turn for as long.
--- a/crates/verbenaslip-relay/src/policy/notice.rs
+++ b/crates/verbenaslip-relay/src/policy/notice.rs
@@ -8,7 +8,7 @@
 
 use verbenaslip_fleet::View;
 use verbenaslip_fleet::clock;
-use verbenaslip_fleet::limit::{Limit, Sighting, Turn};
+use verbenaslip_fleet::limit::{Limit, Observation, TimeSlot};
 use verbenaslip_fleet::registry::Run;
 
 use crate::dialect::{RateLimit, Reply};
@@ -38,7 +38,7 @@
 impl Moment {
     /// Reads both clocks at a time of the monotonic one.
     pub fn at(now: Duration, offset: i64) -> Self {
-        Self { now, time: Duration::from_millis(clock::at(now, offset)) }
+        Self { now, time: Duration::from_millis(clock::unix_ms(now, offset)) }
     }
 
     fn unix(self) -> u64 {
@@ -70,7 +70,7 @@
 #[derive(Debug, Default)]
 pub struct Notices {
     notices: BTreeMap<Run, Notice>,
-    turn: Option<Turn>,
+    turn: Option<TimeSlot>,
 }
 
 /// Holds what one run asks for.
@@ -113,19 +113,19 @@
     }
 
     /// Takes the limits that others have learnt of, and this entry's place among them; returns what is new here.
-    pub fn follow(&mut self, at: Moment, view: &View) -> Vec<Sighting> {
-        if self.turn != view.turn {
-            self.turn = view.turn;
+    pub fn follow(&mut self, at: Moment, view: &View) -> Vec<Observation> {
+        if self.turn != view.time_slot {
+            self.turn = view.time_slot;
             let limiters = self.notices.values_mut().filter_map(|it| it.limiter.as_mut());
-            limiters.for_each(|limiter| limiter.change(limiter.rate(), view.turn, at.time));
+            limiters.for_each(|limiter| limiter.change(limiter.rate(), view.time_slot, at.time));
         }
         let known = |run: &Run| self.notices.get(run).and_then(|it| it.limit.as_ref());
-        let news = view.limits.iter().filter(|(run, limit)| limit.changes(known(run)));
-        let news: Vec<Sighting> =
-            news.map(|(run, limit)| Sighting { run: run.clone(), limit: *limit }).collect();
-        for Sighting { run, limit } in &news {
+        let news = view.limits.iter().filter(|(run, limit)| limit.supersedes(known(run)));
+        let news: Vec<Observation> =
+            news.map(|(run, limit)| Observation { run: run.clone(), limit: *limit }).collect();
+        for Observation { run, limit } in &news {
             let notice = self.notices.entry(run.clone()).or_insert_with(|| Notice::open(at));
-            notice.set_limit(at, *limit, view.turn);
+            notice.set_limit(at, *limit, view.time_slot);
         }
         news
     }
@@ -220,7 +220,7 @@
         at: Moment,
         sent: Duration,
         said: RateLimit,
-        turn: Option<Turn>,
+        turn: Option<TimeSlot>,
     ) -> Option<Limit> {
         let rate = match said {
             RateLimit::PerSecond(rate) => Some(rate),
@@ -228,15 +228,15 @@
             RateLimit::Unlimited if self.limiter.is_some() && sent >= self.learnt => None,
             RateLimit::Unlimited | RateLimit::Unreadable => return None,
         };
-        let limit = Limit { rate, at: at.unix() };
-        if !limit.changes(self.limit.as_ref()) {
+        let limit = Limit { rate, reported_at_ms: at.unix() };
+        if !limit.supersedes(self.limit.as_ref()) {
             return None;
         }
         self.set_limit(at, limit, turn);
         Some(limit)
     }
 
-    fn set_limit(&mut self, at: Moment, limit: Limit, turn: Option<Turn>) {
+    fn set_limit(&mut self, at: Moment, limit: Limit, turn: Option<TimeSlot>) {
         self.limit = Some(limit);
         match (&mut self.limiter, limit.rate) {
             (Some(limiter), Some(rate)) => limiter.change(rate, turn, at.time),
--- a/crates/verbenaslip-relay/src/policy/place.rs
+++ b/crates/verbenaslip-relay/src/policy/place.rs
@@ -10,7 +10,7 @@
 use verbenaslip_base::hash;
 use verbenaslip_base::name::{AvailabilityZone, Upstream};
 use verbenaslip_fleet::View;
-use verbenaslip_fleet::limit::{Limits, Turn};
+use verbenaslip_fleet::limit::{Limits, TimeSlot};
 use verbenaslip_fleet::registry::{Announcement, Record, Run, Standing};
 use verbenaslip_fleet::rollout::{Cohort, Plans};
 
@@ -88,7 +88,7 @@
     notices: Notices,
     limits: Arc<Limits>,
     /// This entry's place among the entries.
-    place: Option<Turn>,
+    place: Option<TimeSlot>,
     /// The agreed time of day less the monotonic clock, in milliseconds.
     time: i64,
     /// Whether the upstreams have changed since what they ask for was looked through.
@@ -134,15 +134,15 @@
     /// Takes a newer view; runs of upstreams that are no longer in it are returned.
     pub fn update(&mut self, view: &View) -> Vec<Run> {
         let mut gone = Vec::new();
-        self.time = view.time;
+        self.time = view.time_offset_ms;
         if !self.upstreams.as_ref().is_some_and(|it| Arc::ptr_eq(it, &view.upstreams)) {
             gone = self.take_records(&view.upstreams);
             self.changed = true;
             self.upstreams = Some(view.upstreams.clone());
-            self.follow(&view.plans);
+            self.follow(&view.rollout_plans);
         }
-        if !Arc::ptr_eq(&self.plans, &view.plans) {
-            self.follow(&view.plans);
+        if !Arc::ptr_eq(&self.plans, &view.rollout_plans) {
+            self.follow(&view.rollout_plans);
         }
         gone
     }
--- a/crates/verbenaslip-relay/src/policy/place/restrict.rs
+++ b/crates/verbenaslip-relay/src/policy/place/restrict.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use verbenaslip_fleet::View;
-use verbenaslip_fleet::limit::Sighting;
+use verbenaslip_fleet::limit::Observation;
 use verbenaslip_fleet::registry::Run;
 
 use crate::dialect::Reply;
@@ -20,16 +20,16 @@
 
 impl Placement {
     /// Takes the limits of a newer view; returns those that are new here.
-    pub fn update_limits(&mut self, now: Duration, view: &View) -> Vec<Sighting> {
+    pub fn update_limits(&mut self, now: Duration, view: &View) -> Vec<Observation> {
         let at = self.moment(now);
         if std::mem::take(&mut self.changed) {
             let there = |run: &Run| self.sites.get(&run.upstream).is_some_and(|it| it.run() == run);
             self.notices.prune(at, there);
         }
-        if Arc::ptr_eq(&self.limits, &view.limits) && self.place == view.turn {
+        if Arc::ptr_eq(&self.limits, &view.limits) && self.place == view.time_slot {
             return Vec::new();
         }
-        (self.limits, self.place) = (view.limits.clone(), view.turn);
+        (self.limits, self.place) = (view.limits.clone(), view.time_slot);
         self.notices.follow(at, view)
     }
 
--- a/crates/verbenaslip-relay/src/policy/record.rs
+++ b/crates/verbenaslip-relay/src/policy/record.rs
@@ -88,11 +88,11 @@
         view: &View,
     ) -> Option<Duration> {
         let held = view.blocklist.held.get(&fingerprint)?;
-        let chosen = held.tried_by.is_some() && held.tried_by == view.own;
+        let chosen = held.tried_by.is_some() && held.tried_by == view.own_address;
         if chosen && self.tried.insert(fingerprint, held.until) != Some(held.until) {
             return None;
         }
-        let left = held.until.saturating_sub(clock::at(now, view.time));
+        let left = held.until.saturating_sub(clock::unix_ms(now, view.time_offset_ms));
         Some(Duration::from_millis(left).clamp(BACK.0, BACK.1))
     }
 }
--- a/crates/verbenaslip-relay/src/policy/versions.rs
+++ b/crates/verbenaslip-relay/src/policy/versions.rs
@@ -91,11 +91,11 @@
 impl Versions {
     /// Takes a newer view.
     pub fn update(&mut self, view: &View) {
-        self.confirmed = view.confirmed;
-        if Arc::ptr_eq(&self.plans, &view.plans) {
+        self.confirmed = view.plans_confirmed_at;
+        if Arc::ptr_eq(&self.plans, &view.rollout_plans) {
             return;
         }
-        self.plans = view.plans.clone();
+        self.plans = view.rollout_plans.clone();
         for (service, plan) in self.plans.iter() {
             if plan.state == State::RolledBack {
                 self.rolled_back.insert(plan.id);
@@ -107,7 +107,7 @@
                 }
             }
         }
-        self.tallies.retain(|service, _| view.plans.contains_key(service));
+        self.tallies.retain(|service, _| view.rollout_plans.contains_key(service));
     }
 
     /// Chooses the versions for a request of a route; `draw` is between zero and one.
--- a/crates/verbenaslip-relay/tests/allowance.rs
+++ b/crates/verbenaslip-relay/tests/allowance.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use verbenaslip_fleet::View;
-use verbenaslip_fleet::quota::Lent;
+use verbenaslip_fleet::quota::LoanGrant;
 use verbenaslip_fleet::sheet::{Quota, TeamRow};
 use verbenaslip_relay::policy::allowance::{Allowance, Verdict};
 
@@ -19,7 +19,7 @@
 }
 
 fn heard(at: Duration) -> View {
-    View { entries: 4, heard: Some(at), ..View::default() }
+    View { entry_count: 4, leader_heard_at: Some(at), ..View::default() }
 }
 
 fn borrows(verdict: Verdict) -> bool {
@@ -78,7 +78,7 @@
         let now = now + Duration::from_millis(10) * step;
         if let Verdict::Borrow { need, ahead } = allowance.take(now, &team(), 1.0, &heard(now)) {
             asked += 1;
-            let lent = Lent { id: 1, units: need + ahead, wait: Duration::ZERO };
+            let lent = LoanGrant { id: 1, units: need + ahead, empty_for: Duration::ZERO };
             assert_eq!(allowance.lent(now, &team(), 1.0, Some(&lent)), Ok(()));
         }
     }
@@ -90,7 +90,7 @@
     // Guards against a team far beyond its limit that costs the leader a message for each refusal.
     let (mut allowance, now) = (Allowance::default(), SECOND);
     assert!(borrows(allowance.take(now, &team(), 1.0, &heard(now))));
-    let lent = Lent { id: 1, units: 0.0, wait: Duration::from_millis(200) };
+    let lent = LoanGrant { id: 1, units: 0.0, empty_for: Duration::from_millis(200) };
     assert!(allowance.lent(now, &team(), 1.0, Some(&lent)).is_err());
     let soon = now + Duration::from_millis(199);
     assert!(matches!(allowance.take(soon, &team(), 1.0, &heard(soon)), Verdict::Beyond(_)));
--- a/crates/verbenaslip-relay/tests/limit.rs
+++ b/crates/verbenaslip-relay/tests/limit.rs
@@ -11,7 +11,7 @@
 use rand_pcg::Pcg64;
 use verbenaslip_base::name::AvailabilityZone;
 use verbenaslip_fleet::View;
-use verbenaslip_fleet::limit::{Limit, Limits, Turn};
+use verbenaslip_fleet::limit::{Limit, Limits, TimeSlot};
 use verbenaslip_fleet::registry::Run;
 use verbenaslip_relay::dialect::{RateLimit, Reply};
 use verbenaslip_relay::policy::limit::Limiter;
@@ -28,7 +28,11 @@
 const SHARED: Duration = Duration::from_millis(500);
 
 fn view(runs: impl IntoIterator<Item = Run>) -> View {
-    View { time: EPOCH, turn: Some(Turn { place: 0, of: 1 }), ..desk::view(runs) }
+    View {
+        time_offset_ms: EPOCH,
+        time_slot: Some(TimeSlot { index: 0, count: 1 }),
+        ..desk::view(runs)
+    }
 }
 
 fn reply(limit: RateLimit) -> Reply {
@@ -56,7 +60,10 @@
     fn open(entries: u32, upstreams: u16) -> Self {
         let runs = || (1..=upstreams).map(|number| run(number, 1));
         let views: Vec<View> = (0..entries)
-            .map(|place| View { turn: Some(Turn { place, of: entries }), ..view(runs()) })
+            .map(|place| View {
+                time_slot: Some(TimeSlot { index: place, count: entries }),
+                ..view(runs())
+            })
             .collect();
         let mut world = Self {
             entries: Vec::new(),
@@ -129,7 +136,7 @@
         }
         while self.news.first().is_some_and(|it| it.0 <= self.now) {
             let (_, run, limit) = self.news.remove(0);
-            if limit.changes(self.known.get(&run)) {
+            if limit.supersedes(self.known.get(&run)) {
                 self.known.insert(run, limit);
             }
         }
@@ -234,7 +241,8 @@
     (0..54).for_each(|index| world.show(index));
     // Others are busy now and then, so that the far one gets some.
     world.limits.insert(1, 1.0);
-    let sighting = Limit { rate: Some(1.0), at: u64::try_from(EPOCH).expect("positive") };
+    let sighting =
+        Limit { rate: Some(1.0), reported_at_ms: u64::try_from(EPOCH).expect("positive") };
     world.news.push((world.now, run(1, 1), sighting));
     world.play(4.0, 400.0);
     assert!(world.used(1, Duration::from_secs(2)) >= 0.5, "asked in turn");
@@ -278,7 +286,7 @@
     // Guards against requests lost to a malformed header, and against a limit that outlives its run.
     let second = Duration::from_secs(1);
     let mut entry = Placement::open(AvailabilityZone::from("north"));
-    let alone = View { turn: None, ..view([run(1, 1)]) };
+    let alone = View { time_slot: None, ..view([run(1, 1)]) };
     entry.update(&alone);
     entry.update_limits(second, &alone);
     let choice = go(&mut entry, second);
@@ -318,7 +326,8 @@
         for index in 0..54_u32 {
             // Entries learn of their new place one after the other.
             if index % 2 == step % 2 {
-                world.views[index as usize].turn = Some(Turn { place: index.min(of - 1), of });
+                world.views[index as usize].time_slot =
+                    Some(TimeSlot { index: index.min(of - 1), count: of });
                 world.show(index as usize);
             }
         }
@@ -330,7 +339,7 @@
 #[test]
 fn a_time_of_day_that_jumps_neither_stops_an_entry_nor_frees_it() {
     // Guards against a limit that follows the clock of one machine.
-    let turn = Some(Turn { place: 2, of: 9 });
+    let turn = Some(TimeSlot { index: 2, count: 9 });
     let start = Duration::from_secs(1_800_000_000);
     let mut limiter = Limiter::open(2.0, turn, start);
     let mut sent = 0;
--- a/crates/verbenaslip-relay/tests/place.rs
+++ b/crates/verbenaslip-relay/tests/place.rs
@@ -424,7 +424,7 @@
     ];
     for (plan, tracks, wanted) in cases {
         let plans = BTreeMap::from([("pool".into(), plan.clone())]);
-        let mut placement = open(&View { plans: Arc::new(plans), ..view(records.clone()) });
+        let mut placement = open(&View { rollout_plans: Arc::new(plans), ..view(records.clone()) });
         let seen: std::collections::BTreeSet<String> = (0..40)
             .map(|number| {
                 let now = Duration::from_millis(number);
--- a/crates/verbenaslip-relay/tests/quota.rs
+++ b/crates/verbenaslip-relay/tests/quota.rs
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg64;
 use verbenaslip_base::name::Team;
 use verbenaslip_fleet::View;
-use verbenaslip_fleet::quota::{Loan, Quotas};
+use verbenaslip_fleet::quota::{LoanRequest, TeamBuckets};
 use verbenaslip_fleet::sheet::{Quota, Sheet, TeamRow};
 use verbenaslip_relay::policy::allowance::{Allowance, Verdict};
 
@@ -57,21 +57,21 @@
     let row = row(quota);
     let sheet = Sheet { teams: vec![row.clone()], ..Sheet::default() };
     let mut rng = Pcg64::seed_from_u64(7);
-    let (mut quotas, mut one) = (Quotas::default(), Quotas::default());
+    let (mut quotas, mut one) = (TeamBuckets::default(), TeamBuckets::default());
     let mut entries: Vec<Allowance> = (0..count).map(|_| Allowance::default()).collect();
     let entries_told = u32::try_from(count).expect("few");
-    let mut view = View { entries: entries_told, ..View::default() };
+    let mut view = View { entry_count: entries_told, ..View::default() };
     let mut outcome = Outcome::default();
     let mut history = Vec::new();
     for round in 0..rounds {
         let now = ROUND * u32::try_from(round).expect("small");
         let led = !leaderless.iter().any(|lost| lost.contains(&round));
         if leaderless.iter().any(|lost| lost.end == round) {
-            quotas = Quotas::default();
+            quotas = TeamBuckets::default();
         }
         quotas.refill(now, &sheet, 1.0);
         one.refill(now, &sheet, 1.0);
-        view.heard = if led { Some(now) } else { view.heard };
+        view.leader_heard_at = if led { Some(now) } else { view.leader_heard_at };
         let mut spent = 0.0;
         for entry in &mut entries {
             let mut left = per_second(round) * ROUND.as_secs_f64() / count as f64;
@@ -81,8 +81,13 @@
                     let units = -SIZE * (1.0 - rng.random::<f64>()).ln();
                     let leader = led.then_some(&mut quotas);
                     outcome.asked += 1.0;
-                    let loan = Loan { id: 0, team: row.name.clone(), need: units, ahead: 0.0 };
-                    outcome.beyond += f64::from(one.lend(&loan).units == 0.0);
+                    let loan = LoanRequest {
+                        id: 0,
+                        team: row.name.clone(),
+                        required: units,
+                        prefetch: 0.0,
+                    };
+                    outcome.beyond += f64::from(one.grant(&loan).units == 0.0);
                     if ask(entry, now, &row, units, &view, leader) {
                         spent += units;
                     } else {
@@ -105,14 +110,15 @@
     row: &TeamRow,
     units: f64,
     view: &View,
-    leader: Option<&mut Quotas>,
+    leader: Option<&mut TeamBuckets>,
 ) -> bool {
     match entry.take(now, row, units, view) {
         Verdict::Within => true,
         Verdict::Beyond(_) => false,
         Verdict::Borrow { need, ahead } => {
-            let loan = Loan { id: 1, team: row.name.clone(), need, ahead };
-            let lent = leader.map(|quotas| quotas.lend(&loan));
+            let loan =
+                LoanRequest { id: 1, team: row.name.clone(), required: need, prefetch: ahead };
+            let lent = leader.map(|quotas| quotas.grant(&loan));
             entry.lent(now, row, units, lent.as_ref()).is_ok()
         }
     }
@@ -206,9 +212,9 @@
     let row = row(quota(rate));
     let sheet = Sheet { teams: vec![row.clone()], ..Sheet::default() };
     let now = Duration::from_secs(50);
-    let mut quotas = Quotas::open(true);
+    let mut quotas = TeamBuckets::new(true);
     quotas.refill(now, &sheet, 1.0);
-    let view = View { entries: 291, heard: Some(now), ..View::default() };
+    let view = View { entry_count: 291, leader_heard_at: Some(now), ..View::default() };
     let mut entries: Vec<Allowance> = (0..291).map(|_| Allowance::default()).collect();
     let admitted = entries
         .iter_mut()
@@ -233,9 +239,9 @@
     let row = row(quota(100.0));
     let sheet = Sheet { teams: vec![row.clone()], ..Sheet::default() };
     let now = Duration::from_secs(1);
-    let mut quotas = Quotas::open(true);
+    let mut quotas = TeamBuckets::new(true);
     quotas.refill(now, &sheet, 1.0);
-    let view = View { entries: 10, heard: Some(now), ..View::default() };
+    let view = View { entry_count: 10, leader_heard_at: Some(now), ..View::default() };
     for _ in 0..20 {
         let mut entry = Allowance::default();
         assert!(ask(&mut entry, now, &row, 60.0, &view, Some(&mut quotas)));
--- a/crates/verbenaslip-relay/tests/record.rs
+++ b/crates/verbenaslip-relay/tests/record.rs
@@ -34,7 +34,7 @@
         watched: BTreeSet::new(),
         held: BTreeMap::from([(fingerprint, held)]),
     };
-    View { blocklist: Arc::new(blocklist), own: Some(OWN.into()), ..View::default() }
+    View { blocklist: Arc::new(blocklist), own_address: Some(OWN.into()), ..View::default() }
 }
 
 #[test]
--- a/crates/verbenaslip-relay/tests/rollout.rs
+++ b/crates/verbenaslip-relay/tests/rollout.rs
@@ -350,7 +350,8 @@
 fn show(world: &mut World, entry: usize, plan: &Plan) {
     let plans = BTreeMap::from([(Arc::from("pool"), plan.clone())]);
     let confirmed = Some(World::time(world.now));
-    let view = View { plans: Arc::new(plans), confirmed, ..View::default() };
+    let view =
+        View { rollout_plans: Arc::new(plans), plans_confirmed_at: confirmed, ..View::default() };
     world.entries[entry].update(&view);
 }
 
--- a/crates/verbenaslip-relay/tests/versions.rs
+++ b/crates/verbenaslip-relay/tests/versions.rs
@@ -28,7 +28,7 @@
 
 fn view(plan: Plan, confirmed: Duration) -> View {
     let plans = BTreeMap::from([(Arc::from("pool"), plan)]);
-    View { plans: Arc::new(plans), confirmed: Some(confirmed), ..View::default() }
+    View { rollout_plans: Arc::new(plans), plans_confirmed_at: Some(confirmed), ..View::default() }
 }
 
 fn first(versions: &Versions, again: bool, draw: f64) -> Track {
