--- a/crates/verbenaslip-fleet/src/core.rs
+++ b/crates/verbenaslip-fleet/src/core.rs
@@ -29,15 +29,15 @@
 pub use crate::core::io::{Input, Output, Setup};
 pub use crate::core::note::Event;
 use crate::departure::Departure;
-use crate::duty::{self, Dispatcher};
 use crate::frame::Frame;
 use crate::hub::{Hub, Progress};
-use crate::ledger::Ledger;
 use crate::limit::Limits;
 use crate::link::Link;
+use crate::order::{self, Dispatcher};
 use crate::plan::Planner;
-use crate::quarantine::{Quarantine, Rule};
+use crate::quarantine::{Quarantine, QuarantinePolicy};
 use crate::registry::Registry;
+use crate::replicated_state::ReplicatedState;
 use crate::rollout::{Controller, Plans};
 use crate::voucher::Voucher;
 
@@ -51,7 +51,7 @@
     pub(crate) now: Duration,
     pub(crate) unix: u64,
     pub(crate) replica: Replica,
-    pub(crate) ledger: Ledger,
+    pub(crate) ledger: ReplicatedState,
     pub(crate) applied: u64,
     pub(crate) broken: bool,
     pub(crate) registry: Registry,
@@ -123,8 +123,8 @@
 /// Holds what of the setup is needed after the start.
 pub(crate) struct Settings {
     pub(crate) voters: usize,
-    pub(crate) duty: Option<duty::Timing>,
-    pub(crate) rule: Rule,
+    pub(crate) duty: Option<order::Timing>,
+    pub(crate) rule: QuarantinePolicy,
     pub(crate) secret: u128,
 }
 
@@ -172,10 +172,10 @@
             now,
             unix,
             replica: Replica::open(log, recovered, now),
-            ledger: Ledger::default(),
+            ledger: ReplicatedState::default(),
             applied: 0,
             broken: false,
-            registry: Registry::open(announce),
+            registry: Registry::new(announce),
             voucher: Voucher::default(),
             hub: Hub::default(),
             link: Link::new(own, seeds, now, unix),
--- a/crates/verbenaslip-fleet/src/core/begin.rs
+++ b/crates/verbenaslip-fleet/src/core/begin.rs
@@ -8,7 +8,7 @@
 use crate::history::History;
 use crate::hub::{Changes, Progress};
 use crate::link::Knowledge;
-use crate::registry::{Record, Standing, Told};
+use crate::registry::{Propagation, Record, Status};
 use crate::view::Version;
 
 /// How long after its last question an instance still looks for a leader: two questions' time.
@@ -84,18 +84,18 @@
         self.noting_joins = None;
         let before = self.link.view().version;
         let floor = self.link.history().map_or(before.change, History::floor);
-        let told = Told { change: before.change, floor };
+        let told = Propagation { last_change: before.change, oldest_change: floor };
         let records = self.remembered();
         let known = self.link.view().upstreams.len();
         self.joining = records.iter().map(|(_, it)| it.announcement.run.upstream.clone()).collect();
         let gone = self.link.history().into_iter().flat_map(History::removed).cloned();
         let gone: Vec<(u64, Record)> = gone.collect();
         let mut departures = self.link.departures().clone();
-        for Departure { run, standing } in self.ledger.departures() {
-            departures.take(self.now, &run, standing);
+        for Departure { run, status: standing } in self.ledger.departures() {
+            departures.record(self.now, &run, standing);
         }
         let (upstreams, departed) = (records.len(), departures.len());
-        self.registry.adopt(self.now, told, gone.into_iter().chain(records), departures);
+        self.registry.restore(self.now, told, gone.into_iter().chain(records), departures);
         self.hub.continue_from(before);
         self.expected = self.link.entries(self.now);
         self.gathered = false;
@@ -107,7 +107,7 @@
             upstreams,
             logged: upstreams - known,
             departures: departed,
-            quarantined: self.quarantine.blocklist().held.len(),
+            quarantined: self.quarantine.blocklist().quarantined.len(),
         });
         self.call_seekers();
         self.push_soon();
@@ -133,7 +133,7 @@
         };
         let known = view.values().map(|it| (change(it), it.clone()));
         // No other instance is known to know of these.
-        let logged = self.ledger.joined().filter(newer).map(|it| (u64::MAX, it.clone()));
+        let logged = self.ledger.upstreams().filter(newer).map(|it| (u64::MAX, it.clone()));
         known.chain(logged).collect()
     }
 
@@ -172,7 +172,7 @@
         // A few that have just started beside many that go on are no start of all.
         let restarted = expected > known / 2 && all_fresh;
         self.hub.start_leading(self.now, expected, restarted);
-        let sheet = self.ledger.edition().map(|edition| edition.sheet.clone());
+        let sheet = self.ledger.current_table().map(|edition| edition.table.clone());
         self.hub.refresh(self.now, sheet.as_deref());
     }
 
@@ -187,9 +187,9 @@
         let Some(reign) = self.reign.take() else { return };
         self.lapsed = Some(reign.term);
         self.note(Event::LeaseLost { term: reign.term });
-        let is_there = |it: &&Record| !matches!(it.standing, Standing::Gone | Standing::Lost);
+        let is_there = |it: &&Record| !matches!(it.status, Status::Gone | Status::Lost);
         self.link.keep(Knowledge {
-            stamp: Version { term: reign.term, change: self.registry.stamp() },
+            stamp: Version { term: reign.term, change: self.registry.last_change() },
             records: self.registry.records().filter(is_there).cloned().collect(),
             history: self.registry.history(),
             departures: self.registry.departures().clone(),
--- a/crates/verbenaslip-fleet/src/core/branch.rs
+++ b/crates/verbenaslip-fleet/src/core/branch.rs
@@ -18,9 +18,9 @@
 use crate::link::{Link, Report};
 use crate::parent;
 use crate::quota::{LoanGrant, LoanRequest, Refund};
-use crate::sheet::Sheet;
+use crate::route_table::RouteTable;
 use crate::upstream::{Record, Run};
-use crate::usage::Origin;
+use crate::usage::EntryRun;
 use crate::view::{Version, View};
 
 /// How long after the leader was heard a core still serves its entries: longer than it takes to elect another one, and
@@ -115,7 +115,7 @@
         let reports = std::mem::take(&mut heartbeat.rollouts);
         if !reports.is_empty() {
             let (address, incarnation) = (heartbeat.peer.address, heartbeat.peer.incarnation);
-            let origin = Origin { address, incarnation };
+            let origin = EntryRun { address, incarnation };
             let report = RelayedReport { origin, sequence: heartbeat.sequence, reports };
             self.rollouts.insert(address, report);
         }
@@ -199,9 +199,9 @@
     }
 
     /// Returns the newest route table: the leader may tell of it before the log does, or after.
-    pub(crate) fn sheet(&self) -> Option<Arc<Sheet>> {
-        let told = self.link.view().routes.as_ref().map(|routes| routes.sheet().clone());
-        let logged = self.ledger.edition().map(|edition| edition.sheet.clone());
+    pub(crate) fn sheet(&self) -> Option<Arc<RouteTable>> {
+        let told = self.link.view().routes.as_ref().map(|routes| routes.route_table().clone());
+        let logged = self.ledger.current_table().map(|edition| edition.table.clone());
         told.into_iter().chain(logged).max_by_key(|sheet| sheet.revision)
     }
 
@@ -282,7 +282,7 @@
     /// Makes this core's report to the leader.
     pub(crate) fn report(&mut self) -> Report {
         let known = self.link.told(self.now);
-        let marks = self.voucher.take(self.now);
+        let marks = self.voucher.take_marks(self.now);
         let covered = self.covered();
         let Version { term, .. } = self.link.view().version;
         let stamp = Version { term, change: covered.change };
--- a/crates/verbenaslip-fleet/src/core/call.rs
+++ b/crates/verbenaslip-fleet/src/core/call.rs
@@ -8,8 +8,8 @@
 use crate::core::{Core, Event, Output, address_of};
 use crate::departure::Departure;
 use crate::frame::{Frame, Request, Response};
-use crate::ledger::Command;
-use crate::registry::{Announcement, Change, Run, Standing};
+use crate::registry::{Announcement, Change, Run, Status};
+use crate::replicated_state::Command;
 use crate::rollout::{Admission, Order};
 use crate::view::Version;
 use crate::voucher;
@@ -69,7 +69,7 @@
         if let Request::Announce(announcement) = &ask
             && self.vouches(announcement)
         {
-            self.voucher.note(self.now, announcement);
+            self.voucher.record(self.now, announcement);
             return self.answer(Asker::Here(id), Response::Acknowledged);
         }
         if leaving(&ask).is_some_and(|it| self.voucher.has_acknowledged(self.now, &it)) {
@@ -87,7 +87,7 @@
         let known = self.link.view().upstreams.get(&announcement.run.upstream);
         !self.is_leading()
             && self.link.is_in_touch(self.now)
-            && voucher::renews(known, self.link.departures(), announcement)
+            && voucher::is_unchanged_renewal(known, self.link.departures(), announcement)
     }
 
     /// Takes a call that another core passes on.
@@ -232,16 +232,16 @@
         let Some(waiting) = self.waiting.get(&key) else { return };
         match waiting.ask.clone() {
             Request::AdoptRouteTable(edition) => {
-                if self.ledger.edition().is_some()
-                    && edition.sheet.revision <= self.ledger.revision()
+                if self.ledger.current_table().is_some()
+                    && edition.table.revision <= self.ledger.revision()
                 {
                     return self.await_force(key);
                 }
-                let token = self.propose(&Command::Adopt(edition));
+                let token = self.propose(&Command::SetRouteTable(edition));
                 self.set_stage(key, Stage::Committed { token });
             }
             Request::ReadRouteTable => {
-                let document = self.ledger.edition().map(|edition| edition.document.clone());
+                let document = self.ledger.current_table().map(|edition| edition.document.clone());
                 self.conclude(key, document.map_or(Response::NoRouteTable, Response::Document));
             }
             Request::Announce(announcement) => self.announced(key, *announcement),
@@ -268,10 +268,10 @@
 
     /// Begins a roll-out, or answers for one that the log holds.
     fn start_rollout(&mut self, key: u64, order: Order) {
-        let Some(edition) = self.ledger.edition() else {
+        let Some(edition) = self.ledger.current_table() else {
             return self.conclude(key, Response::Unavailable);
         };
-        if edition.sheet.service(&order.service).is_none() {
+        if edition.table.service(&order.service).is_none() {
             return self.conclude(key, Response::UnknownService(order.service));
         }
         let unix = self.agreed();
@@ -288,44 +288,44 @@
     fn announced(&mut self, key: u64, announcement: Announcement) {
         let run = announcement.run.clone();
         let (leaves, sequence) = (announcement.draining, announcement.sequence);
-        let table = self.ledger.edition().map(|edition| &edition.sheet);
+        let table = self.ledger.current_table().map(|edition| &edition.table);
         // Before the first route table every service may be one of those that it names.
         let served = table.is_none_or(|table| table.service(&announcement.service).is_some());
         match self.registry.announce(self.now, announcement, served) {
-            Change::Nothing => {
-                let late = self.registry.late(self.now, &run, sequence);
+            Change::Unchanged => {
+                let late = self.registry.stale_announcement(self.now, &run, sequence);
                 late.into_iter().for_each(|late| self.note(Event::StaleAnnouncement(late)));
             }
-            Change::Foreign => {
+            Change::UnknownService => {
                 self.note(Event::UnknownService(run.clone()));
                 // Another writer's word, also that the upstream goes, says nothing of the one that serves
                 // under its name.
-                if self.registry.run(&run.upstream).is_some() {
+                if self.registry.current_run(&run.upstream).is_some() {
                     return self.conclude(key, Response::Acknowledged);
                 }
             }
-            Change::Update | Change::Leaving => {
+            Change::Updated | Change::Leaving => {
                 self.push_soon();
-                if !self.ledger.has_joined(&run) {
+                if !self.ledger.contains_run(&run) {
                     self.joining.insert(run.upstream.clone());
                 }
                 self.note_upstream(&run.upstream);
             }
         }
         if leaves {
-            self.depart(key, Departure { run, standing: Standing::Leaving });
+            self.depart(key, Departure { run, status: Status::Leaving });
         } else {
             self.conclude(key, Response::Acknowledged);
         }
     }
 
     fn withdrawn(&mut self, key: u64, upstream: Upstream, incarnation: Option<u64>) {
-        let known = self.registry.run(&upstream).map_or(0, |run| run.incarnation);
+        let known = self.registry.current_run(&upstream).map_or(0, |run| run.incarnation);
         let run = Run { upstream, incarnation: incarnation.unwrap_or(known) };
-        if self.registry.withdraw(self.now, &run) != Change::Nothing {
+        if self.registry.withdraw(self.now, &run) != Change::Unchanged {
             self.note(Event::UpstreamWithdrawn(run.clone()));
         }
-        self.depart(key, Departure { run, standing: Standing::Gone });
+        self.depart(key, Departure { run, status: Status::Gone });
     }
 
     /// Waits until every instance knows that an upstream leaves, and whoever may lead next.
@@ -336,14 +336,14 @@
     /// order. What the log holds every later leader has.
     fn depart(&mut self, key: u64, departure: Departure) {
         self.registry.depart(self.now, &departure);
-        let noted = self.ledger.has_departed(&departure.run, departure.standing);
+        let noted = self.ledger.has_departed(&departure.run, departure.status);
         if !noted && !self.departing.contains(&departure) {
             self.departing.push(departure.clone());
             self.note_departures();
         }
         self.push_soon();
         let until = (self.now + SPREAD).max(self.settled_at());
-        let change = self.registry.stamp();
+        let change = self.registry.last_change();
         if let Some(waiting) = self.waiting.get_mut(&key) {
             waiting.departure = Some(departure);
         }
@@ -356,9 +356,9 @@
     /// Its announcements may not come through, or say nothing of it. Known to the entries alone that it has answered,
     /// it would go on getting requests from all others.
     pub(crate) fn take_leaving(&mut self, run: &Run) {
-        let departure = Departure { run: run.clone(), standing: Standing::Leaving };
-        let there = self.registry.run(&run.upstream) == Some(run);
-        if !there || self.registry.depart(self.now, &departure) == Change::Nothing {
+        let departure = Departure { run: run.clone(), status: Status::Leaving };
+        let there = self.registry.current_run(&run.upstream) == Some(run);
+        if !there || self.registry.depart(self.now, &departure) == Change::Unchanged {
             return;
         }
         self.departing.push(departure);
@@ -374,14 +374,14 @@
             return;
         }
         let departures = std::mem::take(&mut self.departing);
-        let token = self.propose(&Command::Depart { departures, unix: self.agreed() });
+        let token = self.propose(&Command::AddDepartures { departures, unix: self.agreed() });
         self.noting_departures = Some(token);
     }
 
     /// Tells whether the log holds the departure that a call waits for.
     fn is_noted(&self, key: u64) -> bool {
         let departure = self.waiting.get(&key).and_then(|waiting| waiting.departure.as_ref());
-        departure.is_none_or(|it| self.ledger.has_departed(&it.run, it.standing))
+        departure.is_none_or(|it| self.ledger.has_departed(&it.run, it.status))
     }
 
     /// Tells who knew of a leaving when it was acknowledged.
@@ -473,6 +473,6 @@
 /// Returns the departure that an announcement tells of, if it does.
 fn leaving(ask: &Request) -> Option<Departure> {
     let Request::Announce(announcement) = ask else { return None };
-    let departure = || Departure { run: announcement.run.clone(), standing: Standing::Leaving };
+    let departure = || Departure { run: announcement.run.clone(), status: Status::Leaving };
     announcement.draining.then(departure)
 }
--- a/crates/verbenaslip-fleet/src/core/io.rs
+++ b/crates/verbenaslip-fleet/src/core/io.rs
@@ -7,9 +7,9 @@
 use verbenaslip_replica::storage::{Recovered, Write};
 
 use crate::core::note::Event;
-use crate::duty::{self, Order, Outcome};
 use crate::frame::{Frame, Peer, Request, Response};
-use crate::quarantine::Rule;
+use crate::order::{self, Order, Outcome};
+use crate::quarantine::QuarantinePolicy;
 
 /// Sets a core up.
 pub struct Setup {
@@ -28,9 +28,9 @@
     /// The times of the log.
     pub log_timing: LogTiming,
     /// The times of orders to the cloud; none when there is none.
-    pub order_timing: Option<duty::Timing>,
+    pub order_timing: Option<order::Timing>,
     /// When requests are held back that end upstreams.
-    pub quarantine_policy: Rule,
+    pub quarantine_policy: QuarantinePolicy,
     /// By what fingerprints of requests are made that nobody can foresee, if this core is the first to lead.
     pub fingerprint_secret: u128,
     /// Seeds every random choice.
@@ -67,7 +67,7 @@
     /// The settings name other addresses to join through.
     Seeds(Vec<SocketAddr>),
     /// The settings say something else of requests that end upstreams.
-    QuarantinePolicy(Rule),
+    QuarantinePolicy(QuarantinePolicy),
     /// This instance is about to stop.
     Stop,
 }
--- a/crates/verbenaslip-fleet/src/core/lead.rs
+++ b/crates/verbenaslip-fleet/src/core/lead.rs
@@ -11,13 +11,13 @@
 use crate::core::{Core, Output, address_of};
 use crate::frame::{FleetStatus, Frame, Heartbeat};
 use crate::hub::{Hub, PendingPush, UpdateSource};
-use crate::ledger::Command;
 use crate::limit::TimeSlot;
 use crate::parent::{self, MAX_DIRECT_ENTRIES};
 use crate::quota::LoanRequest;
-use crate::registry::{Change as RegistryChange, Record, Run, Standing};
+use crate::registry::{Change as RegistryChange, Record, Run, Status};
+use crate::replicated_state::Command;
 use crate::view::Version;
-use crate::voucher::Mark;
+use crate::voucher::RenewalMark;
 
 /// After this absence a voter is replaced by a core that has none. Killed machines are back within
 /// a few seconds; a replacement costs a copy of the log and is of use only for good.
@@ -65,13 +65,13 @@
         let joining = std::mem::take(&mut self.joining);
         let records = self.registry.records().filter(|it| {
             let run = &it.announcement.run;
-            it.standing == Standing::Ready
+            it.status == Status::Ready
                 && joining.contains(&run.upstream)
-                && !self.ledger.has_joined(run)
+                && !self.ledger.contains_run(run)
         });
         let records: Vec<Record> = records.cloned().collect();
         if !records.is_empty() {
-            self.noting_joins = Some(self.propose(&Command::Join { records }));
+            self.noting_joins = Some(self.propose(&Command::AddUpstreams { records }));
         }
     }
 
@@ -79,9 +79,9 @@
     ///
     /// Noted as departures they would be refused, under the next leader, when they come back.
     fn note_lost(&mut self, lost: Vec<Run>) {
-        let runs: Vec<Run> = lost.into_iter().filter(|run| self.ledger.has_joined(run)).collect();
+        let runs: Vec<Run> = lost.into_iter().filter(|run| self.ledger.contains_run(run)).collect();
         if !runs.is_empty() {
-            self.propose(&Command::Forget { runs });
+            self.propose(&Command::RemoveRuns { runs });
         }
     }
 
@@ -105,7 +105,7 @@
         self.tell(to);
         if self.hub.is_new(to, reign.term) {
             self.push_at = self.push_at.min(self.now + WELCOME);
-        } else if self.hub.is_behind(to, self.registry.stamp(), self.ledger.revision()) {
+        } else if self.hub.is_behind(to, self.registry.last_change(), self.ledger.revision()) {
             self.push_soon();
         }
     }
@@ -147,9 +147,9 @@
     }
 
     /// Takes a core's word of the upstreams that have called it.
-    fn take_marks(&mut self, marks: &[Mark]) {
+    fn take_marks(&mut self, marks: &[RenewalMark]) {
         for mark in marks {
-            if self.registry.vouch(self.now, mark) == RegistryChange::Update {
+            if self.registry.vouch(self.now, mark) == RegistryChange::Updated {
                 self.push_soon();
                 self.note_upstream(&mark.run.upstream);
             }
@@ -180,8 +180,11 @@
         if !self.is_leading() {
             return self.push_below();
         }
-        let behind =
-            self.hub.lagging_subscribers(self.now, self.registry.stamp(), self.ledger.revision());
+        let behind = self.hub.lagging_subscribers(
+            self.now,
+            self.registry.last_change(),
+            self.ledger.revision(),
+        );
         if behind.is_empty() {
             self.push_at = Duration::MAX;
             return;
@@ -209,7 +212,7 @@
         if self.reign.is_none() {
             return self.tend_branch();
         }
-        let sheet = self.ledger.edition().map(|edition| edition.sheet.clone());
+        let sheet = self.ledger.current_table().map(|edition| edition.table.clone());
         self.hub.refresh(self.now, sheet.as_deref());
         self.hub.update_time_offset(self.now, clock::offset_ms(self.now, self.unix));
         self.known_cores = self.cores();
@@ -257,7 +260,7 @@
 
     /// Tells whether something is decided by which entries there are.
     fn needs_entries(&self) -> bool {
-        !self.quarantine.blocklist().held.is_empty() || self.has_rollouts()
+        !self.quarantine.blocklist().quarantined.is_empty() || self.has_rollouts()
     }
 
     /// Tells instances what they lack, between their reports.
@@ -284,7 +287,7 @@
             leader_contact_age: Duration::ZERO,
             term,
             records: &self.registry,
-            route_table: self.ledger.edition().map(|edition| &edition.sheet),
+            route_table: self.ledger.current_table().map(|edition| &edition.table),
             blocklist: self.quarantine.blocklist(),
             rollout_plans: &self.plans,
             limits: &self.limits,
--- a/crates/verbenaslip-fleet/src/core/limit.rs
+++ b/crates/verbenaslip-fleet/src/core/limit.rs
@@ -4,13 +4,13 @@
 
 use crate::core::{Core, Event};
 use crate::limit::{self, Limit, Observation};
-use crate::upstream::{Record, Run, Standing};
+use crate::upstream::{Record, Run, Status};
 
 impl Core {
     /// Begins with the limits that this core knew as a follower.
     pub(crate) fn open_limits(&mut self) {
         self.limits = self.link.view().limits.clone();
-        self.limits_change = self.registry.stamp();
+        self.limits_change = self.registry.last_change();
     }
 
     /// Takes the limits that an entry's answers have named, and has all others told.
@@ -18,7 +18,7 @@
         let mut changed = false;
         for sighting in sightings {
             let Observation { run, limit } = sighting;
-            let there = self.registry.run(&run.upstream) == Some(run);
+            let there = self.registry.current_run(&run.upstream) == Some(run);
             if there && limit.supersedes(self.limits.get(run)) {
                 Arc::make_mut(&mut self.limits).insert(run.clone(), *limit);
                 changed = true;
@@ -36,7 +36,7 @@
         let settled = self.limits.iter().filter(|(_, limit)| limit::is_settled(limit, unix));
         let records = settled.filter_map(|(run, _)| self.registry.record(&run.upstream));
         let ready =
-            |it: &Record| *it.announcement.service == *service && it.standing == Standing::Ready;
+            |it: &Record| *it.announcement.service == *service && it.status == Status::Ready;
         u32::try_from(records.filter(|it| ready(it)).count()).unwrap_or(u32::MAX)
     }
 
@@ -44,7 +44,7 @@
     pub(crate) fn tend_limits(&mut self) {
         let (unix, registry) = (self.agreed(), &self.registry);
         let stays = |run: &Run, limit: &Limit| {
-            registry.run(&run.upstream) == Some(run) && limit::lasts(limit, unix)
+            registry.current_run(&run.upstream) == Some(run) && limit::lasts(limit, unix)
         };
         if self.limits.iter().all(|(run, limit)| stays(run, limit)) {
             return;
@@ -54,7 +54,7 @@
     }
 
     fn publish_limits(&mut self) {
-        self.limits_change = self.registry.touch();
+        self.limits_change = self.registry.record_external_change();
         self.push_soon();
     }
 }
--- a/crates/verbenaslip-fleet/src/core/log.rs
+++ b/crates/verbenaslip-fleet/src/core/log.rs
@@ -11,7 +11,7 @@
 
 use crate::core::{Core, Event, Output, address_of};
 use crate::frame::Frame;
-use crate::ledger::{Command, Ledger};
+use crate::replicated_state::{Command, ReplicatedState};
 
 impl Core {
     /// Gives the log an input, and does what it wants done.
@@ -77,7 +77,7 @@
         match Command::decode(bytes) {
             Ok(command) => {
                 let before = self.ledger.revision();
-                if let Command::Close(window) = &command {
+                if let Command::CloseWindow(window) = &command {
                     self.closing.remove(&window.number);
                 }
                 self.ledger.apply(command);
@@ -91,7 +91,7 @@
 
     fn install(&mut self, snapshot: &Snapshot) {
         self.applied = snapshot.position.index;
-        match Ledger::restore(&snapshot.state) {
+        match ReplicatedState::restore(&snapshot.state) {
             Ok(ledger) => {
                 self.ledger = ledger;
                 self.note_sheet();
@@ -133,8 +133,8 @@
 
     fn note_sheet(&mut self) {
         self.adopted = self.now;
-        let Some(edition) = self.ledger.edition() else { return };
-        let (revision, routes) = (edition.sheet.revision, edition.sheet.routes.len());
+        let Some(edition) = self.ledger.current_table() else { return };
+        let (revision, routes) = (edition.table.revision, edition.table.routes.len());
         self.note(Event::RouteTable { revision, routes });
         self.push_soon();
     }
--- a/crates/verbenaslip-fleet/src/core/note.rs
+++ b/crates/verbenaslip-fleet/src/core/note.rs
@@ -10,7 +10,7 @@
 use crate::hub::AckCounts;
 use crate::limit::Observation;
 use crate::quarantine::Finding;
-use crate::registry::Late;
+use crate::registry::StaleAnnouncement;
 use crate::rollout::Rollout;
 use crate::rollout::verdict::{Stage, Verdict};
 use crate::upstream::Run;
@@ -43,7 +43,7 @@
     /// An upstream said that it goes.
     UpstreamWithdrawn(Run),
     /// An announcement was passed over, since what is known is newer.
-    StaleAnnouncement(Late),
+    StaleAnnouncement(StaleAnnouncement),
     /// That an upstream goes was acknowledged.
     DepartureAcknowledged {
         /// The run, and how it goes.
--- a/crates/verbenaslip-fleet/src/core/rollout.rs
+++ b/crates/verbenaslip-fleet/src/core/rollout.rs
@@ -4,11 +4,11 @@
 
 use crate::core::{Core, Event};
 use crate::frame::Heartbeat;
-use crate::ledger::Command;
-use crate::registry::{Record, Standing};
+use crate::registry::{Record, Status};
+use crate::replicated_state::Command;
 use crate::rollout::verdict::{Fleet, Stage};
 use crate::rollout::{Controller, Plans, Rollout, State};
-use crate::usage::Origin;
+use crate::usage::EntryRun;
 
 impl Core {
     /// Begins with the roll-outs that the log holds.
@@ -31,12 +31,12 @@
         let (entry, incarnation) = (heartbeat.peer.address, heartbeat.peer.incarnation);
         let own = heartbeat.rollouts.iter().map(|it| (entry, incarnation, heartbeat.sequence, it));
         let below = heartbeat.aggregate.iter().flat_map(|below| &below.rollouts).flat_map(|it| {
-            let Origin { address, incarnation } = it.origin;
+            let EntryRun { address, incarnation } = it.origin;
             it.reports.iter().map(move |report| (address, incarnation, it.sequence, report))
         });
         for (entry, incarnation, number, report) in own.chain(below) {
             for controller in self.controllers.values_mut() {
-                controller.take(entry, incarnation, number, report);
+                controller.handle_report(entry, incarnation, number, report);
             }
         }
     }
@@ -71,7 +71,7 @@
         let rejected = rollouts.rejected(service);
         let serves = rollouts.get(service).filter(|it| it.state == State::Serving);
         let candidate = serves.map(|it| it.order.version.clone());
-        self.registry.of_service(service).filter(move |record| {
+        self.registry.service_records(service).filter(move |record| {
             let version = &record.announcement.version;
             !rejected.contains(version) && candidate.as_ref() != Some(version)
         })
@@ -84,9 +84,11 @@
             let service = &rollout.order.service;
             let rejected = rollouts.rejected(service);
             match self.controllers.get_mut(service) {
-                Some(known) if known.rollout().id == rollout.id => known.follow(rollout, &rejected),
+                Some(known) if known.rollout().id == rollout.id => {
+                    known.update_rollout(rollout, &rejected)
+                }
                 _ => {
-                    let controller = Controller::open(rollout.clone(), rejected);
+                    let controller = Controller::new(rollout.clone(), rejected);
                     self.controllers.insert(service.clone(), controller);
                 }
             }
@@ -99,14 +101,15 @@
         let entries = self.hub.reachable_entries(self.now);
         // Cores list their entries from the first report on that is asked for it.
         let listed = entries.len() >= self.hub.reachable_entry_count(self.now);
-        let mut fleet = Fleet { entries, settled: self.is_settled() && listed, ..Fleet::default() };
-        for record in self.registry.of_service(service) {
+        let mut fleet =
+            Fleet { entries, all_reported: self.is_settled() && listed, ..Fleet::default() };
+        for record in self.registry.service_records(service) {
             let it = &record.announcement;
-            match record.standing {
-                Standing::Ready if Some(&it.version) == candidate => {
+            match record.status {
+                Status::Ready if Some(&it.version) == candidate => {
                     fleet.candidates.push((it.run.upstream.clone(), it.zone.clone()));
                 }
-                Standing::Ready => fleet.stable += 1,
+                Status::Ready => fleet.stable += 1,
                 _ => {}
             }
         }
@@ -158,7 +161,7 @@
             ends(service) && before == Some(State::Serving)
         });
         self.plans = Arc::new(plans);
-        self.planned = self.registry.touch();
+        self.planned = self.registry.record_external_change();
         if urgent {
             self.push_at = self.push_at.min(self.now);
         } else {
--- a/crates/verbenaslip-fleet/src/account.rs
+++ b/crates/verbenaslip-fleet/src/crash_report.rs
@@ -29,7 +29,7 @@
 
 /// Tells the leader what requests met.
 #[data]
-pub struct Account {
+pub struct CrashReport {
     /// The entry.
     pub from: SocketAddr,
     /// Counts the accounts of this life of the entry.
@@ -42,7 +42,7 @@
 
 /// Notes that an upstream ended while it ran a request.
 #[derive(Clone, Debug)]
-pub struct Sighting {
+pub struct ObservedCrash {
     /// The request.
     pub fingerprint: Fingerprint,
     /// The run of the upstream.
@@ -55,7 +55,7 @@
 
 /// Notes that a request was answered which is suspected or held back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Answered {
+pub struct ObservedAnswer {
     /// The request.
     pub fingerprint: Fingerprint,
     /// When the answer was whole.
@@ -67,12 +67,12 @@
 /// What a leader was told is lost with it. A request that ends upstreams would go on doing so under the next
 /// one, from the beginning; so that one is told again of the last minute.
 #[derive(Debug, Default)]
-pub struct Accounts {
+pub struct CrashReporter {
     term: u64,
     number: u64,
     due: Option<Duration>,
-    crashes: VecDeque<Item<Sighting>>,
-    answers: VecDeque<Item<Answered>>,
+    crashes: VecDeque<Item<ObservedCrash>>,
+    answers: VecDeque<Item<ObservedAnswer>>,
 }
 
 #[derive(Debug)]
@@ -85,9 +85,14 @@
     confirmed: bool,
 }
 
-impl Accounts {
+impl CrashReporter {
     /// Takes what requests met.
-    pub fn take(&mut self, now: Duration, crashes: Vec<Sighting>, answers: Vec<Answered>) {
+    pub fn record(
+        &mut self,
+        now: Duration,
+        crashes: Vec<ObservedCrash>,
+        answers: Vec<ObservedAnswer>,
+    ) {
         if crashes.is_empty() && answers.is_empty() {
             return;
         }
@@ -97,7 +102,7 @@
     }
 
     /// Begins anew with a leader of a later term.
-    pub fn follow(&mut self, now: Duration, term: u64) {
+    pub fn set_term(&mut self, now: Duration, term: u64) {
         if term <= self.term {
             return;
         }
@@ -120,12 +125,12 @@
     }
 
     /// Returns when an account is due; none while there is nothing to tell.
-    pub fn wake(&self) -> Option<Duration> {
+    pub fn next_due(&self) -> Option<Duration> {
         self.due
     }
 
     /// Makes the account that is due.
-    pub fn account(&mut self, now: Duration, from: SocketAddr) -> Option<Account> {
+    pub fn next_report(&mut self, now: Duration, from: SocketAddr) -> Option<CrashReport> {
         self.due.filter(|due| now >= *due)?;
         self.due = None;
         forget(&mut self.crashes, now);
@@ -133,13 +138,14 @@
         self.number += 1;
         let millis = |at: Duration| u64::try_from(now.saturating_sub(at).as_millis());
         let ago = |at: Duration| millis(at).unwrap_or(u64::MAX);
-        let crash = |met: &Sighting| Crash {
+        let crash = |met: &ObservedCrash| Crash {
             fingerprint: met.fingerprint,
             run: met.run.clone(),
-            sent: ago(met.sent),
-            ended: ago(met.ended),
+            sent_ms_ago: ago(met.sent),
+            ended_ms_ago: ago(met.ended),
         };
-        let answer = |it: &Answered| Answer { fingerprint: it.fingerprint, ago: ago(it.at) };
+        let answer =
+            |it: &ObservedAnswer| Answer { fingerprint: it.fingerprint, ms_ago: ago(it.at) };
         let crashes: Vec<Crash> = tell(&mut self.crashes, self.number).map(crash).collect();
         let answers: Vec<Answer> = tell(&mut self.answers, self.number).map(answer).collect();
         if crashes.is_empty() && answers.is_empty() {
@@ -147,11 +153,11 @@
         }
         // Response again unless it is confirmed, and the rest with it.
         self.due = Some(now + AGAIN);
-        Some(Account { from, number: self.number, crashes, answers })
+        Some(CrashReport { from, number: self.number, crashes, answers })
     }
 
     /// Puts off what is due, since no leader is known.
-    pub fn wait(&mut self, now: Duration) {
+    pub fn postpone(&mut self, now: Duration) {
         self.due = Some(now + GATHER);
     }
 
--- a/crates/verbenaslip-fleet/src/departure.rs
+++ b/crates/verbenaslip-fleet/src/departure.rs
@@ -7,12 +7,12 @@
 use verbenaslip_base::data;
 use verbenaslip_base::name::Upstream;
 
-use crate::upstream::{Run, Standing};
+use crate::upstream::{Run, Status};
 
 /// How long a departure is remembered, so that a late announcement of the same run is known for what
 /// it is. Announcements are held up for as long as a cut lasts and their sender's system tries to send
 /// them. Where a third of 7,800 upstreams are reclaimed within that time it takes a quarter of a megabyte.
-pub const MEMORY: Duration = Duration::from_secs(300);
+pub const RETENTION: Duration = Duration::from_secs(300);
 
 /// Holds the word of a run that it goes.
 #[data]
@@ -20,7 +20,7 @@
     /// The run.
     pub run: Run,
     /// Whether it has gone, or only takes no new work.
-    pub standing: Standing,
+    pub status: Status,
 }
 
 /// Remembers the last run of each upstream that goes or has gone.
@@ -36,14 +36,14 @@
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     incarnation: u64,
-    standing: Standing,
+    standing: Status,
     heard: Duration,
 }
 
 impl Departures {
     /// Takes a departure; returns whether it says more than was known.
-    pub fn take(&mut self, now: Duration, run: &Run, standing: Standing) -> bool {
-        let known = self.standing(run);
+    pub fn record(&mut self, now: Duration, run: &Run, standing: Status) -> bool {
+        let known = self.status(run);
         if known.is_some_and(|known| known >= standing) {
             return false;
         }
@@ -53,10 +53,10 @@
     }
 
     /// Returns how a run stands that goes or has gone; none for any other run.
-    pub fn standing(&self, run: &Run) -> Option<Standing> {
+    pub fn status(&self, run: &Run) -> Option<Status> {
         let held = self.last.get(&run.upstream)?;
         match run.incarnation.cmp(&held.incarnation) {
-            Ordering::Less => Some(Standing::Gone),
+            Ordering::Less => Some(Status::Gone),
             Ordering::Equal => Some(held.standing),
             Ordering::Greater => None,
         }
@@ -82,12 +82,12 @@
     pub fn merge(&mut self, now: Duration, other: &Self) {
         for (upstream, held) in &other.last {
             let run = Run { upstream: upstream.clone(), incarnation: held.incarnation };
-            self.take(now, &run, held.standing);
+            self.record(now, &run, held.standing);
         }
     }
 
     /// Forgets what is so old that no announcement of it can still be on its way.
-    pub fn forget(&mut self, now: Duration) {
-        self.last.retain(|_, held| now.saturating_sub(held.heard) <= MEMORY);
+    pub fn remove_expired(&mut self, now: Duration) {
+        self.last.retain(|_, held| now.saturating_sub(held.heard) <= RETENTION);
     }
 }
--- a/crates/verbenaslip-fleet/src/entry.rs
+++ b/crates/verbenaslip-fleet/src/entry.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::account::{Accounts, Answered, Sighting};
+use crate::crash_report::{CrashReporter, ObservedAnswer, ObservedCrash};
 use crate::frame::{Frame, Peer};
 use crate::link::{Link, Report, Targets};
 use crate::quota::LoanRequest;
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub struct Entry {
     link: Link,
-    accounts: Accounts,
+    accounts: CrashReporter,
 }
 
 /// Wants a frame sent.
@@ -29,7 +29,7 @@
 impl Entry {
     /// Starts without a view.
     pub fn new(own: Peer, seeds: Vec<SocketAddr>, now: Duration, unix: u64) -> Self {
-        Self { link: Link::new(own, seeds, now, unix), accounts: Accounts::default() }
+        Self { link: Link::new(own, seeds, now, unix), accounts: CrashReporter::default() }
     }
 
     /// Returns what is known of the fleet.
@@ -44,7 +44,7 @@
 
     /// Returns when [`heartbeat`](Self::heartbeat) or [`account`](Self::account) is due.
     pub fn next_wakeup(&self) -> Duration {
-        let account = self.accounts.wake().unwrap_or(Duration::MAX);
+        let account = self.accounts.next_due().unwrap_or(Duration::MAX);
         self.link.next_wakeup().min(account)
     }
 
@@ -57,20 +57,20 @@
     pub fn record_outcomes(
         &mut self,
         now: Duration,
-        crashes: Vec<Sighting>,
-        answers: Vec<Answered>,
+        crashes: Vec<ObservedCrash>,
+        answers: Vec<ObservedAnswer>,
     ) {
-        self.accounts.take(now, crashes, answers);
+        self.accounts.record(now, crashes, answers);
     }
 
     /// Tells the leader of that if it is due.
     pub fn next_crash_report(&mut self, now: Duration) -> Option<Envelope> {
-        self.accounts.wake().filter(|due| now >= *due)?;
+        self.accounts.next_due().filter(|due| now >= *due)?;
         let Some(leader) = self.link.leader(now) else {
-            self.accounts.wait(now);
+            self.accounts.postpone(now);
             return None;
         };
-        let account = self.accounts.account(now, self.link.own().address)?;
+        let account = self.accounts.next_report(now, self.link.own().address)?;
         Some(Envelope { to: vec![leader], frame: Frame::CrashReport(Box::new(account)) })
     }
 
@@ -105,7 +105,7 @@
                 let from = update.from;
                 let seen =
                     self.link.handle_update(now, *update).then(|| self.link.acknowledgement());
-                self.accounts.follow(now, self.link.view().version.term);
+                self.accounts.set_term(now, self.link.view().version.term);
                 Some(Envelope { to: vec![from], frame: seen? })
             }
             Frame::CrashReportReceived { term, number } => {
--- a/crates/verbenaslip-fleet/src/frame.rs
+++ b/crates/verbenaslip-fleet/src/frame.rs
@@ -9,20 +9,20 @@
 use verbenaslip_replica::message::Message;
 use verbenaslip_replica::voter::Voter;
 
-use crate::account::Account;
-use crate::ledger::Edition;
+use crate::crash_report::CrashReport;
 use crate::limit::{Limits, Observation, TimeSlot};
-use crate::load::Work;
+use crate::load::WorkReport;
 use crate::parent::ParentCore;
 use crate::quarantine::Blocklist;
 use crate::quota::{LoanGrant, LoanRequest, Refund};
 use crate::registry::{Announcement, Record, Run};
+use crate::replicated_state::RouteTableRevision;
 use crate::rollout::report::Report;
 use crate::rollout::{Order, Plans, Rollout};
-use crate::sheet::Sheet;
-use crate::usage::{Count, Counted, Origin};
+use crate::route_table::RouteTable;
+use crate::usage::{Count, EntryCounts, EntryRun};
 use crate::view::Version;
-use crate::voucher::Mark;
+use crate::voucher::RenewalMark;
 
 /// Says something to another instance; any frame may be lost, late, doubled or overtaken.
 #[data(float)]
@@ -83,7 +83,7 @@
         response: Response,
     },
     /// An entry tells the leader under which requests upstreams ended.
-    CrashReport(Box<Account>),
+    CrashReport(Box<CrashReport>),
     /// The leader has an account.
     CrashReportReceived {
         /// Its term.
@@ -169,9 +169,9 @@
     /// Units of teams' limits that were lent and not used.
     pub refunds: Vec<Refund>,
     /// What engines are asked for.
-    pub engine_work: Vec<Work>,
+    pub engine_work: Vec<WorkReport>,
     /// Upstreams that have announced themselves at this core, and say nothing new.
-    pub marks: Vec<Mark>,
+    pub marks: Vec<RenewalMark>,
     /// What requests met at the versions of services that are rolled out.
     pub rollouts: Vec<Report>,
     /// Limits that upstreams have named or ended, as far as the leader is not known to know them.
@@ -196,7 +196,7 @@
     /// The revision of the route table that this core and all of them have.
     pub revision: u64,
     /// Requests that began lately, by entry: what the leader may not know yet.
-    pub counts: Vec<Counted>,
+    pub counts: Vec<EntryCounts>,
     /// What requests met at the versions of services that are rolled out.
     pub rollouts: Vec<RelayedReport>,
 }
@@ -205,7 +205,7 @@
 #[data]
 pub struct RelayedReport {
     /// The entry.
-    pub origin: Origin,
+    pub origin: EntryRun,
     /// The number of its report.
     pub sequence: u64,
     /// What it reports.
@@ -228,7 +228,7 @@
     /// Upstreams that changed.
     pub records: Vec<Record>,
     /// The route table, if the instance has an older one.
-    pub route_table: Option<Arc<Sheet>>,
+    pub route_table: Option<Arc<RouteTable>>,
     /// The requests that are suspected or held back, if that has changed.
     pub blocklist: Option<Arc<Blocklist>>,
     /// Which versions of services get requests, if that has changed.
@@ -271,7 +271,7 @@
 #[data(float)]
 pub enum Request {
     /// Put a route table in force.
-    AdoptRouteTable(Box<Edition>),
+    AdoptRouteTable(Box<RouteTableRevision>),
     /// Read the newest route table, as the operator wrote it.
     ReadRouteTable,
     /// Take an upstream's announcement.
--- a/crates/verbenaslip-fleet/src/hub.rs
+++ b/crates/verbenaslip-fleet/src/hub.rs
@@ -20,11 +20,11 @@
 pub use crate::hub::source::{ChangeSource, Changes, UpdateSource};
 use crate::hub::subscriber::Subscriber;
 use crate::hub::totals::Totals;
-use crate::load::{Loads, Work};
+use crate::load::{LoadEstimator, WorkReport};
 use crate::parent::ParentCore;
 use crate::quota::{LoanGrant, LoanRequest, TeamBuckets};
-use crate::sheet::Sheet;
-use crate::usage::{Collector, Counted, Origin};
+use crate::route_table::RouteTable;
+use crate::usage::{Collector, EntryCounts, EntryRun};
 use crate::view::Version;
 
 /// After this silence an instance is not waited for: three beats.
@@ -53,7 +53,7 @@
     subscribers: BTreeMap<SocketAddr, Subscriber>,
     usage: Collector,
     quotas: TeamBuckets,
-    loads: Loads,
+    loads: LoadEstimator,
     /// Milliseconds of engine time that entries were asked for since this process started, by service.
     total_work: BTreeMap<Arc<str>, f64>,
     /// When this core began to lead.
@@ -157,8 +157,8 @@
             engine_work: work,
             ..
         } = heartbeat;
-        let origin = Origin { address: peer.address, incarnation: peer.incarnation };
-        self.usage.take(last + 1, origin, counts);
+        let origin = EntryRun { address: peer.address, incarnation: peer.incarnation };
+        self.usage.record(last + 1, origin, counts);
         let goes_on = seen.term == self.before.term && seen <= self.before;
         let seen = if seen.term == term || goes_on { seen } else { Version { term, change: 0 } };
         let known = seen.change;
@@ -194,10 +194,10 @@
         subscriber.counted = counted;
         subscriber.number = number;
         refunds.iter().for_each(|refund| self.quotas.refund(refund));
-        for Work { service, total } in work {
+        for WorkReport { service, total_ms: total } in work {
             // The first report tells of all the time before.
             let before = subscriber.work.insert(service.clone(), total).unwrap_or(total);
-            self.loads.take(now, &service, total - before);
+            self.loads.add(now, &service, total - before);
             *self.total_work.entry(service).or_default() += (total - before).max(0.0);
         }
         if let Some(below) = heartbeat.aggregate {
@@ -207,8 +207,8 @@
 
     /// Takes what the entries below a core have reported to it.
     fn take_below(&mut self, core: SocketAddr, last: u64, below: Aggregate) {
-        for Counted { origin, counts } in below.counts {
-            self.usage.take(last + 1, origin, counts);
+        for EntryCounts { entry: origin, counts } in below.counts {
+            self.usage.record(last + 1, origin, counts);
         }
         let Some(subscriber) = self.subscribers.get_mut(&core) else { return };
         let covered = Progress { change: below.acknowledged.change, revision: below.revision };
@@ -246,7 +246,7 @@
 
     /// Returns how many engines of a service would be busy all the time; none before that is known.
     pub fn busy_engines(&self, now: Duration, service: &str) -> Option<f64> {
-        self.loads.busy(now, service)
+        self.loads.busy_engines(now, service)
     }
 
     /// Takes the word of an instance that it has taken a change of this term, and all that report to it.
@@ -268,8 +268,8 @@
     }
 
     /// Makes the sums anew, and lets the teams' limits fill up.
-    pub fn refresh(&mut self, now: Duration, sheet: Option<&Sheet>) {
-        self.loads.refresh(now);
+    pub fn refresh(&mut self, now: Duration, sheet: Option<&RouteTable>) {
+        self.loads.update(now);
         let expects = now < self.opened + EXPECTED;
         self.totals.take(
             now,
@@ -376,13 +376,15 @@
 
     /// Returns the counts of a window.
     pub fn window_counts(&self, window: u64) -> BTreeMap<Team, u64> {
-        self.usage.sum(window)
+        self.usage.totals(window)
     }
 
     /// Lists the work that entries were asked for since this process started.
-    pub fn worked(&self) -> Vec<Work> {
+    pub fn worked(&self) -> Vec<WorkReport> {
         let worked = self.total_work.iter();
-        worked.map(|(service, total)| Work { service: service.clone(), total: *total }).collect()
+        worked
+            .map(|(service, total)| WorkReport { service: service.clone(), total_ms: *total })
+            .collect()
     }
 
     /// Sums up what the entries that report here have reported since this core's report with a number.
--- a/crates/verbenaslip-fleet/src/hub/source.rs
+++ b/crates/verbenaslip-fleet/src/hub/source.rs
@@ -9,7 +9,7 @@
 use crate::quarantine::Blocklist;
 use crate::registry::Registry;
 use crate::rollout::Plans;
-use crate::sheet::Sheet;
+use crate::route_table::RouteTable;
 use crate::upstream::Record;
 use crate::view::Version;
 
@@ -27,15 +27,15 @@
 
 impl ChangeSource for Registry {
     fn last_change(&self) -> u64 {
-        Self::stamp(self)
+        Self::last_change(self)
     }
 
     fn has_changes_since(&self, change: u64) -> bool {
-        Self::reaches(self, change)
+        Self::has_changes_since(self, change)
     }
 
     fn changes_since(&self, change: u64) -> Option<Vec<Record>> {
-        Self::since(self, change)
+        Self::changes_since(self, change)
     }
 
     fn all(&self) -> Vec<Record> {
@@ -56,7 +56,7 @@
     /// The upstreams.
     pub records: &'a dyn ChangeSource,
     /// The route table.
-    pub route_table: Option<&'a Arc<Sheet>>,
+    pub route_table: Option<&'a Arc<RouteTable>>,
     /// The requests that are suspected or held back.
     pub blocklist: &'a Arc<Blocklist>,
     /// Which versions of services get requests.
--- a/crates/verbenaslip-fleet/src/index.rs
+++ b/crates/verbenaslip-fleet/src/index.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-use crate::sheet::{Route, Sheet, TeamRow};
+use crate::route_table::{Route, RouteTable, TeamConfig};
 
 /// Holds the place of each route of a host by its prefix.
 type Prefixes = HashMap<Arc<str>, usize>;
@@ -17,7 +17,7 @@
 /// Holds a route table ready for lookups.
 #[derive(Debug)]
 pub struct Index {
-    sheet: Arc<Sheet>,
+    sheet: Arc<RouteTable>,
     hosts: HashMap<String, Prefixes>,
     keys: HashMap<Arc<str>, usize>,
     urgencies: Vec<Urgency>,
@@ -25,7 +25,7 @@
 
 impl Index {
     /// Prepares a route table.
-    pub fn open(sheet: Arc<Sheet>) -> Self {
+    pub fn new(sheet: Arc<RouteTable>) -> Self {
         let mut hosts: HashMap<String, Prefixes> = HashMap::new();
         for (place, route) in sheet.routes.iter().enumerate() {
             let prefixes = hosts.entry(route.host.to_ascii_lowercase()).or_default();
@@ -40,7 +40,7 @@
     }
 
     /// Returns the table.
-    pub fn sheet(&self) -> &Arc<Sheet> {
+    pub fn route_table(&self) -> &Arc<RouteTable> {
         &self.sheet
     }
 
@@ -62,7 +62,7 @@
     /// A team's priority goes before a route's. Taken alone, it would leave the routes of one team
     /// without any order: where upstreams are too few, the requests with the longest objective would
     /// fill the queues in which the most urgent ones are too late.
-    pub fn rank(&self, route: &Route, team: Option<&TeamRow>) -> u8 {
+    pub fn rank(&self, route: &Route, team: Option<&TeamConfig>) -> u8 {
         let urgency = urgency(route.priority, team.and_then(|team| team.priority));
         let place = self.urgencies.partition_point(|it| *it < urgency);
         let levels = self.urgencies.len();
@@ -71,7 +71,7 @@
     }
 
     /// Returns the team that a key belongs to.
-    pub fn team(&self, key: &str) -> Option<&TeamRow> {
+    pub fn team(&self, key: &str) -> Option<&TeamConfig> {
         self.keys.get(key).and_then(|place| self.sheet.teams.get(*place))
     }
 }
@@ -82,7 +82,7 @@
 }
 
 /// Lists the urgencies that requests may have, in order.
-fn urgencies(sheet: &Sheet) -> Vec<Urgency> {
+fn urgencies(sheet: &RouteTable) -> Vec<Urgency> {
     let routes: BTreeSet<u8> = sheet.routes.iter().map(|route| route.priority).collect();
     let mut teams: BTreeSet<Option<u8>> = sheet.teams.iter().map(|team| team.priority).collect();
     teams.insert(None);
--- a/crates/verbenaslip-fleet/src/lib.rs
+++ b/crates/verbenaslip-fleet/src/lib.rs
@@ -30,29 +30,29 @@
 //!
 //! Messages may be lost, late, doubled or overtaken; every one of them can be sent again.
 
-pub mod account;
 pub mod clock;
 pub mod core;
+pub mod crash_report;
 pub(crate) mod delta_map;
 pub mod departure;
-pub mod duty;
 pub mod entry;
 pub mod fingerprint;
 pub mod frame;
 pub(crate) mod history;
 pub mod hub;
 pub mod index;
-pub mod ledger;
 pub mod limit;
 pub mod link;
 pub mod load;
+pub mod order;
 pub mod parent;
 pub mod plan;
 pub mod quarantine;
 pub mod quota;
 pub mod registry;
+pub mod replicated_state;
 pub mod rollout;
-pub mod sheet;
+pub mod route_table;
 pub mod transition;
 pub mod upstream;
 pub mod usage;
--- a/crates/verbenaslip-fleet/src/link.rs
+++ b/crates/verbenaslip-fleet/src/link.rs
@@ -19,7 +19,7 @@
 use crate::history::History;
 use crate::hub;
 use crate::limit::{Limits, Observation};
-use crate::load::Work;
+use crate::load::WorkReport;
 use crate::parent::ParentCore;
 use crate::quarantine::Blocklist;
 use crate::quota::Refund;
@@ -29,7 +29,7 @@
 use crate::transition::Transitions;
 use crate::usage::Count;
 use crate::view::{Version, View};
-use crate::voucher::Mark;
+use crate::voucher::RenewalMark;
 
 /// Time between two reports: a quarter of the time in which a limit's part must move between
 /// entries, and 4 datagrams' worth of bytes a second.
@@ -86,9 +86,9 @@
     /// Units of teams' limits that were lent and not used.
     pub refunds: Vec<Refund>,
     /// What engines were asked for, by service.
-    pub engine_work: Vec<Work>,
+    pub engine_work: Vec<WorkReport>,
     /// Upstreams that a core vouches for.
-    pub marks: Vec<Mark>,
+    pub marks: Vec<RenewalMark>,
     /// What requests met at the versions of services that are rolled out.
     pub rollouts: Vec<RolloutReport>,
     /// Limits that upstreams have named or ended, and the leader may not know.
--- a/crates/verbenaslip-fleet/src/load.rs
+++ b/crates/verbenaslip-fleet/src/load.rs
@@ -8,11 +8,11 @@
 
 /// Tells the leader how much work one entry was asked for.
 #[data(float)]
-pub struct Work {
+pub struct WorkReport {
     /// The service.
     pub service: Arc<str>,
     /// Milliseconds of an engine's time since the entry started.
-    pub total: f64,
+    pub total_ms: f64,
 }
 
 /// The time constant of the mean that follows a rise: a burst must show within the time that an
@@ -28,7 +28,7 @@
 
 /// Follows the work that all entries are asked for.
 #[derive(Debug, Default)]
-pub struct Loads {
+pub struct LoadEstimator {
     loads: BTreeMap<Arc<str>, Load>,
 }
 
@@ -42,20 +42,20 @@
     at: Duration,
 }
 
-impl Loads {
+impl LoadEstimator {
     /// Takes the work that was asked for since the last report of an entry.
-    pub fn take(&mut self, now: Duration, service: &Arc<str>, millis: f64) {
+    pub fn add(&mut self, now: Duration, service: &Arc<str>, millis: f64) {
         let open = || Load { fresh: 0.0, rising: 0.0, falling: 0.0, since: now, at: now };
         self.loads.entry(service.clone()).or_insert_with(open).fresh += millis.max(0.0);
     }
 
     /// Lets time pass.
-    pub fn refresh(&mut self, now: Duration) {
+    pub fn update(&mut self, now: Duration) {
         self.loads.values_mut().for_each(|load| load.refresh(now));
     }
 
     /// Returns how many engines would be busy all the time; none before that is known.
-    pub fn busy(&self, now: Duration, service: &str) -> Option<f64> {
+    pub fn busy_engines(&self, now: Duration, service: &str) -> Option<f64> {
         let load = self.loads.get(service)?;
         let known = now.saturating_sub(load.since) >= WATCH;
         known.then_some(load.rising.max(load.falling))
--- a/crates/verbenaslip-fleet/src/duty.rs
+++ b/crates/verbenaslip-fleet/src/order.rs
@@ -11,7 +11,7 @@
 use verbenaslip_base::data;
 use verbenaslip_base::name::AvailabilityZone;
 
-use crate::ledger::{Ledger, Window};
+use crate::replicated_state::{ReplicatedState, Window};
 use crate::usage::window_end;
 
 /// How long an order that was not acknowledged waits until it is given again.
@@ -25,7 +25,7 @@
     /// Rises whenever the holder changes.
     pub fence: u64,
     /// The order is void from then on, by the steady clock: the lease of the holder.
-    pub until: Duration,
+    pub valid_until: Duration,
     /// What is ordered.
     pub task: Task,
 }
@@ -69,13 +69,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
     /// The length of a window of usage.
-    pub window: Duration,
+    pub window_length: Duration,
     /// How long after the end of a window its counts are awaited at most.
-    pub settle: Duration,
+    pub count_timeout: Duration,
     /// How long after its end a window is of use to the cloud.
-    pub late: Duration,
+    pub report_deadline: Duration,
     /// How long a new leader waits before its first order.
-    pub wait: Duration,
+    pub takeover_wait: Duration,
 }
 
 /// Keeps which windows have been reported.
@@ -93,25 +93,29 @@
 
 impl Dispatcher {
     /// Returns the windows whose counts are due to be closed.
-    pub fn due(ledger: &Ledger, timing: &Timing, unix: u64) -> impl Iterator<Item = u64> {
-        let current = crate::usage::window_at(unix, timing.window);
+    pub fn windows_to_close(
+        ledger: &ReplicatedState,
+        timing: &Timing,
+        unix: u64,
+    ) -> impl Iterator<Item = u64> {
+        let current = crate::usage::window_at(unix, timing.window_length);
         let oldest = windows_within(timing);
         let range = current.saturating_sub(oldest)..current;
         range.filter(|window| !ledger.is_closed(*window))
     }
 
     /// Returns the closed windows to report now, each with the name of its order.
-    pub fn orders(
+    pub fn usage_orders(
         &mut self,
         now: Duration,
-        ledger: &Ledger,
+        ledger: &ReplicatedState,
         timing: &Timing,
         unix: u64,
     ) -> Vec<(u64, Window)> {
         let mut orders = Vec::new();
-        let late = u64::try_from(timing.late.as_millis()).unwrap_or(u64::MAX);
+        let late = u64::try_from(timing.report_deadline.as_millis()).unwrap_or(u64::MAX);
         for window in ledger.windows() {
-            let end = window_end(window.number, timing.window);
+            let end = window_end(window.number, timing.window_length);
             let known = self.reported.get(&window.number);
             let due = match known {
                 None => true,
@@ -121,7 +125,7 @@
             if !due || unix > end.saturating_add(late) {
                 continue;
             }
-            let id = self.draw();
+            let id = self.next_id();
             let sent = Report::Sent { id, again: now + AGAIN };
             self.reported.insert(window.number, sent);
             orders.push((id, window.clone()));
@@ -130,13 +134,13 @@
     }
 
     /// Draws the name of an order.
-    pub fn draw(&mut self) -> u64 {
+    pub fn next_id(&mut self) -> u64 {
         self.next += 1;
         self.next
     }
 
     /// Takes what became of an order.
-    pub fn ended(&mut self, order: u64, outcome: Outcome) {
+    pub fn handle_outcome(&mut self, order: u64, outcome: Outcome) {
         let done = matches!(outcome, Outcome::Done);
         for report in self.reported.values_mut() {
             if done && matches!(report, Report::Sent { id, .. } if *id == order) {
@@ -147,6 +151,6 @@
 }
 
 fn windows_within(timing: &Timing) -> u64 {
-    let window = timing.window.as_millis().max(1);
-    u64::try_from(timing.late.as_millis() / window).unwrap_or(1).max(1)
+    let window = timing.window_length.as_millis().max(1);
+    u64::try_from(timing.report_deadline.as_millis() / window).unwrap_or(1).max(1)
 }
--- a/crates/verbenaslip-fleet/src/plan.rs
+++ b/crates/verbenaslip-fleet/src/plan.rs
@@ -15,12 +15,12 @@
 
 use verbenaslip_base::name::AvailabilityZone;
 
-use crate::duty::{Outcome, Scale};
+use crate::order::{Outcome, Scale};
 use crate::plan::pace::Pace;
 use crate::plan::size::Size;
 use crate::plan::warmup::Warmup;
-use crate::registry::{Announcement, Record, Standing};
-use crate::sheet::Scaling;
+use crate::registry::{Announcement, Record, Status};
+use crate::route_table::Scaling;
 
 /// The part of the base that must be left when one more zone is reclaimed. Zones are reclaimed in
 /// series, and while they are, no reclaimable ones are to be had anywhere; an on-demand one takes
@@ -63,9 +63,9 @@
 pub type Counts = BTreeMap<Kind, u32>;
 
 /// Counts the upstreams that may get work, by kind.
-pub fn count<'a>(records: impl Iterator<Item = &'a Record>) -> Counts {
+pub fn count_by_kind<'a>(records: impl Iterator<Item = &'a Record>) -> Counts {
     let mut counts: BTreeMap<(&AvailabilityZone, bool), u32> = BTreeMap::new();
-    for record in records.filter(|record| record.standing == Standing::Ready) {
+    for record in records.filter(|record| record.status == Status::Ready) {
         let Announcement { zone, reclaimable, .. } = &record.announcement;
         *counts.entry((zone, *reclaimable)).or_default() += 1;
     }
@@ -80,7 +80,7 @@
     /// With how many the fleet began.
     pub base: u32,
     /// How many would be busy all the time with what callers ask for; none where that is not known.
-    pub busy: Option<f64>,
+    pub busy_upstreams: Option<f64>,
 }
 
 /// The largest part of the base that is made up for where upstreams limit their requests: a limit may end as soon as
@@ -88,7 +88,7 @@
 const REPLACED: f64 = 0.25;
 
 /// Returns with how many upstreams a service is planned that began with a number, while some are `limited`.
-pub fn with_limited(base: u32, limited: u32) -> u32 {
+pub fn base_with_replacements(base: u32, limited: u32) -> u32 {
     base + limited.min(scale(base, REPLACED))
 }
 
@@ -115,7 +115,7 @@
 
     /// Returns the part of the base that the load needs; all of it where the load is not known.
     fn part(self) -> f64 {
-        self.busy.map_or(1.0, |busy| self.part_of(busy))
+        self.busy_upstreams.map_or(1.0, |busy| self.part_of(busy))
     }
 
     /// Returns the part of the base that a load needs.
@@ -165,7 +165,7 @@
 impl Planner {
     /// Starts without knowing what was ordered before, but the size under the leader before, where there was one;
     /// upstreams announce themselves once per `period`.
-    pub fn open(service: Arc<str>, period: Duration, before: Option<u32>) -> Self {
+    pub fn new(service: Arc<str>, period: Duration, before: Option<u32>) -> Self {
         Self {
             service,
             orders: BTreeMap::new(),
@@ -179,12 +179,12 @@
     }
 
     /// Takes how many upstreams there are; returns whether these are all that run.
-    pub fn watch(&mut self, now: Duration, upstreams: u32) -> bool {
+    pub fn update_count(&mut self, now: Duration, upstreams: u32) -> bool {
         self.warmup.take(now, upstreams)
     }
 
     /// Takes how many instances are told of each upstream that comes or goes.
-    pub fn spread(&mut self, instances: usize) {
+    pub fn set_instances(&mut self, instances: usize) {
         self.pace.spread(instances);
     }
 
@@ -197,12 +197,12 @@
         have: &Counts,
         mut next: impl FnMut() -> u64,
     ) -> Vec<(u64, Scale)> {
-        let warm = self.watch(now, have.values().sum());
+        let warm = self.update_count(now, have.values().sum());
         let Some(target) = self.target(now, scaling, demand, warm) else { return Vec::new() };
         let demand = Demand { base: target.size, ..demand };
         let mut scaling = priced(scaling, have);
         if !target.exchanged {
-            scaling.reclaimable = None;
+            scaling.reclaimable_price_ratio = None;
         }
         let scaling = &scaling;
         self.exhausted.retain(|_, until| *until > now);
@@ -229,7 +229,7 @@
                 continue;
             }
             let id = next();
-            let until = now + scaling.boot + ANNOUNCED;
+            let until = now + scaling.boot_time + ANNOUNCED;
             self.orders.insert(kind.clone(), Pending { id, count, room, until, refused: false });
             let Kind { zone, reclaimable } = kind;
             orders.push((id, Scale { service: self.service.clone(), zone, reclaimable, count }));
@@ -238,7 +238,7 @@
     }
 
     /// Returns with how many upstreams the service is planned by its load; none where that was never known.
-    pub fn size_by_load(&self) -> Option<u32> {
+    pub fn planned_count(&self) -> Option<u32> {
         self.size.known()
     }
 
@@ -253,19 +253,19 @@
         demand: Demand,
         warm: bool,
     ) -> Option<Target> {
-        if let Some(size) = self.size.take(now, scaling.boot, demand) {
+        if let Some(size) = self.size.take(now, scaling.boot_time, demand) {
             return Some(Target { size, exchanged: true });
         }
-        if demand.base <= self.pace.within(scaling.boot * EXCHANGE) {
+        if demand.base <= self.pace.within(scaling.boot_time * EXCHANGE) {
             return Some(Target { size: demand.base, exchanged: true });
         }
-        let idle = warm.then(|| self.size.idle(now, scaling.boot, demand.base));
+        let idle = warm.then(|| self.size.idle(now, scaling.boot_time, demand.base));
         let size = idle.filter(|idle| *idle < demand.base)?;
         Some(Target { size, exchanged: false })
     }
 
     /// Takes what became of an order; returns whether it was one of this service.
-    pub fn ended(&mut self, now: Duration, id: u64, outcome: Outcome) -> bool {
+    pub fn handle_outcome(&mut self, now: Duration, id: u64, outcome: Outcome) -> bool {
         let Some((kind, pending)) = self.orders.iter_mut().find(|(_, pending)| pending.id == id)
         else {
             return false;
@@ -346,7 +346,7 @@
 /// on-demand upstreams keeps them for as long as an order is waited for.
 fn room(scaling: &Scaling, kind: &Kind, have: &Counts) -> u32 {
     let other = Kind { zone: kind.zone.clone(), reclaimable: !kind.reclaimable };
-    scaling.most.saturating_sub(have.get(&other).copied().unwrap_or(0))
+    scaling.max_upstreams.saturating_sub(have.get(&other).copied().unwrap_or(0))
 }
 
 /// Returns how many on-demand upstreams are needed beside the reclaimable ones.
@@ -369,7 +369,7 @@
         let [there, cheap] = [false, true].map(|reclaimable| {
             have.get(&Kind { zone: zone.clone(), reclaimable }).copied().unwrap_or(0)
         });
-        let room = scaling.most.saturating_sub(there + cheap);
+        let room = scaling.max_upstreams.saturating_sub(there + cheap);
         let more = lack.min(room);
         lack -= more;
         if more > 0 {
@@ -413,13 +413,15 @@
     base: u32,
     exhausted: &BTreeSet<AvailabilityZone>,
 ) -> Vec<(Kind, u32)> {
-    if scaling.reclaimable.is_none() {
+    if scaling.reclaimable_price_ratio.is_none() {
         return Vec::new();
     }
     let zones: Vec<&AvailabilityZone> =
         scaling.prices.keys().filter(|zone| !exhausted.contains(*zone)).collect();
     let left = u32::try_from(zones.len()).unwrap_or(u32::MAX).saturating_sub(1).max(1);
-    let each = base.div_ceil(left).clamp(scaling.least, scaling.most.max(scaling.least));
+    let each = base
+        .div_ceil(left)
+        .clamp(scaling.min_upstreams, scaling.max_upstreams.max(scaling.min_upstreams));
     let kind = |zone: &AvailabilityZone| Kind { zone: zone.clone(), reclaimable: true };
     zones.into_iter().map(|zone| (kind(zone), each)).collect()
 }
--- a/crates/verbenaslip-fleet/src/plan/size.rs
+++ b/crates/verbenaslip-fleet/src/plan/size.rs
@@ -48,7 +48,7 @@
 
     /// Returns with how many upstreams to plan; none where the load was never known.
     pub(crate) fn take(&mut self, now: Duration, boot: Duration, demand: Demand) -> Option<u32> {
-        let Some(busy) = demand.busy else {
+        let Some(busy) = demand.busy_upstreams else {
             return self.before.map(|before| before.min(demand.base));
         };
         let wanted = scale(demand.base, (demand.part_of(busy) * MARGIN).min(1.0)) + SPARE;
--- a/crates/verbenaslip-fleet/src/quarantine.rs
+++ b/crates/verbenaslip-fleet/src/quarantine.rs
@@ -22,7 +22,7 @@
 
 use crate::fingerprint::Fingerprint;
 pub use crate::quarantine::record::{
-    Answer, Block, Blocklist, Cause, Crash, Finding, Persisted, Rule,
+    Answer, Block, Blocklist, Cause, Crash, Finding, PersistedState, QuarantinePolicy,
 };
 use crate::upstream::Run;
 
@@ -56,17 +56,22 @@
 /// How long an entry has to let a request through before another one is to.
 const TRIAL: Duration = Duration::from_secs(30);
 
-impl Default for Rule {
+impl Default for QuarantinePolicy {
     fn default() -> Self {
         let hold = Duration::from_secs(600);
-        Self { crashes: 3, hold, lifted: BTreeSet::new(), forbidden: BTreeSet::new() }
+        Self {
+            crash_threshold: 3,
+            hold_time: hold,
+            lifted: BTreeSet::new(),
+            forbidden: BTreeSet::new(),
+        }
     }
 }
 
 /// Finds requests that end upstreams, at the leader.
 #[derive(Debug, Default)]
 pub struct Quarantine {
-    rule: Rule,
+    rule: QuarantinePolicy,
     key: Option<u128>,
     suspects: BTreeMap<Fingerprint, Suspect>,
     /// The suspects in the order in which they came.
@@ -138,10 +143,10 @@
 
 impl Quarantine {
     /// Starts with what the log and this core hold. What is only suspected the entries tell again.
-    pub fn open(rule: Rule, kept: &Persisted, known: &Blocklist) -> Self {
+    pub fn new(rule: QuarantinePolicy, kept: &PersistedState, known: &Blocklist) -> Self {
         let mut quarantine = Self { rule, key: kept.key, ..Self::default() };
-        for (fingerprint, held) in known.held.iter().chain(&kept.held) {
-            quarantine.held.insert(*fingerprint, Block { tried_by: None, ..held.clone() });
+        for (fingerprint, held) in known.quarantined.iter().chain(&kept.quarantined) {
+            quarantine.held.insert(*fingerprint, Block { trial_entry: None, ..held.clone() });
         }
         quarantine.overrule();
         quarantine.publish();
@@ -155,10 +160,10 @@
     }
 
     /// Returns what is to outlive this leader.
-    pub fn kept(&self, key: u128) -> Persisted {
-        let bare = |held: &Block| Block { tried_by: None, ..held.clone() };
+    pub fn persisted(&self, key: u128) -> PersistedState {
+        let bare = |held: &Block| Block { trial_entry: None, ..held.clone() };
         let held = self.held.iter().map(|(fingerprint, held)| (*fingerprint, bare(held))).collect();
-        Persisted { key: Some(self.key.unwrap_or(key)), held }
+        PersistedState { key: Some(self.key.unwrap_or(key)), quarantined: held }
     }
 
     /// Takes the key once the log holds it.
@@ -167,14 +172,14 @@
     }
 
     /// Takes an operator's other wishes.
-    pub fn set_rule(&mut self, rule: Rule) {
+    pub fn set_policy(&mut self, rule: QuarantinePolicy) {
         self.rule = rule;
         self.overrule();
     }
 
     /// Takes an entry's word that an upstream ended while it ran a request; `unix` is the agreed time of day.
-    pub fn crashed(&mut self, now: Duration, unix: u64, crash: &Crash) {
-        let Crash { fingerprint, run, sent, ended } = crash;
+    pub fn handle_crash(&mut self, now: Duration, unix: u64, crash: &Crash) {
+        let Crash { fingerprint, run, sent_ms_ago: sent, ended_ms_ago: ended } = crash;
         if self.held.contains_key(fingerprint) {
             self.ended_again(unix.saturating_sub(*sent), unix, *fingerprint, run);
         }
@@ -188,10 +193,10 @@
     /// Takes an entry's word that a request was answered; `unix` is the agreed time of day.
     ///
     /// An answer from before it ended one upstream after the other says nothing about that.
-    pub fn answered(&mut self, now: Duration, unix: u64, answer: &Answer) {
-        let at = now.saturating_sub(Duration::from_millis(answer.ago));
+    pub fn handle_answer(&mut self, now: Duration, unix: u64, answer: &Answer) {
+        let at = now.saturating_sub(Duration::from_millis(answer.ms_ago));
         let held = self.held.get(&answer.fingerprint);
-        let mut cleared = held.is_some_and(|held| unix.saturating_sub(answer.ago) > held.since);
+        let mut cleared = held.is_some_and(|held| unix.saturating_sub(answer.ms_ago) > held.since);
         if let Some(suspect) = self.suspects.get_mut(&answer.fingerprint) {
             suspect.answered = suspect.answered.max(Some(at));
             cleared = cleared || (!suspect.steps.is_empty() && suspect.chain().is_empty());
@@ -258,7 +263,7 @@
         }
         let Some(suspect) = self.suspects.get(&fingerprint) else { return };
         let (runs, watched) = (suspect.runs(), suspect.watched);
-        let wanted = usize::try_from(self.rule.crashes).unwrap_or(usize::MAX).max(1);
+        let wanted = usize::try_from(self.rule.crash_threshold).unwrap_or(usize::MAX).max(1);
         if runs.len() + 1 < wanted {
             return;
         }
@@ -301,11 +306,11 @@
             };
             self.held.remove(&first);
         }
-        let hold = u64::try_from(self.rule.hold.as_millis()).unwrap_or(u64::MAX);
+        let hold = u64::try_from(self.rule.hold_time.as_millis()).unwrap_or(u64::MAX);
         let until = unix.saturating_add(hold);
-        let held = Block { since: unix, until, tries: 0, tried_by: None };
+        let held = Block { since: unix, until, failed_trials: 0, trial_entry: None };
         self.held.insert(fingerprint, held.clone());
-        self.findings.push(Finding::Blocked { fingerprint, runs, held });
+        self.findings.push(Finding::Quarantined { fingerprint, runs, held });
         let Some(suspect) = self.suspects.get(&fingerprint) else { return };
         let ended: Vec<Run> = suspect.steps.iter().map(|it| it.run.clone()).collect();
         for run in &ended {
@@ -355,14 +360,15 @@
         if sent < held.until {
             return;
         }
-        held.tries = held.tries.saturating_add(1);
-        (held.since, held.tried_by) = (unix, None);
-        let hold = u64::try_from(self.rule.hold.as_millis()).unwrap_or(u64::MAX);
-        let longer = hold.saturating_mul(LONGER.saturating_pow(held.tries.into()));
-        held.until = if held.tries >= TRIES { u64::MAX } else { unix.saturating_add(longer) };
+        held.failed_trials = held.failed_trials.saturating_add(1);
+        (held.since, held.trial_entry) = (unix, None);
+        let hold = u64::try_from(self.rule.hold_time.as_millis()).unwrap_or(u64::MAX);
+        let longer = hold.saturating_mul(LONGER.saturating_pow(held.failed_trials.into()));
+        held.until =
+            if held.failed_trials >= TRIES { u64::MAX } else { unix.saturating_add(longer) };
         let (held, runs) = (held.clone(), vec![run.clone()]);
         self.trials.remove(&fingerprint);
-        self.findings.push(Finding::Blocked { fingerprint, runs, held });
+        self.findings.push(Finding::Quarantined { fingerprint, runs, held });
     }
 
     /// Lets a request be sent again.
@@ -393,11 +399,12 @@
             if since.is_some_and(|since| now.saturating_sub(since) <= TRIAL) {
                 continue;
             }
-            let last = held.tried_by.and_then(|it| entries.iter().position(|entry| *entry == it));
+            let last =
+                held.trial_entry.and_then(|it| entries.iter().position(|entry| *entry == it));
             let entry = entries[last.map_or(0, |last| last + 1) % entries.len()];
-            held.tried_by = Some(entry);
+            held.trial_entry = Some(entry);
             self.trials.insert(*fingerprint, now);
-            self.findings.push(Finding::Tried { fingerprint: *fingerprint, entry });
+            self.findings.push(Finding::TrialOffered { fingerprint: *fingerprint, entry });
         }
     }
 
@@ -409,7 +416,7 @@
         // One that an operator forbade, and forbids no more.
         let free = |fingerprint: &Fingerprint, held: &Block| {
             held.until == u64::MAX
-                && held.tries < TRIES
+                && held.failed_trials < TRIES
                 && !self.rule.forbidden.contains(fingerprint)
         };
         let freed = self.held.iter().filter(|(fingerprint, held)| free(fingerprint, held));
@@ -417,9 +424,9 @@
             self.release(fingerprint, Cause::Lifted);
         }
         for fingerprint in &self.rule.forbidden {
-            let held = Block { since: 0, until: u64::MAX, tries: 0, tried_by: None };
+            let held = Block { since: 0, until: u64::MAX, failed_trials: 0, trial_entry: None };
             if self.held.insert(*fingerprint, held.clone()).as_ref() != Some(&held) {
-                self.findings.push(Finding::Blocked {
+                self.findings.push(Finding::Quarantined {
                     fingerprint: *fingerprint,
                     runs: Vec::new(),
                     held,
@@ -432,10 +439,10 @@
     fn publish(&mut self) -> bool {
         let same = self.blocklist.key == self.key
             && self.blocklist.watched == self.watched
-            && self.blocklist.held == self.held;
+            && self.blocklist.quarantined == self.held;
         if !same {
             let (watched, held) = (self.watched.clone(), self.held.clone());
-            self.blocklist = Arc::new(Blocklist { key: self.key, watched, held });
+            self.blocklist = Arc::new(Blocklist { key: self.key, watched, quarantined: held });
         }
         !same
     }
--- a/crates/verbenaslip-fleet/src/quarantine/record.rs
+++ b/crates/verbenaslip-fleet/src/quarantine/record.rs
@@ -11,11 +11,11 @@
 
 /// Says when a request is held back, and for how long.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Rule {
+pub struct QuarantinePolicy {
     /// How many upstreams must have ended under it, one after the other.
-    pub crashes: u32,
+    pub crash_threshold: u32,
     /// After how long it is let through for the first time.
-    pub hold: Duration,
+    pub hold_time: Duration,
     /// Requests that an operator never wants held back.
     pub lifted: BTreeSet<Fingerprint>,
     /// Requests that an operator wants held back, whatever became of them.
@@ -30,9 +30,9 @@
     /// The run of the upstream.
     pub run: Run,
     /// When the request was sent there, in milliseconds before this is told.
-    pub sent: u64,
+    pub sent_ms_ago: u64,
     /// When it broke off, in the same way.
-    pub ended: u64,
+    pub ended_ms_ago: u64,
 }
 
 /// Tells that a request was answered whole.
@@ -41,7 +41,7 @@
     /// The request.
     pub fingerprint: Fingerprint,
     /// When, in milliseconds before this is told.
-    pub ago: u64,
+    pub ms_ago: u64,
 }
 
 /// Says how a request is held back.
@@ -52,18 +52,18 @@
     /// Until when none is let through, in the same way.
     pub until: u64,
     /// How many upstreams it has ended since it was let through again.
-    pub tries: u8,
+    pub failed_trials: u8,
     /// The entry that may let one through.
-    pub tried_by: Option<SocketAddr>,
+    pub trial_entry: Option<SocketAddr>,
 }
 
 /// Holds what outlives a leader, in the log.
 #[data(default)]
-pub struct Persisted {
+pub struct PersistedState {
     /// The key of the fingerprints; none before the first leader has drawn one.
     pub key: Option<u128>,
     /// The requests that are held back.
-    pub held: BTreeMap<Fingerprint, Block>,
+    pub quarantined: BTreeMap<Fingerprint, Block>,
 }
 
 /// Holds what entries go by.
@@ -74,7 +74,7 @@
     /// Requests whose answers the leader wants to hear of.
     pub watched: BTreeSet<Fingerprint>,
     /// Requests that no upstream gets.
-    pub held: BTreeMap<Fingerprint, Block>,
+    pub quarantined: BTreeMap<Fingerprint, Block>,
 }
 
 /// Tells what was decided of a request.
@@ -88,7 +88,7 @@
         runs: Vec<Run>,
     },
     /// It is held back.
-    Blocked {
+    Quarantined {
         /// The request.
         fingerprint: Fingerprint,
         /// The upstreams that ended under it.
@@ -104,7 +104,7 @@
         cause: Cause,
     },
     /// An entry may let one through.
-    Tried {
+    TrialOffered {
         /// The request.
         fingerprint: Fingerprint,
         /// The entry.
--- a/crates/verbenaslip-fleet/src/quota.rs
+++ b/crates/verbenaslip-fleet/src/quota.rs
@@ -13,7 +13,7 @@
 use verbenaslip_base::data;
 use verbenaslip_base::name::Team;
 
-use crate::sheet::{Quota, Sheet};
+use crate::route_table::{Quota, RouteTable};
 
 /// The part of a bucket that a new leader begins with. It can't know what its predecessor's was, and
 /// the time without a leader was spent on equal parts of the limits.
@@ -79,7 +79,7 @@
     }
 
     /// Lets time pass; `free` is the part of the limits that no silent entry may be spending.
-    pub fn refill(&mut self, now: Duration, sheet: &Sheet, free: f64) {
+    pub fn refill(&mut self, now: Duration, sheet: &RouteTable, free: f64) {
         let begin = if self.restarted { BEGIN_RESTARTED } else { BEGIN };
         let limited =
             sheet.teams.iter().filter_map(|row| Some((&row.name, row.quota.filter(is_limit)?)));
--- a/crates/verbenaslip-fleet/src/registry.rs
+++ b/crates/verbenaslip-fleet/src/registry.rs
@@ -10,8 +10,8 @@
 use crate::departure::{Departure, Departures};
 use crate::history::History;
 use crate::upstream::differs;
-pub use crate::upstream::{Announcement, Record, Run, Standing};
-use crate::voucher::Mark;
+pub use crate::upstream::{Announcement, Record, Run, Status};
+use crate::voucher::RenewalMark;
 
 /// After this silence an upstream counts as lost. As long again its record is kept, as that of one that is
 /// gone, so that instances that were away are told of its end and not of all upstreams anew.
@@ -45,16 +45,16 @@
 
 /// Says up to where the leader before had told, as its successor knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct Propagation {
     /// Its last change.
-    pub change: u64,
+    pub last_change: u64,
     /// The change since which all others are known one by one.
-    pub floor: u64,
+    pub oldest_change: u64,
 }
 
 /// Says what has come of the silence of upstreams.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Lapse {
+pub struct Expirations {
     /// Whether anything changed that others should know.
     pub changed: bool,
     /// Upstreams that have fallen silent.
@@ -65,7 +65,7 @@
 
 /// Tells of an announcement that was passed over, since what is known is newer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Late {
+pub struct StaleAnnouncement {
     /// The run that it is of.
     pub run: Run,
     /// Its number.
@@ -73,26 +73,26 @@
     /// The run that its upstream's name stands for, and the number of that one's last announcement.
     pub known: Option<(u64, u64)>,
     /// How its run goes or has gone, and how long ago that was last heard.
-    pub departed: Option<(Standing, Duration)>,
+    pub departed: Option<(Status, Duration)>,
 }
 
 /// Says what an announcement has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     /// Nothing that others must know at once.
-    Nothing,
+    Unchanged,
     /// Something that others should know.
-    Update,
+    Updated,
     /// The upstream leaves: acknowledged only when those that route know it, and whoever may lead.
     Leaving,
     /// Nothing: it names a service that no route table knows, and would take the name or address of an
     /// upstream that serves.
-    Foreign,
+    UnknownService,
 }
 
 impl Registry {
     /// Starts empty; upstreams announce themselves once per `period`.
-    pub fn open(period: Duration) -> Self {
+    pub fn new(period: Duration) -> Self {
         let departures = Departures::default();
         let (records, addresses) = (BTreeMap::new(), BTreeMap::new());
         Self { period, records, addresses, departures, stamp: 0, purged: 0 }
@@ -102,23 +102,23 @@
     ///
     /// Without these, a late announcement would make an upstream ready again that has said to an earlier
     /// leader that it goes: entries would send requests there that it no longer takes.
-    pub fn adopt(
+    pub fn restore(
         &mut self,
         now: Duration,
-        told: Told,
+        told: Propagation,
         records: impl Iterator<Item = (u64, Record)>,
         departures: Departures,
     ) {
         self.records.clear();
         self.addresses.clear();
         self.departures = departures;
-        self.stamp = told.change + 1;
-        self.purged = told.floor;
+        self.stamp = told.last_change + 1;
+        self.purged = told.oldest_change;
         for (change, mut record) in records {
-            let standing = record.standing;
+            let standing = record.status;
             let run = &record.announcement.run;
-            record.standing = self.departures.standing(run).unwrap_or(standing);
-            let changed = record.standing != standing;
+            record.status = self.departures.status(run).unwrap_or(standing);
+            let changed = record.status != standing;
             let stamp = if changed { self.stamp } else { change.min(self.stamp) };
             self.hold(now, stamp, record);
         }
@@ -128,11 +128,11 @@
     pub(crate) fn history(&self) -> History {
         let mut history = History::new(self.purged);
         for held in self.records.values() {
-            match held.record.standing {
-                Standing::Gone | Standing::Lost => {
+            match held.record.status {
+                Status::Gone | Status::Lost => {
                     history.record_removal(held.stamp, held.record.clone());
                 }
-                Standing::Ready | Standing::Silent | Standing::Leaving => {
+                Status::Ready | Status::Silent | Status::Leaving => {
                     history.told(&held.record.announcement.run.upstream, held.stamp);
                 }
             }
@@ -149,7 +149,7 @@
     }
 
     /// Returns the time between two announcements of an upstream.
-    pub fn period(&self) -> Duration {
+    pub fn announcement_period(&self) -> Duration {
         self.period
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// Returns the run that an upstream's name stands for now.
-    pub fn run(&self, upstream: &Upstream) -> Option<&Run> {
+    pub fn current_run(&self, upstream: &Upstream) -> Option<&Run> {
         self.records.get(upstream).map(|held| &held.record.announcement.run)
     }
 
@@ -169,7 +169,7 @@
     }
 
     /// Returns the number of the last change.
-    pub fn stamp(&self) -> u64 {
+    pub fn last_change(&self) -> u64 {
         self.stamp
     }
 
@@ -179,18 +179,18 @@
     }
 
     /// Goes through the upstreams of a service.
-    pub fn of_service<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Record> {
+    pub fn service_records<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Record> {
         self.records().filter(move |record| &*record.announcement.service == service)
     }
 
     /// Tells whether what changed after a stamp is still known.
-    pub fn reaches(&self, stamp: u64) -> bool {
+    pub fn has_changes_since(&self, stamp: u64) -> bool {
         stamp >= self.purged
     }
 
     /// Returns what changed after a stamp; none when it is so old that everything must be told.
-    pub fn since(&self, stamp: u64) -> Option<Vec<Record>> {
-        if !self.reaches(stamp) {
+    pub fn changes_since(&self, stamp: u64) -> Option<Vec<Record>> {
+        if !self.has_changes_since(stamp) {
             return None;
         }
         let newer = self.records.values().filter(|held| held.stamp > stamp);
@@ -200,16 +200,16 @@
     /// Takes an announcement; `served` tells whether the route table knows its service.
     pub fn announce(&mut self, now: Duration, announcement: Announcement, served: bool) -> Change {
         let run = &announcement.run;
-        let departed = self.departures.standing(run);
-        if departed == Some(Standing::Gone) {
-            return Change::Nothing;
+        let departed = self.departures.status(run);
+        if departed == Some(Status::Gone) {
+            return Change::Unchanged;
         }
         let Some(held) = self.records.get(&run.upstream) else {
             return self.welcome(now, announcement, served);
         };
         let known = &held.record.announcement;
         if !served && known.service != announcement.service {
-            return Change::Foreign;
+            return Change::UnknownService;
         }
         match known.run.incarnation.cmp(&run.incarnation) {
             Ordering::Less => self.welcome(now, announcement, served),
@@ -218,9 +218,9 @@
             }
             Ordering::Equal if announcement.draining => {
                 let run = announcement.run;
-                self.depart(now, &Departure { run, standing: Standing::Leaving })
+                self.depart(now, &Departure { run, status: Status::Leaving })
             }
-            Ordering::Equal | Ordering::Greater => Change::Nothing,
+            Ordering::Equal | Ordering::Greater => Change::Unchanged,
         }
     }
 
@@ -228,67 +228,72 @@
     ///
     /// The core may know less than this leader: that the run goes, or that another one has its name. So a mark
     /// renews what is held, and makes nothing ready but a run that was only silent.
-    pub fn vouch(&mut self, now: Duration, mark: &Mark) -> Change {
-        let Some(held) = self.records.get_mut(&mark.run.upstream) else { return Change::Nothing };
+    pub fn vouch(&mut self, now: Duration, mark: &RenewalMark) -> Change {
+        let Some(held) = self.records.get_mut(&mark.run.upstream) else { return Change::Unchanged };
         let known = &mut held.record.announcement;
-        let stays = matches!(held.record.standing, Standing::Ready | Standing::Silent);
+        let stays = matches!(held.record.status, Status::Ready | Status::Silent);
         if !stays || known.run != mark.run || known.sequence >= mark.sequence {
-            return Change::Nothing;
+            return Change::Unchanged;
         }
         known.sequence = mark.sequence;
         held.heard = now;
-        if held.record.standing == Standing::Ready {
-            return Change::Nothing;
+        if held.record.status == Status::Ready {
+            return Change::Unchanged;
         }
-        held.record.standing = Standing::Ready;
+        held.record.status = Status::Ready;
         self.stamp += 1;
         held.stamp = self.stamp;
-        Change::Update
+        Change::Updated
     }
 
     /// Counts a change of something else that is told with the upstreams; returns its number.
-    pub fn touch(&mut self) -> u64 {
+    pub fn record_external_change(&mut self) -> u64 {
         self.stamp += 1;
         self.stamp
     }
 
     /// Tells why an announcement was not taken; none for the one that is held now.
-    pub fn late(&self, now: Duration, run: &Run, sequence: u64) -> Option<Late> {
+    pub fn stale_announcement(
+        &self,
+        now: Duration,
+        run: &Run,
+        sequence: u64,
+    ) -> Option<StaleAnnouncement> {
         let held = self.records.get(&run.upstream).map(|held| &held.record.announcement);
         if held.is_some_and(|it| it.run == *run && it.sequence == sequence) {
             return None;
         }
         let known = held.map(|it| (it.run.incarnation, it.sequence));
-        let departed = self.departures.standing(run).zip(self.departures.age(now, run));
-        Some(Late { run: run.clone(), sequence, known, departed })
+        let departed = self.departures.status(run).zip(self.departures.age(now, run));
+        Some(StaleAnnouncement { run: run.clone(), sequence, known, departed })
     }
 
     /// Takes a later announcement of a run that is known.
     fn renew(&mut self, now: Duration, announcement: Announcement) -> Change {
-        let departed = self.departures.standing(&announcement.run);
+        let departed = self.departures.status(&announcement.run);
         let Some(held) = self.records.get_mut(&announcement.run.upstream) else {
-            return Change::Nothing;
+            return Change::Unchanged;
         };
         held.heard = now;
-        let before = held.record.standing;
+        let before = held.record.status;
         let standing = standing(&announcement, departed.unwrap_or(before));
         let changed = differs(&held.record.announcement, &announcement) || standing != before;
         if held.record.announcement.address != announcement.address {
             self.addresses.insert(announcement.address, announcement.run.upstream.clone());
         }
         held.record.announcement = announcement;
-        held.record.standing = standing;
+        held.record.status = standing;
         if changed {
             self.stamp += 1;
             held.stamp = self.stamp;
         }
-        if standing == Standing::Leaving {
-            self.departures.take(now, &held.record.announcement.run, standing);
+        if standing == Status::Leaving {
+            self.departures.record(now, &held.record.announcement.run, standing);
         }
-        match (standing == Standing::Leaving && before != standing, changed) {
+        match (standing == Status::Leaving && before != standing, changed) {
             (true, _) => Change::Leaving,
-            (false, true) => Change::Update,
-            (false, false) => Change::Nothing,
+            (false, true) => Change::Updated,
+            (false, false) => Change::Unchanged,
         }
     }
 
@@ -297,16 +302,16 @@
     /// A run says it once and for all, so neither a later number nor a missing record speaks against it. Passed
     /// over here, it would be acknowledged by the log, which holds it, while entries go on sending requests.
     pub fn depart(&mut self, now: Duration, departure: &Departure) -> Change {
-        let Departure { run, standing } = departure;
-        if !self.departures.take(now, run, *standing) {
-            return Change::Nothing;
+        let Departure { run, status: standing } = departure;
+        if !self.departures.record(now, run, *standing) {
+            return Change::Unchanged;
         }
         let Some(held) = self.records.get_mut(&run.upstream) else { return Change::Leaving };
         if held.record.announcement.run.incarnation <= run.incarnation {
             // This leader may have heard of an earlier run only. Response as that one's end, the word would
             // leave the run that goes in use at entries that know it from an earlier leader.
             held.record.announcement.run = run.clone();
-            held.record.standing = *standing;
+            held.record.status = *standing;
             self.stamp += 1;
             held.stamp = self.stamp;
         }
@@ -315,29 +320,29 @@
 
     /// Takes the word of a run that it has gone.
     pub fn withdraw(&mut self, now: Duration, run: &Run) -> Change {
-        self.depart(now, &Departure { run: run.clone(), standing: Standing::Gone })
+        self.depart(now, &Departure { run: run.clone(), status: Status::Gone })
     }
 
     /// Counts upstreams as silent that have missed announcements, later as lost, and forgets those long gone.
-    pub fn tick(&mut self, now: Duration) -> Lapse {
-        let mut lapse = Lapse::default();
+    pub fn tick(&mut self, now: Duration) -> Expirations {
+        let mut lapse = Expirations::default();
         for held in self.records.values_mut() {
             let silence = now.saturating_sub(held.heard);
-            let Some(standing) = after(held.record.standing, silence, self.period * MISSED) else {
+            let Some(standing) = after(held.record.status, silence, self.period * MISSED) else {
                 continue;
             };
-            held.record.standing = standing;
+            held.record.status = standing;
             self.stamp += 1;
             held.stamp = self.stamp;
             lapse.changed = true;
             let run = &held.record.announcement.run;
             match standing {
-                Standing::Silent => lapse.silent.push(run.upstream.clone()),
-                Standing::Lost => lapse.lost.push(run.clone()),
-                Standing::Ready | Standing::Leaving | Standing::Gone => {}
+                Status::Silent => lapse.silent.push(run.upstream.clone()),
+                Status::Lost => lapse.lost.push(run.clone()),
+                Status::Ready | Status::Leaving | Status::Gone => {}
             }
         }
-        self.departures.forget(now);
+        self.departures.remove_expired(now);
         self.forget(now);
         lapse
     }
@@ -345,7 +350,7 @@
     /// Forgets upstreams that are gone or lost once every instance has been told.
     fn forget(&mut self, now: Duration) {
         let forgotten = |held: &Entry| {
-            matches!(held.record.standing, Standing::Gone | Standing::Lost)
+            matches!(held.record.status, Status::Gone | Status::Lost)
                 && now.saturating_sub(held.heard) >= MEMORY * 2
         };
         let last =
@@ -370,7 +375,7 @@
             let other = &held.record.announcement;
             other.address == *address
                 && other.run.upstream != run.upstream
-                && !matches!(held.record.standing, Standing::Gone | Standing::Lost)
+                && !matches!(held.record.status, Status::Gone | Status::Lost)
         };
         let other = self.addresses.get(address).and_then(|other| self.records.get_mut(other));
         if let Some(old) = other.filter(at_address) {
@@ -381,24 +386,24 @@
                 now.saturating_sub(old.heard) <= self.period * 2 && *sequence > YOUNG
             };
             if !served {
-                return Change::Foreign;
+                return Change::UnknownService;
             }
             if late {
-                return Change::Nothing;
+                return Change::Unchanged;
             }
-            old.record.standing = Standing::Gone;
+            old.record.status = Status::Gone;
             self.stamp += 1;
             old.stamp = self.stamp;
-            self.departures.take(now, &old.record.announcement.run, Standing::Gone);
+            self.departures.record(now, &old.record.announcement.run, Status::Gone);
         }
         self.stamp += 1;
-        let departed = self.departures.standing(run);
-        let standing = standing(&announcement, departed.unwrap_or(Standing::Ready));
-        if standing == Standing::Leaving {
-            self.departures.take(now, run, standing);
+        let departed = self.departures.status(run);
+        let standing = standing(&announcement, departed.unwrap_or(Status::Ready));
+        if standing == Status::Leaving {
+            self.departures.record(now, run, standing);
         }
-        self.hold(now, self.stamp, Record { announcement, standing });
-        if standing == Standing::Leaving { Change::Leaving } else { Change::Update }
+        self.hold(now, self.stamp, Record { announcement, status: standing });
+        if standing == Status::Leaving { Change::Leaving } else { Change::Updated }
     }
 }
 
@@ -407,20 +412,16 @@
 ///
 /// Entries hold what the leader told them last. An upstream that was only forgotten at the leader would stay in
 /// use at all of them, as the last resort, for as long as they run.
-fn after(standing: Standing, silence: Duration, patience: Duration) -> Option<Standing> {
+fn after(standing: Status, silence: Duration, patience: Duration) -> Option<Status> {
     match standing {
-        Standing::Ready if silence > patience => Some(Standing::Silent),
-        Standing::Silent if silence > MEMORY => Some(Standing::Lost),
-        Standing::Leaving if silence > MEMORY => Some(Standing::Gone),
+        Status::Ready if silence > patience => Some(Status::Silent),
+        Status::Silent if silence > MEMORY => Some(Status::Lost),
+        Status::Leaving if silence > MEMORY => Some(Status::Gone),
         _ => None,
     }
 }
 
 /// Returns the standing after an announcement; leaving is final for a run.
-fn standing(announcement: &Announcement, before: Standing) -> Standing {
-    if announcement.draining || before == Standing::Leaving {
-        Standing::Leaving
-    } else {
-        Standing::Ready
-    }
+fn standing(announcement: &Announcement, before: Status) -> Status {
+    if announcement.draining || before == Status::Leaving { Status::Leaving } else { Status::Ready }
 }
--- a/crates/verbenaslip-fleet/src/ledger.rs
+++ b/crates/verbenaslip-fleet/src/replicated_state.rs
@@ -9,11 +9,11 @@
 use verbenaslip_base::data;
 use verbenaslip_base::name::{Team, Upstream};
 
-use crate::departure::{Departure, MEMORY};
-use crate::quarantine::Persisted;
-use crate::registry::{Record, Run, Standing};
+use crate::departure::{Departure, RETENTION};
+use crate::quarantine::PersistedState;
+use crate::registry::{Record, Run, Status};
 use crate::rollout::{Order, Rollouts, State};
-use crate::sheet::Sheet;
+use crate::route_table::RouteTable;
 
 /// Closed windows that are kept; at 5 s a window more than a minute, far beyond the time in which a
 /// report may still be sent.
@@ -23,42 +23,42 @@
 #[data(float)]
 pub enum Command {
     /// Puts a whole route table in force, if its revision is the highest.
-    Adopt(Box<Edition>),
+    SetRouteTable(Box<RouteTableRevision>),
     /// Closes a window of usage, if it is not closed yet.
-    Close(Window),
+    CloseWindow(Window),
     /// Notes with how many upstreams a service began, if that is not noted yet.
-    Base {
+    SetInitialCount {
         /// The service.
         service: Arc<str>,
         /// How many there were.
         upstreams: u32,
     },
     /// Notes with how many upstreams a service is planned, for the time in which the next leader does not know the load.
-    Size {
+    SetPlannedCount {
         /// The service.
         service: Arc<str>,
         /// How many there are to be.
         upstreams: u32,
     },
     /// Notes that runs of upstreams go, so that whoever leads next knows it.
-    Depart {
+    AddDepartures {
         /// The runs.
         departures: Vec<Departure>,
         /// The agreed time of day, in Unix milliseconds.
         unix: u64,
     },
     /// Notes upstreams that have come, so that whoever leads next knows them at once.
-    Join {
+    AddUpstreams {
         /// What they announced.
         records: Vec<Record>,
     },
     /// Forgets runs that were silent for long; they may come again.
-    Forget {
+    RemoveRuns {
         /// The runs.
         runs: Vec<Run>,
     },
     /// Notes which requests are held back, so that whoever leads next knows it.
-    Quarantine(Persisted),
+    SetQuarantine(PersistedState),
     /// Begins a roll-out, unless another one of its service is under way.
     StartRollout {
         /// What is ordered.
@@ -79,9 +79,9 @@
 
 /// Pairs a route table with the document in which the operator wrote it.
 #[data(float)]
-pub struct Edition {
+pub struct RouteTableRevision {
     /// The table.
-    pub sheet: Arc<Sheet>,
+    pub table: Arc<RouteTable>,
     /// The operator's own bytes, given back unchanged to whoever reads the table.
     pub document: Arc<[u8]>,
 }
@@ -97,8 +97,8 @@
 
 /// Holds the replicated state.
 #[data(float, default)]
-pub struct Ledger {
-    edition: Option<Arc<Edition>>,
+pub struct ReplicatedState {
+    edition: Option<Arc<RouteTableRevision>>,
     windows: BTreeMap<u64, Window>,
     bases: BTreeMap<Arc<str>, u32>,
     sizes: BTreeMap<Arc<str>, u32>,
@@ -110,7 +110,7 @@
     joined: BTreeMap<Upstream, Record>,
     /// The requests that are held back; kept apart as well.
     #[serde(skip)]
-    quarantine: Persisted,
+    quarantine: PersistedState,
     /// The last roll-out of each service; kept apart as well.
     #[serde(skip)]
     rollouts: Rollouts,
@@ -120,7 +120,7 @@
 #[data(copy)]
 struct Departed {
     incarnation: u64,
-    standing: Standing,
+    standing: Status,
     /// When it was noted, in Unix milliseconds of the agreed time of day.
     unix: u64,
 }
@@ -134,15 +134,15 @@
 
 impl std::error::Error for Error {}
 
-impl Ledger {
+impl ReplicatedState {
     /// Returns the newest route table.
-    pub fn edition(&self) -> Option<&Arc<Edition>> {
+    pub fn current_table(&self) -> Option<&Arc<RouteTableRevision>> {
         self.edition.as_ref()
     }
 
     /// Returns the revision of the newest route table; zero without one.
     pub fn revision(&self) -> u64 {
-        self.edition.as_ref().map_or(0, |edition| edition.sheet.revision)
+        self.edition.as_ref().map_or(0, |edition| edition.table.revision)
     }
 
     /// Returns the closed windows.
@@ -156,12 +156,12 @@
     }
 
     /// Returns with how many upstreams a service began, once that is noted.
-    pub fn base(&self, service: &str) -> Option<u32> {
+    pub fn initial_count(&self, service: &str) -> Option<u32> {
         self.bases.get(service).copied()
     }
 
     /// Returns with how many upstreams a service was planned last, once that was by its load.
-    pub fn size(&self, service: &str) -> Option<u32> {
+    pub fn planned_count(&self, service: &str) -> Option<u32> {
         self.sizes.get(service).copied()
     }
 
@@ -169,22 +169,22 @@
     pub fn departures(&self) -> impl Iterator<Item = Departure> {
         self.departed.iter().map(|(upstream, departed)| {
             let run = Run { upstream: upstream.clone(), incarnation: departed.incarnation };
-            Departure { run, standing: departed.standing }
+            Departure { run, status: departed.standing }
         })
     }
 
     /// Goes through the upstreams that have come and not gone.
-    pub fn joined(&self) -> impl Iterator<Item = &Record> {
+    pub fn upstreams(&self) -> impl Iterator<Item = &Record> {
         self.joined.values()
     }
 
     /// Tells whether the log holds that a run has come.
-    pub fn has_joined(&self, run: &Run) -> bool {
+    pub fn contains_run(&self, run: &Run) -> bool {
         self.joined.get(&run.upstream).is_some_and(|it| it.announcement.run == *run)
     }
 
     /// Tells whether the log holds that a run goes, and as surely.
-    pub fn has_departed(&self, run: &Run, standing: Standing) -> bool {
+    pub fn has_departed(&self, run: &Run, standing: Status) -> bool {
         self.departed.get(&run.upstream).is_some_and(|it| {
             it.incarnation > run.incarnation
                 || (it.incarnation == run.incarnation && it.standing >= standing)
@@ -192,7 +192,7 @@
     }
 
     /// Returns the requests that are held back.
-    pub fn quarantine(&self) -> &Persisted {
+    pub fn quarantine(&self) -> &PersistedState {
         &self.quarantine
     }
 
@@ -207,19 +207,19 @@
     /// overtaken by a newer one, is accepted without ever bringing an older table back.
     pub fn apply(&mut self, command: Command) {
         match command {
-            Command::Adopt(edition) => {
+            Command::SetRouteTable(edition) => {
                 let first = self.edition.is_none();
-                if first || edition.sheet.revision > self.revision() {
+                if first || edition.table.revision > self.revision() {
                     self.edition = Some(Arc::from(edition));
                 }
             }
-            Command::Base { service, upstreams } => {
+            Command::SetInitialCount { service, upstreams } => {
                 self.bases.entry(service).or_insert(upstreams);
             }
-            Command::Size { service, upstreams } => {
+            Command::SetPlannedCount { service, upstreams } => {
                 self.sizes.insert(service, upstreams);
             }
-            Command::Close(window) => {
+            Command::CloseWindow(window) => {
                 // A window that two leaders close in turn would be reported with two counts; the
                 // first closing stays.
                 self.windows.entry(window.number).or_insert(window);
@@ -227,15 +227,15 @@
                     self.windows.pop_first();
                 }
             }
-            Command::Depart { departures, unix } => self.depart(departures, unix),
-            Command::Join { records } => self.join(records),
-            Command::Forget { runs } => {
+            Command::AddDepartures { departures, unix } => self.depart(departures, unix),
+            Command::AddUpstreams { records } => self.join(records),
+            Command::RemoveRuns { runs } => {
                 self.joined.retain(|_, it| !runs.contains(&it.announcement.run));
             }
-            Command::Quarantine(kept) => {
+            Command::SetQuarantine(kept) => {
                 // Prints are worth nothing under another key than the one by which they were made.
                 let key = self.quarantine.key.or(kept.key);
-                self.quarantine = Persisted { key, ..kept };
+                self.quarantine = PersistedState { key, ..kept };
             }
             Command::StartRollout { order, unix } => self.rollouts.start(order, unix),
             Command::DecideRollout { id, state, unix } => self.rollouts.decide(id, state, unix),
@@ -252,7 +252,7 @@
         self.joined.retain(|_, it| !addresses.contains(&it.announcement.address));
         for record in records {
             let run = &record.announcement.run;
-            if !self.has_departed(run, Standing::Leaving) {
+            if !self.has_departed(run, Status::Leaving) {
                 self.joined.insert(run.upstream.clone(), record);
             }
         }
@@ -260,7 +260,7 @@
 
     /// Notes departures, and forgets those that are older than any announcement on its way.
     fn depart(&mut self, departures: Vec<Departure>, unix: u64) {
-        for Departure { run, standing } in departures {
+        for Departure { run, status: standing } in departures {
             if !self.has_departed(&run, standing) {
                 let departed = Departed { incarnation: run.incarnation, standing, unix };
                 let gone = |it: &Record| it.announcement.run.incarnation <= run.incarnation;
@@ -270,7 +270,7 @@
                 self.departed.insert(run.upstream, departed);
             }
         }
-        let memory = u64::try_from(MEMORY.as_millis()).unwrap_or(u64::MAX);
+        let memory = u64::try_from(RETENTION.as_millis()).unwrap_or(u64::MAX);
         self.departed.retain(|_, it| unix.saturating_sub(it.unix) <= memory);
     }
 
--- a/crates/verbenaslip-fleet/src/rollout.rs
+++ b/crates/verbenaslip-fleet/src/rollout.rs
@@ -9,7 +9,7 @@
 //! the version again, whatever a later leader says.
 
 pub mod controller;
-pub mod judge;
+pub mod evaluator;
 pub mod report;
 pub mod verdict;
 
@@ -33,7 +33,7 @@
     /// The version to move to.
     pub version: Arc<str>,
     /// The time within which the operator wants a verdict.
-    pub duration: Duration,
+    pub time_limit: Duration,
 }
 
 /// Says how far a roll-out is.
@@ -63,7 +63,7 @@
 }
 
 /// Holds the names of versions.
-pub type Names = BTreeSet<Arc<str>>;
+pub type Versions = BTreeSet<Arc<str>>;
 
 /// Holds the last roll-out of each service.
 #[data(default)]
@@ -72,7 +72,7 @@
     started: u64,
     services: BTreeMap<Arc<str>, Rollout>,
     /// Versions that were rolled back, by service; they get no requests until they are ordered again.
-    rejected: BTreeMap<Arc<str>, Names>,
+    rejected: BTreeMap<Arc<str>, Versions>,
 }
 
 /// Says what becomes of an order.
@@ -98,7 +98,7 @@
     }
 
     /// Returns the versions of a service that were rolled back.
-    pub fn rejected(&self, service: &str) -> Names {
+    pub fn rejected(&self, service: &str) -> Versions {
         self.rejected.get(service).cloned().unwrap_or_default()
     }
 
@@ -156,19 +156,19 @@
     /// The version that is rolled out.
     pub version: Arc<str>,
     /// Versions that get nothing.
-    pub rejected: Names,
+    pub rejected: Versions,
     /// How far it is.
     pub state: State,
     /// The share of requests that goes to the candidate, for routes without one of their own.
     pub share: f64,
     /// The same by route.
-    pub shares: BTreeMap<Arc<str>, f64>,
+    pub route_shares: BTreeMap<Arc<str>, f64>,
     /// The upstreams of the candidate that get requests; none for all of them.
     pub canaries: Option<BTreeSet<Upstream>>,
     /// Whether the candidate takes over, and gets more than canaries may.
     pub shifting: bool,
     /// The latency above which an answer counts as bad, in milliseconds by route.
-    pub slow: BTreeMap<Arc<str>, u32>,
+    pub slow_ms: BTreeMap<Arc<str>, u32>,
 }
 
 /// Says which part of a service an upstream belongs to under a plan.
@@ -204,13 +204,13 @@
     }
 
     /// Returns the latency above which an answer on a route counts as bad, once that is known.
-    pub fn slow_after(&self, route: &str) -> Option<Duration> {
-        self.slow.get(route).map(|millis| Duration::from_millis(u64::from(*millis)))
+    pub fn slow_threshold(&self, route: &str) -> Option<Duration> {
+        self.slow_ms.get(route).map(|millis| Duration::from_millis(u64::from(*millis)))
     }
 
     /// Returns the share of a route's requests that goes to the candidate.
     pub fn share(&self, route: &str) -> f64 {
-        self.shares.get(route).copied().unwrap_or(self.share)
+        self.route_shares.get(route).copied().unwrap_or(self.share)
     }
 }
 
--- a/crates/verbenaslip-fleet/src/rollout/controller.rs
+++ b/crates/verbenaslip-fleet/src/rollout/controller.rs
@@ -12,10 +12,10 @@
 
 use verbenaslip_base::name::{AvailabilityZone, Upstream};
 
-use crate::rollout::judge::{Evidence, Judge};
+use crate::rollout::evaluator::{Evaluator, Evidence};
 use crate::rollout::report::{Group, Report, Totals};
 use crate::rollout::verdict::{Fleet, Reason, Stage, Verdict};
-use crate::rollout::{Names, Plan, Rollout, State, as_f64};
+use crate::rollout::{Plan, Rollout, State, Versions, as_f64};
 
 /// The part of a service's requests that canaries get.
 const CANARY: f64 = 0.05;
@@ -79,9 +79,9 @@
 #[derive(Debug)]
 pub struct Controller {
     rollout: Rollout,
-    rejected: Names,
+    rejected: Versions,
     totals: Totals,
-    judge: Judge,
+    judge: Evaluator,
     stage: Stage,
     step: u32,
     shares: ByRoute,
@@ -92,12 +92,12 @@
 
 impl Controller {
     /// Begins, or goes on after another leader.
-    pub fn open(rollout: Rollout, rejected: Names) -> Self {
+    pub fn new(rollout: Rollout, rejected: Versions) -> Self {
         Self {
             rollout,
             rejected,
             totals: Totals::default(),
-            judge: Judge::default(),
+            judge: Evaluator::default(),
             stage: Stage::Waiting,
             step: 0,
             shares: BTreeMap::new(),
@@ -128,7 +128,7 @@
     }
 
     /// Takes what the log holds of the roll-out.
-    pub fn follow(&mut self, rollout: &Rollout, rejected: &Names) {
+    pub fn update_rollout(&mut self, rollout: &Rollout, rejected: &Versions) {
         if self.rollout != *rollout || self.rejected != *rejected {
             self.rollout = rollout.clone();
             self.rejected = rejected.clone();
@@ -137,9 +137,15 @@
     }
 
     /// Takes the report with a number from a run of an entry.
-    pub fn take(&mut self, entry: SocketAddr, incarnation: u64, number: u64, report: &Report) {
+    pub fn handle_report(
+        &mut self,
+        entry: SocketAddr,
+        incarnation: u64,
+        number: u64,
+        report: &Report,
+    ) {
         if report.id == self.rollout.id {
-            self.totals.take(entry, incarnation, number, report);
+            self.totals.add_report(entry, incarnation, number, report);
         }
     }
 
@@ -150,7 +156,7 @@
         }
         let elapsed = Duration::from_millis(unix.saturating_sub(self.rollout.started));
         let fresh = self.totals.take_fresh();
-        let evidence = self.judge.take(&fresh);
+        let evidence = self.judge.evaluate(&fresh);
         let reason = self.objection(evidence, elapsed);
         if let Some(reason) = reason {
             self.verdict = Some(Verdict { state: State::RolledBack, reason });
@@ -167,7 +173,7 @@
 
     /// Returns why the candidate is rolled back, if it is.
     fn objection(&self, evidence: Option<Evidence>, elapsed: Duration) -> Option<Reason> {
-        let limit = self.rollout.order.duration;
+        let limit = self.rollout.order.time_limit;
         let due = elapsed >= limit.saturating_sub(MARGIN);
         match evidence {
             Some(evidence) => Some(Reason::Worse(evidence)),
@@ -196,7 +202,7 @@
             return self.shift(now, elapsed, fleet, at, since);
         }
         // A new leader knows neither what was sent to the candidate nor whether it was good.
-        let waits = !fleet.settled || fleet.candidates.is_empty();
+        let waits = !fleet.all_reported || fleet.candidates.is_empty();
         self.stage = if waits { Stage::Waiting } else { Stage::Canary };
         if waits {
             self.canaries.clear();
@@ -213,7 +219,7 @@
     /// Returns the time since the order at which the shift begins: as late as possible, since a version may turn
     /// bad at any time, and more of it is exposed from then on.
     fn shift_at(&self) -> Duration {
-        let limit = self.rollout.order.duration;
+        let limit = self.rollout.order.time_limit;
         let steps = u32::try_from(SHIFT.len()).unwrap_or(u32::MAX);
         let needed = STEP * (steps - 1) + DRAIN + MARGIN;
         limit.saturating_sub(needed.min(limit.mul_f64(SHIFT_MOST)))
@@ -248,8 +254,8 @@
             return self.choose_takers(fleet);
         }
         let active = self.totals.stable_active(&fleet.entries, self.step);
-        let latest = self.rollout.order.duration.saturating_sub(MARGIN);
-        let late = elapsed >= self.rollout.order.duration;
+        let latest = self.rollout.order.time_limit.saturating_sub(MARGIN);
+        let late = elapsed >= self.rollout.order.time_limit;
         let drained = active == Some(0) || (active.is_some() && late);
         let settled = elapsed >= latest && now.saturating_sub(since) >= STEP;
         if drained && settled && fleet.carries() {
@@ -343,10 +349,10 @@
             rejected: self.rejected.clone(),
             state,
             share,
-            shares: if canary { self.shares.clone() } else { BTreeMap::new() },
+            route_shares: if canary { self.shares.clone() } else { BTreeMap::new() },
             canaries,
             shifting,
-            slow: self.slow.clone(),
+            slow_ms: self.slow.clone(),
         }
     }
 }
--- a/crates/verbenaslip-fleet/src/rollout/judge.rs
+++ b/crates/verbenaslip-fleet/src/rollout/evaluator.rs
@@ -44,7 +44,7 @@
 
 /// Holds the evidence against a candidate.
 #[derive(Debug, Default)]
-pub struct Judge {
+pub struct Evaluator {
     routes: BTreeMap<Arc<str>, Route>,
     overall: [Test; WORSE.len()],
 }
@@ -77,9 +77,9 @@
     bad: u64,
 }
 
-impl Judge {
+impl Evaluator {
     /// Takes what entries have reported since the last time; returns the evidence once it is enough.
-    pub fn take(&mut self, fresh: &BTreeMap<Key, Counts>) -> Option<Evidence> {
+    pub fn evaluate(&mut self, fresh: &BTreeMap<Key, Counts>) -> Option<Evidence> {
         let stable = |it: &(&Key, &Counts)| it.0.1 == Group::Stable;
         for ((route, _), counts) in fresh.iter().filter(stable) {
             self.routes.entry(route.clone()).or_default().remember(counts);
--- a/crates/verbenaslip-fleet/src/rollout/report.rs
+++ b/crates/verbenaslip-fleet/src/rollout/report.rs
@@ -8,7 +8,7 @@
 use verbenaslip_base::data;
 
 /// Buckets of a latency histogram; each is half as wide again as the one before.
-pub const BUCKETS: usize = 24;
+pub const BUCKET_COUNT: usize = 24;
 
 /// The upper bound of the first bucket, in milliseconds.
 const FIRST: f64 = 2.0;
@@ -79,7 +79,13 @@
 
 impl Totals {
     /// Takes the report with a number from a run of an entry.
-    pub fn take(&mut self, entry: SocketAddr, incarnation: u64, number: u64, report: &Report) {
+    pub fn add_report(
+        &mut self,
+        entry: SocketAddr,
+        incarnation: u64,
+        number: u64,
+        report: &Report,
+    ) {
         let last = self.entries.get(&entry).filter(|it| it.incarnation == incarnation);
         if last.is_some_and(|it| it.number >= number) {
             return;
@@ -87,7 +93,7 @@
         let before = last.map(|it| it.report.rows.iter().cloned().collect());
         let before: BTreeMap<Key, Counts> = before.unwrap_or_default();
         for (key, counts) in &report.rows {
-            let delta = counts.since(before.get(key));
+            let delta = counts.difference(before.get(key));
             self.sums.entry(key.clone()).or_default().add(&delta);
             self.fresh.entry(key.clone()).or_default().add(&delta);
         }
@@ -143,7 +149,7 @@
 
     /// Returns what was counted after earlier totals.
     #[must_use]
-    pub fn since(&self, before: Option<&Self>) -> Self {
+    pub fn difference(&self, before: Option<&Self>) -> Self {
         let Some(before) = before else { return self.clone() };
         let earlier = |at: usize| before.latencies.get(at).copied().unwrap_or(0);
         let latencies = self.latencies.iter().enumerate();
@@ -156,9 +162,9 @@
     }
 
     /// Counts a latency.
-    pub fn note_latency(&mut self, took: Duration) {
-        self.latencies.resize(BUCKETS, 0);
-        self.latencies[bucket(took)] += 1;
+    pub fn record_latency(&mut self, took: Duration) {
+        self.latencies.resize(BUCKET_COUNT, 0);
+        self.latencies[bucket_index(took)] += 1;
     }
 
     /// Returns the median latency in milliseconds, if there are so many samples.
@@ -177,9 +183,9 @@
 }
 
 /// Returns the bucket of a latency.
-pub fn bucket(took: Duration) -> usize {
+pub fn bucket_index(took: Duration) -> usize {
     let millis = took.as_secs_f64() * 1_000.0;
-    (0..BUCKETS - 1).find(|bucket| millis <= bound(*bucket)).unwrap_or(BUCKETS - 1)
+    (0..BUCKET_COUNT - 1).find(|bucket| millis <= bound(*bucket)).unwrap_or(BUCKET_COUNT - 1)
 }
 
 /// Returns the upper bound of a bucket in milliseconds.
--- a/crates/verbenaslip-fleet/src/rollout/verdict.rs
+++ b/crates/verbenaslip-fleet/src/rollout/verdict.rs
@@ -5,7 +5,7 @@
 
 use verbenaslip_base::name::{AvailabilityZone, Upstream};
 
-use crate::rollout::judge::Evidence;
+use crate::rollout::evaluator::Evidence;
 use crate::rollout::{State, as_f64};
 
 /// The part of the stable upstreams that the candidate must have to take over.
@@ -61,7 +61,7 @@
     /// Entries that are heard.
     pub entries: Vec<SocketAddr>,
     /// Whether all entries that there are have reported to this leader.
-    pub settled: bool,
+    pub all_reported: bool,
 }
 
 impl Fleet {
--- a/crates/verbenaslip-fleet/src/sheet.rs
+++ b/crates/verbenaslip-fleet/src/route_table.rs
@@ -10,7 +10,7 @@
 
 /// Holds one whole route table under the operator's own rising revision.
 #[data(float, default)]
-pub struct Sheet {
+pub struct RouteTable {
     /// The operator's revision; the highest is in force.
     pub revision: u64,
     /// The routes.
@@ -18,9 +18,9 @@
     /// The services that routes name.
     pub services: Vec<Service>,
     /// The teams; without any, callers need no key.
-    pub teams: Vec<TeamRow>,
+    pub teams: Vec<TeamConfig>,
     /// What callers may send.
-    pub limits: Limits,
+    pub limits: RequestLimits,
 }
 
 /// Sends the requests of a host and path prefix to services.
@@ -33,26 +33,26 @@
     /// The prefix of the path, from slash to slash.
     pub prefix: Arc<str>,
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// The longest time that a caller is kept waiting.
     pub timeout: Duration,
     /// The time within which an answer, or its first event, is on time.
     pub objective: Duration,
     /// The longest pause between two events of an answer that is on time.
-    pub pause: Duration,
+    pub max_event_gap: Duration,
     /// The rank; zero is the most urgent.
     pub priority: u8,
     /// The services, by weight.
     pub targets: Vec<Target>,
     /// The most upstreams to which one request may be sent.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether callers need no key.
     pub public: bool,
 }
 
 /// Says what may be repeated.
 #[data(copy, hash)]
-pub enum Kind {
+pub enum RequestKind {
     /// The request is idempotent.
     Repeatable,
     /// The request may run once at most.
@@ -64,7 +64,7 @@
     },
 }
 
-impl Kind {
+impl RequestKind {
     /// Tells whether a request that may have run may be run again.
     pub fn may_repeat(self) -> bool {
         matches!(self, Self::Repeatable | Self::Stream { resumable: true })
@@ -86,9 +86,9 @@
     /// Its name.
     pub name: Arc<str>,
     /// The path of its health check.
-    pub health: Arc<str>,
+    pub health_path: Arc<str>,
     /// The most connections that one of its upstreams accepts from all instances together.
-    pub connections: u32,
+    pub max_connections: u32,
     /// What its upstreams are, when they are model engines.
     pub engine: Option<Engine>,
     /// Within which bounds upstreams may be ordered; none where they can't be.
@@ -101,30 +101,30 @@
     /// Requests that run at once.
     pub slots: u32,
     /// Tokens that fit into an engine's memory.
-    pub memory: u64,
+    pub memory_tokens: u64,
     /// Tokens in one event.
-    pub stride: u32,
+    pub tokens_per_event: u32,
 }
 
 /// Bounds the upstreams of a service that may be ordered in one availability zone.
 #[data(float)]
 pub struct Scaling {
     /// The fewest.
-    pub least: u32,
+    pub min_upstreams: u32,
     /// The most.
-    pub most: u32,
+    pub max_upstreams: u32,
     /// How long an ordered upstream takes to serve.
-    pub boot: Duration,
+    pub boot_time: Duration,
     /// The price of a reclaimable upstream as a share of an on-demand one's; none where there are no
     /// reclaimable ones.
-    pub reclaimable: Option<f64>,
+    pub reclaimable_price_ratio: Option<f64>,
     /// The price of an upstream by availability zone.
     pub prices: BTreeMap<AvailabilityZone, f64>,
 }
 
 /// Holds one team: who belongs to it and how much it may ask for.
 #[data(float)]
-pub struct TeamRow {
+pub struct TeamConfig {
     /// The team.
     pub name: Team,
     /// Its keys.
@@ -144,64 +144,64 @@
     pub burst: f64,
     /// Units of a request that does not say how many tokens it has; none when each request counts
     /// as one unit.
-    pub unsized_tokens: Option<f64>,
+    pub default_tokens: Option<f64>,
 }
 
 /// Bounds what callers may send and how long they may take.
 #[data(copy)]
-pub struct Limits {
+pub struct RequestLimits {
     /// Bytes of a request's head.
-    pub head: usize,
+    pub max_head_bytes: usize,
     /// Bytes of a request's body.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// The longest time for a head to arrive.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// The longest time that a connection may stay idle.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
-impl Default for Limits {
+impl Default for RequestLimits {
     fn default() -> Self {
         Self {
-            head: 16 << 10,
-            body: 4 << 20,
-            head_time: Duration::from_secs(3),
-            idle_time: Duration::from_secs(15),
+            max_head_bytes: 16 << 10,
+            max_body_bytes: 4 << 20,
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
 
 /// Says why a route table can't be in force.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
-pub enum Problem {
+pub enum ValidationError {
     /// route {0} names the service {1}, which is not in the table
     UnknownService(Arc<str>, Arc<str>),
     /// the routes {0} and {1} have the same host and prefix
-    SameRoute(Arc<str>, Arc<str>),
+    DuplicateRoute(Arc<str>, Arc<str>),
     /// the weights of route {0} add up to zero
-    NoWeight(Arc<str>),
+    ZeroWeight(Arc<str>),
     /// the timeout of route {0} is zero
-    NoTimeout(Arc<str>),
+    ZeroTimeout(Arc<str>),
     /// the teams {0} and {1} share a key
-    SameKey(Team, Team),
+    DuplicateKey(Team, Team),
 }
 
-impl std::error::Error for Problem {}
+impl std::error::Error for ValidationError {}
 
-impl Sheet {
+impl RouteTable {
     /// Checks that the table can be in force.
     ///
     /// # Errors
     ///
     /// Returns the first problem.
-    pub fn check(&self) -> Result<(), Problem> {
+    pub fn validate(&self) -> Result<(), ValidationError> {
         let services: BTreeSet<&str> = self.services.iter().map(|it| &*it.name).collect();
         let mut places = BTreeMap::new();
         for route in &self.routes {
             route.check(&services)?;
             let place = (route.host.to_ascii_lowercase(), route.prefix.clone());
             if let Some(other) = places.insert(place, route.name.clone()) {
-                return Err(Problem::SameRoute(other, route.name.clone()));
+                return Err(ValidationError::DuplicateRoute(other, route.name.clone()));
             }
         }
         self.check_keys()
@@ -212,13 +212,13 @@
         self.services.iter().find(|service| &*service.name == name)
     }
 
-    fn check_keys(&self) -> Result<(), Problem> {
+    fn check_keys(&self) -> Result<(), ValidationError> {
         let mut owners: BTreeMap<&str, &Team> = BTreeMap::new();
         for team in &self.teams {
             for key in &team.keys {
                 let other = owners.insert(key, &team.name);
                 if let Some(other) = other.filter(|other| **other != team.name) {
-                    return Err(Problem::SameKey(other.clone(), team.name.clone()));
+                    return Err(ValidationError::DuplicateKey(other.clone(), team.name.clone()));
                 }
             }
         }
@@ -227,16 +227,16 @@
 }
 
 impl Route {
-    fn check(&self, services: &BTreeSet<&str>) -> Result<(), Problem> {
+    fn check(&self, services: &BTreeSet<&str>) -> Result<(), ValidationError> {
         if self.timeout.is_zero() {
-            return Err(Problem::NoTimeout(self.name.clone()));
+            return Err(ValidationError::ZeroTimeout(self.name.clone()));
         }
         let unknown = self.targets.iter().find(|target| !services.contains(&*target.service));
         if let Some(target) = unknown {
-            return Err(Problem::UnknownService(self.name.clone(), target.service.clone()));
+            return Err(ValidationError::UnknownService(self.name.clone(), target.service.clone()));
         }
         if self.targets.iter().all(|target| target.weight == 0) {
-            return Err(Problem::NoWeight(self.name.clone()));
+            return Err(ValidationError::ZeroWeight(self.name.clone()));
         }
         Ok(())
     }
--- a/crates/verbenaslip-fleet/src/transition.rs
+++ b/crates/verbenaslip-fleet/src/transition.rs
@@ -2,7 +2,7 @@
 
 use verbenaslip_base::name::Upstream;
 
-use crate::registry::Standing;
+use crate::registry::Status;
 
 /// Changes that are listed by name, also for whoever never asks for them. A zone's upstreams that go
 /// together are more than that.
@@ -14,7 +14,7 @@
     /// The upstream.
     pub upstream: Upstream,
     /// How it stands; none for one that has gone.
-    pub standing: Option<Standing>,
+    pub standing: Option<Status>,
 }
 
 /// Lists upstreams of which an instance believes something else than before.
@@ -31,8 +31,8 @@
     pub(crate) fn record(
         &mut self,
         upstream: &Upstream,
-        then: Option<Standing>,
-        now: Option<Standing>,
+        then: Option<Status>,
+        now: Option<Status>,
     ) {
         if then == now {
             return;
--- a/crates/verbenaslip-fleet/src/upstream.rs
+++ b/crates/verbenaslip-fleet/src/upstream.rs
@@ -39,18 +39,18 @@
     /// Whether it is about to go.
     pub draining: bool,
     /// How much longer it is slow after its start.
-    pub cold: Duration,
+    pub warmup_left: Duration,
     /// Whether it may be reclaimed.
     pub reclaimable: bool,
     /// How long it still serves, when it knows.
-    pub leaves: Option<Duration>,
+    pub leaves_in: Option<Duration>,
     /// Rises with each announcement of this run.
     pub sequence: u64,
 }
 
 /// Says whether an upstream may get work.
 #[data(copy, ord, hash)]
-pub enum Standing {
+pub enum Status {
     /// It announces itself.
     Ready,
     /// It has been silent for longer than it should.
@@ -70,14 +70,14 @@
     /// What it last announced.
     pub announcement: Announcement,
     /// Whether it may get work.
-    pub standing: Standing,
+    pub status: Status,
 }
 
 /// Tells whether an announcement says something that others must know.
 pub(crate) fn differs(old: &Announcement, new: &Announcement) -> bool {
     let key = |it: &Announcement| {
-        let load = (it.slots, it.draining, it.cold.is_zero(), it.reclaimable);
+        let load = (it.slots, it.draining, it.warmup_left.is_zero(), it.reclaimable);
         (it.address, it.service.clone(), it.version.clone(), load)
     };
-    key(old) != key(new) || old.leaves.is_some() != new.leaves.is_some()
+    key(old) != key(new) || old.leaves_in.is_some() != new.leaves_in.is_some()
 }
--- a/crates/verbenaslip-fleet/src/usage.rs
+++ b/crates/verbenaslip-fleet/src/usage.rs
@@ -29,20 +29,20 @@
 
 /// Holds what one entry has counted.
 #[data]
-pub struct Counted {
+pub struct EntryCounts {
     /// The entry.
-    pub origin: Origin,
+    pub entry: EntryRun,
     /// Its counts.
     pub counts: Vec<Count>,
 }
 
 /// Counts at one entry.
 #[derive(Debug, Default)]
-pub struct Tally {
+pub struct UsageCounter {
     windows: BTreeMap<u64, BTreeMap<Team, u64>>,
 }
 
-impl Tally {
+impl UsageCounter {
     /// Counts a request that began to run.
     pub fn count(&mut self, window: u64, team: &Team) {
         let counts = self.windows.entry(window).or_default();
@@ -72,7 +72,7 @@
 }
 
 /// Names a count of one entry.
-type Key = (u64, Origin, Team);
+type Key = (u64, EntryRun, Team);
 
 /// Collects the counts of entries at the leader and at the cores.
 #[derive(Debug, Default)]
@@ -83,7 +83,7 @@
 
 /// Names one life of an entry; a restarted one counts from zero.
 #[data(copy, ord)]
-pub struct Origin {
+pub struct EntryRun {
     /// Where it is reached.
     pub address: SocketAddr,
     /// Its incarnation.
@@ -94,7 +94,7 @@
     /// Takes an entry's counts, which are told on with the report of a number.
     ///
     /// What came by way of another core may be older; counts of one life only rise.
-    pub fn take(&mut self, number: u64, origin: Origin, counts: Vec<Count>) {
+    pub fn record(&mut self, number: u64, origin: EntryRun, counts: Vec<Count>) {
         for Count { window, team, requests } in counts {
             let key = (window, origin, team);
             if self.counts.get(&key).is_none_or(|known| *known < requests) {
@@ -105,17 +105,20 @@
     }
 
     /// Lists what was not told yet with the report of a number, by entry.
-    pub fn since(&self, number: u64) -> Vec<Counted> {
-        let mut by_origin: BTreeMap<Origin, Vec<Count>> = BTreeMap::new();
+    pub fn since(&self, number: u64) -> Vec<EntryCounts> {
+        let mut by_origin: BTreeMap<EntryRun, Vec<Count>> = BTreeMap::new();
         for ((window, origin, team), requests) in self.counts.changed_since(number) {
             let count = Count { window: *window, team: team.clone(), requests: *requests };
             by_origin.entry(*origin).or_default().push(count);
         }
-        by_origin.into_iter().map(|(origin, counts)| Counted { origin, counts }).collect()
+        by_origin
+            .into_iter()
+            .map(|(origin, counts)| EntryCounts { entry: origin, counts })
+            .collect()
     }
 
     /// Returns the sum of all entries in a window.
-    pub fn sum(&self, window: u64) -> BTreeMap<Team, u64> {
+    pub fn totals(&self, window: u64) -> BTreeMap<Team, u64> {
         let mut sum = BTreeMap::new();
         for ((at, _, team), requests) in self.counts.iter() {
             if *at == window {
--- a/crates/verbenaslip-fleet/src/view.rs
+++ b/crates/verbenaslip-fleet/src/view.rs
@@ -13,7 +13,7 @@
 use crate::quarantine::Blocklist;
 use crate::registry::{Record, Run};
 use crate::rollout::Plans;
-use crate::sheet::Sheet;
+use crate::route_table::RouteTable;
 
 /// Orders what leaders say: a higher term first, then a later change.
 #[data(copy, ord, default, hash)]
@@ -83,17 +83,17 @@
 
     /// Returns the revision of the route table; zero without one.
     pub fn revision(&self) -> u64 {
-        self.routes.as_ref().map_or(0, |routes| routes.sheet().revision)
+        self.routes.as_ref().map_or(0, |routes| routes.route_table().revision)
     }
 
     /// Takes a route table if it is newer than the one in force.
     ///
     /// An older one never comes back in the life of a process: callers that have seen the effect of
     /// a revision would see it undone.
-    pub fn update_route_table(&mut self, sheet: &Arc<Sheet>) -> bool {
+    pub fn update_route_table(&mut self, sheet: &Arc<RouteTable>) -> bool {
         let newer = self.routes.is_none() || sheet.revision > self.revision();
         if newer {
-            self.routes = Some(Arc::new(Index::open(sheet.clone())));
+            self.routes = Some(Arc::new(Index::new(sheet.clone())));
         }
         newer
     }
--- a/crates/verbenaslip-fleet/src/voucher.rs
+++ b/crates/verbenaslip-fleet/src/voucher.rs
@@ -19,7 +19,7 @@
 use verbenaslip_base::name::Upstream;
 
 use crate::departure::{Departure, Departures};
-use crate::upstream::{Announcement, Record, Run, Standing, differs};
+use crate::upstream::{Announcement, Record, Run, Status, differs};
 
 /// Marks that are older than this are dropped: a core that stood still would tell the leader that upstreams
 /// are there which have ended meanwhile. Marks usually leave with the next report, within 250 ms.
@@ -34,7 +34,7 @@
 
 /// Says that a run has announced itself, and nothing about it has changed.
 #[data]
-pub struct Mark {
+pub struct RenewalMark {
     /// The run.
     pub run: Run,
     /// The number of its announcement.
@@ -58,7 +58,7 @@
 
 impl Voucher {
     /// Notes that a run was heard.
-    pub(crate) fn note(&mut self, now: Duration, announcement: &Announcement) {
+    pub(crate) fn record(&mut self, now: Duration, announcement: &Announcement) {
         let Run { upstream, incarnation } = &announcement.run;
         let heard = Heard { incarnation: *incarnation, sequence: announcement.sequence, at: now };
         match self.heard.get_mut(upstream) {
@@ -82,18 +82,18 @@
         let known = self.acknowledged.get(&departure.run.upstream);
         known.is_some_and(|(known, at)| {
             known.run == departure.run
-                && known.standing >= departure.standing
+                && known.status >= departure.status
                 && now.saturating_sub(*at) <= REPEATED
         })
     }
 
     /// Takes the marks for the leader.
-    pub(crate) fn take(&mut self, now: Duration) -> Vec<Mark> {
+    pub(crate) fn take_marks(&mut self, now: Duration) -> Vec<RenewalMark> {
         let heard = std::mem::take(&mut self.heard).into_iter();
         let fresh = heard.filter(|(_, it)| now.saturating_sub(it.at) <= FRESH);
         let mark = |(upstream, it): (Upstream, Heard)| {
             let run = Run { upstream, incarnation: it.incarnation };
-            Mark { run, sequence: it.sequence }
+            RenewalMark { run, sequence: it.sequence }
         };
         fresh.map(mark).collect()
     }
@@ -102,17 +102,17 @@
 /// Tells whether an announcement says nothing but that its run is still there, by what a core knows.
 ///
 /// A late or doubled one says nothing new either, but is passed on: the leader tells of it in its log.
-pub(crate) fn renews(
+pub(crate) fn is_unchanged_renewal(
     known: Option<&Record>,
     departures: &Departures,
     announcement: &Announcement,
 ) -> bool {
     known.is_some_and(|known| {
-        known.standing == Standing::Ready
+        known.status == Status::Ready
             && known.announcement.run == announcement.run
             && known.announcement.sequence < announcement.sequence
             && !announcement.draining
             && !differs(&known.announcement, announcement)
-            && departures.standing(&announcement.run).is_none()
+            && departures.status(&announcement.run).is_none()
     })
 }
--- a/crates/verbenaslip-fleet/tests/cluster.rs
+++ b/crates/verbenaslip-fleet/tests/cluster.rs
@@ -222,7 +222,7 @@
     assert_eq!(told, Some(Response::Acknowledged));
     let knows = |view: &verbenaslip_fleet::View| {
         let mut records = view.upstreams.values();
-        records.all(|record| record.standing != verbenaslip_fleet::registry::Standing::Ready)
+        records.all(|record| record.status != verbenaslip_fleet::registry::Status::Ready)
     };
     assert!(net.entries().all(knows), "acknowledged before all knew");
 }
@@ -244,10 +244,10 @@
     let leader = net.leaders()[0];
     let told = net.call(leader, Request::Announce(Box::new(announcement("u", 9, true))));
     if told == Some(Response::Acknowledged) {
-        let ready = verbenaslip_fleet::registry::Standing::Ready;
+        let ready = verbenaslip_fleet::registry::Status::Ready;
         let stale = net
             .entries()
-            .filter(|view| view.upstreams.values().any(|record| record.standing == ready));
+            .filter(|view| view.upstreams.values().any(|record| record.status == ready));
         assert_eq!(stale.count(), 0);
     }
 }
@@ -343,7 +343,7 @@
 fn is_used(net: &Network, name: &str) -> bool {
     let ready = |view: &verbenaslip_fleet::View| {
         let record = view.upstreams.get(name);
-        record.is_some_and(|it| it.standing != verbenaslip_fleet::registry::Standing::Leaving)
+        record.is_some_and(|it| it.status != verbenaslip_fleet::registry::Status::Leaving)
     };
     net.entries().any(ready)
 }
@@ -352,7 +352,7 @@
 fn is_ready(net: &Network, name: &str) -> bool {
     let ready = |view: &verbenaslip_fleet::View| {
         let record = view.upstreams.get(name);
-        record.is_some_and(|it| it.standing == verbenaslip_fleet::registry::Standing::Ready)
+        record.is_some_and(|it| it.status == verbenaslip_fleet::registry::Status::Ready)
     };
     net.entries().all(ready)
 }
@@ -519,8 +519,8 @@
         for view in net.entries() {
             let record = view.upstreams.get("u").expect("the second run serves");
             assert_eq!(record.announcement.run, run("u", 20), "order {order}");
-            let ready = verbenaslip_fleet::registry::Standing::Ready;
-            assert_eq!(record.standing, ready, "order {order}");
+            let ready = verbenaslip_fleet::registry::Status::Ready;
+            assert_eq!(record.status, ready, "order {order}");
         }
     }
 }
--- a/crates/verbenaslip-fleet/tests/disk.rs
+++ b/crates/verbenaslip-fleet/tests/disk.rs
@@ -6,7 +6,7 @@
 
 use net::{Network, announcement, route_table_with_service, withdraw};
 use verbenaslip_fleet::frame::{Request, Response};
-use verbenaslip_fleet::registry::Standing;
+use verbenaslip_fleet::registry::Status;
 
 const SECOND: Duration = Duration::from_secs(1);
 /// By then a caller has an answer, sure or not: it turns to another core.
@@ -24,7 +24,7 @@
 
 fn is_used(net: &Network) -> bool {
     let ready = |view: &verbenaslip_fleet::View| {
-        view.upstreams.get("u").is_some_and(|it| it.standing != Standing::Leaving)
+        view.upstreams.get("u").is_some_and(|it| it.status != Status::Leaving)
     };
     net.entries().any(ready)
 }
--- a/crates/verbenaslip-fleet/tests/history.rs
+++ b/crates/verbenaslip-fleet/tests/history.rs
@@ -10,7 +10,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use verbenaslip_fleet::frame::Request;
-use verbenaslip_fleet::registry::{Announcement, Standing};
+use verbenaslip_fleet::registry::{Announcement, Status};
 
 const SECOND: Duration = Duration::from_secs(1);
 const CORES: usize = 5;
@@ -166,7 +166,7 @@
         }
         let there: BTreeSet<String> = world.there.keys().map(|it| name(*it)).collect();
         for (entry, view) in world.net.entries().enumerate() {
-            let ready = view.upstreams.values().filter(|it| it.standing == Standing::Ready);
+            let ready = view.upstreams.values().filter(|it| it.status == Status::Ready);
             let ready: BTreeSet<String> =
                 ready.map(|it| it.announcement.run.upstream.as_str().to_owned()).collect();
             assert_eq!(ready, there, "seed {seed}, entry {entry}: those that are ready");
--- a/crates/verbenaslip-fleet/tests/hub.rs
+++ b/crates/verbenaslip-fleet/tests/hub.rs
@@ -9,10 +9,10 @@
 use verbenaslip_base::name::{AvailabilityZone, Instance};
 use verbenaslip_fleet::frame::{Heartbeat, Peer};
 use verbenaslip_fleet::hub::{Changes, Hub, UpdateSource};
-use verbenaslip_fleet::ledger::{Command, Edition, Ledger};
 use verbenaslip_fleet::quota::LoanRequest;
 use verbenaslip_fleet::registry::{Announcement, Registry};
-use verbenaslip_fleet::sheet::{Quota, Sheet, TeamRow};
+use verbenaslip_fleet::replicated_state::{Command, ReplicatedState, RouteTableRevision};
+use verbenaslip_fleet::route_table::{Quota, RouteTable, TeamConfig};
 use verbenaslip_fleet::view::Version;
 
 const TERM: u64 = 3;
@@ -60,9 +60,9 @@
     // while upstreams start. Sequence: dozens of upstreams a second announce themselves; each push is
     // made and written for each entry. Cause: the same update made as often as there are entries.
     let now = Duration::from_secs(1);
-    let (mut hub, mut registry) = (Hub::default(), Registry::open(Duration::from_millis(1_200)));
+    let (mut hub, mut registry) = (Hub::default(), Registry::new(Duration::from_millis(1_200)));
     registry.announce(now, announcement(1), true);
-    let first = registry.stamp();
+    let first = registry.last_change();
     let hosts = 1..=200;
     let all: Vec<SocketAddr> = hosts.clone().map(address).collect();
     for host in hosts {
@@ -89,26 +89,26 @@
     let sizes: Vec<(usize, usize)> =
         pushes.iter().map(|push| (push.to.len(), push.update.records.len())).collect();
     assert_eq!(sizes, [(1, 2), (199, 1)], "all upstreams to one, the new one to the others");
-    assert!(hub.lagging_subscribers(now, registry.stamp(), 0).is_empty());
+    assert!(hub.lagging_subscribers(now, registry.last_change(), 0).is_empty());
 }
 
 #[test]
 fn limits_are_lent_from_the_first_request_after_a_power_loss_of_all() {
     // Guards against buckets that are opened with the first sweep of a new leader, and begin half empty.
     let now = Duration::from_secs(9);
-    let team = TeamRow {
+    let team = TeamConfig {
         name: "red".into(),
         keys: Vec::new(),
         priority: None,
-        quota: Some(Quota { rate: 900.0, burst: 900.0, unsized_tokens: None }),
+        quota: Some(Quota { rate: 900.0, burst: 900.0, default_tokens: None }),
     };
-    let sheet = Arc::new(Sheet { revision: 1, teams: vec![team], ..Sheet::default() });
-    let mut ledger = Ledger::default();
+    let sheet = Arc::new(RouteTable { revision: 1, teams: vec![team], ..RouteTable::default() });
+    let mut ledger = ReplicatedState::default();
     let document = b"table 1"[..].into();
-    ledger.apply(Command::Adopt(Box::new(Edition { sheet, document })));
+    ledger.apply(Command::SetRouteTable(Box::new(RouteTableRevision { table: sheet, document })));
     let mut hub = Hub::default();
     hub.start_leading(now, 9, true);
-    hub.refresh(now, ledger.edition().map(|edition| &*edition.sheet));
+    hub.refresh(now, ledger.current_table().map(|edition| &*edition.table));
     let loan = |id| LoanRequest { id, team: "red".into(), required: 100.0, prefetch: 0.0 };
     let loans: Vec<LoanRequest> = (1..=9).map(loan).collect();
     let lent: Vec<f64> = hub.grant_loans(&loans).iter().map(|it| it.units).collect();
--- a/crates/verbenaslip-fleet/tests/leaving.rs
+++ b/crates/verbenaslip-fleet/tests/leaving.rs
@@ -6,7 +6,7 @@
 
 use net::{Network, announcement, route_table_with_service, run};
 use verbenaslip_fleet::frame::{Request, Response};
-use verbenaslip_fleet::registry::{Announcement, Standing};
+use verbenaslip_fleet::registry::{Announcement, Status};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -18,7 +18,7 @@
     net.run(SECOND * 5);
     net.call(0, Request::AdoptRouteTable(Box::new(route_table_with_service(4))));
     announce(&mut net, announcement("u", 1, false));
-    assert_eq!(standings(&net), [Some(Standing::Ready); ENTRIES]);
+    assert_eq!(standings(&net), [Some(Status::Ready); ENTRIES]);
     net
 }
 
@@ -30,8 +30,8 @@
 }
 
 /// Returns how each entry takes the upstream to stand.
-fn standings(net: &Network) -> Vec<Option<Standing>> {
-    net.entries().map(|view| view.upstreams.get("u").map(|it| it.standing)).collect()
+fn standings(net: &Network) -> Vec<Option<Status>> {
+    net.entries().map(|view| view.upstreams.get("u").map(|it| it.status)).collect()
 }
 
 #[test]
@@ -40,9 +40,9 @@
     let mut net = fleet();
     net.observe_departure(3, run("u", 0));
     net.run(SECOND);
-    assert_eq!(standings(&net), [Some(Standing::Leaving); ENTRIES]);
+    assert_eq!(standings(&net), [Some(Status::Leaving); ENTRIES]);
     announce(&mut net, announcement("u", 2, false));
-    assert_eq!(standings(&net), [Some(Standing::Leaving); ENTRIES]);
+    assert_eq!(standings(&net), [Some(Status::Leaving); ENTRIES]);
 }
 
 #[test]
@@ -55,7 +55,7 @@
     net.stop(leader);
     net.run(SECOND * 5);
     announce(&mut net, announcement("u", 2, false));
-    assert_eq!(standings(&net), [Some(Standing::Leaving); ENTRIES]);
+    assert_eq!(standings(&net), [Some(Status::Leaving); ENTRIES]);
 }
 
 #[test]
@@ -67,5 +67,5 @@
     announce(&mut net, reborn);
     net.observe_departure(3, run("u", 0));
     net.run(SECOND);
-    assert_eq!(standings(&net), [Some(Standing::Ready); ENTRIES]);
+    assert_eq!(standings(&net), [Some(Status::Ready); ENTRIES]);
 }
--- a/crates/verbenaslip-fleet/tests/levels.rs
+++ b/crates/verbenaslip-fleet/tests/levels.rs
@@ -9,19 +9,19 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use verbenaslip_fleet::core::Event;
-use verbenaslip_fleet::duty;
 use verbenaslip_fleet::frame::{Request, Response};
+use verbenaslip_fleet::order;
 
 const SECOND: Duration = Duration::from_secs(1);
 const CORES: usize = 9;
 const LOSSES: usize = 2;
 
 /// A window of usage that is shorter than any customer's, so that many of them end in a play.
-const TIMING: duty::Timing = duty::Timing {
-    window: Duration::from_secs(2),
-    settle: Duration::from_secs(6),
-    late: Duration::from_secs(10),
-    wait: Duration::from_secs(3),
+const TIMING: order::Timing = order::Timing {
+    window_length: Duration::from_secs(2),
+    count_timeout: Duration::from_secs(6),
+    report_deadline: Duration::from_secs(10),
+    takeover_wait: Duration::from_secs(3),
 };
 
 fn fleet(entries: usize) -> Network {
--- a/crates/verbenaslip-fleet/tests/net/mod.rs
+++ b/crates/verbenaslip-fleet/tests/net/mod.rs
@@ -9,14 +9,14 @@
 
 use verbenaslip_base::name::{AvailabilityZone, Instance, Team, Upstream};
 use verbenaslip_fleet::core::{Core, Event, Input, Output, Setup, name_of};
-use verbenaslip_fleet::duty;
 use verbenaslip_fleet::frame::{Frame, Peer, Request, Response};
-use verbenaslip_fleet::ledger::Edition;
 use verbenaslip_fleet::limit::{Limit, Limits, Observation};
 use verbenaslip_fleet::link::Report;
-use verbenaslip_fleet::quarantine::Rule;
-use verbenaslip_fleet::registry::{Announcement, Run, Standing};
-use verbenaslip_fleet::sheet::{Service, Sheet};
+use verbenaslip_fleet::order;
+use verbenaslip_fleet::quarantine::QuarantinePolicy;
+use verbenaslip_fleet::registry::{Announcement, Run, Status};
+use verbenaslip_fleet::replicated_state::RouteTableRevision;
+use verbenaslip_fleet::route_table::{RouteTable, Service};
 use verbenaslip_fleet::usage::{Count, window_at};
 use verbenaslip_fleet::{Entry, View};
 use verbenaslip_replica::entry::Entry as LogEntry;
@@ -32,22 +32,22 @@
 /// How long a call may take.
 const PATIENCE: Duration = Duration::from_secs(2);
 
-pub fn route_table(revision: u64) -> Edition {
-    let sheet = Arc::new(Sheet { revision, ..Sheet::default() });
-    Edition { sheet, document: format!("table {revision}").into_bytes().into() }
+pub fn route_table(revision: u64) -> RouteTableRevision {
+    let sheet = Arc::new(RouteTable { revision, ..RouteTable::default() });
+    RouteTableRevision { table: sheet, document: format!("table {revision}").into_bytes().into() }
 }
 
 /// Makes a table that knows the service of [`announcement`].
-pub fn route_table_with_service(revision: u64) -> Edition {
+pub fn route_table_with_service(revision: u64) -> RouteTableRevision {
     let service = Service {
         name: "pool".into(),
-        health: "/healthz".into(),
-        connections: 10,
+        health_path: "/healthz".into(),
+        max_connections: 10,
         engine: None,
         scaling: None,
     };
-    let sheet = Sheet { revision, services: vec![service], ..Sheet::default() };
-    Edition { sheet: Arc::new(sheet), ..route_table(revision) }
+    let sheet = RouteTable { revision, services: vec![service], ..RouteTable::default() };
+    RouteTableRevision { table: Arc::new(sheet), ..route_table(revision) }
 }
 
 pub fn announcement(name: &str, sequence: u64, draining: bool) -> Announcement {
@@ -59,9 +59,9 @@
         version: "v1".into(),
         slots: 4,
         draining,
-        cold: Duration::ZERO,
+        warmup_left: Duration::ZERO,
         reclaimable: false,
-        leaves: None,
+        leaves_in: None,
         sequence,
     }
 }
@@ -113,7 +113,7 @@
     /// What cores told for the log.
     notes: Vec<(usize, Event)>,
     /// The windows of usage that the leader closes; none are counted without.
-    duty: Option<duty::Timing>,
+    duty: Option<order::Timing>,
     /// Requests that began at each entry, by window and team.
     counts: BTreeMap<usize, Counts>,
     /// What each core has sent and got, while that is counted.
@@ -157,7 +157,7 @@
         cores: usize,
         entries: usize,
         voters: usize,
-        duty: Option<duty::Timing>,
+        duty: Option<order::Timing>,
     ) -> Self {
         let mut net = Self {
             voters,
@@ -218,7 +218,7 @@
         let voter = Voter { instance: name_of(address), identity };
         let setup = Setup {
             local_peer: peer(address, machine.starts, Some(voter)),
-            quarantine_policy: Rule::default(),
+            quarantine_policy: QuarantinePolicy::default(),
             fingerprint_secret: 7,
             seeds: seeds(),
             founders: if founds { seeds() } else { vec![] },
@@ -343,7 +343,7 @@
 
     /// Has a request of a team begin at an entry; returns the window that it is counted in.
     pub fn begin_request(&mut self, entry: usize, team: &str) -> u64 {
-        let length = self.duty.expect("usage is counted").window;
+        let length = self.duty.expect("usage is counted").window_length;
         let time = self.entries[entry].view().time_offset_ms;
         let unix = verbenaslip_fleet::clock::unix_ms(self.now, time);
         let window = window_at(unix, length);
@@ -366,7 +366,7 @@
         let upstreams = &self.entries[entry].view().upstreams;
         let ready = |run: &&Run| {
             let record = upstreams.get(&run.upstream);
-            record.is_some_and(|it| it.standing == Standing::Ready)
+            record.is_some_and(|it| it.status == Status::Ready)
         };
         self.leaving.get(&entry).into_iter().flatten().filter(ready).cloned().collect()
     }
--- a/crates/verbenaslip-fleet/tests/notes.rs
+++ b/crates/verbenaslip-fleet/tests/notes.rs
@@ -7,7 +7,7 @@
 use net::{Network, announcement, route_table, run, withdraw};
 use verbenaslip_fleet::core::Event;
 use verbenaslip_fleet::frame::{Request, Response};
-use verbenaslip_fleet::registry::Standing;
+use verbenaslip_fleet::registry::Status;
 use verbenaslip_fleet::transition::Transition;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -35,7 +35,7 @@
         _ => None,
     });
     let (departure, spread) = told.expect("a line about it");
-    assert_eq!((departure.run, departure.standing), (run("u", 0), Standing::Gone));
+    assert_eq!((departure.run, departure.status), (run("u", 0), Status::Gone));
     // Two entries and two followers.
     assert_eq!((spread.acknowledged, spread.reachable, spread.silent), (4, 4, 0));
 }
@@ -60,23 +60,23 @@
     });
     let late = late.expect("a line about it");
     assert_eq!((late.run, late.sequence), (run("u", 0), 9));
-    assert!(matches!(late.departed, Some((Standing::Gone, age)) if age > SECOND));
+    assert!(matches!(late.departed, Some((Status::Gone, age)) if age > SECOND));
 }
 
 fn transitions(net: &mut Network) -> Vec<Transition> {
     net.entry_mut(0).take_transitions().changed
 }
 
-fn transition(standing: Option<Standing>) -> Transition {
+fn transition(standing: Option<Status>) -> Transition {
     Transition { upstream: "u".into(), standing }
 }
 
 #[test]
 fn an_entry_says_which_upstreams_it_believes_something_else_of() {
     let mut net = fleet();
-    assert_eq!(transitions(&mut net), [transition(Some(Standing::Ready))]);
+    assert_eq!(transitions(&mut net), [transition(Some(Status::Ready))]);
     net.call(0, Request::Announce(Box::new(announcement("u", 8, true))));
-    assert_eq!(transitions(&mut net), [transition(Some(Standing::Leaving))]);
+    assert_eq!(transitions(&mut net), [transition(Some(Status::Leaving))]);
     net.call(0, withdraw("u"));
     assert_eq!(transitions(&mut net), [transition(None)]);
 }
--- a/crates/verbenaslip-fleet/tests/plan.rs
+++ b/crates/verbenaslip-fleet/tests/plan.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use verbenaslip_base::name::AvailabilityZone;
-use verbenaslip_fleet::duty::Outcome;
-use verbenaslip_fleet::plan::{Counts, Demand, Kind, Planner, with_limited};
-use verbenaslip_fleet::sheet::Scaling;
+use verbenaslip_fleet::order::Outcome;
+use verbenaslip_fleet::plan::{Counts, Demand, Kind, Planner, base_with_replacements};
+use verbenaslip_fleet::route_table::Scaling;
 
 const BASE: u32 = 12;
 /// Between two announcements of an upstream.
@@ -19,10 +19,10 @@
 fn scaling() -> Scaling {
     let prices = [("a", 0.85), ("b", 1.2), ("c", 1.0)];
     Scaling {
-        least: 1,
-        most: 8,
-        boot: Duration::from_secs(4),
-        reclaimable: Some(0.18),
+        min_upstreams: 1,
+        max_upstreams: 8,
+        boot_time: Duration::from_secs(4),
+        reclaimable_price_ratio: Some(0.18),
         prices: prices.into_iter().map(|(zone, it)| (AvailabilityZone::from(zone), it)).collect(),
     }
 }
@@ -40,7 +40,7 @@
 
 /// Plans once and returns what is wanted, by kind.
 fn plan(planner: &mut Planner, now: Duration, have: &Counts) -> BTreeMap<Kind, (u64, u32)> {
-    plan_for(planner, now, Demand { base: BASE, busy: None }, have)
+    plan_for(planner, now, Demand { base: BASE, busy_upstreams: None }, have)
 }
 
 fn plan_for(
@@ -60,7 +60,7 @@
 
 /// Returns a planner that has known its upstreams for a while.
 fn steady(have: &Counts) -> Planner {
-    let mut planner = Planner::open("pool".into(), ANNOUNCE, None);
+    let mut planner = Planner::new("pool".into(), ANNOUNCE, None);
     plan(&mut planner, at(0), have);
     plan(&mut planner, at(2_000), have);
     planner
@@ -72,7 +72,7 @@
 
 #[test]
 fn without_any_one_zone_there_are_as_many_as_at_the_beginning() {
-    let mut planner = Planner::open("pool".into(), ANNOUNCE, None);
+    let mut planner = Planner::new("pool".into(), ANNOUNCE, None);
     let orders = plan(&mut planner, at(0), &counts([4, 4, 4], [0, 0, 0]));
     for zone in ["a", "b", "c"] {
         assert_eq!(wants(&orders, zone, true), Some(6));
@@ -82,7 +82,7 @@
 
 #[test]
 fn on_demand_ones_go_as_reclaimable_ones_come_the_dearest_first() {
-    let mut planner = Planner::open("pool".into(), ANNOUNCE, None);
+    let mut planner = Planner::new("pool".into(), ANNOUNCE, None);
     let have = counts([4, 4, 4], [2, 2, 2]);
     for millis in [0, 2_000] {
         let orders = plan(&mut planner, at(millis), &have);
@@ -96,7 +96,7 @@
 
 #[test]
 fn an_order_is_not_given_again_while_it_is_carried_out() {
-    let mut planner = Planner::open("pool".into(), ANNOUNCE, None);
+    let mut planner = Planner::new("pool".into(), ANNOUNCE, None);
     let have = counts([4, 4, 4], [0, 0, 0]);
     assert!(!plan(&mut planner, at(0), &have).is_empty());
     assert!(plan(&mut planner, at(1_000), &have).is_empty());
@@ -107,14 +107,14 @@
 fn a_zone_that_has_none_is_made_up_for_elsewhere() {
     // Symptom: too few upstreams for some seconds after a reclaim. Sequence: one zone loses all its
     // reclaimable upstreams and has no others. Cause: the other zones kept as they were.
-    let mut planner = Planner::open("pool".into(), ANNOUNCE, None);
+    let mut planner = Planner::new("pool".into(), ANNOUNCE, None);
     let full = counts([0, 0, 0], [6, 6, 6]);
     assert!(plan(&mut planner, at(0), &full).is_empty());
     let lost = counts([0, 0, 0], [6, 6, 0]);
     let orders = plan(&mut planner, at(1_000), &lost);
     let (id, count) = orders[&kind("c", true)];
     assert_eq!(count, 6);
-    assert!(planner.ended(at(1_100), id, Outcome::Refused));
+    assert!(planner.handle_outcome(at(1_100), id, Outcome::Refused));
     let orders = plan(&mut planner, at(1_200), &lost);
     assert_eq!(wants(&orders, "a", true), Some(8));
     assert_eq!(wants(&orders, "b", true), Some(8));
@@ -169,7 +169,7 @@
     // Symptom: twenty healthy upstreams are stopped at once. Sequence: all cores lose power, the new
     // leader hears of the upstreams one after the other and orders some more than it knows of, which
     // is fewer than there are. Cause: a count ordered from an incomplete list.
-    let mut planner = Planner::open("pool".into(), ANNOUNCE, None);
+    let mut planner = Planner::new("pool".into(), ANNOUNCE, None);
     for (millis, known) in [(0, 1), (300, 3), (700, 6), (1_200, 10), (1_800, 12)] {
         let orders = plan(&mut planner, at(millis), &counts([known, 0, 0], [0, 0, 0]));
         assert!(orders.keys().all(|kind| kind.reclaimable), "at {millis}");
@@ -181,7 +181,7 @@
     // Symptom: upstreams are the largest price of a quiet day. Sequence: for half a minute there are no
     // reclaimable ones; callers ask for little. Cause: as many on-demand ones as the fleet began with,
     // whatever is asked for.
-    let demand = |busy| Demand { base: BASE, busy: Some(busy) };
+    let demand = |busy| Demand { base: BASE, busy_upstreams: Some(busy) };
     let have = counts([4, 4, 4], [0, 0, 0]);
     let settle = |busy, have: &Counts| {
         let mut planner = steady(have);
@@ -201,7 +201,7 @@
     assert_eq!(on_demand(0.1, &have), 5, "some stay for those who come back");
     assert_eq!(on_demand(30.0, &have), 12, "never more than the base");
     let few = counts([2, 2, 2], [0, 0, 0]);
-    let mut planner = Planner::open("pool".into(), ANNOUNCE, None);
+    let mut planner = Planner::new("pool".into(), ANNOUNCE, None);
     for millis in [0, 2_000] {
         let orders = plan_for(&mut planner, at(millis), demand(2.9), &few);
         assert!(orders.keys().all(|kind| kind.reclaimable), "six are enough");
@@ -214,7 +214,7 @@
     );
     // While a zone of reclaimable ones may still be lost, its loss is provided for as before.
     let exposed = counts([5, 0, 0], [0, 4, 0]);
-    let mut planner = Planner::open("pool".into(), ANNOUNCE, None);
+    let mut planner = Planner::new("pool".into(), ANNOUNCE, None);
     plan_for(&mut planner, at(0), demand(1.0), &exposed);
     let orders = plan_for(&mut planner, at(2_000), demand(1.0), &exposed);
     assert_eq!(wants(&orders, "a", false), Some(8));
@@ -226,16 +226,16 @@
     // Symptom: a fleet of 300 entries serves three requests in ten, and no edit is taken. Sequence: a leader
     // orders 3,000 reclaimable upstreams; four seconds later all of them announce themselves at once, and as
     // many on-demand ones are given up at once. Cause: a plan that changes a whole fleet in one order.
-    let scaling = Scaling { most: 4_000, ..scaling() };
+    let scaling = Scaling { max_upstreams: 4_000, ..scaling() };
     let mut have = counts([1_000; 3], [0; 3]);
-    let mut planner = Planner::open("pool".into(), ANNOUNCE, None);
-    planner.spread(300);
+    let mut planner = Planner::new("pool".into(), ANNOUNCE, None);
+    planner.set_instances(300);
     let mut id = 0;
     let mut changed = Vec::new();
     for tenth in 0..600 {
         let now = at(tenth * 100);
         // A load that needs all of them.
-        let demand = Demand { base: 3_000, busy: Some(600.0) };
+        let demand = Demand { base: 3_000, busy_upstreams: Some(600.0) };
         let orders = planner.plan(now, &scaling, demand, &have, || {
             id += 1;
             id
@@ -243,7 +243,7 @@
         let before: u32 = orders.len().try_into().expect("few");
         let mut moved = 0;
         for (id, order) in orders {
-            planner.ended(now, id, Outcome::Done);
+            planner.handle_outcome(now, id, Outcome::Done);
             let there = have.entry(kind(order.zone.as_str(), order.reclaimable)).or_default();
             moved += there.abs_diff(order.count);
             *there = order.count;
@@ -268,7 +268,7 @@
     let orders = plan_for(planner, now, demand, have);
     let refused = orders.iter().filter(|(kind, _)| kind.reclaimable);
     refused.for_each(|(_, (id, _))| {
-        planner.ended(now, *id, Outcome::Refused);
+        planner.handle_outcome(now, *id, Outcome::Refused);
     });
     orders
 }
@@ -277,7 +277,7 @@
 fn while_reclaimable_ones_are_refused_on_demand_ones_carry_a_low_load_alone() {
     // Guards against two zones that go within a second after a first one, when callers ask for little.
     let planned = |busy| {
-        let demand = Demand { base: BASE, busy: Some(busy) };
+        let demand = Demand { base: BASE, busy_upstreams: Some(busy) };
         let mut planner = steady(&counts([0, 0, 0], [6, 6, 6]));
         let lost = counts([0, 0, 0], [6, 6, 0]);
         let first = plan_scarce(&mut planner, at(3_000), demand, &lost);
@@ -300,7 +300,7 @@
 #[test]
 fn on_demand_ones_that_start_are_not_given_up_for_a_dip_in_the_load() {
     // Guards against running upstreams given up, and starting ones stopped, while none can replace them.
-    let demand = |busy| Demand { base: BASE, busy: Some(busy) };
+    let demand = |busy| Demand { base: BASE, busy_upstreams: Some(busy) };
     let mut planner = steady(&counts([2, 0, 0], [6, 6, 6]));
     let first = plan_scarce(&mut planner, at(3_000), demand(5.0), &counts([2, 0, 0], [0, 0, 6]));
     let none = counts([2, 0, 0], [0, 0, 0]);
@@ -331,12 +331,12 @@
 #[test]
 fn a_cloud_that_is_busy_is_not_taken_for_one_without_reclaimable_upstreams() {
     // Guards against on-demand ones ordered for the whole load because too many calls were made in a second.
-    let demand = Demand { base: BASE, busy: Some(2.0) };
+    let demand = Demand { base: BASE, busy_upstreams: Some(2.0) };
     let have = counts([0, 0, 0], [6, 6, 5]);
     let mut planner = steady(&counts([0, 0, 0], [6, 6, 6]));
     let orders = plan_for(&mut planner, at(3_000), demand, &have);
     let (id, _) = orders[&kind("c", true)];
-    planner.ended(at(3_050), id, Outcome::Busy);
+    planner.handle_outcome(at(3_050), id, Outcome::Busy);
     let orders = plan_for(&mut planner, at(3_100), demand, &have);
     assert!(orders.is_empty(), "{orders:?}");
     let orders = plan_for(&mut planner, at(5_000), demand, &have);
@@ -350,18 +350,18 @@
     let have = counts([0, 0, 0], [6, 6, 6]);
     let mut planner = steady(&have);
     let planned = |planner: &mut Planner, limited| {
-        let demand = Demand { base: with_limited(BASE, limited), busy: None };
+        let demand = Demand { base: base_with_replacements(BASE, limited), busy_upstreams: None };
         plan_for(planner, at(10_000), demand, &have)
     };
     assert!(planned(&mut planner, 0).is_empty());
     let orders = planned(&mut planner, 2);
     assert_eq!(["a", "b", "c"].map(|zone| wants(&orders, zone, true)), [Some(7); 3]);
-    assert_eq!(with_limited(BASE, 12), 15);
+    assert_eq!(base_with_replacements(BASE, 12), 15);
 }
 
 /// Returns a large fleet's scaling: its upstreams take as long to start as those of a small one.
 fn large() -> Scaling {
-    Scaling { least: 18, most: 1_179, ..scaling() }
+    Scaling { min_upstreams: 18, max_upstreams: 1_179, ..scaling() }
 }
 
 /// Lets a planner order for a time, with upstreams that come and go as ordered.
@@ -385,9 +385,9 @@
 fn a_large_fleet_that_nobody_asks_for_anything_is_halved_from_time_to_time() {
     // Guards against thousands of upstreams that are exchanged before anybody has asked for anything, and against as
     // many that are paid for while nobody does.
-    let mut planner = Planner::open("pool".into(), ANNOUNCE, None);
+    let mut planner = Planner::new("pool".into(), ANNOUNCE, None);
     let mut have = counts([970, 970, 969], [0, 0, 0]);
-    let idle = Demand { base: 2_909, busy: None };
+    let idle = Demand { base: 2_909, busy_upstreams: None };
     assert_eq!(order(&mut planner, &mut have, idle, 0, 9_000), 0, "callers may be about to come");
     order(&mut planner, &mut have, idle, 9_000, 17_000);
     let half = sum(&have);
@@ -399,9 +399,9 @@
 #[test]
 fn a_large_fleet_follows_its_load_down_and_up() {
     // Guards against three thousand upstreams that are paid for where two hundred serve.
-    let mut planner = Planner::open("pool".into(), ANNOUNCE, None);
+    let mut planner = Planner::new("pool".into(), ANNOUNCE, None);
     let mut have = counts([970, 970, 969], [0, 0, 0]);
-    let demand = |busy| Demand { base: 2_909, busy: Some(busy) };
+    let demand = |busy| Demand { base: 2_909, busy_upstreams: Some(busy) };
     order(&mut planner, &mut have, demand(60.0), 0, 20_000);
     let quiet = sum(&have);
     assert!((120..=600).contains(&quiet), "{quiet} for a load of 60");
@@ -417,18 +417,18 @@
 #[test]
 fn a_new_leader_plans_with_the_size_of_the_one_before_until_it_knows_the_load() {
     // Guards against a new leader that orders as many upstreams as the fleet began with.
-    let mut planner = Planner::open("pool".into(), ANNOUNCE, Some(372));
+    let mut planner = Planner::new("pool".into(), ANNOUNCE, Some(372));
     let mut have = counts([0, 0, 0], [186, 186, 186]);
-    let unknown = Demand { base: 2_909, busy: None };
+    let unknown = Demand { base: 2_909, busy_upstreams: None };
     assert_eq!(order(&mut planner, &mut have, unknown, 0, 5_000), 0);
-    let busy = Demand { base: 2_909, busy: Some(60.0) };
+    let busy = Demand { base: 2_909, busy_upstreams: Some(60.0) };
     assert_eq!(order(&mut planner, &mut have, busy, 5_000, 10_000), 0);
 }
 
 #[test]
 fn a_small_fleet_is_made_cheaper_before_its_load_is_known() {
     // Guards against on-demand upstreams that are paid for until the first request has come.
-    let mut planner = Planner::open("pool".into(), ANNOUNCE, None);
+    let mut planner = Planner::new("pool".into(), ANNOUNCE, None);
     let orders = plan(&mut planner, at(0), &counts([4, 4, 4], [0, 0, 0]));
     assert_eq!(wants(&orders, "a", true), Some(6));
 }
@@ -436,10 +436,10 @@
 #[test]
 fn upstreams_in_a_zone_without_a_price_are_given_up_as_well() {
     // Guards against a fifth of a fleet that is paid for all day, since nobody has said what it costs.
-    let mut planner = Planner::open("pool".into(), ANNOUNCE, None);
+    let mut planner = Planner::new("pool".into(), ANNOUNCE, None);
     let mut have = counts([700, 700, 700], [0, 0, 0]);
     have.insert(kind("d", false), 800);
-    let demand = Demand { base: 2_900, busy: Some(60.0) };
+    let demand = Demand { base: 2_900, busy_upstreams: Some(60.0) };
     order(&mut planner, &mut have, demand, 0, 20_000);
     assert_eq!(have[&kind("d", false)], 0, "{have:?}");
 }
@@ -447,9 +447,9 @@
 #[test]
 fn a_load_that_goes_up_and_down_a_little_costs_no_orders() {
     // Guards against upstreams that are ordered and given up with each wave of callers.
-    let mut planner = Planner::open("pool".into(), ANNOUNCE, None);
+    let mut planner = Planner::new("pool".into(), ANNOUNCE, None);
     let mut have = counts([970, 970, 969], [0, 0, 0]);
-    let demand = |busy| Demand { base: 2_909, busy: Some(busy) };
+    let demand = |busy| Demand { base: 2_909, busy_upstreams: Some(busy) };
     order(&mut planner, &mut have, demand(60.0), 0, 30_000);
     let mut changed = 0;
     for second in 30..60 {
--- a/crates/verbenaslip-fleet/tests/poison.rs
+++ b/crates/verbenaslip-fleet/tests/poison.rs
@@ -9,7 +9,7 @@
 
 use net::{Network, Traffic, announcement, route_table_with_service};
 use verbenaslip_base::name::Upstream;
-use verbenaslip_fleet::account::{Answered, Sighting};
+use verbenaslip_fleet::crash_report::{ObservedAnswer, ObservedCrash};
 use verbenaslip_fleet::fingerprint::Fingerprint;
 use verbenaslip_fleet::frame::Request;
 use verbenaslip_fleet::registry::Run;
@@ -33,7 +33,7 @@
     next: Duration,
     runs: u32,
     /// What is under way: when its upstream ends, and at which entry it is.
-    under_way: Vec<(Duration, usize, Sighting)>,
+    under_way: Vec<(Duration, usize, ObservedCrash)>,
     /// When it was sent to an upstream.
     sent: Vec<Duration>,
     /// When upstreams ended.
@@ -66,7 +66,7 @@
 
     fn held(&self, entry: usize) -> bool {
         let blocklist = &self.net.entry(entry).blocklist;
-        self.bad(entry).is_some_and(|bad| blocklist.held.contains_key(&bad))
+        self.bad(entry).is_some_and(|bad| blocklist.quarantined.contains_key(&bad))
     }
 
     /// Has the bad request come at an entry.
@@ -82,7 +82,7 @@
         let run = Run { upstream, incarnation: 0 };
         // Without a key the upstream ends all the same, and nobody can tell under what.
         let Some(fingerprint) = self.bad(entry) else { return self.ended.push(now + CRASH) };
-        let met = Sighting { fingerprint, run, sent: now, ended: now + CRASH };
+        let met = ObservedCrash { fingerprint, run, sent: now, ended: now + CRASH };
         self.under_way.push((now + CRASH, entry, met));
     }
 
@@ -255,7 +255,7 @@
     play.net.entry_mut(3).record_outcomes(
         now,
         vec![],
-        vec![Answered { fingerprint: bad, at: now }],
+        vec![ObservedAnswer { fingerprint: bad, at: now }],
     );
     play.net.run(SECOND / 5);
     assert!(play.net.entries().all(|view| view.blocklist.watched.is_empty()));
@@ -272,7 +272,7 @@
             let number = entry * 53 + it;
             let fingerprint = Fingerprint::of(7, "red", "h", "/x", &number.to_le_bytes());
             let upstream = Upstream::new(format!("i-{:010x}", number / 16));
-            Sighting {
+            ObservedCrash {
                 fingerprint,
                 run: Run { upstream, incarnation: 0 },
                 sent: now - SECOND,
@@ -314,7 +314,7 @@
         let met = |end: u64| {
             let run = Run { upstream: Upstream::new(format!("i-{number}-{end}")), incarnation: 0 };
             let at = now - Duration::from_millis(200 - 50 * end);
-            Sighting { fingerprint: *fingerprint, run, sent: at - TICK, ended: at }
+            ObservedCrash { fingerprint: *fingerprint, run, sent: at - TICK, ended: at }
         };
         play.net.entry_mut(number).record_outcomes(now, vec![met(1), met(2)], vec![]);
         if number % 3 == 0 {
@@ -325,7 +325,7 @@
     assert!(play.net.entries().all(|view| view.blocklist.watched.len() == fingerprints.len()));
     for (number, fingerprint) in fingerprints.iter().enumerate() {
         let now = play.net.now();
-        let answered = Answered { fingerprint: *fingerprint, at: now };
+        let answered = ObservedAnswer { fingerprint: *fingerprint, at: now };
         play.net.entry_mut(100 + number).record_outcomes(now, vec![], vec![answered]);
         if number % 3 == 0 {
             play.net.run(TICK);
--- a/crates/verbenaslip-fleet/tests/random.rs
+++ b/crates/verbenaslip-fleet/tests/random.rs
@@ -14,7 +14,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use verbenaslip_fleet::frame::{Request, Response};
-use verbenaslip_fleet::registry::{Announcement, Run, Standing};
+use verbenaslip_fleet::registry::{Announcement, Run, Status};
 
 const STEPS: usize = 40;
 /// How long an upstream still serves after its leaving was acknowledged.
@@ -333,7 +333,7 @@
                 let run = self.run(index, coming.incarnation);
                 let record = view.upstreams.get(&run.upstream);
                 record.is_some_and(|it| {
-                    it.standing != Standing::Leaving
+                    it.status != Status::Leaving
                         && it.announcement.run.incarnation <= run.incarnation
                 })
             });
--- a/crates/verbenaslip-fleet/tests/rollout.rs
+++ b/crates/verbenaslip-fleet/tests/rollout.rs
@@ -8,8 +8,8 @@
 use net::{Network, announcement, route_table_with_service};
 use verbenaslip_fleet::core::Event;
 use verbenaslip_fleet::frame::{Request, Response};
-use verbenaslip_fleet::ledger::{Command, Ledger};
 use verbenaslip_fleet::registry::Announcement;
+use verbenaslip_fleet::replicated_state::{Command, ReplicatedState};
 use verbenaslip_fleet::rollout::report::{Counts, Group, Report, Totals};
 use verbenaslip_fleet::rollout::{Admission, Cohort, Order, Rollout, State};
 
@@ -17,7 +17,7 @@
 
 fn order(version: &str, seconds: u64) -> Order {
     let duration = Duration::from_secs(seconds);
-    Order { service: "pool".into(), version: version.into(), duration }
+    Order { service: "pool".into(), version: version.into(), time_limit: duration }
 }
 
 fn start(version: &str, seconds: u64) -> Request {
@@ -116,8 +116,8 @@
 
 #[test]
 fn an_order_that_is_resent_after_its_verdict_begins_nothing_new() {
-    let mut ledger = Ledger::default();
-    let apply = |ledger: &mut Ledger, unix| {
+    let mut ledger = ReplicatedState::default();
+    let apply = |ledger: &mut ReplicatedState, unix| {
         ledger.apply(Command::StartRollout { order: order("v2", 10), unix });
     };
     apply(&mut ledger, 1_000);
@@ -133,7 +133,7 @@
     let rollout = ledger.rollouts().get("pool").expect("it is there");
     assert_eq!((rollout.id, rollout.state), (2, State::Serving));
     assert!(!ledger.rollouts().rejected("pool").contains("v2"));
-    let restored = Ledger::restore(&ledger.snapshot()).expect("it can be read");
+    let restored = ReplicatedState::restore(&ledger.snapshot()).expect("it can be read");
     assert_eq!(restored, ledger);
 }
 
@@ -147,7 +147,7 @@
     let entry = ([10, 2, 0, 1], 7_000).into();
     let mut totals = Totals::default();
     for (incarnation, number, sent) in [(1, 1, 5), (1, 3, 9), (1, 2, 7), (1, 3, 9), (2, 1, 2)] {
-        totals.take(entry, incarnation, number, &report(sent));
+        totals.add_report(entry, incarnation, number, &report(sent));
     }
     assert_eq!(totals.exposure(), (11, 11));
 }
--- a/crates/verbenaslip-fleet/tests/sheet.rs
+++ b/crates/verbenaslip-fleet/tests/sheet.rs
@@ -5,41 +5,43 @@
 
 use verbenaslip_base::name::Team;
 use verbenaslip_fleet::index::Index;
-use verbenaslip_fleet::sheet::{Kind, Problem, Route, Service, Sheet, Target, TeamRow};
+use verbenaslip_fleet::route_table::{
+    RequestKind, Route, RouteTable, Service, Target, TeamConfig, ValidationError,
+};
 
 fn route(name: &str, host: &str, prefix: &str) -> Route {
     Route {
         name: name.into(),
         host: host.into(),
         prefix: prefix.into(),
-        kind: Kind::Repeatable,
+        kind: RequestKind::Repeatable,
         timeout: Duration::from_secs(1),
         objective: Duration::from_millis(100),
-        pause: Duration::from_millis(100),
+        max_event_gap: Duration::from_millis(100),
         priority: 0,
         targets: vec![Target { service: "desk".into(), weight: 1 }],
-        attempts: 1,
+        max_attempts: 1,
         public: false,
     }
 }
 
 fn service(name: &str) -> Service {
     let (name, health) = (name.into(), "/".into());
-    Service { name, health, connections: 10, engine: None, scaling: None }
+    Service { name, health_path: health, max_connections: 10, engine: None, scaling: None }
 }
 
-fn team(name: &str, key: &str) -> TeamRow {
-    TeamRow { name: Team::from(name), keys: vec![key.into()], priority: None, quota: None }
+fn team(name: &str, key: &str) -> TeamConfig {
+    TeamConfig { name: Team::from(name), keys: vec![key.into()], priority: None, quota: None }
 }
 
-fn sheet(routes: Vec<Route>) -> Sheet {
-    Sheet { revision: 1, routes, services: vec![service("desk")], ..Sheet::default() }
+fn sheet(routes: Vec<Route>) -> RouteTable {
+    RouteTable { revision: 1, routes, services: vec![service("desk")], ..RouteTable::default() }
 }
 
 #[test]
 fn a_table_that_can_be_in_force_is_taken() {
     let both = vec![route("a", "one", "/x/"), route("b", "one", "/x/y/")];
-    assert_eq!(sheet(both).check(), Ok(()));
+    assert_eq!(sheet(both).validate(), Ok(()));
 }
 
 #[test]
@@ -55,14 +57,14 @@
     shared.teams = vec![team("red", "k"), team("blue", "k")];
 
     let cases = [
-        (sheet(vec![unknown]), Problem::UnknownService("a".into(), "nowhere".into())),
-        (sheet(vec![weightless]), Problem::NoWeight("a".into())),
-        (sheet(vec![timeless]), Problem::NoTimeout("a".into())),
-        (sheet(twice), Problem::SameRoute("a".into(), "b".into())),
-        (shared, Problem::SameKey(Team::from("red"), Team::from("blue"))),
+        (sheet(vec![unknown]), ValidationError::UnknownService("a".into(), "nowhere".into())),
+        (sheet(vec![weightless]), ValidationError::ZeroWeight("a".into())),
+        (sheet(vec![timeless]), ValidationError::ZeroTimeout("a".into())),
+        (sheet(twice), ValidationError::DuplicateRoute("a".into(), "b".into())),
+        (shared, ValidationError::DuplicateKey(Team::from("red"), Team::from("blue"))),
     ];
     for (sheet, problem) in cases {
-        assert_eq!(sheet.check(), Err(problem));
+        assert_eq!(sheet.validate(), Err(problem));
     }
 }
 
@@ -73,7 +75,7 @@
         route("long", "one", "/x/y/"),
         route("other", "two", "/x/y/z/"),
     ];
-    let index = Index::open(Arc::new(sheet(routes)));
+    let index = Index::new(Arc::new(sheet(routes)));
     let found = |host, path| index.route(host, path).map(|route| route.name.to_string());
     assert_eq!(found("one", "/x/y/z/1").as_deref(), Some("long"));
     assert_eq!(found("ONE:8080", "/x/1?q=/x/y/").as_deref(), Some("short"));
@@ -86,7 +88,7 @@
 fn a_key_finds_its_team_only() {
     let mut sheet = sheet(vec![]);
     sheet.teams = vec![team("red", "r"), team("blue", "b")];
-    let index = Index::open(Arc::new(sheet));
+    let index = Index::new(Arc::new(sheet));
     assert_eq!(index.team("b").map(|team| team.name.as_str()), Some("blue"));
     assert!(index.team("x").is_none());
 }
@@ -102,7 +104,7 @@
     sheet.teams = vec![team("gold", "g"), team("plain", "p"), team("open", "o")];
     sheet.teams[0].priority = Some(0);
     sheet.teams[1].priority = Some(2);
-    let index = Index::open(Arc::new(sheet));
+    let index = Index::new(Arc::new(sheet));
     let rank = |path, key| index.rank(index.route("one", path).expect("a route"), index.team(key));
     assert!(rank("/d/", "g") < rank("/c/", "g"));
     assert!(rank("/c/", "g") < rank("/d/", "p"));
@@ -120,12 +122,14 @@
     for (priority, team) in (0..).zip(&mut sheet.teams) {
         team.priority = Some(priority);
     }
-    let index = Index::open(Arc::new(sheet));
+    let index = Index::new(Arc::new(sheet));
     let ranks: Vec<u8> = index
-        .sheet()
+        .route_table()
         .teams
         .iter()
-        .flat_map(|team| index.sheet().routes.iter().map(|route| index.rank(route, Some(team))))
+        .flat_map(|team| {
+            index.route_table().routes.iter().map(|route| index.rank(route, Some(team)))
+        })
         .collect();
     assert!(ranks.is_sorted());
     assert_eq!((ranks.first(), ranks.last()), (Some(&0), Some(&9)));
--- a/crates/verbenaslip-fleet/tests/vouch.rs
+++ b/crates/verbenaslip-fleet/tests/vouch.rs
@@ -7,7 +7,7 @@
 use net::{Network, announcement, route_table_with_service, withdraw};
 use verbenaslip_fleet::core::Event;
 use verbenaslip_fleet::frame::{Request, Response};
-use verbenaslip_fleet::registry::Standing;
+use verbenaslip_fleet::registry::Status;
 
 const SECOND: Duration = Duration::from_secs(1);
 /// Between two announcements of an upstream.
@@ -29,13 +29,13 @@
     net.call(0, Request::AdoptRouteTable(Box::new(route_table_with_service(4))));
     assert_eq!(net.call(0, announce("u", 1, false)), Some(Response::Acknowledged));
     net.run(SECOND);
-    assert!(standings(&net).iter().all(|it| *it == Some(Standing::Ready)));
+    assert!(standings(&net).iter().all(|it| *it == Some(Status::Ready)));
     net
 }
 
 /// Returns how each entry takes the upstream to stand.
-fn standings(net: &Network) -> Vec<Option<Standing>> {
-    net.entries().map(|view| view.upstreams.get("u").map(|it| it.standing)).collect()
+fn standings(net: &Network) -> Vec<Option<Status>> {
+    net.entries().map(|view| view.upstreams.get("u").map(|it| it.status)).collect()
 }
 
 fn followers(net: &Network) -> Vec<usize> {
@@ -52,13 +52,13 @@
     for sequence in 2..12 {
         assert_eq!(net.call(core, announce("u", sequence, false)), Some(Response::Acknowledged));
         net.run(ROUND);
-        assert!(standings(&net).iter().all(|it| *it == Some(Standing::Ready)));
+        assert!(standings(&net).iter().all(|it| *it == Some(Status::Ready)));
     }
     net.run(ROUND * 6);
-    assert!(standings(&net).iter().all(|it| *it == Some(Standing::Silent)));
+    assert!(standings(&net).iter().all(|it| *it == Some(Status::Silent)));
     assert_eq!(net.call(core, announce("u", 12, false)), Some(Response::Acknowledged));
     net.run(SECOND);
-    assert!(standings(&net).iter().all(|it| *it == Some(Standing::Ready)));
+    assert!(standings(&net).iter().all(|it| *it == Some(Status::Ready)));
 }
 
 #[test]
@@ -163,7 +163,7 @@
     let mut net = fleet();
     let core = followers(&net)[0];
     assert_eq!(net.call(core, announce("u", 2, true)), Some(Response::Acknowledged));
-    assert!(standings(&net).iter().all(|it| *it == Some(Standing::Leaving)));
+    assert!(standings(&net).iter().all(|it| *it == Some(Status::Leaving)));
     net.count_traffic();
     for sequence in 3..6 {
         assert_eq!(net.call(core, announce("u", sequence, true)), Some(Response::Acknowledged));
@@ -234,10 +234,10 @@
     let core = followers(&net)[0];
     for sequence in [2, 3] {
         net.run(ROUND * 6);
-        assert!(standings(&net).iter().all(|it| *it == Some(Standing::Silent)));
+        assert!(standings(&net).iter().all(|it| *it == Some(Status::Silent)));
         let call = net.start_call(core, announce("u", sequence, false));
         net.run(SECOND / 10);
-        assert!(standings(&net).iter().all(|it| *it == Some(Standing::Ready)), "{sequence}");
+        assert!(standings(&net).iter().all(|it| *it == Some(Status::Ready)), "{sequence}");
         assert_eq!(net.take_response(call), Some(Response::Acknowledged));
     }
 }
@@ -252,7 +252,7 @@
     for sequence in 2..70 {
         assert_eq!(net.call(core, announce("u", sequence, true)), Some(Response::Acknowledged));
         net.run(ROUND);
-        assert!(standings(&net).iter().all(|it| *it == Some(Standing::Leaving)), "{sequence}");
+        assert!(standings(&net).iter().all(|it| *it == Some(Status::Leaving)), "{sequence}");
     }
 }
 
@@ -268,6 +268,6 @@
     net.run(ROUND * 2);
     net.resume(core);
     net.run(ROUND / 2);
-    let silent = standings(&net).iter().filter(|it| **it == Some(Standing::Silent)).count();
+    let silent = standings(&net).iter().filter(|it| **it == Some(Status::Silent)).count();
     assert_eq!(silent, ENTRIES, "heard last five announcements ago");
 }
--- a/crates/verbenaslip-instance/src/cloud.rs
+++ b/crates/verbenaslip-instance/src/cloud.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use tokio::sync::mpsc::UnboundedSender;
 use verbenaslip_base::name::Instance;
-use verbenaslip_fleet::duty::{Order, Outcome};
+use verbenaslip_fleet::order::{Order, Outcome};
 use verbenaslip_relay::http::{Response, Wire};
 use verbenaslip_relay::journal;
 use verbenaslip_relay::{monotonic, socket};
@@ -97,7 +97,7 @@
         bytes.extend_from_slice(&post.body);
         // The process may have been frozen since the order was made, and another instance may hold
         // the duty by now. The cloud does not check, so the lease is looked at last of all.
-        if monotonic::now() >= order.until {
+        if monotonic::now() >= order.valid_until {
             return None;
         }
         wire.send(&bytes).await.ok()?;
--- a/crates/verbenaslip-instance/src/core.rs
+++ b/crates/verbenaslip-instance/src/core.rs
@@ -12,8 +12,8 @@
 use verbenaslip_disk::DataDirectory;
 use verbenaslip_fleet::Core as Decisions;
 use verbenaslip_fleet::core::{Input, Output, Setup};
-use verbenaslip_fleet::duty;
 use verbenaslip_fleet::frame::{Frame, Peer, Response};
+use verbenaslip_fleet::order;
 use verbenaslip_relay::journal;
 use verbenaslip_relay::monotonic;
 use verbenaslip_replica::setup::Timing;
@@ -225,11 +225,11 @@
                 change: COPY,
                 ..Timing::default()
             },
-            order_timing: settings.cloud.as_ref().map(|cloud| duty::Timing {
-                window: settings.upstreams.usage_window,
-                settle: SETTLE.min(settings.upstreams.usage_late.mul_f64(0.6)),
-                late: settings.upstreams.usage_late,
-                wait: cloud.wait,
+            order_timing: settings.cloud.as_ref().map(|cloud| order::Timing {
+                window_length: settings.upstreams.usage_window,
+                count_timeout: SETTLE.min(settings.upstreams.usage_late.mul_f64(0.6)),
+                report_deadline: settings.upstreams.usage_late,
+                takeover_wait: cloud.wait,
             }),
             quarantine_policy: settings.requests.rule(),
             fingerprint_secret: secret(),
--- a/crates/verbenaslip-instance/src/face.rs
+++ b/crates/verbenaslip-instance/src/face.rs
@@ -14,7 +14,7 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::{Semaphore, oneshot};
 use verbenaslip_fleet::frame::{Request, Response};
-use verbenaslip_fleet::sheet::Limits;
+use verbenaslip_fleet::route_table::RequestLimits;
 use verbenaslip_relay::http::{Fault, Message, Wire, reader};
 use verbenaslip_relay::{journal, monotonic, socket};
 
@@ -184,9 +184,9 @@
         return;
     }
     let mut wire = Wire::new(stream);
-    let limits = Limits { body: BODY, ..Limits::default() };
+    let limits = RequestLimits { max_body_bytes: BODY, ..RequestLimits::default() };
     loop {
-        let idle = tokio::time::timeout(limits.idle_time, wire.readable()).await;
+        let idle = tokio::time::timeout(limits.idle_timeout, wire.readable()).await;
         if !matches!(idle, Ok(Ok(()))) {
             return;
         }
@@ -209,7 +209,11 @@
 
 impl Shared {
     /// Reads a call once it is its turn; none where the caller has gone, or has waited for too long.
-    async fn read(&self, wire: &mut Wire, limits: &Limits) -> Result<Option<Message>, Fault> {
+    async fn read(
+        &self,
+        wire: &mut Wire,
+        limits: &RequestLimits,
+    ) -> Result<Option<Message>, Fault> {
         let since = monotonic::now();
         // Nobody closes the turns.
         let turn = self.turns.acquire().await;
--- a/crates/verbenaslip-instance/src/note.rs
+++ b/crates/verbenaslip-instance/src/note.rs
@@ -8,7 +8,7 @@
 use verbenaslip_fleet::fingerprint::Fingerprint;
 use verbenaslip_fleet::hub::AckCounts;
 use verbenaslip_fleet::quarantine::Finding;
-use verbenaslip_fleet::registry::{Late, Record, Run};
+use verbenaslip_fleet::registry::{Record, Run, StaleAnnouncement};
 use verbenaslip_fleet::rollout::Rollout;
 use verbenaslip_fleet::transition::Transition;
 use verbenaslip_fleet::view::Version;
@@ -104,7 +104,7 @@
         [
             ("upstream", json!(departure.run.upstream.as_str())),
             ("incarnation", json!(departure.run.incarnation)),
-            ("standing", json!(format!("{:?}", departure.standing))),
+            ("standing", json!(format!("{:?}", departure.status))),
             ("waited_ms", json!(waited.as_millis())),
             ("term", json!(change.term)),
             ("change", json!(change.change)),
@@ -125,7 +125,7 @@
         ("rollout", json!(rollout.id)),
         ("service", json!(rollout.order.service)),
         ("version", json!(rollout.order.version)),
-        ("limit_ms", json!(rollout.order.duration.as_millis())),
+        ("limit_ms", json!(rollout.order.time_limit.as_millis())),
         ("requests", json!(all)),
         ("candidate_requests", json!(candidate)),
     ]
@@ -145,14 +145,14 @@
             ("zone", json!(it.zone.as_str())),
             ("sequence", json!(it.sequence)),
             ("reclaimable", json!(it.reclaimable)),
-            ("leaves_ms", json!(it.leaves.map(|leaves| leaves.as_millis()))),
-            ("standing", json!(format!("{:?}", record.standing))),
+            ("leaves_ms", json!(it.leaves_in.map(|leaves| leaves.as_millis()))),
+            ("standing", json!(format!("{:?}", record.status))),
         ],
     );
 }
 
 /// Writes a line about an announcement that was passed over.
-fn say_late(late: &Late) {
+fn say_late(late: &StaleAnnouncement) {
     metrics::counter!("verbenaslip_announcements_late_total").increment(1);
     let (known, last) = late.known.unzip();
     let (standing, age) = late.departed.unzip();
@@ -178,7 +178,7 @@
         Finding::Suspected { fingerprint, runs: ended } => {
             journal::say(event::SUSPECTED, [content(fingerprint), ("upstreams", runs(ended))]);
         }
-        Finding::Blocked { fingerprint, runs: ended, held } => {
+        Finding::Quarantined { fingerprint, runs: ended, held } => {
             metrics::counter!("verbenaslip_requests_held_back_total").increment(1);
             journal::say(
                 event::HELD,
@@ -186,7 +186,7 @@
                     content(fingerprint),
                     ("upstreams", runs(ended)),
                     ("until", json!(held.until)),
-                    ("tries", json!(held.tries)),
+                    ("tries", json!(held.failed_trials)),
                 ],
             );
         }
@@ -196,7 +196,7 @@
                 [content(fingerprint), ("cause", json!(format!("{cause:?}")))],
             );
         }
-        Finding::Tried { fingerprint, entry } => {
+        Finding::TrialOffered { fingerprint, entry } => {
             journal::say(event::TRIED, [content(fingerprint), ("entry", json!(entry.to_string()))]);
         }
     }
--- a/crates/verbenaslip-instance/src/settings.rs
+++ b/crates/verbenaslip-instance/src/settings.rs
@@ -13,7 +13,7 @@
 use verbenaslip::settings::{self, Collected, Invalid};
 use verbenaslip_base::name::{AvailabilityZone, Instance as Name};
 use verbenaslip_fleet::fingerprint::Fingerprint;
-use verbenaslip_fleet::quarantine::Rule;
+use verbenaslip_fleet::quarantine::QuarantinePolicy;
 
 /// Holds all settings of one instance.
 #[derive(Clone, Debug, PartialEq)]
@@ -270,8 +270,8 @@
 
 impl Requests {
     fn take(reader: &mut Reader<'_>) -> Self {
-        let rule = Rule::default();
-        let (mut crashes, mut hold) = (Count(rule.crashes), Span(rule.hold));
+        let rule = QuarantinePolicy::default();
+        let (mut crashes, mut hold) = (Count(rule.crash_threshold), Span(rule.hold_time));
         let (mut lifted, mut forbidden): (Vec<Content>, Vec<Content>) = (Vec::new(), Vec::new());
         reader.take(Place("requests", "crashes"), &mut crashes);
         reader.take(Place("requests", "hold"), &mut hold);
@@ -283,10 +283,10 @@
     }
 
     /// Returns the rule by which the leader goes.
-    pub(crate) fn rule(&self) -> Rule {
-        Rule {
-            crashes: self.crashes,
-            hold: self.hold,
+    pub(crate) fn rule(&self) -> QuarantinePolicy {
+        QuarantinePolicy {
+            crash_threshold: self.crashes,
+            hold_time: self.hold,
             lifted: self.lifted.iter().copied().collect(),
             forbidden: self.forbidden.iter().copied().collect(),
         }
--- a/crates/verbenaslip-instance/tests/cloud.rs
+++ b/crates/verbenaslip-instance/tests/cloud.rs
@@ -9,8 +9,8 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 use verbenaslip_base::name::Instance;
-use verbenaslip_fleet::duty::{Order, Outcome, Task};
-use verbenaslip_fleet::ledger::Window;
+use verbenaslip_fleet::order::{Order, Outcome, Task};
+use verbenaslip_fleet::replicated_state::Window;
 use verbenaslip_instance::cloud::{Cloud, Codec, Post};
 use verbenaslip_lab::port;
 use verbenaslip_relay::monotonic;
@@ -62,7 +62,7 @@
 
 fn order(id: u64) -> Order {
     let window = Window { number: id, counts: Default::default() };
-    Order { id, fence: 1, until: monotonic::now() + KNOWN * 2, task: Task::Usage(window) }
+    Order { id, fence: 1, valid_until: monotonic::now() + KNOWN * 2, task: Task::Usage(window) }
 }
 
 #[test]
--- a/crates/verbenaslip-instance/tests/line.rs
+++ b/crates/verbenaslip-instance/tests/line.rs
@@ -80,9 +80,9 @@
         version: "v1".into(),
         slots: 4,
         draining,
-        cold: std::time::Duration::ZERO,
+        warmup_left: std::time::Duration::ZERO,
         reclaimable: false,
-        leaves: None,
+        leaves_in: None,
         sequence: 1,
     }
 }
