--- a/crates/verbenaslip-relay/src/board.rs
+++ b/crates/verbenaslip-relay/src/board.rs
@@ -7,13 +7,13 @@
 
 use tokio::sync::{Notify, oneshot};
 use verbenaslip_base::name::Team;
-use verbenaslip_fleet::account::{Answered, Sighting};
+use verbenaslip_fleet::crash_report::{ObservedAnswer, ObservedCrash};
 use verbenaslip_fleet::limit::{self, Limit, Limits};
 use verbenaslip_fleet::link::Report;
-use verbenaslip_fleet::load::Work;
+use verbenaslip_fleet::load::WorkReport;
 use verbenaslip_fleet::quota::{LoanGrant, LoanRequest, Refund};
-use verbenaslip_fleet::registry::{Record, Run, Standing};
-use verbenaslip_fleet::usage::{self, Tally};
+use verbenaslip_fleet::registry::{Record, Run, Status};
+use verbenaslip_fleet::usage::{self, UsageCounter};
 use verbenaslip_fleet::view::View;
 
 use crate::monotonic;
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 pub struct Board {
     view: Mutex<Arc<View>>,
-    tally: Mutex<Tally>,
+    tally: Mutex<UsageCounter>,
     loans: Mutex<Loans>,
     refunds: Mutex<BTreeMap<Team, f64>>,
     borrows: Notify,
@@ -148,7 +148,7 @@
         let view = self.view();
         let mut leaving = lock(&self.leaving);
         leaving.retain(|run| {
-            let ready = |it: &Record| matches!(it.standing, Standing::Ready | Standing::Silent);
+            let ready = |it: &Record| matches!(it.status, Status::Ready | Status::Silent);
             view.record(run).is_some_and(ready)
         });
         leaving.iter().take(SIGHTINGS).cloned().collect()
@@ -165,13 +165,13 @@
     }
 
     /// Notes requests under which an upstream ended.
-    pub fn crashed(&self, crashes: impl IntoIterator<Item = Sighting>) {
+    pub fn crashed(&self, crashes: impl IntoIterator<Item = ObservedCrash>) {
         lock(&self.met).crashes.extend(crashes);
         self.meets.notify_one();
     }
 
     /// Notes that a request was answered which is suspected or held back.
-    pub fn answered(&self, answered: Answered) {
+    pub fn answered(&self, answered: ObservedAnswer) {
         lock(&self.met).answers.push(answered);
         self.meets.notify_one();
     }
@@ -192,7 +192,7 @@
         let work = lock(&self.work);
         let work = work
             .iter()
-            .map(|(service, total)| Work { service: service.clone(), total: *total })
+            .map(|(service, total)| WorkReport { service: service.clone(), total_ms: *total })
             .collect();
         let rollouts = self.versions().report(monotonic::now());
         let limits = self.unshared_limits();
@@ -251,9 +251,9 @@
 #[derive(Debug, Default)]
 pub struct Experience {
     /// Upstreams that ended while they ran them.
-    pub crashes: Vec<Sighting>,
+    pub crashes: Vec<ObservedCrash>,
     /// Answers to requests that are suspected or held back.
-    pub answers: Vec<Answered>,
+    pub answers: Vec<ObservedAnswer>,
 }
 
 /// The most limits, and the most departures, in one report; the others wait for the next.
--- a/crates/verbenaslip-relay/src/forward/context.rs
+++ b/crates/verbenaslip-relay/src/forward/context.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 use verbenaslip_base::hash;
 use verbenaslip_base::name::AvailabilityZone;
-use verbenaslip_fleet::account::Answered;
+use verbenaslip_fleet::crash_report::ObservedAnswer;
 use verbenaslip_fleet::limit::Observation;
 use verbenaslip_fleet::registry::Run;
 use verbenaslip_fleet::view::View;
@@ -173,7 +173,7 @@
         let Some(fingerprint) = job.fingerprint else { return };
         let at = monotonic::now();
         if self.record.borrow_mut().answered(at, fingerprint, &self.board.view().blocklist) {
-            self.board.answered(Answered { fingerprint, at });
+            self.board.answered(ObservedAnswer { fingerprint, at });
         }
     }
 
--- a/crates/verbenaslip-relay/src/forward/crash.rs
+++ b/crates/verbenaslip-relay/src/forward/crash.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 use tokio::sync::mpsc::UnboundedReceiver;
 use verbenaslip_base::name::Upstream;
-use verbenaslip_fleet::account::Sighting;
+use verbenaslip_fleet::crash_report::ObservedCrash;
 use verbenaslip_fleet::fingerprint::Fingerprint;
 use verbenaslip_fleet::registry::Run;
 
@@ -120,9 +120,9 @@
     }
 }
 
-fn met(broken: Broken) -> Option<Sighting> {
+fn met(broken: Broken) -> Option<ObservedCrash> {
     let Broken { fingerprint, run, sent, ended, .. } = broken;
-    Some(Sighting { fingerprint: fingerprint?, run, sent, ended })
+    Some(ObservedCrash { fingerprint: fingerprint?, run, sent, ended })
 }
 
 fn say(upstream: &Upstream, incarnation: u64, ended: bool, requests: &[Broken]) {
--- a/crates/verbenaslip-relay/src/forward/job.rs
+++ b/crates/verbenaslip-relay/src/forward/job.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 use verbenaslip_fleet::fingerprint::Fingerprint;
 use verbenaslip_fleet::index::Index;
-use verbenaslip_fleet::sheet::{Kind, Route, TeamRow};
+use verbenaslip_fleet::route_table::{RequestKind, Route, TeamConfig};
 use verbenaslip_fleet::view::View;
 
 use crate::dialect::Call;
@@ -51,7 +51,7 @@
     /// Its rank; zero is the most urgent.
     pub rank: u8,
     /// Its caller's team.
-    pub team: Option<&'a TeamRow>,
+    pub team: Option<&'a TeamConfig>,
     /// The service.
     pub service: Arc<str>,
     /// The connections that one of its upstreams accepts from all entries.
@@ -71,7 +71,7 @@
 impl Job<'_> {
     /// Tells whether another upstream may go on with the answer.
     pub fn resumable(&self) -> bool {
-        self.route.kind == Kind::Stream { resumable: true }
+        self.route.kind == RequestKind::Stream { resumable: true }
     }
 }
 
@@ -106,7 +106,10 @@
         route,
         rank: routes.rank(route, team),
         team,
-        connections: routes.sheet().service(&service).map_or(u32::MAX, |it| it.connections),
+        connections: routes
+            .route_table()
+            .service(&service)
+            .map_or(u32::MAX, |it| it.max_connections),
         entries: view.entry_count,
         service,
         arrived: whole.arrived,
@@ -119,15 +122,19 @@
 fn fingerprint(
     view: &View,
     whole: &Message,
-    team: Option<&TeamRow>,
+    team: Option<&TeamConfig>,
     host: &str,
 ) -> Option<Fingerprint> {
     let team = team.map_or("", |team| team.name.as_str());
     Some(Fingerprint::of(view.blocklist.key?, team, host, &whole.head.target, &whole.body))
 }
 
-fn team<'a>(routes: &'a Index, route: &Route, call: &Call) -> Result<Option<&'a TeamRow>, Refused> {
-    if route.public || routes.sheet().teams.is_empty() {
+fn team<'a>(
+    routes: &'a Index,
+    route: &Route,
+    call: &Call,
+) -> Result<Option<&'a TeamConfig>, Refused> {
+    if route.public || routes.route_table().teams.is_empty() {
         return Ok(None);
     }
     let found = call.key.as_ref().and_then(|key| routes.team(key));
--- a/crates/verbenaslip-relay/src/forward/life.rs
+++ b/crates/verbenaslip-relay/src/forward/life.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 use verbenaslip_fleet::clock;
 use verbenaslip_fleet::registry::Run;
-use verbenaslip_fleet::sheet::Kind;
+use verbenaslip_fleet::route_table::RequestKind;
 
 use crate::dialect::Reply;
 use crate::forward::answer::{self, Refusal};
@@ -166,7 +166,7 @@
         return Next::Refused(held_back(course, back));
     }
     if course.arrivals > 0 {
-        let may = course.arrivals < job.route.attempts
+        let may = course.arrivals < job.route.max_attempts
             && (std::mem::take(&mut course.paid) || context.spend(job));
         if !may {
             return Next::Refused(given_up(course));
@@ -178,7 +178,7 @@
     };
     (trace.expected, trace.lag, trace.limit) = (choice.expected, choice.lag, choice.limit);
     course.tried.push(choice.run.clone());
-    let last = course.arrivals + 1 >= job.route.attempts;
+    let last = course.arrivals + 1 >= job.route.max_attempts;
     let patience = (!last && job.route.kind.may_repeat()).then(|| patience(job, &choice));
     let bytes = forwarded::write(context, job, &choice, remaining, course.delivery.last_event());
     context.sent(job, &mut choice);
@@ -234,7 +234,7 @@
     let status = answered.head.status;
     let failed = status >= 500 || answered.reply.encoded;
     let goes_on = course.delivery.is_begun();
-    let again = failed && job.route.kind.may_repeat() && course.arrivals < job.route.attempts;
+    let again = failed && job.route.kind.may_repeat() && course.arrivals < job.route.max_attempts;
     if again || answered.reply.encoded || (goes_on && status != 200) {
         trace.causes.push(if failed { "upstream_failed" } else { "no_resume" });
         context.ended(&choice, Ending::Failed, None);
@@ -242,8 +242,8 @@
         return if again || goes_on { Next::Again } else { Next::Refused((Refusal::Failed, None)) };
     }
     let pause = match job.route.kind {
-        Kind::Stream { resumable: true } if course.arrivals < job.route.attempts => {
-            Some((job.route.pause * PAUSES).clamp(SILENCE.0 * 2, SILENCE.1))
+        RequestKind::Stream { resumable: true } if course.arrivals < job.route.max_attempts => {
+            Some((job.route.max_event_gap * PAUSES).clamp(SILENCE.0 * 2, SILENCE.1))
         }
         _ => None,
     };
--- a/crates/verbenaslip-relay/src/forward/placing.rs
+++ b/crates/verbenaslip-relay/src/forward/placing.rs
@@ -30,7 +30,7 @@
         tried: &course.tried,
         objective: job.route.objective,
         remaining,
-        spare: course.arrivals + 1 < job.route.attempts,
+        spare: course.arrivals + 1 < job.route.max_attempts,
         waited: job.waited,
         begun: course.may_have_run,
         tracks: Tracks::default(),
--- a/crates/verbenaslip-relay/src/forward/trace.rs
+++ b/crates/verbenaslip-relay/src/forward/trace.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 use verbenaslip_base::name::{Team, Upstream};
 use verbenaslip_fleet::rollout::{Cohort, Plan};
-use verbenaslip_fleet::sheet::TeamRow;
+use verbenaslip_fleet::route_table::TeamConfig;
 use verbenaslip_fleet::view::{Version, View};
 
 use crate::forward::job::Job;
@@ -86,7 +86,7 @@
     metrics::histogram!("verbenaslip_request_seconds", "route" => route.to_owned())
         .record(took.as_secs_f64());
     let Basis { stamp, age } = trace.basis;
-    let team = job.and_then(|job| job.team).map(|team: &TeamRow| &team.name);
+    let team = job.and_then(|job| job.team).map(|team: &TeamConfig| &team.name);
     let sent: Vec<&str> = trace.sent.iter().map(|sent| sent.upstream.as_str()).collect();
     let after: Vec<u128> = trace.sent.iter().map(|sent| sent.after.as_millis()).collect();
     let fields = [
--- a/crates/verbenaslip-relay/src/http/reader.rs
+++ b/crates/verbenaslip-relay/src/http/reader.rs
@@ -5,7 +5,7 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 use tokio::time::Instant;
-use verbenaslip_fleet::sheet::Limits;
+use verbenaslip_fleet::route_table::RequestLimits;
 
 use crate::http::{Decoder, Fault, Request, Step, Wire, head};
 
@@ -25,8 +25,8 @@
 }
 
 /// Waits for the first byte of a request; false when the caller closes or stays idle.
-pub async fn begun(caller: &mut Wire, limits: &Limits) -> bool {
-    let filled = within(limits.idle_time + GRACE, caller.fill()).await;
+pub async fn begun(caller: &mut Wire, limits: &RequestLimits) -> bool {
+    let filled = within(limits.idle_timeout + GRACE, caller.fill()).await;
     matches!(filled, Some(Ok(count)) if count > 0)
 }
 
@@ -35,7 +35,7 @@
 /// # Errors
 ///
 /// Says what is wrong with the request; the connection can't be used any further.
-pub async fn read(caller: &mut Wire, limits: &Limits) -> Result<Option<Message>, Fault> {
+pub async fn read(caller: &mut Wire, limits: &RequestLimits) -> Result<Option<Message>, Fault> {
     if caller.bytes.is_empty() && !begun(caller, limits).await {
         return Ok(None);
     }
@@ -51,12 +51,12 @@
     let mut body = BytesMut::new();
     loop {
         match decoder.step(&mut caller.bytes)? {
-            Step::Data(piece) if body.len() + piece.len() > limits.body => {
+            Step::Data(piece) if body.len() + piece.len() > limits.max_body_bytes => {
                 return Err(Fault::TooLarge);
             }
             Step::Data(piece) => body.extend_from_slice(&piece),
             Step::End => break,
-            Step::More => match within(limits.idle_time, caller.fill()).await {
+            Step::More => match within(limits.idle_timeout, caller.fill()).await {
                 Some(Ok(count)) if count > 0 => {}
                 Some(_) => return Ok(None),
                 None => return Err(Fault::Slow),
@@ -69,7 +69,7 @@
 /// Waits for a whole head and returns its length; none when the caller closes.
 async fn head_end(
     caller: &mut Wire,
-    limits: &Limits,
+    limits: &RequestLimits,
     started: Instant,
 ) -> Result<Option<usize>, Fault> {
     loop {
@@ -78,15 +78,15 @@
             caller.bytes.advance(2);
         }
         if let Some(end) = caller.head() {
-            return if end > limits.head { Err(Fault::TooLong) } else { Ok(Some(end)) };
+            return if end > limits.max_head_bytes { Err(Fault::TooLong) } else { Ok(Some(end)) };
         }
-        if caller.bytes.len() > limits.head {
+        if caller.bytes.len() > limits.max_head_bytes {
             return Err(Fault::TooLong);
         }
         if has_bare_line_end(&caller.bytes) {
             return Err(Fault::Control);
         }
-        let left = limits.head_time.saturating_sub(started.elapsed());
+        let left = limits.head_timeout.saturating_sub(started.elapsed());
         match within(left, caller.fill()).await {
             Some(Ok(count)) if count > 0 => {}
             Some(_) => return Ok(None),
--- a/crates/verbenaslip-relay/src/policy/allowance.rs
+++ b/crates/verbenaslip-relay/src/policy/allowance.rs
@@ -6,7 +6,7 @@
 use verbenaslip_base::name::Team;
 use verbenaslip_fleet::hub::SHARE_LEASE;
 use verbenaslip_fleet::quota::{LoanGrant, Refund};
-use verbenaslip_fleet::sheet::{Quota, TeamRow};
+use verbenaslip_fleet::route_table::{Quota, TeamConfig};
 use verbenaslip_fleet::view::View;
 
 /// How far ahead units are borrowed for a team that asks for much: the requests of so much time need not wait for the
@@ -68,7 +68,7 @@
     }
 
     /// Takes what a request asks for out of its team's limit, as far as this entry knows that there is so much left.
-    pub fn take(&mut self, now: Duration, team: &TeamRow, units: f64, view: &View) -> Verdict {
+    pub fn take(&mut self, now: Duration, team: &TeamConfig, units: f64, view: &View) -> Verdict {
         let Some(quota) = team.quota.filter(|quota| quota.rate > 0.0) else {
             return Verdict::Within;
         };
@@ -97,7 +97,7 @@
     pub fn lent(
         &mut self,
         now: Duration,
-        team: &TeamRow,
+        team: &TeamConfig,
         units: f64,
         lent: Option<&LoanGrant>,
     ) -> Result<(), Duration> {
@@ -196,7 +196,7 @@
 /// Returns the units of a request under a quota.
 #[allow(clippy::cast_precision_loss)] // Token counts are far below 2^52.
 pub fn units(quota: &Quota, tokens: Option<u64>) -> f64 {
-    match (quota.unsized_tokens, tokens) {
+    match (quota.default_tokens, tokens) {
         (None, _) => 1.0,
         (Some(_), Some(tokens)) => tokens as f64,
         (Some(unsized_tokens), None) => unsized_tokens,
--- a/crates/verbenaslip-relay/src/policy/place.rs
+++ b/crates/verbenaslip-relay/src/policy/place.rs
@@ -11,7 +11,7 @@
 use verbenaslip_base::name::{AvailabilityZone, Upstream};
 use verbenaslip_fleet::View;
 use verbenaslip_fleet::limit::{Limits, TimeSlot};
-use verbenaslip_fleet::registry::{Announcement, Record, Run, Standing};
+use verbenaslip_fleet::registry::{Announcement, Record, Run, Status};
 use verbenaslip_fleet::rollout::{Cohort, Plans};
 
 use crate::dialect::Part;
@@ -433,7 +433,7 @@
         let names = self.by_service.get(query.service)?;
         let sites = names.iter().filter_map(|name| Some((name, self.sites.get(name)?)));
         let ready = sites.filter(|(_, site)| {
-            site.record.standing == Standing::Ready
+            site.record.status == Status::Ready
                 && track.admits(site.cohort)
                 && self.notices.restriction(site.run()).is_none()
                 && !self.notices.is_leaving(site.run())
--- a/crates/verbenaslip-relay/src/policy/record.rs
+++ b/crates/verbenaslip-relay/src/policy/record.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use verbenaslip_fleet::View;
-use verbenaslip_fleet::account::Answered;
 use verbenaslip_fleet::clock;
+use verbenaslip_fleet::crash_report::ObservedAnswer;
 use verbenaslip_fleet::fingerprint::Fingerprint;
 use verbenaslip_fleet::quarantine::Blocklist;
 
@@ -42,7 +42,7 @@
 
 impl Record {
     /// Takes a newer blocklist; returns when requests were answered that it suspects anew.
-    pub fn update(&mut self, blocklist: &Arc<Blocklist>) -> Vec<Answered> {
+    pub fn update(&mut self, blocklist: &Arc<Blocklist>) -> Vec<ObservedAnswer> {
         if self.blocklist.as_ref().is_some_and(|it| Arc::ptr_eq(it, blocklist)) {
             return Vec::new();
         }
@@ -50,12 +50,12 @@
         if before.key != blocklist.key {
             (self.answers, self.order) = (HashMap::new(), VecDeque::new());
         }
-        self.tried.retain(|fingerprint, _| blocklist.held.contains_key(fingerprint));
+        self.tried.retain(|fingerprint, _| blocklist.quarantined.contains_key(fingerprint));
         let new =
             blocklist.watched.iter().filter(|fingerprint| !before.watched.contains(fingerprint));
         let at = |fingerprint: &Fingerprint| self.answers.get(fingerprint).copied();
         new.filter_map(|fingerprint| {
-            Some(Answered { fingerprint: *fingerprint, at: at(fingerprint)? })
+            Some(ObservedAnswer { fingerprint: *fingerprint, at: at(fingerprint)? })
         })
         .collect()
     }
@@ -75,7 +75,7 @@
                 self.answers.remove(&oldest);
             }
         }
-        blocklist.watched.contains(&fingerprint) || blocklist.held.contains_key(&fingerprint)
+        blocklist.watched.contains(&fingerprint) || blocklist.quarantined.contains_key(&fingerprint)
     }
 
     /// Tells for how long a request is held back; none for one that may be sent.
@@ -87,8 +87,8 @@
         fingerprint: Fingerprint,
         view: &View,
     ) -> Option<Duration> {
-        let held = view.blocklist.held.get(&fingerprint)?;
-        let chosen = held.tried_by.is_some() && held.tried_by == view.own_address;
+        let held = view.blocklist.quarantined.get(&fingerprint)?;
+        let chosen = held.trial_entry.is_some() && held.trial_entry == view.own_address;
         if chosen && self.tried.insert(fingerprint, held.until) != Some(held.until) {
             return None;
         }
--- a/crates/verbenaslip-relay/src/policy/site.rs
+++ b/crates/verbenaslip-relay/src/policy/site.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use verbenaslip_base::hash;
-use verbenaslip_fleet::registry::{Record, Run, Standing};
+use verbenaslip_fleet::registry::{Record, Run, Status};
 use verbenaslip_fleet::rollout::{Cohort, Plan};
 
 use crate::policy::cache::Cache;
@@ -169,10 +169,10 @@
     pub(crate) fn takes(&self, now: Duration, strict: bool, spare: bool) -> bool {
         let longer = self.refuses() && !spare;
         let paused = if longer { self.paused + self.pause } else { self.paused };
-        match self.record.standing {
-            Standing::Ready => !strict || paused <= now,
-            Standing::Silent => !strict,
-            Standing::Leaving | Standing::Gone | Standing::Lost => false,
+        match self.record.status {
+            Status::Ready => !strict || paused <= now,
+            Status::Silent => !strict,
+            Status::Leaving | Status::Gone | Status::Lost => false,
         }
     }
 }
--- a/crates/verbenaslip-relay/src/policy/versions.rs
+++ b/crates/verbenaslip-relay/src/policy/versions.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use verbenaslip_fleet::View;
-use verbenaslip_fleet::rollout::judge::Judge;
+use verbenaslip_fleet::rollout::evaluator::Evaluator;
 use verbenaslip_fleet::rollout::report::{Counts, Group, Key, Report};
 use verbenaslip_fleet::rollout::{Cohort, Plan, Plans, State};
 
@@ -71,7 +71,7 @@
     rows: BTreeMap<Key, Counts>,
     active: BTreeMap<u64, Active>,
     next: u64,
-    judge: Judge,
+    judge: Evaluator,
     /// What the judge has seen.
     judged: BTreeMap<Key, Counts>,
     /// Whether the candidate looks bad from here.
@@ -193,7 +193,7 @@
             rows: BTreeMap::new(),
             active: BTreeMap::new(),
             next: 0,
-            judge: Judge::default(),
+            judge: Evaluator::default(),
             judged: BTreeMap::new(),
             stopped: false,
         }
@@ -208,7 +208,7 @@
 
     fn end(&mut self, now: Duration, ticket: Ticket, ending: Ending) {
         let Some(active) = self.active.remove(&ticket.0) else { return };
-        let slow = self.plan.slow_after(&active.key.0);
+        let slow = self.plan.slow_threshold(&active.key.0);
         let counts = self.rows.entry(active.key.clone()).or_default();
         let took = active.first.unwrap_or(now.saturating_sub(active.sent));
         let late = slow.is_some_and(|slow| took > slow);
@@ -223,7 +223,7 @@
             Ending::Complete => late,
         };
         if active.key.1 == Group::Stable && ending == Ending::Complete {
-            counts.note_latency(took);
+            counts.record_latency(took);
         }
         if !active.counted {
             counts.ended += 1;
@@ -234,7 +234,7 @@
     /// Counts requests that are late already, so that slow ones are known before they are answered.
     fn count_late(&mut self, now: Duration) {
         for active in self.active.values_mut().filter(|it| !it.counted && it.first.is_none()) {
-            let slow = self.plan.slow_after(&active.key.0);
+            let slow = self.plan.slow_threshold(&active.key.0);
             if slow.is_some_and(|limit| now.saturating_sub(active.sent) > limit) {
                 active.counted = true;
                 let counts = self.rows.entry(active.key.clone()).or_default();
@@ -265,9 +265,10 @@
         });
         let mut pooled: BTreeMap<Key, Counts> = BTreeMap::new();
         fresh.for_each(|(key, counts)| pooled.entry(key).or_default().add(&counts));
-        let fresh = pooled.iter().map(|(key, it)| (key.clone(), it.since(self.judged.get(key))));
+        let fresh =
+            pooled.iter().map(|(key, it)| (key.clone(), it.difference(self.judged.get(key))));
         let fresh = fresh.collect();
-        self.stopped |= self.judge.take(&fresh).is_some();
+        self.stopped |= self.judge.evaluate(&fresh).is_some();
         self.judged = pooled;
     }
 }
--- a/crates/verbenaslip-relay/src/server.rs
+++ b/crates/verbenaslip-relay/src/server.rs
@@ -15,7 +15,7 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 use verbenaslip_base::name::AvailabilityZone;
-use verbenaslip_fleet::sheet::Limits;
+use verbenaslip_fleet::route_table::RequestLimits;
 
 use crate::board::Board;
 use crate::dialect::Dialect;
@@ -152,9 +152,9 @@
     }
 }
 
-fn limits(context: &Context) -> Limits {
+fn limits(context: &Context) -> RequestLimits {
     let view = context.board.view();
-    view.routes.as_ref().map(|routes| routes.sheet().limits).unwrap_or_default()
+    view.routes.as_ref().map(|routes| routes.route_table().limits).unwrap_or_default()
 }
 
 /// Reads on for a moment after a refusal; closed with unread bytes the connection would be reset,
--- a/crates/verbenaslip-relay/tests/allowance.rs
+++ b/crates/verbenaslip-relay/tests/allowance.rs
@@ -4,16 +4,16 @@
 
 use verbenaslip_fleet::View;
 use verbenaslip_fleet::quota::LoanGrant;
-use verbenaslip_fleet::sheet::{Quota, TeamRow};
+use verbenaslip_fleet::route_table::{Quota, TeamConfig};
 use verbenaslip_relay::policy::allowance::{Allowance, Verdict};
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn team() -> TeamRow {
-    TeamRow {
+fn team() -> TeamConfig {
+    TeamConfig {
         name: "red".into(),
         keys: Vec::new(),
-        quota: Some(Quota { rate: 100.0, burst: 100.0, unsized_tokens: None }),
+        quota: Some(Quota { rate: 100.0, burst: 100.0, default_tokens: None }),
         priority: None,
     }
 }
--- a/crates/verbenaslip-relay/tests/board.rs
+++ b/crates/verbenaslip-relay/tests/board.rs
@@ -5,11 +5,11 @@
 
 use verbenaslip_fleet::View;
 use verbenaslip_fleet::index::Index;
-use verbenaslip_fleet::sheet::Sheet;
+use verbenaslip_fleet::route_table::RouteTable;
 use verbenaslip_relay::board::Board;
 
 fn with_routes() -> View {
-    View { routes: Some(Arc::new(Index::open(Arc::new(Sheet::default())))), ..View::default() }
+    View { routes: Some(Arc::new(Index::new(Arc::new(RouteTable::default())))), ..View::default() }
 }
 
 #[tokio::test]
--- a/crates/verbenaslip-relay/tests/desk/mod.rs
+++ b/crates/verbenaslip-relay/tests/desk/mod.rs
@@ -8,7 +8,7 @@
 
 use verbenaslip_base::name::{AvailabilityZone, Upstream};
 use verbenaslip_fleet::View;
-use verbenaslip_fleet::registry::{Announcement, Record, Run, Standing};
+use verbenaslip_fleet::registry::{Announcement, Record, Run, Status};
 use verbenaslip_relay::dialect::{RateLimit, Reply};
 use verbenaslip_relay::policy::place::{Choice, Placement, Query, Verdict};
 use verbenaslip_relay::policy::versions::Tracks;
@@ -39,12 +39,12 @@
         version: "v1".into(),
         slots: 16,
         draining: false,
-        cold: Duration::ZERO,
+        warmup_left: Duration::ZERO,
         reclaimable: false,
-        leaves: None,
+        leaves_in: None,
         sequence: 1,
     };
-    Record { announcement, standing: Standing::Ready }
+    Record { announcement, status: Status::Ready }
 }
 
 pub fn view(runs: impl IntoIterator<Item = Run>) -> View {
--- a/crates/verbenaslip-relay/tests/place.rs
+++ b/crates/verbenaslip-relay/tests/place.rs
@@ -8,7 +8,7 @@
 use rand_pcg::Pcg64;
 use verbenaslip_base::name::{AvailabilityZone, Upstream};
 use verbenaslip_fleet::View;
-use verbenaslip_fleet::registry::{Announcement, Record, Run, Standing};
+use verbenaslip_fleet::registry::{Announcement, Record, Run, Status};
 use verbenaslip_fleet::rollout::{Plan, State};
 use verbenaslip_relay::dialect::Part;
 use verbenaslip_relay::policy::place::{Choice, Ending, Placement, Query, Verdict};
@@ -18,7 +18,7 @@
     Run { upstream: Upstream::new(format!("u{number}")), incarnation }
 }
 
-fn record(number: u32, zone: &str, standing: Standing) -> Record {
+fn record(number: u32, zone: &str, standing: Status) -> Record {
     let announcement = Announcement {
         run: run(number, 0),
         service: "pool".into(),
@@ -27,12 +27,12 @@
         version: "v1".into(),
         slots: 16,
         draining: false,
-        cold: Duration::ZERO,
+        warmup_left: Duration::ZERO,
         reclaimable: false,
-        leaves: None,
+        leaves_in: None,
         sequence: 1,
     };
-    Record { announcement, standing }
+    Record { announcement, status: standing }
 }
 
 fn view(records: impl IntoIterator<Item = Record>) -> View {
@@ -41,7 +41,7 @@
 }
 
 fn many(count: u32) -> View {
-    view((1..=count).map(|number| record(number, "north", Standing::Ready)))
+    view((1..=count).map(|number| record(number, "north", Status::Ready)))
 }
 
 fn open(view: &View) -> Placement {
@@ -174,7 +174,7 @@
 
 #[test]
 fn leaving_upstreams_get_nothing_and_silent_ones_only_for_want_of_others() {
-    let standings = [(1, Standing::Leaving), (2, Standing::Silent), (3, Standing::Ready)];
+    let standings = [(1, Status::Leaving), (2, Status::Silent), (3, Status::Ready)];
     let records = standings.map(|(number, standing)| record(number, "north", standing));
     let mut placement = open(&view(records.clone()));
     for _ in 0..20 {
@@ -207,7 +207,7 @@
 #[test]
 fn equals_are_taken_in_turn_and_the_own_zone_first() {
     let records =
-        (1..=6).map(|it| record(it, if it <= 3 { "north" } else { "south" }, Standing::Ready));
+        (1..=6).map(|it| record(it, if it <= 3 { "north" } else { "south" }, Status::Ready));
     let mut placement = open(&view(records));
     let mut counts = BTreeMap::<String, u32>::new();
     for _ in 0..30 {
@@ -375,7 +375,7 @@
     // some requests and has others under way, crashes, and starts again under its name; then the requests
     // of before end. Cause: failures, cached parts and requests under way kept by name.
     let again = |incarnation| {
-        let mut record = record(1, "north", Standing::Ready);
+        let mut record = record(1, "north", Status::Ready);
         record.announcement.run = run(1, incarnation);
         view([record])
     };
@@ -400,7 +400,7 @@
 #[test]
 fn a_roll_outs_upstreams_get_what_their_version_may_get() {
     // Guards against requests to a candidate beyond its share, and to one that was rolled back.
-    let mut records = [1, 2, 3, 4].map(|number| record(number, "north", Standing::Ready));
+    let mut records = [1, 2, 3, 4].map(|number| record(number, "north", Status::Ready));
     records[2].announcement.version = "v2".into();
     records[3].announcement.version = "v2".into();
     let plan = |state, canaries: &[&str]| Plan {
@@ -410,10 +410,10 @@
         rejected: Default::default(),
         state,
         share: 0.0,
-        shares: BTreeMap::new(),
+        route_shares: BTreeMap::new(),
         canaries: Some(canaries.iter().map(|it| Upstream::from(*it)).collect()),
         shifting: false,
-        slow: BTreeMap::new(),
+        slow_ms: BTreeMap::new(),
     };
     let both = Tracks { first: Track::Candidate, second: Some(Track::Stable) };
     let cases = [
--- a/crates/verbenaslip-relay/tests/quota.rs
+++ b/crates/verbenaslip-relay/tests/quota.rs
@@ -8,7 +8,7 @@
 use verbenaslip_base::name::Team;
 use verbenaslip_fleet::View;
 use verbenaslip_fleet::quota::{LoanRequest, TeamBuckets};
-use verbenaslip_fleet::sheet::{Quota, Sheet, TeamRow};
+use verbenaslip_fleet::route_table::{Quota, RouteTable, TeamConfig};
 use verbenaslip_relay::policy::allowance::{Allowance, Verdict};
 
 const ENTRIES: usize = 63;
@@ -55,7 +55,7 @@
     leaderless: &[Range<usize>],
 ) -> Outcome {
     let row = row(quota);
-    let sheet = Sheet { teams: vec![row.clone()], ..Sheet::default() };
+    let sheet = RouteTable { teams: vec![row.clone()], ..RouteTable::default() };
     let mut rng = Pcg64::seed_from_u64(7);
     let (mut quotas, mut one) = (TeamBuckets::default(), TeamBuckets::default());
     let mut entries: Vec<Allowance> = (0..count).map(|_| Allowance::default()).collect();
@@ -107,7 +107,7 @@
 fn ask(
     entry: &mut Allowance,
     now: Duration,
-    row: &TeamRow,
+    row: &TeamConfig,
     units: f64,
     view: &View,
     leader: Option<&mut TeamBuckets>,
@@ -124,12 +124,12 @@
     }
 }
 
-fn row(quota: Quota) -> TeamRow {
-    TeamRow { name: Team::from("red"), keys: vec![], priority: None, quota: Some(quota) }
+fn row(quota: Quota) -> TeamConfig {
+    TeamConfig { name: Team::from("red"), keys: vec![], priority: None, quota: Some(quota) }
 }
 
 fn quota(rate: f64) -> Quota {
-    Quota { rate, burst: rate, unsized_tokens: Some(200.0) }
+    Quota { rate, burst: rate, default_tokens: Some(200.0) }
 }
 
 #[test]
@@ -210,7 +210,7 @@
     // Guards against requests refused in the second after a start of all, though nobody has used the limit meanwhile.
     let rate = 1_160_000.0;
     let row = row(quota(rate));
-    let sheet = Sheet { teams: vec![row.clone()], ..Sheet::default() };
+    let sheet = RouteTable { teams: vec![row.clone()], ..RouteTable::default() };
     let now = Duration::from_secs(50);
     let mut quotas = TeamBuckets::new(true);
     quotas.refill(now, &sheet, 1.0);
@@ -237,7 +237,7 @@
 fn what_was_lent_for_a_request_that_did_not_run_is_lent_again() {
     // Guards against limits that shrink with each request which finds no upstream.
     let row = row(quota(100.0));
-    let sheet = Sheet { teams: vec![row.clone()], ..Sheet::default() };
+    let sheet = RouteTable { teams: vec![row.clone()], ..RouteTable::default() };
     let now = Duration::from_secs(1);
     let mut quotas = TeamBuckets::new(true);
     quotas.refill(now, &sheet, 1.0);
--- a/crates/verbenaslip-relay/tests/record.rs
+++ b/crates/verbenaslip-relay/tests/record.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use verbenaslip_fleet::View;
-use verbenaslip_fleet::account::Answered;
+use verbenaslip_fleet::crash_report::ObservedAnswer;
 use verbenaslip_fleet::fingerprint::Fingerprint;
 use verbenaslip_fleet::quarantine::{Block, Blocklist};
 use verbenaslip_relay::http::Framing;
@@ -23,16 +23,16 @@
 
 fn watching(fingerprints: &[Fingerprint]) -> Arc<Blocklist> {
     let watched: BTreeSet<Fingerprint> = fingerprints.iter().copied().collect();
-    Arc::new(Blocklist { key: Some(7), watched, held: BTreeMap::new() })
+    Arc::new(Blocklist { key: Some(7), watched, quarantined: BTreeMap::new() })
 }
 
 /// Makes the view of an entry at which a request is held back until a time, or may be tried by somebody.
 fn holding(fingerprint: Fingerprint, until: u64, tried_by: Option<SocketAddr>) -> View {
-    let held = Block { since: 0, until, tries: 0, tried_by };
+    let held = Block { since: 0, until, failed_trials: 0, trial_entry: tried_by };
     let blocklist = Blocklist {
         key: Some(7),
         watched: BTreeSet::new(),
-        held: BTreeMap::from([(fingerprint, held)]),
+        quarantined: BTreeMap::from([(fingerprint, held)]),
     };
     View { blocklist: Arc::new(blocklist), own_address: Some(OWN.into()), ..View::default() }
 }
@@ -66,7 +66,7 @@
     record.update(&watching(&[]));
     assert!(!record.answered(SECOND, popular, &watching(&[])), "nobody wants to know");
     let blocklist = watching(&[popular, bad]);
-    assert_eq!(record.update(&blocklist), [Answered { fingerprint: popular, at: SECOND }]);
+    assert_eq!(record.update(&blocklist), [ObservedAnswer { fingerprint: popular, at: SECOND }]);
     assert_eq!(record.update(&blocklist), [], "once");
     assert!(record.answered(SECOND * 2, popular, &blocklist), "and each later one");
 }
--- a/crates/verbenaslip-relay/tests/rollout.rs
+++ b/crates/verbenaslip-relay/tests/rollout.rs
@@ -222,7 +222,7 @@
 
 fn rollout(setup: &Setup) -> Rollout {
     let duration = Duration::from_millis(setup.duration);
-    let order = Order { service: "pool".into(), version: "v2".into(), duration };
+    let order = Order { service: "pool".into(), version: "v2".into(), time_limit: duration };
     Rollout { id: 1, order, started: 0, state: State::Serving, decided: None }
 }
 
@@ -245,7 +245,7 @@
 impl Leader {
     fn open(setup: &Setup) -> Self {
         let rollout = rollout(setup);
-        let controller = Controller::open(rollout.clone(), BTreeSet::new());
+        let controller = Controller::new(rollout.clone(), BTreeSet::new());
         let plan = controller.plan();
         let newest = (0, plan.clone());
         Self { rollout, controller: Some(controller), began: 0, newest, shown: plan }
@@ -257,7 +257,7 @@
             self.controller = None;
         }
         if lost.is_some_and(|at| now == at + 3_000) {
-            self.controller = Some(Controller::open(self.rollout.clone(), BTreeSet::new()));
+            self.controller = Some(Controller::new(self.rollout.clone(), BTreeSet::new()));
             self.began = now;
         }
     }
@@ -266,7 +266,7 @@
         let reports = world.entries[entry].report(World::time(world.now));
         let Some(controller) = &mut self.controller else { return };
         for report in &reports {
-            controller.take(address(entry), 1, world.now, report);
+            controller.handle_report(address(entry), 1, world.now, report);
         }
         show(world, entry, &self.shown);
     }
@@ -277,7 +277,7 @@
             candidates: (0..world.candidates).map(candidate).collect(),
             stable: world.setup.upstreams,
             entries: (0..world.setup.entries).map(address).collect(),
-            settled: world.now - self.began >= 700 || self.began == 0,
+            all_reported: world.now - self.began >= 700 || self.began == 0,
         };
         controller.tick(World::time(world.now), world.now, &fleet);
         if let Some(verdict) = controller.verdict()
@@ -289,7 +289,7 @@
             outcome.reason = Some(verdict.reason.clone());
             outcome.decided = world.now;
         }
-        controller.follow(&self.rollout, &BTreeSet::new());
+        controller.update_rollout(&self.rollout, &BTreeSet::new());
         let plan = controller.plan();
         if self.newest.1 != plan {
             self.newest = (world.now + PUSH, plan);
--- a/crates/verbenaslip-relay/tests/versions.rs
+++ b/crates/verbenaslip-relay/tests/versions.rs
@@ -19,10 +19,10 @@
         rejected: BTreeSet::new(),
         state,
         share,
-        shares: BTreeMap::from([("r".into(), share)]),
+        route_shares: BTreeMap::from([("r".into(), share)]),
         canaries: (!shifting).then(|| BTreeSet::from(["c".into()])),
         shifting,
-        slow: BTreeMap::from([("r".into(), 100)]),
+        slow_ms: BTreeMap::from([("r".into(), 100)]),
     }
 }
 
