--- a/crates/verbenaslip-instance/src/cloud.rs
+++ b/crates/verbenaslip-instance/src/cloud.rs
@@ -9,8 +9,8 @@
 use tokio::sync::mpsc::UnboundedSender;
 use verbenaslip_base::name::Instance;
 use verbenaslip_fleet::order::{Order, Outcome};
-use verbenaslip_relay::http::{Response, Wire};
-use verbenaslip_relay::journal;
+use verbenaslip_relay::event_log;
+use verbenaslip_relay::http::{Connection, ResponseHead};
 use verbenaslip_relay::{monotonic, socket};
 
 use crate::event;
@@ -69,7 +69,7 @@
         tokio::task::spawn_local(async move {
             let status = cloud.call(&order).await;
             let outcome = status.map_or(Outcome::Unknown, |status| cloud.codec.outcome(status));
-            journal::say(
+            event_log::emit(
                 event::ORDERED,
                 [
                     ("order", json!(order.id)),
@@ -85,8 +85,8 @@
 
     async fn call(&self, order: &Order) -> Option<u16> {
         let post = self.codec.post(&self.holder, order);
-        let stream = socket::dial(self.address, PATIENCE).await.ok()?;
-        let mut wire = Wire::new(stream);
+        let stream = socket::connect(self.address, PATIENCE).await.ok()?;
+        let mut wire = Connection::new(stream);
         let mut head = format!("POST {} HTTP/1.1\r\nHost: {}\r\n", post.path, self.address);
         for (name, value) in &post.fields {
             head.push_str(&format!("{name}: {value}\r\n"));
@@ -106,12 +106,12 @@
     }
 }
 
-async fn answered(wire: &mut Wire) -> Option<u16> {
+async fn answered(wire: &mut Connection) -> Option<u16> {
     loop {
-        if let Some(end) = wire.head() {
-            return Response::parse(&wire.bytes[..end]).ok().map(|head| head.status);
+        if let Some(end) = wire.head_length() {
+            return ResponseHead::parse(&wire.buffer[..end]).ok().map(|head| head.status);
         }
-        if wire.bytes.len() > HEAD || !matches!(wire.fill().await, Ok(count) if count > 0) {
+        if wire.buffer.len() > HEAD || !matches!(wire.fill().await, Ok(count) if count > 0) {
             return None;
         }
     }
--- a/crates/verbenaslip-instance/src/core.rs
+++ b/crates/verbenaslip-instance/src/core.rs
@@ -14,7 +14,7 @@
 use verbenaslip_fleet::core::{Input, Output, Setup};
 use verbenaslip_fleet::frame::{Frame, Peer, Response};
 use verbenaslip_fleet::order;
-use verbenaslip_relay::journal;
+use verbenaslip_relay::event_log;
 use verbenaslip_relay::monotonic;
 use verbenaslip_replica::setup::Timing;
 use verbenaslip_replica::storage::Error as FolderError;
@@ -153,7 +153,7 @@
         face,
         cloud,
         reopen: Duration::ZERO,
-        incarnation: monotonic::unix(),
+        incarnation: monotonic::unix_ms(),
         stop: None,
         load: Load::default(),
     };
@@ -199,7 +199,7 @@
         let (folder, recovered) = DataDirectory::open(&self.core.folder).map_err(Error::Folder)?;
         let identity = recovered.identity;
         let disk = Disk::spawn(folder, self.stored.clone()).map_err(Error::Thread)?;
-        let (now, unix) = (monotonic::now(), monotonic::unix());
+        let (now, unix) = (monotonic::now(), monotonic::unix_ms());
         let settings = &self.settings;
         let instance = verbenaslip_fleet::core::name_of(settings.peers);
         let own = Peer {
@@ -254,7 +254,7 @@
                 self.step(Input::OrderFinished { id, outcome })
             }
             Woken::Signal(Signal::Stop) => {
-                journal::say(event::STOPPING, []);
+                event_log::emit(event::STOPPING, []);
                 self.stop = Some(monotonic::now() + HAND_OVER);
                 self.step(Input::Stop);
             }
@@ -294,7 +294,7 @@
     /// what may be lost; ending the process would only have it start on the same disk. So the
     /// decisions start anew from what the folder holds, as after a restart, once it opens.
     fn failed(&mut self, error: &FolderError) {
-        journal::say(event::DISK_FAILED, [("cause", json!(error.to_string()))]);
+        event_log::emit(event::DISK_FAILED, [("cause", json!(error.to_string()))]);
         self.decisions = None;
         self.disk = None;
         self.reopen = monotonic::now() + REOPEN;
@@ -304,13 +304,13 @@
         if self.decisions.is_none() && monotonic::now() >= self.reopen {
             self.reopen = monotonic::now() + REOPEN;
             match self.open(false) {
-                Ok(()) => journal::say(event::DISK_BACK, []),
+                Ok(()) => event_log::emit(event::DISK_BACK, []),
                 Err(error) => {
-                    journal::say(event::DISK_FAILED, [("cause", json!(error.to_string()))]);
+                    event_log::emit(event::DISK_FAILED, [("cause", json!(error.to_string()))]);
                 }
             }
         }
-        self.step(Input::WallClock(monotonic::unix()));
+        self.step(Input::WallClock(monotonic::unix_ms()));
     }
 
     fn step(&mut self, input: Input) {
--- a/crates/verbenaslip-instance/src/entry.rs
+++ b/crates/verbenaslip-instance/src/entry.rs
@@ -12,12 +12,12 @@
 use verbenaslip_fleet::frame::{Frame, Peer};
 use verbenaslip_fleet::transition::Transitions;
 use verbenaslip_fleet::view::Version;
-use verbenaslip_relay::board::{Board, Experience};
 use verbenaslip_relay::dialect::Dialect;
-use verbenaslip_relay::journal;
+use verbenaslip_relay::event_log;
 use verbenaslip_relay::monotonic;
 use verbenaslip_relay::policy::retry::Bounds;
-use verbenaslip_relay::server::{Server, Setup};
+use verbenaslip_relay::server::{Config, Server};
+use verbenaslip_relay::shared::{Observations, SharedState};
 
 use crate::event;
 use crate::links::Links;
@@ -61,23 +61,23 @@
     let (frames_in, mut frames) = mpsc::unbounded_channel();
     let peers = settings.peers;
     let links = Links::bind(peers, frames_in).map_err(|error| Error::Peers(peers, error))?;
-    let board = Arc::new(Board::default());
-    let setup = Setup {
-        callers: entry.callers,
-        ready: entry.ready,
+    let board = Arc::new(SharedState::default());
+    let setup = Config {
+        caller_address: entry.callers,
+        readiness_address: entry.ready,
         zone: settings.zone.clone(),
-        connections: entry.connections as usize,
-        retries: Bounds {
+        max_connections: entry.connections as usize,
+        retry_bounds: Bounds {
             ratio: settings.upstreams.retry_ratio,
             allowance: settings.upstreams.retry_allowance,
         },
-        window: settings.upstreams.usage_window,
-        board: board.clone(),
+        usage_window: settings.upstreams.usage_window,
+        shared: board.clone(),
         dialect,
     };
     let server = Server::spawn(setup);
     let server = server.map_err(|error| Error::Traffic(entry.callers, entry.ready, error))?;
-    let unix = monotonic::unix();
+    let unix = monotonic::unix_ms();
     let own = Peer {
         address: peers,
         name: settings.name.clone(),
@@ -103,8 +103,8 @@
                 Signal::Reload => running.reseed(&reload),
             },
             Some(frame) = frames.recv() => running.take(frame),
-            () = board.borrows() => running.borrow(),
-            () = board.meets() => running.meet(),
+            () = board.wait_for_loan_requests() => running.borrow(),
+            () = board.wait_for_observations() => running.meet(),
             () = tokio::time::sleep(wait) => running.watch_leader(&reload),
         }
     }
@@ -113,7 +113,7 @@
 struct Running {
     decisions: Decisions,
     links: Links,
-    board: Arc<Board>,
+    board: Arc<SharedState>,
     server: Server,
     shown: Option<(u64, Version)>,
     lost: Option<Duration>,
@@ -131,20 +131,21 @@
         if now < self.decisions.next_heartbeat_at() {
             return;
         }
-        let report = self.board.report();
-        let envelope = self.decisions.next_heartbeat(now, monotonic::unix(), report);
+        let report = self.board.take_report();
+        let envelope = self.decisions.next_heartbeat(now, monotonic::unix_ms(), report);
         self.post(envelope);
     }
 
     /// Takes what requests met, to be told to the leader.
     fn meet(&mut self) {
-        let Experience { crashes, answers } = self.board.take_sightings();
+        let Observations { crashes, answers } = self.board.take_observations();
         self.decisions.record_outcomes(monotonic::now(), crashes, answers);
     }
 
     /// Asks the leader for what requests need of their teams' limits.
     fn borrow(&self) {
-        let envelope = self.decisions.request_loans(monotonic::now(), self.board.take_loans());
+        let envelope =
+            self.decisions.request_loans(monotonic::now(), self.board.take_loan_requests());
         self.post(envelope);
     }
 
@@ -156,18 +157,18 @@
 
     fn take(&mut self, frame: Frame) {
         if let Frame::GrantLoans(lent) = frame {
-            return self.board.lend(lent);
+            return self.board.deliver_loan_grants(lent);
         }
         let envelope = self.decisions.handle_frame(monotonic::now(), frame);
         self.post(envelope);
         let view = self.decisions.view();
-        self.board.show(view.clone());
+        self.board.set_view(view.clone());
         let shown = (view.revision(), view.version);
         if self.shown != Some(shown) {
             self.shown = Some(shown);
             let Transitions { changed, unlisted } = self.decisions.take_transitions();
             let view = self.decisions.view();
-            journal::say(
+            event_log::emit(
                 event::VIEW,
                 [
                     ("revision", json!(view.revision())),
@@ -191,11 +192,11 @@
         match self.lost {
             Some(_) if !lost => {
                 self.lost = None;
-                journal::say(event::LEADER_BACK, []);
+                event_log::emit(event::LEADER_BACK, []);
             }
             None if lost && heard.is_some() => {
                 self.lost = Some(now);
-                journal::say(
+                event_log::emit(
                     event::LEADER_LOST,
                     [("silent_ms", json!(silent.map(|it| it.as_millis())))],
                 );
@@ -223,8 +224,8 @@
     fn stop(&mut self, grace: Duration) {
         if self.stop.is_none() {
             self.stop = Some(Stop::begin(monotonic::now(), grace));
-            self.board.drain();
-            journal::say(event::STOPPING, [("active", json!(self.server.active()))]);
+            self.board.start_draining();
+            event_log::emit(event::STOPPING, [("active", json!(self.server.active_requests()))]);
         }
     }
 
@@ -237,13 +238,13 @@
     /// Goes on with a stop; tells whether it may end.
     fn is_over(&self) -> bool {
         let Some(stop) = self.stop else { return false };
-        let phase = stop.phase(monotonic::now(), self.server.active());
-        if phase != Phase::Takes && !self.board.is_closing() {
-            self.board.close();
+        let phase = stop.phase(monotonic::now(), self.server.active_requests());
+        if phase != Phase::Takes && !self.board.has_stopped_admitting() {
+            self.board.stop_admitting();
         }
         let over = phase == Phase::Over;
         if over {
-            journal::say(event::DRAINED, [("active", json!(self.server.active()))]);
+            event_log::emit(event::DRAINED, [("active", json!(self.server.active_requests()))]);
         }
         over
     }
--- a/crates/verbenaslip-instance/src/event.rs
+++ b/crates/verbenaslip-instance/src/event.rs
@@ -1,6 +1,6 @@
 //! Kinds of log lines that an instance writes beside those of requests; the catalogue is docs/EVENTS.md.
 
-use verbenaslip_relay::journal::Kind;
+use verbenaslip_relay::event_log::Kind;
 
 /// The process has read its settings and begins to work.
 pub(crate) const STARTED: Kind = Kind { number: 900, name: "started" };
--- a/crates/verbenaslip-instance/src/face.rs
+++ b/crates/verbenaslip-instance/src/face.rs
@@ -15,8 +15,8 @@
 use tokio::sync::{Semaphore, oneshot};
 use verbenaslip_fleet::frame::{Request, Response};
 use verbenaslip_fleet::route_table::RequestLimits;
-use verbenaslip_relay::http::{Fault, Message, Wire, reader};
-use verbenaslip_relay::{journal, monotonic, socket};
+use verbenaslip_relay::http::{Connection, Message, MessageError, reader};
+use verbenaslip_relay::{event_log, monotonic, socket};
 
 use crate::event;
 
@@ -125,7 +125,7 @@
         }
         self.lines.set(self.lines.get() + 1);
         let target: String = call.head.target.chars().take(TARGET).collect();
-        journal::say(
+        event_log::emit(
             event::REFUSED_CALL,
             [
                 ("method", json!(&*call.head.method)),
@@ -180,10 +180,10 @@
 }
 
 async fn serve(stream: TcpStream, shared: Rc<Shared>) {
-    if socket::tune(&stream).is_err() {
+    if socket::set_options(&stream).is_err() {
         return;
     }
-    let mut wire = Wire::new(stream);
+    let mut wire = Connection::new(stream);
     let limits = RequestLimits { max_body_bytes: BODY, ..RequestLimits::default() };
     loop {
         let idle = tokio::time::timeout(limits.idle_timeout, wire.readable()).await;
@@ -191,7 +191,7 @@
             return;
         }
         let (answer, closes) = match shared.read(&mut wire, &limits).await {
-            Ok(Some(call)) => (shared.take(&call).await, call.head.closes()),
+            Ok(Some(call)) => (shared.take(&call).await, call.head.closes_connection()),
             Ok(None) => return,
             Err(fault) => {
                 let body = format!("{{\"error\":\"{fault}\"}}\n").into_bytes();
@@ -202,7 +202,7 @@
             return;
         }
         if closes {
-            return wire.finish().await;
+            return wire.shutdown().await;
         }
     }
 }
@@ -211,16 +211,16 @@
     /// Reads a call once it is its turn; none where the caller has gone, or has waited for too long.
     async fn read(
         &self,
-        wire: &mut Wire,
+        wire: &mut Connection,
         limits: &RequestLimits,
-    ) -> Result<Option<Message>, Fault> {
+    ) -> Result<Option<Message>, MessageError> {
         let since = monotonic::now();
         // Nobody closes the turns.
         let turn = self.turns.acquire().await;
         if monotonic::now().saturating_sub(since) > STALE {
             return Ok(None);
         }
-        let mut read = pin!(reader::read(wire, limits));
+        let mut read = pin!(reader::read_request(wire, limits));
         if let Ok(call) = tokio::time::timeout(TURN, &mut read).await {
             return call;
         }
--- a/crates/verbenaslip-instance/src/instance.rs
+++ b/crates/verbenaslip-instance/src/instance.rs
@@ -9,7 +9,7 @@
 use tokio::task::LocalSet;
 use verbenaslip::settings::Invalid;
 use verbenaslip_relay::dialect::Dialect;
-use verbenaslip_relay::journal;
+use verbenaslip_relay::event_log;
 
 use crate::core::Ports;
 use crate::event;
@@ -57,18 +57,18 @@
     ///
     /// Says why it did not start.
     pub fn run(self, dialect: Arc<dyn Dialect>, ports: Ports) -> Result<(), Error> {
-        journal::open().map_err(Error::Thread)?;
+        event_log::start().map_err(Error::Thread)?;
         let (signals_in, signals) = mpsc::unbounded_channel();
         signal::watch(signals_in).map_err(Error::Thread)?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(Error::Thread)?;
         let local = LocalSet::new();
         let ended = local.block_on(&runtime, self.serve(dialect, ports, signals));
-        journal::say(
+        event_log::emit(
             event::STOPPED,
             [("cause", json!(ended.as_ref().err().map(ToString::to_string)))],
         );
-        journal::flush();
+        event_log::flush();
         ended
     }
 
@@ -81,9 +81,9 @@
         let Self { path, settings } = self;
         if let Err(problem) = metric::open(settings.metrics) {
             // Callers are better served without metrics than not at all.
-            journal::say(event::NO_METRICS, [("problem", json!(problem))]);
+            event_log::emit(event::NO_METRICS, [("problem", json!(problem))]);
         }
-        journal::say(
+        event_log::emit(
             event::STARTED,
             [
                 ("instance", json!(settings.name.as_str())),
@@ -95,7 +95,7 @@
         let reload = move || {
             let settings = Settings::read(&path);
             let problem = settings.as_ref().err().map(ToString::to_string);
-            journal::say(event::RELOADED, [("problem", json!(problem))]);
+            event_log::emit(event::RELOADED, [("problem", json!(problem))]);
             settings.ok()
         };
         match (settings.entry.clone(), settings.core.clone()) {
--- a/crates/verbenaslip-instance/src/links.rs
+++ b/crates/verbenaslip-instance/src/links.rs
@@ -215,7 +215,7 @@
 }
 
 async fn welcome(mut stream: TcpStream, shared: Rc<Shared>) {
-    if socket::tune(&stream).is_err() {
+    if socket::set_options(&stream).is_err() {
         return;
     }
     let greeted = tokio::time::timeout(DIAL * 4, greeted(&mut stream)).await;
@@ -231,7 +231,7 @@
 
 /// Connects and says which instance dials.
 async fn dial(to: SocketAddr, own: SocketAddr) -> io::Result<TcpStream> {
-    let mut stream = socket::dial(to, DIAL).await?;
+    let mut stream = socket::connect(to, DIAL).await?;
     greet(&mut stream, own).await?;
     Ok(stream)
 }
--- a/crates/verbenaslip-instance/src/load.rs
+++ b/crates/verbenaslip-instance/src/load.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use serde_json::{Value, json};
-use verbenaslip_relay::journal;
+use verbenaslip_relay::event_log;
 
 use crate::event;
 
@@ -57,7 +57,7 @@
         }
         let over = std::mem::replace(self, Self { since: now, ..Self::default() });
         if leads {
-            journal::say(event::LOAD, over.fields(now, waiting));
+            event_log::emit(event::LOAD, over.fields(now, waiting));
         }
     }
 
--- a/crates/verbenaslip-instance/src/metric.rs
+++ b/crates/verbenaslip-instance/src/metric.rs
@@ -5,7 +5,7 @@
 
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle};
 use tokio::net::TcpStream;
-use verbenaslip_relay::http::Wire;
+use verbenaslip_relay::http::Connection;
 use verbenaslip_relay::socket;
 
 /// Bounds of the buckets for answers, in seconds; the objectives of both users are among them.
@@ -41,10 +41,10 @@
 }
 
 async fn serve(stream: TcpStream, handle: PrometheusHandle) {
-    let mut wire = Wire::new(stream);
-    while wire.head().is_none() {
+    let mut wire = Connection::new(stream);
+    while wire.head_length().is_none() {
         let filled = tokio::time::timeout(UPKEEP, wire.fill()).await;
-        if !matches!(filled, Ok(Ok(count)) if count > 0) || wire.bytes.len() > 8 << 10 {
+        if !matches!(filled, Ok(Ok(count)) if count > 0) || wire.buffer.len() > 8 << 10 {
             return;
         }
     }
@@ -55,5 +55,5 @@
     );
     // A reader that has gone needs no answer.
     let _ = wire.send(&[head.as_bytes(), text.as_bytes()].concat()).await;
-    wire.finish().await;
+    wire.shutdown().await;
 }
--- a/crates/verbenaslip-instance/src/note.rs
+++ b/crates/verbenaslip-instance/src/note.rs
@@ -12,7 +12,7 @@
 use verbenaslip_fleet::rollout::Rollout;
 use verbenaslip_fleet::transition::Transition;
 use verbenaslip_fleet::view::Version;
-use verbenaslip_relay::journal::{self, Kind};
+use verbenaslip_relay::event_log::{self, Kind};
 
 use crate::event;
 
@@ -22,13 +22,16 @@
         Event::Role { term, role: duty, leader } => {
             let leader = leader.map(|leader| leader.to_string());
             let duty = format!("{duty:?}");
-            journal::say(
+            event_log::emit(
                 event::ROLE,
                 [("term", json!(term)), ("role", json!(duty)), ("leader", json!(leader))],
             );
         }
         Event::RouteTable { revision, routes } => {
-            journal::say(event::SHEET, [("revision", json!(revision)), ("routes", json!(routes))]);
+            event_log::emit(
+                event::SHEET,
+                [("revision", json!(revision)), ("routes", json!(routes))],
+            );
         }
         Event::Upstream { record } => say_upstream(&record),
         Event::UpstreamWithdrawn(run) => run_line(event::WITHDRAWN, &run),
@@ -37,7 +40,7 @@
             say_acknowledged(&departure, waited, change, spread);
         }
         Event::LeadershipStarted { term, upstreams, logged, departures, quarantined: held } => {
-            journal::say(
+            event_log::emit(
                 event::BEGAN,
                 [
                     ("term", json!(term)),
@@ -48,14 +51,16 @@
                 ],
             )
         }
-        Event::LeaseLost { term } => journal::say(event::LAPSED, [("term", json!(term))]),
-        Event::LeadershipResumed { term } => journal::say(event::RESUMED, [("term", json!(term))]),
+        Event::LeaseLost { term } => event_log::emit(event::LAPSED, [("term", json!(term))]),
+        Event::LeadershipResumed { term } => {
+            event_log::emit(event::RESUMED, [("term", json!(term))])
+        }
         Event::UnknownService(run) => run_line(event::FOREIGN, &run),
         Event::VotersChanged { change } => {
-            journal::say(event::VOTERS, [("change", json!(format!("{change:?}")))]);
+            event_log::emit(event::VOTERS, [("change", json!(format!("{change:?}")))]);
         }
         Event::QuarantineDecided(finding) => say_found(&finding),
-        Event::LimitChanged(sighting) => journal::say(
+        Event::LimitChanged(sighting) => event_log::emit(
             event::LIMIT,
             [
                 ("upstream", json!(sighting.run.upstream.as_str())),
@@ -65,11 +70,17 @@
             ],
         ),
         Event::WindowClosed { window, requests } => {
-            journal::say(event::CLOSED, [("window", json!(window)), ("requests", json!(requests))]);
+            event_log::emit(
+                event::CLOSED,
+                [("window", json!(window)), ("requests", json!(requests))],
+            );
         }
         Event::RolloutStage { rollout, stage, exposure } => {
             let stage = ("stage", json!(format!("{stage:?}")));
-            journal::say(event::ROLLOUT_STAGE, rollout_fields(&rollout, exposure).chain([stage]));
+            event_log::emit(
+                event::ROLLOUT_STAGE,
+                rollout_fields(&rollout, exposure).chain([stage]),
+            );
         }
         Event::RolloutDecided { rollout, verdict, exposure } => {
             let state = format!("{:?}", verdict.state);
@@ -77,10 +88,13 @@
                 .increment(1);
             let reason = ("reason", json!(format!("{:?}", verdict.reason)));
             let fields = [("state", json!(state)), reason];
-            journal::say(event::ROLLOUT_DECIDED, rollout_fields(&rollout, exposure).chain(fields));
+            event_log::emit(
+                event::ROLLOUT_DECIDED,
+                rollout_fields(&rollout, exposure).chain(fields),
+            );
         }
         Event::ScalingPlanned { service, initial_count: base, busy_upstreams: busy, upstreams } => {
-            journal::say(
+            event_log::emit(
                 event::PLANNED,
                 [
                     ("service", json!(service)),
@@ -90,8 +104,10 @@
                 ],
             )
         }
-        Event::CallTimedOut { call: what } => journal::say(event::UNSURE, [("asked", json!(what))]),
-        Event::UnreadableLog(what) => journal::say(event::UNREADABLE, [("cause", json!(what))]),
+        Event::CallTimedOut { call: what } => {
+            event_log::emit(event::UNSURE, [("asked", json!(what))])
+        }
+        Event::UnreadableLog(what) => event_log::emit(event::UNREADABLE, [("cause", json!(what))]),
     }
 }
 
@@ -99,7 +115,7 @@
 fn say_acknowledged(departure: &Departure, waited: Duration, change: Version, spread: AckCounts) {
     let complete = spread.acknowledged >= spread.reachable;
     metrics::histogram!("verbenaslip_leaving_seconds").record(waited.as_secs_f64());
-    journal::say(
+    event_log::emit(
         event::ACKNOWLEDGED,
         [
             ("upstream", json!(departure.run.upstream.as_str())),
@@ -135,7 +151,7 @@
 /// Writes a line about what is known of an upstream.
 fn say_upstream(record: &Record) {
     let it = &record.announcement;
-    journal::say(
+    event_log::emit(
         event::UPSTREAM,
         [
             ("upstream", json!(it.run.upstream.as_str())),
@@ -156,7 +172,7 @@
     metrics::counter!("verbenaslip_announcements_late_total").increment(1);
     let (known, last) = late.known.unzip();
     let (standing, age) = late.departed.unzip();
-    journal::say(
+    event_log::emit(
         event::LATE,
         [
             ("upstream", json!(late.run.upstream.as_str())),
@@ -176,11 +192,11 @@
     let content = |fingerprint: &Fingerprint| ("content", json!(fingerprint.to_string()));
     match finding {
         Finding::Suspected { fingerprint, runs: ended } => {
-            journal::say(event::SUSPECTED, [content(fingerprint), ("upstreams", runs(ended))]);
+            event_log::emit(event::SUSPECTED, [content(fingerprint), ("upstreams", runs(ended))]);
         }
         Finding::Quarantined { fingerprint, runs: ended, held } => {
             metrics::counter!("verbenaslip_requests_held_back_total").increment(1);
-            journal::say(
+            event_log::emit(
                 event::HELD,
                 [
                     content(fingerprint),
@@ -191,13 +207,16 @@
             );
         }
         Finding::Cleared { fingerprint, cause } => {
-            journal::say(
+            event_log::emit(
                 event::CLEARED,
                 [content(fingerprint), ("cause", json!(format!("{cause:?}")))],
             );
         }
         Finding::TrialOffered { fingerprint, entry } => {
-            journal::say(event::TRIED, [content(fingerprint), ("entry", json!(entry.to_string()))]);
+            event_log::emit(
+                event::TRIED,
+                [content(fingerprint), ("entry", json!(entry.to_string()))],
+            );
         }
     }
 }
@@ -215,5 +234,5 @@
 fn run_line(kind: Kind, run: &Run) {
     let fields =
         [("upstream", json!(run.upstream.as_str())), ("incarnation", json!(run.incarnation))];
-    journal::say(kind, fields);
+    event_log::emit(kind, fields);
 }
--- a/crates/verbenaslip-relay/src/dialect.rs
+++ b/crates/verbenaslip-relay/src/dialect.rs
@@ -5,39 +5,39 @@
 
 use verbenaslip_base::name::{Team, Upstream};
 
-use crate::http::{Request, Response};
+use crate::http::{RequestHead, ResponseHead};
 
 /// Holds what a request says of itself beyond HTTP.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Call {
+pub struct RequestInfo {
     /// The request's own identity.
     pub id: Arc<str>,
     /// The caller's key.
-    pub key: Option<Arc<str>>,
+    pub api_key: Option<Arc<str>>,
     /// How long the caller waits for the whole answer.
-    pub patience: Option<Duration>,
+    pub caller_timeout: Option<Duration>,
     /// The tokens of the prompt and the most tokens of the answer, when it says so.
-    pub tokens: Option<Tokens>,
+    pub token_counts: Option<TokenCounts>,
     /// The caller's estimate of the tokens of the answer.
-    pub hint: Option<u64>,
+    pub output_estimate: Option<u64>,
     /// The parts of the prompt in order; requests share the first ones.
-    pub parts: Vec<Part>,
+    pub prompt_parts: Vec<PromptPart>,
     /// The last event of the answer that the caller has.
-    pub after: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
 /// Says how large a generation is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Tokens {
+pub struct TokenCounts {
     /// Tokens of the prompt.
     pub prompt: u64,
     /// The most tokens of the answer.
-    pub output: u64,
+    pub max_output: u64,
 }
 
 /// Names one part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct PromptPart {
     /// Its identity.
     pub id: u64,
     /// Its tokens.
@@ -46,7 +46,7 @@
 
 /// Holds what is told to the upstream beside the caller's own words.
 #[derive(Clone, Copy, Debug)]
-pub struct Forwarded<'a> {
+pub struct ForwardedFields<'a> {
     /// The run of the upstream that is meant; any other must not take the request.
     pub upstream: &'a Upstream,
     /// The caller's team.
@@ -54,7 +54,7 @@
     /// How long the caller still waits.
     pub remaining: Duration,
     /// The last event that the caller has.
-    pub after: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// The rank among the upstream's requests; zero is the most urgent.
     pub rank: Option<u8>,
 }
@@ -73,40 +73,40 @@
 
 /// Holds what a response says beyond HTTP.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Reply {
+pub struct ResponseInfo {
     /// Whether it answers the request with the given identity.
-    pub own: bool,
+    pub matches_request: bool,
     /// Whether the upstream says that it has not run the request and never will.
     pub not_run: bool,
     /// Whether another run than the one that is meant has answered, which no longer is at this address.
     pub other_run: bool,
     /// Whether its body is encoded in a way that the caller did not ask for.
-    pub encoded: bool,
+    pub unrequested_encoding: bool,
     /// The limit that the upstream names.
-    pub limit: RateLimit,
+    pub rate_limit: RateLimit,
     /// Whether the upstream says that it is about to go.
     pub leaving: bool,
     /// How long the upstream wants nothing from this instance, if it has turned the request away and says so.
-    pub rest: Option<Duration>,
+    pub cooldown: Option<Duration>,
 }
 
 /// Takes the name and value of a header field that is to be written.
-pub type Put<'a> = &'a mut dyn FnMut(&str, &str);
+pub type WriteField<'a> = &'a mut dyn FnMut(&str, &str);
 
 /// Knows a deployment's names of header fields; decides nothing.
 pub trait Dialect: Send + Sync {
     /// Reads what a request says of itself; none when it has no identity.
-    fn call(&self, head: &Request) -> Option<Call>;
+    fn request_info(&self, head: &RequestHead) -> Option<RequestInfo>;
 
     /// Tells whether a field is set by this system alone, so that a caller's is not passed on.
-    fn is_ours(&self, name: &str) -> bool;
+    fn is_reserved(&self, name: &str) -> bool;
 
     /// Writes the fields that this system sets towards an upstream.
-    fn forwarded(&self, forwarded: &Forwarded<'_>, put: Put<'_>);
+    fn write_forwarded(&self, forwarded: &ForwardedFields<'_>, put: WriteField<'_>);
 
     /// Reads what a response says.
-    fn reply(&self, head: &Response, id: &str) -> Reply;
+    fn response_info(&self, head: &ResponseHead, id: &str) -> ResponseInfo;
 
     /// Writes the fields of an answer of this instance's own.
-    fn own_answer(&self, id: &str, back: Option<Duration>, put: Put<'_>);
+    fn write_answer(&self, id: &str, back: Option<Duration>, put: WriteField<'_>);
 }
--- a/crates/verbenaslip-relay/src/journal.rs
+++ b/crates/verbenaslip-relay/src/event_log.rs
@@ -38,7 +38,7 @@
 /// # Errors
 ///
 /// Fails when no thread can be started.
-pub fn open() -> std::io::Result<()> {
+pub fn start() -> std::io::Result<()> {
     let (sender, receiver) = channel::bounded(QUEUE);
     thread::Builder::new().name("journal".into()).spawn(move || write(&receiver))?;
     // A second opening keeps the first one's thread.
@@ -47,10 +47,10 @@
 }
 
 /// Writes a line.
-pub fn say(kind: Kind, fields: impl IntoIterator<Item = (&'static str, Value)>) {
+pub fn emit(kind: Kind, fields: impl IntoIterator<Item = (&'static str, Value)>) {
     let Some(lines) = LINES.get() else { return };
     let mut map = Map::new();
-    map.insert("at".into(), monotonic::unix().into());
+    map.insert("at".into(), monotonic::unix_ms().into());
     map.insert("event".into(), kind.number.into());
     map.insert("what".into(), kind.name.into());
     map.extend(fields.into_iter().map(|(name, value)| (name.to_owned(), value)));
--- a/crates/verbenaslip-relay/src/forward/answer.rs
+++ b/crates/verbenaslip-relay/src/forward/answer.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::dialect::Dialect;
-use crate::http::{Fault, Framing, Response, head};
+use crate::http::{Framing, MessageError, ResponseHead, head};
 
 /// Says why a request is not passed on, or gets no upstream's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -111,12 +111,12 @@
     }
 }
 
-impl From<Fault> for Refusal {
-    fn from(fault: Fault) -> Self {
+impl From<MessageError> for Refusal {
+    fn from(fault: MessageError) -> Self {
         match fault {
-            Fault::TooLong => Self::LongHead,
-            Fault::TooLarge => Self::TooLarge,
-            Fault::Slow => Self::SlowCaller,
+            MessageError::TooLong => Self::LongHead,
+            MessageError::TooLarge => Self::TooLarge,
+            MessageError::Slow => Self::SlowCaller,
             _ => Self::Malformed,
         }
     }
@@ -134,7 +134,7 @@
     let mut out = Vec::with_capacity(256);
     let line = format!("HTTP/1.1 {} {}\r\n", refusal.status(), refusal.reason());
     out.extend_from_slice(line.as_bytes());
-    dialect.own_answer(id, back, &mut |name, value| put(&mut out, name, value.as_bytes()));
+    dialect.write_answer(id, back, &mut |name, value| put(&mut out, name, value.as_bytes()));
     put(&mut out, "Content-Type", b"application/json");
     put(&mut out, "Content-Length", body.len().to_string().as_bytes());
     if close {
@@ -147,7 +147,7 @@
 
 /// Writes the head of an upstream's answer for the caller; only what concerns the connection
 /// differs.
-pub fn write_head(response: &Response, framing: Framing, close: bool) -> Vec<u8> {
+pub fn write_head(response: &ResponseHead, framing: Framing, close: bool) -> Vec<u8> {
     let mut out = Vec::with_capacity(512);
     let line = format!("HTTP/1.1 {} {}\r\n", response.status, response.reason);
     out.extend_from_slice(line.as_bytes());
--- a/crates/verbenaslip-relay/src/forward/context.rs
+++ b/crates/verbenaslip-relay/src/forward/context.rs
@@ -13,8 +13,7 @@
 use verbenaslip_fleet::registry::Run;
 use verbenaslip_fleet::view::View;
 
-use crate::board::Board;
-use crate::dialect::{Dialect, Reply};
+use crate::dialect::{Dialect, ResponseInfo};
 use crate::forward::crash::{Broken, Sign};
 use crate::forward::job::Job;
 use crate::forward::notice;
@@ -27,11 +26,12 @@
 use crate::policy::retry::{Bounds, Budget};
 use crate::policy::versions::Tracks;
 use crate::policy::waited::Waited;
+use crate::shared::SharedState;
 
 /// Holds what all requests share; only the traffic thread uses it.
 pub struct Context {
     /// What is shared with the control thread.
-    pub board: Arc<Board>,
+    pub board: Arc<SharedState>,
     /// The deployment's header names.
     pub dialect: Arc<dyn Dialect>,
     /// The length of a window of usage.
@@ -51,7 +51,7 @@
 impl Context {
     /// Starts without requests.
     pub(crate) fn open(
-        board: Arc<Board>,
+        board: Arc<SharedState>,
         dialect: Arc<dyn Dialect>,
         zone: AvailabilityZone,
         bounds: Bounds,
@@ -69,7 +69,7 @@
             pool: RefCell::new(Pool::default()),
             waited: RefCell::new(Waited::default()),
             record: RefCell::new(Record::default()),
-            draw: Cell::new(monotonic::unix()),
+            draw: Cell::new(monotonic::unix_ms()),
             signs,
         }
     }
@@ -117,7 +117,13 @@
     }
 
     /// Takes what an upstream asks for in the head of its answer to a request that was sent at a time.
-    pub(crate) fn heard(&self, job: &Job<'_>, choice: &Choice, sent: Instant, reply: &Reply) {
+    pub(crate) fn heard(
+        &self,
+        job: &Job<'_>,
+        choice: &Choice,
+        sent: Instant,
+        reply: &ResponseInfo,
+    ) {
         if reply.other_run {
             return;
         }
--- a/crates/verbenaslip-relay/src/forward/crash.rs
+++ b/crates/verbenaslip-relay/src/forward/crash.rs
@@ -15,8 +15,8 @@
 use verbenaslip_fleet::fingerprint::Fingerprint;
 use verbenaslip_fleet::registry::Run;
 
-use crate::board::Board;
-use crate::journal::{self, Kind};
+use crate::event_log::{self, Kind};
+use crate::shared::SharedState;
 use crate::{monotonic, socket};
 
 /// An upstream broke off what it ran.
@@ -64,7 +64,7 @@
 }
 
 /// Looks at upstreams that may have ended, for as long as the instance runs.
-pub(crate) async fn watch(mut signs: UnboundedReceiver<Sign>, board: Arc<Board>) {
+pub(crate) async fn watch(mut signs: UnboundedReceiver<Sign>, board: Arc<SharedState>) {
     let mut left = VecDeque::new();
     while let Some(first) = signs.recv().await {
         tokio::time::sleep(GATHER).await;
@@ -108,9 +108,9 @@
 }
 
 /// Looks whether an upstream is still there.
-async fn look(run: Run, requests: Vec<Broken>, board: Arc<Board>) {
+async fn look(run: Run, requests: Vec<Broken>, board: Arc<SharedState>) {
     let Some(address) = requests.first().map(|it| it.address) else { return };
-    let ended = socket::dial(address, DIAL).await.is_err();
+    let ended = socket::connect(address, DIAL).await.is_err();
     if ended {
         metrics::counter!("verbenaslip_upstreams_ended_total").increment(1);
     }
@@ -130,7 +130,7 @@
     let ids: Vec<&str> = listed.iter().map(|it| &*it.id).collect();
     let contents: Vec<String> =
         listed.iter().filter_map(|it| it.fingerprint).map(|it| it.to_string()).collect();
-    journal::say(
+    event_log::emit(
         BROKE_OFF,
         [
             ("upstream", json!(upstream.as_str())),
--- a/crates/verbenaslip-relay/src/forward/delivery.rs
+++ b/crates/verbenaslip-relay/src/forward/delivery.rs
@@ -10,7 +10,7 @@
 use crate::forward::job::Job;
 use crate::forward::leave::Leave;
 use crate::http::body::{LAST_CHUNK, write_chunk};
-use crate::http::{Decoder, Framing, Step, Wire};
+use crate::http::{Connection, Decoder, Framing, Step};
 
 /// Bytes of an answer that are gathered before they are written.
 const GATHER: usize = 64 << 10;
@@ -61,7 +61,7 @@
     /// The caller must have all of it by the limit of its request.
     pub async fn run(
         &mut self,
-        caller: &mut Wire,
+        caller: &mut Connection,
         job: &Job<'_>,
         answered: &mut Answered,
         mut leave: Leave<impl FnMut() -> bool>,
@@ -116,13 +116,13 @@
     fn gather(
         &mut self,
         decoder: &mut Decoder,
-        wire: &mut Wire,
+        wire: &mut Connection,
         job: &Job<'_>,
         out: &mut Vec<u8>,
     ) -> Result<bool, ()> {
         let mut pieces = Vec::new();
         while pieces.len() < GATHER {
-            match decoder.step(&mut wire.bytes) {
+            match decoder.step(&mut wire.buffer) {
                 Ok(Step::Data(piece)) => pieces.extend_from_slice(&piece),
                 Ok(Step::More) => break,
                 Ok(Step::End) => {
@@ -177,7 +177,7 @@
     /// Passes on what is whole before the connection's end makes the rest worthless.
     async fn broken(
         &mut self,
-        caller: &mut Wire,
+        caller: &mut Connection,
         out: &[u8],
         limit: Instant,
         ended: Ended,
@@ -193,8 +193,8 @@
 
 /// Waits for more of the body; returns how the answer ended, if it did.
 async fn wait(
-    caller: &mut Wire,
-    wire: &mut Wire,
+    caller: &mut Connection,
+    wire: &mut Connection,
     decoder: &Decoder,
     limit: Instant,
     pause: Option<Duration>,
--- a/crates/verbenaslip-relay/src/forward/exchange.rs
+++ b/crates/verbenaslip-relay/src/forward/exchange.rs
@@ -5,13 +5,13 @@
 use bytes::Buf;
 use tokio::time::Instant;
 
-use crate::dialect::Reply;
+use crate::dialect::ResponseInfo;
 use crate::forward::context::Context;
 use crate::forward::job::Job;
 use crate::forward::leave::Leave;
 use crate::forward::pool;
-use crate::http::wire::Progress;
-use crate::http::{Decoder, Response, Step, Wire};
+use crate::http::connection::Progress;
+use crate::http::{Connection, Decoder, ResponseHead, Step};
 use crate::policy::place::Choice;
 use crate::{monotonic, socket};
 
@@ -27,11 +27,11 @@
 /// Holds a connection on which the head of the answer has come.
 pub struct Answered {
     /// The connection; the body comes next.
-    pub wire: Wire,
+    pub wire: Connection,
     /// The head.
-    pub head: Response,
+    pub head: ResponseHead,
     /// What it says beyond HTTP.
-    pub reply: Reply,
+    pub reply: ResponseInfo,
     /// Whether the connection may be used again after the body.
     pub reusable: bool,
 }
@@ -55,7 +55,7 @@
 /// would lose an answer that was only slow.
 pub async fn send(
     context: &Context,
-    caller: &mut Wire,
+    caller: &mut Connection,
     job: &Job<'_>,
     choice: &Choice,
     bytes: &[u8],
@@ -69,15 +69,15 @@
     let mut written = 0;
     let mut clean = true;
     loop {
-        while let Some(end) = wire.head() {
-            let head = Response::parse(&wire.bytes[..end]).map_err(|_| Failure::Broken)?;
-            wire.bytes.advance(end);
+        while let Some(end) = wire.head_length() {
+            let head = ResponseHead::parse(&wire.buffer[..end]).map_err(|_| Failure::Broken)?;
+            wire.buffer.advance(end);
             if head.status < 200 {
                 continue;
             }
-            let reply = context.dialect.reply(&head, &job.call.id);
-            if reply.own {
-                let reusable = clean && written == bytes.len() && !head.closes();
+            let reply = context.dialect.response_info(&head, &job.call.id);
+            if reply.matches_request {
+                let reusable = clean && written == bytes.len() && !head.closes_connection();
                 return Ok(Answered { wire, head, reply, reusable });
             }
             // A late answer to an earlier request on this connection. Taken for this one's, it
@@ -85,7 +85,7 @@
             skip(&mut wire, &head, job, limit).await?;
             clean = false;
         }
-        if wire.bytes.len() > HEAD {
+        if wire.buffer.len() > HEAD {
             return Err(Failure::Broken);
         }
         tokio::select! {
@@ -113,22 +113,22 @@
     job: &Job<'_>,
     choice: &Choice,
     limit: Instant,
-) -> Result<(Wire, bool), Failure> {
+) -> Result<(Connection, bool), Failure> {
     let once = !job.route.kind.may_repeat();
     let kept = context.pool.borrow_mut().take(monotonic::now(), &choice.run, once);
     if let Some(wire) = kept {
         return Ok((wire, true));
     }
     let left = limit.saturating_duration_since(Instant::now());
-    let dialled = socket::dial(choice.address, DIAL.min(left)).await;
+    let dialled = socket::connect(choice.address, DIAL.min(left)).await;
     metrics::counter!("verbenaslip_upstream_connections_total").increment(1);
-    dialled.map(|stream| (Wire::new(stream), false)).map_err(|_| Failure::Unreached)
+    dialled.map(|stream| (Connection::new(stream), false)).map_err(|_| Failure::Unreached)
 }
 
 /// Reads over the body of an answer that belongs to another request.
 async fn skip(
-    wire: &mut Wire,
-    head: &Response,
+    wire: &mut Connection,
+    head: &ResponseHead,
     job: &Job<'_>,
     limit: Instant,
 ) -> Result<(), Failure> {
@@ -136,7 +136,7 @@
     let mut decoder = Decoder::new(framing);
     let mut skipped = 0;
     loop {
-        match decoder.step(&mut wire.bytes) {
+        match decoder.step(&mut wire.buffer) {
             Ok(Step::End) => return Ok(()),
             Ok(Step::Data(piece)) => skipped += piece.len(),
             Ok(Step::More) => {
@@ -161,7 +161,7 @@
     let mut decoder = Decoder::new(framing);
     for _ in 0..2 {
         loop {
-            match decoder.step(&mut answered.wire.bytes) {
+            match decoder.step(&mut answered.wire.buffer) {
                 Ok(Step::Data(_)) => {}
                 Ok(Step::End) => return keep(context, job, choice, answered),
                 Ok(Step::More) => break,
@@ -178,7 +178,7 @@
 
 /// Keeps a connection after a whole answer; one on which more has come is thrown away.
 pub fn keep(context: &Context, job: &Job<'_>, choice: &Choice, answered: Answered) {
-    if !answered.reusable || !answered.wire.bytes.is_empty() {
+    if !answered.reusable || !answered.wire.buffer.is_empty() {
         return;
     }
     let stated = answered.head.text("keep-alive").and_then(stated);
--- a/crates/verbenaslip-relay/src/forward/forwarded.rs
+++ b/crates/verbenaslip-relay/src/forward/forwarded.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::dialect::Forwarded;
+use crate::dialect::ForwardedFields;
 use crate::forward::answer;
 use crate::forward::context::Context;
 use crate::forward::job::Job;
@@ -25,19 +25,19 @@
     for field in fields {
         let length = field.name.eq_ignore_ascii_case("content-length")
             || field.name.eq_ignore_ascii_case("expect");
-        let ours = context.dialect.is_ours(&field.name);
+        let ours = context.dialect.is_reserved(&field.name);
         if !length && !ours && !head::is_hop(fields, &field.name) {
             answer::put(&mut out, &field.name, &field.value);
         }
     }
-    let forwarded = Forwarded {
+    let forwarded = ForwardedFields {
         upstream: &choice.run.upstream,
         team: job.team.map(|team| &team.name),
         remaining,
-        after: after.or(job.call.after),
-        rank: (!job.call.parts.is_empty()).then_some(job.rank),
+        last_event_id: after.or(job.call.last_event_id),
+        rank: (!job.call.prompt_parts.is_empty()).then_some(job.rank),
     };
-    context.dialect.forwarded(&forwarded, &mut |name, value| {
+    context.dialect.write_forwarded(&forwarded, &mut |name, value| {
         answer::put(&mut out, name, value.as_bytes());
     });
     if !job.body.is_empty() || !matches!(&*job.head.method, "GET" | "HEAD") {
--- a/crates/verbenaslip-relay/src/forward/job.rs
+++ b/crates/verbenaslip-relay/src/forward/job.rs
@@ -10,10 +10,10 @@
 use verbenaslip_fleet::route_table::{RequestKind, Route, TeamConfig};
 use verbenaslip_fleet::view::View;
 
-use crate::dialect::Call;
+use crate::dialect::RequestInfo;
 use crate::forward::answer::Refusal;
 use crate::forward::context::Context;
-use crate::http::{Message, Request};
+use crate::http::{Message, RequestHead};
 use crate::monotonic;
 use crate::policy::allowance::{self, Verdict as Allowed};
 
@@ -39,11 +39,11 @@
 /// Holds what is decided of a request once.
 pub struct Job<'a> {
     /// Its head.
-    pub head: &'a Request,
+    pub head: &'a RequestHead,
     /// Its body.
     pub body: &'a Bytes,
     /// What it says beyond HTTP.
-    pub call: &'a Call,
+    pub call: &'a RequestInfo,
     /// Its content, to be known again; none as long as this entry has no key for that.
     pub fingerprint: Option<Fingerprint>,
     /// Its route.
@@ -80,10 +80,10 @@
     context: &Context,
     view: &'a View,
     whole: &'a Message,
-    call: Option<&'a Call>,
+    call: Option<&'a RequestInfo>,
     closes: bool,
 ) -> Result<Job<'a>, Refused> {
-    if context.board.is_closing() {
+    if context.board.has_stopped_admitting() {
         return Err((Refusal::Stopping, Some(BACK_NOW)));
     }
     let Some(routes) = &view.routes else { return Err((Refusal::NoTable, Some(BACK_AFTER_START))) };
@@ -91,8 +91,9 @@
     let host = whole.head.text("host").unwrap_or_default();
     let route = routes.route(host, &whole.head.target).ok_or((Refusal::NoRoute, None))?;
     let team = team(routes, route, call)?;
-    let patience = call.patience.map_or(route.timeout, |patience| patience.min(route.timeout));
-    let waited = call.patience.is_some_and(|patience| {
+    let patience =
+        call.caller_timeout.map_or(route.timeout, |patience| patience.min(route.timeout));
+    let waited = call.caller_timeout.is_some_and(|patience| {
         let mut waited = context.waited.borrow_mut();
         waited.take(monotonic::now(), &route.name, patience, route.objective)
     });
@@ -132,12 +133,12 @@
 fn team<'a>(
     routes: &'a Index,
     route: &Route,
-    call: &Call,
+    call: &RequestInfo,
 ) -> Result<Option<&'a TeamConfig>, Refused> {
     if route.public || routes.route_table().teams.is_empty() {
         return Ok(None);
     }
-    let found = call.key.as_ref().and_then(|key| routes.team(key));
+    let found = call.api_key.as_ref().and_then(|key| routes.team(key));
     found.map(Some).ok_or((Refusal::UnknownKey, None))
 }
 
@@ -186,6 +187,6 @@
 }
 
 /// Returns the tokens that a request asks for in all, when it says so.
-fn size(call: &Call) -> Option<u64> {
-    call.tokens.map(|tokens| tokens.prompt + tokens.output)
+fn size(call: &RequestInfo) -> Option<u64> {
+    call.token_counts.map(|tokens| tokens.prompt + tokens.max_output)
 }
--- a/crates/verbenaslip-relay/src/forward/life.rs
+++ b/crates/verbenaslip-relay/src/forward/life.rs
@@ -7,7 +7,7 @@
 use verbenaslip_fleet::registry::Run;
 use verbenaslip_fleet::route_table::RequestKind;
 
-use crate::dialect::Reply;
+use crate::dialect::ResponseInfo;
 use crate::forward::answer::{self, Refusal};
 use crate::forward::context::Context;
 use crate::forward::delivery::{Delivery, Ended};
@@ -17,7 +17,7 @@
 use crate::forward::leave::Leave;
 use crate::forward::placing;
 use crate::forward::trace::{self, Basis, Trace};
-use crate::http::{Message, Wire};
+use crate::http::{Connection, Message};
 use crate::monotonic;
 use crate::policy::place::{Choice, Ending};
 use crate::policy::record;
@@ -62,9 +62,14 @@
 }
 
 /// Serves one request.
-pub async fn serve(context: &Context, caller: &mut Wire, whole: &Message, closes: bool) -> After {
+pub async fn serve(
+    context: &Context,
+    caller: &mut Connection,
+    whole: &Message,
+    closes: bool,
+) -> After {
     let mut trace = Trace::default();
-    let call = context.dialect.call(&whole.head);
+    let call = context.dialect.request_info(&whole.head);
     let id = call.as_ref().map_or_else(|| "".into(), |call| call.id.clone());
     let starting = context.board.view().routes.is_none();
     let left = starting && wait_for_routes(context, caller, whole).await;
@@ -93,7 +98,7 @@
 /// After a power loss of all, entries are back before the cores have elected a leader. Whoever asks then
 /// and is refused comes back after its objective; many have come back once already, from an entry that
 /// was down, and do not a second time. The table is there a moment later.
-async fn wait_for_routes(context: &Context, caller: &mut Wire, whole: &Message) -> bool {
+async fn wait_for_routes(context: &Context, caller: &mut Connection, whole: &Message) -> bool {
     let until = (whole.arrived + WAIT_FOR_ROUTES).min(context.started + STARTING);
     tokio::select! {
         () = context.board.has_routes() => false,
@@ -103,7 +108,12 @@
 }
 
 /// Leads an admitted request to its end.
-async fn lead(context: &Context, caller: &mut Wire, job: &Job<'_>, trace: &mut Trace) -> After {
+async fn lead(
+    context: &Context,
+    caller: &mut Connection,
+    job: &Job<'_>,
+    trace: &mut Trace,
+) -> After {
     let mut course = Course::default();
     let refused = loop {
         let next = next(context, caller, job, &mut course, trace).await;
@@ -153,7 +163,7 @@
 /// Tries one upstream.
 async fn next(
     context: &Context,
-    caller: &mut Wire,
+    caller: &mut Connection,
     job: &Job<'_>,
     course: &mut Course,
     trace: &mut Trace,
@@ -209,7 +219,7 @@
 /// Goes on after the head of an answer.
 async fn took(
     context: &Context,
-    caller: &mut Wire,
+    caller: &mut Connection,
     job: &Job<'_>,
     course: &mut Course,
     trace: &mut Trace,
@@ -220,8 +230,8 @@
     if answered.reply.not_run {
         // A run that is no longer there gets nothing more for a while, as one that can't be reached.
         let (cause, ending) = match answered.reply {
-            Reply { other_run: true, .. } => ("other_run", Ending::Unreachable),
-            Reply { rest: Some(_), .. } => ("resting", Ending::Resting),
+            ResponseInfo { other_run: true, .. } => ("other_run", Ending::Unreachable),
+            ResponseInfo { cooldown: Some(_), .. } => ("resting", Ending::Resting),
             _ => ("not_run", Ending::Full),
         };
         trace.causes.push(cause);
@@ -232,10 +242,10 @@
     count(context, job, course);
     course.may_have_run = true;
     let status = answered.head.status;
-    let failed = status >= 500 || answered.reply.encoded;
+    let failed = status >= 500 || answered.reply.unrequested_encoding;
     let goes_on = course.delivery.is_begun();
     let again = failed && job.route.kind.may_repeat() && course.arrivals < job.route.max_attempts;
-    if again || answered.reply.encoded || (goes_on && status != 200) {
+    if again || answered.reply.unrequested_encoding || (goes_on && status != 200) {
         trace.causes.push(if failed { "upstream_failed" } else { "no_resume" });
         context.ended(&choice, Ending::Failed, None);
         exchange::recycle(context, job, &choice, answered).await;
@@ -369,7 +379,7 @@
 
 async fn refuse(
     context: &Context,
-    caller: &mut Wire,
+    caller: &mut Connection,
     id: &str,
     refused: Refused,
     closes: bool,
--- a/crates/verbenaslip-relay/src/forward/notice.rs
+++ b/crates/verbenaslip-relay/src/forward/notice.rs
@@ -6,7 +6,7 @@
 use verbenaslip_fleet::limit::Limit;
 use verbenaslip_fleet::registry::Run;
 
-use crate::journal::{self, Kind};
+use crate::event_log::{self, Kind};
 
 /// An upstream names another limit than before, or none any more.
 const LIMIT: Kind = Kind { number: 943, name: "upstream_limit" };
@@ -19,7 +19,7 @@
     if rest.is_some() {
         metrics::counter!("verbenaslip_upstream_rests_total").increment(1);
     }
-    journal::say(
+    event_log::emit(
         REST,
         [
             ("upstream", json!(run.upstream.as_str())),
@@ -35,7 +35,7 @@
 
 /// Says in one line that an upstream is about to go, by the answer to the request named.
 pub fn say_leaving(run: &Run, id: &str) {
-    journal::say(
+    event_log::emit(
         LEAVING,
         [
             ("upstream", json!(run.upstream.as_str())),
@@ -49,7 +49,7 @@
 pub fn say_limit(run: &Run, limit: Limit, id: Option<&str>) {
     let source = if id.is_some() { "answer" } else { "leader" };
     metrics::counter!("verbenaslip_upstream_limits_total", "source" => source).increment(1);
-    journal::say(
+    event_log::emit(
         LIMIT,
         [
             ("upstream", json!(run.upstream.as_str())),
--- a/crates/verbenaslip-relay/src/forward/placing.rs
+++ b/crates/verbenaslip-relay/src/forward/placing.rs
@@ -25,8 +25,8 @@
     let query = Query {
         service: &job.service,
         rank: job.rank,
-        parts: &job.call.parts,
-        prompt: job.call.tokens.map_or(0, |tokens| tokens.prompt),
+        parts: &job.call.prompt_parts,
+        prompt: job.call.token_counts.map_or(0, |tokens| tokens.prompt),
         tried: &course.tried,
         objective: job.route.objective,
         remaining,
--- a/crates/verbenaslip-relay/src/forward/pool.rs
+++ b/crates/verbenaslip-relay/src/forward/pool.rs
@@ -5,7 +5,7 @@
 
 use verbenaslip_fleet::registry::Run;
 
-use crate::http::Wire;
+use crate::http::Connection;
 
 /// Idle connections kept for one upstream at most; more are hardly ever in use at one moment.
 const KEPT: usize = 16;
@@ -60,7 +60,7 @@
 
 #[derive(Debug)]
 struct Idle {
-    wire: Wire,
+    wire: Connection,
     since: Duration,
     keep: Keep,
 }
@@ -74,7 +74,7 @@
 
 impl Pool {
     /// Takes a connection for a request; `once` says whether that must run once at most.
-    pub fn take(&mut self, now: Duration, run: &Run, once: bool) -> Option<Wire> {
+    pub fn take(&mut self, now: Duration, run: &Run, once: bool) -> Option<Connection> {
         let idle = self.idle.get_mut(run)?;
         // The last one has been idle for the shortest time; the others may still serve other requests.
         while idle.last().is_some_and(|kept| kept.serves(now, once)) {
@@ -93,7 +93,7 @@
         &mut self,
         now: Duration,
         run: &Run,
-        wire: Wire,
+        wire: Connection,
         stated: Option<Duration>,
         most: usize,
     ) {
--- a/crates/verbenaslip-relay/src/forward/trace.rs
+++ b/crates/verbenaslip-relay/src/forward/trace.rs
@@ -10,8 +10,8 @@
 use verbenaslip_fleet::route_table::TeamConfig;
 use verbenaslip_fleet::view::{Version, View};
 
+use crate::event_log::{self, Kind};
 use crate::forward::job::Job;
-use crate::journal::{self, Kind};
 use crate::monotonic;
 
 /// One line a request, with what decided it.
@@ -103,7 +103,10 @@
         ("change", json!(stamp.change)),
         ("causes", json!(trace.causes)),
         ("objective_ms", json!(job.map(|job| job.route.objective.as_millis()))),
-        ("patience_ms", json!(job.and_then(|job| job.call.patience).map(|it| it.as_millis()))),
+        (
+            "patience_ms",
+            json!(job.and_then(|job| job.call.caller_timeout).map(|it| it.as_millis())),
+        ),
         ("rank", json!(job.map(|job| job.rank))),
         ("waited", json!(job.is_some_and(|job| job.waited))),
         ("expected_ms", json!(trace.expected.round())),
@@ -118,7 +121,7 @@
         ("revision", json!(view.revision())),
         ("view_age_ms", json!(age.map(|age| age.as_millis()))),
     ];
-    journal::say(ENDED, fields.into_iter().filter(|(_, value)| says_something(value)));
+    event_log::emit(ENDED, fields.into_iter().filter(|(_, value)| says_something(value)));
 }
 
 /// Returns the plan of a roll-out of the request's service, if there is one.
--- a/crates/verbenaslip-relay/src/http.rs
+++ b/crates/verbenaslip-relay/src/http.rs
@@ -4,20 +4,20 @@
 //! a connection after an answer must be seen in order not to be taken for the next one.
 
 pub mod body;
+pub mod connection;
 pub mod head;
 pub mod reader;
-pub mod wire;
 
 pub use body::{Decoder, Framing, Step};
-pub use head::{Field, Request, Response};
+pub use connection::Connection;
+pub use head::{Field, RequestHead, ResponseHead};
 pub use reader::Message;
-pub use wire::Wire;
 
 use displaydoc::Display;
 
 /// Says why bytes are no message that can be forwarded.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Fault {
+pub enum MessageError {
     /// the head is longer than allowed
     TooLong,
     /// the first line is not one of HTTP/1.1
@@ -40,4 +40,4 @@
     Slow,
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for MessageError {}
--- a/crates/verbenaslip-relay/src/http/body.rs
+++ b/crates/verbenaslip-relay/src/http/body.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 
-use crate::http::Fault;
+use crate::http::MessageError;
 
 /// The longest line of a chunk's size, or of a trailer, in bytes.
 const LINE: usize = 1 << 10;
@@ -78,7 +78,7 @@
     /// # Errors
     ///
     /// Refuses malformed chunks.
-    pub fn step(&mut self, bytes: &mut BytesMut) -> Result<Step, Fault> {
+    pub fn step(&mut self, bytes: &mut BytesMut) -> Result<Step, MessageError> {
         loop {
             match self.state {
                 State::End => return Ok(Step::End),
@@ -99,7 +99,7 @@
                         return Ok(Step::More);
                     }
                     if !bytes.starts_with(b"\r\n") {
-                        return Err(Fault::Chunk);
+                        return Err(MessageError::Chunk);
                     }
                     bytes.advance(2);
                     self.state = State::Size;
@@ -137,22 +137,22 @@
 }
 
 /// Takes one line that ends with CRLF.
-fn line(bytes: &mut BytesMut) -> Result<Option<Bytes>, Fault> {
+fn line(bytes: &mut BytesMut) -> Result<Option<Bytes>, MessageError> {
     let Some(end) = bytes.iter().position(|byte| *byte == b'\n') else {
-        return if bytes.len() > LINE { Err(Fault::Chunk) } else { Ok(None) };
+        return if bytes.len() > LINE { Err(MessageError::Chunk) } else { Ok(None) };
     };
     let whole = bytes.split_to(end + 1).freeze();
-    let line = whole.strip_suffix(b"\r\n").ok_or(Fault::Chunk)?;
+    let line = whole.strip_suffix(b"\r\n").ok_or(MessageError::Chunk)?;
     if line.len() > LINE || line.contains(&b'\r') {
-        return Err(Fault::Chunk);
+        return Err(MessageError::Chunk);
     }
     Ok(Some(whole.slice_ref(line)))
 }
 
 /// Reads the size of a chunk; an extension after it is allowed and means nothing.
-fn size(line: &[u8]) -> Result<u64, Fault> {
+fn size(line: &[u8]) -> Result<u64, MessageError> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
     let fits = (1..=15).contains(&digits.len()) && digits.iter().all(u8::is_ascii_hexdigit);
-    let text = std::str::from_utf8(digits).ok().filter(|_| fits).ok_or(Fault::Chunk)?;
-    u64::from_str_radix(text, 16).map_err(|_| Fault::Chunk)
+    let text = std::str::from_utf8(digits).ok().filter(|_| fits).ok_or(MessageError::Chunk)?;
+    u64::from_str_radix(text, 16).map_err(|_| MessageError::Chunk)
 }
--- a/crates/verbenaslip-relay/src/http/wire.rs
+++ b/crates/verbenaslip-relay/src/http/connection.rs
@@ -16,16 +16,16 @@
 
 /// Reads and writes one connection.
 #[derive(Debug)]
-pub struct Wire {
+pub struct Connection {
     stream: TcpStream,
     /// What has come and is not used yet.
-    pub bytes: BytesMut,
+    pub buffer: BytesMut,
 }
 
-impl Wire {
+impl Connection {
     /// Takes over a connection.
     pub fn new(stream: TcpStream) -> Self {
-        Self { stream, bytes: BytesMut::new() }
+        Self { stream, buffer: BytesMut::new() }
     }
 
     /// Reads what there is; zero at the end of the connection.
@@ -34,8 +34,8 @@
     ///
     /// Fails when the connection does.
     pub async fn fill(&mut self) -> io::Result<usize> {
-        self.bytes.reserve(ROOM);
-        self.stream.read_buf(&mut self.bytes).await
+        self.buffer.reserve(ROOM);
+        self.stream.read_buf(&mut self.buffer).await
     }
 
     /// Waits until there is something to read, or the connection has ended.
@@ -44,12 +44,12 @@
     ///
     /// Fails when the connection does.
     pub async fn readable(&self) -> io::Result<()> {
-        if self.bytes.is_empty() { self.stream.readable().await } else { Ok(()) }
+        if self.buffer.is_empty() { self.stream.readable().await } else { Ok(()) }
     }
 
     /// Returns the length of the whole head that has come, if it has.
-    pub fn head(&self) -> Option<usize> {
-        head::end(&self.bytes)
+    pub fn head_length(&self) -> Option<usize> {
+        head::end(&self.buffer)
     }
 
     /// Writes all of it.
@@ -65,7 +65,7 @@
     /// is kept.
     pub async fn gone(&mut self) {
         loop {
-            if self.bytes.len() >= AHEAD {
+            if self.buffer.len() >= AHEAD {
                 // More than one request ahead: whether it is gone shows when it is written to.
                 return std::future::pending().await;
             }
@@ -85,14 +85,14 @@
     ///
     /// Fails when the connection does.
     pub async fn exchange(&mut self, out: &[u8]) -> io::Result<Progress> {
-        self.bytes.reserve(ROOM);
+        self.buffer.reserve(ROOM);
         let (mut reader, mut writer) = self.stream.split();
         if out.is_empty() {
-            return Ok(Progress::Read(reader.read_buf(&mut self.bytes).await?));
+            return Ok(Progress::Read(reader.read_buf(&mut self.buffer).await?));
         }
         tokio::select! {
             written = writer.write(out) => Ok(Progress::Wrote(written?)),
-            read = reader.read_buf(&mut self.bytes) => Ok(Progress::Read(read?)),
+            read = reader.read_buf(&mut self.buffer) => Ok(Progress::Read(read?)),
         }
     }
 
@@ -101,11 +101,11 @@
         let mut byte = [0; 1];
         let read = self.stream.try_read(&mut byte);
         let waits = matches!(&read, Err(error) if error.kind() == io::ErrorKind::WouldBlock);
-        self.bytes.is_empty() && waits
+        self.buffer.is_empty() && waits
     }
 
     /// Ends the sending side, after all that was written.
-    pub async fn finish(&mut self) {
+    pub async fn shutdown(&mut self) {
         // The other side may be gone already, which is as good an end.
         let _ = self.stream.shutdown().await;
     }
--- a/crates/verbenaslip-relay/src/http/head.rs
+++ b/crates/verbenaslip-relay/src/http/head.rs
@@ -1,6 +1,6 @@
 //! Heads of requests and responses.
 
-use crate::http::Fault;
+use crate::http::MessageError;
 use crate::http::body::Framing;
 
 /// Holds one header field as it was written.
@@ -14,7 +14,7 @@
 
 /// Holds the head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Request {
+pub struct RequestHead {
     /// The method.
     pub method: Box<str>,
     /// Path and query, as they were written.
@@ -27,7 +27,7 @@
 
 /// Holds the head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Response {
+pub struct ResponseHead {
     /// The status.
     pub status: u16,
     /// The minor version: zero or one.
@@ -43,33 +43,33 @@
     bytes.windows(4).position(|four| four == b"\r\n\r\n").map(|at| at + 4)
 }
 
-impl Request {
+impl RequestHead {
     /// Reads a whole head.
     ///
     /// # Errors
     ///
     /// Refuses whatever another reader could understand differently: a request could otherwise be
     /// smuggled to an upstream inside another one's bytes.
-    pub fn parse(bytes: &[u8]) -> Result<Self, Fault> {
+    pub fn parse(bytes: &[u8]) -> Result<Self, MessageError> {
         let mut lines = lines(bytes)?;
-        let line = lines.next().ok_or(Fault::Line)?;
+        let line = lines.next().ok_or(MessageError::Line)?;
         let mut words = line.split(' ');
         let (method, target, version) = (words.next(), words.next(), words.next());
         let (Some(method), Some(target), Some(version), None) =
             (method, target, version, words.next())
         else {
-            return Err(Fault::Line);
+            return Err(MessageError::Line);
         };
         let method_fits = !method.is_empty() && method.bytes().all(is_token);
         let target_fits = target.starts_with('/') && target.bytes().all(|it| it.is_ascii_graphic());
         if !method_fits || !target_fits {
-            return Err(Fault::Line);
+            return Err(MessageError::Line);
         }
         let minor = minor(version)?;
         let fields = fields(lines)?;
         let request = Self { method: method.into(), target: target.into(), minor, fields };
         if request.all("host").count() != 1 {
-            return Err(Fault::Host);
+            return Err(MessageError::Host);
         }
         Ok(request)
     }
@@ -89,38 +89,39 @@
     /// # Errors
     ///
     /// Refuses a body whose length is given twice or in two ways.
-    pub fn framing(&self) -> Result<Framing, Fault> {
+    pub fn framing(&self) -> Result<Framing, MessageError> {
         let length = length(&self.fields)?;
         if !chunked(&self.fields)? {
             return Ok(length.map_or(Framing::Empty, Framing::Length));
         }
         if length.is_some() || self.minor == 0 {
-            return Err(Fault::Length);
+            return Err(MessageError::Length);
         }
         Ok(Framing::Chunked)
     }
 
     /// Tells whether the connection ends with this request.
-    pub fn closes(&self) -> bool {
+    pub fn closes_connection(&self) -> bool {
         self.minor == 0 || has_word(&self.fields, "connection", "close")
     }
 }
 
-impl Response {
+impl ResponseHead {
     /// Reads a whole head.
     ///
     /// # Errors
     ///
     /// Refuses what is no response.
-    pub fn parse(bytes: &[u8]) -> Result<Self, Fault> {
+    pub fn parse(bytes: &[u8]) -> Result<Self, MessageError> {
         let mut lines = lines(bytes)?;
-        let line = lines.next().ok_or(Fault::Line)?;
+        let line = lines.next().ok_or(MessageError::Line)?;
         let mut words = line.splitn(3, ' ');
         let (Some(version), Some(status)) = (words.next(), words.next()) else {
-            return Err(Fault::Line);
+            return Err(MessageError::Line);
         };
         let digits = status.len() == 3 && status.bytes().all(|it| it.is_ascii_digit());
-        let status = status.parse().ok().filter(|it| digits && *it >= 100).ok_or(Fault::Line)?;
+        let status =
+            status.parse().ok().filter(|it| digits && *it >= 100).ok_or(MessageError::Line)?;
         let (minor, reason) = (minor(version)?, words.next().unwrap_or_default().into());
         Ok(Self { status, minor, reason, fields: fields(lines)? })
     }
@@ -140,13 +141,13 @@
     /// # Errors
     ///
     /// Refuses a body whose length is given twice or in two ways.
-    pub fn framing(&self, method: &str) -> Result<Framing, Fault> {
+    pub fn framing(&self, method: &str) -> Result<Framing, MessageError> {
         let bare = matches!(self.status, 100..200 | 204 | 304) || method == "HEAD";
         let length = length(&self.fields)?;
         let chunked = chunked(&self.fields)?;
         match (bare, chunked, length) {
             (true, _, _) => Ok(Framing::Empty),
-            (false, true, Some(_)) => Err(Fault::Length),
+            (false, true, Some(_)) => Err(MessageError::Length),
             (false, true, None) => Ok(Framing::Chunked),
             (false, false, Some(length)) => Ok(Framing::Length(length)),
             (false, false, None) => Ok(Framing::Close),
@@ -154,7 +155,7 @@
     }
 
     /// Tells whether the connection ends with this response.
-    pub fn closes(&self) -> bool {
+    pub fn closes_connection(&self) -> bool {
         self.minor == 0 || has_word(&self.fields, "connection", "close")
     }
 }
@@ -195,54 +196,54 @@
 }
 
 /// Splits a head into lines; each must end with CRLF and hold no other control character.
-fn lines(bytes: &[u8]) -> Result<impl Iterator<Item = &str>, Fault> {
+fn lines(bytes: &[u8]) -> Result<impl Iterator<Item = &str>, MessageError> {
     let text = std::str::from_utf8(bytes);
-    let text = text.ok().and_then(|it| it.strip_suffix("\r\n\r\n")).ok_or(Fault::Control)?;
+    let text = text.ok().and_then(|it| it.strip_suffix("\r\n\r\n")).ok_or(MessageError::Control)?;
     let lines = text.split("\r\n");
     if lines.clone().any(|line| line.bytes().any(|it| it.is_ascii_control() && it != b'\t')) {
-        return Err(Fault::Control);
+        return Err(MessageError::Control);
     }
     Ok(lines)
 }
 
-fn fields<'a>(lines: impl Iterator<Item = &'a str>) -> Result<Vec<Field>, Fault> {
+fn fields<'a>(lines: impl Iterator<Item = &'a str>) -> Result<Vec<Field>, MessageError> {
     lines.map(field).collect()
 }
 
-fn field(line: &str) -> Result<Field, Fault> {
-    let (name, value) = line.split_once(':').ok_or(Fault::Field)?;
+fn field(line: &str) -> Result<Field, MessageError> {
+    let (name, value) = line.split_once(':').ok_or(MessageError::Field)?;
     // A name with white space before the colon, and a line that goes on with the one before it, are
     // read by some as one thing and by some as another.
     if name.is_empty() || !name.bytes().all(is_token) {
-        return Err(Fault::Field);
+        return Err(MessageError::Field);
     }
     Ok(Field { name: name.into(), value: value.trim_matches([' ', '\t']).as_bytes().into() })
 }
 
-fn minor(version: &str) -> Result<u8, Fault> {
+fn minor(version: &str) -> Result<u8, MessageError> {
     match version {
         "HTTP/1.1" => Ok(1),
         "HTTP/1.0" => Ok(0),
-        _ => Err(Fault::Line),
+        _ => Err(MessageError::Line),
     }
 }
 
-fn length(fields: &[Field]) -> Result<Option<u64>, Fault> {
+fn length(fields: &[Field]) -> Result<Option<u64>, MessageError> {
     let mut given = all(fields, "content-length");
     let Some(field) = given.next() else { return Ok(None) };
     let digits = !field.value.is_empty() && field.value.iter().all(u8::is_ascii_digit);
     let value = std::str::from_utf8(&field.value).ok().and_then(|it| it.parse().ok());
     match (value, given.next()) {
         (Some(value), None) if digits => Ok(Some(value)),
-        _ => Err(Fault::Length),
+        _ => Err(MessageError::Length),
     }
 }
 
-fn chunked(fields: &[Field]) -> Result<bool, Fault> {
+fn chunked(fields: &[Field]) -> Result<bool, MessageError> {
     let mut given = all(fields, "transfer-encoding");
     let Some(field) = given.next() else { return Ok(false) };
     let only = given.next().is_none() && field.value.eq_ignore_ascii_case(b"chunked");
-    if only { Ok(true) } else { Err(Fault::Coding) }
+    if only { Ok(true) } else { Err(MessageError::Coding) }
 }
 
 fn is_token(byte: u8) -> bool {
--- a/crates/verbenaslip-relay/src/http/reader.rs
+++ b/crates/verbenaslip-relay/src/http/reader.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 use verbenaslip_fleet::route_table::RequestLimits;
 
-use crate::http::{Decoder, Fault, Request, Step, Wire, head};
+use crate::http::{Connection, Decoder, MessageError, RequestHead, Step, head};
 
 /// How long an idle connection of a caller is kept beyond the time that callers know of, so that a
 /// request sent in time does not meet its closing.
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub struct Message {
     /// Its head.
-    pub head: Request,
+    pub head: RequestHead,
     /// Its body.
     pub body: Bytes,
     /// When it was whole.
@@ -25,7 +25,7 @@
 }
 
 /// Waits for the first byte of a request; false when the caller closes or stays idle.
-pub async fn begun(caller: &mut Wire, limits: &RequestLimits) -> bool {
+pub async fn begun(caller: &mut Connection, limits: &RequestLimits) -> bool {
     let filled = within(limits.idle_timeout + GRACE, caller.fill()).await;
     matches!(filled, Some(Ok(count)) if count > 0)
 }
@@ -35,14 +35,17 @@
 /// # Errors
 ///
 /// Says what is wrong with the request; the connection can't be used any further.
-pub async fn read(caller: &mut Wire, limits: &RequestLimits) -> Result<Option<Message>, Fault> {
-    if caller.bytes.is_empty() && !begun(caller, limits).await {
+pub async fn read_request(
+    caller: &mut Connection,
+    limits: &RequestLimits,
+) -> Result<Option<Message>, MessageError> {
+    if caller.buffer.is_empty() && !begun(caller, limits).await {
         return Ok(None);
     }
     let started = Instant::now();
     let Some(end) = head_end(caller, limits, started).await? else { return Ok(None) };
-    let head = Request::parse(&caller.bytes[..end])?;
-    caller.bytes.advance(end);
+    let head = RequestHead::parse(&caller.buffer[..end])?;
+    caller.buffer.advance(end);
     let mut decoder = Decoder::new(head.framing()?);
     if head::has_word(&head.fields, "expect", "100-continue") {
         // If the caller is gone the next read tells.
@@ -50,16 +53,16 @@
     }
     let mut body = BytesMut::new();
     loop {
-        match decoder.step(&mut caller.bytes)? {
+        match decoder.step(&mut caller.buffer)? {
             Step::Data(piece) if body.len() + piece.len() > limits.max_body_bytes => {
-                return Err(Fault::TooLarge);
+                return Err(MessageError::TooLarge);
             }
             Step::Data(piece) => body.extend_from_slice(&piece),
             Step::End => break,
             Step::More => match within(limits.idle_timeout, caller.fill()).await {
                 Some(Ok(count)) if count > 0 => {}
                 Some(_) => return Ok(None),
-                None => return Err(Fault::Slow),
+                None => return Err(MessageError::Slow),
             },
         }
     }
@@ -68,29 +71,33 @@
 
 /// Waits for a whole head and returns its length; none when the caller closes.
 async fn head_end(
-    caller: &mut Wire,
+    caller: &mut Connection,
     limits: &RequestLimits,
     started: Instant,
-) -> Result<Option<usize>, Fault> {
+) -> Result<Option<usize>, MessageError> {
     loop {
         // An empty line before a request is allowed and means nothing.
-        while caller.bytes.starts_with(b"\r\n") {
-            caller.bytes.advance(2);
+        while caller.buffer.starts_with(b"\r\n") {
+            caller.buffer.advance(2);
         }
-        if let Some(end) = caller.head() {
-            return if end > limits.max_head_bytes { Err(Fault::TooLong) } else { Ok(Some(end)) };
+        if let Some(end) = caller.head_length() {
+            return if end > limits.max_head_bytes {
+                Err(MessageError::TooLong)
+            } else {
+                Ok(Some(end))
+            };
         }
-        if caller.bytes.len() > limits.max_head_bytes {
-            return Err(Fault::TooLong);
+        if caller.buffer.len() > limits.max_head_bytes {
+            return Err(MessageError::TooLong);
         }
-        if has_bare_line_end(&caller.bytes) {
-            return Err(Fault::Control);
+        if has_bare_line_end(&caller.buffer) {
+            return Err(MessageError::Control);
         }
         let left = limits.head_timeout.saturating_sub(started.elapsed());
         match within(left, caller.fill()).await {
             Some(Ok(count)) if count > 0 => {}
             Some(_) => return Ok(None),
-            None => return Err(Fault::Slow),
+            None => return Err(MessageError::Slow),
         }
     }
 }
--- a/crates/verbenaslip-relay/src/lib.rs
+++ b/crates/verbenaslip-relay/src/lib.rs
@@ -19,14 +19,14 @@
 //!
 //! What happened goes out through [`journal`] as structured lines, and as metrics.
 
-pub mod board;
 pub mod dialect;
+pub mod event_log;
 pub mod forward;
 pub mod http;
-pub mod journal;
 pub mod monotonic;
 pub mod policy;
 pub mod server;
+pub mod shared;
 pub mod socket;
 
 pub use server::Server;
--- a/crates/verbenaslip-relay/src/monotonic.rs
+++ b/crates/verbenaslip-relay/src/monotonic.rs
@@ -15,7 +15,7 @@
 }
 
 /// Returns what the machine's clock shows, in Unix milliseconds.
-pub fn unix() -> u64 {
+pub fn unix_ms() -> u64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     // A clock before 1970 counts as its beginning; the fleet's agreed time replaces it anyway.
     u64::try_from(since.unwrap_or_default().as_millis()).unwrap_or(u64::MAX)
--- a/crates/verbenaslip-relay/src/policy/cache.rs
+++ b/crates/verbenaslip-relay/src/policy/cache.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::dialect::Part;
+use crate::dialect::PromptPart;
 
 /// Parts that are remembered of one upstream; beyond that the oldest half is forgotten.
 const PARTS: usize = 4_096;
@@ -20,15 +20,15 @@
 
 impl Cache {
     /// Returns the tokens at the start of a prompt that the upstream is likely to hold.
-    pub fn held(&self, now: Duration, parts: &[Part]) -> u64 {
-        let fresh = |part: &&Part| {
+    pub fn held(&self, now: Duration, parts: &[PromptPart]) -> u64 {
+        let fresh = |part: &&PromptPart| {
             self.parts.get(&part.id).is_some_and(|at| now.saturating_sub(*at) < LASTS)
         };
         parts.iter().take_while(fresh).map(|part| u64::from(part.tokens)).sum()
     }
 
     /// Notes that a prompt was sent there.
-    pub fn note(&mut self, now: Duration, parts: &[Part]) {
+    pub fn note(&mut self, now: Duration, parts: &[PromptPart]) {
         if self.parts.len() + parts.len() > PARTS {
             let mut times: Vec<Duration> = self.parts.values().copied().collect();
             times.sort_unstable();
--- a/crates/verbenaslip-relay/src/policy/notice.rs
+++ b/crates/verbenaslip-relay/src/policy/notice.rs
@@ -11,7 +11,7 @@
 use verbenaslip_fleet::limit::{Limit, Observation, TimeSlot};
 use verbenaslip_fleet::registry::Run;
 
-use crate::dialect::{RateLimit, Reply};
+use crate::dialect::{RateLimit, ResponseInfo};
 use crate::policy::limit::Limiter;
 use crate::policy::rest::Rest;
 
@@ -96,16 +96,16 @@
         at: Moment,
         run: &Run,
         sent: Duration,
-        reply: &Reply,
+        reply: &ResponseInfo,
     ) -> Vec<Change> {
-        let limits = reply.limit != RateLimit::Unlimited;
-        let asks = limits || reply.rest.is_some() || reply.leaving;
+        let limits = reply.rate_limit != RateLimit::Unlimited;
+        let asks = limits || reply.cooldown.is_some() || reply.leaving;
         if !asks && !self.notices.contains_key(run) {
             return Vec::new();
         }
         let notice = self.notices.entry(run.clone()).or_insert_with(|| Notice::open(at));
         notice.answered = at.now;
-        let limit = notice.take_limit(at, sent, reply.limit, self.turn).map(Change::Limit);
+        let limit = notice.take_limit(at, sent, reply.rate_limit, self.turn).map(Change::Limit);
         let rest = notice.take_rest(at, sent, reply);
         let leaves = reply.leaving && !std::mem::replace(&mut notice.leaving, true);
         let leaving = leaves.then_some(Change::Leaving);
@@ -252,8 +252,8 @@
         }
     }
 
-    fn take_rest(&mut self, at: Moment, sent: Duration, reply: &Reply) -> Option<Change> {
-        if let Some(length) = reply.rest {
+    fn take_rest(&mut self, at: Moment, sent: Duration, reply: &ResponseInfo) -> Option<Change> {
+        if let Some(length) = reply.cooldown {
             self.rest = Some(Rest::open(at.now, length));
             return Some(Change::Rest(Some(length)));
         }
--- a/crates/verbenaslip-relay/src/policy/place.rs
+++ b/crates/verbenaslip-relay/src/policy/place.rs
@@ -14,7 +14,7 @@
 use verbenaslip_fleet::registry::{Announcement, Record, Run, Status};
 use verbenaslip_fleet::rollout::{Cohort, Plans};
 
-use crate::dialect::Part;
+use crate::dialect::PromptPart;
 use crate::policy::notice::Notices;
 use crate::policy::pace::Lag;
 use crate::policy::place::choice::Lane;
@@ -443,7 +443,7 @@
 }
 
 /// Returns the parts that other requests may share: all but the last.
-fn shared(parts: &[Part]) -> &[Part] {
+fn shared(parts: &[PromptPart]) -> &[PromptPart] {
     parts.split_last().map_or(&[], |(_, shared)| shared)
 }
 
--- a/crates/verbenaslip-relay/src/policy/place/choice.rs
+++ b/crates/verbenaslip-relay/src/policy/place/choice.rs
@@ -7,7 +7,7 @@
 use verbenaslip_fleet::registry::Run;
 use verbenaslip_fleet::rollout::Cohort;
 
-use crate::dialect::Part;
+use crate::dialect::PromptPart;
 use crate::policy::notice::Restriction;
 use crate::policy::versions::{Ticket, Tracks};
 
@@ -22,7 +22,7 @@
     /// Its rank; zero is the most urgent.
     pub rank: u8,
     /// The parts of its prompt.
-    pub parts: &'a [Part],
+    pub parts: &'a [PromptPart],
     /// The tokens of its prompt.
     pub prompt: u64,
     /// Runs of upstreams where it must not go: it was sent there already.
--- a/crates/verbenaslip-relay/src/policy/place/restrict.rs
+++ b/crates/verbenaslip-relay/src/policy/place/restrict.rs
@@ -7,7 +7,7 @@
 use verbenaslip_fleet::limit::Observation;
 use verbenaslip_fleet::registry::Run;
 
-use crate::dialect::Reply;
+use crate::dialect::ResponseInfo;
 use crate::policy::notice::{Change, Moment, Restriction};
 use crate::policy::pace::Pace;
 use crate::policy::place::{Busy, Cause, Choice, Placement, Query};
@@ -40,7 +40,7 @@
         now: Duration,
         choice: &Choice,
         sent: Duration,
-        reply: &Reply,
+        reply: &ResponseInfo,
     ) -> Vec<Change> {
         let at = self.moment(now);
         self.notices.answered(at, &choice.run, sent, reply)
--- a/crates/verbenaslip-relay/src/server.rs
+++ b/crates/verbenaslip-relay/src/server.rs
@@ -17,35 +17,35 @@
 use verbenaslip_base::name::AvailabilityZone;
 use verbenaslip_fleet::route_table::RequestLimits;
 
-use crate::board::Board;
 use crate::dialect::Dialect;
 use crate::forward::answer;
 use crate::forward::context::Context;
 use crate::forward::crash;
 use crate::forward::life::{self, After};
-use crate::http::{Wire, reader};
+use crate::http::{Connection, reader};
 use crate::policy::retry::Bounds;
+use crate::shared::SharedState;
 use crate::{monotonic, socket};
 
 /// Time between two sweeps of idle connections.
 const SWEEP: Duration = Duration::from_secs(1);
 
 /// Sets the forwarding face up.
-pub struct Setup {
+pub struct Config {
     /// Where callers connect.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Where the balancer asks whether new callers may come.
-    pub ready: SocketAddr,
+    pub readiness_address: SocketAddr,
     /// Where this instance runs.
     pub zone: AvailabilityZone,
     /// The most connections of callers at once.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Bounds repeated arrivals.
-    pub retries: Bounds,
+    pub retry_bounds: Bounds,
     /// The length of a window of usage.
-    pub window: Duration,
+    pub usage_window: Duration,
     /// What is shared with the control thread.
-    pub board: Arc<Board>,
+    pub shared: Arc<SharedState>,
     /// The deployment's header names.
     pub dialect: Arc<dyn Dialect>,
 }
@@ -61,12 +61,12 @@
     /// # Errors
     ///
     /// Fails when an address can't be listened on.
-    pub fn spawn(setup: Setup) -> io::Result<Self> {
+    pub fn spawn(setup: Config) -> io::Result<Self> {
         let active = Arc::new(AtomicUsize::new(0));
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let (callers, ready) = {
             let _guard = runtime.enter();
-            (socket::listen(setup.callers)?, socket::listen(setup.ready)?)
+            (socket::listen(setup.caller_address)?, socket::listen(setup.readiness_address)?)
         };
         let counter = active.clone();
         thread::Builder::new().name("traffic".into()).spawn(move || {
@@ -77,13 +77,21 @@
     }
 
     /// Returns how many requests are under way.
-    pub fn active(&self) -> usize {
+    pub fn active_requests(&self) -> usize {
         self.active.load(Ordering::Relaxed)
     }
 }
 
-async fn run(setup: Setup, callers: TcpListener, ready: TcpListener, active: Arc<AtomicUsize>) {
-    let Setup { zone, connections, retries, window, board, dialect, .. } = setup;
+async fn run(setup: Config, callers: TcpListener, ready: TcpListener, active: Arc<AtomicUsize>) {
+    let Config {
+        zone,
+        max_connections: connections,
+        retry_bounds: retries,
+        usage_window: window,
+        shared: board,
+        dialect,
+        ..
+    } = setup;
     let (signs, looked_at) = mpsc::unbounded_channel();
     let context = Rc::new(Context::open(board.clone(), dialect, zone, retries, window, signs));
     tokio::task::spawn_local(crash::watch(looked_at, board.clone()));
@@ -115,21 +123,21 @@
 /// Serves the requests of one connection, one after the other.
 async fn connection(context: &Context, stream: TcpStream, active: &AtomicUsize) {
     // A connection that ended before it was accepted is served by its end.
-    if socket::tune(&stream).is_err() {
+    if socket::set_options(&stream).is_err() {
         return;
     }
-    let mut caller = Wire::new(stream);
+    let mut caller = Connection::new(stream);
     loop {
         let limits = limits(context);
-        if caller.bytes.is_empty() {
+        if caller.buffer.is_empty() {
             // An idle connection is closed once new requests are refused; its caller comes back
             // over another instance.
             tokio::select! {
                 there = reader::begun(&mut caller, &limits) => if !there { return },
-                () = context.board.closed() => return caller.finish().await,
+                () = context.board.closed() => return caller.shutdown().await,
             }
         }
-        let whole = match reader::read(&mut caller, &limits).await {
+        let whole = match reader::read_request(&mut caller, &limits).await {
             Ok(Some(whole)) => whole,
             Ok(None) => return,
             Err(fault) => {
@@ -139,13 +147,13 @@
                 return linger(&mut caller).await;
             }
         };
-        let closes = whole.head.closes() || context.board.is_draining();
+        let closes = whole.head.closes_connection() || context.board.is_draining();
         active.fetch_add(1, Ordering::Relaxed);
         let after = life::serve(context, &mut caller, &whole, closes).await;
         active.fetch_sub(1, Ordering::Relaxed);
         if after == After::Close {
             if closes {
-                caller.finish().await;
+                caller.shutdown().await;
             }
             return;
         }
@@ -159,30 +167,30 @@
 
 /// Reads on for a moment after a refusal; closed with unread bytes the connection would be reset,
 /// and the caller could miss its answer.
-async fn linger(caller: &mut Wire) {
-    caller.finish().await;
+async fn linger(caller: &mut Connection) {
+    caller.shutdown().await;
     let until = Instant::now() + Duration::from_millis(500);
     while let Ok(Ok(count)) = tokio::time::timeout_at(until, caller.fill()).await {
         if count == 0 {
             return;
         }
-        caller.bytes.clear();
+        caller.buffer.clear();
     }
 }
 
 /// Tells the balancer whether new callers may come.
-async fn answer_probes(listener: TcpListener, board: Arc<Board>) {
+async fn answer_probes(listener: TcpListener, board: Arc<SharedState>) {
     loop {
         let stream = socket::accept(&listener).await;
         tokio::task::spawn_local(probe(stream, board.clone()));
     }
 }
 
-async fn probe(stream: TcpStream, board: Arc<Board>) {
-    let mut wire = Wire::new(stream);
+async fn probe(stream: TcpStream, board: Arc<SharedState>) {
+    let mut wire = Connection::new(stream);
     loop {
-        while let Some(end) = wire.head() {
-            wire.bytes.advance(end);
+        while let Some(end) = wire.head_length() {
+            wire.buffer.advance(end);
             let status = if board.is_ready() { "200 OK" } else { "503 Service Unavailable" };
             let answer = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
             if wire.send(answer.as_bytes()).await.is_err() {
@@ -190,7 +198,7 @@
             }
         }
         let filled = reader::within(Duration::from_secs(10), wire.fill()).await;
-        if !matches!(filled, Some(Ok(count)) if count > 0) || wire.bytes.len() > 8 << 10 {
+        if !matches!(filled, Some(Ok(count)) if count > 0) || wire.buffer.len() > 8 << 10 {
             return;
         }
     }
--- a/crates/verbenaslip-relay/src/board.rs
+++ b/crates/verbenaslip-relay/src/shared.rs
@@ -24,7 +24,7 @@
 
 /// Shares the view of the fleet one way, and counts the other.
 #[derive(Debug, Default)]
-pub struct Board {
+pub struct SharedState {
     view: Mutex<Arc<View>>,
     tally: Mutex<UsageCounter>,
     loans: Mutex<Loans>,
@@ -32,7 +32,7 @@
     borrows: Notify,
     /// Milliseconds of engine time that were asked for since the start, by service.
     work: Mutex<Totals>,
-    met: Mutex<Experience>,
+    met: Mutex<Observations>,
     versions: Mutex<Versions>,
     /// The limits of upstreams, as far as they are known here.
     limits: Mutex<Limits>,
@@ -45,14 +45,14 @@
     shown: Notify,
 }
 
-impl Board {
+impl SharedState {
     /// Returns the newest view.
     pub fn view(&self) -> Arc<View> {
         lock(&self.view).clone()
     }
 
     /// Shows a new view.
-    pub fn show(&self, view: View) {
+    pub fn set_view(&self, view: View) {
         *lock(&self.view) = Arc::new(view);
         self.shown.notify_waiters();
     }
@@ -90,12 +90,12 @@
     }
 
     /// Returns once there is something to ask the leader for.
-    pub async fn borrows(&self) {
+    pub async fn wait_for_loan_requests(&self) {
         self.borrows.notified().await;
     }
 
     /// Takes what is to be asked for.
-    pub fn take_loans(&self) -> Vec<LoanRequest> {
+    pub fn take_loan_requests(&self) -> Vec<LoanRequest> {
         let mut loans = lock(&self.loans);
         let now = monotonic::now();
         loans.waiting.retain(|_, it| now.saturating_sub(it.at) <= ANSWERED);
@@ -103,7 +103,7 @@
     }
 
     /// Hands out what the leader has lent.
-    pub fn lend(&self, lent: Vec<LoanGrant>) {
+    pub fn deliver_loan_grants(&self, lent: Vec<LoanGrant>) {
         for lent in lent {
             let waiting = lock(&self.loans).waiting.remove(&lent.id);
             let Some(Borrower { team, answer, .. }) = waiting else { continue };
@@ -177,17 +177,17 @@
     }
 
     /// Returns once there is something that requests met.
-    pub async fn meets(&self) {
+    pub async fn wait_for_observations(&self) {
         self.meets.notified().await;
     }
 
     /// Takes what requests met since it was last asked for.
-    pub fn take_sightings(&self) -> Experience {
+    pub fn take_observations(&self) -> Observations {
         std::mem::take(&mut *lock(&self.met))
     }
 
     /// Collects the next report.
-    pub fn report(&self) -> Report {
+    pub fn take_report(&self) -> Report {
         let refunds = self.take_refunds();
         let work = lock(&self.work);
         let work = work
@@ -210,7 +210,7 @@
     }
 
     /// Begins the planned stop: no new connection shall come.
-    pub fn drain(&self) {
+    pub fn start_draining(&self) {
         self.draining.store(true, Ordering::Relaxed);
     }
 
@@ -223,20 +223,20 @@
     ///
     /// A request on a kept connection would otherwise be taken until the very end, and cut off when
     /// the process ends; refused as not run it is answered by another instance.
-    pub fn close(&self) {
+    pub fn stop_admitting(&self) {
         self.closing.store(true, Ordering::Relaxed);
         self.closed.notify_waiters();
     }
 
     /// Tells whether new requests are refused.
-    pub fn is_closing(&self) -> bool {
+    pub fn has_stopped_admitting(&self) -> bool {
         self.closing.load(Ordering::Relaxed)
     }
 
     /// Returns once new requests are refused.
     pub async fn closed(&self) {
         let closed = self.closed.notified();
-        if !self.is_closing() {
+        if !self.has_stopped_admitting() {
             closed.await;
         }
     }
@@ -249,7 +249,7 @@
 
 /// Holds what requests met that the leader is to hear of.
 #[derive(Debug, Default)]
-pub struct Experience {
+pub struct Observations {
     /// Upstreams that ended while they ran them.
     pub crashes: Vec<ObservedCrash>,
     /// Answers to requests that are suspected or held back.
--- a/crates/verbenaslip-relay/src/socket.rs
+++ b/crates/verbenaslip-relay/src/socket.rs
@@ -30,10 +30,10 @@
 /// # Errors
 ///
 /// Fails when the address does not answer, or not in time.
-pub async fn dial(address: SocketAddr, limit: Duration) -> io::Result<TcpStream> {
+pub async fn connect(address: SocketAddr, limit: Duration) -> io::Result<TcpStream> {
     let stream = tokio::time::timeout(limit, TcpStream::connect(address));
     let stream = stream.await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    tune(&stream)?;
+    set_options(&stream)?;
     Ok(stream)
 }
 
@@ -67,7 +67,7 @@
 /// # Errors
 ///
 /// Fails when the connection has ended meanwhile.
-pub fn tune(stream: &TcpStream) -> io::Result<()> {
+pub fn set_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
--- a/crates/verbenaslip-relay/tests/desk/mod.rs
+++ b/crates/verbenaslip-relay/tests/desk/mod.rs
@@ -9,19 +9,19 @@
 use verbenaslip_base::name::{AvailabilityZone, Upstream};
 use verbenaslip_fleet::View;
 use verbenaslip_fleet::registry::{Announcement, Record, Run, Status};
-use verbenaslip_relay::dialect::{RateLimit, Reply};
+use verbenaslip_relay::dialect::{RateLimit, ResponseInfo};
 use verbenaslip_relay::policy::place::{Choice, Placement, Query, Verdict};
 use verbenaslip_relay::policy::versions::Tracks;
 
 /// An answer by which nothing is asked for.
-pub const REPLY: Reply = Reply {
-    own: true,
+pub const REPLY: ResponseInfo = ResponseInfo {
+    matches_request: true,
     not_run: false,
     other_run: false,
-    encoded: false,
-    limit: RateLimit::Unlimited,
+    unrequested_encoding: false,
+    rate_limit: RateLimit::Unlimited,
     leaving: false,
-    rest: None,
+    cooldown: None,
 };
 
 pub fn run(number: u16, incarnation: u64) -> Run {
--- a/crates/verbenaslip-relay/tests/http.rs
+++ b/crates/verbenaslip-relay/tests/http.rs
@@ -1,10 +1,10 @@
 //! Heads and bodies as literal bytes: what is taken, and what is refused.
 
 use bytes::BytesMut;
-use verbenaslip_relay::http::{Decoder, Fault, Framing, Request, Response, Step};
+use verbenaslip_relay::http::{Decoder, Framing, MessageError, RequestHead, ResponseHead, Step};
 
-fn request(bytes: &str) -> Result<Request, Fault> {
-    Request::parse(bytes.as_bytes())
+fn request(bytes: &str) -> Result<RequestHead, MessageError> {
+    RequestHead::parse(bytes.as_bytes())
 }
 
 #[test]
@@ -12,19 +12,19 @@
     // Symptom: an upstream runs a request that no caller sent. Sequence: a request's end is read at
     // one place here and at another there. Cause: a lenient reader.
     let cases = [
-        ("GET / HTTP/1.1\nHost: a\r\n\r\n", Fault::Control),
-        ("GET / HTTP/1.1\r\nHost: a\nX: b\r\n\r\n", Fault::Control),
-        ("GET / HTTP/1.1\r\nHost: a\rX: b\r\n\r\n", Fault::Control),
-        ("GET / HTTP/1.1\r\nHost: a\0\r\n\r\n", Fault::Control),
-        ("GET / HTTP/1.1\r\nHost: a\r\n folded\r\n\r\n", Fault::Field),
-        ("GET / HTTP/1.1\r\nHost : a\r\n\r\n", Fault::Field),
-        ("GET / HTTP/1.1\r\nHost: a\r\nno colon\r\n\r\n", Fault::Field),
-        ("GET / HTTP/1.1\r\n\r\n", Fault::Host),
-        ("GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", Fault::Host),
-        ("GET  / HTTP/1.1\r\nHost: a\r\n\r\n", Fault::Line),
-        ("GET / HTTP/2.0\r\nHost: a\r\n\r\n", Fault::Line),
-        ("GET http://a/ HTTP/1.1\r\nHost: a\r\n\r\n", Fault::Line),
-        ("G(T / HTTP/1.1\r\nHost: a\r\n\r\n", Fault::Line),
+        ("GET / HTTP/1.1\nHost: a\r\n\r\n", MessageError::Control),
+        ("GET / HTTP/1.1\r\nHost: a\nX: b\r\n\r\n", MessageError::Control),
+        ("GET / HTTP/1.1\r\nHost: a\rX: b\r\n\r\n", MessageError::Control),
+        ("GET / HTTP/1.1\r\nHost: a\0\r\n\r\n", MessageError::Control),
+        ("GET / HTTP/1.1\r\nHost: a\r\n folded\r\n\r\n", MessageError::Field),
+        ("GET / HTTP/1.1\r\nHost : a\r\n\r\n", MessageError::Field),
+        ("GET / HTTP/1.1\r\nHost: a\r\nno colon\r\n\r\n", MessageError::Field),
+        ("GET / HTTP/1.1\r\n\r\n", MessageError::Host),
+        ("GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", MessageError::Host),
+        ("GET  / HTTP/1.1\r\nHost: a\r\n\r\n", MessageError::Line),
+        ("GET / HTTP/2.0\r\nHost: a\r\n\r\n", MessageError::Line),
+        ("GET http://a/ HTTP/1.1\r\nHost: a\r\n\r\n", MessageError::Line),
+        ("G(T / HTTP/1.1\r\nHost: a\r\n\r\n", MessageError::Line),
     ];
     for (bytes, fault) in cases {
         assert_eq!(request(bytes), Err(fault), "{bytes:?}");
@@ -34,12 +34,12 @@
 #[test]
 fn a_body_delimited_in_two_ways_is_refused() {
     let cases = [
-        ("Content-Length: 3\r\nContent-Length: 3", Err(Fault::Length)),
-        ("Content-Length: 3\r\nTransfer-Encoding: chunked", Err(Fault::Length)),
-        ("Content-Length: +3", Err(Fault::Length)),
-        ("Content-Length: 3, 3", Err(Fault::Length)),
-        ("Transfer-Encoding: gzip, chunked", Err(Fault::Coding)),
-        ("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked", Err(Fault::Coding)),
+        ("Content-Length: 3\r\nContent-Length: 3", Err(MessageError::Length)),
+        ("Content-Length: 3\r\nTransfer-Encoding: chunked", Err(MessageError::Length)),
+        ("Content-Length: +3", Err(MessageError::Length)),
+        ("Content-Length: 3, 3", Err(MessageError::Length)),
+        ("Transfer-Encoding: gzip, chunked", Err(MessageError::Coding)),
+        ("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked", Err(MessageError::Coding)),
         ("Content-Length: 3", Ok(Framing::Length(3))),
         ("Transfer-Encoding: Chunked", Ok(Framing::Chunked)),
         ("X: 1", Ok(Framing::Empty)),
@@ -53,7 +53,7 @@
 #[test]
 fn an_answer_without_a_length_ends_with_its_connection() {
     let head =
-        |fields: &str| Response::parse(format!("HTTP/1.1 200 OK\r\n{fields}\r\n").as_bytes());
+        |fields: &str| ResponseHead::parse(format!("HTTP/1.1 200 OK\r\n{fields}\r\n").as_bytes());
     let framing = |fields: &str, method| head(fields).and_then(|head| head.framing(method));
     assert_eq!(framing("", "GET"), Ok(Framing::Close));
     assert_eq!(framing("Content-Length: 5\r\n", "HEAD"), Ok(Framing::Empty));
@@ -65,7 +65,7 @@
 #[test]
 fn what_is_no_response_is_refused() {
     for bytes in ["HTTP/1.1 20 OK\r\n\r\n", "garbage\r\n\r\n", "HTTP/1.1\r\n\r\n"] {
-        assert!(Response::parse(bytes.as_bytes()).is_err(), "{bytes:?}");
+        assert!(ResponseHead::parse(bytes.as_bytes()).is_err(), "{bytes:?}");
     }
 }
 
@@ -73,7 +73,7 @@
 type Decoded = (Vec<u8>, bool, usize);
 
 /// Decodes bytes that come one by one, which must make no difference.
-fn decode(framing: Framing, bytes: &[u8]) -> Result<Decoded, Fault> {
+fn decode(framing: Framing, bytes: &[u8]) -> Result<Decoded, MessageError> {
     let mut decoder = Decoder::new(framing);
     let (mut body, mut have) = (Vec::new(), BytesMut::new());
     for (index, byte) in bytes.iter().enumerate() {
@@ -104,6 +104,10 @@
     for bytes in
         ["5\nhello\r\n", "x\r\n", "5\r\nhelloXX", "-1\r\n", "ffffffffffffffffff\r\n", "\r\n"]
     {
-        assert_eq!(decode(Framing::Chunked, bytes.as_bytes()), Err(Fault::Chunk), "{bytes:?}");
+        assert_eq!(
+            decode(Framing::Chunked, bytes.as_bytes()),
+            Err(MessageError::Chunk),
+            "{bytes:?}"
+        );
     }
 }
--- a/crates/verbenaslip-relay/tests/limit.rs
+++ b/crates/verbenaslip-relay/tests/limit.rs
@@ -13,7 +13,7 @@
 use verbenaslip_fleet::View;
 use verbenaslip_fleet::limit::{Limit, Limits, TimeSlot};
 use verbenaslip_fleet::registry::Run;
-use verbenaslip_relay::dialect::{RateLimit, Reply};
+use verbenaslip_relay::dialect::{RateLimit, ResponseInfo};
 use verbenaslip_relay::policy::limit::Limiter;
 use verbenaslip_relay::policy::notice::{Change, Restriction};
 use verbenaslip_relay::policy::place::{Cause, Ending, Placement, Verdict};
@@ -35,8 +35,8 @@
     }
 }
 
-fn reply(limit: RateLimit) -> Reply {
-    Reply { limit, ..desk::REPLY }
+fn reply(limit: RateLimit) -> ResponseInfo {
+    ResponseInfo { rate_limit: limit, ..desk::REPLY }
 }
 
 /// Plays a fleet of entries before upstreams, the first of which names limits.
--- a/crates/verbenaslip-relay/tests/notice.rs
+++ b/crates/verbenaslip-relay/tests/notice.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use desk::{REPLY, query, run, view};
-use verbenaslip_relay::dialect::Reply;
+use verbenaslip_relay::dialect::ResponseInfo;
 use verbenaslip_relay::policy::notice::{Change, Restriction};
 use verbenaslip_relay::policy::place::{Cause, Choice, Ending, Placement, Verdict};
 
@@ -24,7 +24,8 @@
     rest: Option<u64>,
 ) {
     let turned_away = rest.is_some();
-    let reply = Reply { not_run: turned_away, rest: rest.map(Duration::from_secs), ..REPLY };
+    let reply =
+        ResponseInfo { not_run: turned_away, cooldown: rest.map(Duration::from_secs), ..REPLY };
     entry.answered(now, choice, sent, &reply);
     let ending = if turned_away { Ending::Resting } else { Ending::Complete };
     entry.end(now, choice, ending, (!turned_away).then_some(Duration::from_millis(15)));
@@ -91,7 +92,7 @@
     // Guards against a request every few milliseconds once the first rest is over.
     let mut entry = resting();
     let probe = go(&mut entry, SECOND * 4, true).expect("the rest is over");
-    let reply = Reply { not_run: true, ..REPLY };
+    let reply = ResponseInfo { not_run: true, ..REPLY };
     assert_eq!(entry.answered(SECOND * 4, &probe, SECOND * 4, &reply), []);
     assert!(go(&mut entry, SECOND * 6, true).is_none());
     assert!(go(&mut entry, SECOND * 7, true).is_some());
@@ -148,7 +149,8 @@
     // Guards against a log line for each answer.
     let mut entry = open(1);
     let choice = go(&mut entry, SECOND, true).expect("nothing is known yet");
-    let reply = |rest: Option<Duration>| Reply { not_run: rest.is_some(), rest, ..REPLY };
+    let reply =
+        |rest: Option<Duration>| ResponseInfo { not_run: rest.is_some(), cooldown: rest, ..REPLY };
     let asked = entry.answered(SECOND, &choice, SECOND, &reply(Some(SECOND)));
     assert_eq!(asked, [Change::Rest(Some(SECOND))]);
     let ended = entry.answered(SECOND * 2, &choice, SECOND * 2, &reply(None));
@@ -161,7 +163,7 @@
     // Guards against a run that is used again because nothing else is left, or once it was missing for a moment.
     let mut entry = open(1);
     let choice = go(&mut entry, SECOND, true).expect("nothing is known yet");
-    let reply = Reply { leaving: true, ..REPLY };
+    let reply = ResponseInfo { leaving: true, ..REPLY };
     assert_eq!(entry.answered(SECOND, &choice, SECOND, &reply), [Change::Leaving]);
     assert_eq!(entry.answered(SECOND, &choice, SECOND, &reply), [], "told once");
     assert!(matches!(entry.choose(SECOND, &query(true)), Verdict::Nowhere));
--- a/crates/verbenaslip-relay/tests/place.rs
+++ b/crates/verbenaslip-relay/tests/place.rs
@@ -10,7 +10,7 @@
 use verbenaslip_fleet::View;
 use verbenaslip_fleet::registry::{Announcement, Record, Run, Status};
 use verbenaslip_fleet::rollout::{Plan, State};
-use verbenaslip_relay::dialect::Part;
+use verbenaslip_relay::dialect::PromptPart;
 use verbenaslip_relay::policy::place::{Choice, Ending, Placement, Query, Verdict};
 use verbenaslip_relay::policy::versions::{Track, Tracks};
 
@@ -50,7 +50,7 @@
     placement
 }
 
-fn ask<'a>(parts: &'a [Part], tried: &'a [Run]) -> Query<'a> {
+fn ask<'a>(parts: &'a [PromptPart], tried: &'a [Run]) -> Query<'a> {
     Query {
         service: "pool",
         rank: 0,
@@ -66,8 +66,8 @@
     }
 }
 
-fn prompt(shared: u64, own: u64) -> [Part; 2] {
-    [Part { id: shared, tokens: 6_300 }, Part { id: own, tokens: 2_900 }]
+fn prompt(shared: u64, own: u64) -> [PromptPart; 2] {
+    [PromptPart { id: shared, tokens: 6_300 }, PromptPart { id: own, tokens: 2_900 }]
 }
 
 fn go(placement: &mut Placement, now: Duration, ask: &Query<'_>) -> Choice {
@@ -379,7 +379,7 @@
         record.announcement.run = run(1, incarnation);
         view([record])
     };
-    let parts = [Part { id: 1, tokens: 4_000 }, Part { id: 2, tokens: 1_000 }];
+    let parts = [PromptPart { id: 1, tokens: 4_000 }, PromptPart { id: 2, tokens: 1_000 }];
     let mut placement = open(&again(10));
     let fresh = go(&mut placement, Duration::ZERO, &ask(&parts, &[]));
     for _ in 0..5 {
