--- a/crates/verbenaslip-fleet/src/voucher.rs
+++ b/crates/verbenaslip-fleet/src/voucher.rs
@@ -1,7 +1,7 @@
 //! What a core answers upstreams by itself, and how it tells the leader of that.
 //!
 //! Upstreams announce themselves about once a second, and hardly ever with anything new. A core whose
-//! view of the fleet is fresh answers such an announcement at once and notes a [`Mark`]; its next report
+//! view of the fleet is fresh answers such an announcement at once and notes a [`FreshnessMark`]; its next report
 //! gives the leader the marks of all upstreams that have called it. So the leader takes one message from
 //! each core, however many upstreams there are.
 //!
--- a/crates/verbenaslip-gossip/src/frame.rs
+++ b/crates/verbenaslip-gossip/src/frame.rs
@@ -6,11 +6,11 @@
 use verbenaslip_base::name::Upstream;
 use verbenaslip_base::{data, hash};
 
-use crate::member::{Area, Handle, Rumor};
+use crate::member::{Handle, MemberStatus, RegionId};
 use crate::time::Age;
 
 /// The most bytes that a frame takes, so that with its envelope it fits 1,200 bytes.
-pub const MAX_FRAME: usize = 1_180;
+pub const MAX_FRAME_BYTES: usize = 1_180;
 
 /// One datagram.
 #[data]
@@ -31,7 +31,7 @@
     /// Writes the frame; none when it does not fit a datagram.
     pub fn encode(&self) -> Option<Vec<u8>> {
         let bytes = postcard::to_stdvec(self).ok()?;
-        (bytes.len() <= MAX_FRAME).then_some(bytes)
+        (bytes.len() <= MAX_FRAME_BYTES).then_some(bytes)
     }
 }
 
@@ -39,7 +39,7 @@
 #[data]
 pub enum Body {
     /// Introduces the sender to an address that may not know it.
-    Join(Rumor),
+    Join(MemberStatus),
     /// Asks the target to answer.
     Ping {
         /// Who is meant; another one that lives at the address now introduces itself instead.
@@ -53,20 +53,20 @@
         probe: u32,
     },
     /// Asks the receiver to ping the target in the sender's place.
-    Relay {
+    IndirectPing {
         /// Who is to answer.
         target: Handle,
         /// Comes back in the answer.
         probe: u32,
     },
     /// Passes on news.
-    Spread(Spread),
+    Updates(Updates),
     /// Answers a question; what it says is no news to others.
-    Answer(Spread),
+    PullResponse(Updates),
     /// Compares what the sender holds with what the receiver holds.
-    Sync(Sync),
+    Digest(Digest),
     /// Lists the members of one region, after a comparison had differed.
-    Roster(Roster),
+    MemberList(MemberList),
     /// Asks for what the sender found that it lacks.
     Pull(Pull),
     /// Passes renewals on to an instance that vouches for the upstreams.
@@ -77,29 +77,29 @@
 
 /// News of all kinds; the receiver passes on what was new to it.
 #[data(default)]
-pub struct Spread {
+pub struct Updates {
     /// Upstreams that take no new work.
-    pub leaving: Vec<Leaving>,
+    pub departures: Vec<Departure>,
     /// Changes of what instances vouch for.
     pub deltas: Vec<Delta>,
     /// Freshness marks.
-    pub marks: Vec<Mark>,
+    pub marks: Vec<FreshnessMark>,
     /// Changes of members.
-    pub members: Vec<Rumor>,
+    pub members: Vec<MemberStatus>,
     /// New or changed upstreams.
-    pub sheets: Vec<Sheet>,
+    pub announcements: Vec<ForwardedAnnouncement>,
     /// Changed loads of upstreams.
-    pub loads: Vec<Gauge>,
+    pub loads: Vec<CompactLoad>,
 }
 
-impl Spread {
+impl Updates {
     /// Tells whether there is no news.
     pub(crate) fn is_empty(&self) -> bool {
-        self.leaving.is_empty()
+        self.departures.is_empty()
             && self.deltas.is_empty()
             && self.marks.is_empty()
             && self.members.is_empty()
-            && self.sheets.is_empty()
+            && self.announcements.is_empty()
             && self.loads.is_empty()
     }
 }
@@ -133,9 +133,9 @@
 
 /// Tells one content of an announcement from another; sequence and load are no part of it.
 #[data(copy, ord, hash)]
-pub struct Check(pub [u8; 3]);
+pub struct ContentHash(pub [u8; 3]);
 
-impl Check {
+impl ContentHash {
     /// Derives it from all that an announcement says but sequence, notice and load.
     pub fn of(announcement: &Announcement) -> Self {
         let mut content = announcement.clone();
@@ -152,7 +152,7 @@
 
 /// Says that an upstream takes no new work.
 #[data(copy)]
-pub struct Leaving {
+pub struct Departure {
     /// The upstream.
     pub key: Key,
     /// The incarnation for which this is final.
@@ -165,13 +165,13 @@
 
 /// Passes on an announcement.
 #[data]
-pub struct Sheet {
+pub struct ForwardedAnnouncement {
     /// The announcement.
     pub announcement: Announcement,
     /// How long ago it was made.
     pub age: Age,
     /// How old its load report is, in milliseconds.
-    pub load_age: u32,
+    pub load_age_ms: u32,
 }
 
 /// Passes on the load of an upstream, coarsely.
@@ -179,7 +179,7 @@
 /// Loads are the most frequent news, so all is cut short; one that is taken for another upstream's
 /// or incarnation's does no harm beyond a worse choice until the next.
 #[data(copy)]
-pub struct Gauge {
+pub struct CompactLoad {
     /// The first bytes of the upstream's key.
     pub key: [u8; 4],
     /// The low bits of the incarnation.
@@ -193,7 +193,7 @@
     /// Share of KV cache memory in use, in units of 1/250.
     pub memory: u8,
     /// How long ago it was measured, in tenths of a second.
-    pub age: u8,
+    pub age_tenths: u8,
 }
 
 /// Changes what one instance vouches for.
@@ -206,32 +206,32 @@
     /// The version that it leads to.
     pub version: u32,
     /// The newest version that the sender holds; marks do not count until it is reached.
-    pub head: u32,
+    pub latest: u32,
     /// The changes.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<DeltaEntry>,
 }
 
 /// Changes what an instance vouches for about one upstream.
 #[data(copy)]
-pub struct Entry {
+pub struct DeltaEntry {
     /// The upstream.
     pub key: Key,
     /// The content that it vouches for; none when it no longer does.
-    pub check: Option<Check>,
+    pub content_hash: Option<ContentHash>,
     /// By how many versions after the delta's base the voucher made this change.
     ///
     /// Every holder must know exactly which version a change belongs to. Else one receiver could
     /// combine two holders' deltas into one with a change missing, which no later one repeats.
-    pub after: u32,
+    pub version_offset: u32,
 }
 
 /// Says that all upstreams that an instance vouches for were renewed not longer ago than an age.
 #[data(copy)]
-pub struct Mark {
+pub struct FreshnessMark {
     /// The instance that vouches.
     pub voucher: Handle,
     /// Rises with each mark of the voucher.
-    pub tick: u32,
+    pub sequence: u32,
     /// The version of what it vouches for.
     pub version: u32,
     /// The age of the oldest renewal among them.
@@ -240,61 +240,61 @@
 
 /// Compares what two instances hold.
 #[data(default)]
-pub struct Sync {
+pub struct Digest {
     /// A checksum over the members of each region.
-    pub rosters: Vec<Sum>,
+    pub checksums: Vec<RegionChecksum>,
     /// How long ago each other region was last heard.
-    pub areas: Vec<Heard>,
+    pub contacts: Vec<RegionContact>,
     /// All freshness marks, when both are in one region.
-    pub marks: Vec<Mark>,
+    pub marks: Vec<FreshnessMark>,
 }
 
 /// A checksum over the members of one region.
 #[data(copy)]
-pub struct Sum {
+pub struct RegionChecksum {
     /// The region.
-    pub area: Area,
+    pub region_id: RegionId,
     /// Covers all who are present.
-    pub sum: u64,
+    pub checksum: u64,
 }
 
 /// Says how long ago a region was heard by anybody of the sender's region.
 #[data(copy)]
-pub struct Heard {
+pub struct RegionContact {
     /// The region.
-    pub area: Area,
+    pub region_id: RegionId,
     /// Tenths of a second.
-    pub age: u16,
+    pub age_tenths: u16,
 }
 
-impl Heard {
+impl RegionContact {
     /// Measures how long ago a region was heard.
-    pub(crate) fn of(area: Area, now: Duration, then: Duration) -> Self {
+    pub(crate) fn of(area: RegionId, now: Duration, then: Duration) -> Self {
         let tenths = now.saturating_sub(then).as_millis() / 100 + 1;
-        Self { area, age: u16::try_from(tenths).unwrap_or(u16::MAX) }
+        Self { region_id: area, age_tenths: u16::try_from(tenths).unwrap_or(u16::MAX) }
     }
 }
 
 /// Lists members of one region whose handles lie in a range.
 #[data]
-pub struct Roster {
+pub struct MemberList {
     /// The region.
-    pub area: Area,
+    pub region_id: RegionId,
     /// The first handle of the range.
     pub first: Handle,
     /// The first handle after the range; none when it has no end.
-    pub next: Option<Handle>,
+    pub end: Option<Handle>,
     /// All of them who are present, by handle.
-    pub seats: Vec<Seat>,
+    pub members: Vec<MemberSummary>,
 }
 
 /// Lists one member.
 #[data(copy)]
-pub struct Seat {
+pub struct MemberSummary {
     /// The member.
     pub handle: Handle,
     /// How often it has refuted a suspicion.
-    pub refutation: u32,
+    pub refutations: u32,
     /// What is believed of it.
     pub state: crate::member::State,
 }
@@ -303,9 +303,9 @@
 #[data(default)]
 pub struct Pull {
     /// What instances vouch for, from a version on.
-    pub streams: Vec<Since>,
+    pub streams: Vec<StreamPosition>,
     /// Announcements.
-    pub sheets: Vec<Key>,
+    pub announcements: Vec<Key>,
     /// Members.
     pub members: Vec<Handle>,
 }
@@ -313,13 +313,13 @@
 impl Pull {
     /// Tells whether nothing is asked.
     pub(crate) fn is_empty(&self) -> bool {
-        self.streams.is_empty() && self.sheets.is_empty() && self.members.is_empty()
+        self.streams.is_empty() && self.announcements.is_empty() && self.members.is_empty()
     }
 }
 
 /// Names the version of a stream that the sender holds.
 #[data(copy)]
-pub struct Since {
+pub struct StreamPosition {
     /// The instance that vouches.
     pub voucher: Handle,
     /// The version held; zero for nothing.
@@ -332,7 +332,7 @@
     /// The upstream.
     pub key: Key,
     /// The content it announced.
-    pub check: Check,
+    pub content_hash: ContentHash,
     /// The sequence of the announcement.
     pub sequence: u64,
     /// How long ago that was.
--- a/crates/verbenaslip-gossip/src/gossip.rs
+++ b/crates/verbenaslip-gossip/src/gossip.rs
@@ -10,17 +10,17 @@
 use verbenaslip_base::name::{AvailabilityZone, Instance, Model, Upstream};
 use verbenaslip_base::{data, hash};
 
-use crate::frame::{Body, Frame, Key, Renewal, Sync};
-use crate::member::{self, Handle, Peer, Rumor, State};
+use crate::frame::{Body, Digest, Frame, Key, Renewal};
+use crate::member::{self, Handle, MemberStatus, Peer, State};
 use crate::pack::{self, Source};
 use crate::probe::{Letter, Prober, draw};
 use crate::queue::{Queue, Subject};
 use crate::rank::Homes;
-use crate::record::{Record, Standing};
-use crate::registry::{self, Answer, Pending, Question, Registry};
+use crate::record::{LeaseStatus, Record};
+use crate::registry::{self, AnnouncementResult, Pending, Question, Registry};
 use crate::report::Reports;
 use crate::roster::{Member, Roster};
-use crate::setup::{LEASE, Setup};
+use crate::setup::{MAX_LEASE, Setup};
 use crate::time::{Age, Clock};
 
 /// How often news is passed on.
@@ -89,7 +89,7 @@
         /// In how many milliseconds.
         notice: u32,
     },
-    /// This instance has a new report for its neighbours, of at most [`crate::MAX_REPORT`] bytes.
+    /// This instance has a new report for its neighbours, of at most [`crate::MAX_REPORT_BYTES`] bytes.
     Report(Vec<u8>),
     /// This instance drains: it takes no new duties and stays reachable. Final.
     Leave,
@@ -108,13 +108,13 @@
         frame: Box<Frame>,
     },
     /// Answers the announcement of this step.
-    Answer(Answer),
+    AnnouncementResult(AnnouncementResult),
     /// A member has changed.
     Member(member::Event),
     /// An upstream has changed.
     Upstream(registry::Event),
     /// A neighbour has a new report.
-    Reported(Instance),
+    ReportReceived(Instance),
     /// This instance has begun or ceased to doubt its own links.
     Isolated(bool),
 }
@@ -142,7 +142,7 @@
 
 impl Gossip {
     /// Starts at a monotonic time; the seed should differ between instances.
-    pub fn open(setup: Setup, seed: u64, now: Duration) -> Self {
+    pub fn new(setup: Setup, seed: u64, now: Duration) -> Self {
         let clock = Clock::open(now);
         let mut rng = Pcg64::seed_from_u64(seed);
         let first = clock.now() + ROUND * rng.random_range(0..1_000) / 1_000;
@@ -152,7 +152,7 @@
         Self {
             roster: Roster::open(setup.own),
             prober: Prober::open(first + ROUND),
-            registry: Registry::open(handle, setup.lease.min(LEASE)),
+            registry: Registry::open(handle, setup.lease.min(MAX_LEASE)),
             reports: Reports::default(),
             seeds: setup.seeds,
             letters: Vec::new(),
@@ -198,7 +198,7 @@
     }
 
     /// Returns when [`Input::Tick`] is due next.
-    pub fn wake(&self) -> Duration {
+    pub fn next_wakeup(&self) -> Duration {
         let mut due = self.due.min(self.prober.wake());
         if self.urgent() {
             due = due.min(self.burst);
@@ -229,7 +229,7 @@
     }
 
     /// Returns the homes of a key: alike at all instances of the region that see the same members.
-    pub fn rank(&self, key: u128) -> Homes {
+    pub fn homes(&self, key: u128) -> Homes {
         self.roster.rank(key)
     }
 
@@ -244,12 +244,12 @@
     }
 
     /// Goes through the upstreams that offer a model and may get new work at the given time.
-    pub fn offers<'a>(
+    pub fn usable_for_model<'a>(
         &'a self,
         now: Duration,
         model: &'a Model,
     ) -> impl Iterator<Item = &'a Record> {
-        self.registry.offers(Clock::inner(now), model)
+        self.registry.usable_for_model(Clock::inner(now), model)
     }
 
     /// Goes through all upstreams that are remembered, lapsed and leaving ones included.
@@ -264,19 +264,19 @@
     }
 
     /// Goes through the availability zones of which some upstreams are in doubt.
-    pub fn doubts(&self) -> impl Iterator<Item = &AvailabilityZone> {
-        self.registry.doubts()
+    pub fn doubtful_zones(&self) -> impl Iterator<Item = &AvailabilityZone> {
+        self.registry.doubtful_zones()
     }
 
     /// Goes through the upstreams in doubt: they get no new work, but are not known to be lost.
-    pub fn doubtful(&self) -> impl Iterator<Item = &Record> {
-        self.records().filter(|record| record.standing() == Standing::Doubtful)
+    pub fn doubtful_upstreams(&self) -> impl Iterator<Item = &Record> {
+        self.records().filter(|record| record.lease_status() == LeaseStatus::Doubtful)
     }
 
     /// Goes through the newest report of each other instance of the region.
-    pub fn reports(&self, now: Duration) -> impl Iterator<Item = Reported<'_>> {
+    pub fn reports(&self, now: Duration) -> impl Iterator<Item = PeerReport<'_>> {
         let now = Clock::inner(now);
-        self.reports.others().map(move |(instance, held)| Reported {
+        self.reports.others().map(move |(instance, held)| PeerReport {
             instance,
             age: now.saturating_sub(held.made()),
             bytes: held.bytes(),
@@ -288,14 +288,14 @@
         let key = Key::of(&announcement.upstream);
         let before = self.registry.renewal(key).map(|it| it.check);
         let answer = self.registry.announce(now, lag, announcement, &mut self.queue);
-        if matches!(answer, Answer::Accepted { .. }) {
+        if matches!(answer, AnnouncementResult::Accepted { .. }) {
             self.forward(key, &announcement.upstream);
         }
         if self.registry.renewal(key).map(|it| it.check) != before {
             self.flush(now);
             self.queue.hurry();
         }
-        self.out.push(Output::Answer(answer));
+        self.out.push(Output::AnnouncementResult(answer));
     }
 
     /// Has the homes of an upstream vouch for it, wherever it announced itself.
@@ -428,7 +428,7 @@
         for (to, renewals) in std::mem::take(&mut self.pending) {
             let told = |(key, it): (&Key, &Pending)| Renewal {
                 key: *key,
-                check: it.check,
+                content_hash: it.check,
                 sequence: it.sequence,
                 age: Age::of(now, it.at),
             };
@@ -448,7 +448,7 @@
         let mut letters = Vec::new();
         for to in neighbours {
             let news = source.news(&mut self.queue, BURST, &wanted);
-            letters.extend(news.into_iter().map(|it| Letter { to, body: Body::Spread(it) }));
+            letters.extend(news.into_iter().map(|it| Letter { to, body: Body::Updates(it) }));
         }
         letters
     }
@@ -456,7 +456,7 @@
     /// Sends urgent news to more neighbours than a round does.
     fn hasten(&mut self, wanted: impl Fn(&Subject) -> bool) {
         let mut letters = self.write(URGENT_FANOUT, wanted);
-        letters.retain(|letter| !matches!(&letter.body, Body::Spread(it) if it.is_empty()));
+        letters.retain(|letter| !matches!(&letter.body, Body::Updates(it) if it.is_empty()));
         self.letters.append(&mut letters);
     }
 
@@ -466,19 +466,19 @@
 
     /// Compares itself with a neighbour and, as a contact, with another region.
     fn compare(&mut self, now: Duration) {
-        let mut sync = Sync {
-            rosters: self.roster.sums().to_vec(),
-            areas: self.roster.areas(now),
+        let mut sync = Digest {
+            checksums: self.roster.sums().to_vec(),
+            contacts: self.roster.areas(now),
             marks: Vec::new(),
         };
         if let Some(to) = self.draw_contact() {
-            self.letters.push(Letter { to, body: Body::Sync(sync.clone()) });
+            self.letters.push(Letter { to, body: Body::Digest(sync.clone()) });
         }
         let Some(to) = self.draw_neighbours(1).pop() else { return };
         let marks = self.registry.marks(now);
         let room = pack::marks_beside(&sync);
         sync.marks = draw(marks, room, &mut self.rng);
-        self.letters.push(Letter { to, body: Body::Sync(sync) });
+        self.letters.push(Letter { to, body: Body::Digest(sync) });
     }
 
     fn draw_contact(&mut self) -> Option<Handle> {
@@ -538,11 +538,11 @@
     }
 
     /// Tells a rumor to an address.
-    pub(crate) fn tell(&mut self, to: SocketAddr, rumors: &[Rumor]) {
+    pub(crate) fn tell(&mut self, to: SocketAddr, rumors: &[MemberStatus]) {
         let now = self.clock.now();
         let source = Source { roster: &self.roster, registry: &self.registry, now };
         for spread in source.tell(rumors) {
-            self.send(to, Body::Spread(spread));
+            self.send(to, Body::Updates(spread));
         }
     }
 
@@ -568,7 +568,7 @@
 }
 
 /// Shows a neighbour's newest report.
-pub struct Reported<'a> {
+pub struct PeerReport<'a> {
     /// The neighbour.
     pub instance: &'a Instance,
     /// How long ago the report was made.
--- a/crates/verbenaslip-gossip/src/lib.rs
+++ b/crates/verbenaslip-gossip/src/lib.rs
@@ -20,13 +20,13 @@
 //!   of the set everywhere. A record is usable while own evidence or such a mark is younger than
 //!   the lease.
 //! - `queue` and `pack` choose what goes into the datagrams of a round, most urgent first; each
-//!   receiver to which it was news passes it on a fixed number of times. Comparisons (`Sync`) and
+//!   receiver to which it was news passes it on a fixed number of times. Comparisons (`Digest`) and
 //!   questions (`Pull`) mend what was lost. Leaving upstreams do not wait for a round.
 //! - `report` carries opaque reports between neighbours, at a bounded rate.
 //!
 //! Bounds: every instance sends a fixed number of datagrams a second whatever the size of its
 //! region, but for the renewals of the upstreams that announce themselves to it. No datagram is
-//! longer than [`MAX_FRAME`]. Members, upstreams, streams and everything that waits have caps.
+//! longer than [`MAX_FRAME_BYTES`]. Members, upstreams, streams and everything that waits have caps.
 
 mod frame;
 mod gossip;
@@ -45,15 +45,16 @@
 mod time;
 
 pub use frame::{
-    Body, Check, Delta, Entry, Frame, Gauge, Heard, Key, Leaving, MAX_FRAME, Mark, Pull, Renewal,
-    Report, Roster, Seat, Sheet, Since, Spread, Sum, Sync,
+    Body, CompactLoad, ContentHash, Delta, DeltaEntry, Departure, Digest, ForwardedAnnouncement,
+    Frame, FreshnessMark, Key, MAX_FRAME_BYTES, MemberList, MemberSummary, Pull, RegionChecksum,
+    RegionContact, Renewal, Report, StreamPosition, Updates,
 };
-pub use gossip::{Gossip, Input, Output, Reported};
-pub use member::{Area, Event as MemberEvent, Handle, Peer, Rumor, State};
+pub use gossip::{Gossip, Input, Output, PeerReport};
+pub use member::{Event as MemberEvent, Handle, MemberStatus, Peer, RegionId, State};
 pub use rank::Homes;
-pub use record::{Record, Standing};
-pub use registry::{Answer, Event as UpstreamEvent, Fault};
-pub use report::MAX_REPORT;
+pub use record::{LeaseStatus, Record};
+pub use registry::{AnnouncementResult, Event as UpstreamEvent, Rejection};
+pub use report::MAX_REPORT_BYTES;
 pub use roster::Member;
-pub use setup::{LEASE, Setup};
+pub use setup::{MAX_LEASE, Setup};
 pub use time::Age;
--- a/crates/verbenaslip-gossip/src/member.rs
+++ b/crates/verbenaslip-gossip/src/member.rs
@@ -46,9 +46,9 @@
 
 /// Stands for a region in datagrams.
 #[data(copy, ord, hash)]
-pub struct Area(pub [u8; 4]);
+pub struct RegionId(pub [u8; 4]);
 
-impl Area {
+impl RegionId {
     /// Derives it from the region's name.
     pub(crate) fn of(region: &Region) -> Self {
         Self((hash::narrow(&[region.as_str().as_bytes()]) as u32).to_le_bytes())
@@ -79,23 +79,23 @@
 
 /// Tells what is believed of one instance.
 #[data]
-pub struct Rumor {
+pub struct MemberStatus {
     /// The instance.
     pub peer: Peer,
     /// How often this incarnation has refuted a suspicion.
-    pub refutation: u32,
+    pub refutations: u32,
     /// What is believed.
     pub state: State,
 }
 
-impl Rumor {
+impl MemberStatus {
     /// Tells whether it overrides another one of the same instance.
     pub(crate) fn overrides(&self, other: &Self) -> bool {
         self.rank() > other.rank()
     }
 
     fn rank(&self) -> impl Ord + use<> {
-        (self.peer.incarnation, self.refutation, self.state)
+        (self.peer.incarnation, self.refutations, self.state)
     }
 }
 
@@ -117,11 +117,11 @@
     /// All members of another availability zone of this region are in doubt or dead at once.
     ZoneLost(AvailabilityZone),
     /// An availability zone that was lost has a live member again.
-    ZoneBack(AvailabilityZone),
+    ZoneRecovered(AvailabilityZone),
     /// Nothing was heard of another region for a while; its members are not declared dead.
-    RegionSilent(Region),
+    RegionUnreachable(Region),
     /// Another region is heard again.
-    RegionBack(Region),
+    RegionRecovered(Region),
     /// Another process runs under this instance's name with a higher incarnation: stop.
     Replaced {
         /// The higher incarnation.
--- a/crates/verbenaslip-gossip/src/pack.rs
+++ b/crates/verbenaslip-gossip/src/pack.rs
@@ -4,14 +4,16 @@
 
 use serde::Serialize;
 
-use crate::frame::{Delta, Gauge, Leaving, Mark, Pull, Sheet, Spread, Sync};
-use crate::member::Rumor;
+use crate::frame::{
+    CompactLoad, Delta, Departure, Digest, ForwardedAnnouncement, FreshnessMark, Pull, Updates,
+};
+use crate::member::MemberStatus;
 use crate::queue::{Queue, Subject};
 use crate::registry::Registry;
 use crate::roster::Roster;
 
 /// How many bytes of news fit a datagram: what a frame may take without its own head.
-const ROOM: usize = crate::frame::MAX_FRAME - 32;
+const ROOM: usize = crate::frame::MAX_FRAME_BYTES - 32;
 
 /// How many bytes of loads go into one datagram, so that they never crowd out the rest.
 const GAUGE_ROOM: usize = 96;
@@ -39,14 +41,14 @@
 
 /// Fills one datagram.
 struct Parcel {
-    spread: Spread,
+    spread: Updates,
     room: usize,
     gauges: usize,
 }
 
 impl Parcel {
     fn empty() -> Self {
-        Self { spread: Spread::default(), room: ROOM, gauges: GAUGE_ROOM }
+        Self { spread: Updates::default(), room: ROOM, gauges: GAUGE_ROOM }
     }
 
     fn take(&mut self, size: usize) -> bool {
@@ -70,7 +72,7 @@
         }
     }
 
-    fn add_gauge(&mut self, gauge: Option<Gauge>) -> Added {
+    fn add_gauge(&mut self, gauge: Option<CompactLoad>) -> Added {
         let Some(gauge) = gauge else { return Added::Gone };
         let size = size(&gauge);
         if self.gauges < size || !self.take(size) {
@@ -81,16 +83,16 @@
         Added::Yes
     }
 
-    fn add_leaving(&mut self, leaving: Option<Leaving>) -> Added {
+    fn add_leaving(&mut self, leaving: Option<Departure>) -> Added {
         let Some(leaving) = leaving else { return Added::Gone };
         if !self.take(LEAVING) {
             return Added::Full;
         }
-        self.spread.leaving.push(leaving);
+        self.spread.departures.push(leaving);
         Added::Yes
     }
 
-    fn add_mark(&mut self, mark: Option<Mark>) -> Added {
+    fn add_mark(&mut self, mark: Option<FreshnessMark>) -> Added {
         let Some(mark) = mark else { return Added::Gone };
         if !self.take(MARK) {
             return Added::Full;
@@ -99,7 +101,7 @@
         Added::Yes
     }
 
-    fn add_member(&mut self, rumor: Option<&Rumor>) -> Added {
+    fn add_member(&mut self, rumor: Option<&MemberStatus>) -> Added {
         let Some(rumor) = rumor else { return Added::Gone };
         if !self.take(rumor_size(rumor)) {
             return Added::Full;
@@ -117,12 +119,12 @@
         Added::Yes
     }
 
-    fn add_sheet(&mut self, sheet: Option<Sheet>) -> Added {
+    fn add_sheet(&mut self, sheet: Option<ForwardedAnnouncement>) -> Added {
         let Some(sheet) = sheet else { return Added::Gone };
         if !self.take(size(&sheet)) {
             return Added::Full;
         }
-        self.spread.sheets.push(sheet);
+        self.spread.announcements.push(sheet);
         Added::Yes
     }
 }
@@ -156,7 +158,7 @@
         queue: &mut Queue,
         most: usize,
         wanted: impl Fn(&Subject) -> bool,
-    ) -> Vec<Spread> {
+    ) -> Vec<Updates> {
         let mut full = Vec::new();
         let mut parcel = Parcel::empty();
         for subject in queue.subjects().iter().filter(|subject| wanted(subject)) {
@@ -176,13 +178,13 @@
     }
 
     /// Answers what another instance lacks, in as many datagrams as it takes.
-    pub(crate) fn answer(&self, pull: &Pull) -> Vec<Spread> {
+    pub(crate) fn answer(&self, pull: &Pull) -> Vec<Updates> {
         let mut parcels = Parcels::default();
         for handle in &pull.members {
             let rumor = self.roster.named(*handle);
             parcels.add(|parcel| parcel.add_member(rumor));
         }
-        for key in &pull.sheets {
+        for key in &pull.announcements {
             parcels.add(|parcel| parcel.add_sheet(self.registry.said(*key, self.now)));
         }
         for delta in pull.streams.iter().flat_map(|since| self.registry.since(since)) {
@@ -192,7 +194,7 @@
     }
 
     /// Puts rumors into as many datagrams as it takes.
-    pub(crate) fn tell(&self, rumors: &[Rumor]) -> Vec<Spread> {
+    pub(crate) fn tell(&self, rumors: &[MemberStatus]) -> Vec<Updates> {
         let mut parcels = Parcels::default();
         for rumor in rumors {
             parcels.add(|parcel| parcel.add_member(Some(rumor)));
@@ -201,7 +203,7 @@
     }
 
     /// Puts marks into as many datagrams as it takes.
-    pub(crate) fn show(&self, marks: Vec<Mark>) -> Vec<Spread> {
+    pub(crate) fn show(&self, marks: Vec<FreshnessMark>) -> Vec<Updates> {
         let mut parcels = Parcels::default();
         for mark in marks {
             parcels.add(|parcel| parcel.add_mark(Some(mark)));
@@ -213,7 +215,7 @@
 /// Fills datagrams one after the other.
 #[derive(Default)]
 struct Parcels {
-    full: Vec<Spread>,
+    full: Vec<Updates>,
     open: Option<Parcel>,
 }
 
@@ -228,7 +230,7 @@
         add(parcel);
     }
 
-    fn done(mut self) -> Vec<Spread> {
+    fn done(mut self) -> Vec<Updates> {
         self.full.extend(self.open.map(|parcel| parcel.spread));
         self.full.retain(|spread| !spread.is_empty());
         self.full
@@ -241,11 +243,11 @@
 }
 
 /// Returns how many marks fit a comparison beside the rest of it.
-pub(crate) fn marks_beside(sync: &Sync) -> usize {
-    ROOM.saturating_sub(SUM * sync.rosters.len() + HEARD * sync.areas.len()) / MARK
+pub(crate) fn marks_beside(sync: &Digest) -> usize {
+    ROOM.saturating_sub(SUM * sync.checksums.len() + HEARD * sync.contacts.len()) / MARK
 }
 
-fn rumor_size(rumor: &Rumor) -> usize {
+fn rumor_size(rumor: &MemberStatus) -> usize {
     let peer = &rumor.peer;
     let names = [peer.instance.as_str(), peer.zone.as_str(), peer.region.as_str()];
     RUMOR + names.iter().map(|name| name.len()).sum::<usize>()
--- a/crates/verbenaslip-gossip/src/probe.rs
+++ b/crates/verbenaslip-gossip/src/probe.rs
@@ -191,7 +191,7 @@
             helpers.swap(0, place);
         }
         for helper in helpers.iter().take(RELAYS) {
-            let body = Body::Relay { target: probe.handle, probe: probe.number };
+            let body = Body::IndirectPing { target: probe.handle, probe: probe.number };
             letters.push(Letter { to: helper.handle(), body });
         }
     }
--- a/crates/verbenaslip-gossip/src/receive.rs
+++ b/crates/verbenaslip-gossip/src/receive.rs
@@ -2,9 +2,12 @@
 
 use std::net::SocketAddr;
 
-use crate::frame::{Body, Frame, Mark, Pull, Renewal, Report, Roster, Sheet, Spread, Sync};
+use crate::frame::{
+    Body, Digest, ForwardedAnnouncement, Frame, FreshnessMark, MemberList, Pull, Renewal, Report,
+    Updates,
+};
 use crate::gossip::{Gossip, Output};
-use crate::member::{Handle, Rumor, State};
+use crate::member::{Handle, MemberStatus, State};
 use crate::pack::Source;
 use crate::probe::Letter;
 use crate::queue::{Queue, Subject};
@@ -30,17 +33,17 @@
             Body::Join(rumor) => self.welcome(from, &rumor),
             Body::Ping { target, probe } => self.pinged(from, target, probe),
             Body::Ack { probe } => self.prober.ack(probe, &mut self.letters),
-            Body::Relay { target, probe } => {
+            Body::IndirectPing { target, probe } => {
                 let now = self.clock.now();
                 self.prober.relay(now, sender, target, probe, &mut self.letters);
             }
-            Body::Spread(spread) => self.learn(from, sender, spread),
-            Body::Answer(mut spread) => {
-                self.fill(sender, std::mem::take(&mut spread.sheets));
+            Body::Updates(spread) => self.learn(from, sender, spread),
+            Body::PullResponse(mut spread) => {
+                self.fill(sender, std::mem::take(&mut spread.announcements));
                 self.learn(from, sender, spread);
             }
-            Body::Sync(sync) => self.compared(from, sender, &sync),
-            Body::Roster(list) => self.listed(from, &list),
+            Body::Digest(sync) => self.compared(from, sender, &sync),
+            Body::MemberList(list) => self.listed(from, &list),
             Body::Pull(pull) => self.pulled(from, &pull),
             Body::Renewals(_) if self.foreign(sender) => {}
             Body::Renewals(renewals) => self.renewed(from, &renewals),
@@ -67,7 +70,7 @@
     }
 
     /// Names to one that joins whom it needs to find the rest; one that is known just greets.
-    fn welcome(&mut self, from: SocketAddr, rumor: &Rumor) {
+    fn welcome(&mut self, from: SocketAddr, rumor: &MemberStatus) {
         if self.believe(from, rumor) != Merge::News {
             let own = self.roster.own().clone();
             self.tell(from, &[own]);
@@ -76,7 +79,7 @@
         let region = &rumor.peer.region;
         let near = |member: &&Member| member.peer().region == *region;
         let present = self.roster.members().filter(|member| member.state() == State::Alive);
-        let near: Vec<Rumor> = present.filter(near).map(|it| it.rumor().clone()).collect();
+        let near: Vec<MemberStatus> = present.filter(near).map(|it| it.rumor().clone()).collect();
         let mut rumors = crate::probe::draw(near, WELCOME, &mut self.rng);
         let contacts = self.roster.contacts(region);
         rumors.extend(contacts.iter().filter_map(|name| self.roster.rumor(name)).cloned());
@@ -85,7 +88,7 @@
     }
 
     /// Takes in a rumor, and corrects its sender when something newer is held.
-    fn believe(&mut self, from: SocketAddr, rumor: &Rumor) -> Merge {
+    fn believe(&mut self, from: SocketAddr, rumor: &MemberStatus) -> Merge {
         let name = &rumor.peer.instance;
         let merge = self.roster.merge(self.clock.now(), rumor);
         match merge {
@@ -109,7 +112,7 @@
         }
     }
 
-    fn learn(&mut self, from: SocketAddr, sender: Handle, spread: Spread) {
+    fn learn(&mut self, from: SocketAddr, sender: Handle, spread: Updates) {
         let (now, lag) = (self.clock.now(), self.clock.lag());
         let mut pull = Pull::default();
         for rumor in &spread.members {
@@ -118,10 +121,10 @@
         if self.foreign(sender) {
             return;
         }
-        for leaving in &spread.leaving {
+        for leaving in &spread.departures {
             self.registry.depart(now, leaving, &mut self.queue);
         }
-        for sheet in spread.sheets {
+        for sheet in spread.announcements {
             self.registry.sheet(now, lag, sheet, &mut self.queue);
         }
         for delta in &spread.deltas {
@@ -137,7 +140,7 @@
     }
 
     /// Takes the announcements that this instance had asked for; others know them already.
-    fn fill(&mut self, sender: Handle, sheets: Vec<Sheet>) {
+    fn fill(&mut self, sender: Handle, sheets: Vec<ForwardedAnnouncement>) {
         if self.foreign(sender) {
             return;
         }
@@ -148,7 +151,7 @@
         }
     }
 
-    fn mark(&mut self, marks: &[Mark], pull: &mut Pull) {
+    fn mark(&mut self, marks: &[FreshnessMark], pull: &mut Pull) {
         let (now, lag) = (self.clock.now(), self.clock.lag());
         for mark in marks {
             if self.vouches(mark.voucher) {
@@ -176,21 +179,21 @@
         }
     }
 
-    fn compared(&mut self, from: SocketAddr, sender: Handle, sync: &Sync) {
+    fn compared(&mut self, from: SocketAddr, sender: Handle, sync: &Digest) {
         let (now, lag) = (self.clock.now(), self.clock.lag());
-        self.roster.merge_areas(now, lag, &sync.areas);
+        self.roster.merge_areas(now, lag, &sync.contacts);
         let own = self.roster.sums().to_vec();
-        let differs = |sum: &&crate::frame::Sum| !sync.rosters.contains(sum);
-        let lists = own.iter().filter(differs).flat_map(|sum| self.roster.lists(sum.area));
-        for list in lists.take(MAX_LISTS).collect::<Vec<Roster>>() {
-            self.send(from, Body::Roster(list));
+        let differs = |sum: &&crate::frame::RegionChecksum| !sync.checksums.contains(sum);
+        let lists = own.iter().filter(differs).flat_map(|sum| self.roster.lists(sum.region_id));
+        for list in lists.take(MAX_LISTS).collect::<Vec<MemberList>>() {
+            self.send(from, Body::MemberList(list));
         }
-        let known = |area| own.iter().any(|sum| sum.area == area);
-        for sum in sync.rosters.iter().filter(|sum| !known(sum.area)).take(MAX_LISTS) {
-            let area = sum.area;
+        let known = |area| own.iter().any(|sum| sum.region_id == area);
+        for sum in sync.checksums.iter().filter(|sum| !known(sum.region_id)).take(MAX_LISTS) {
+            let area = sum.region_id;
             let first = Handle([0; 4]);
-            let list = Roster { area, first, next: None, seats: Vec::new() };
-            self.send(from, Body::Roster(list));
+            let list = MemberList { region_id: area, first, end: None, members: Vec::new() };
+            self.send(from, Body::MemberList(list));
         }
         if !self.vouches(sender) {
             return;
@@ -202,20 +205,20 @@
     }
 
     /// Answers a comparison with the marks that are newer here.
-    fn show_newer(&mut self, from: SocketAddr, theirs: &[Mark]) {
+    fn show_newer(&mut self, from: SocketAddr, theirs: &[FreshnessMark]) {
         let now = self.clock.now();
-        let known = |mark: &Mark| {
-            theirs.iter().any(|it| it.voucher == mark.voucher && it.tick >= mark.tick)
+        let known = |mark: &FreshnessMark| {
+            theirs.iter().any(|it| it.voucher == mark.voucher && it.sequence >= mark.sequence)
         };
         let mut marks = self.registry.marks(now);
         marks.retain(|mark| !known(mark));
         let source = Source { roster: &self.roster, registry: &self.registry, now };
         for spread in source.show(marks) {
-            self.send(from, Body::Spread(spread));
+            self.send(from, Body::Updates(spread));
         }
     }
 
-    fn listed(&mut self, from: SocketAddr, list: &Roster) {
+    fn listed(&mut self, from: SocketAddr, list: &MemberList) {
         let difference = self.roster.compare(list);
         self.tell(from, &difference.tell);
         if !difference.ask.is_empty() {
@@ -228,27 +231,27 @@
         let now = self.clock.now();
         let source = Source { roster: &self.roster, registry: &self.registry, now };
         for spread in source.answer(pull) {
-            self.send(from, Body::Answer(spread));
+            self.send(from, Body::PullResponse(spread));
         }
     }
 
     fn renewed(&mut self, from: SocketAddr, renewals: &[Renewal]) {
         let (now, lag) = (self.clock.now(), self.clock.lag());
         let mut pull = Pull::default();
-        let mut spread = Spread::default();
+        let mut spread = Updates::default();
         for renewal in renewals {
             match self.registry.renew(now, lag, renewal) {
                 Renew::Done => {}
                 Renew::Lacking => self.registry.ask_sheet(renewal.key, &mut pull),
-                Renew::Leaving => spread.leaving.extend(self.registry.leaving(renewal.key, now)),
+                Renew::Leaving => spread.departures.extend(self.registry.leaving(renewal.key, now)),
             }
         }
         if !pull.is_empty() {
             self.send(from, Body::Pull(pull));
         }
-        spread.leaving.truncate(32);
+        spread.departures.truncate(32);
         if !spread.is_empty() {
-            self.send(from, Body::Spread(spread));
+            self.send(from, Body::Updates(spread));
         }
     }
 
@@ -257,7 +260,7 @@
         let name = member.peer().instance.clone();
         let made = report.age.then(self.clock.now(), self.clock.lag());
         if self.vouches(sender) && self.reports.take(&name, made, report) {
-            self.out.push(Output::Reported(name));
+            self.out.push(Output::ReportReceived(name));
         }
     }
 }
--- a/crates/verbenaslip-gossip/src/record.rs
+++ b/crates/verbenaslip-gossip/src/record.rs
@@ -5,7 +5,7 @@
 use verbenaslip_base::announce::{Announcement, Load, Phase};
 use verbenaslip_base::name::Model;
 
-use crate::frame::{Check, Key};
+use crate::frame::{ContentHash, Key};
 use crate::member::Handle;
 use crate::time::Clock;
 
@@ -20,7 +20,7 @@
 
 /// Says how far an upstream is confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum LeaseStatus {
     /// It was renewed within the lease.
     Confirmed,
     /// It was not, but this instance itself may be cut off.
@@ -33,10 +33,10 @@
 pub struct Record {
     pub(crate) announcement: Announcement,
     pub(crate) key: Key,
-    pub(crate) check: Check,
+    pub(crate) check: ContentHash,
     pub(crate) fresh: Duration,
     pub(crate) vouchers: Vec<Handle>,
-    pub(crate) standing: Standing,
+    pub(crate) lease_status: LeaseStatus,
     pub(crate) due: Duration,
     pub(crate) touched: Duration,
     pub(crate) told: bool,
@@ -62,12 +62,12 @@
     }
 
     /// Returns how far it is confirmed.
-    pub fn standing(&self) -> Standing {
-        self.standing
+    pub fn lease_status(&self) -> LeaseStatus {
+        self.lease_status
     }
 
     /// Tells whether it takes no new work ever again in this incarnation.
-    pub fn leaving(&self) -> bool {
+    pub fn is_leaving(&self) -> bool {
         matches!(self.announcement.phase, Phase::Leaving { .. })
     }
 
--- a/crates/verbenaslip-gossip/src/registry.rs
+++ b/crates/verbenaslip-gossip/src/registry.rs
@@ -12,10 +12,10 @@
 use verbenaslip_base::data;
 use verbenaslip_base::name::{AvailabilityZone, Model, Upstream};
 
-use crate::frame::{Check, Key, Sheet};
+use crate::frame::{ContentHash, ForwardedAnnouncement, Key};
 use crate::member::Handle;
 use crate::queue::{Queue, Subject};
-use crate::record::{self, Gauged, Record, Standing};
+use crate::record::{self, Gauged, LeaseStatus, Record};
 use crate::stream::Stream;
 use crate::time::Age;
 
@@ -29,7 +29,7 @@
 
 /// Answers an announcement.
 #[data]
-pub enum Answer {
+pub enum AnnouncementResult {
     /// It is held from now.
     Accepted {
         /// How long the upstream stays usable without the next announcement.
@@ -43,18 +43,18 @@
         sequence: u64,
     },
     /// It can't be taken.
-    Bad(Fault),
+    Rejected(Rejection),
 }
 
 /// Says why an announcement can't be taken.
 #[data(copy, ord, hash)]
-pub enum Fault {
+pub enum Rejection {
     /// A name is empty or too long, or there are too many models: shorten them.
-    Size,
+    InvalidSize,
     /// Another upstream's name has the same key: rename one of the two.
-    Name,
+    KeyCollision,
     /// Too many upstreams are known: look for names that change at each start.
-    Full,
+    RegistryFull,
 }
 
 /// Tells the rest of the instance that an upstream has changed.
@@ -74,9 +74,9 @@
     /// It was not renewed within its lease.
     Lapsed(Upstream),
     /// Upstreams of an availability zone can't be confirmed because this instance may be cut off.
-    Doubted(AvailabilityZone),
+    ZoneDoubtful(AvailabilityZone),
     /// No upstream of the availability zone is in doubt any more.
-    Cleared(AvailabilityZone),
+    ZoneCleared(AvailabilityZone),
 }
 
 struct Gone {
@@ -96,7 +96,7 @@
 
 struct Renewed {
     at: Duration,
-    check: Check,
+    check: ContentHash,
 }
 
 /// Holds the upstreams and what each instance vouches for.
@@ -157,7 +157,7 @@
     }
 
     /// Goes through the upstreams that offer a model and may get new work.
-    pub(crate) fn offers<'a>(
+    pub(crate) fn usable_for_model<'a>(
         &'a self,
         now: Duration,
         model: &'a Model,
@@ -166,7 +166,7 @@
     }
 
     /// Goes through the availability zones in doubt.
-    pub(crate) fn doubts(&self) -> impl Iterator<Item = &AvailabilityZone> {
+    pub(crate) fn doubtful_zones(&self) -> impl Iterator<Item = &AvailabilityZone> {
         self.doubted.iter()
     }
 
@@ -188,28 +188,31 @@
         lag: Duration,
         announcement: &Announcement,
         queue: &mut Queue,
-    ) -> Answer {
+    ) -> AnnouncementResult {
         if !record::valid(announcement) {
-            return Answer::Bad(Fault::Size);
+            return AnnouncementResult::Rejected(Rejection::InvalidSize);
         }
         let key = Key::of(&announcement.upstream);
         match self.records.get(&key) {
             Some(held) if held.announcement.upstream != announcement.upstream => {
-                return Answer::Bad(Fault::Name);
+                return AnnouncementResult::Rejected(Rejection::KeyCollision);
             }
             Some(held) if order(announcement) < order(&held.announcement) => {
                 let Announcement { incarnation, sequence, .. } = held.announcement;
-                return Answer::Stale { incarnation, sequence };
+                return AnnouncementResult::Stale { incarnation, sequence };
             }
             _ => {}
         }
         if !self.records.contains_key(&key) && !self.make_room() {
-            return Answer::Bad(Fault::Full);
+            return AnnouncementResult::Rejected(Rejection::RegistryFull);
         }
         if let Some(gone) =
             self.gone.get(&key).filter(|it| it.incarnation > announcement.incarnation)
         {
-            return Answer::Stale { incarnation: gone.incarnation, sequence: gone.sequence };
+            return AnnouncementResult::Stale {
+                incarnation: gone.incarnation,
+                sequence: gone.sequence,
+            };
         }
         let same =
             self.records.get(&key).is_some_and(|it| order(&it.announcement) == order(announcement));
@@ -219,7 +222,7 @@
             let arrival = Arrival { announcement: announcement.clone(), at, said: at };
             self.hold(now, key, arrival, queue);
         }
-        Answer::Accepted { lease: self.lease }
+        AnnouncementResult::Accepted { lease: self.lease }
     }
 
     /// Returns the renewal that the last announcement of an upstream amounts to.
@@ -234,7 +237,7 @@
         if self.records.len() < MAX_RECORDS {
             return true;
         }
-        let lapsed = self.records.values().filter(|it| it.standing == Standing::Lapsed);
+        let lapsed = self.records.values().filter(|it| it.lease_status == LeaseStatus::Lapsed);
         let Some(key) = lapsed.min_by_key(|it| it.fresh).map(|it| it.key) else { return false };
         self.remove(key);
         true
@@ -251,7 +254,7 @@
         let load_age = Duration::from_millis(u64::from(announcement.load.age));
         let load_at = at.saturating_sub(load_age);
         self.keep_leaving(key, &mut announcement);
-        let check = Check::of(&announcement);
+        let check = ContentHash::of(&announcement);
         let known = self.records.remove(&key);
         let changed = known.as_ref().is_none_or(|record| record.check != check);
         let new = known.is_none();
@@ -271,10 +274,10 @@
         record.fresh = self.fresh(&record).max(at);
         record.announcement = announcement;
         record.check = check;
-        if record.leaving() {
+        if record.is_leaving() {
             self.leave(now, &mut record, said, queue);
         }
-        if new || (changed && !record.leaving()) {
+        if new || (changed && !record.is_leaving()) {
             queue.push(Subject::Sheet(key));
         }
         self.records.insert(key, record);
@@ -282,8 +285,14 @@
     }
 
     /// Takes an announcement that another instance passes on.
-    pub(crate) fn sheet(&mut self, now: Duration, lag: Duration, sheet: Sheet, queue: &mut Queue) {
-        let Sheet { mut announcement, age, load_age } = sheet;
+    pub(crate) fn sheet(
+        &mut self,
+        now: Duration,
+        lag: Duration,
+        sheet: ForwardedAnnouncement,
+        queue: &mut Queue,
+    ) {
+        let ForwardedAnnouncement { mut announcement, age, load_age_ms: load_age } = sheet;
         if !record::valid(&announcement) {
             return;
         }
@@ -305,7 +314,7 @@
     }
 
     /// Returns an announcement as it is told now.
-    pub(crate) fn said(&self, key: Key, now: Duration) -> Option<Sheet> {
+    pub(crate) fn said(&self, key: Key, now: Duration) -> Option<ForwardedAnnouncement> {
         let record = self.records.get(&key)?;
         let mut announcement = record.announcement.clone();
         if let Phase::Leaving { notice } = &mut announcement.phase {
@@ -313,7 +322,11 @@
         }
         let load_age = now.saturating_sub(record.gauge.at).as_millis();
         let load_age = u32::try_from(load_age).unwrap_or(u32::MAX);
-        Some(Sheet { announcement, age: Age::of(now, self.fresh(record)), load_age })
+        Some(ForwardedAnnouncement {
+            announcement,
+            age: Age::of(now, self.fresh(record)),
+            load_age_ms: load_age,
+        })
     }
 
     /// Starts a record that nothing has confirmed.
@@ -323,10 +336,10 @@
         Record {
             announcement: announcement.clone(),
             key,
-            check: Check([0; 3]),
+            check: ContentHash([0; 3]),
             fresh: Duration::ZERO,
             vouchers,
-            standing: Standing::Lapsed,
+            lease_status: LeaseStatus::Lapsed,
             due: Duration::ZERO,
             touched: Duration::ZERO,
             told: false,
@@ -340,7 +353,7 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Pending {
     /// The content that was announced.
-    pub(crate) check: Check,
+    pub(crate) check: ContentHash,
     /// The sequence of the announcement.
     pub(crate) sequence: u64,
     /// When it was made.
--- a/crates/verbenaslip-gossip/src/registry/departure.rs
+++ b/crates/verbenaslip-gossip/src/registry/departure.rs
@@ -6,7 +6,7 @@
 use verbenaslip_base::name::Upstream;
 
 use super::{Event, Gone, Registry};
-use crate::frame::{Check, Key, Leaving};
+use crate::frame::{ContentHash, Departure, Key};
 use crate::queue::{Queue, Subject};
 use crate::record::Record;
 
@@ -28,7 +28,7 @@
         }
         let incarnation = announcement.incarnation;
         let held = self.records.get(&key).filter(|it| it.announcement.incarnation == incarnation);
-        let held = held.filter(|it| it.leaving()).map(|it| it.announcement.phase);
+        let held = held.filter(|it| it.is_leaving()).map(|it| it.announcement.phase);
         let gone = self.gone.get(&key).filter(|it| it.incarnation >= incarnation);
         if let Some(phase) = held.or(gone.map(|_| Phase::Leaving { notice: None })) {
             announcement.phase = phase;
@@ -74,13 +74,13 @@
         let Some(record) = self.records.get(&key) else { return false };
         let Announcement { incarnation, sequence, .. } = record.announcement;
         let notice = Some(notice);
-        self.depart(now, &Leaving { key, incarnation, sequence, notice }, queue);
+        self.depart(now, &Departure { key, incarnation, sequence, notice }, queue);
         true
     }
 
     /// Takes the news that an upstream is leaving.
-    pub(crate) fn depart(&mut self, now: Duration, leaving: &Leaving, queue: &mut Queue) {
-        let Leaving { key, incarnation, sequence, notice } = *leaving;
+    pub(crate) fn depart(&mut self, now: Duration, leaving: &Departure, queue: &mut Queue) {
+        let Departure { key, incarnation, sequence, notice } = *leaving;
         let Some(mut record) = self.records.remove(&key) else {
             self.bury(now, leaving, queue);
             return;
@@ -97,17 +97,17 @@
             record.deadline = None;
         }
         record.announcement.sequence = record.announcement.sequence.max(sequence);
-        let changed = !record.leaving();
+        let changed = !record.is_leaving();
         record.announcement.phase = Phase::Leaving { notice };
-        record.check = Check::of(&record.announcement);
+        record.check = ContentHash::of(&record.announcement);
         record.touched = now;
         self.leave(now, &mut record, now, queue);
         self.records.insert(key, record);
         self.review(now, key, changed);
     }
 
-    pub(super) fn bury(&mut self, now: Duration, leaving: &Leaving, queue: &mut Queue) {
-        let Leaving { key, incarnation, sequence, .. } = *leaving;
+    pub(super) fn bury(&mut self, now: Duration, leaving: &Departure, queue: &mut Queue) {
+        let Departure { key, incarnation, sequence, .. } = *leaving;
         if self.gone.get(&key).is_some_and(|it| it.incarnation >= incarnation) {
             return;
         }
@@ -120,13 +120,18 @@
     }
 
     /// Returns the news that an upstream is leaving as it is told now.
-    pub(crate) fn leaving(&self, key: Key, now: Duration) -> Option<Leaving> {
-        if let Some(record) = self.records.get(&key).filter(|record| record.leaving()) {
+    pub(crate) fn leaving(&self, key: Key, now: Duration) -> Option<Departure> {
+        if let Some(record) = self.records.get(&key).filter(|record| record.is_leaving()) {
             let Announcement { incarnation, sequence, .. } = record.announcement;
             let left = |at: Duration| at.saturating_sub(now).as_millis() as u32;
-            return Some(Leaving { key, incarnation, sequence, notice: record.deadline.map(left) });
+            return Some(Departure {
+                key,
+                incarnation,
+                sequence,
+                notice: record.deadline.map(left),
+            });
         }
         let Gone { incarnation, sequence, .. } = *self.gone.get(&key)?;
-        Some(Leaving { key, incarnation, sequence, notice: None })
+        Some(Departure { key, incarnation, sequence, notice: None })
     }
 }
--- a/crates/verbenaslip-gossip/src/registry/gauge.rs
+++ b/crates/verbenaslip-gossip/src/registry/gauge.rs
@@ -5,7 +5,7 @@
 use verbenaslip_base::announce::{Announcement, Load};
 
 use super::Registry;
-use crate::frame::{Gauge, Key};
+use crate::frame::{CompactLoad, Key};
 use crate::queue::{Queue, Subject};
 use crate::record::{self, Gauged};
 
@@ -37,7 +37,7 @@
         &mut self,
         now: Duration,
         lag: Duration,
-        news: &Gauge,
+        news: &CompactLoad,
         queue: &mut Queue,
     ) {
         let Some((key, record)) = self.records.range_mut(Key::begin(news.key)).next() else {
@@ -49,28 +49,28 @@
         if !same || ahead <= 0 {
             return;
         }
-        let age = GAUGE_AGE * u32::from(news.age) + lag;
+        let age = GAUGE_AGE * u32::from(news.age_tenths) + lag;
         let sequence = held.saturating_add(ahead.unsigned_abs().into());
         record.gauge = Gauged { sequence, at: now.saturating_sub(age), told: record.gauge.told };
         let memory = u16::from(news.memory) * GAUGE_MEMORY;
-        let Gauge { running, waiting, .. } = *news;
+        let CompactLoad { running, waiting, .. } = *news;
         record.announcement.load = Load { running, waiting, memory, age: 0 };
         queue.push(Subject::Gauge(*key));
     }
 
     /// Returns the load of an upstream as it is told now.
-    pub(crate) fn gauged(&self, key: Key, now: Duration) -> Option<Gauge> {
+    pub(crate) fn gauged(&self, key: Key, now: Duration) -> Option<CompactLoad> {
         let record = self.records.get(&key)?;
         let Load { running, waiting, memory, .. } = record.announcement.load;
         let age = now.saturating_sub(record.gauge.at).as_millis() / GAUGE_AGE.as_millis() + 1;
-        Some(Gauge {
+        Some(CompactLoad {
             key: key.short(),
             incarnation: record.announcement.incarnation as u8,
             sequence: (record.gauge.sequence as u16).to_le_bytes(),
             running,
             waiting,
             memory: u8::try_from(memory / GAUGE_MEMORY).unwrap_or(u8::MAX),
-            age: u8::try_from(age).unwrap_or(u8::MAX),
+            age_tenths: u8::try_from(age).unwrap_or(u8::MAX),
         })
     }
 }
--- a/crates/verbenaslip-gossip/src/registry/lease.rs
+++ b/crates/verbenaslip-gossip/src/registry/lease.rs
@@ -6,7 +6,7 @@
 use super::{Event, MEMORY, Registry};
 use crate::frame::Key;
 use crate::member::Handle;
-use crate::record::{Record, Standing};
+use crate::record::{LeaseStatus, Record};
 
 /// How long doubtful upstreams have to be confirmed once this instance is no longer cut off.
 const GRACE: Duration = Duration::from_secs(3);
@@ -26,7 +26,7 @@
     pub(super) fn review(&mut self, now: Duration, key: Key, changed: bool) {
         let Some(record) = self.records.get(&key) else { return };
         let due = self.fresh(record) + self.lease;
-        let before = record.standing;
+        let before = record.lease_status;
         let upstream = record.announcement.upstream.clone();
         let Some(record) = self.records.get_mut(&key) else { return };
         record.due = due;
@@ -34,9 +34,9 @@
             self.loose.insert(key);
             return;
         }
-        record.standing = Standing::Confirmed;
+        record.lease_status = LeaseStatus::Confirmed;
         self.loose.remove(&key);
-        if before == Standing::Lapsed {
+        if before == LeaseStatus::Lapsed {
             self.events.push(Event::Appeared(upstream));
         } else if changed {
             self.events.push(Event::Changed(upstream));
@@ -50,7 +50,8 @@
         if doubt {
             self.trusted = now + GRACE;
         }
-        let due = |record: &&Record| record.due <= now && record.standing != Standing::Lapsed;
+        let due =
+            |record: &&Record| record.due <= now && record.lease_status != LeaseStatus::Lapsed;
         let keys: Vec<Key> = self.records().filter(due).map(|record| record.key).collect();
         for key in keys {
             self.lapse(now, key);
@@ -73,12 +74,12 @@
         }
         let zone = record.announcement.zone.clone();
         if doubt {
-            record.standing = Standing::Doubtful;
+            record.lease_status = LeaseStatus::Doubtful;
             if self.doubted.insert(zone.clone()) {
-                self.events.push(Event::Doubted(zone));
+                self.events.push(Event::ZoneDoubtful(zone));
             }
         } else {
-            record.standing = Standing::Lapsed;
+            record.lease_status = LeaseStatus::Lapsed;
             self.events.push(Event::Lapsed(record.announcement.upstream.clone()));
         }
     }
@@ -87,10 +88,10 @@
         if self.doubted.is_empty() {
             return;
         }
-        let doubtful = self.records.values().filter(|it| it.standing == Standing::Doubtful);
+        let doubtful = self.records.values().filter(|it| it.lease_status == LeaseStatus::Doubtful);
         let zones: BTreeSet<_> = doubtful.map(|it| it.announcement.zone.clone()).collect();
         for zone in self.doubted.difference(&zones) {
-            self.events.push(Event::Cleared(zone.clone()));
+            self.events.push(Event::ZoneCleared(zone.clone()));
         }
         self.doubted = zones;
     }
--- a/crates/verbenaslip-gossip/src/registry/vouching.rs
+++ b/crates/verbenaslip-gossip/src/registry/vouching.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use super::{Registry, Renewed};
-use crate::frame::{Check, Delta, Entry, Key, Mark, Pull, Renewal, Since};
+use crate::frame::{
+    ContentHash, Delta, DeltaEntry, FreshnessMark, Key, Pull, Renewal, StreamPosition,
+};
 use crate::member::Handle;
 use crate::queue::{Queue, Subject};
 use crate::record::Record;
@@ -33,8 +35,8 @@
     pub(crate) fn renew(&mut self, now: Duration, lag: Duration, renewal: &Renewal) -> Renew {
         let key = renewal.key;
         let Some(record) = self.records.get_mut(&key) else { return Renew::Lacking };
-        if record.check != renewal.check {
-            let leaving = record.leaving();
+        if record.check != renewal.content_hash {
+            let leaving = record.is_leaving();
             return if leaving { Renew::Leaving } else { Renew::Lacking };
         }
         let Some(at) = renewal.age.then(now, lag) else { return Renew::Done };
@@ -49,7 +51,7 @@
     }
 
     /// Vouches for an upstream from now on, until its renewals cease.
-    pub(crate) fn vouch(&mut self, key: Key, check: Check, at: Duration) {
+    pub(crate) fn vouch(&mut self, key: Key, check: ContentHash, at: Duration) {
         let at = self.renewed.get(&key).map_or(at, |held| held.at.max(at));
         self.renewed.insert(key, Renewed { at, check });
     }
@@ -81,12 +83,12 @@
     }
 
     /// Returns all newest marks as they are told now.
-    pub(crate) fn marks(&self, now: Duration) -> Vec<Mark> {
+    pub(crate) fn marks(&self, now: Duration) -> Vec<FreshnessMark> {
         self.streams.iter().filter_map(|(handle, stream)| stream.said(*handle, now)).collect()
     }
 
     /// Returns the newest mark of an instance as it is told now.
-    pub(crate) fn marked(&self, voucher: Handle, now: Duration) -> Option<Mark> {
+    pub(crate) fn marked(&self, voucher: Handle, now: Duration) -> Option<FreshnessMark> {
         self.streams.get(&voucher)?.said(voucher, now)
     }
 
@@ -95,7 +97,7 @@
         &mut self,
         now: Duration,
         lag: Duration,
-        mark: &Mark,
+        mark: &FreshnessMark,
         queue: &mut Queue,
         pull: &mut Pull,
     ) {
@@ -118,7 +120,7 @@
     pub(super) fn renew_all(
         &mut self,
         now: Duration,
-        mark: &Mark,
+        mark: &FreshnessMark,
         born: Option<Duration>,
         queue: &mut Queue,
     ) {
@@ -144,14 +146,14 @@
     pub(super) fn ask_stream(&mut self, voucher: Handle, pull: &mut Pull) {
         if self.asked_streams.len() < MAX_ASKED && self.asked_streams.insert(voucher) {
             let version = self.streams.get(&voucher).map_or(0, Stream::version);
-            pull.streams.push(Since { voucher, version });
+            pull.streams.push(StreamPosition { voucher, version });
         }
     }
 
     /// Adds an announcement to what to ask for, once a round.
     pub(crate) fn ask_sheet(&mut self, key: Key, pull: &mut Pull) {
         if self.asked_sheets.len() < MAX_ASKED && self.asked_sheets.insert(key) {
-            pull.sheets.push(key);
+            pull.announcements.push(key);
         }
     }
 
@@ -192,15 +194,15 @@
     }
 
     /// Notes who vouches, and asks for the content when it is not the one held.
-    pub(super) fn attach(&mut self, voucher: Handle, entry: &Entry, pull: &mut Pull) {
+    pub(super) fn attach(&mut self, voucher: Handle, entry: &DeltaEntry, pull: &mut Pull) {
         let known = self.records.get_mut(&entry.key).map(|record| {
             record.vouchers.retain(|held| *held != voucher);
-            if entry.check.is_some() {
+            if entry.content_hash.is_some() {
                 record.vouchers.push(voucher);
             }
             record.check
         });
-        if entry.check.is_some() && entry.check != known {
+        if entry.content_hash.is_some() && entry.content_hash != known {
             self.ask_sheet(entry.key, pull);
         }
     }
@@ -265,7 +267,7 @@
     }
 
     /// Returns the changes of a stream after a version.
-    pub(crate) fn since(&self, since: &Since) -> Vec<Delta> {
+    pub(crate) fn since(&self, since: &StreamPosition) -> Vec<Delta> {
         let stream = self.streams.get(&since.voucher);
         stream.map_or(Vec::new(), |stream| stream.since(since.voucher, since.version))
     }
--- a/crates/verbenaslip-gossip/src/report.rs
+++ b/crates/verbenaslip-gossip/src/report.rs
@@ -10,7 +10,7 @@
 use crate::time::Age;
 
 /// The most bytes in a report.
-pub const MAX_REPORT: usize = 224;
+pub const MAX_REPORT_BYTES: usize = 224;
 
 /// How old a report of another instance may get before it is dropped.
 const MAX_AGE: Duration = Duration::from_secs(60);
@@ -45,7 +45,7 @@
 impl Reports {
     /// Replaces this instance's own report; one that is too long is cut away whole.
     pub(crate) fn publish(&mut self, now: Duration, bytes: Vec<u8>) -> bool {
-        if bytes.len() > MAX_REPORT {
+        if bytes.len() > MAX_REPORT_BYTES {
             return false;
         }
         let version = self.own.as_ref().map_or(1, |held| held.version + 1);
@@ -70,7 +70,9 @@
     pub(crate) fn take(&mut self, from: &Instance, made: Option<Duration>, report: Report) -> bool {
         let Some(made) = made else { return false };
         let held = self.others.get(from);
-        if report.bytes.len() > MAX_REPORT || held.is_some_and(|it| it.version >= report.version) {
+        if report.bytes.len() > MAX_REPORT_BYTES
+            || held.is_some_and(|it| it.version >= report.version)
+        {
             return false;
         }
         let held = Held { version: report.version, made, bytes: report.bytes.into() };
--- a/crates/verbenaslip-gossip/src/roster.rs
+++ b/crates/verbenaslip-gossip/src/roster.rs
@@ -7,8 +7,8 @@
 
 use verbenaslip_base::name::{AvailabilityZone, Instance, Region};
 
-use crate::frame::{Heard, Sum};
-use crate::member::{Area, Event, Handle, Peer, Rumor, State};
+use crate::frame::{RegionChecksum, RegionContact};
+use crate::member::{Event, Handle, MemberStatus, Peer, RegionId, State};
 use crate::rank::{Board, Homes};
 
 use compare::weigh;
@@ -39,9 +39,9 @@
 
 /// Holds one member.
 pub struct Member {
-    rumor: Rumor,
+    rumor: MemberStatus,
     handle: Handle,
-    area: Area,
+    area: RegionId,
     weight: u64,
     since: Duration,
 }
@@ -63,7 +63,7 @@
     }
 
     /// Returns the rumor to pass on.
-    pub(crate) fn rumor(&self) -> &Rumor {
+    pub(crate) fn rumor(&self) -> &MemberStatus {
         &self.rumor
     }
 }
@@ -83,18 +83,18 @@
 
 /// Holds all members.
 pub(crate) struct Roster {
-    own: Rumor,
+    own: MemberStatus,
     handle: Handle,
-    area: Area,
+    area: RegionId,
     near: Vec<Handle>,
     members: BTreeMap<Instance, Member>,
     handles: BTreeMap<Handle, Instance>,
     board: Board,
-    areas: BTreeMap<Area, Reach>,
+    areas: BTreeMap<RegionId, Reach>,
     lost: BTreeSet<AvailabilityZone>,
     events: Vec<Event>,
     retired: Vec<Handle>,
-    sums: Vec<Sum>,
+    sums: Vec<RegionChecksum>,
     last_heard: Duration,
     healthy: bool,
     revision: u64,
@@ -110,8 +110,8 @@
 impl Roster {
     /// Starts with this instance alone.
     pub(crate) fn open(own: Peer) -> Self {
-        let (handle, area) = (own.handle(), Area::of(&own.region));
-        let own = Rumor { peer: own, refutation: 0, state: State::Alive };
+        let (handle, area) = (own.handle(), RegionId::of(&own.region));
+        let own = MemberStatus { peer: own, refutations: 0, state: State::Alive };
         let mut roster = Self {
             own,
             handle,
@@ -135,7 +135,7 @@
     }
 
     /// Returns what this instance says of itself.
-    pub(crate) fn own(&self) -> &Rumor {
+    pub(crate) fn own(&self) -> &MemberStatus {
         &self.own
     }
 
@@ -175,7 +175,7 @@
     }
 
     /// Returns the rumor about anybody, this instance included.
-    pub(crate) fn rumor(&self, instance: &Instance) -> Option<&Rumor> {
+    pub(crate) fn rumor(&self, instance: &Instance) -> Option<&MemberStatus> {
         if *instance == self.own.peer.instance {
             return Some(&self.own);
         }
@@ -210,7 +210,7 @@
 
     /// Changes what this instance says of itself; it does not come back from a final state.
     pub(crate) fn declare(&mut self, state: State) -> bool {
-        let rumor = Rumor { state, ..self.own.clone() };
+        let rumor = MemberStatus { state, ..self.own.clone() };
         let news = rumor.overrides(&self.own);
         if news {
             self.own = rumor;
@@ -220,7 +220,7 @@
     }
 
     /// Takes in what somebody says of an instance.
-    pub(crate) fn merge(&mut self, now: Duration, rumor: &Rumor) -> Merge {
+    pub(crate) fn merge(&mut self, now: Duration, rumor: &MemberStatus) -> Merge {
         if rumor.peer.instance == self.own.peer.instance {
             return self.answer(rumor);
         }
@@ -241,14 +241,14 @@
     fn room_for(&self, region: &Region) -> bool {
         *region == self.own.peer.region
             || self.areas.len() < MAX_AREAS
-            || self.areas.contains_key(&Area::of(region))
+            || self.areas.contains_key(&RegionId::of(region))
     }
 
     /// Refutes what is false about this instance.
     ///
     /// A peer that could not reach this instance calls it suspect or dead. One would notice a
     /// healthy instance that loses its duties. A higher refutation overrides that everywhere.
-    fn answer(&mut self, rumor: &Rumor) -> Merge {
+    fn answer(&mut self, rumor: &MemberStatus) -> Merge {
         let own = &self.own;
         if rumor.peer.incarnation > own.peer.incarnation {
             let event = Event::Replaced { incarnation: rumor.peer.incarnation };
@@ -260,19 +260,19 @@
         if !rumor.overrides(own) {
             return if own.overrides(rumor) { Merge::Stale } else { Merge::Known };
         }
-        self.own.refutation = rumor.refutation.saturating_add(1);
+        self.own.refutations = rumor.refutations.saturating_add(1);
         self.changed = true;
         Merge::Refuted
     }
 
-    fn replace(&mut self, now: Duration, rumor: &Rumor) {
+    fn replace(&mut self, now: Duration, rumor: &MemberStatus) {
         let name = &rumor.peer.instance;
         let old = self.members.get(name).map(|member| member.rumor.clone());
         self.tell(old.as_ref(), rumor);
         if let Some(old) = old.filter(|old| old.peer.incarnation != rumor.peer.incarnation) {
             self.drop_handle(old.peer.handle(), name);
         }
-        let (handle, area) = (rumor.peer.handle(), Area::of(&rumor.peer.region));
+        let (handle, area) = (rumor.peer.handle(), RegionId::of(&rumor.peer.region));
         if !rumor.state.present() {
             self.retired.push(handle);
         }
@@ -290,7 +290,7 @@
         self.changed = true;
     }
 
-    fn tell(&mut self, old: Option<&Rumor>, new: &Rumor) {
+    fn tell(&mut self, old: Option<&MemberStatus>, new: &MemberStatus) {
         let name = new.peer.instance.clone();
         let same = old.filter(|old| old.peer.incarnation == new.peer.incarnation);
         if same.is_none() && old.is_some_and(|old| old.state.present()) {
@@ -327,7 +327,7 @@
             return;
         }
         let reach = || Reach { region: region.clone(), heard: now, silent: false };
-        self.areas.entry(Area::of(region)).or_insert_with(reach);
+        self.areas.entry(RegionId::of(region)).or_insert_with(reach);
     }
 
     /// Forgets the longest gone while too many are remembered.
@@ -408,7 +408,7 @@
             State::Leaving => State::Left,
             _ => return false,
         };
-        let rumor = Rumor { state, ..member.rumor.clone() };
+        let rumor = MemberStatus { state, ..member.rumor.clone() };
         self.replace(now, &rumor);
         true
     }
@@ -446,9 +446,9 @@
                 && now - member.since >= SUSPICION
                 && member.area == area
         };
-        let dead: Vec<Rumor> = self.members().filter(due).map(|m| m.rumor.clone()).collect();
+        let dead: Vec<MemberStatus> = self.members().filter(due).map(|m| m.rumor.clone()).collect();
         for rumor in &dead {
-            self.replace(now, &Rumor { state: State::Dead, ..rumor.clone() });
+            self.replace(now, &MemberStatus { state: State::Dead, ..rumor.clone() });
         }
         let old = |member: &&Member| !member.state().present() && now - member.since > MEMORY;
         let old: Vec<_> = self.members().filter(old).map(|m| m.peer().instance.clone()).collect();
@@ -468,7 +468,7 @@
         zones.remove(&self.own.peer.zone);
         for (zone, live) in zones {
             if live && self.lost.remove(&zone) {
-                self.events.push(Event::ZoneBack(zone));
+                self.events.push(Event::ZoneRecovered(zone));
             } else if !live && self.lost.len() < MAX_LOST && self.lost.insert(zone.clone()) {
                 self.events.push(Event::ZoneLost(zone));
             }
@@ -482,30 +482,33 @@
             if silent != reach.silent {
                 reach.silent = silent;
                 let region = reach.region.clone();
-                let event =
-                    if silent { Event::RegionSilent(region) } else { Event::RegionBack(region) };
+                let event = if silent {
+                    Event::RegionUnreachable(region)
+                } else {
+                    Event::RegionRecovered(region)
+                };
                 self.events.push(event);
             }
         }
     }
 
     /// Returns how long ago each other region was heard.
-    pub(crate) fn areas(&self, now: Duration) -> Vec<Heard> {
-        self.areas.iter().map(|(area, reach)| Heard::of(*area, now, reach.heard)).collect()
+    pub(crate) fn areas(&self, now: Duration) -> Vec<RegionContact> {
+        self.areas.iter().map(|(area, reach)| RegionContact::of(*area, now, reach.heard)).collect()
     }
 
     /// Takes in when somebody of this region heard another region.
-    pub(crate) fn merge_areas(&mut self, now: Duration, lag: Duration, areas: &[Heard]) {
+    pub(crate) fn merge_areas(&mut self, now: Duration, lag: Duration, areas: &[RegionContact]) {
         for heard in areas {
-            let age = Duration::from_millis(u64::from(heard.age) * 100) + lag;
-            if let Some(reach) = self.areas.get_mut(&heard.area) {
+            let age = Duration::from_millis(u64::from(heard.age_tenths) * 100) + lag;
+            if let Some(reach) = self.areas.get_mut(&heard.region_id) {
                 reach.heard = reach.heard.max(now.saturating_sub(age));
             }
         }
     }
 
     /// Returns the rumor about whoever a handle means, this instance included.
-    pub(crate) fn named(&self, handle: Handle) -> Option<&Rumor> {
+    pub(crate) fn named(&self, handle: Handle) -> Option<&MemberStatus> {
         if handle == self.handle {
             return Some(&self.own);
         }
--- a/crates/verbenaslip-gossip/src/setup.rs
+++ b/crates/verbenaslip-gossip/src/setup.rs
@@ -8,7 +8,7 @@
 use crate::member::Peer;
 
 /// How long an upstream stays usable without a renewal, unless set otherwise.
-pub const LEASE: Duration = Duration::from_secs(6);
+pub const MAX_LEASE: Duration = Duration::from_secs(6);
 
 /// Configures one instance.
 #[data]
--- a/crates/verbenaslip-gossip/src/stream.rs
+++ b/crates/verbenaslip-gossip/src/stream.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::frame::{Check, Delta, Entry, Key, Mark};
+use crate::frame::{ContentHash, Delta, DeltaEntry, FreshnessMark, Key};
 use crate::member::Handle;
 use crate::time::Age;
 
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Parked {
     /// The mark.
-    pub(crate) mark: Mark,
+    pub(crate) mark: FreshnessMark,
     /// Since when it renews; none when it came too late.
     pub(crate) born: Option<Duration>,
 }
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy)]
 struct Held {
     version: u32,
-    check: Option<Check>,
+    check: Option<ContentHash>,
 }
 
 /// A change of what this instance vouches for.
@@ -52,7 +52,7 @@
     /// The upstream.
     pub(crate) key: Key,
     /// The content vouched for; none when no longer.
-    pub(crate) check: Option<Check>,
+    pub(crate) check: Option<ContentHash>,
 }
 
 /// Says what a delta or mark did to a stream.
@@ -83,12 +83,12 @@
     }
 
     /// Returns the content vouched for.
-    pub(crate) fn check(&self, key: Key) -> Option<Check> {
+    pub(crate) fn check(&self, key: Key) -> Option<ContentHash> {
         self.held.get(&key)?.check
     }
 
     /// Returns since when an upstream with this content is surely renewed, by the newest mark.
-    pub(crate) fn covers(&self, key: Key, check: Check) -> Option<Duration> {
+    pub(crate) fn covers(&self, key: Key, check: ContentHash) -> Option<Duration> {
         let held = self.held.get(&key)?;
         (held.check == Some(check) && held.version <= self.marked).then_some(self.born)
     }
@@ -117,15 +117,15 @@
     }
 
     /// Returns the newest mark as it is told now; none before the first.
-    pub(crate) fn said(&self, voucher: Handle, now: Duration) -> Option<Mark> {
+    pub(crate) fn said(&self, voucher: Handle, now: Duration) -> Option<FreshnessMark> {
         let age = Age::of(now, self.born);
-        let mark = Mark { voucher, tick: self.tick, version: self.marked, age };
+        let mark = FreshnessMark { voucher, sequence: self.tick, version: self.marked, age };
         (self.tick > 0).then_some(mark)
     }
 
     /// Tells whether a mark would change something.
-    pub(crate) fn weigh(&self, mark: &Mark) -> Outcome {
-        if mark.tick <= self.tick {
+    pub(crate) fn weigh(&self, mark: &FreshnessMark) -> Outcome {
+        if mark.sequence <= self.tick {
             Outcome::Known
         } else if mark.version > self.version || self.head > self.version {
             Outcome::Gap
@@ -137,8 +137,8 @@
     /// Takes another instance's mark, which [`Stream::weigh`] found new.
     ///
     /// A mark without a usable age still counts as seen, so that it can't come again as fresh.
-    pub(crate) fn accept(&mut self, mark: &Mark, born: Option<Duration>) {
-        self.tick = mark.tick;
+    pub(crate) fn accept(&mut self, mark: &FreshnessMark, born: Option<Duration>) {
+        self.tick = mark.sequence;
         let Some(born) = born else { return };
         if mark.version > self.marked {
             self.marked = mark.version;
@@ -149,8 +149,8 @@
     }
 
     /// Keeps a mark for when [`Stream::weigh`] finds that it can be used.
-    pub(crate) fn park(&mut self, mark: &Mark, born: Option<Duration>) {
-        if self.parked.is_none_or(|parked| parked.mark.tick < mark.tick) {
+    pub(crate) fn park(&mut self, mark: &FreshnessMark, born: Option<Duration>) {
+        if self.parked.is_none_or(|parked| parked.mark.sequence < mark.sequence) {
             self.parked = Some(Parked { mark: *mark, born });
         }
     }
@@ -178,11 +178,11 @@
             self.floor = 0;
         }
         for entry in &delta.entries {
-            let version = delta.base.saturating_add(entry.after);
-            self.held.insert(entry.key, Held { version, check: entry.check });
+            let version = delta.base.saturating_add(entry.version_offset);
+            self.held.insert(entry.key, Held { version, check: entry.content_hash });
         }
         self.version = delta.version;
-        self.head = self.head.max(delta.head);
+        self.head = self.head.max(delta.latest);
         self.prune();
     }
 
@@ -204,7 +204,11 @@
         let mut delta = self.piece(voucher, base);
         delta.version = version;
         let changed = self.held.iter().filter(|(_, held)| held.version == version);
-        let entry = |(key, held): (&Key, &Held)| Entry { key: *key, check: held.check, after: 1 };
+        let entry = |(key, held): (&Key, &Held)| DeltaEntry {
+            key: *key,
+            content_hash: held.check,
+            version_offset: 1,
+        };
         delta.entries = changed.map(entry).collect();
         Some(delta)
     }
@@ -226,7 +230,11 @@
             }
             delta.version = version;
             let after = version - delta.base;
-            let entry = |Change { key, check }| Entry { key, check, after };
+            let entry = |Change { key, check }| DeltaEntry {
+                key,
+                content_hash: check,
+                version_offset: after,
+            };
             delta.entries.extend(changes.into_iter().map(entry));
         }
         delta.version = self.version;
@@ -235,6 +243,6 @@
     }
 
     fn piece(&self, voucher: Handle, base: u32) -> Delta {
-        Delta { voucher, base, version: base, head: self.version, entries: Vec::new() }
+        Delta { voucher, base, version: base, latest: self.version, entries: Vec::new() }
     }
 }
--- a/crates/verbenaslip-gossip/tests/cost.rs
+++ b/crates/verbenaslip-gossip/tests/cost.rs
@@ -7,7 +7,7 @@
 
 use support::{LOSSY, Net, ms, s};
 use verbenaslip_base::announce::Phase;
-use verbenaslip_gossip::{Input, MAX_FRAME, MAX_REPORT, UpstreamEvent};
+use verbenaslip_gossip::{Input, MAX_FRAME_BYTES, MAX_REPORT_BYTES, UpstreamEvent};
 
 /// The most bytes that one instance may send and receive a second at the size to design for.
 const BUDGET: f64 = 6_000.0;
@@ -109,7 +109,7 @@
     assert!(loads.both() < BUDGET, "{:?}", net.kinds);
 
     for index in 0..net.nodes.len() {
-        net.step(index, Input::Report(vec![7; MAX_REPORT]));
+        net.step(index, Input::Report(vec![7; MAX_REPORT_BYTES]));
     }
     let reports = Spent::over(&mut net, 3);
     reports.print("reports", size, upstreams);
@@ -118,7 +118,7 @@
     let lapsed = |(_, event): &&_| matches!(event, UpstreamEvent::Lapsed(_));
     let lapsed = net.nodes.iter().flat_map(|node| &node.upstreams).filter(lapsed).count();
     assert_eq!(lapsed, 0, "an upstream that renews lapsed somewhere");
-    assert!(net.longest <= MAX_FRAME);
+    assert!(net.longest <= MAX_FRAME_BYTES);
 }
 
 #[test]
--- a/crates/verbenaslip-gossip/tests/hostile.rs
+++ b/crates/verbenaslip-gossip/tests/hostile.rs
@@ -9,8 +9,8 @@
 use support::{Net, address, announcement, s};
 use verbenaslip_base::name::{AvailabilityZone, Instance, Region};
 use verbenaslip_gossip::{
-    Age, Body, Check, Delta, Entry, Frame, Gossip, Handle, Input, Key, MAX_FRAME, Mark, Output,
-    Peer, Renewal, Rumor, Sheet, Spread, State,
+    Age, Body, ContentHash, Delta, DeltaEntry, ForwardedAnnouncement, Frame, FreshnessMark, Gossip,
+    Handle, Input, Key, MAX_FRAME_BYTES, MemberStatus, Output, Peer, Renewal, State, Updates,
 };
 
 /// The most datagrams with which an instance may answer one.
@@ -24,7 +24,7 @@
     let mut sent = 0;
     for output in &outputs {
         let Output::Send { frame, .. } = output else { continue };
-        assert!(frame.encode().is_some(), "longer than {MAX_FRAME} bytes");
+        assert!(frame.encode().is_some(), "longer than {MAX_FRAME_BYTES} bytes");
         sent += 1;
     }
     assert!(sent <= MOST_ANSWERS, "{sent} answers");
@@ -104,19 +104,19 @@
     let now = net.now;
     let gossip = net.nodes[0].gossip.as_mut().expect("it runs");
     for part in 0..300 {
-        let rumors = (part * 20..part * 20 + 20).map(|index| Rumor {
+        let rumors = (part * 20..part * 20 + 20).map(|index| MemberStatus {
             peer: peer(index * 2),
-            refutation: 0,
+            refutations: 0,
             state: State::Alive,
         });
-        let spread = Spread { members: rumors.collect(), ..Spread::default() };
-        hand(gossip, now, Frame { from: Handle([1; 4]), body: Body::Spread(spread) });
+        let spread = Updates { members: rumors.collect(), ..Updates::default() };
+        hand(gossip, now, Frame { from: Handle([1; 4]), body: Body::Updates(spread) });
     }
     assert_eq!(gossip.members().count(), 4_096);
     for part in 0..100 {
-        let body = Body::Join(Rumor {
+        let body = Body::Join(MemberStatus {
             peer: peer(part * 2 + 1),
-            refutation: u32::MAX,
+            refutations: u32::MAX,
             state: State::Alive,
         });
         hand(gossip, now, Frame { from: Handle([1; 4]), body });
@@ -134,30 +134,33 @@
     let gossip = net.nodes[0].gossip.as_mut().expect("it runs");
     let most = u32::MAX;
     let key = Key([0; 6]);
-    let entry = Entry { key, check: Some(Check([0; 3])), after: most };
+    let entry = DeltaEntry { key, content_hash: Some(ContentHash([0; 3])), version_offset: most };
     let delta =
-        |base, version| Delta { voucher: from, base, version, head: most, entries: vec![entry] };
-    let mark = Mark { voucher: from, tick: most, version: most, age: Age(0) };
+        |base, version| Delta { voucher: from, base, version, latest: most, entries: vec![entry] };
+    let mark = FreshnessMark { voucher: from, sequence: most, version: most, age: Age(0) };
     let mut said = announcement("u", "z0");
     said.incarnation = u64::MAX;
     said.sequence = u64::MAX;
     said.load.age = most;
-    let sheet = Sheet { announcement: said, age: Age(255), load_age: most };
-    let rumor = |state| Rumor { peer: own.clone(), refutation: most, state };
+    let sheet = ForwardedAnnouncement { announcement: said, age: Age(255), load_age_ms: most };
+    let rumor = |state| MemberStatus { peer: own.clone(), refutations: most, state };
     let bodies = [
-        Body::Spread(Spread { deltas: vec![delta(0, most), delta(most, 0)], ..Spread::default() }),
-        Body::Spread(Spread { marks: vec![mark], ..Spread::default() }),
-        Body::Spread(Spread { sheets: vec![sheet], ..Spread::default() }),
+        Body::Updates(Updates {
+            deltas: vec![delta(0, most), delta(most, 0)],
+            ..Updates::default()
+        }),
+        Body::Updates(Updates { marks: vec![mark], ..Updates::default() }),
+        Body::Updates(Updates { announcements: vec![sheet], ..Updates::default() }),
         Body::Join(rumor(State::Dead)),
         Body::Join(rumor(State::Left)),
         Body::Renewals(vec![Renewal {
             key,
-            check: Check([0; 3]),
+            content_hash: ContentHash([0; 3]),
             sequence: u64::MAX,
             age: Age(0),
         }]),
         Body::Ping { target: own.handle(), probe: most },
-        Body::Relay { target: from, probe: most },
+        Body::IndirectPing { target: from, probe: most },
         Body::Ack { probe: most },
     ];
     for body in bodies {
--- a/crates/verbenaslip-gossip/tests/member.rs
+++ b/crates/verbenaslip-gossip/tests/member.rs
@@ -233,7 +233,7 @@
     }
     net.run(s(10));
     assert_eq!(disagreements(&net), 0);
-    let back = events(&net, |event| *event == MemberEvent::ZoneBack(name.clone()));
+    let back = events(&net, |event| *event == MemberEvent::ZoneRecovered(name.clone()));
     assert_eq!(back, 40 - zone.len());
 }
 
@@ -324,10 +324,10 @@
     let mut net = Net::region(29, 12, 3);
     net.run(s(8));
     let keys: Vec<u128> = (0..600u64).map(|key| hash::wide(&[&key.to_le_bytes()])).collect();
-    let before: Vec<_> = keys.iter().map(|key| net.gossip(0).rank(*key)).collect();
+    let before: Vec<_> = keys.iter().map(|key| net.gossip(0).homes(*key)).collect();
     for (at, gossip) in net.running() {
         for (key, homes) in keys.iter().zip(&before) {
-            assert_eq!(gossip.rank(*key), *homes, "at {at}");
+            assert_eq!(gossip.homes(*key), *homes, "at {at}");
         }
     }
     let zone = |name: &verbenaslip_base::name::Instance| {
@@ -341,7 +341,7 @@
     net.kill(5);
     net.run(s(12));
     for (key, homes) in keys.iter().zip(&before) {
-        let after = net.gossip(0).rank(*key);
+        let after = net.gossip(0).homes(*key);
         let mut kept = homes.iter().filter(|name| **name != gone);
         assert!(kept.all(|name| after.iter().any(|it| it == name)), "a home moved");
         assert!(after.iter().all(|name| *name != gone));
@@ -387,7 +387,7 @@
     net.run(s(120));
     for at in 0..6 {
         assert_eq!(net.state(at, 7), Some(State::Alive), "nobody of r1 is declared dead at {at}");
-        let silent = |event: &MemberEvent| matches!(event, MemberEvent::RegionSilent(_));
+        let silent = |event: &MemberEvent| matches!(event, MemberEvent::RegionUnreachable(_));
         assert!(net.nodes[at].members.iter().any(|(_, event)| silent(event)), "at {at}");
     }
     net.kill(8);
@@ -397,7 +397,7 @@
     net.run(s(30));
     for at in 0..6 {
         assert_eq!(net.state(at, 8), Some(State::Dead), "at {at}");
-        let back = |event: &MemberEvent| matches!(event, MemberEvent::RegionBack(_));
+        let back = |event: &MemberEvent| matches!(event, MemberEvent::RegionRecovered(_));
         assert!(net.nodes[at].members.iter().any(|(_, event)| back(event)), "at {at}");
     }
     assert_eq!(disagreements(&net), 0);
--- a/crates/verbenaslip-gossip/tests/registry.rs
+++ b/crates/verbenaslip-gossip/tests/registry.rs
@@ -9,8 +9,8 @@
 use verbenaslip_base::announce::{Announcement, Load, Phase};
 use verbenaslip_base::name::{Model, Upstream};
 use verbenaslip_gossip::{
-    Answer, Body, Check, Fault, Frame, Input, Key, LEASE, Output, Pull, Since, Standing,
-    UpstreamEvent,
+    AnnouncementResult, Body, ContentHash, Frame, Input, Key, LeaseStatus, MAX_LEASE, Output, Pull,
+    Rejection, StreamPosition, UpstreamEvent,
 };
 
 /// Returns a region in which every instance has upstreams that are known everywhere.
@@ -66,8 +66,8 @@
         ..announcement("u", "z0")
     };
     let leaving = Phase::Leaving { notice: None };
-    let accepted = Answer::Accepted { lease: LEASE };
-    let stale = |incarnation, sequence| Answer::Stale { incarnation, sequence };
+    let accepted = AnnouncementResult::Accepted { lease: MAX_LEASE };
+    let stale = |incarnation, sequence| AnnouncementResult::Stale { incarnation, sequence };
     let cases = [
         (say(5, 10, Phase::Warming), accepted.clone(), Phase::Warming),
         (say(5, 10, Phase::Warming), accepted.clone(), Phase::Warming),
@@ -107,7 +107,11 @@
     ];
     for (step, case) in cases.iter().enumerate() {
         let answer = net.announce_as(case, 0);
-        assert_eq!(answer, Some(Answer::Bad(Fault::Size)), "case {step}");
+        assert_eq!(
+            answer,
+            Some(AnnouncementResult::Rejected(Rejection::InvalidSize)),
+            "case {step}"
+        );
     }
     assert_eq!(net.gossip(0).records().count(), 0);
 }
@@ -124,12 +128,13 @@
         net.announce_as(&said, 0);
         let gossip = net.gossip(0);
         let model = Model::from("assistant");
-        let found =
-            gossip.offers(net.now, &model).any(|it| it.announcement().upstream == said.upstream);
+        let found = gossip
+            .usable_for_model(net.now, &model)
+            .any(|it| it.announcement().upstream == said.upstream);
         assert_eq!(found, usable, "{name}");
     }
     let other = Model::from("other");
-    assert_eq!(net.gossip(0).offers(net.now, &other).count(), 0);
+    assert_eq!(net.gossip(0).usable_for_model(net.now, &other).count(), 0);
 }
 
 /// Returns how long each instance went on using an upstream that had announced its end.
@@ -296,7 +301,7 @@
     for fake in 0..10 {
         net.fakes[fake].alive = false;
     }
-    net.run(LEASE + s(2));
+    net.run(MAX_LEASE + s(2));
     for at in 0..9 {
         assert_eq!(net.usable_count(at), 20, "at {at}");
     }
@@ -335,7 +340,7 @@
         for fake in 4..8 {
             net.fakes[fake].alive = false;
         }
-        net.run(LEASE + s(2) + s(later));
+        net.run(MAX_LEASE + s(2) + s(later));
         for Letter { to, from, frame } in recorded {
             net.step(to, Input::Received { from, frame });
             for at in 0..3 {
@@ -364,7 +369,7 @@
             net.fakes[fake].alive = false;
         }
         net.run_checked(s(freeze) + s(10), |net| {
-            let limit = dead + LEASE + ms(1_000);
+            let limit = dead + MAX_LEASE + ms(1_000);
             if net.now > limit {
                 for (at, gossip) in net.running() {
                     let frozen = net.nodes[at].frozen.is_some_and(|until| until > net.now);
@@ -388,12 +393,16 @@
         for fake in 0..net.fakes.len() {
             net.fakes[fake].through = (1..count).collect();
         }
-        net.run(LEASE + ms(500));
+        net.run(MAX_LEASE + ms(500));
         assert_eq!(net.usable_count(0), 0);
         net.run(s(60));
         assert!(net.gossip(0).isolated());
-        assert_eq!(net.gossip(0).doubts().count(), 3, "all availability zones are in doubt");
-        assert_eq!(net.gossip(0).doubtful().count(), 30);
+        assert_eq!(
+            net.gossip(0).doubtful_zones().count(),
+            3,
+            "all availability zones are in doubt"
+        );
+        assert_eq!(net.gossip(0).doubtful_upstreams().count(), 30);
         let lapsed = |(_, event): &&_| matches!(event, UpstreamEvent::Lapsed(_));
         assert_eq!(net.nodes[0].upstreams.iter().filter(lapsed).count(), 0, "{count}");
         for at in 1..count {
@@ -406,7 +415,7 @@
         net.cuts.clear();
         net.run(s(15));
         assert_eq!(net.usable_count(0), 25);
-        assert_eq!(net.gossip(0).doubts().count(), 0);
+        assert_eq!(net.gossip(0).doubtful_zones().count(), 0);
         assert_eq!(net.nodes[0].upstreams.iter().filter(lapsed).count(), 5, "the dead ones");
     }
 }
@@ -431,9 +440,9 @@
     for fake in (0..30).filter(|fake| fake % 3 == 1) {
         net.fakes[fake].alive = false;
     }
-    net.run(LEASE + s(2));
+    net.run(MAX_LEASE + s(2));
     assert_eq!(lapses(&net), 90);
-    assert!(net.running().all(|(_, gossip)| gossip.doubts().count() == 0));
+    assert!(net.running().all(|(_, gossip)| gossip.doubtful_zones().count() == 0));
 }
 
 #[test]
@@ -484,13 +493,14 @@
     let mut refused = 0;
     for index in 0..9_000 {
         let answer = net.announce_as(&announcement(&format!("flood-{index}"), "z0"), 0);
-        refused += usize::from(answer == Some(Answer::Bad(Fault::Full)));
+        refused +=
+            usize::from(answer == Some(AnnouncementResult::Rejected(Rejection::RegistryFull)));
     }
     assert!(net.gossip(0).records().count() <= 8_192);
     assert!(refused > 0, "while all are fresh, the newest are refused");
-    net.run(LEASE + s(1));
+    net.run(MAX_LEASE + s(1));
     let answer = net.announce_as(&announcement("late", "z0"), 0);
-    assert!(matches!(answer, Some(Answer::Accepted { .. })), "lapsed ones make room");
+    assert!(matches!(answer, Some(AnnouncementResult::Accepted { .. })), "lapsed ones make room");
     assert!(net.gossip(0).records().count() <= 8_192);
 }
 
@@ -502,25 +512,25 @@
         net.fakes[fake].through = vec![0, 1];
     }
     net.run(s(20));
-    let doubtful = |standing| standing == Standing::Doubtful;
-    assert!(net.gossip(2).records().map(|record| record.standing()).all(doubtful));
+    let doubtful = |standing| standing == LeaseStatus::Doubtful;
+    assert!(net.gossip(2).records().map(|record| record.lease_status()).all(doubtful));
     let outputs = net.step(2, Input::Tick);
-    assert!(!outputs.iter().any(|output| matches!(output, Output::Answer(_))));
+    assert!(!outputs.iter().any(|output| matches!(output, Output::AnnouncementResult(_))));
 }
 
 /// Asks an instance for all that another one vouches for, as a third one would.
-fn stream_at(net: &mut Net, at: usize, voucher: usize) -> BTreeMap<Key, Option<Check>> {
+fn stream_at(net: &mut Net, at: usize, voucher: usize) -> BTreeMap<Key, Option<ContentHash>> {
     let asker = &net.nodes[(at + 1) % net.nodes.len()].peer;
     let (from, handle) = (asker.address, asker.handle());
-    let since = Since { voucher: net.nodes[voucher].peer.handle(), version: 0 };
+    let since = StreamPosition { voucher: net.nodes[voucher].peer.handle(), version: 0 };
     let body = Body::Pull(Pull { streams: vec![since], ..Pull::default() });
     let frame = Box::new(Frame { from: handle, body });
     let mut held = BTreeMap::new();
     for output in net.step(at, Input::Received { from, frame }) {
         let Output::Send { frame, .. } = output else { continue };
-        let Body::Answer(spread) = frame.body else { continue };
+        let Body::PullResponse(spread) = frame.body else { continue };
         for entry in spread.deltas.iter().flat_map(|delta| &delta.entries) {
-            held.insert(entry.key, entry.check);
+            held.insert(entry.key, entry.content_hash);
         }
     }
     held.retain(|_, check| check.is_some());
--- a/crates/verbenaslip-gossip/tests/schedule.rs
+++ b/crates/verbenaslip-gossip/tests/schedule.rs
@@ -10,7 +10,7 @@
 use support::{FAIR, LOSSY, Net, Weather, ms, s};
 use verbenaslip_base::announce::Phase;
 use verbenaslip_base::name::Upstream;
-use verbenaslip_gossip::{LEASE, State};
+use verbenaslip_gossip::{MAX_LEASE, State};
 
 const INSTANCES: usize = 7;
 const UPSTREAMS: usize = 14;
@@ -163,14 +163,14 @@
                 .find(|(_, fake)| fake.announcement.upstream == said.upstream)
                 .expect("only upstreams that exist are known");
             let last = fake.announced.last().map_or(Duration::ZERO, |(when, ..)| *when);
-            let late = net.now.saturating_sub(last + LEASE + SLACK);
+            let late = net.now.saturating_sub(last + MAX_LEASE + SLACK);
             assert_eq!(late, Duration::ZERO, "seed {seed}: {index} at {at} after its lease");
             let Some(departure) = self.left.get(&index) else { continue };
             if said.incarnation != departure.incarnation {
                 continue;
             }
             let calm = self.calm + s(15) < departure.at;
-            let limit = if calm { SPREAD } else { LEASE + SLACK };
+            let limit = if calm { SPREAD } else { MAX_LEASE + SLACK };
             let late = net.now.saturating_sub(departure.at + limit);
             assert_eq!(late, Duration::ZERO, "seed {seed}: {index} left, used at {at}, {calm}");
         }
--- a/crates/verbenaslip-gossip/tests/support/mod.rs
+++ b/crates/verbenaslip-gossip/tests/support/mod.rs
@@ -11,8 +11,8 @@
 use verbenaslip_base::announce::{Announcement, Kind, Load, Market, Phase};
 use verbenaslip_base::name::{AvailabilityZone, Instance, Model, Region, Upstream};
 use verbenaslip_gossip::{
-    Answer, Body, Frame, Gossip, Input, LEASE, MemberEvent, Output, Peer, Setup, Spread, State,
-    UpstreamEvent,
+    AnnouncementResult, Body, Frame, Gossip, Input, MAX_LEASE, MemberEvent, Output, Peer, Setup,
+    State, Updates, UpstreamEvent,
 };
 
 /// The first port of the instances.
@@ -190,9 +190,9 @@
     /// Starts an instance that is not running.
     pub fn start(&mut self, index: usize) {
         let seeds = (0..3).map(address).collect();
-        let setup = Setup { own: self.nodes[index].peer.clone(), seeds, lease: LEASE };
+        let setup = Setup { own: self.nodes[index].peer.clone(), seeds, lease: MAX_LEASE };
         let seed = self.seed.wrapping_mul(1_000_003) + index as u64;
-        let gossip = Gossip::open(setup, seed, self.now);
+        let gossip = Gossip::new(setup, seed, self.now);
         self.nodes[index].gossip = Some(gossip);
         self.plan(index);
     }
@@ -248,10 +248,10 @@
     }
 
     /// Lets an upstream announce itself now, through an instance; returns the answer.
-    pub fn announce(&mut self, fake: usize, through: usize) -> Option<Answer> {
+    pub fn announce(&mut self, fake: usize, through: usize) -> Option<AnnouncementResult> {
         let announcement = self.fakes[fake].announcement.clone();
         let answer = self.announce_as(&announcement, through);
-        if matches!(answer, Some(Answer::Accepted { .. })) {
+        if matches!(answer, Some(AnnouncementResult::Accepted { .. })) {
             let Announcement { incarnation, sequence, .. } = announcement;
             self.fakes[fake].announced.push((self.now, incarnation, sequence));
         }
@@ -259,10 +259,14 @@
     }
 
     /// Hands an instance any announcement.
-    pub fn announce_as(&mut self, announcement: &Announcement, through: usize) -> Option<Answer> {
+    pub fn announce_as(
+        &mut self,
+        announcement: &Announcement,
+        through: usize,
+    ) -> Option<AnnouncementResult> {
         let mut answer = None;
         for output in self.step(through, Input::Announced(Box::new(announcement.clone()))) {
-            if let Output::Answer(given) = output {
+            if let Output::AnnouncementResult(given) = output {
                 answer = Some(given);
             }
         }
@@ -376,7 +380,7 @@
                 Output::Member(event) => self.nodes[index].members.push((now, event.clone())),
                 Output::Upstream(event) => self.nodes[index].upstreams.push((now, event.clone())),
                 Output::Isolated(it) => self.nodes[index].isolations.push((now, *it)),
-                Output::Answer(_) | Output::Reported(_) => {}
+                Output::AnnouncementResult(_) | Output::ReportReceived(_) => {}
             }
         }
         self.plan(index);
@@ -385,7 +389,7 @@
 
     fn plan(&mut self, index: usize) {
         let Some(gossip) = &self.nodes[index].gossip else { return };
-        let wake = gossip.wake().max(self.now);
+        let wake = gossip.next_wakeup().max(self.now);
         if wake < self.nodes[index].wake {
             self.nodes[index].wake = wake;
             self.schedule(wake, Event::Wake(index));
@@ -397,7 +401,7 @@
         self.longest = self.longest.max(bytes.len());
         count(&mut self.nodes[index].sent, bytes.len());
         *self.kinds.entry(kind(&frame.body)).or_default() += bytes.len() as u64;
-        if let Body::Spread(spread) = &frame.body
+        if let Body::Updates(spread) = &frame.body
             && self.detailed
         {
             self.count_parts(spread);
@@ -428,14 +432,14 @@
         }
     }
 
-    fn count_parts(&mut self, spread: &Spread) {
+    fn count_parts(&mut self, spread: &Updates) {
         let parts = [
             ("spread: deltas", encoded(&spread.deltas)),
-            ("spread: leaving", encoded(&spread.leaving)),
+            ("spread: leaving", encoded(&spread.departures)),
             ("spread: loads", encoded(&spread.loads)),
             ("spread: marks", encoded(&spread.marks)),
             ("spread: members", encoded(&spread.members)),
-            ("spread: sheets", encoded(&spread.sheets)),
+            ("spread: sheets", encoded(&spread.announcements)),
         ];
         for (name, size) in parts {
             *self.kinds.entry(name).or_default() += size;
@@ -524,11 +528,11 @@
 fn kind(body: &Body) -> &'static str {
     match body {
         Body::Join(_) => "join",
-        Body::Ping { .. } | Body::Ack { .. } | Body::Relay { .. } => "probe",
-        Body::Spread(_) => "spread",
-        Body::Answer(_) => "answer",
-        Body::Sync(_) => "sync",
-        Body::Roster(_) => "roster",
+        Body::Ping { .. } | Body::Ack { .. } | Body::IndirectPing { .. } => "probe",
+        Body::Updates(_) => "spread",
+        Body::PullResponse(_) => "answer",
+        Body::Digest(_) => "sync",
+        Body::MemberList(_) => "roster",
         Body::Pull(_) => "pull",
         Body::Renewals(_) => "renewals",
         Body::Report(_) => "report",
--- a/crates/verbenaslip-gossip/tests/voucher.rs
+++ b/crates/verbenaslip-gossip/tests/voucher.rs
@@ -8,8 +8,9 @@
 use verbenaslip_base::announce::{Announcement, Phase};
 use verbenaslip_base::name::{AvailabilityZone, Instance, Region, Upstream};
 use verbenaslip_gossip::{
-    Age, Body, Check, Delta, Entry, Frame, Gossip, Input, Key, LEASE, Leaving, Mark, Output, Peer,
-    Pull, Renewal, Rumor, Setup, Sheet, Spread, State,
+    Age, Body, ContentHash, Delta, DeltaEntry, Departure, ForwardedAnnouncement, Frame,
+    FreshnessMark, Gossip, Input, Key, MAX_LEASE, MemberStatus, Output, Peer, Pull, Renewal, Setup,
+    State, Updates,
 };
 
 /// The instance under test and the time.
@@ -29,11 +30,11 @@
             address: address(index),
             incarnation: 1,
         };
-        let setup = Setup { own: peer(0), seeds: Vec::new(), lease: LEASE };
+        let setup = Setup { own: peer(0), seeds: Vec::new(), lease: MAX_LEASE };
         let now = s(50);
-        let mut bench = Self { gossip: Gossip::open(setup, 1, now), now, voucher: peer(1) };
+        let mut bench = Self { gossip: Gossip::new(setup, 1, now), now, voucher: peer(1) };
         let peer = bench.voucher.clone();
-        bench.say(Body::Join(Rumor { peer, refutation: 0, state: State::Alive }));
+        bench.say(Body::Join(MemberStatus { peer, refutations: 0, state: State::Alive }));
         bench
     }
 
@@ -48,15 +49,15 @@
         outputs
     }
 
-    fn spread(&mut self, spread: Spread) -> Vec<Output> {
-        self.say(Body::Spread(spread))
+    fn spread(&mut self, spread: Updates) -> Vec<Output> {
+        self.say(Body::Updates(spread))
     }
 
     /// Lets time pass; the voucher answers each ping.
     fn run(&mut self, time: Duration) {
         let end = self.now + time;
-        while self.gossip.wake() <= end {
-            self.now = self.gossip.wake().max(self.now);
+        while self.gossip.next_wakeup() <= end {
+            self.now = self.gossip.next_wakeup().max(self.now);
             for output in self.input(Input::Tick) {
                 if let Output::Send { frame, .. } = output
                     && let Body::Ping { probe, .. } = frame.body
@@ -73,15 +74,15 @@
         self.gossip.usable(self.now).count() == 1
     }
 
-    fn delta(&self, base: u32, version: u32, head: u32, entries: &[Entry]) -> Spread {
+    fn delta(&self, base: u32, version: u32, head: u32, entries: &[DeltaEntry]) -> Updates {
         let voucher = self.voucher.handle();
-        let delta = Delta { voucher, base, version, head, entries: entries.to_vec() };
-        Spread { deltas: vec![delta], ..Spread::default() }
+        let delta = Delta { voucher, base, version, latest: head, entries: entries.to_vec() };
+        Updates { deltas: vec![delta], ..Updates::default() }
     }
 
-    fn mark(&self, tick: u32, version: u32, age: Age) -> Spread {
-        let mark = Mark { voucher: self.voucher.handle(), tick, version, age };
-        Spread { marks: vec![mark], ..Spread::default() }
+    fn mark(&self, tick: u32, version: u32, age: Age) -> Updates {
+        let mark = FreshnessMark { voucher: self.voucher.handle(), sequence: tick, version, age };
+        Updates { marks: vec![mark], ..Updates::default() }
     }
 
     /// Makes the upstream known and vouched for, and its first mark.
@@ -101,16 +102,19 @@
     Key::of(&Upstream::from("u"))
 }
 
-fn held() -> Entry {
-    Entry { key: key(), check: Some(Check::of(&upstream())), after: 1 }
+fn held() -> DeltaEntry {
+    DeltaEntry { key: key(), content_hash: Some(ContentHash::of(&upstream())), version_offset: 1 }
 }
 
-fn sheet(sequence: u64, age: Age) -> Spread {
+fn sheet(sequence: u64, age: Age) -> Updates {
     let announcement = Announcement { sequence, ..upstream() };
-    Spread { sheets: vec![Sheet { announcement, age, load_age: 0 }], ..Spread::default() }
+    Updates {
+        announcements: vec![ForwardedAnnouncement { announcement, age, load_age_ms: 0 }],
+        ..Updates::default()
+    }
 }
 
-type Said = fn(&Bench) -> Vec<Spread>;
+type Said = fn(&Bench) -> Vec<Updates>;
 
 /// One thing that a voucher says long after the upstream's last renewal.
 struct Case {
@@ -136,7 +140,10 @@
     Case {
         name: "a mark of a version that withdraws it",
         said: |it| {
-            vec![it.delta(1, 2, 2, &[Entry { check: None, ..held() }]), it.mark(2, 2, Age(1))]
+            vec![
+                it.delta(1, 2, 2, &[DeltaEntry { content_hash: None, ..held() }]),
+                it.mark(2, 2, Age(1)),
+            ]
         },
         usable: false,
     },
@@ -159,11 +166,11 @@
     Case {
         name: "vouched for again, not yet marked",
         said: |it| {
-            let entry = |check| Entry { check, ..held() };
+            let entry = |check| DeltaEntry { content_hash: check, ..held() };
             vec![
                 it.delta(1, 2, 2, &[entry(None)]),
                 it.mark(2, 2, Age(1)),
-                it.delta(2, 3, 3, &[entry(Some(Check::of(&upstream())))]),
+                it.delta(2, 3, 3, &[entry(Some(ContentHash::of(&upstream())))]),
             ]
         },
         usable: false,
@@ -180,13 +187,13 @@
     for Case { name, said, usable } in CASES {
         let mut bench = Bench::open();
         bench.vouch();
-        bench.run(LEASE + ms(500));
+        bench.run(MAX_LEASE + ms(500));
         assert!(!bench.usable(), "{name}: the lease has run out");
         for spread in said(&bench) {
             bench.spread(spread);
         }
         assert_eq!(bench.usable(), usable, "{name}");
-        bench.run(LEASE + ms(500));
+        bench.run(MAX_LEASE + ms(500));
         assert!(!bench.usable(), "{name}: not for ever");
     }
 }
@@ -196,13 +203,13 @@
     // Symptom: a home vouches for a dead upstream. Sequence: a renewal is delayed by the network
     // beyond the lease, or doubled; it says a small age. Cause: ages do not count the way.
     let renewal = |sequence| {
-        let check = Check::of(&upstream());
-        Body::Renewals(vec![Renewal { key: key(), check, sequence, age: Age(1) }])
+        let check = ContentHash::of(&upstream());
+        Body::Renewals(vec![Renewal { key: key(), content_hash: check, sequence, age: Age(1) }])
     };
     for (name, sequence, usable) in [("doubled", 1, false), ("older", 0, false), ("new", 2, true)] {
         let mut bench = Bench::open();
         bench.vouch();
-        bench.run(LEASE + s(1));
+        bench.run(MAX_LEASE + s(1));
         bench.say(renewal(sequence));
         assert_eq!(bench.usable(), usable, "{name}");
     }
@@ -218,8 +225,8 @@
         bench.run(s(4));
         bench.spread(bench.mark(2, 1, Age(0)));
         let peer = bench.voucher.clone();
-        let rumor = Rumor { peer, refutation: 0, state };
-        bench.spread(Spread { members: vec![rumor], ..Spread::default() });
+        let rumor = MemberStatus { peer, refutations: 0, state };
+        bench.spread(Updates { members: vec![rumor], ..Updates::default() });
         bench.run(s(4));
         assert!(bench.usable(), "what was proved stays proved");
         bench.spread(bench.mark(3, 1, Age(0)));
@@ -233,8 +240,8 @@
     // Symptom: an upstream that is leaving is used where its announcement comes later. Sequence:
     // the news of its end overtakes all else, in any order. Cause: nothing kept of the unknown.
     let end = |incarnation| {
-        let leaving = Leaving { key: key(), incarnation, sequence: 5, notice: Some(1_000) };
-        Spread { leaving: vec![leaving], ..Spread::default() }
+        let leaving = Departure { key: key(), incarnation, sequence: 5, notice: Some(1_000) };
+        Updates { departures: vec![leaving], ..Updates::default() }
     };
     let mut bench = Bench::open();
     bench.spread(end(1));
@@ -279,7 +286,7 @@
     bench.now = s(10);
     bench.input(Input::Tick);
     bench.spread(bench.mark(2, 1, Age(0)));
-    bench.now = s(50) + LEASE + s(1);
+    bench.now = s(50) + MAX_LEASE + s(1);
     bench.input(Input::Tick);
     assert!(!bench.usable());
 }
@@ -293,7 +300,7 @@
     let stranger = Peer { incarnation: 9, ..bench.voucher.clone() }.handle();
     delta.deltas[0].voucher = stranger;
     mark.marks[0].voucher = stranger;
-    bench.run(LEASE + s(1));
+    bench.run(MAX_LEASE + s(1));
     bench.spread(delta);
     bench.spread(mark);
     assert!(!bench.usable());
@@ -306,19 +313,19 @@
     let mut bench = Bench::open();
     let entry = |index: u32| {
         let key = Key::of(&Upstream::new(format!("u{index}")));
-        Entry { key, ..held() }
+        DeltaEntry { key, ..held() }
     };
     for part in 0..50 {
-        let entries: Vec<Entry> = (part * 40..part * 40 + 40).map(entry).collect();
+        let entries: Vec<DeltaEntry> = (part * 40..part * 40 + 40).map(entry).collect();
         bench.spread(bench.delta(part, part + 1, part + 1, &entries));
     }
-    let since = verbenaslip_gossip::Since { voucher: bench.voucher.handle(), version: 0 };
+    let since = verbenaslip_gossip::StreamPosition { voucher: bench.voucher.handle(), version: 0 };
     let outputs = bench.say(Body::Pull(Pull { streams: vec![since], ..Pull::default() }));
     let mut found = 0;
     for output in outputs {
         let Output::Send { frame, .. } = output else { continue };
         assert!(frame.encode().is_some(), "too long");
-        if let Body::Answer(spread) = frame.body {
+        if let Body::PullResponse(spread) = frame.body {
             found += spread.deltas.iter().map(|delta| delta.entries.len()).sum::<usize>();
         }
     }
@@ -334,11 +341,11 @@
     for incarnation in 2..1_200 {
         bench.voucher.incarnation = incarnation;
         let peer = bench.voucher.clone();
-        bench.say(Body::Join(Rumor { peer, refutation: 0, state: State::Alive }));
+        bench.say(Body::Join(MemberStatus { peer, refutations: 0, state: State::Alive }));
         bench.spread(bench.delta(0, 1, 1, &[held()]));
     }
     bench.spread(sheet(1, Age(0)));
-    bench.run(LEASE + s(1));
+    bench.run(MAX_LEASE + s(1));
     assert!(!bench.usable());
     bench.spread(bench.mark(1, 1, Age(0)));
     assert!(bench.usable());
@@ -358,12 +365,12 @@
             bench.input(Input::Announced(Box::new(said)));
         }
         let end = bench.now + s(1);
-        while bench.gossip.wake() <= end {
-            bench.now = bench.gossip.wake().max(bench.now);
+        while bench.gossip.next_wakeup() <= end {
+            bench.now = bench.gossip.next_wakeup().max(bench.now);
             for output in bench.input(Input::Tick) {
                 let Output::Send { frame, .. } = output else { continue };
                 match frame.body {
-                    Body::Spread(spread) => told.extend(spread.loads.iter().map(|it| it.key)),
+                    Body::Updates(spread) => told.extend(spread.loads.iter().map(|it| it.key)),
                     Body::Ping { probe, .. } => drop(bench.say(Body::Ack { probe })),
                     _ => {}
                 }
@@ -401,8 +408,8 @@
     // declared dead while it was cut off; it speaks. Cause: nobody tells it what to refute.
     let mut bench = Bench::open();
     let peer = bench.voucher.clone();
-    let dead = Rumor { peer: peer.clone(), refutation: 0, state: State::Dead };
-    bench.spread(Spread { members: vec![dead.clone()], ..Spread::default() });
+    let dead = MemberStatus { peer: peer.clone(), refutations: 0, state: State::Dead };
+    bench.spread(Updates { members: vec![dead.clone()], ..Updates::default() });
     let told = bench.say(Body::Report(verbenaslip_gossip::Report {
         version: 1,
         age: Age(0),
@@ -410,10 +417,10 @@
     }));
     let tells = |output: &Output| {
         matches!(output, Output::Send { to, frame } if *to == peer.address
-            && matches!(&frame.body, Body::Spread(it) if it.members.contains(&dead)))
+            && matches!(&frame.body, Body::Updates(it) if it.members.contains(&dead)))
     };
     assert!(told.iter().any(tells));
-    bench.say(Body::Join(Rumor { refutation: 1, state: State::Alive, ..dead }));
+    bench.say(Body::Join(MemberStatus { refutations: 1, state: State::Alive, ..dead }));
     let state = bench.gossip.member(&peer.instance).map(|member| member.state());
     assert_eq!(state, Some(State::Alive));
 }
--- a/crates/verbenaslip-node/src/members.rs
+++ b/crates/verbenaslip-node/src/members.rs
@@ -5,7 +5,7 @@
 
 use verbenaslip_base::announce::Phase;
 use verbenaslip_base::name::{AvailabilityZone, Instance, Upstream};
-use verbenaslip_gossip::{self as gossip, MemberEvent, Standing, State, UpstreamEvent};
+use verbenaslip_gossip::{self as gossip, LeaseStatus, MemberEvent, State, UpstreamEvent};
 use verbenaslip_request::input as request;
 use verbenaslip_state::{order, watch};
 
@@ -43,7 +43,7 @@
     fn gossiped(&mut self, output: gossip::Output, call: Option<Id>) {
         match output {
             gossip::Output::Send { to, frame } => self.out.push(Output::Datagram { to, frame }),
-            gossip::Output::Answer(answer) => {
+            gossip::Output::AnnouncementResult(answer) => {
                 if let Some(call) = call {
                     let reply = Reply::Announced(answer);
                     self.out.push(Output::Reply { call, reply });
@@ -51,7 +51,7 @@
             }
             gossip::Output::Member(event) => self.member(event),
             gossip::Output::Upstream(event) => self.upstream(event),
-            gossip::Output::Reported(instance) => self.reported(&instance),
+            gossip::Output::ReportReceived(instance) => self.reported(&instance),
             gossip::Output::Isolated(isolated) => self.isolated(isolated),
         }
     }
@@ -138,9 +138,9 @@
                 self.note(Notice::Lost { instance, zone });
             }
             MemberEvent::ZoneLost(zone) => self.note(Notice::ZoneLost(zone)),
-            MemberEvent::ZoneBack(_)
-            | MemberEvent::RegionSilent(_)
-            | MemberEvent::RegionBack(_) => {}
+            MemberEvent::ZoneRecovered(_)
+            | MemberEvent::RegionUnreachable(_)
+            | MemberEvent::RegionRecovered(_) => {}
             MemberEvent::Replaced { incarnation } => {
                 self.note(Notice::Replaced { incarnation });
                 self.out.push(Output::Drain);
@@ -181,13 +181,14 @@
                 let age = Duration::from_millis(u64::from(age));
                 self.note(Notice::Lapsed { upstream, age });
             }
-            UpstreamEvent::Doubted(zone) => {
+            UpstreamEvent::ZoneDoubtful(zone) => {
                 let known = self.upstreams_in(&zone).count();
-                let in_doubt = |record: &&gossip::Record| record.standing() != Standing::Confirmed;
+                let in_doubt =
+                    |record: &&gossip::Record| record.lease_status() != LeaseStatus::Confirmed;
                 let lost = self.upstreams_in(&zone).filter(in_doubt).count();
                 self.note(Notice::Doubted { zone, lost, known });
             }
-            UpstreamEvent::Cleared(zone) => {
+            UpstreamEvent::ZoneCleared(zone) => {
                 let known = self.upstreams_in(&zone).count();
                 self.note(Notice::Trusted { zone, known });
             }
--- a/crates/verbenaslip-node/src/node.rs
+++ b/crates/verbenaslip-node/src/node.rs
@@ -98,7 +98,7 @@
             now,
             epoch: unix.saturating_sub(now.as_millis() as u64),
             rng: Pcg64::seed_from_u64(setup.seed),
-            gossip: Gossip::open(gossip, setup.seed, now),
+            gossip: Gossip::new(gossip, setup.seed, now),
             voter: None,
             hub: watch::Hub::new(instance.clone(), zone.clone(), boot),
             requests: Requests::open(crate::serve::setup(&setup)),
@@ -142,7 +142,7 @@
 
     /// Returns when the next step is due at the latest.
     pub fn wake(&self) -> Duration {
-        let mut wake = self.beat.min(self.gossip.wake());
+        let mut wake = self.beat.min(self.gossip.next_wakeup());
         wake = wake.min(self.voter.as_ref().map_or(wake, Voter::wake));
         wake = wake.min(self.requests.wake().unwrap_or(wake));
         wake = wake.min(self.proposals.wake().unwrap_or(wake));
@@ -283,7 +283,7 @@
     /// A step for each message of each request must not walk through everything that only time
     /// moves, so each part is asked when it is due.
     fn turn(&mut self) {
-        if self.now >= self.gossip.wake() {
+        if self.now >= self.gossip.next_wakeup() {
             self.push(Todo::Gossip(gossip::Input::Tick));
         }
         if self.voter.as_ref().is_some_and(|voter| self.now >= voter.wake()) {
--- a/crates/verbenaslip-node/src/operator.rs
+++ b/crates/verbenaslip-node/src/operator.rs
@@ -5,7 +5,7 @@
 
 use verbenaslip_base::data;
 use verbenaslip_base::name::{Instance, Operator};
-use verbenaslip_gossip::Answer as Announced;
+use verbenaslip_gossip::AnnouncementResult as Announced;
 use verbenaslip_state::{audit, history};
 use verbenaslip_table::edit;
 use verbenaslip_table::{Problems, Revision};
--- a/crates/verbenaslip-node/src/setup.rs
+++ b/crates/verbenaslip-node/src/setup.rs
@@ -70,7 +70,7 @@
         Self {
             heartbeat: log.heartbeat_interval,
             election: log.election_timeout,
-            lease: verbenaslip_gossip::LEASE,
+            lease: verbenaslip_gossip::MAX_LEASE,
             request: RequestTiming::default(),
         }
     }
--- a/crates/verbenaslip-node/src/share.rs
+++ b/crates/verbenaslip-node/src/share.rs
@@ -1,7 +1,7 @@
 //! What an instance tells its neighbours about itself once a second.
 
 use verbenaslip_base::data;
-use verbenaslip_gossip::MAX_REPORT;
+use verbenaslip_gossip::MAX_REPORT_BYTES;
 use verbenaslip_policy::limit;
 
 /// Tells the neighbours what they need to share the work.
@@ -20,7 +20,7 @@
     pub(crate) fn encode(mut self) -> Vec<u8> {
         loop {
             let bytes = postcard::to_stdvec(&self).unwrap_or_default();
-            if bytes.len() <= MAX_REPORT || self.limits.entries.pop().is_none() {
+            if bytes.len() <= MAX_REPORT_BYTES || self.limits.entries.pop().is_none() {
                 return bytes;
             }
         }
--- a/crates/verbenaslip-node/src/status.rs
+++ b/crates/verbenaslip-node/src/status.rs
@@ -201,7 +201,7 @@
 
     /// Returns what each upstream last said, with how far it is confirmed.
     pub fn upstreams(&self) -> impl Iterator<Item = (&Announcement, Standing)> {
-        self.gossip.records().map(|record| (record.announcement(), record.standing().into()))
+        self.gossip.records().map(|record| (record.announcement(), record.lease_status().into()))
     }
 
     /// Shows the work held here by row of the table, in its order.
@@ -286,17 +286,17 @@
 
 impl Upstream {
     fn of(record: &verbenaslip_gossip::Record) -> Self {
-        let standing = record.standing().into();
+        let standing = record.lease_status().into();
         Self { announcement: record.announcement().clone(), standing }
     }
 }
 
-impl From<verbenaslip_gossip::Standing> for Standing {
-    fn from(standing: verbenaslip_gossip::Standing) -> Self {
+impl From<verbenaslip_gossip::LeaseStatus> for Standing {
+    fn from(standing: verbenaslip_gossip::LeaseStatus) -> Self {
         match standing {
-            verbenaslip_gossip::Standing::Confirmed => Self::Confirmed,
-            verbenaslip_gossip::Standing::Doubtful => Self::Doubtful,
-            verbenaslip_gossip::Standing::Lapsed => Self::Lapsed,
+            verbenaslip_gossip::LeaseStatus::Confirmed => Self::Confirmed,
+            verbenaslip_gossip::LeaseStatus::Doubtful => Self::Doubtful,
+            verbenaslip_gossip::LeaseStatus::Lapsed => Self::Lapsed,
         }
     }
 }
--- a/crates/verbenaslip-node/tests/wire.rs
+++ b/crates/verbenaslip-node/tests/wire.rs
@@ -368,7 +368,7 @@
     ]
 }
 
-fn spread() -> gossip::Spread {
+fn spread() -> gossip::Updates {
     let (key, voucher) = (gossip::Key([1, 2, 3, 4, 5, 6]), gossip::Handle([1, 2, 3, 4]));
     let announcement = Announcement {
         upstream: "u".into(),
@@ -385,29 +385,42 @@
         slots: 8,
         load: Load { running: 1, waiting: 2, memory: 3, age: 4 },
     };
-    let entry = gossip::Entry { key, check: Some(gossip::Check([7, 8, 9])), after: 1 };
-    let leaving = gossip::Leaving { key, incarnation: 1, sequence: 2, notice: Some(300) };
-    let delta = gossip::Delta { voucher, base: 1, version: 2, head: 3, entries: vec![entry] };
-    let gauge = gossip::Gauge {
+    let entry = gossip::DeltaEntry {
+        key,
+        content_hash: Some(gossip::ContentHash([7, 8, 9])),
+        version_offset: 1,
+    };
+    let leaving = gossip::Departure { key, incarnation: 1, sequence: 2, notice: Some(300) };
+    let delta = gossip::Delta { voucher, base: 1, version: 2, latest: 3, entries: vec![entry] };
+    let gauge = gossip::CompactLoad {
         key: [1, 2, 3, 4],
         incarnation: 1,
         sequence: [2, 0],
         running: 3,
         waiting: 4,
         memory: 5,
-        age: 6,
+        age_tenths: 6,
     };
-    gossip::Spread {
-        leaving: vec![leaving],
+    gossip::Updates {
+        departures: vec![leaving],
         deltas: vec![delta],
-        marks: vec![gossip::Mark { voucher, tick: 1, version: 2, age: gossip::Age(3) }],
+        marks: vec![gossip::FreshnessMark {
+            voucher,
+            sequence: 1,
+            version: 2,
+            age: gossip::Age(3),
+        }],
         members: vec![rumor()],
-        sheets: vec![gossip::Sheet { announcement, age: gossip::Age(1), load_age: 300 }],
+        announcements: vec![gossip::ForwardedAnnouncement {
+            announcement,
+            age: gossip::Age(1),
+            load_age_ms: 300,
+        }],
         loads: vec![gauge],
     }
 }
 
-fn rumor() -> gossip::Rumor {
+fn rumor() -> gossip::MemberStatus {
     let peer = gossip::Peer {
         instance: name("a"),
         zone: "z".into(),
@@ -415,35 +428,40 @@
         address: address(),
         incarnation: 9,
     };
-    gossip::Rumor { peer, refutation: 1, state: gossip::State::Suspect }
+    gossip::MemberStatus { peer, refutations: 1, state: gossip::State::Suspect }
 }
 
 fn frames() -> Vec<gossip::Frame> {
-    let (handle, area) = (gossip::Handle([1, 2, 3, 4]), gossip::Area([4, 3, 2, 1]));
+    let (handle, area) = (gossip::Handle([1, 2, 3, 4]), gossip::RegionId([4, 3, 2, 1]));
     let key = gossip::Key([1, 2, 3, 4, 5, 6]);
     let state = gossip::State::Left;
-    let seats = vec![gossip::Seat { handle, refutation: 1, state }];
-    let sync = gossip::Sync {
-        rosters: vec![gossip::Sum { area, sum: 300 }],
-        areas: vec![gossip::Heard { area, age: 7 }],
+    let seats = vec![gossip::MemberSummary { handle, refutations: 1, state }];
+    let sync = gossip::Digest {
+        checksums: vec![gossip::RegionChecksum { region_id: area, checksum: 300 }],
+        contacts: vec![gossip::RegionContact { region_id: area, age_tenths: 7 }],
         marks: Vec::new(),
     };
     let pull = gossip::Pull {
-        streams: vec![gossip::Since { voucher: handle, version: 3 }],
-        sheets: vec![key],
+        streams: vec![gossip::StreamPosition { voucher: handle, version: 3 }],
+        announcements: vec![key],
         members: vec![handle],
     };
-    let check = gossip::Check([7, 8, 9]);
-    let renewal = gossip::Renewal { key, check, sequence: 300, age: gossip::Age(1) };
+    let check = gossip::ContentHash([7, 8, 9]);
+    let renewal = gossip::Renewal { key, content_hash: check, sequence: 300, age: gossip::Age(1) };
     let bodies = vec![
         gossip::Body::Join(rumor()),
         gossip::Body::Ping { target: handle, probe: 300 },
         gossip::Body::Ack { probe: 300 },
-        gossip::Body::Relay { target: handle, probe: 300 },
-        gossip::Body::Spread(spread()),
-        gossip::Body::Answer(gossip::Spread::default()),
-        gossip::Body::Sync(sync),
-        gossip::Body::Roster(gossip::Roster { area, first: handle, next: Some(handle), seats }),
+        gossip::Body::IndirectPing { target: handle, probe: 300 },
+        gossip::Body::Updates(spread()),
+        gossip::Body::PullResponse(gossip::Updates::default()),
+        gossip::Body::Digest(sync),
+        gossip::Body::MemberList(gossip::MemberList {
+            region_id: area,
+            first: handle,
+            end: Some(handle),
+            members: seats,
+        }),
         gossip::Body::Pull(pull),
         gossip::Body::Renewals(vec![renewal]),
         gossip::Body::Report(gossip::Report { version: 1, age: gossip::Age(1), bytes: vec![1] }),
--- a/crates/verbenaslip/src/control/call.rs
+++ b/crates/verbenaslip/src/control/call.rs
@@ -1,6 +1,6 @@
 //! Operators' calls and their replies, between the admin address and the decisions.
 
-use verbenaslip_gossip::{Answer, Fault as AnnouncementFault};
+use verbenaslip_gossip::{AnnouncementResult, Rejection as AnnouncementFault};
 use verbenaslip_node::Input;
 use verbenaslip_node::operator::{Apply, Ask, Edited, Id, Reply as Told};
 use verbenaslip_state::command::Swap;
@@ -97,19 +97,21 @@
     }
 }
 
-fn announced(answer: &Answer) -> Reply {
+fn announced(answer: &AnnouncementResult) -> Reply {
     match answer {
-        Answer::Accepted { lease } => Reply::Announced { lease: *lease },
-        Answer::Stale { incarnation, sequence } => {
+        AnnouncementResult::Accepted { lease } => Reply::Announced { lease: *lease },
+        AnnouncementResult::Stale { incarnation, sequence } => {
             Reply::Stale { incarnation: *incarnation, sequence: *sequence }
         }
-        Answer::Bad(fault) => {
+        AnnouncementResult::Rejected(fault) => {
             let hint = match fault {
-                AnnouncementFault::Size => "Shorten the names, or offer fewer models.",
-                AnnouncementFault::Name => {
+                AnnouncementFault::InvalidSize => "Shorten the names, or offer fewer models.",
+                AnnouncementFault::KeyCollision => {
                     "Another upstream's name is too like this one: rename it."
                 }
-                AnnouncementFault::Full => "Look for upstreams whose names change at each start.",
+                AnnouncementFault::RegistryFull => {
+                    "Look for upstreams whose names change at each start."
+                }
             };
             let message = "The announcement can't be taken.".into();
             Reply::Refused { message, hint: hint.into() }
--- a/crates/verbenaslip/src/settings/section.rs
+++ b/crates/verbenaslip/src/settings/section.rs
@@ -234,7 +234,7 @@
         Self {
             heartbeat: log.heartbeat_interval,
             election: log.election_timeout,
-            upstream_lease: verbenaslip_gossip::LEASE,
+            upstream_lease: verbenaslip_gossip::MAX_LEASE,
             stall: request.stall,
             absence: request.absence,
             retention: request.retention,
@@ -247,7 +247,7 @@
     pub(super) fn take(reader: &mut Reader<'_>) -> Self {
         let place = |key| Place("timing", key);
         let mut section = Self::default();
-        let lease = ms(500)..=verbenaslip_gossip::LEASE;
+        let lease = ms(500)..=verbenaslip_gossip::MAX_LEASE;
         reader.within(place("heartbeat"), &mut section.heartbeat, ms(10)..=ms(1_000));
         reader.within(place("election"), &mut section.election, ms(50)..=ms(5_000));
         reader.within(place("upstream_lease"), &mut section.upstream_lease, lease);
