--- a/crates/verbenaslip-fleet/src/core/call.rs
+++ b/crates/verbenaslip-fleet/src/core/call.rs
@@ -5,13 +5,13 @@
 
 use verbenaslip_base::name::Upstream;
 
-use crate::core::{Core, Note, Output, address_of};
+use crate::core::{Core, Event, Output, address_of};
 use crate::departure::Departure;
 use crate::frame::{Frame, Request, Response};
-use crate::ledger::Command;
-use crate::registry::{Announcement, Change, Run, Standing};
+use crate::registry::{Announcement, Change, Run, Status};
+use crate::replicated_state::Command;
 use crate::rollout::{Admission, Order};
-use crate::view::Stamp;
+use crate::view::Version;
 use crate::voucher;
 
 /// How long a call waits for an answer that is sure; its sender turns to another core after 1 s.
@@ -69,11 +69,11 @@
         if let Request::Announce(announcement) = &ask
             && self.vouches(announcement)
         {
-            self.voucher.note(self.now, announcement);
-            return self.answer(Asker::Here(id), Response::Noted);
+            self.voucher.record(self.now, announcement);
+            return self.answer(Asker::Here(id), Response::Acknowledged);
         }
         if leaving(&ask).is_some_and(|it| self.voucher.has_acknowledged(self.now, &it)) {
-            return self.answer(Asker::Here(id), Response::Noted);
+            return self.answer(Asker::Here(id), Response::Acknowledged);
         }
         self.enter(Asker::Here(id), ask);
     }
@@ -85,9 +85,9 @@
     /// go on calling, while the leader takes it for silent.
     fn vouches(&self, announcement: &Announcement) -> bool {
         let known = self.link.view().upstreams.get(&announcement.run.upstream);
-        !self.leads()
+        !self.is_leading()
             && self.link.is_in_touch(self.now)
-            && voucher::renews(known, self.link.departures(), announcement)
+            && voucher::is_unchanged_renewal(known, self.link.departures(), announcement)
     }
 
     /// Takes a call that another core passes on.
@@ -98,10 +98,10 @@
             return;
         }
         // Passed on further it could go round between cores that each believe in another leader.
-        if self.leads() {
+        if self.is_leading() {
             self.enter(asker, ask);
         } else {
-            self.answer(asker, Response::Unsure);
+            self.answer(asker, Response::Unavailable);
         }
     }
 
@@ -112,7 +112,7 @@
             return;
         }
         match told {
-            Response::Unsure => self.set_stage(token, Stage::Leader),
+            Response::Unavailable => self.set_stage(token, Stage::Leader),
             told => self.conclude(token, told),
         }
     }
@@ -153,7 +153,7 @@
     /// those of hundreds of upstreams that go together would take a leader of 300 entries all of its time: one
     /// would notice leavings that are acknowledged seconds late, though all knew of them.
     pub(crate) fn advance_spread(&mut self) {
-        let known = self.hub.known_to_all(self.now);
+        let known = self.hub.acknowledged_by_all(self.now);
         let before = std::mem::replace(&mut self.known_to_all, known);
         if known.change > before.change || known.revision > before.revision {
             self.advance_calls();
@@ -191,24 +191,24 @@
         }
         match waiting.stage {
             Stage::Leader => self.go_on(key),
-            Stage::Passed { again } if self.leads() || again <= self.now => {
+            Stage::Passed { again } if self.is_leading() || again <= self.now => {
                 self.restart(key);
             }
             Stage::Spread { change, until } => {
-                if !self.leads() {
+                if !self.is_leading() {
                     return self.restart(key);
                 }
                 let seen =
                     until <= self.now || (self.is_settled() && self.known_to_all.change >= change);
                 if seen && self.is_noted(key) {
                     self.note_acknowledged(key, change);
-                    self.conclude(key, Response::Noted);
+                    self.conclude(key, Response::Acknowledged);
                 }
             }
-            Stage::Force if !self.leads() => self.restart(key),
+            Stage::Force if !self.is_leading() => self.restart(key),
             Stage::Force if self.is_in_force() => {
                 let revision = self.ledger.revision();
-                self.conclude(key, Response::Adopted { revision });
+                self.conclude(key, Response::RouteTableAdopted { revision });
             }
             Stage::Passed { .. } | Stage::Committed { .. } | Stage::Force => {}
         }
@@ -220,7 +220,7 @@
     }
 
     fn go_on(&mut self, key: u64) {
-        if self.leads() {
+        if self.is_leading() {
             self.serve(key);
         } else {
             self.pass(key);
@@ -231,18 +231,18 @@
     fn serve(&mut self, key: u64) {
         let Some(waiting) = self.waiting.get(&key) else { return };
         match waiting.ask.clone() {
-            Request::Adopt(edition) => {
-                if self.ledger.edition().is_some()
-                    && edition.sheet.revision <= self.ledger.revision()
+            Request::AdoptRouteTable(edition) => {
+                if self.ledger.current_table().is_some()
+                    && edition.table.revision <= self.ledger.revision()
                 {
                     return self.await_force(key);
                 }
-                let token = self.propose(&Command::Adopt(edition));
+                let token = self.propose(&Command::SetRouteTable(edition));
                 self.set_stage(key, Stage::Committed { token });
             }
-            Request::Read => {
-                let document = self.ledger.edition().map(|edition| edition.document.clone());
-                self.conclude(key, document.map_or(Response::Empty, Response::Document));
+            Request::ReadRouteTable => {
+                let document = self.ledger.current_table().map(|edition| edition.document.clone());
+                self.conclude(key, document.map_or(Response::NoRouteTable, Response::Document));
             }
             Request::Announce(announcement) => self.announced(key, *announcement),
             Request::Withdraw { upstream, incarnation } => {
@@ -268,10 +268,10 @@
 
     /// Begins a roll-out, or answers for one that the log holds.
     fn start_rollout(&mut self, key: u64, order: Order) {
-        let Some(edition) = self.ledger.edition() else {
-            return self.conclude(key, Response::Unsure);
+        let Some(edition) = self.ledger.current_table() else {
+            return self.conclude(key, Response::Unavailable);
         };
-        if edition.sheet.service(&order.service).is_none() {
+        if edition.table.service(&order.service).is_none() {
             return self.conclude(key, Response::UnknownService(order.service));
         }
         let unix = self.agreed();
@@ -288,44 +288,44 @@
     fn announced(&mut self, key: u64, announcement: Announcement) {
         let run = announcement.run.clone();
         let (leaves, sequence) = (announcement.draining, announcement.sequence);
-        let table = self.ledger.edition().map(|edition| &edition.sheet);
+        let table = self.ledger.current_table().map(|edition| &edition.table);
         // Before the first route table every service may be one of those that it names.
         let served = table.is_none_or(|table| table.service(&announcement.service).is_some());
         match self.registry.announce(self.now, announcement, served) {
-            Change::Nothing => {
-                let late = self.registry.late(self.now, &run, sequence);
-                late.into_iter().for_each(|late| self.note(Note::Late(late)));
+            Change::Unchanged => {
+                let late = self.registry.stale_announcement(self.now, &run, sequence);
+                late.into_iter().for_each(|late| self.note(Event::StaleAnnouncement(late)));
             }
-            Change::Foreign => {
-                self.note(Note::Foreign(run.clone()));
+            Change::UnknownService => {
+                self.note(Event::UnknownService(run.clone()));
                 // Another writer's word, also that the upstream goes, says nothing of the one that serves
                 // under its name.
-                if self.registry.run(&run.upstream).is_some() {
-                    return self.conclude(key, Response::Noted);
+                if self.registry.current_run(&run.upstream).is_some() {
+                    return self.conclude(key, Response::Acknowledged);
                 }
             }
-            Change::Update | Change::Leaving => {
+            Change::Updated | Change::Leaving => {
                 self.push_soon();
-                if !self.ledger.has_joined(&run) {
+                if !self.ledger.contains_run(&run) {
                     self.joining.insert(run.upstream.clone());
                 }
                 self.note_upstream(&run.upstream);
             }
         }
         if leaves {
-            self.depart(key, Departure { run, standing: Standing::Leaving });
+            self.depart(key, Departure { run, status: Status::Leaving });
         } else {
-            self.conclude(key, Response::Noted);
+            self.conclude(key, Response::Acknowledged);
         }
     }
 
     fn withdrawn(&mut self, key: u64, upstream: Upstream, incarnation: Option<u64>) {
-        let known = self.registry.run(&upstream).map_or(0, |run| run.incarnation);
+        let known = self.registry.current_run(&upstream).map_or(0, |run| run.incarnation);
         let run = Run { upstream, incarnation: incarnation.unwrap_or(known) };
-        if self.registry.withdraw(self.now, &run) != Change::Nothing {
-            self.note(Note::Withdrawn(run.clone()));
+        if self.registry.withdraw(self.now, &run) != Change::Unchanged {
+            self.note(Event::UpstreamWithdrawn(run.clone()));
         }
-        self.depart(key, Departure { run, standing: Standing::Gone });
+        self.depart(key, Departure { run, status: Status::Gone });
     }
 
     /// Waits until every instance knows that an upstream leaves, and whoever may lead next.
@@ -336,14 +336,14 @@
     /// order. What the log holds every later leader has.
     fn depart(&mut self, key: u64, departure: Departure) {
         self.registry.depart(self.now, &departure);
-        let noted = self.ledger.has_departed(&departure.run, departure.standing);
+        let noted = self.ledger.has_departed(&departure.run, departure.status);
         if !noted && !self.departing.contains(&departure) {
             self.departing.push(departure.clone());
             self.note_departures();
         }
         self.push_soon();
         let until = (self.now + SPREAD).max(self.settled_at());
-        let change = self.registry.stamp();
+        let change = self.registry.last_change();
         if let Some(waiting) = self.waiting.get_mut(&key) {
             waiting.departure = Some(departure);
         }
@@ -356,9 +356,9 @@
     /// Its announcements may not come through, or say nothing of it. Known to the entries alone that it has answered,
     /// it would go on getting requests from all others.
     pub(crate) fn take_leaving(&mut self, run: &Run) {
-        let departure = Departure { run: run.clone(), standing: Standing::Leaving };
-        let there = self.registry.run(&run.upstream) == Some(run);
-        if !there || self.registry.depart(self.now, &departure) == Change::Nothing {
+        let departure = Departure { run: run.clone(), status: Status::Leaving };
+        let there = self.registry.current_run(&run.upstream) == Some(run);
+        if !there || self.registry.depart(self.now, &departure) == Change::Unchanged {
             return;
         }
         self.departing.push(departure);
@@ -374,14 +374,14 @@
             return;
         }
         let departures = std::mem::take(&mut self.departing);
-        let token = self.propose(&Command::Depart { departures, unix: self.agreed() });
+        let token = self.propose(&Command::AddDepartures { departures, unix: self.agreed() });
         self.noting_departures = Some(token);
     }
 
     /// Tells whether the log holds the departure that a call waits for.
     fn is_noted(&self, key: u64) -> bool {
         let departure = self.waiting.get(&key).and_then(|waiting| waiting.departure.as_ref());
-        departure.is_none_or(|it| self.ledger.has_departed(&it.run, it.standing))
+        departure.is_none_or(|it| self.ledger.has_departed(&it.run, it.status))
     }
 
     /// Tells who knew of a leaving when it was acknowledged.
@@ -395,9 +395,14 @@
         if waited.is_zero() {
             return;
         }
-        let spread = self.hub.spread(self.now, change);
-        let change = Stamp { term: self.replica.term(), change };
-        self.note(Note::Acknowledged { departure, waited, change, spread });
+        let spread = self.hub.ack_counts(self.now, change);
+        let change = Version { term: self.replica.term(), change };
+        self.note(Event::DepartureAcknowledged {
+            departure,
+            waited,
+            version: change,
+            acks: spread,
+        });
     }
 
     fn pass(&mut self, key: u64) {
@@ -411,7 +416,7 @@
         waiting.stage = Stage::Passed { again };
         let ask = Box::new(waiting.ask.clone());
         // It keeps its name each time it is passed on: the answer to an earlier time answers it as well.
-        self.send(leader, Frame::Request { from: own, token: key, ask });
+        self.send(leader, Frame::Request { from: own, token: key, request: ask });
     }
 
     fn find(&self, at: impl Fn(Stage) -> bool) -> Option<u64> {
@@ -427,20 +432,20 @@
     fn give_up(&mut self, key: u64) {
         let Some(waiting) = self.waiting.get(&key) else { return };
         let what = match waiting.ask {
-            Request::Adopt(_) => "adopt",
-            Request::Read => "read",
+            Request::AdoptRouteTable(_) => "adopt",
+            Request::ReadRouteTable => "read",
             Request::Announce(_) => "announce",
             Request::Withdraw { .. } => "withdraw",
             Request::StartRollout(_) => "start_rollout",
             Request::ReadRollout(_) => "read_rollout",
         };
-        self.note(Note::Unsure { what });
-        self.conclude(key, Response::Unsure);
+        self.note(Event::CallTimedOut { call: what });
+        self.conclude(key, Response::Unavailable);
     }
 
     fn conclude(&mut self, key: u64, told: Response) {
         let Some(Waiting { asker, ask, .. }) = self.waiting.remove(&key) else { return };
-        if told == Response::Noted
+        if told == Response::Acknowledged
             && matches!(asker, Asker::Here(_))
             && let Some(departure) = leaving(&ask)
         {
@@ -451,14 +456,16 @@
 
     fn answer(&mut self, asker: Asker, told: Response) {
         match asker {
-            Asker::Here(id) => self.out.push(Output::Reply { id, told }),
-            Asker::There { address, token } => self.send(address, Frame::Response { token, told }),
+            Asker::Here(id) => self.out.push(Output::Reply { id, response: told }),
+            Asker::There { address, token } => {
+                self.send(address, Frame::Response { token, response: told })
+            }
         }
     }
 
     pub(crate) fn note_upstream(&mut self, upstream: &Upstream) {
         if let Some(record) = self.registry.record(upstream).cloned() {
-            self.note(Note::Upstream { record: Box::new(record) });
+            self.note(Event::Upstream { record: Box::new(record) });
         }
     }
 }
@@ -466,6 +473,6 @@
 /// Returns the departure that an announcement tells of, if it does.
 fn leaving(ask: &Request) -> Option<Departure> {
     let Request::Announce(announcement) = ask else { return None };
-    let departure = || Departure { run: announcement.run.clone(), standing: Standing::Leaving };
+    let departure = || Departure { run: announcement.run.clone(), status: Status::Leaving };
     announcement.draining.then(departure)
 }
--- a/crates/verbenaslip-fleet/src/core/log.rs
+++ b/crates/verbenaslip-fleet/src/core/log.rs
@@ -9,9 +9,9 @@
 use verbenaslip_replica::storage::Snapshot;
 use verbenaslip_replica::voter::Voter;
 
-use crate::core::{Core, Note, Output, address_of};
+use crate::core::{Core, Event, Output, address_of};
 use crate::frame::Frame;
-use crate::ledger::{Command, Ledger};
+use crate::replicated_state::{Command, ReplicatedState};
 
 impl Core {
     /// Gives the log an input, and does what it wants done.
@@ -41,8 +41,8 @@
         }
         let token = self.token();
         self.changing = Some(token);
-        self.note(Note::Voters { change: change.clone() });
-        self.step_log(replica::Input::Change { token, change });
+        self.note(Event::VotersChanged { change: change.clone() });
+        self.step_log(replica::Input::ChangeVoters { token, change });
     }
 
     fn logged(&mut self, output: LogOutput) {
@@ -53,20 +53,22 @@
                     self.send(to, Frame::Log { from, message: Box::new(message) });
                 }
             }
-            LogOutput::Store { mark, write } => self.out.push(Output::Store { mark, write }),
+            LogOutput::Store { sequence: mark, write } => {
+                self.out.push(Output::Store { sequence: mark, write })
+            }
             LogOutput::Apply { position, command } => self.apply(position, &command),
             LogOutput::Install(snapshot) => self.install(&snapshot),
             LogOutput::Answer { token, answer } => self.proposed(token, &answer),
-            LogOutput::Role(role) => {
-                let (term, duty, leader) = (role.term, role.duty, role.leader);
-                self.note(Note::Role { term, duty, leader });
+            LogOutput::RoleChanged(role) => {
+                let (term, duty, leader) = (role.term, role.role, role.leader);
+                self.note(Event::Role { term, role: duty, leader });
             }
-            LogOutput::WantSnapshot { .. } => {
+            LogOutput::RequestSnapshot { .. } => {
                 let (index, state) = (self.applied, Arc::from(self.ledger.snapshot()));
                 self.step_log(replica::Input::Snapshot { index, state });
             }
-            LogOutput::Stranger(voter) => self.stranger(voter),
-            LogOutput::Confirmed { .. } | LogOutput::Unconfirmed { .. } => {}
+            LogOutput::IdentityChanged(voter) => self.stranger(voter),
+            LogOutput::ReadIndex { .. } | LogOutput::ReadRejected { .. } => {}
         }
     }
 
@@ -75,7 +77,7 @@
         match Command::decode(bytes) {
             Ok(command) => {
                 let before = self.ledger.revision();
-                if let Command::Close(window) = &command {
+                if let Command::CloseWindow(window) = &command {
                     self.closing.remove(&window.number);
                 }
                 self.ledger.apply(command);
@@ -89,7 +91,7 @@
 
     fn install(&mut self, snapshot: &Snapshot) {
         self.applied = snapshot.position.index;
-        match Ledger::restore(&snapshot.state) {
+        match ReplicatedState::restore(&snapshot.state) {
             Ok(ledger) => {
                 self.ledger = ledger;
                 self.note_sheet();
@@ -124,21 +126,21 @@
 
     /// Replaces a voter whose disk was lost: its instance already runs another folder.
     fn stranger(&mut self, voter: Voter) {
-        if self.leads() {
+        if self.is_leading() {
             self.change(Change::Replace { old: voter.instance.clone(), new: voter });
         }
     }
 
     fn note_sheet(&mut self) {
         self.adopted = self.now;
-        let Some(edition) = self.ledger.edition() else { return };
-        let (revision, routes) = (edition.sheet.revision, edition.sheet.routes.len());
-        self.note(Note::Sheet { revision, routes });
+        let Some(edition) = self.ledger.current_table() else { return };
+        let (revision, routes) = (edition.table.revision, edition.table.routes.len());
+        self.note(Event::RouteTable { revision, routes });
         self.push_soon();
     }
 
     fn unreadable(&mut self, what: &str) {
         self.broken = true;
-        self.note(Note::Unreadable(what.into()));
+        self.note(Event::UnreadableLog(what.into()));
     }
 }
--- a/crates/verbenaslip-instance/src/core.rs
+++ b/crates/verbenaslip-instance/src/core.rs
@@ -9,12 +9,12 @@
 use displaydoc::Display;
 use serde_json::json;
 use tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender};
-use verbenaslip_disk::Folder;
+use verbenaslip_disk::DataDirectory;
 use verbenaslip_fleet::Core as Decisions;
 use verbenaslip_fleet::core::{Input, Output, Setup};
-use verbenaslip_fleet::duty;
 use verbenaslip_fleet::frame::{Frame, Peer, Response};
-use verbenaslip_relay::journal;
+use verbenaslip_fleet::order;
+use verbenaslip_relay::event_log;
 use verbenaslip_relay::monotonic;
 use verbenaslip_replica::setup::Timing;
 use verbenaslip_replica::storage::Error as FolderError;
@@ -153,7 +153,7 @@
         face,
         cloud,
         reopen: Duration::ZERO,
-        incarnation: monotonic::unix(),
+        incarnation: monotonic::unix_ms(),
         stop: None,
         load: Load::default(),
     };
@@ -196,10 +196,10 @@
 impl Core {
     /// Opens the folder and starts the decisions from what it holds.
     fn open(&mut self, first: bool) -> Result<(), Error> {
-        let (folder, recovered) = Folder::open(&self.core.folder).map_err(Error::Folder)?;
+        let (folder, recovered) = DataDirectory::open(&self.core.folder).map_err(Error::Folder)?;
         let identity = recovered.identity;
         let disk = Disk::spawn(folder, self.stored.clone()).map_err(Error::Thread)?;
-        let (now, unix) = (monotonic::now(), monotonic::unix());
+        let (now, unix) = (monotonic::now(), monotonic::unix_ms());
         let settings = &self.settings;
         let instance = verbenaslip_fleet::core::name_of(settings.peers);
         let own = Peer {
@@ -213,30 +213,30 @@
         // with an empty folder, must not found a second log beside the first.
         let founds = first && self.core.found && settings.seeds.contains(&settings.peers);
         let setup = Setup {
-            own,
+            local_peer: own,
             seeds: settings.seeds.clone(),
             founders: if founds { settings.seeds.clone() } else { Vec::new() },
             recovered,
-            voters: usize::try_from(self.core.losses * 2 + 1).unwrap_or(3),
-            announce: settings.upstreams.announce,
-            timing: Timing {
-                heartbeat: HEARTBEAT,
-                election: ELECTION,
+            target_voter_count: usize::try_from(self.core.losses * 2 + 1).unwrap_or(3),
+            announce_interval: settings.upstreams.announce,
+            log_timing: Timing {
+                heartbeat_interval: HEARTBEAT,
+                election_timeout: ELECTION,
                 change: COPY,
                 ..Timing::default()
             },
-            duty: settings.cloud.as_ref().map(|cloud| duty::Timing {
-                window: settings.upstreams.usage_window,
-                settle: SETTLE.min(settings.upstreams.usage_late.mul_f64(0.6)),
-                late: settings.upstreams.usage_late,
-                wait: cloud.wait,
+            order_timing: settings.cloud.as_ref().map(|cloud| order::Timing {
+                window_length: settings.upstreams.usage_window,
+                count_timeout: SETTLE.min(settings.upstreams.usage_late.mul_f64(0.6)),
+                report_deadline: settings.upstreams.usage_late,
+                takeover_wait: cloud.wait,
             }),
-            rule: settings.requests.rule(),
-            secret: secret(),
+            quarantine_policy: settings.requests.rule(),
+            fingerprint_secret: secret(),
             seed: seed(settings, unix),
-            unix,
+            unix_ms: unix,
         };
-        self.decisions = Some(Decisions::open(setup, now));
+        self.decisions = Some(Decisions::new(setup, now));
         self.disk = Some(disk);
         Ok(())
     }
@@ -250,9 +250,11 @@
             Woken::Call(call) => self.call(call),
             Woken::Stored(Outcome::Stored(mark)) => self.step(Input::Stored(mark)),
             Woken::Stored(Outcome::Failed(error)) => self.failed(&error),
-            Woken::Ordered(Ordered { id, outcome }) => self.step(Input::Ordered { id, outcome }),
+            Woken::Ordered(Ordered { id, outcome }) => {
+                self.step(Input::OrderFinished { id, outcome })
+            }
             Woken::Signal(Signal::Stop) => {
-                journal::say(event::STOPPING, []);
+                event_log::emit(event::STOPPING, []);
                 self.stop = Some(monotonic::now() + HAND_OVER);
                 self.step(Input::Stop);
             }
@@ -260,7 +262,7 @@
                 if let Some(settings) = reload() {
                     let rule = settings.requests.rule();
                     self.settings.requests = settings.requests;
-                    self.step(Input::Rule(rule));
+                    self.step(Input::QuarantinePolicy(rule));
                     self.step(Input::Seeds(settings.seeds));
                 }
             }
@@ -278,12 +280,12 @@
         self.load.call(now.saturating_sub(call.read), stale);
         if stale {
             metrics::counter!("verbenaslip_calls_stale_total").increment(1);
-            return self.face.answer(call.id, Response::Unsure);
+            return self.face.answer(call.id, Response::Unavailable);
         }
         if self.decisions.is_none() {
-            self.face.answer(call.id, Response::Unsure);
+            self.face.answer(call.id, Response::Unavailable);
         }
-        self.step(Input::Call { id: call.id, ask: call.ask });
+        self.step(Input::Call { id: call.id, request: call.ask });
     }
 
     /// Goes on without a disk until it can be opened again.
@@ -292,7 +294,7 @@
     /// what may be lost; ending the process would only have it start on the same disk. So the
     /// decisions start anew from what the folder holds, as after a restart, once it opens.
     fn failed(&mut self, error: &FolderError) {
-        journal::say(event::DISK_FAILED, [("cause", json!(error.to_string()))]);
+        event_log::emit(event::DISK_FAILED, [("cause", json!(error.to_string()))]);
         self.decisions = None;
         self.disk = None;
         self.reopen = monotonic::now() + REOPEN;
@@ -302,13 +304,13 @@
         if self.decisions.is_none() && monotonic::now() >= self.reopen {
             self.reopen = monotonic::now() + REOPEN;
             match self.open(false) {
-                Ok(()) => journal::say(event::DISK_BACK, []),
+                Ok(()) => event_log::emit(event::DISK_BACK, []),
                 Err(error) => {
-                    journal::say(event::DISK_FAILED, [("cause", json!(error.to_string()))]);
+                    event_log::emit(event::DISK_FAILED, [("cause", json!(error.to_string()))]);
                 }
             }
         }
-        self.step(Input::Unix(monotonic::unix()));
+        self.step(Input::WallClock(monotonic::unix_ms()));
     }
 
     fn step(&mut self, input: Input) {
@@ -327,35 +329,35 @@
                 let bytes = self.links.send(to, &frame);
                 self.load.sent(frame.kind(), 1, bytes);
             }
-            Output::Cast { to, frame } => {
+            Output::Multicast { to, frame } => {
                 let frames = to.len();
                 let bytes = self.links.cast(to, &frame);
                 self.load.sent(frame.kind(), frames, bytes * frames);
                 metrics::counter!("verbenaslip_updates_cast_total").increment(frames as u64);
             }
-            Output::Store { mark, write } => {
+            Output::Store { sequence: mark, write } => {
                 if let Some(disk) = &self.disk {
                     disk.write(mark, write);
                 }
             }
-            Output::Reply { id, told } => self.face.answer(id, told),
+            Output::Reply { id, response: told } => self.face.answer(id, told),
             Output::Order(order) => {
                 if let Some(cloud) = &self.cloud {
                     cloud.give(order);
                 }
             }
-            Output::Note(note) => note::say(note),
+            Output::Event(note) => note::say(note),
         }
     }
 
     /// Says what this core had to do in the second that is over, if it leads.
     fn say_load(&mut self, waiting: [usize; 2]) {
-        let leads = self.decisions.as_ref().is_some_and(Decisions::leads);
+        let leads = self.decisions.as_ref().is_some_and(Decisions::is_leading);
         self.load.say(monotonic::now(), leads, waiting);
     }
 
     fn wait(&self) -> Duration {
-        let wake = self.decisions.as_ref().map_or(self.reopen, Decisions::wake);
+        let wake = self.decisions.as_ref().map_or(self.reopen, Decisions::next_wakeup);
         wake.saturating_sub(monotonic::now()).min(TICK)
     }
 
--- a/crates/verbenaslip-instance/src/face.rs
+++ b/crates/verbenaslip-instance/src/face.rs
@@ -14,9 +14,9 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::{Semaphore, oneshot};
 use verbenaslip_fleet::frame::{Request, Response};
-use verbenaslip_fleet::sheet::Limits;
-use verbenaslip_relay::http::{Fault, Message, Wire, reader};
-use verbenaslip_relay::{journal, monotonic, socket};
+use verbenaslip_fleet::route_table::RequestLimits;
+use verbenaslip_relay::http::{Connection, Message, MessageError, reader};
+use verbenaslip_relay::{event_log, monotonic, socket};
 
 use crate::event;
 
@@ -125,7 +125,7 @@
         }
         self.lines.set(self.lines.get() + 1);
         let target: String = call.head.target.chars().take(TARGET).collect();
-        journal::say(
+        event_log::emit(
             event::REFUSED_CALL,
             [
                 ("method", json!(&*call.head.method)),
@@ -180,18 +180,18 @@
 }
 
 async fn serve(stream: TcpStream, shared: Rc<Shared>) {
-    if socket::tune(&stream).is_err() {
+    if socket::set_options(&stream).is_err() {
         return;
     }
-    let mut wire = Wire::new(stream);
-    let limits = Limits { body: BODY, ..Limits::default() };
+    let mut wire = Connection::new(stream);
+    let limits = RequestLimits { max_body_bytes: BODY, ..RequestLimits::default() };
     loop {
-        let idle = tokio::time::timeout(limits.idle_time, wire.readable()).await;
+        let idle = tokio::time::timeout(limits.idle_timeout, wire.readable()).await;
         if !matches!(idle, Ok(Ok(()))) {
             return;
         }
         let (answer, closes) = match shared.read(&mut wire, &limits).await {
-            Ok(Some(call)) => (shared.take(&call).await, call.head.closes()),
+            Ok(Some(call)) => (shared.take(&call).await, call.head.closes_connection()),
             Ok(None) => return,
             Err(fault) => {
                 let body = format!("{{\"error\":\"{fault}\"}}\n").into_bytes();
@@ -202,21 +202,25 @@
             return;
         }
         if closes {
-            return wire.finish().await;
+            return wire.shutdown().await;
         }
     }
 }
 
 impl Shared {
     /// Reads a call once it is its turn; none where the caller has gone, or has waited for too long.
-    async fn read(&self, wire: &mut Wire, limits: &Limits) -> Result<Option<Message>, Fault> {
+    async fn read(
+        &self,
+        wire: &mut Connection,
+        limits: &RequestLimits,
+    ) -> Result<Option<Message>, MessageError> {
         let since = monotonic::now();
         // Nobody closes the turns.
         let turn = self.turns.acquire().await;
         if monotonic::now().saturating_sub(since) > STALE {
             return Ok(None);
         }
-        let mut read = pin!(reader::read(wire, limits));
+        let mut read = pin!(reader::read_request(wire, limits));
         if let Ok(call) = tokio::time::timeout(TURN, &mut read).await {
             return call;
         }
@@ -233,18 +237,18 @@
             }
         };
         if self.open.borrow().len() >= CALLS {
-            return self.codec.told(&Response::Unsure);
+            return self.codec.told(&Response::Unavailable);
         }
         let (sender, told) = oneshot::channel();
         self.next.set(self.next.get() + 1);
         let id = self.next.get();
         self.open.borrow_mut().insert(id, sender);
         if self.calls.send(Call { id, ask, read: monotonic::now() }).is_err() {
-            return self.codec.told(&Response::Unsure);
+            return self.codec.told(&Response::Unavailable);
         }
         let told = tokio::time::timeout(PATIENCE, told).await;
         self.open.borrow_mut().remove(&id);
-        let told = told.ok().and_then(Result::ok).unwrap_or(Response::Unsure);
+        let told = told.ok().and_then(Result::ok).unwrap_or(Response::Unavailable);
         self.codec.told(&told)
     }
 }
--- a/crates/verbenaslip-instance/src/note.rs
+++ b/crates/verbenaslip-instance/src/note.rs
@@ -3,109 +3,129 @@
 use std::time::Duration;
 
 use serde_json::{Value, json};
-use verbenaslip_fleet::core::Note;
+use verbenaslip_fleet::core::Event;
 use verbenaslip_fleet::departure::Departure;
 use verbenaslip_fleet::fingerprint::Fingerprint;
-use verbenaslip_fleet::hub::Spread;
+use verbenaslip_fleet::hub::AckCounts;
 use verbenaslip_fleet::quarantine::Finding;
-use verbenaslip_fleet::registry::{Late, Record, Run};
+use verbenaslip_fleet::registry::{Record, Run, StaleAnnouncement};
 use verbenaslip_fleet::rollout::Rollout;
 use verbenaslip_fleet::transition::Transition;
-use verbenaslip_fleet::view::Stamp;
-use verbenaslip_relay::journal::{self, Kind};
+use verbenaslip_fleet::view::Version;
+use verbenaslip_relay::event_log::{self, Kind};
 
 use crate::event;
 
 /// Writes what a core believes to the log.
-pub fn say(note: Note) {
+pub fn say(note: Event) {
     match note {
-        Note::Role { term, duty, leader } => {
+        Event::Role { term, role: duty, leader } => {
             let leader = leader.map(|leader| leader.to_string());
             let duty = format!("{duty:?}");
-            journal::say(
+            event_log::emit(
                 event::ROLE,
                 [("term", json!(term)), ("role", json!(duty)), ("leader", json!(leader))],
             );
         }
-        Note::Sheet { revision, routes } => {
-            journal::say(event::SHEET, [("revision", json!(revision)), ("routes", json!(routes))]);
+        Event::RouteTable { revision, routes } => {
+            event_log::emit(
+                event::SHEET,
+                [("revision", json!(revision)), ("routes", json!(routes))],
+            );
         }
-        Note::Upstream { record } => say_upstream(&record),
-        Note::Withdrawn(run) => run_line(event::WITHDRAWN, &run),
-        Note::Late(late) => say_late(&late),
-        Note::Acknowledged { departure, waited, change, spread } => {
+        Event::Upstream { record } => say_upstream(&record),
+        Event::UpstreamWithdrawn(run) => run_line(event::WITHDRAWN, &run),
+        Event::StaleAnnouncement(late) => say_late(&late),
+        Event::DepartureAcknowledged { departure, waited, version: change, acks: spread } => {
             say_acknowledged(&departure, waited, change, spread);
         }
-        Note::Began { term, upstreams, logged, departures, held } => journal::say(
-            event::BEGAN,
-            [
-                ("term", json!(term)),
-                ("upstreams", json!(upstreams)),
-                ("logged", json!(logged)),
-                ("departures", json!(departures)),
-                ("held_back", json!(held)),
-            ],
-        ),
-        Note::Lapsed { term } => journal::say(event::LAPSED, [("term", json!(term))]),
-        Note::Resumed { term } => journal::say(event::RESUMED, [("term", json!(term))]),
-        Note::Foreign(run) => run_line(event::FOREIGN, &run),
-        Note::Voters { change } => {
-            journal::say(event::VOTERS, [("change", json!(format!("{change:?}")))]);
+        Event::LeadershipStarted { term, upstreams, logged, departures, quarantined: held } => {
+            event_log::emit(
+                event::BEGAN,
+                [
+                    ("term", json!(term)),
+                    ("upstreams", json!(upstreams)),
+                    ("logged", json!(logged)),
+                    ("departures", json!(departures)),
+                    ("held_back", json!(held)),
+                ],
+            )
+        }
+        Event::LeaseLost { term } => event_log::emit(event::LAPSED, [("term", json!(term))]),
+        Event::LeadershipResumed { term } => {
+            event_log::emit(event::RESUMED, [("term", json!(term))])
+        }
+        Event::UnknownService(run) => run_line(event::FOREIGN, &run),
+        Event::VotersChanged { change } => {
+            event_log::emit(event::VOTERS, [("change", json!(format!("{change:?}")))]);
         }
-        Note::Found(finding) => say_found(&finding),
-        Note::Limit(sighting) => journal::say(
+        Event::QuarantineDecided(finding) => say_found(&finding),
+        Event::LimitChanged(sighting) => event_log::emit(
             event::LIMIT,
             [
                 ("upstream", json!(sighting.run.upstream.as_str())),
                 ("incarnation", json!(sighting.run.incarnation)),
                 ("per_second", json!(sighting.limit.rate)),
-                ("answered", json!(sighting.limit.at)),
+                ("answered", json!(sighting.limit.reported_at_ms)),
             ],
         ),
-        Note::Closed { window, requests } => {
-            journal::say(event::CLOSED, [("window", json!(window)), ("requests", json!(requests))]);
+        Event::WindowClosed { window, requests } => {
+            event_log::emit(
+                event::CLOSED,
+                [("window", json!(window)), ("requests", json!(requests))],
+            );
         }
-        Note::RolloutStage { rollout, stage, exposure } => {
+        Event::RolloutStage { rollout, stage, exposure } => {
             let stage = ("stage", json!(format!("{stage:?}")));
-            journal::say(event::ROLLOUT_STAGE, rollout_fields(&rollout, exposure).chain([stage]));
+            event_log::emit(
+                event::ROLLOUT_STAGE,
+                rollout_fields(&rollout, exposure).chain([stage]),
+            );
         }
-        Note::RolloutDecided { rollout, verdict, exposure } => {
+        Event::RolloutDecided { rollout, verdict, exposure } => {
             let state = format!("{:?}", verdict.state);
             metrics::counter!("verbenaslip_rollouts_decided_total", "state" => state.clone())
                 .increment(1);
             let reason = ("reason", json!(format!("{:?}", verdict.reason)));
             let fields = [("state", json!(state)), reason];
-            journal::say(event::ROLLOUT_DECIDED, rollout_fields(&rollout, exposure).chain(fields));
+            event_log::emit(
+                event::ROLLOUT_DECIDED,
+                rollout_fields(&rollout, exposure).chain(fields),
+            );
         }
-        Note::Planned { service, base, busy, upstreams } => journal::say(
-            event::PLANNED,
-            [
-                ("service", json!(service)),
-                ("base", json!(base)),
-                ("busy", json!(busy.map(|busy| (busy * 100.0).round() / 100.0))),
-                ("upstreams", json!(upstreams)),
-            ],
-        ),
-        Note::Unsure { what } => journal::say(event::UNSURE, [("asked", json!(what))]),
-        Note::Unreadable(what) => journal::say(event::UNREADABLE, [("cause", json!(what))]),
+        Event::ScalingPlanned { service, initial_count: base, busy_upstreams: busy, upstreams } => {
+            event_log::emit(
+                event::PLANNED,
+                [
+                    ("service", json!(service)),
+                    ("base", json!(base)),
+                    ("busy", json!(busy.map(|busy| (busy * 100.0).round() / 100.0))),
+                    ("upstreams", json!(upstreams)),
+                ],
+            )
+        }
+        Event::CallTimedOut { call: what } => {
+            event_log::emit(event::UNSURE, [("asked", json!(what))])
+        }
+        Event::UnreadableLog(what) => event_log::emit(event::UNREADABLE, [("cause", json!(what))]),
     }
 }
 
 /// Writes a line about an acknowledged departure.
-fn say_acknowledged(departure: &Departure, waited: Duration, change: Stamp, spread: Spread) {
-    let complete = spread.seen >= spread.heard;
+fn say_acknowledged(departure: &Departure, waited: Duration, change: Version, spread: AckCounts) {
+    let complete = spread.acknowledged >= spread.reachable;
     metrics::histogram!("verbenaslip_leaving_seconds").record(waited.as_secs_f64());
-    journal::say(
+    event_log::emit(
         event::ACKNOWLEDGED,
         [
             ("upstream", json!(departure.run.upstream.as_str())),
             ("incarnation", json!(departure.run.incarnation)),
-            ("standing", json!(format!("{:?}", departure.standing))),
+            ("standing", json!(format!("{:?}", departure.status))),
             ("waited_ms", json!(waited.as_millis())),
             ("term", json!(change.term)),
             ("change", json!(change.change)),
-            ("seen", json!(spread.seen)),
-            ("heard", json!(spread.heard)),
+            ("seen", json!(spread.acknowledged)),
+            ("heard", json!(spread.reachable)),
             ("silent", json!(spread.silent)),
             ("complete", json!(complete)),
         ],
@@ -121,7 +141,7 @@
         ("rollout", json!(rollout.id)),
         ("service", json!(rollout.order.service)),
         ("version", json!(rollout.order.version)),
-        ("limit_ms", json!(rollout.order.duration.as_millis())),
+        ("limit_ms", json!(rollout.order.time_limit.as_millis())),
         ("requests", json!(all)),
         ("candidate_requests", json!(candidate)),
     ]
@@ -131,7 +151,7 @@
 /// Writes a line about what is known of an upstream.
 fn say_upstream(record: &Record) {
     let it = &record.announcement;
-    journal::say(
+    event_log::emit(
         event::UPSTREAM,
         [
             ("upstream", json!(it.run.upstream.as_str())),
@@ -141,18 +161,18 @@
             ("zone", json!(it.zone.as_str())),
             ("sequence", json!(it.sequence)),
             ("reclaimable", json!(it.reclaimable)),
-            ("leaves_ms", json!(it.leaves.map(|leaves| leaves.as_millis()))),
-            ("standing", json!(format!("{:?}", record.standing))),
+            ("leaves_ms", json!(it.leaves_in.map(|leaves| leaves.as_millis()))),
+            ("standing", json!(format!("{:?}", record.status))),
         ],
     );
 }
 
 /// Writes a line about an announcement that was passed over.
-fn say_late(late: &Late) {
+fn say_late(late: &StaleAnnouncement) {
     metrics::counter!("verbenaslip_announcements_late_total").increment(1);
     let (known, last) = late.known.unzip();
     let (standing, age) = late.departed.unzip();
-    journal::say(
+    event_log::emit(
         event::LATE,
         [
             ("upstream", json!(late.run.upstream.as_str())),
@@ -172,28 +192,31 @@
     let content = |fingerprint: &Fingerprint| ("content", json!(fingerprint.to_string()));
     match finding {
         Finding::Suspected { fingerprint, runs: ended } => {
-            journal::say(event::SUSPECTED, [content(fingerprint), ("upstreams", runs(ended))]);
+            event_log::emit(event::SUSPECTED, [content(fingerprint), ("upstreams", runs(ended))]);
         }
-        Finding::Blocked { fingerprint, runs: ended, held } => {
+        Finding::Quarantined { fingerprint, runs: ended, held } => {
             metrics::counter!("verbenaslip_requests_held_back_total").increment(1);
-            journal::say(
+            event_log::emit(
                 event::HELD,
                 [
                     content(fingerprint),
                     ("upstreams", runs(ended)),
                     ("until", json!(held.until)),
-                    ("tries", json!(held.tries)),
+                    ("tries", json!(held.failed_trials)),
                 ],
             );
         }
         Finding::Cleared { fingerprint, cause } => {
-            journal::say(
+            event_log::emit(
                 event::CLEARED,
                 [content(fingerprint), ("cause", json!(format!("{cause:?}")))],
             );
         }
-        Finding::Tried { fingerprint, entry } => {
-            journal::say(event::TRIED, [content(fingerprint), ("entry", json!(entry.to_string()))]);
+        Finding::TrialOffered { fingerprint, entry } => {
+            event_log::emit(
+                event::TRIED,
+                [content(fingerprint), ("entry", json!(entry.to_string()))],
+            );
         }
     }
 }
@@ -211,5 +234,5 @@
 fn run_line(kind: Kind, run: &Run) {
     let fields =
         [("upstream", json!(run.upstream.as_str())), ("incarnation", json!(run.incarnation))];
-    journal::say(kind, fields);
+    event_log::emit(kind, fields);
 }
--- a/crates/verbenaslip-node/src/members.rs
+++ b/crates/verbenaslip-node/src/members.rs
@@ -5,7 +5,7 @@
 
 use verbenaslip_base::announce::Phase;
 use verbenaslip_base::name::{AvailabilityZone, Instance, Upstream};
-use verbenaslip_gossip::{self as gossip, MemberEvent, Standing, State, UpstreamEvent};
+use verbenaslip_gossip::{self as gossip, LeaseStatus, MemberEvent, State, UpstreamEvent};
 use verbenaslip_request::input as request;
 use verbenaslip_state::{order, watch};
 
@@ -43,7 +43,7 @@
     fn gossiped(&mut self, output: gossip::Output, call: Option<Id>) {
         match output {
             gossip::Output::Send { to, frame } => self.out.push(Output::Datagram { to, frame }),
-            gossip::Output::Answer(answer) => {
+            gossip::Output::AnnouncementResult(answer) => {
                 if let Some(call) = call {
                     let reply = Reply::Announced(answer);
                     self.out.push(Output::Reply { call, reply });
@@ -51,7 +51,7 @@
             }
             gossip::Output::Member(event) => self.member(event),
             gossip::Output::Upstream(event) => self.upstream(event),
-            gossip::Output::Reported(instance) => self.reported(&instance),
+            gossip::Output::ReportReceived(instance) => self.reported(&instance),
             gossip::Output::Isolated(isolated) => self.isolated(isolated),
         }
     }
@@ -68,7 +68,7 @@
         instances.push(own.instance);
         instances.sort();
         self.instances = instances.len();
-        self.dispatcher.members(self.now, &instances);
+        self.dispatcher.set_members(self.now, &instances);
         self.tell_publishers(&others);
         let addresses: Vec<(Instance, SocketAddr)> =
             others.into_iter().map(|peer| (peer.instance, peer.address)).collect();
@@ -77,7 +77,7 @@
 
     /// Tells the neighbours about this instance.
     pub(crate) fn share(&mut self) {
-        let limits = self.dispatcher.report(self.now);
+        let limits = self.dispatcher.tick_limits(self.now);
         let voter = self.is_voter();
         let leads = self.leads();
         let share = Share { voter, leads, limits };
@@ -90,7 +90,7 @@
         for record in self.gossip.usable(now) {
             let mut announcement = record.announcement().clone();
             announcement.load = record.load(now);
-            self.dispatcher.announce(now, &announcement);
+            self.dispatcher.handle_announcement(now, &announcement);
         }
     }
 
@@ -138,9 +138,9 @@
                 self.note(Notice::Lost { instance, zone });
             }
             MemberEvent::ZoneLost(zone) => self.note(Notice::ZoneLost(zone)),
-            MemberEvent::ZoneBack(_)
-            | MemberEvent::RegionSilent(_)
-            | MemberEvent::RegionBack(_) => {}
+            MemberEvent::ZoneRecovered(_)
+            | MemberEvent::RegionUnreachable(_)
+            | MemberEvent::RegionRecovered(_) => {}
             MemberEvent::Replaced { incarnation } => {
                 self.note(Notice::Replaced { incarnation });
                 self.out.push(Output::Drain);
@@ -165,7 +165,7 @@
             }
             UpstreamEvent::Leaving { upstream, notice } => {
                 if let Some(record) = self.gossip.record(&upstream) {
-                    self.dispatcher.announce(self.now, record.announcement());
+                    self.dispatcher.handle_announcement(self.now, record.announcement());
                 }
                 let leaving = request::Input::Leaving { upstream: upstream.clone(), notice };
                 self.push(Todo::Request(leaving));
@@ -173,7 +173,7 @@
             }
             UpstreamEvent::Lapsed(upstream) => {
                 // What ran there is told to the policy one by one, when the requests ask to retry.
-                let _ = self.dispatcher.lost(self.now, &upstream);
+                let _ = self.dispatcher.remove_upstream(self.now, &upstream);
                 self.push(Todo::Request(request::Input::Lapsed(upstream.clone())));
                 self.step_orders(order::Input::Gone(upstream.clone()));
                 let record = self.gossip.record(&upstream);
@@ -181,13 +181,14 @@
                 let age = Duration::from_millis(u64::from(age));
                 self.note(Notice::Lapsed { upstream, age });
             }
-            UpstreamEvent::Doubted(zone) => {
+            UpstreamEvent::ZoneDoubtful(zone) => {
                 let known = self.upstreams_in(&zone).count();
-                let in_doubt = |record: &&gossip::Record| record.standing() != Standing::Confirmed;
+                let in_doubt =
+                    |record: &&gossip::Record| record.lease_status() != LeaseStatus::Confirmed;
                 let lost = self.upstreams_in(&zone).filter(in_doubt).count();
                 self.note(Notice::Doubted { zone, lost, known });
             }
-            UpstreamEvent::Cleared(zone) => {
+            UpstreamEvent::ZoneCleared(zone) => {
                 let known = self.upstreams_in(&zone).count();
                 self.note(Notice::Trusted { zone, known });
             }
@@ -197,7 +198,7 @@
     fn usable(&mut self, upstream: &Upstream) {
         let Some(record) = self.gossip.record(upstream) else { return };
         let announcement = record.announcement();
-        self.dispatcher.announce(self.now, announcement);
+        self.dispatcher.handle_announcement(self.now, announcement);
         if announcement.phase == Phase::Ready {
             self.push(Todo::Request(request::Input::Ready(upstream.clone())));
         }
@@ -208,7 +209,7 @@
         let reports = self.gossip.reports(self.now);
         let found = reports.into_iter().find(|report| report.instance == instance);
         let Some(share) = found.and_then(|report| Share::decode(report.bytes)) else { return };
-        self.dispatcher.heard(self.now, instance, &share.limits);
+        self.dispatcher.handle_report(self.now, instance, &share.limits);
         if share.leads {
             self.leader = Some(instance.clone());
         }
@@ -226,7 +227,7 @@
 
     fn isolated(&mut self, isolated: bool) {
         if isolated {
-            self.dispatcher.doubt(self.now);
+            self.dispatcher.reset_shares(self.now);
         }
         let stays = |member: &&gossip::Member| member.state() != State::Left;
         let known = self.gossip.members().filter(stays).count() + 1;
--- a/crates/verbenaslip-node/src/node.rs
+++ b/crates/verbenaslip-node/src/node.rs
@@ -98,7 +98,7 @@
             now,
             epoch: unix.saturating_sub(now.as_millis() as u64),
             rng: Pcg64::seed_from_u64(setup.seed),
-            gossip: Gossip::open(gossip, setup.seed, now),
+            gossip: Gossip::new(gossip, setup.seed, now),
             voter: None,
             hub: watch::Hub::new(instance.clone(), zone.clone(), boot),
             requests: Requests::open(crate::serve::setup(&setup)),
@@ -142,7 +142,7 @@
 
     /// Returns when the next step is due at the latest.
     pub fn wake(&self) -> Duration {
-        let mut wake = self.beat.min(self.gossip.wake());
+        let mut wake = self.beat.min(self.gossip.next_wakeup());
         wake = wake.min(self.voter.as_ref().map_or(wake, Voter::wake));
         wake = wake.min(self.requests.wake().unwrap_or(wake));
         wake = wake.min(self.proposals.wake().unwrap_or(wake));
@@ -177,7 +177,7 @@
     /// Returns why the platform should send no callers here; empty when it should.
     pub fn unready(&self) -> Vec<Arc<str>> {
         let mut reasons = self.closed();
-        if !self.dispatcher.limiter().settled(self.now) {
+        if !self.dispatcher.limiter().has_base_share(self.now) {
             reasons.push("it has no part of the limits yet, so that requests would wait".into());
         }
         reasons
@@ -243,7 +243,7 @@
                 let notice = u32::try_from(notice.as_millis()).unwrap_or(u32::MAX);
                 self.push(Todo::Gossip(gossip::Input::Reclaimed { upstream, notice }));
             }
-            Input::Stored { mark } => self.push(Todo::Log(log::Input::Stored { mark })),
+            Input::Stored { mark } => self.push(Todo::Log(log::Input::Stored { sequence: mark })),
             Input::Ordered { upstream, fence, answer } => {
                 self.step_orders(order::Input::Answer { upstream, fence, answer });
             }
@@ -252,7 +252,9 @@
             }
             Input::Surveyed(survey) => self.surveyed(survey),
             Input::Started { request, name } => self.started(request, name.as_ref()),
-            Input::Cached { upstream, batch } => self.dispatcher.cached(&upstream, &batch),
+            Input::Cached { upstream, batch } => {
+                self.dispatcher.handle_cache_events(&upstream, &batch)
+            }
             Input::Stop { remaining } => self.begin_stop(remaining),
             other => self.traffic(other),
         }
@@ -281,7 +283,7 @@
     /// A step for each message of each request must not walk through everything that only time
     /// moves, so each part is asked when it is due.
     fn turn(&mut self) {
-        if self.now >= self.gossip.wake() {
+        if self.now >= self.gossip.next_wakeup() {
             self.push(Todo::Gossip(gossip::Input::Tick));
         }
         if self.voter.as_ref().is_some_and(|voter| self.now >= voter.wake()) {
@@ -341,7 +343,7 @@
     }
 
     fn use_table(&mut self, revision: Revision, table: Arc<Table>) {
-        self.dispatcher.table(self.now, &table);
+        self.dispatcher.set_table(self.now, &table);
         self.tables.push_back(Version { revision, table });
         if self.tables.len() > crate::edits::TABLES {
             self.tables.pop_front();
--- a/crates/verbenaslip-node/src/setup.rs
+++ b/crates/verbenaslip-node/src/setup.rs
@@ -68,9 +68,9 @@
     fn default() -> Self {
         let log = verbenaslip_replica::setup::Timing::default();
         Self {
-            heartbeat: log.heartbeat,
-            election: log.election,
-            lease: verbenaslip_gossip::LEASE,
+            heartbeat: log.heartbeat_interval,
+            election: log.election_timeout,
+            lease: verbenaslip_gossip::MAX_LEASE,
             request: RequestTiming::default(),
         }
     }
--- a/crates/verbenaslip-node/src/status.rs
+++ b/crates/verbenaslip-node/src/status.rs
@@ -8,7 +8,7 @@
 use verbenaslip_base::data;
 use verbenaslip_base::name::{AvailabilityZone, Class, Instance, Team};
 use verbenaslip_gossip::State;
-use verbenaslip_replica::output::Duty;
+use verbenaslip_replica::output::ReplicaRole;
 use verbenaslip_replica::status as log;
 use verbenaslip_table::{Revision, row};
 
@@ -62,7 +62,7 @@
     /// The leader, where known.
     pub leader: Option<Instance>,
     /// What this instance does.
-    pub duty: Duty,
+    pub duty: ReplicaRole,
     /// The last entry.
     pub last: u64,
     /// The last committed index that it knows.
@@ -201,7 +201,7 @@
 
     /// Returns what each upstream last said, with how far it is confirmed.
     pub fn upstreams(&self) -> impl Iterator<Item = (&Announcement, Standing)> {
-        self.gossip.records().map(|record| (record.announcement(), record.standing().into()))
+        self.gossip.records().map(|record| (record.announcement(), record.lease_status().into()))
     }
 
     /// Shows the work held here by row of the table, in its order.
@@ -254,12 +254,12 @@
             group: status.group.map(|group| format!("{:032x}", group.0).into()),
             term: status.term,
             leader: status.leader,
-            duty: status.duty,
-            last: status.last,
-            commit: status.commit,
-            snapshot: status.snapshot,
-            lease: status.lease,
-            joint: status.joint,
+            duty: status.role,
+            last: status.last_index,
+            commit: status.commit_index,
+            snapshot: status.snapshot_index,
+            lease: status.lease_remaining,
+            joint: status.is_joint,
             voters: status.voters.into_iter().map(Voter::of).collect(),
         }
     }
@@ -270,9 +270,9 @@
         Self {
             instance: progress.voter.instance,
             identity: progress.voter.identity.to_string().into(),
-            votes: progress.votes,
-            matched: progress.matched,
-            silent: progress.silent,
+            votes: progress.is_voter,
+            matched: progress.match_index,
+            silent: progress.since_last_response,
         }
     }
 }
@@ -286,17 +286,17 @@
 
 impl Upstream {
     fn of(record: &verbenaslip_gossip::Record) -> Self {
-        let standing = record.standing().into();
+        let standing = record.lease_status().into();
         Self { announcement: record.announcement().clone(), standing }
     }
 }
 
-impl From<verbenaslip_gossip::Standing> for Standing {
-    fn from(standing: verbenaslip_gossip::Standing) -> Self {
+impl From<verbenaslip_gossip::LeaseStatus> for Standing {
+    fn from(standing: verbenaslip_gossip::LeaseStatus) -> Self {
         match standing {
-            verbenaslip_gossip::Standing::Confirmed => Self::Confirmed,
-            verbenaslip_gossip::Standing::Doubtful => Self::Doubtful,
-            verbenaslip_gossip::Standing::Lapsed => Self::Lapsed,
+            verbenaslip_gossip::LeaseStatus::Confirmed => Self::Confirmed,
+            verbenaslip_gossip::LeaseStatus::Doubtful => Self::Doubtful,
+            verbenaslip_gossip::LeaseStatus::Lapsed => Self::Lapsed,
         }
     }
 }
--- a/crates/verbenaslip-relay/src/forward/context.rs
+++ b/crates/verbenaslip-relay/src/forward/context.rs
@@ -8,13 +8,12 @@
 use tokio::time::Instant;
 use verbenaslip_base::hash;
 use verbenaslip_base::name::AvailabilityZone;
-use verbenaslip_fleet::account::Answered;
-use verbenaslip_fleet::limit::Sighting;
+use verbenaslip_fleet::crash_report::ObservedAnswer;
+use verbenaslip_fleet::limit::Observation;
 use verbenaslip_fleet::registry::Run;
 use verbenaslip_fleet::view::View;
 
-use crate::board::Board;
-use crate::dialect::{Dialect, Reply};
+use crate::dialect::{Dialect, ResponseInfo};
 use crate::forward::crash::{Broken, Sign};
 use crate::forward::job::Job;
 use crate::forward::notice;
@@ -27,11 +26,12 @@
 use crate::policy::retry::{Bounds, Budget};
 use crate::policy::versions::Tracks;
 use crate::policy::waited::Waited;
+use crate::shared::SharedState;
 
 /// Holds what all requests share; only the traffic thread uses it.
 pub struct Context {
     /// What is shared with the control thread.
-    pub board: Arc<Board>,
+    pub board: Arc<SharedState>,
     /// The deployment's header names.
     pub dialect: Arc<dyn Dialect>,
     /// The length of a window of usage.
@@ -51,7 +51,7 @@
 impl Context {
     /// Starts without requests.
     pub(crate) fn open(
-        board: Arc<Board>,
+        board: Arc<SharedState>,
         dialect: Arc<dyn Dialect>,
         zone: AvailabilityZone,
         bounds: Bounds,
@@ -69,7 +69,7 @@
             pool: RefCell::new(Pool::default()),
             waited: RefCell::new(Waited::default()),
             record: RefCell::new(Record::default()),
-            draw: Cell::new(monotonic::unix()),
+            draw: Cell::new(monotonic::unix_ms()),
             signs,
         }
     }
@@ -83,7 +83,7 @@
             self.pool.borrow_mut().forget(&gone);
         }
         let limits = self.placement.borrow_mut().update_limits(monotonic::now(), &view);
-        for Sighting { run, limit } in limits {
+        for Observation { run, limit } in limits {
             notice::say_limit(&run, limit, None);
             self.board.limited(&run, limit);
         }
@@ -117,7 +117,13 @@
     }
 
     /// Takes what an upstream asks for in the head of its answer to a request that was sent at a time.
-    pub(crate) fn heard(&self, job: &Job<'_>, choice: &Choice, sent: Instant, reply: &Reply) {
+    pub(crate) fn heard(
+        &self,
+        job: &Job<'_>,
+        choice: &Choice,
+        sent: Instant,
+        reply: &ResponseInfo,
+    ) {
         if reply.other_run {
             return;
         }
@@ -173,7 +179,7 @@
         let Some(fingerprint) = job.fingerprint else { return };
         let at = monotonic::now();
         if self.record.borrow_mut().answered(at, fingerprint, &self.board.view().blocklist) {
-            self.board.answered(Answered { fingerprint, at });
+            self.board.answered(ObservedAnswer { fingerprint, at });
         }
     }
 
--- a/crates/verbenaslip-relay/src/forward/job.rs
+++ b/crates/verbenaslip-relay/src/forward/job.rs
@@ -7,13 +7,13 @@
 use tokio::time::Instant;
 use verbenaslip_fleet::fingerprint::Fingerprint;
 use verbenaslip_fleet::index::Index;
-use verbenaslip_fleet::sheet::{Kind, Route, TeamRow};
+use verbenaslip_fleet::route_table::{RequestKind, Route, TeamConfig};
 use verbenaslip_fleet::view::View;
 
-use crate::dialect::Call;
+use crate::dialect::RequestInfo;
 use crate::forward::answer::Refusal;
 use crate::forward::context::Context;
-use crate::http::{Message, Request};
+use crate::http::{Message, RequestHead};
 use crate::monotonic;
 use crate::policy::allowance::{self, Verdict as Allowed};
 
@@ -39,11 +39,11 @@
 /// Holds what is decided of a request once.
 pub struct Job<'a> {
     /// Its head.
-    pub head: &'a Request,
+    pub head: &'a RequestHead,
     /// Its body.
     pub body: &'a Bytes,
     /// What it says beyond HTTP.
-    pub call: &'a Call,
+    pub call: &'a RequestInfo,
     /// Its content, to be known again; none as long as this entry has no key for that.
     pub fingerprint: Option<Fingerprint>,
     /// Its route.
@@ -51,7 +51,7 @@
     /// Its rank; zero is the most urgent.
     pub rank: u8,
     /// Its caller's team.
-    pub team: Option<&'a TeamRow>,
+    pub team: Option<&'a TeamConfig>,
     /// The service.
     pub service: Arc<str>,
     /// The connections that one of its upstreams accepts from all entries.
@@ -71,7 +71,7 @@
 impl Job<'_> {
     /// Tells whether another upstream may go on with the answer.
     pub fn resumable(&self) -> bool {
-        self.route.kind == Kind::Stream { resumable: true }
+        self.route.kind == RequestKind::Stream { resumable: true }
     }
 }
 
@@ -80,10 +80,10 @@
     context: &Context,
     view: &'a View,
     whole: &'a Message,
-    call: Option<&'a Call>,
+    call: Option<&'a RequestInfo>,
     closes: bool,
 ) -> Result<Job<'a>, Refused> {
-    if context.board.is_closing() {
+    if context.board.has_stopped_admitting() {
         return Err((Refusal::Stopping, Some(BACK_NOW)));
     }
     let Some(routes) = &view.routes else { return Err((Refusal::NoTable, Some(BACK_AFTER_START))) };
@@ -91,13 +91,14 @@
     let host = whole.head.text("host").unwrap_or_default();
     let route = routes.route(host, &whole.head.target).ok_or((Refusal::NoRoute, None))?;
     let team = team(routes, route, call)?;
-    let patience = call.patience.map_or(route.timeout, |patience| patience.min(route.timeout));
-    let waited = call.patience.is_some_and(|patience| {
+    let patience =
+        call.caller_timeout.map_or(route.timeout, |patience| patience.min(route.timeout));
+    let waited = call.caller_timeout.is_some_and(|patience| {
         let mut waited = context.waited.borrow_mut();
         waited.take(monotonic::now(), &route.name, patience, route.objective)
     });
     let service = service(context, route);
-    context.budget.borrow_mut().earn(&service, view.entries);
+    context.budget.borrow_mut().earn(&service, view.entry_count);
     Ok(Job {
         head: &whole.head,
         body: &whole.body,
@@ -106,8 +107,11 @@
         route,
         rank: routes.rank(route, team),
         team,
-        connections: routes.sheet().service(&service).map_or(u32::MAX, |it| it.connections),
-        entries: view.entries,
+        connections: routes
+            .route_table()
+            .service(&service)
+            .map_or(u32::MAX, |it| it.max_connections),
+        entries: view.entry_count,
         service,
         arrived: whole.arrived,
         limit: whole.arrived + patience.saturating_sub(EARLY),
@@ -119,18 +123,22 @@
 fn fingerprint(
     view: &View,
     whole: &Message,
-    team: Option<&TeamRow>,
+    team: Option<&TeamConfig>,
     host: &str,
 ) -> Option<Fingerprint> {
     let team = team.map_or("", |team| team.name.as_str());
     Some(Fingerprint::of(view.blocklist.key?, team, host, &whole.head.target, &whole.body))
 }
 
-fn team<'a>(routes: &'a Index, route: &Route, call: &Call) -> Result<Option<&'a TeamRow>, Refused> {
-    if route.public || routes.sheet().teams.is_empty() {
+fn team<'a>(
+    routes: &'a Index,
+    route: &Route,
+    call: &RequestInfo,
+) -> Result<Option<&'a TeamConfig>, Refused> {
+    if route.public || routes.route_table().teams.is_empty() {
         return Ok(None);
     }
-    let found = call.key.as_ref().and_then(|key| routes.team(key));
+    let found = call.api_key.as_ref().and_then(|key| routes.team(key));
     found.map(Some).ok_or((Refusal::UnknownKey, None))
 }
 
@@ -179,6 +187,6 @@
 }
 
 /// Returns the tokens that a request asks for in all, when it says so.
-fn size(call: &Call) -> Option<u64> {
-    call.tokens.map(|tokens| tokens.prompt + tokens.output)
+fn size(call: &RequestInfo) -> Option<u64> {
+    call.token_counts.map(|tokens| tokens.prompt + tokens.max_output)
 }
--- a/crates/verbenaslip-relay/src/forward/trace.rs
+++ b/crates/verbenaslip-relay/src/forward/trace.rs
@@ -7,11 +7,11 @@
 use tokio::time::Instant;
 use verbenaslip_base::name::{Team, Upstream};
 use verbenaslip_fleet::rollout::{Cohort, Plan};
-use verbenaslip_fleet::sheet::TeamRow;
-use verbenaslip_fleet::view::{Stamp, View};
+use verbenaslip_fleet::route_table::TeamConfig;
+use verbenaslip_fleet::view::{Version, View};
 
+use crate::event_log::{self, Kind};
 use crate::forward::job::Job;
-use crate::journal::{self, Kind};
 use crate::monotonic;
 
 /// One line a request, with what decided it.
@@ -64,7 +64,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Basis {
     /// How new the list of upstreams was.
-    stamp: Stamp,
+    stamp: Version,
     /// How long before the leader had been heard.
     age: Option<Duration>,
 }
@@ -72,8 +72,8 @@
 impl Basis {
     /// Notes what a decision goes by that is made now.
     pub fn of(view: &View) -> Self {
-        let age = view.heard.map(|heard| monotonic::now().saturating_sub(heard));
-        Self { stamp: view.stamp, age }
+        let age = view.leader_heard_at.map(|heard| monotonic::now().saturating_sub(heard));
+        Self { stamp: view.version, age }
     }
 }
 
@@ -86,7 +86,7 @@
     metrics::histogram!("verbenaslip_request_seconds", "route" => route.to_owned())
         .record(took.as_secs_f64());
     let Basis { stamp, age } = trace.basis;
-    let team = job.and_then(|job| job.team).map(|team: &TeamRow| &team.name);
+    let team = job.and_then(|job| job.team).map(|team: &TeamConfig| &team.name);
     let sent: Vec<&str> = trace.sent.iter().map(|sent| sent.upstream.as_str()).collect();
     let after: Vec<u128> = trace.sent.iter().map(|sent| sent.after.as_millis()).collect();
     let fields = [
@@ -103,7 +103,10 @@
         ("change", json!(stamp.change)),
         ("causes", json!(trace.causes)),
         ("objective_ms", json!(job.map(|job| job.route.objective.as_millis()))),
-        ("patience_ms", json!(job.and_then(|job| job.call.patience).map(|it| it.as_millis()))),
+        (
+            "patience_ms",
+            json!(job.and_then(|job| job.call.caller_timeout).map(|it| it.as_millis())),
+        ),
         ("rank", json!(job.map(|job| job.rank))),
         ("waited", json!(job.is_some_and(|job| job.waited))),
         ("expected_ms", json!(trace.expected.round())),
@@ -118,12 +121,12 @@
         ("revision", json!(view.revision())),
         ("view_age_ms", json!(age.map(|age| age.as_millis()))),
     ];
-    journal::say(ENDED, fields.into_iter().filter(|(_, value)| says_something(value)));
+    event_log::emit(ENDED, fields.into_iter().filter(|(_, value)| says_something(value)));
 }
 
 /// Returns the plan of a roll-out of the request's service, if there is one.
 fn rolled_out<'a>(view: &'a View, job: Option<&Job<'_>>) -> Option<&'a Plan> {
-    view.plans.get(&job?.service)
+    view.rollout_plans.get(&job?.service)
 }
 
 /// Tells whether a value is worth its place in a line.
--- a/crates/verbenaslip-relay/src/policy/allowance.rs
+++ b/crates/verbenaslip-relay/src/policy/allowance.rs
@@ -5,8 +5,8 @@
 
 use verbenaslip_base::name::Team;
 use verbenaslip_fleet::hub::SHARE_LEASE;
-use verbenaslip_fleet::quota::{Lent, Refund};
-use verbenaslip_fleet::sheet::{Quota, TeamRow};
+use verbenaslip_fleet::quota::{LoanGrant, Refund};
+use verbenaslip_fleet::route_table::{Quota, TeamConfig};
 use verbenaslip_fleet::view::View;
 
 /// How far ahead units are borrowed for a team that asks for much: the requests of so much time need not wait for the
@@ -68,12 +68,12 @@
     }
 
     /// Takes what a request asks for out of its team's limit, as far as this entry knows that there is so much left.
-    pub fn take(&mut self, now: Duration, team: &TeamRow, units: f64, view: &View) -> Verdict {
+    pub fn take(&mut self, now: Duration, team: &TeamConfig, units: f64, view: &View) -> Verdict {
         let Some(quota) = team.quota.filter(|quota| quota.rate > 0.0) else {
             return Verdict::Within;
         };
         let purse = self.purse(&team.name);
-        purse.refill(now, &quota, view.entries);
+        purse.refill(now, &quota, view.entry_count);
         purse.rate += units / RATE;
         if purse.lent >= units {
             purse.spend(units);
@@ -97,9 +97,9 @@
     pub fn lent(
         &mut self,
         now: Duration,
-        team: &TeamRow,
+        team: &TeamConfig,
         units: f64,
-        lent: Option<&Lent>,
+        lent: Option<&LoanGrant>,
     ) -> Result<(), Duration> {
         let Some(quota) = team.quota else { return Ok(()) };
         let purse = self.purse(&team.name);
@@ -111,8 +111,8 @@
                 Ok(())
             }
             Some(lent) => {
-                purse.empty = now + lent.wait.min(Duration::from_secs_f64(BACK.0));
-                Err(back(lent.wait, units, &quota))
+                purse.empty = now + lent.empty_for.min(Duration::from_secs_f64(BACK.0));
+                Err(back(lent.empty_for, units, &quota))
             }
             None => purse.spend_alone(units, &quota),
         }
@@ -190,13 +190,13 @@
 /// An entry that does not hear the leader can't know what others use meanwhile, so it falls back to an equal part of
 /// each limit, which the leader keeps for it.
 fn is_in_touch(now: Duration, view: &View) -> bool {
-    view.heard.is_some_and(|heard| now.saturating_sub(heard) <= SHARE_LEASE)
+    view.leader_heard_at.is_some_and(|heard| now.saturating_sub(heard) <= SHARE_LEASE)
 }
 
 /// Returns the units of a request under a quota.
 #[allow(clippy::cast_precision_loss)] // Token counts are far below 2^52.
 pub fn units(quota: &Quota, tokens: Option<u64>) -> f64 {
-    match (quota.unsized_tokens, tokens) {
+    match (quota.default_tokens, tokens) {
         (None, _) => 1.0,
         (Some(_), Some(tokens)) => tokens as f64,
         (Some(unsized_tokens), None) => unsized_tokens,
--- a/crates/verbenaslip-relay/src/board.rs
+++ b/crates/verbenaslip-relay/src/shared.rs
@@ -7,13 +7,13 @@
 
 use tokio::sync::{Notify, oneshot};
 use verbenaslip_base::name::Team;
-use verbenaslip_fleet::account::{Answered, Sighting};
+use verbenaslip_fleet::crash_report::{ObservedAnswer, ObservedCrash};
 use verbenaslip_fleet::limit::{self, Limit, Limits};
 use verbenaslip_fleet::link::Report;
-use verbenaslip_fleet::load::Work;
-use verbenaslip_fleet::quota::{Lent, Loan, Refund};
-use verbenaslip_fleet::registry::{Record, Run, Standing};
-use verbenaslip_fleet::usage::{self, Tally};
+use verbenaslip_fleet::load::WorkReport;
+use verbenaslip_fleet::quota::{LoanGrant, LoanRequest, Refund};
+use verbenaslip_fleet::registry::{Record, Run, Status};
+use verbenaslip_fleet::usage::{self, UsageCounter};
 use verbenaslip_fleet::view::View;
 
 use crate::monotonic;
@@ -24,15 +24,15 @@
 
 /// Shares the view of the fleet one way, and counts the other.
 #[derive(Debug, Default)]
-pub struct Board {
+pub struct SharedState {
     view: Mutex<Arc<View>>,
-    tally: Mutex<Tally>,
+    tally: Mutex<UsageCounter>,
     loans: Mutex<Loans>,
     refunds: Mutex<BTreeMap<Team, f64>>,
     borrows: Notify,
     /// Milliseconds of engine time that were asked for since the start, by service.
     work: Mutex<Totals>,
-    met: Mutex<Experience>,
+    met: Mutex<Observations>,
     versions: Mutex<Versions>,
     /// The limits of upstreams, as far as they are known here.
     limits: Mutex<Limits>,
@@ -45,14 +45,14 @@
     shown: Notify,
 }
 
-impl Board {
+impl SharedState {
     /// Returns the newest view.
     pub fn view(&self) -> Arc<View> {
         lock(&self.view).clone()
     }
 
     /// Shows a new view.
-    pub fn show(&self, view: View) {
+    pub fn set_view(&self, view: View) {
         *lock(&self.view) = Arc::new(view);
         self.shown.notify_waiters();
     }
@@ -76,26 +76,26 @@
     }
 
     /// Asks the leader for units of a team's limit: those that a request needs, and some for others ahead.
-    pub fn borrow(&self, team: &Team, need: f64, ahead: f64) -> oneshot::Receiver<Lent> {
+    pub fn borrow(&self, team: &Team, need: f64, ahead: f64) -> oneshot::Receiver<LoanGrant> {
         let (answer, answered) = oneshot::channel();
         let mut loans = lock(&self.loans);
         loans.last += 1;
         let id = loans.last;
         let at = monotonic::now();
         loans.waiting.insert(id, Borrower { team: team.clone(), answer, at });
-        loans.fresh.push(Loan { id, team: team.clone(), need, ahead });
+        loans.fresh.push(LoanRequest { id, team: team.clone(), required: need, prefetch: ahead });
         drop(loans);
         self.borrows.notify_one();
         answered
     }
 
     /// Returns once there is something to ask the leader for.
-    pub async fn borrows(&self) {
+    pub async fn wait_for_loan_requests(&self) {
         self.borrows.notified().await;
     }
 
     /// Takes what is to be asked for.
-    pub fn take_loans(&self) -> Vec<Loan> {
+    pub fn take_loan_requests(&self) -> Vec<LoanRequest> {
         let mut loans = lock(&self.loans);
         let now = monotonic::now();
         loans.waiting.retain(|_, it| now.saturating_sub(it.at) <= ANSWERED);
@@ -103,11 +103,11 @@
     }
 
     /// Hands out what the leader has lent.
-    pub fn lend(&self, lent: Vec<Lent>) {
+    pub fn deliver_loan_grants(&self, lent: Vec<LoanGrant>) {
         for lent in lent {
             let waiting = lock(&self.loans).waiting.remove(&lent.id);
             let Some(Borrower { team, answer, .. }) = waiting else { continue };
-            if let Err(Lent { units, .. }) = answer.send(lent) {
+            if let Err(LoanGrant { units, .. }) = answer.send(lent) {
                 self.refund(Refund { team, units });
             }
         }
@@ -148,61 +148,69 @@
         let view = self.view();
         let mut leaving = lock(&self.leaving);
         leaving.retain(|run| {
-            let ready = |it: &Record| matches!(it.standing, Standing::Ready | Standing::Silent);
+            let ready = |it: &Record| matches!(it.status, Status::Ready | Status::Silent);
             view.record(run).is_some_and(ready)
         });
         leaving.iter().take(SIGHTINGS).cloned().collect()
     }
 
     /// Lists the limits that the leader is not known to know.
-    fn unshared_limits(&self) -> Vec<limit::Sighting> {
+    fn unshared_limits(&self) -> Vec<limit::Observation> {
         let view = self.view();
         let mut limits = lock(&self.limits);
         limits.retain(|run, _| view.record(run).is_some());
-        let news = limits.iter().filter(|(run, limit)| limit.changes(view.limits.get(run)));
-        let news = news.map(|(run, limit)| limit::Sighting { run: run.clone(), limit: *limit });
+        let news = limits.iter().filter(|(run, limit)| limit.supersedes(view.limits.get(run)));
+        let news = news.map(|(run, limit)| limit::Observation { run: run.clone(), limit: *limit });
         news.take(SIGHTINGS).collect()
     }
 
     /// Notes requests under which an upstream ended.
-    pub fn crashed(&self, crashes: impl IntoIterator<Item = Sighting>) {
+    pub fn crashed(&self, crashes: impl IntoIterator<Item = ObservedCrash>) {
         lock(&self.met).crashes.extend(crashes);
         self.meets.notify_one();
     }
 
     /// Notes that a request was answered which is suspected or held back.
-    pub fn answered(&self, answered: Answered) {
+    pub fn answered(&self, answered: ObservedAnswer) {
         lock(&self.met).answers.push(answered);
         self.meets.notify_one();
     }
 
     /// Returns once there is something that requests met.
-    pub async fn meets(&self) {
+    pub async fn wait_for_observations(&self) {
         self.meets.notified().await;
     }
 
     /// Takes what requests met since it was last asked for.
-    pub fn take_sightings(&self) -> Experience {
+    pub fn take_observations(&self) -> Observations {
         std::mem::take(&mut *lock(&self.met))
     }
 
     /// Collects the next report.
-    pub fn report(&self) -> Report {
+    pub fn take_report(&self) -> Report {
         let refunds = self.take_refunds();
         let work = lock(&self.work);
         let work = work
             .iter()
-            .map(|(service, total)| Work { service: service.clone(), total: *total })
+            .map(|(service, total)| WorkReport { service: service.clone(), total_ms: *total })
             .collect();
         let rollouts = self.versions().report(monotonic::now());
         let limits = self.unshared_limits();
         let counts = lock(&self.tally).counts();
         let leaving = self.unshared_departures();
-        Report { counts, refunds, work, rollouts, limits, leaving, ..Report::default() }
+        Report {
+            counts,
+            refunds,
+            engine_work: work,
+            rollouts,
+            limits,
+            departing: leaving,
+            ..Report::default()
+        }
     }
 
     /// Begins the planned stop: no new connection shall come.
-    pub fn drain(&self) {
+    pub fn start_draining(&self) {
         self.draining.store(true, Ordering::Relaxed);
     }
 
@@ -215,20 +223,20 @@
     ///
     /// A request on a kept connection would otherwise be taken until the very end, and cut off when
     /// the process ends; refused as not run it is answered by another instance.
-    pub fn close(&self) {
+    pub fn stop_admitting(&self) {
         self.closing.store(true, Ordering::Relaxed);
         self.closed.notify_waiters();
     }
 
     /// Tells whether new requests are refused.
-    pub fn is_closing(&self) -> bool {
+    pub fn has_stopped_admitting(&self) -> bool {
         self.closing.load(Ordering::Relaxed)
     }
 
     /// Returns once new requests are refused.
     pub async fn closed(&self) {
         let closed = self.closed.notified();
-        if !self.is_closing() {
+        if !self.has_stopped_admitting() {
             closed.await;
         }
     }
@@ -241,11 +249,11 @@
 
 /// Holds what requests met that the leader is to hear of.
 #[derive(Debug, Default)]
-pub struct Experience {
+pub struct Observations {
     /// Upstreams that ended while they ran them.
-    pub crashes: Vec<Sighting>,
+    pub crashes: Vec<ObservedCrash>,
     /// Answers to requests that are suspected or held back.
-    pub answers: Vec<Answered>,
+    pub answers: Vec<ObservedAnswer>,
 }
 
 /// The most limits, and the most departures, in one report; the others wait for the next.
@@ -255,7 +263,7 @@
 #[derive(Debug, Default)]
 struct Loans {
     last: u64,
-    fresh: Vec<Loan>,
+    fresh: Vec<LoanRequest>,
     waiting: BTreeMap<u64, Borrower>,
 }
 
@@ -266,7 +274,7 @@
 #[derive(Debug)]
 struct Borrower {
     team: Team,
-    answer: oneshot::Sender<Lent>,
+    answer: oneshot::Sender<LoanGrant>,
     at: Duration,
 }
 
--- a/crates/verbenaslip-relay/tests/versions.rs
+++ b/crates/verbenaslip-relay/tests/versions.rs
@@ -19,16 +19,16 @@
         rejected: BTreeSet::new(),
         state,
         share,
-        shares: BTreeMap::from([("r".into(), share)]),
+        route_shares: BTreeMap::from([("r".into(), share)]),
         canaries: (!shifting).then(|| BTreeSet::from(["c".into()])),
         shifting,
-        slow: BTreeMap::from([("r".into(), 100)]),
+        slow_ms: BTreeMap::from([("r".into(), 100)]),
     }
 }
 
 fn view(plan: Plan, confirmed: Duration) -> View {
     let plans = BTreeMap::from([(Arc::from("pool"), plan)]);
-    View { plans: Arc::new(plans), confirmed: Some(confirmed), ..View::default() }
+    View { rollout_plans: Arc::new(plans), plans_confirmed_at: Some(confirmed), ..View::default() }
 }
 
 fn first(versions: &Versions, again: bool, draw: f64) -> Track {
