--- a/crates/verbenaslip-disk/src/folder.rs
+++ b/crates/verbenaslip-disk/src/directory.rs
@@ -10,7 +10,7 @@
 use verbenaslip_replica::voter::Identity;
 
 use crate::files::{Files, LOCK, System};
-use crate::{checked, name, segment};
+use crate::{checksummed, file_name, segment};
 
 /// Bytes after which a new log file is begun, where nothing else is said.
 const SEGMENT: u64 = 4 << 20;
@@ -117,7 +117,7 @@
     /// Replaces the term and vote.
     fn keep_hard(&mut self, hard: &HardState) -> Result<(), Error> {
         let content = postcard::to_stdvec(hard).unwrap_or_default();
-        self.replace(name::HARD, &checked::encode(&content))
+        self.replace(file_name::HARD, &checksummed::encode(&content))
     }
 
     /// Adds an entry to the buffer, in a new log file when the last one is full.
@@ -142,7 +142,7 @@
     /// Begins a log file; the one before it is durable first, so that only the last can be torn.
     fn begin(&mut self, first: u64) -> Result<(), Error> {
         self.close_last()?;
-        let name = name::log(first);
+        let name = file_name::log(first);
         self.io(Step::Write, &name, |files, name| files.create(name))?;
         let header = segment::header(first);
         self.io(Step::Write, &name, |files, name| files.append(name, &header))?;
@@ -217,14 +217,14 @@
         let mut content = postcard::to_stdvec(&head).unwrap_or_default();
         content.extend_from_slice(&snapshot.state);
         let index = snapshot.position.index;
-        self.replace(&name::snapshot(index), &checked::encode(&content))?;
+        self.replace(&file_name::snapshot(index), &checksummed::encode(&content))?;
         let before = self.snapshot.replace(index).filter(|before| *before != index);
-        before.map_or(Ok(()), |before| self.remove(&name::snapshot(before)))
+        before.map_or(Ok(()), |before| self.remove(&file_name::snapshot(before)))
     }
 
     /// Puts a file in place whole, so that after a power loss there is the old one or the new one.
     pub(crate) fn replace(&mut self, name: &str, bytes: &[u8]) -> Result<(), Error> {
-        let unfinished = format!("{name}{}", name::UNFINISHED);
+        let unfinished = format!("{name}{}", file_name::UNFINISHED);
         self.io(Step::Write, &unfinished, |files, name| files.create(name))?;
         self.io(Step::Write, &unfinished, |files, name| files.append(name, bytes))?;
         self.io(Step::Sync, &unfinished, |files, name| files.sync(name))?;
--- a/crates/verbenaslip-disk/src/lib.rs
+++ b/crates/verbenaslip-disk/src/lib.rs
@@ -21,12 +21,12 @@
 //!
 //! All access goes through the [`files::Files`] port: [`files::System`] is the real one.
 
-pub mod checked;
+pub mod checksummed;
 pub mod files;
 pub mod segment;
 
-mod folder;
+mod directory;
+mod file_name;
 mod load;
-mod name;
 
-pub use folder::{DataDirectory, Options};
+pub use directory::{DataDirectory, Options};
--- a/crates/verbenaslip-disk/src/load.rs
+++ b/crates/verbenaslip-disk/src/load.rs
@@ -7,9 +7,9 @@
 use verbenaslip_replica::storage::{Error, HardState, Recovered, Snapshot, Step, Torn};
 use verbenaslip_replica::voter::Identity;
 
-use crate::folder::{DataDirectory, Head, Segment, failure};
+use crate::directory::{DataDirectory, Head, Segment, failure};
 use crate::segment::{HEADER, Scan};
-use crate::{checked, name, segment};
+use crate::{checksummed, file_name, segment};
 
 /// Holds what the log files contain.
 struct Log {
@@ -60,7 +60,7 @@
     fn names(&mut self) -> Result<Vec<String>, Error> {
         let mut names = self.io(Step::List, "the data folder", |files, _| files.list())?;
         names.sort();
-        for unfinished in names.extract_if(.., |name| name.ends_with(name::UNFINISHED)) {
+        for unfinished in names.extract_if(.., |name| name.ends_with(file_name::UNFINISHED)) {
             self.io(Step::Remove, &unfinished, |files, name| files.remove(name))?;
         }
         Ok(names)
@@ -68,38 +68,40 @@
 
     /// Reads the folder's identity, or keeps the one that was drawn if the folder is new.
     fn read_identity(&mut self, names: &[String]) -> Result<Identity, Error> {
-        if let Some(content) = self.read_checked(name::IDENTITY)? {
+        if let Some(content) = self.read_checked(file_name::IDENTITY)? {
             let identity = postcard::from_bytes(&content);
-            return identity.map_err(|_| damaged(name::IDENTITY, 0, &"it can't be read"));
+            return identity.map_err(|_| damaged(file_name::IDENTITY, 0, &"it can't be read"));
         }
-        let foreign = names
-            .iter()
-            .any(|name| name == name::HARD || is_log(name) || name::snapshot_index(name).is_some());
+        let foreign = names.iter().any(|name| {
+            name == file_name::HARD || is_log(name) || file_name::snapshot_index(name).is_some()
+        });
         if foreign {
             // With a new identity this voter could vote twice; it must not go on as itself.
-            return Err(damaged(name::IDENTITY, 0, &"it is missing beside a log"));
+            return Err(damaged(file_name::IDENTITY, 0, &"it is missing beside a log"));
         }
         let content = postcard::to_stdvec(&self.identity).unwrap_or_default();
-        self.replace(name::IDENTITY, &checked::encode(&content))?;
+        self.replace(file_name::IDENTITY, &checksummed::encode(&content))?;
         Ok(self.identity)
     }
 
     /// Reads the term and vote.
     fn read_hard(&mut self, names: &[String]) -> Result<HardState, Error> {
-        let Some(content) = self.read_checked(name::HARD)? else {
+        let Some(content) = self.read_checked(file_name::HARD)? else {
             // The term is written before the first entry, so it can't be missing beside one.
-            let log = names.iter().any(|name| is_log(name) || name::snapshot_index(name).is_some());
-            let missing = || damaged(name::HARD, 0, &"it is missing beside a log");
+            let log =
+                names.iter().any(|name| is_log(name) || file_name::snapshot_index(name).is_some());
+            let missing = || damaged(file_name::HARD, 0, &"it is missing beside a log");
             return if log { Err(missing()) } else { Ok(HardState::default()) };
         };
-        postcard::from_bytes(&content).map_err(|_| damaged(name::HARD, 0, &"it can't be read"))
+        postcard::from_bytes(&content).map_err(|_| damaged(file_name::HARD, 0, &"it can't be read"))
     }
 
     /// Reads the newest snapshot, and removes older ones.
     fn read_snapshot(&mut self, names: &[String]) -> Result<Option<Arc<Snapshot>>, Error> {
-        let mut indices: Vec<u64> = names.iter().filter_map(|n| name::snapshot_index(n)).collect();
+        let mut indices: Vec<u64> =
+            names.iter().filter_map(|n| file_name::snapshot_index(n)).collect();
         let Some(newest) = indices.pop() else { return Ok(None) };
-        let name = name::snapshot(newest);
+        let name = file_name::snapshot(newest);
         let unreadable = || damaged(&name, 0, &"it can't be read");
         let content = self.read_checked(&name)?.ok_or_else(unreadable)?;
         let (head, state) =
@@ -110,7 +112,7 @@
         let Head { position, config } = head;
         self.snapshot = Some(newest);
         for older in indices {
-            self.remove(&name::snapshot(older))?;
+            self.remove(&file_name::snapshot(older))?;
         }
         Ok(Some(Arc::new(Snapshot { position, config, state: state.into() })))
     }
@@ -159,14 +161,14 @@
             Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
             Err(error) => return Err(failure(Step::Read, name, &error)),
         };
-        let content = checked::decode(&bytes).map_err(|fault| damaged(name, 0, &fault))?;
+        let content = checksummed::decode(&bytes).map_err(|fault| damaged(name, 0, &fault))?;
         Ok(Some(content.to_vec()))
     }
 }
 
 /// Checks that a log file begins where its name and the file before say, without a gap.
 fn check_chain(name: &str, first: u64, scan: &Scan, before: Option<&Entry>) -> Result<(), Error> {
-    if name::log_index(name) != Some(first) {
+    if file_name::log_index(name) != Some(first) {
         return Err(damaged(name, 0, &"its name does not match its content"));
     }
     if before.is_some_and(|before| before.position.index + 1 != first) {
@@ -183,14 +185,14 @@
 fn check_follows(end: u64, entries: &[Entry]) -> Result<(), Error> {
     let Some(first) = entries.first().map(|entry| entry.position.index) else { return Ok(()) };
     if first > end + 1 {
-        return Err(damaged(&name::log(first), 0, &"the entries before it are missing"));
+        return Err(damaged(&file_name::log(first), 0, &"the entries before it are missing"));
     }
     Ok(())
 }
 
 /// Tells whether a file is a log file.
 fn is_log(name: &str) -> bool {
-    name::log_index(name).is_some()
+    file_name::log_index(name).is_some()
 }
 
 /// Words a damage.
--- a/crates/verbenaslip-disk/tests/segment.rs
+++ b/crates/verbenaslip-disk/tests/segment.rs
@@ -5,7 +5,7 @@
 use proptest::collection::vec;
 use proptest::prelude::{ProptestConfig, any, prop_assert, prop_assert_eq, proptest};
 use proptest::test_runner::{RngAlgorithm, RngSeed};
-use verbenaslip_disk::{checked, segment};
+use verbenaslip_disk::{checksummed, segment};
 use verbenaslip_replica::entry::{Entry, Payload, Position};
 
 fn fixed() -> ProptestConfig {
@@ -37,7 +37,7 @@
     fn any_bytes_are_read_without_panic(bytes in vec(any::<u8>(), 0..400)) {
         let scan = segment::scan(&bytes);
         prop_assert!(scan.end <= bytes.len() as u64);
-        let _ = checked::decode(&bytes);
+        let _ = checksummed::decode(&bytes);
         let mut behind = segment::header(1);
         behind.extend(&bytes);
         let scan = segment::scan(&behind);
@@ -84,10 +84,10 @@
         place in any::<usize>(),
         change in 1..=255_u8,
     ) {
-        let mut bytes = checked::encode(&content);
-        prop_assert_eq!(checked::decode(&bytes), Ok(content.as_slice()));
+        let mut bytes = checksummed::encode(&content);
+        prop_assert_eq!(checksummed::decode(&bytes), Ok(content.as_slice()));
         let place = place % bytes.len();
         bytes[place] ^= change;
-        prop_assert!(checked::decode(&bytes).is_err());
+        prop_assert!(checksummed::decode(&bytes).is_err());
     }
 }
--- a/crates/verbenaslip-replica/src/election.rs
+++ b/crates/verbenaslip-replica/src/election.rs
@@ -5,7 +5,7 @@
 use verbenaslip_base::name::Instance;
 
 use crate::entry::Position;
-use crate::lead::Leading;
+use crate::leader::Leading;
 use crate::message::{Body, Message};
 use crate::replica::{Replica, State};
 use crate::voter::{Identity, Voter};
--- a/crates/verbenaslip-replica/tests/count.rs
+++ b/crates/verbenaslip-replica/tests/count.rs
@@ -1,10 +1,10 @@
 //! What the log costs: messages and bytes, idle and for each proposal.
 
-mod world;
+mod simulation;
 
 use verbenaslip_replica::setup::Limits;
 
-use world::{Traffic, World, ms};
+use simulation::{Traffic, World, ms};
 
 /// Holds what is measured for a number of voters, and the bounds.
 struct Case {
--- a/crates/verbenaslip-replica/tests/fault.rs
+++ b/crates/verbenaslip-replica/tests/fault.rs
@@ -2,14 +2,14 @@
 //! leader a term, nothing committed lost or changed, at most one valid lease, reads that miss
 //! nothing, each proposal applied and answered at most once.
 
-mod world;
+mod simulation;
 
 use verbenaslip_replica::config::{Change, Config};
 use verbenaslip_replica::entry::Payload;
 use verbenaslip_replica::message::{Body, Message};
 use verbenaslip_replica::output::{Answer, Rejection};
 
-use world::{Weather, World, instance, is_leaders, ms};
+use simulation::{Weather, World, instance, is_leaders, ms};
 
 /// Holds one fault: the world is formed and has committed a little, the fault happens, and then
 /// everything must recover.
--- a/crates/verbenaslip-replica/tests/schedules.rs
+++ b/crates/verbenaslip-replica/tests/schedules.rs
@@ -1,13 +1,13 @@
 //! Random schedules of faults with fixed seeds; the world checks after every step.
 
-mod world;
+mod simulation;
 
 use rand::RngExt;
 use verbenaslip_replica::config::Change;
 use verbenaslip_replica::output::{Answer, ReplicaRole};
 use verbenaslip_replica::voter::Voter;
 
-use world::{Weather, World, instance, ms};
+use simulation::{Weather, World, instance, ms};
 
 /// Actions in one schedule.
 const ACTIONS: usize = 560;
@@ -28,7 +28,7 @@
 
 /// Holds one schedule as it goes.
 struct Schedule {
-    world: World,
+    simulation: World,
     tally: Tally,
     /// The changes of the voter set that were asked for.
     changes: Vec<(u64, Change)>,
@@ -52,7 +52,13 @@
             world.set_rate(node, rate);
         }
         let tally = Tally::default();
-        Self { world, tally, changes: Vec::new(), proposals: Vec::new(), reads: Vec::new() }
+        Self {
+            simulation: world,
+            tally,
+            changes: Vec::new(),
+            proposals: Vec::new(),
+            reads: Vec::new(),
+        }
     }
 
     fn run(&mut self) {
@@ -64,45 +70,45 @@
 
     fn act(&mut self) {
         let node = self.any();
-        match self.world.random.random_range(0..100) {
+        match self.simulation.random.random_range(0..100) {
             0..26 => self.pass(200),
             26..46 => self.propose(node),
             46..56 => self.burst(),
             56..66 => self.read(node),
             66..70 => self.cut(node),
-            70..77 => self.world.heal(),
+            70..77 => self.simulation.heal(),
             77..80 => self.freeze(node),
             80..85 => self.thaw(),
             85..87 => {
                 self.tally.crashes += 1;
-                self.world.crash(node);
+                self.simulation.crash(node);
             }
             87..91 => self.restart(),
             91..93 => self.lose_disk(node),
             93..97 => self.repair(),
             97..99 => self.resize(),
-            _ => self.world.transfer(node),
+            _ => self.simulation.transfer(node),
         }
     }
 
     fn any(&mut self) -> usize {
-        let nodes = self.world.nodes.len();
-        self.world.random.random_range(0..nodes)
+        let nodes = self.simulation.nodes.len();
+        self.simulation.random.random_range(0..nodes)
     }
 
     fn pass(&mut self, most: u64) {
-        let time = self.world.random.random_range(0..most);
-        self.world.run(ms(time));
+        let time = self.simulation.random.random_range(0..most);
+        self.simulation.run(ms(time));
     }
 
     fn propose(&mut self, node: usize) {
-        let node = if self.world.chance(700) { self.leader().unwrap_or(node) } else { node };
-        if self.world.nodes[node].replica.is_none() {
+        let node = if self.simulation.chance(700) { self.leader().unwrap_or(node) } else { node };
+        if self.simulation.nodes[node].replica.is_none() {
             return;
         }
-        let life = self.world.nodes[node].life;
-        let size = self.world.random.random_range(8..200);
-        let token = self.world.propose_sized(node, size);
+        let life = self.simulation.nodes[node].life;
+        let size = self.simulation.random.random_range(8..200);
+        let token = self.simulation.propose_sized(node, size);
         self.proposals.push((token, node, life));
     }
 
@@ -115,47 +121,47 @@
     }
 
     fn read(&mut self, node: usize) {
-        let node = if self.world.chance(600) { self.leader().unwrap_or(node) } else { node };
-        if self.world.nodes[node].replica.is_some() {
-            let token = self.world.confirm(node);
-            self.reads.push((token, node, self.world.nodes[node].life));
+        let node = if self.simulation.chance(600) { self.leader().unwrap_or(node) } else { node };
+        if self.simulation.nodes[node].replica.is_some() {
+            let token = self.simulation.confirm(node);
+            self.reads.push((token, node, self.simulation.nodes[node].life));
         }
     }
 
     fn cut(&mut self, node: usize) {
         let other = self.any();
-        match self.world.random.random_range(0..3) {
-            0 => self.world.isolate(node),
-            1 => self.world.cut_one_way(node, other),
+        match self.simulation.random.random_range(0..3) {
+            0 => self.simulation.isolate(node),
+            1 => self.simulation.cut_one_way(node, other),
             _ => {
-                self.world.cut_one_way(node, other);
-                self.world.cut_one_way(other, node);
+                self.simulation.cut_one_way(node, other);
+                self.simulation.cut_one_way(other, node);
             }
         }
     }
 
     fn freeze(&mut self, node: usize) {
-        let node = if self.world.chance(500) { self.leader().unwrap_or(node) } else { node };
-        self.world.freeze(node);
+        let node = if self.simulation.chance(500) { self.leader().unwrap_or(node) } else { node };
+        self.simulation.freeze(node);
         self.pass(2500);
     }
 
     fn thaw(&mut self) {
-        for node in 0..self.world.nodes.len() {
-            if self.world.nodes[node].frozen {
-                self.world.thaw(node);
+        for node in 0..self.simulation.nodes.len() {
+            if self.simulation.nodes[node].frozen {
+                self.simulation.thaw(node);
             }
         }
     }
 
     fn restart(&mut self) {
-        for node in 0..self.world.nodes.len() {
-            self.world.restart(node);
+        for node in 0..self.simulation.nodes.len() {
+            self.simulation.restart(node);
         }
     }
 
     fn leader(&self) -> Option<usize> {
-        self.world.leased()
+        self.simulation.leased()
     }
 
     /// Loses a disk if the voters that are left are still a quorum of every set that may decide:
@@ -164,30 +170,32 @@
         let sets: Vec<Vec<Voter>> = self.sets();
         let living = |voter: &&Voter| {
             let same = |other: &usize| {
-                self.world.nodes[*other].disk.content.identity == voter.identity && *other != node
+                self.simulation.nodes[*other].disk.content.identity == voter.identity
+                    && *other != node
             };
-            (0..self.world.nodes.len()).any(|other| same(&other))
+            (0..self.simulation.nodes.len()).any(|other| same(&other))
         };
         // Before anything is committed, what the group is stands on its founder's disk alone.
-        if self.world.monitor.committed == 0 {
+        if self.simulation.monitor.committed == 0 {
             return;
         }
         let is_safe = |set: &Vec<Voter>| set.iter().filter(living).count() > set.len() / 2;
         if sets.iter().all(is_safe) {
             self.tally.disks += 1;
-            self.world.lose_disk(node);
+            self.simulation.lose_disk(node);
         }
     }
 
     /// Lists the voter sets in force in any log, and those that open changes lead to.
     fn sets(&self) -> Vec<Vec<Voter>> {
         let mut sets: Vec<Vec<Voter>> = Vec::new();
-        for node in &self.world.nodes {
+        for node in &self.simulation.nodes {
             let config = node.config();
             sets.extend([config.voters, config.outgoing]);
         }
         sets.retain(|set| !set.is_empty());
-        let open = self.changes.iter().filter(|change| !self.world.answers.contains_key(&change.0));
+        let open =
+            self.changes.iter().filter(|change| !self.simulation.answers.contains_key(&change.0));
         let mut next = Vec::new();
         for (_, change) in open {
             let (leaving, new) = match change {
@@ -207,9 +215,9 @@
     /// Replaces a voter whose disk was lost by the folder that is there now.
     fn repair(&mut self) {
         let Some(leader) = self.leader() else { return };
-        let lost = self.world.replica(leader).voters().voters.iter().find_map(|voter| {
-            let node = (0..self.world.nodes.len()).find(|&n| instance(n) == voter.instance)?;
-            let replica = self.world.nodes[node].replica.as_ref()?;
+        let lost = self.simulation.replica(leader).voters().voters.iter().find_map(|voter| {
+            let node = (0..self.simulation.nodes.len()).find(|&n| instance(n) == voter.instance)?;
+            let replica = self.simulation.nodes[node].replica.as_ref()?;
             (replica.identity() != voter.identity).then(|| replica.voter())
         });
         if let Some(new) = lost {
@@ -221,59 +229,59 @@
     /// Removes a voter of four or more, or adds one that is not in the set.
     fn resize(&mut self) {
         let Some(leader) = self.leader() else { return };
-        let config = self.world.replica(leader).voters();
-        let outside = (0..self.world.nodes.len())
+        let config = self.simulation.replica(leader).voters();
+        let outside = (0..self.simulation.nodes.len())
             .find(|&node| !config.voters.iter().any(|voter| voter.instance == instance(node)));
         let size = config.voters.len();
         let victim = self.any();
-        if size > 3 && self.world.chance(700) {
+        if size > 3 && self.simulation.chance(700) {
             self.change(leader, Change::Remove(instance(victim)));
         } else if let Some(node) = outside {
-            if let Some(replica) = &self.world.nodes[node].replica {
+            if let Some(replica) = &self.simulation.nodes[node].replica {
                 let voter = replica.voter();
                 self.change(leader, Change::Add(voter));
             }
         } else if size < 6 {
-            self.world.join();
+            self.simulation.join();
         }
     }
 
     fn change(&mut self, leader: usize, change: Change) {
-        let token = self.world.change(leader, change.clone());
+        let token = self.simulation.change(leader, change.clone());
         self.changes.push((token, change));
     }
 
     /// Ends all faults: everything committed must be everywhere, and every proposal answered.
     fn finish(&mut self) {
-        self.world.heal();
+        self.simulation.heal();
         self.thaw();
         self.restart();
-        self.world.weather = Weather::CALM;
-        let leader = self.world.settle();
-        self.world.run(ms(25_000));
+        self.simulation.weather = Weather::CALM;
+        let leader = self.simulation.settle();
+        self.simulation.run(ms(25_000));
         for _ in 0..4 {
             self.repair();
-            self.world.run(ms(3_000));
+            self.simulation.run(ms(3_000));
         }
-        let index = self.world.commit_one();
-        self.world.run(ms(3_000));
+        let index = self.simulation.commit_one();
+        self.simulation.run(ms(3_000));
         let leader = self.leader().unwrap_or(leader);
-        let config = self.world.replica(leader).voters().clone();
+        let config = self.simulation.replica(leader).voters().clone();
         for voter in &config.voters {
-            let node = (0..self.world.nodes.len())
+            let node = (0..self.simulation.nodes.len())
                 .find(|&node| instance(node) == voter.instance)
                 .expect("voters are nodes");
-            let applied = self.world.replica(node).applied();
+            let applied = self.simulation.replica(node).applied();
             assert!(applied >= index, "{voter:?} stays at {applied}, {index} is committed");
         }
         for (token, node, life) in &self.proposals {
-            let same = self.world.nodes[*node].life == *life;
-            let answered = self.world.answers.contains_key(token);
+            let same = self.simulation.nodes[*node].life == *life;
+            let answered = self.simulation.answers.contains_key(token);
             assert!(answered || !same, "proposal {token} at node {node} was never answered");
         }
         for (token, node, life) in &self.reads {
-            let same = self.world.nodes[*node].life == *life;
-            let answered = self.world.reads.contains_key(token);
+            let same = self.simulation.nodes[*node].life == *life;
+            let answered = self.simulation.reads.contains_key(token);
             assert!(answered || !same, "read {token} at node {node} was never answered");
         }
     }
@@ -282,18 +290,19 @@
 impl Schedule {
     /// Adds what this schedule brought about.
     fn count(&self, sum: &mut Tally) {
-        let is_committed =
-            |token: &&u64| matches!(self.world.answers.get(*token), Some(Answer::Committed(_)));
-        let roles = self.world.nodes.iter().flat_map(|node| &node.roles);
+        let is_committed = |token: &&u64| {
+            matches!(self.simulation.answers.get(*token), Some(Answer::Committed(_)))
+        };
+        let roles = self.simulation.nodes.iter().flat_map(|node| &node.roles);
         sum.schedules += 1;
-        sum.steps += self.world.steps;
+        sum.steps += self.simulation.steps;
         sum.committed += self.proposals.iter().map(|(t, ..)| t).filter(is_committed).count() as u64;
         sum.changes += self.changes.iter().map(|(t, _)| t).filter(is_committed).count() as u64;
         sum.elections += roles.filter(|role| role.role == ReplicaRole::Leader).count() as u64;
-        sum.snapshots += self.world.received;
+        sum.snapshots += self.simulation.received;
         sum.crashes += self.tally.crashes;
         sum.disks += self.tally.disks;
-        sum.reads += self.world.reads.values().flatten().count() as u64;
+        sum.reads += self.simulation.reads.values().flatten().count() as u64;
     }
 }
 
--- a/crates/verbenaslip-replica/tests/world/mod.rs
+++ b/crates/verbenaslip-replica/tests/simulation/mod.rs
@@ -4,7 +4,7 @@
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 mod disk;
-mod monitor;
+mod invariants;
 mod node;
 
 use std::cmp::Reverse;
@@ -22,7 +22,7 @@
 use verbenaslip_replica::setup::{Limits, Setup, Timing};
 
 pub use self::disk::Disk;
-pub use self::monitor::Monitor;
+pub use self::invariants::Monitor;
 pub use self::node::{Clock, Node};
 
 /// Returns milliseconds.
