--- a/crates/verbenaslip-disk/benches/voters.rs
+++ b/crates/verbenaslip-disk/benches/voters.rs
@@ -16,10 +16,10 @@
 use verbenaslip_replica::voter::Identity;
 
 /// Time between two looks at the timers.
-const TICK: Duration = Duration::from_millis(10);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 /// Bytes of a command, about those of a claim or of one edited row.
-const COMMAND: usize = 200;
-const ROUNDS: usize = 5;
+const COMMAND_BYTES: usize = 200;
+const MEASUREMENTS: usize = 5;
 
 struct Group {
     voters: Vec<Replica>,
@@ -28,14 +28,15 @@
     committed: u64,
 }
 
-fn name(number: usize) -> Instance {
+fn instance(number: usize) -> Instance {
     Instance::from(format!("n{number}").as_str())
 }
 
 impl Group {
     fn new(size: usize) -> Self {
         let open = |number: usize| {
-            let setup = Setup::new(name(number), (0..size).map(name).collect(), number as u64);
+            let setup =
+                Setup::new(instance(number), (0..size).map(instance).collect(), number as u64);
             let recovered = Recovered::empty(Identity(number as u128 + 1));
             Replica::open(setup, recovered, Duration::ZERO)
         };
@@ -56,7 +57,7 @@
         for output in out {
             match output {
                 Output::Send { to, message } => {
-                    let to = (0..self.voters.len()).find(|n| name(*n) == to);
+                    let to = (0..self.voters.len()).find(|n| instance(*n) == to);
                     self.queue.push((number, to.expect("a known voter"), message));
                 }
                 Output::Store { sequence: mark, .. } => {
@@ -75,7 +76,7 @@
     fn deliver(&mut self) {
         while !self.queue.is_empty() {
             for (from, to, message) in std::mem::take(&mut self.queue) {
-                self.step(to, Input::Message { from: name(from), message });
+                self.step(to, Input::Message { from: instance(from), message });
             }
         }
     }
@@ -83,7 +84,7 @@
     fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
-            self.now += TICK;
+            self.now += TICK_INTERVAL;
             for number in 0..self.voters.len() {
                 if self.voters[number].next_tick() <= self.now {
                     self.step(number, Input::Tick);
@@ -94,13 +95,13 @@
     }
 
     /// Proposes commands, so many at a time.
-    fn propose(&mut self, count: u64, batch: u64) {
+    fn propose(&mut self, count: u64, batch_size: u64) {
         let leader = self.leader().expect("the group has a leader");
-        let command: Arc<[u8]> = vec![7; COMMAND].into();
+        let command: Arc<[u8]> = vec![7; COMMAND_BYTES].into();
         for token in 0..count {
             let command = command.clone();
             self.step(leader, Input::Propose { token, command });
-            if token % batch == batch - 1 {
+            if token % batch_size == batch_size - 1 {
                 self.deliver();
             }
         }
@@ -114,69 +115,79 @@
     for size in [3, 5] {
         let mut group = Group::new(size);
         let idle = Duration::from_secs(1_000);
-        print(&format!("{size} voters, idle: µs a voter and second"), || {
-            let begun = Instant::now();
+        print_row(&format!("{size} voters, idle: µs a voter and second"), || {
+            let started_at = Instant::now();
             group.run(idle);
-            micros(begun) / (size as f64 * idle.as_secs_f64())
+            elapsed_micros(started_at) / (size as f64 * idle.as_secs_f64())
         });
-        for batch in [1, 100] {
-            print(&format!("{size} voters, {batch} at a time: µs a command and voter"), || {
-                let (begun, before) = (Instant::now(), group.committed);
-                group.propose(20_000, batch);
-                assert_eq!(group.committed - before, 20_000);
-                micros(begun) / (size as f64 * 20_000.0)
-            });
+        for batch_size in [1, 100] {
+            print_row(
+                &format!("{size} voters, {batch_size} at a time: µs a command and voter"),
+                || {
+                    let (started_at, committed_before) = (Instant::now(), group.committed);
+                    group.propose(20_000, batch_size);
+                    assert_eq!(group.committed - committed_before, 20_000);
+                    elapsed_micros(started_at) / (size as f64 * 20_000.0)
+                },
+            );
         }
     }
-    let path = folder();
-    for batch in [1, 100] {
-        print(&format!("folder, {batch} at a time: µs a write and sync"), || store(&path, batch));
+    let path = directory_path();
+    for batch_size in [1, 100] {
+        print_row(&format!("folder, {batch_size} at a time: µs a write and sync"), || {
+            measure_write_and_sync(&path, batch_size)
+        });
     }
-    print("folder with 10,000 commands: ms to open", || {
+    print_row("folder with 10,000 commands: ms to open", || {
         let _ = std::fs::remove_dir_all(&path);
-        store_many(&path, 100, 100);
-        let begun = Instant::now();
+        write_and_sync_batches(&path, 100, 100);
+        let started_at = Instant::now();
         DataDirectory::open(&path).expect("the folder opens");
-        micros(begun) / 1_000.0
+        elapsed_micros(started_at) / 1_000.0
     });
     let _ = std::fs::remove_dir_all(&path);
 }
 
-fn folder() -> PathBuf {
+fn directory_path() -> PathBuf {
     Path::new(env!("CARGO_TARGET_TMPDIR")).join("bench")
 }
 
 /// Measures one write and sync of a batch.
-fn store(path: &Path, batch: u64) -> f64 {
+fn measure_write_and_sync(path: &Path, batch_size: u64) -> f64 {
     const SYNCS: u64 = 200;
     let _ = std::fs::remove_dir_all(path);
-    let begun = Instant::now();
-    store_many(path, SYNCS, batch);
-    micros(begun) / SYNCS as f64
+    let started_at = Instant::now();
+    write_and_sync_batches(path, SYNCS, batch_size);
+    elapsed_micros(started_at) / SYNCS as f64
 }
 
-fn store_many(path: &Path, syncs: u64, batch: u64) {
-    let (mut folder, _) = DataDirectory::open(path).expect("the folder opens");
-    folder.write(&[Write::HardState(HardState::default())]).expect("the folder takes the term");
-    let command: Arc<[u8]> = vec![7; COMMAND].into();
+fn write_and_sync_batches(path: &Path, syncs: u64, batch_size: u64) {
+    let (mut directory, _) = DataDirectory::open(path).expect("the folder opens");
+    directory.write(&[Write::HardState(HardState::default())]).expect("the folder takes the term");
+    let command: Arc<[u8]> = vec![7; COMMAND_BYTES].into();
     for sync in 0..syncs {
         let entry = |index| Entry {
             position: Position { term: 1, index },
             payload: Payload::Command(command.clone()),
         };
-        let first = sync * batch + 1;
-        let entries = (first..first + batch).map(entry).collect();
-        folder.write(&[Write::Append(entries)]).expect("the folder takes entries");
-        folder.sync().expect("the folder syncs");
+        let first = sync * batch_size + 1;
+        let entries = (first..first + batch_size).map(entry).collect();
+        directory.write(&[Write::Append(entries)]).expect("the folder takes entries");
+        directory.sync().expect("the folder syncs");
     }
 }
 
-fn print(what: &str, mut measure: impl FnMut() -> f64) {
-    let mut found: Vec<f64> = (0..ROUNDS).map(|_| measure()).collect();
-    found.sort_by(f64::total_cmp);
-    println!("| {what} | {:.2} | {:.2} | {:.2} |", found[0], found[ROUNDS / 2], found[ROUNDS - 1]);
+fn print_row(label: &str, mut measure: impl FnMut() -> f64) {
+    let mut measurements: Vec<f64> = (0..MEASUREMENTS).map(|_| measure()).collect();
+    measurements.sort_by(f64::total_cmp);
+    println!(
+        "| {label} | {:.2} | {:.2} | {:.2} |",
+        measurements[0],
+        measurements[MEASUREMENTS / 2],
+        measurements[MEASUREMENTS - 1]
+    );
 }
 
-fn micros(begun: Instant) -> f64 {
-    begun.elapsed().as_secs_f64() * 1e6
+fn elapsed_micros(started_at: Instant) -> f64 {
+    started_at.elapsed().as_secs_f64() * 1e6
 }
--- a/crates/verbenaslip-disk/src/checksummed.rs
+++ b/crates/verbenaslip-disk/src/checksummed.rs
@@ -5,7 +5,7 @@
 /// Begins every such file.
 const MAGIC: [u8; 8] = *b"VSLIPC01";
 /// Bytes before the content: mark, length, checksum.
-const HEADER: usize = 8 + 8 + 4;
+const HEADER_BYTES: usize = 8 + 8 + 4;
 
 /// Says what is wrong with a file.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
@@ -22,7 +22,7 @@
 
 /// Wraps content for a file.
 pub fn encode(content: &[u8]) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(HEADER + content.len());
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + content.len());
     bytes.extend_from_slice(&MAGIC);
     bytes.extend_from_slice(&(content.len() as u64).to_le_bytes());
     bytes.extend_from_slice(&crc32fast::hash(content).to_le_bytes());
--- a/crates/verbenaslip-disk/src/files.rs
+++ b/crates/verbenaslip-disk/src/files.rs
@@ -6,7 +6,7 @@
 
 /// Works on the files of one folder, by name.
 ///
-/// Content lasts only after `sync`; creation, renaming and removal last only after `sync_folder`.
+/// Content lasts only after `sync`; creation, renaming and removal last only after `sync_directory`.
 pub trait Files: Send {
     /// Lists the names, in any order.
     ///
@@ -69,30 +69,30 @@
     /// # Errors
     ///
     /// Returns what the system says.
-    fn sync_folder(&mut self) -> io::Result<()>;
+    fn sync_directory(&mut self) -> io::Result<()>;
 }
 
 /// Works on the files of a real folder, and keeps other processes out of it.
 #[derive(Debug)]
-pub struct System {
+pub struct SystemFiles {
     path: PathBuf,
     /// The file that was written last, kept open.
-    open: Option<Open>,
+    last_opened: Option<OpenFile>,
     /// Holds the lock until it is dropped.
     _lock: File,
 }
 
 /// Holds a file open for writing at its end.
 #[derive(Debug)]
-struct Open {
+struct OpenFile {
     name: String,
     file: File,
 }
 
 /// The name of the lock file.
-pub const LOCK: &str = "lock";
+pub const LOCK_FILE: &str = "lock";
 
-impl System {
+impl SystemFiles {
     /// Opens a folder, creating it where needed, and locks it.
     ///
     /// # Errors
@@ -101,35 +101,38 @@
     pub fn open(path: &Path) -> io::Result<Self> {
         fs::create_dir_all(path)?;
         // Two processes on one folder would vote twice in a term and mix their records.
-        let lock =
-            OpenOptions::new().create(true).truncate(false).write(true).open(path.join(LOCK))?;
+        let lock = OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(path.join(LOCK_FILE))?;
         lock.try_lock()?;
         // The folder itself lasts once its parent is synced.
         if let Some(parent) = path.parent().filter(|parent| !parent.as_os_str().is_empty()) {
             File::open(parent)?.sync_all()?;
         }
-        Ok(Self { path: path.to_owned(), open: None, _lock: lock })
+        Ok(Self { path: path.to_owned(), last_opened: None, _lock: lock })
     }
 
     /// Returns the file, open for writing at its end.
-    fn file(&mut self, name: &str) -> io::Result<&mut File> {
-        let open = match self.open.take().filter(|open| open.name == name) {
-            Some(open) => open,
-            None => Open {
+    fn open_for_append(&mut self, name: &str) -> io::Result<&mut File> {
+        let file = match self.last_opened.take().filter(|file| file.name == name) {
+            Some(file) => file,
+            None => OpenFile {
                 name: name.to_owned(),
                 file: OpenOptions::new().append(true).open(self.path.join(name))?,
             },
         };
-        Ok(&mut self.open.insert(open).file)
+        Ok(&mut self.last_opened.insert(file).file)
     }
 
     /// Lets go of a file that is about to change its name or to go.
     fn close(&mut self, name: &str) {
-        self.open = self.open.take().filter(|open| open.name != name);
+        self.last_opened = self.last_opened.take().filter(|file| file.name != name);
     }
 }
 
-impl Files for System {
+impl Files for SystemFiles {
     fn list(&mut self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.path)? {
@@ -148,15 +151,15 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.file(name)?.write_all(bytes)
+        self.open_for_append(name)?.write_all(bytes)
     }
 
     fn truncate(&mut self, name: &str, size: u64) -> io::Result<()> {
-        self.file(name)?.set_len(size)
+        self.open_for_append(name)?.set_len(size)
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        self.file(name)?.sync_all()
+        self.open_for_append(name)?.sync_all()
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
@@ -170,7 +173,7 @@
         fs::remove_file(self.path.join(name))
     }
 
-    fn sync_folder(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         File::open(&self.path)?.sync_all()
     }
 }
--- a/crates/verbenaslip-disk/src/segment.rs
+++ b/crates/verbenaslip-disk/src/segment.rs
@@ -10,19 +10,19 @@
 /// Begins every log file.
 const MAGIC: [u8; 8] = *b"VSLIPL01";
 /// Bytes of the header: mark, first index, checksum.
-pub const HEADER: usize = 8 + 8 + 4;
+pub const HEADER_BYTES: usize = 8 + 8 + 4;
 /// Bytes of a record before its entry.
-const RECORD: usize = 4 + 4 + 4;
+const RECORD_HEADER_BYTES: usize = 4 + 4 + 4;
 
 /// Holds what a log file contains.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Scan {
     /// The index in the header; none when the header is not whole.
-    pub first: Option<u64>,
+    pub first_index: Option<u64>,
     /// The entries, each with its place.
     pub records: Vec<Record>,
     /// Where the last whole record ends.
-    pub end: u64,
+    pub valid_bytes: u64,
     /// What stands after it, if that is not the end of the file.
     pub fault: Option<Fault>,
 }
@@ -40,18 +40,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// What is wrong.
-    pub what: What,
+    pub kind: FaultKind,
     /// Whether a later record shows that these bytes were durable once, so that this is no torn tail.
-    pub durable: bool,
+    pub was_durable: bool,
 }
 
 /// Says what is wrong at the end of the whole records.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum What {
+pub enum FaultKind {
     /// the file's header is not whole
     Header,
     /// a record is cut off
-    Cut,
+    Truncated,
     /// a record's checksum does not match
     Checksum,
     /// a record's entry can't be read
@@ -59,109 +59,113 @@
 }
 
 /// Returns the header of a log file that begins at an index.
-pub fn header(first: u64) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(HEADER);
+pub fn encode_header(first_index: u64) -> Vec<u8> {
+    let mut bytes = Vec::with_capacity(HEADER_BYTES);
     bytes.extend_from_slice(&MAGIC);
-    bytes.extend_from_slice(&first.to_le_bytes());
+    bytes.extend_from_slice(&first_index.to_le_bytes());
     bytes.extend_from_slice(&crc32fast::hash(&bytes).to_le_bytes());
     bytes
 }
 
 /// Adds the record of an entry.
-pub fn put(entry: &Entry, floor: u64, bytes: &mut Vec<u8>) {
+pub fn append_record(entry: &Entry, durable_bytes: u64, bytes: &mut Vec<u8>) {
     let content = postcard::to_stdvec(entry).unwrap_or_default();
-    put_record(&content, floor, bytes);
+    append_content(&content, durable_bytes, bytes);
 }
 
 /// Adds a record without an entry, which tells how much is durable.
-pub fn put_seal(floor: u64, bytes: &mut Vec<u8>) {
-    put_record(&[], floor, bytes);
+pub fn append_seal(durable_bytes: u64, bytes: &mut Vec<u8>) {
+    append_content(&[], durable_bytes, bytes);
 }
 
 /// Reads a log file; takes any bytes.
 pub fn scan(bytes: &[u8]) -> Scan {
-    let Some(first) = read_header(bytes) else {
+    let Some(first_index) = decode_header(bytes) else {
         // The header is synced before any record is written, so behind a broken one there must
         // be nothing; otherwise it was whole once.
-        let fault = Fault { what: What::Header, durable: bytes.len() > HEADER };
-        return Scan { first: None, records: Vec::new(), end: 0, fault: Some(fault) };
+        let fault = Fault { kind: FaultKind::Header, was_durable: bytes.len() > HEADER_BYTES };
+        return Scan { first_index: None, records: Vec::new(), valid_bytes: 0, fault: Some(fault) };
     };
     let mut records = Vec::new();
-    let mut offset = HEADER;
+    let mut offset = HEADER_BYTES;
     let fault = loop {
         if offset == bytes.len() {
             break None;
         }
-        match read(bytes, offset) {
-            Ok(read) => {
-                let place = offset as u64;
-                records.extend(read.entry.map(|entry| Record { offset: place, entry }));
-                offset = read.end;
+        match decode_record(bytes, offset) {
+            Ok(record) => {
+                let start = offset as u64;
+                records.extend(record.entry.map(|entry| Record { offset: start, entry }));
+                offset = record.end;
             }
-            Err(what) => break Some(Fault { what, durable: was_durable(bytes, offset) }),
+            Err(kind) => break Some(Fault { kind, was_durable: was_durable(bytes, offset) }),
         }
     };
-    Scan { first: Some(first), records, end: offset as u64, fault }
+    Scan { first_index: Some(first_index), records, valid_bytes: offset as u64, fault }
 }
 
 /// Holds one record as it was read.
-struct Read {
+struct DecodedRecord {
     entry: Option<Entry>,
-    floor: u32,
+    durable_bytes: u32,
     end: usize,
 }
 
 /// Adds a record.
-fn put_record(content: &[u8], floor: u64, bytes: &mut Vec<u8>) {
+fn append_content(content: &[u8], durable_bytes: u64, bytes: &mut Vec<u8>) {
     let length = (content.len() as u32).to_le_bytes();
-    let floor = u32::try_from(floor).unwrap_or(u32::MAX).to_le_bytes();
+    let durable_bytes = u32::try_from(durable_bytes).unwrap_or(u32::MAX).to_le_bytes();
     bytes.extend_from_slice(&length);
-    bytes.extend_from_slice(&checksum(length, floor, content).to_le_bytes());
-    bytes.extend_from_slice(&floor);
+    bytes.extend_from_slice(&checksum(length, durable_bytes, content).to_le_bytes());
+    bytes.extend_from_slice(&durable_bytes);
     bytes.extend_from_slice(content);
 }
 
 /// Reads the index in a header, none when it is not whole.
-fn read_header(bytes: &[u8]) -> Option<u64> {
+fn decode_header(bytes: &[u8]) -> Option<u64> {
     let (fields, rest) = bytes.split_first_chunk::<16>()?;
     let (checksum, _) = rest.split_first_chunk::<4>()?;
-    let first = fields.strip_prefix(&MAGIC)?.first_chunk::<8>()?;
-    let whole = u32::from_le_bytes(*checksum) == crc32fast::hash(fields);
-    whole.then_some(u64::from_le_bytes(*first))
+    let first_index = fields.strip_prefix(&MAGIC)?.first_chunk::<8>()?;
+    let is_valid = u32::from_le_bytes(*checksum) == crc32fast::hash(fields);
+    is_valid.then_some(u64::from_le_bytes(*first_index))
 }
 
 /// Reads the record at an offset.
-fn read(bytes: &[u8], offset: usize) -> Result<Read, What> {
-    let rest = bytes.get(offset..).ok_or(What::Cut)?;
-    let (length, rest) = rest.split_first_chunk::<4>().ok_or(What::Cut)?;
-    let (sum, rest) = rest.split_first_chunk::<4>().ok_or(What::Cut)?;
-    let (floor, rest) = rest.split_first_chunk::<4>().ok_or(What::Cut)?;
+fn decode_record(bytes: &[u8], offset: usize) -> Result<DecodedRecord, FaultKind> {
+    let rest = bytes.get(offset..).ok_or(FaultKind::Truncated)?;
+    let (length, rest) = rest.split_first_chunk::<4>().ok_or(FaultKind::Truncated)?;
+    let (stored_checksum, rest) = rest.split_first_chunk::<4>().ok_or(FaultKind::Truncated)?;
+    let (durable_bytes, rest) = rest.split_first_chunk::<4>().ok_or(FaultKind::Truncated)?;
     let size = u32::from_le_bytes(*length) as usize;
-    let content = rest.get(..size).ok_or(What::Cut)?;
-    if u32::from_le_bytes(*sum) != checksum(*length, *floor, content) {
-        return Err(What::Checksum);
+    let content = rest.get(..size).ok_or(FaultKind::Truncated)?;
+    if u32::from_le_bytes(*stored_checksum) != checksum(*length, *durable_bytes, content) {
+        return Err(FaultKind::Checksum);
     }
     let entry = if content.is_empty() {
         None
     } else {
-        Some(postcard::from_bytes(content).map_err(|_| What::Entry)?)
+        Some(postcard::from_bytes(content).map_err(|_| FaultKind::Entry)?)
     };
-    Ok(Read { entry, floor: u32::from_le_bytes(*floor), end: offset + RECORD + size })
+    Ok(DecodedRecord {
+        entry,
+        durable_bytes: u32::from_le_bytes(*durable_bytes),
+        end: offset + RECORD_HEADER_BYTES + size,
+    })
 }
 
 /// Tells whether any record after a fault says that the fault's place was durable.
 fn was_durable(bytes: &[u8], fault: usize) -> bool {
-    let later = fault.saturating_add(1)..bytes.len().saturating_sub(RECORD - 1);
-    later
-        .into_iter()
-        .any(|offset| read(bytes, offset).is_ok_and(|read| read.floor as usize > fault))
+    let later = fault.saturating_add(1)..bytes.len().saturating_sub(RECORD_HEADER_BYTES - 1);
+    later.into_iter().any(|offset| {
+        decode_record(bytes, offset).is_ok_and(|record| record.durable_bytes as usize > fault)
+    })
 }
 
 /// Returns a record's checksum.
-fn checksum(length: [u8; 4], floor: [u8; 4], content: &[u8]) -> u32 {
+fn checksum(length: [u8; 4], durable_bytes: [u8; 4], content: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&length);
-    hasher.update(&floor);
+    hasher.update(&durable_bytes);
     hasher.update(content);
     hasher.finalize()
 }
--- a/crates/verbenaslip-disk/tests/memory/mod.rs
+++ b/crates/verbenaslip-disk/tests/memory/mod.rs
@@ -11,13 +11,13 @@
 /// Holds a file's content as it is seen and as it would be after a power loss.
 #[derive(Clone, Debug, Default)]
 struct Content {
-    seen: Vec<u8>,
+    visible: Vec<u8>,
     durable: Vec<u8>,
 }
 
 /// Holds the folder; clones are the same folder.
 #[derive(Clone, Debug, Default)]
-pub struct Memory {
+pub struct MemoryFiles {
     state: Arc<Mutex<State>>,
 }
 
@@ -25,13 +25,13 @@
 struct State {
     contents: Vec<Content>,
     /// Which content each name has, as it is seen and as it would be after a power loss.
-    seen: BTreeMap<String, usize>,
-    durable: BTreeMap<String, usize>,
+    visible_names: BTreeMap<String, usize>,
+    durable_names: BTreeMap<String, usize>,
     operations: u64,
     /// The operation at which the power fails.
-    fails: Option<u64>,
+    fails_at: Option<u64>,
     /// The bytes that still fit.
-    room: Option<usize>,
+    free_bytes: Option<usize>,
 }
 
 /// Says what a power loss leaves of what was not synced.
@@ -51,66 +51,69 @@
     Nothing,
 }
 
-impl Memory {
+impl MemoryFiles {
     pub fn operations(&self) -> u64 {
         self.lock().operations
     }
 
     pub fn fail_at(&self, operation: u64) {
-        self.lock().fails = Some(operation);
+        self.lock().fails_at = Some(operation);
     }
 
-    pub fn leave_room(&self, bytes: Option<usize>) {
-        self.lock().room = bytes;
+    pub fn set_free_bytes(&self, bytes: Option<usize>) {
+        self.lock().free_bytes = bytes;
     }
 
     /// Ends the power, and returns the folder as it is afterwards.
-    pub fn lose(&self, loss: Loss) -> Self {
+    pub fn after_power_loss(&self, loss: Loss) -> Self {
         if loss == Loss::Nothing {
-            return self.end();
+            return self.after_process_exit();
         }
         let state = self.lock().clone();
-        let names =
-            if matches!(loss, Loss::All | Loss::Names) { state.durable } else { state.seen };
+        let names = if matches!(loss, Loss::All | Loss::Names) {
+            state.durable_names
+        } else {
+            state.visible_names
+        };
         let contents = state.contents.into_iter().map(|content| {
-            let Content { seen, durable } = content;
-            let kept = match loss {
+            let Content { visible, durable } = content;
+            let remaining = match loss {
                 Loss::All | Loss::Contents => durable,
-                Loss::Names | Loss::Nothing => seen,
-                Loss::Part(bytes) => part(&seen, &durable, bytes),
-                Loss::Zeros => zeros(&seen, &durable),
+                Loss::Names | Loss::Nothing => visible,
+                Loss::Part(bytes) => durable_with_partial_tail(&visible, &durable, bytes),
+                Loss::Zeros => durable_with_zeroed_tail(&visible, &durable),
             };
-            let durable = kept.clone();
-            Content { seen: kept, durable }
+            let durable = remaining.clone();
+            Content { visible: remaining, durable }
         });
-        let mut after = State { contents: contents.collect(), ..State::default() };
-        after.seen = names.clone();
-        after.durable = names;
-        Self { state: Arc::new(Mutex::new(after)) }
+        let mut state = State { contents: contents.collect(), ..State::default() };
+        state.visible_names = names.clone();
+        state.durable_names = names;
+        Self { state: Arc::new(Mutex::new(state)) }
     }
 
     /// Ends the process alone: everything is seen, nothing more is durable than before.
-    pub fn end(&self) -> Self {
+    pub fn after_process_exit(&self) -> Self {
         let mut state = self.lock().clone();
-        state.fails = None;
-        state.room = None;
+        state.fails_at = None;
+        state.free_bytes = None;
         Self { state: Arc::new(Mutex::new(state)) }
     }
 
     /// Flips a bit in a file.
-    pub fn flip(&self, name: &str, offset: usize) {
+    pub fn flip_bit(&self, name: &str, offset: usize) {
         let mut state = self.lock();
-        let content = state.seen[name];
-        state.contents[content].seen[offset] ^= 0x10;
+        let content = state.visible_names[name];
+        state.contents[content].visible[offset] ^= 0x10;
     }
 
     pub fn size(&self, name: &str) -> usize {
         let state = self.lock();
-        state.contents[state.seen[name]].seen.len()
+        state.contents[state.visible_names[name]].visible.len()
     }
 
     pub fn names(&self) -> Vec<String> {
-        self.lock().seen.keys().cloned().collect()
+        self.lock().visible_names.keys().cloned().collect()
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, State> {
@@ -118,9 +121,9 @@
     }
 
     /// Does one operation unless the power fails at it.
-    fn operate<T>(&self, work: impl FnOnce(&mut State) -> Result<T>) -> Result<T> {
+    fn run_operation<T>(&self, work: impl FnOnce(&mut State) -> Result<T>) -> Result<T> {
         let mut state = self.lock();
-        if state.fails.is_some_and(|fails| state.operations >= fails) {
+        if state.fails_at.is_some_and(|fails| state.operations >= fails) {
             return Err(Error::other("the power failed"));
         }
         state.operations += 1;
@@ -129,90 +132,90 @@
 }
 
 /// Keeps what is durable and so many bytes of what is not.
-fn part(seen: &[u8], durable: &[u8], bytes: usize) -> Vec<u8> {
-    if !seen.starts_with(durable) {
+fn durable_with_partial_tail(visible: &[u8], durable: &[u8], bytes: usize) -> Vec<u8> {
+    if !visible.starts_with(durable) {
         return durable.to_vec();
     }
-    seen[..seen.len().min(durable.len() + bytes)].to_vec()
+    visible[..visible.len().min(durable.len() + bytes)].to_vec()
 }
 
 /// Keeps what is durable, and zeros in place of the rest.
-fn zeros(seen: &[u8], durable: &[u8]) -> Vec<u8> {
-    let mut kept = durable.to_vec();
-    kept.resize(seen.len().max(durable.len()), 0);
-    kept
+fn durable_with_zeroed_tail(visible: &[u8], durable: &[u8]) -> Vec<u8> {
+    let mut remaining = durable.to_vec();
+    remaining.resize(visible.len().max(durable.len()), 0);
+    remaining
 }
 
 impl State {
     fn content(&mut self, name: &str) -> Result<&mut Content> {
-        let place = *self.seen.get(name).ok_or(ErrorKind::NotFound)?;
-        Ok(&mut self.contents[place])
+        let index = *self.visible_names.get(name).ok_or(ErrorKind::NotFound)?;
+        Ok(&mut self.contents[index])
     }
 }
 
-impl Files for Memory {
+impl Files for MemoryFiles {
     fn list(&mut self) -> Result<Vec<String>> {
         Ok(self.names())
     }
 
     fn read(&mut self, name: &str) -> Result<Vec<u8>> {
-        Ok(self.lock().content(name)?.seen.clone())
+        Ok(self.lock().content(name)?.visible.clone())
     }
 
     fn create(&mut self, name: &str) -> Result<()> {
-        self.operate(|state| {
+        self.run_operation(|state| {
             state.contents.push(Content::default());
-            state.seen.insert(name.to_owned(), state.contents.len() - 1);
+            state.visible_names.insert(name.to_owned(), state.contents.len() - 1);
             Ok(())
         })
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<()> {
-        self.operate(|state| {
-            let room = state.room.unwrap_or(usize::MAX);
-            let fits = bytes.len().min(room);
-            state.content(name)?.seen.extend_from_slice(&bytes[..fits]);
-            state.room = state.room.map(|room| room - fits);
+        self.run_operation(|state| {
+            let free_bytes = state.free_bytes.unwrap_or(usize::MAX);
+            let fits = bytes.len().min(free_bytes);
+            state.content(name)?.visible.extend_from_slice(&bytes[..fits]);
+            state.free_bytes = state.free_bytes.map(|free_bytes| free_bytes - fits);
             if fits < bytes.len() { Err(ErrorKind::StorageFull.into()) } else { Ok(()) }
         })
     }
 
     fn truncate(&mut self, name: &str, size: u64) -> Result<()> {
-        self.operate(|state| {
+        self.run_operation(|state| {
             state
                 .content(name)?
-                .seen
+                .visible
                 .truncate(usize::try_from(size).expect("test files are small"));
             Ok(())
         })
     }
 
     fn sync(&mut self, name: &str) -> Result<()> {
-        self.operate(|state| {
+        self.run_operation(|state| {
             let content = state.content(name)?;
-            content.durable = content.seen.clone();
+            content.durable = content.visible.clone();
             Ok(())
         })
     }
 
     fn rename(&mut self, from: &str, to: &str) -> Result<()> {
-        self.operate(|state| {
-            let content = state.seen.remove(from).ok_or(ErrorKind::NotFound)?;
-            state.seen.insert(to.to_owned(), content);
+        self.run_operation(|state| {
+            let content = state.visible_names.remove(from).ok_or(ErrorKind::NotFound)?;
+            state.visible_names.insert(to.to_owned(), content);
             Ok(())
         })
     }
 
     fn remove(&mut self, name: &str) -> Result<()> {
-        self.operate(|state| {
-            state.seen.remove(name).ok_or(ErrorKind::NotFound)?;
+        self.run_operation(|state| {
+            state.visible_names.remove(name).ok_or(ErrorKind::NotFound)?;
             Ok(())
         })
     }
 
-    fn sync_folder(&mut self) -> Result<()> {
-        self.operate(|state| {
-            state.durable = state.seen.clone();
+    fn sync_directory(&mut self) -> Result<()> {
+        self.run_operation(|state| {
+            state.durable_names = state.visible_names.clone();
             Ok(())
         })
     }
--- a/crates/verbenaslip-disk/tests/power.rs
+++ b/crates/verbenaslip-disk/tests/power.rs
@@ -10,12 +10,12 @@
 use verbenaslip_replica::storage::{Error, HardState, Recovered, Snapshot, Storage, Write};
 use verbenaslip_replica::voter::{Group, Identity};
 
-use memory::{Loss, Memory};
+use memory::{Loss, MemoryFiles};
 
 /// Log files are small, so that each life fills several.
-const FRESH: Options = Options { fresh: Identity(7), segment: 300 };
+const SMALL_SEGMENTS: Options = Options { new_identity: Identity(7), segment_bytes: 300 };
 /// One log file holds it all.
-const LARGE: Options = Options { segment: 4 << 20, ..FRESH };
+const ONE_SEGMENT: Options = Options { segment_bytes: 4 << 20, ..SMALL_SEGMENTS };
 
 /// What a power loss may leave.
 const LOSSES: [Loss; 9] = [
@@ -40,7 +40,7 @@
     Write::Append(indices.map(|index| entry(term, index)).collect())
 }
 
-fn hard(term: u64) -> Write {
+fn hard_state(term: u64) -> Write {
     Write::HardState(HardState { group: Some(Group(1)), term, voted: Some(Identity(term.into())) })
 }
 
@@ -50,37 +50,37 @@
 }
 
 /// A voter's life: batches of writes, each synced before the next.
-fn life() -> Vec<Vec<Write>> {
+fn write_batches() -> Vec<Vec<Write>> {
     vec![
-        vec![hard(1), append(1, 1..=1)],
+        vec![hard_state(1), append(1, 1..=1)],
         vec![append(1, 2..=5)],
         vec![append(1, 6..=9), append(1, 10..=10)],
-        vec![hard(2), Write::Truncate { from: 8 }, append(2, 8..=12)],
+        vec![hard_state(2), Write::Truncate { from: 8 }, append(2, 8..=12)],
         vec![Write::Compact { snapshot: snapshot(2, 9), first: 5 }, append(2, 13..=14)],
         vec![Write::Truncate { from: 13 }],
-        vec![hard(3), append(3, 13..=20)],
+        vec![hard_state(3), append(3, 13..=20)],
         vec![Write::Compact { snapshot: snapshot(3, 18), first: 15 }],
-        vec![hard(4), Write::Install(snapshot(4, 40))],
+        vec![hard_state(4), Write::Install(snapshot(4, 40))],
         vec![append(4, 41..=45)],
-        vec![Write::Truncate { from: 41 }, append(5, 41..=42), hard(5)],
+        vec![Write::Truncate { from: 41 }, append(5, 41..=42), hard_state(5)],
         vec![Write::Install(snapshot(5, 60)), append(5, 61..=63)],
         vec![append(5, 64..=70)],
-        vec![hard(6), Write::Install(snapshot(6, 66)), append(6, 67..=68)],
+        vec![hard_state(6), Write::Install(snapshot(6, 66)), append(6, 67..=68)],
     ]
 }
 
 /// What a folder must hold after writes.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Model {
-    hard: HardState,
+    hard_state: HardState,
     snapshot: Option<Arc<Snapshot>>,
     entries: Vec<Entry>,
 }
 
 impl Model {
-    fn take(&mut self, write: &Write) {
+    fn apply(&mut self, write: &Write) {
         match write {
-            Write::HardState(hard) => self.hard = *hard,
+            Write::HardState(hard_state) => self.hard_state = *hard_state,
             Write::Append(entries) => self.entries.extend(entries.iter().cloned()),
             Write::Truncate { from } => self.entries.retain(|e| e.position.index < *from),
             Write::Compact { snapshot, .. } => self.snapshot = Some(snapshot.clone()),
@@ -91,30 +91,33 @@
         }
     }
 
-    fn end(&self) -> u64 {
+    fn snapshot_index(&self) -> u64 {
         self.snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index)
     }
 
     /// Tells whether what was recovered has everything of this model; older entries may remain
     /// before the snapshot, and the beginning may be gone.
-    fn is_in(&self, recovered: &Recovered) -> bool {
-        let end = self.end();
-        let due: Vec<&Entry> = self.entries.iter().filter(|e| e.position.index > end).collect();
-        let there: Vec<&Entry> =
-            recovered.entries.iter().filter(|e| e.position.index > end).collect();
-        recovered.hard_state == self.hard && recovered.snapshot == self.snapshot && there == due
+    fn matches(&self, recovered: &Recovered) -> bool {
+        let snapshot_index = self.snapshot_index();
+        let expected: Vec<&Entry> =
+            self.entries.iter().filter(|e| e.position.index > snapshot_index).collect();
+        let found: Vec<&Entry> =
+            recovered.entries.iter().filter(|e| e.position.index > snapshot_index).collect();
+        recovered.hard_state == self.hard_state
+            && recovered.snapshot == self.snapshot
+            && found == expected
     }
 }
 
 /// Runs a life until the power fails; returns what was acknowledged, and every state that the
 /// writes after that may have reached.
-fn live(files: &Memory) -> (Model, Vec<Model>) {
+fn run_until_failure(files: &MemoryFiles) -> (Model, Vec<Model>) {
     let mut acknowledged = Model::default();
-    let Ok((mut folder, _)) = DataDirectory::open_on(files.clone(), FRESH) else {
+    let Ok((mut directory, _)) = DataDirectory::open_on(files.clone(), SMALL_SEGMENTS) else {
         return (acknowledged, Vec::new());
     };
-    for batch in life() {
-        let mut reached = vec![acknowledged.clone()];
+    for batch in write_batches() {
+        let mut intermediate_states = vec![acknowledged.clone()];
         let mut model = acknowledged.clone();
         for write in &batch {
             // Entries come and go one by one, the last one first to go; other writes are whole.
@@ -122,21 +125,21 @@
                 Write::Truncate { from } => {
                     while model.entries.last().is_some_and(|last| last.position.index >= *from) {
                         model.entries.pop();
-                        reached.push(model.clone());
+                        intermediate_states.push(model.clone());
                     }
                 }
-                Write::Append(entries) => reached.extend(entries.iter().map(|entry| {
+                Write::Append(entries) => intermediate_states.extend(entries.iter().map(|entry| {
                     model.entries.push(entry.clone());
                     model.clone()
                 })),
                 _ => {
-                    model.take(write);
-                    reached.push(model.clone());
+                    model.apply(write);
+                    intermediate_states.push(model.clone());
                 }
             }
         }
-        if folder.write(&batch).and_then(|()| folder.sync()).is_err() {
-            return (acknowledged, reached);
+        if directory.write(&batch).and_then(|()| directory.sync()).is_err() {
+            return (acknowledged, intermediate_states);
         }
         acknowledged = model;
     }
@@ -148,49 +151,58 @@
 // or torn. Cause: an order of writes, renames and syncs with a hole in it.
 #[test]
 fn power_loss_at_every_operation_keeps_what_was_acknowledged() {
-    let whole = Memory::default();
-    live(&whole);
-    let operations = whole.operations();
+    let files = MemoryFiles::default();
+    run_until_failure(&files);
+    let operations = files.operations();
     assert!(operations > 100, "{operations} operations");
     for operation in 0..=operations {
         for loss in LOSSES {
-            let files = Memory::default();
+            let files = MemoryFiles::default();
             files.fail_at(operation);
-            let (acknowledged, reached) = live(&files);
-            let after = files.lose(loss);
-            let opened = DataDirectory::open_on(after.clone(), FRESH);
-            let (folder, recovered) = opened.unwrap_or_else(|error| {
-                panic!("operation {operation}, {loss:?}: {error}, files {:?}", after.names())
+            let (acknowledged, intermediate_states) = run_until_failure(&files);
+            let remaining_files = files.after_power_loss(loss);
+            let result = DataDirectory::open_on(remaining_files.clone(), SMALL_SEGMENTS);
+            let (directory, recovered) = result.unwrap_or_else(|error| {
+                panic!(
+                    "operation {operation}, {loss:?}: {error}, files {:?}",
+                    remaining_files.names()
+                )
             });
-            let is_kept = acknowledged.is_in(&recovered)
-                || reached.iter().any(|model| is_between(&acknowledged, model, &recovered));
+            let is_kept = acknowledged.matches(&recovered)
+                || intermediate_states
+                    .iter()
+                    .any(|model| is_intermediate_state(&acknowledged, model, &recovered));
             let places: Vec<Position> = recovered.entries.iter().map(|e| e.position).collect();
             assert!(
                 is_kept,
                 "operation {operation}, {loss:?}: {:?} {places:?}",
                 recovered.hard_state
             );
-            assert!(fits(&recovered), "operation {operation}, {loss:?}: {places:?}");
-            goes_on(folder, &recovered, &after);
+            assert!(is_consistent(&recovered), "operation {operation}, {loss:?}: {places:?}");
+            check_accepts_writes(directory, &recovered, &remaining_files);
         }
     }
     println!("{operations} operations, {} losses each", LOSSES.len());
 }
 
 /// Tells whether the entries are those that the snapshot was made from or is followed by.
-fn fits(recovered: &Recovered) -> bool {
-    let end = recovered.snapshot.as_ref().map(|snapshot| snapshot.position).unwrap_or_default();
-    let first = recovered.entries.first().map(|entry| entry.position.index);
-    let follows = first.is_none_or(|first| first == end.index + 1);
-    follows || recovered.entries.iter().any(|entry| entry.position == end)
+fn is_consistent(recovered: &Recovered) -> bool {
+    let snapshot_position =
+        recovered.snapshot.as_ref().map(|snapshot| snapshot.position).unwrap_or_default();
+    let first_index = recovered.entries.first().map(|entry| entry.position.index);
+    let follows = first_index.is_none_or(|first_index| first_index == snapshot_position.index + 1);
+    follows || recovered.entries.iter().any(|entry| entry.position == snapshot_position)
 }
 
 /// Tells whether a folder holds a state that the writes after the last acknowledgement passed.
-fn is_between(acknowledged: &Model, model: &Model, recovered: &Recovered) -> bool {
+fn is_intermediate_state(acknowledged: &Model, model: &Model, recovered: &Recovered) -> bool {
     // The term and snapshot files are durable at once, the log's records only with the sync.
-    let hard = [acknowledged.hard, model.hard].contains(&recovered.hard_state);
-    let same = Model { hard: recovered.hard_state, ..model.clone() };
-    hard && (same.is_in(recovered) || holds_committed(acknowledged, model, recovered))
+    let is_known_hard_state =
+        [acknowledged.hard_state, model.hard_state].contains(&recovered.hard_state);
+    let with_recovered_hard_state = Model { hard_state: recovered.hard_state, ..model.clone() };
+    is_known_hard_state
+        && (with_recovered_hard_state.matches(recovered)
+            || holds_committed(acknowledged, model, recovered))
 }
 
 /// Tells whether a newer snapshot is there while the records after it were lost: the log then ends
@@ -199,25 +211,31 @@
     if recovered.snapshot != model.snapshot {
         return false;
     }
-    let end = model.end();
-    let due = |e: &&Entry| e.position.index > end && model.entries.contains(e);
-    acknowledged.entries.iter().filter(due).all(|e| recovered.entries.contains(e))
-        && recovered.entries.iter().all(|e| e.position.index <= end || model.entries.contains(e))
+    let snapshot_index = model.snapshot_index();
+    let expected = |e: &&Entry| e.position.index > snapshot_index && model.entries.contains(e);
+    acknowledged.entries.iter().filter(expected).all(|e| recovered.entries.contains(e))
+        && recovered
+            .entries
+            .iter()
+            .all(|e| e.position.index <= snapshot_index || model.entries.contains(e))
 }
 
 /// Checks that a recovered folder takes more, and keeps it.
-fn goes_on(mut folder: DataDirectory, recovered: &Recovered, files: &Memory) {
-    let end = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index);
-    let last = recovered.entries.last().map_or(end, |entry| entry.position.index);
-    let writes = [hard(9), append(9, last + 1..=last + 3)];
-    folder.write(&writes).and_then(|()| folder.sync()).expect("a recovered folder takes writes");
-    let (_, again) =
-        DataDirectory::open_on(files.lose(Loss::All), FRESH).expect("what was synced can be read");
+fn check_accepts_writes(mut directory: DataDirectory, recovered: &Recovered, files: &MemoryFiles) {
+    let snapshot_index = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index);
+    let last = recovered.entries.last().map_or(snapshot_index, |entry| entry.position.index);
+    let writes = [hard_state(9), append(9, last + 1..=last + 3)];
+    directory
+        .write(&writes)
+        .and_then(|()| directory.sync())
+        .expect("a recovered folder takes writes");
+    let (_, reopened) = DataDirectory::open_on(files.after_power_loss(Loss::All), SMALL_SEGMENTS)
+        .expect("what was synced can be read");
     assert_eq!(
-        again.entries.last().map(|e| e.position),
+        reopened.entries.last().map(|e| e.position),
         Some(Position { term: 9, index: last + 3 })
     );
-    assert_eq!(again.identity, recovered.identity);
+    assert_eq!(reopened.identity, recovered.identity);
 }
 
 // Symptom: acknowledged entries are gone after a process died and then the power failed. Sequence:
@@ -225,37 +243,50 @@
 // power fails. Cause: what can be read is taken for durable.
 #[test]
 fn what_is_read_at_opening_is_durable() {
-    let files = Memory::default();
-    let (mut folder, _) = DataDirectory::open_on(files.clone(), FRESH).expect("a new folder opens");
-    folder.write(&[hard(1), append(1, 1..=3)]).expect("the writes are taken");
-    drop(folder);
-    let files = files.end();
-    let (_, seen) = DataDirectory::open_on(files.clone(), FRESH).expect("the folder opens again");
-    let (_, kept) =
-        DataDirectory::open_on(files.lose(Loss::All), FRESH).expect("and after a power loss");
-    assert_eq!(seen.entries.len(), 3);
-    assert_eq!(kept.entries, seen.entries);
+    let files = MemoryFiles::default();
+    let (mut directory, _) =
+        DataDirectory::open_on(files.clone(), SMALL_SEGMENTS).expect("a new folder opens");
+    directory.write(&[hard_state(1), append(1, 1..=3)]).expect("the writes are taken");
+    drop(directory);
+    let files = files.after_process_exit();
+    let (_, reopened) =
+        DataDirectory::open_on(files.clone(), SMALL_SEGMENTS).expect("the folder opens again");
+    let (_, after_power_loss) =
+        DataDirectory::open_on(files.after_power_loss(Loss::All), SMALL_SEGMENTS)
+            .expect("and after a power loss");
+    assert_eq!(reopened.entries.len(), 3);
+    assert_eq!(after_power_loss.entries, reopened.entries);
 }
 
 // Symptom: a voter acknowledges entries that are not on its disk. Sequence: the disk fills up in the
 // middle of a record. Cause: going on after a failed write.
 #[test]
 fn a_full_disk_stops_the_folder_and_corrupts_nothing() {
-    for room in 0..300 {
-        let files = Memory::default();
-        let (mut folder, _) =
-            DataDirectory::open_on(files.clone(), FRESH).expect("a new folder opens");
-        let first = [hard(1), append(1, 1..=3)];
-        folder.write(&first).and_then(|()| folder.sync()).expect("there is room");
-        files.leave_room(Some(room));
-        let more = [append(1, 4..=6), hard(2)];
-        let Err(error) = folder.write(&more).and_then(|()| folder.sync()) else { continue };
+    for free_bytes in 0..300 {
+        let files = MemoryFiles::default();
+        let (mut directory, _) =
+            DataDirectory::open_on(files.clone(), SMALL_SEGMENTS).expect("a new folder opens");
+        let first_batch = [hard_state(1), append(1, 1..=3)];
+        directory.write(&first_batch).and_then(|()| directory.sync()).expect("there is room");
+        files.set_free_bytes(Some(free_bytes));
+        let second_batch = [append(1, 4..=6), hard_state(2)];
+        let Err(error) = directory.write(&second_batch).and_then(|()| directory.sync()) else {
+            continue;
+        };
         assert!(matches!(error, Error::Full { .. }), "{error}");
-        files.leave_room(None);
-        assert_eq!(folder.write(&[hard(3)]), Err(Error::Stopped), "it goes on after a failure");
-        assert_eq!(folder.sync(), Err(Error::Stopped));
-        let (_, recovered) = DataDirectory::open_on(files.end(), FRESH).expect("it opens again");
-        assert!(recovered.entries.len() >= 3, "room {room}: acknowledged entries are gone");
+        files.set_free_bytes(None);
+        assert_eq!(
+            directory.write(&[hard_state(3)]),
+            Err(Error::Stopped),
+            "it goes on after a failure"
+        );
+        assert_eq!(directory.sync(), Err(Error::Stopped));
+        let (_, recovered) = DataDirectory::open_on(files.after_process_exit(), SMALL_SEGMENTS)
+            .expect("it opens again");
+        assert!(
+            recovered.entries.len() >= 3,
+            "{free_bytes} free bytes: acknowledged entries are gone"
+        );
         assert!(recovered.hard_state.term <= 2);
     }
 }
@@ -264,22 +295,23 @@
 // in a file that was durable. Cause: damage taken for a torn tail and cut off.
 #[test]
 fn a_flipped_bit_anywhere_is_an_error_that_names_the_place() {
-    let files = Memory::default();
-    let (mut folder, _) = DataDirectory::open_on(files.clone(), LARGE).expect("a new folder opens");
+    let files = MemoryFiles::default();
+    let (mut directory, _) =
+        DataDirectory::open_on(files.clone(), ONE_SEGMENT).expect("a new folder opens");
     let compact = Write::Compact { snapshot: snapshot(1, 4), first: 1 };
-    for batch in [vec![hard(1), append(1, 1..=5)], vec![append(1, 6..=9)], vec![compact]] {
-        folder.write(&batch).and_then(|()| folder.sync()).expect("the writes are taken");
+    for batch in [vec![hard_state(1), append(1, 1..=5)], vec![append(1, 6..=9)], vec![compact]] {
+        directory.write(&batch).and_then(|()| directory.sync()).expect("the writes are taken");
     }
-    drop(folder);
+    drop(directory);
     let log = files.names().into_iter().find(|name| name.starts_with("log-")).expect("a log file");
     let seal = 12;
     for name in files.names() {
         // The last seal guards the records before it, and nothing guards the seal itself.
-        let guarded = files.size(&name) - if name == log { seal } else { 0 };
-        for offset in 0..guarded {
-            let files = files.end();
-            files.flip(&name, offset);
-            let Err(error) = DataDirectory::open_on(files, LARGE) else {
+        let checked_bytes = files.size(&name) - if name == log { seal } else { 0 };
+        for offset in 0..checked_bytes {
+            let files = files.after_process_exit();
+            files.flip_bit(&name, offset);
+            let Err(error) = DataDirectory::open_on(files, ONE_SEGMENT) else {
                 panic!("{name} is damaged at {offset} and opens");
             };
             assert!(matches!(&error, Error::Damaged { file, .. } if **file == name), "{error}");
@@ -291,19 +323,19 @@
 #[test]
 fn missing_files_are_errors() {
     for missing in ["identity", "hard", "log-00000000000000000001"] {
-        let files = Memory::default();
-        let (mut folder, _) =
-            DataDirectory::open_on(files.clone(), LARGE).expect("a new folder opens");
+        let files = MemoryFiles::default();
+        let (mut directory, _) =
+            DataDirectory::open_on(files.clone(), ONE_SEGMENT).expect("a new folder opens");
         let large: Arc<[u8]> = vec![1; 250_000].into();
         for index in 1..=20 {
             let position = Position { term: 1, index };
             let payload = Payload::Command(large.clone());
-            let writes = [hard(1), Write::Append(vec![Entry { position, payload }])];
-            folder.write(&writes).and_then(|()| folder.sync()).expect("the writes are taken");
+            let writes = [hard_state(1), Write::Append(vec![Entry { position, payload }])];
+            directory.write(&writes).and_then(|()| directory.sync()).expect("the writes are taken");
         }
-        let mut files = files.end();
+        let mut files = files.after_process_exit();
         verbenaslip_disk::files::Files::remove(&mut files, missing).expect("the file was there");
-        let Err(error) = DataDirectory::open_on(files, LARGE) else {
+        let Err(error) = DataDirectory::open_on(files, ONE_SEGMENT) else {
             panic!("opens without {missing}")
         };
         assert!(matches!(error, Error::Damaged { .. }), "{missing}: {error}");
--- a/crates/verbenaslip-disk/tests/system.rs
+++ b/crates/verbenaslip-disk/tests/system.rs
@@ -8,7 +8,7 @@
 use verbenaslip_replica::voter::Group;
 
 /// Returns a new path for a test's folder.
-fn place(name: &str) -> std::path::PathBuf {
+fn new_directory_path(name: &str) -> std::path::PathBuf {
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&path);
     path
@@ -16,31 +16,31 @@
 
 #[test]
 fn a_folder_keeps_its_content_and_identity() {
-    let path = place("keeps");
-    let (mut folder, fresh) = DataDirectory::open(&path).expect("a new folder opens");
-    let hard = HardState { group: Some(Group(3)), term: 4, voted: Some(fresh.identity) };
+    let path = new_directory_path("keeps");
+    let (mut directory, empty) = DataDirectory::open(&path).expect("a new folder opens");
+    let hard_state = HardState { group: Some(Group(3)), term: 4, voted: Some(empty.identity) };
     let command: Arc<[u8]> = vec![5; 200_000].into();
     let entry = |index| Entry {
         position: Position { term: 4, index },
         payload: Payload::Command(command.clone()),
     };
-    let writes = [Write::HardState(hard), Write::Append((1..=50).map(entry).collect())];
-    folder.write(&writes).and_then(|()| folder.sync()).expect("the writes are taken");
-    drop(folder);
-    let (mut folder, recovered) = DataDirectory::open(&path).expect("it opens again");
-    assert_eq!(recovered.identity, fresh.identity);
-    assert_eq!(recovered.hard_state, hard);
+    let writes = [Write::HardState(hard_state), Write::Append((1..=50).map(entry).collect())];
+    directory.write(&writes).and_then(|()| directory.sync()).expect("the writes are taken");
+    drop(directory);
+    let (mut directory, recovered) = DataDirectory::open(&path).expect("it opens again");
+    assert_eq!(recovered.identity, empty.identity);
+    assert_eq!(recovered.hard_state, hard_state);
     assert_eq!(recovered.entries, (1..=50).map(entry).collect::<Vec<_>>());
-    assert_eq!(folder.load().expect("it can be read again"), recovered);
-    let other = DataDirectory::open(place("other")).expect("another folder opens").1;
-    assert_ne!(other.identity, fresh.identity);
+    assert_eq!(directory.load().expect("it can be read again"), recovered);
+    let other = DataDirectory::open(new_directory_path("other")).expect("another folder opens").1;
+    assert_ne!(other.identity, empty.identity);
 }
 
 // Symptom: a voter votes twice in a term. Sequence: an operator starts a second process on the same
 // folder. Cause: two processes that write one file.
 #[test]
 fn a_folder_opens_once() {
-    let path = place("once");
+    let path = new_directory_path("once");
     let first = DataDirectory::open(&path).expect("a new folder opens");
     let Err(error) = DataDirectory::open(&path) else { panic!("it opened twice") };
     assert!(matches!(error, Error::Locked { .. }), "{error}");
--- a/crates/verbenaslip-disk/tests/voters.rs
+++ b/crates/verbenaslip-disk/tests/voters.rs
@@ -18,21 +18,21 @@
 use verbenaslip_replica::storage::{Storage, Write};
 use verbenaslip_replica::voter::Identity;
 
-use memory::{Loss, Memory};
+use memory::{Loss, MemoryFiles};
 
 const VOTERS: usize = 3;
 /// Time between two looks at the timers.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 const LOSSES: [Loss; 6] =
     [Loss::All, Loss::Contents, Loss::Names, Loss::Part(40), Loss::Zeros, Loss::Nothing];
 
 struct Voter {
     replica: Replica,
-    folder: DataDirectory,
-    files: Memory,
+    directory: DataDirectory,
+    files: MemoryFiles,
     /// Writes that are not handed to the folder yet, and the mark of the last one.
     writes: Vec<Write>,
-    mark: u64,
+    last_sequence: u64,
     applied: u64,
 }
 
@@ -47,25 +47,25 @@
     installs: u64,
 }
 
-fn name(number: usize) -> Instance {
+fn instance(number: usize) -> Instance {
     Instance::from(format!("n{number}").as_str())
 }
 
-fn open(number: usize, files: Memory, now: Duration, seed: u64) -> Voter {
-    let options = Options { fresh: Identity(number as u128 + 1), segment: 600 };
-    let (folder, recovered) = DataDirectory::open_on(files.clone(), options)
+fn open_voter(number: usize, files: MemoryFiles, now: Duration, seed: u64) -> Voter {
+    let options = Options { new_identity: Identity(number as u128 + 1), segment_bytes: 600 };
+    let (directory, recovered) = DataDirectory::open_on(files.clone(), options)
         .unwrap_or_else(|error| panic!("voter {number}: {error}, {:?}", files.names()));
-    let mut setup = Setup::new(name(number), (0..VOTERS).map(name).collect(), seed);
-    setup.limits = Limits { entries: 20, tail: 5, ..Limits::default() };
+    let mut setup = Setup::new(instance(number), (0..VOTERS).map(instance).collect(), seed);
+    setup.limits = Limits { snapshot_after_entries: 20, retained_entries: 5, ..Limits::default() };
     let applied = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index);
     let replica = Replica::open(setup, recovered, now);
-    Voter { replica, folder, files, writes: Vec::new(), mark: 0, applied }
+    Voter { replica, directory, files, writes: Vec::new(), last_sequence: 0, applied }
 }
 
 impl Group {
     fn new(seed: u64) -> Self {
-        let voters =
-            (0..VOTERS).map(|n| open(n, Memory::default(), Duration::ZERO, seed + n as u64));
+        let voters = (0..VOTERS)
+            .map(|n| open_voter(n, MemoryFiles::default(), Duration::ZERO, seed + n as u64));
         Self {
             voters: voters.collect(),
             now: Duration::ZERO,
@@ -89,17 +89,18 @@
         let voter = &mut self.voters[number];
         match output {
             Output::Send { to, message } => {
-                let to = (0..VOTERS).find(|n| name(*n) == to).expect("a known voter");
+                let to = (0..VOTERS).find(|n| instance(*n) == to).expect("a known voter");
                 self.queue.push((number, to, message));
             }
-            Output::Store { sequence: mark, write } => {
+            Output::Store { sequence, write } => {
                 voter.writes.push(write);
-                voter.mark = mark;
+                voter.last_sequence = sequence;
             }
             Output::Apply { position, command } => {
                 voter.applied = position.index;
-                let known = self.history.entry(position.index).or_insert_with(|| command.clone());
-                assert_eq!(*known, command, "voter {number} applied something else");
+                let first_command =
+                    self.history.entry(position.index).or_insert_with(|| command.clone());
+                assert_eq!(*first_command, command, "voter {number} applied something else");
             }
             Output::Install(snapshot) => {
                 voter.applied = snapshot.position.index;
@@ -117,23 +118,23 @@
     }
 
     /// Hands writes to the folder, and syncs them most of the time.
-    fn keep(&mut self, number: usize) {
-        let syncs = self.random.random_range(0..4) > 0;
+    fn write_and_sync(&mut self, number: usize) {
+        let should_sync = self.random.random_range(0..4) > 0;
         let voter = &mut self.voters[number];
         let writes = std::mem::take(&mut voter.writes);
-        voter.folder.write(&writes).expect("the folder takes every write in its order");
-        if syncs {
-            voter.folder.sync().expect("the folder syncs");
-            let mark = voter.mark;
-            self.step(number, Input::Stored { sequence: mark });
+        voter.directory.write(&writes).expect("the folder takes every write in its order");
+        if should_sync {
+            voter.directory.sync().expect("the folder syncs");
+            let sequence = voter.last_sequence;
+            self.step(number, Input::Stored { sequence });
         }
     }
 
-    fn round(&mut self) {
-        self.now += TICK;
+    fn run_round(&mut self) {
+        self.now += TICK_INTERVAL;
         for (from, to, message) in std::mem::take(&mut self.queue) {
             if self.random.random_range(0..20) > 0 {
-                self.step(to, Input::Message { from: name(from), message });
+                self.step(to, Input::Message { from: instance(from), message });
             }
         }
         for number in 0..VOTERS {
@@ -143,15 +144,15 @@
                 let command = Arc::from(vec![7; self.random.random_range(1..90)]);
                 self.step(number, Input::Propose { token, command });
             }
-            self.keep(number);
+            self.write_and_sync(number);
         }
     }
 
     fn lose_power(&mut self, number: usize) {
         let loss = LOSSES[self.random.random_range(0..LOSSES.len())];
-        let files = self.voters[number].files.lose(loss);
+        let files = self.voters[number].files.after_power_loss(loss);
         let seed = self.random.random();
-        self.voters[number] = open(number, files, self.now, seed);
+        self.voters[number] = open_voter(number, files, self.now, seed);
     }
 }
 
@@ -165,7 +166,7 @@
     for seed in 0..20 {
         let mut group = Group::new(seed);
         for round in 0..1_500 {
-            group.round();
+            group.run_round();
             if group.random.random_range(0..60) == 0 {
                 let number = group.random.random_range(0..VOTERS);
                 group.lose_power(number);
@@ -176,7 +177,7 @@
         }
         let committed = group.committed;
         assert!(committed > 100, "seed {seed}: only {committed} committed");
-        (0..500).for_each(|_| group.round());
+        (0..500).for_each(|_| group.run_round());
         for (number, voter) in group.voters.iter().enumerate() {
             assert!(voter.applied >= committed, "seed {seed}: voter {number} lacks {committed}");
         }
--- a/crates/verbenaslip-instance/src/core.rs
+++ b/crates/verbenaslip-instance/src/core.rs
@@ -222,7 +222,7 @@
             log_timing: Timing {
                 heartbeat_interval: HEARTBEAT,
                 election_timeout: ELECTION,
-                change: COPY,
+                catch_up_timeout: COPY,
                 ..Timing::default()
             },
             order_timing: settings.cloud.as_ref().map(|cloud| order::Timing {
--- a/crates/verbenaslip-replica/src/config.rs
+++ b/crates/verbenaslip-replica/src/config.rs
@@ -6,7 +6,7 @@
 use crate::voter::{Identity, Voter};
 
 /// The most voters that a group may have.
-pub const VOTERS: usize = 7;
+pub const MAX_VOTERS: usize = 7;
 
 /// Holds the voter set; while `outgoing` is not empty, both sets must agree (joint consensus).
 #[data(default)]
@@ -19,7 +19,7 @@
 
 impl Config {
     /// Makes a configuration of one set, sorted by instance.
-    pub fn of(mut voters: Vec<Voter>) -> Self {
+    pub fn new(mut voters: Vec<Voter>) -> Self {
         voters.sort();
         Self { voters, outgoing: Vec::new() }
     }
@@ -40,27 +40,27 @@
     }
 
     /// Returns the greatest value that a quorum of each set has reached; zero without voters.
-    pub(crate) fn quorum(&self, value: impl Fn(Identity) -> u64) -> u64 {
-        let incoming = majority(&self.voters, &value);
+    pub(crate) fn quorum_value(&self, value: impl Fn(Identity) -> u64) -> u64 {
+        let incoming = majority_value(&self.voters, &value);
         if self.outgoing.is_empty() {
             return incoming;
         }
-        incoming.min(majority(&self.outgoing, &value))
+        incoming.min(majority_value(&self.outgoing, &value))
     }
 
     /// Returns the joint configuration that leads from this one to the given set.
-    pub(crate) fn joint(&self, voters: Vec<Voter>) -> Self {
-        Self { outgoing: self.voters.clone(), ..Self::of(voters) }
+    pub(crate) fn joint_with(&self, voters: Vec<Voter>) -> Self {
+        Self { outgoing: self.voters.clone(), ..Self::new(voters) }
     }
 
     /// Returns the configuration after a joint one.
-    pub(crate) fn settled(&self) -> Self {
+    pub(crate) fn after_joint(&self) -> Self {
         Self { voters: self.voters.clone(), outgoing: Vec::new() }
     }
 }
 
 /// Returns the greatest value that a majority of one set has reached.
-fn majority(voters: &[Voter], value: &impl Fn(Identity) -> u64) -> u64 {
+fn majority_value(voters: &[Voter], value: &impl Fn(Identity) -> u64) -> u64 {
     let mut values: Vec<u64> = voters.iter().map(|voter| value(voter.identity)).collect();
     values.sort_unstable();
     // Sorted upwards, a majority has at least the value in the lower middle.
@@ -85,7 +85,7 @@
 
 impl Change {
     /// Returns the voter that the change brings in.
-    pub fn incoming(&self) -> Option<&Voter> {
+    pub fn added_voter(&self) -> Option<&Voter> {
         match self {
             Self::Add(voter) | Self::Replace { new: voter, .. } => Some(voter),
             Self::Remove(_) => None,
@@ -93,7 +93,7 @@
     }
 
     /// Returns the set after the change, none when it does not fit the present set.
-    pub(crate) fn applied(&self, voters: &[Voter]) -> Option<Vec<Voter>> {
+    pub(crate) fn apply_to(&self, voters: &[Voter]) -> Option<Vec<Voter>> {
         let leaving = match self {
             Self::Add(_) => None,
             Self::Remove(instance) | Self::Replace { old: instance, .. } => Some(instance),
@@ -103,7 +103,7 @@
         }
         let mut next: Vec<Voter> =
             voters.iter().filter(|voter| Some(&voter.instance) != leaving).cloned().collect();
-        if let Some(new) = self.incoming() {
+        if let Some(new) = self.added_voter() {
             let taken = next
                 .iter()
                 .any(|voter| voter.instance == new.instance || voter.identity == new.identity);
@@ -113,11 +113,11 @@
             next.push(new.clone());
         }
         next.sort();
-        (1..=VOTERS).contains(&next.len()).then_some(next)
+        (1..=MAX_VOTERS).contains(&next.len()).then_some(next)
     }
 
     /// Tells whether the set already is what the change asks for, as for a resend.
-    pub(crate) fn is_done(&self, voters: &[Voter]) -> bool {
+    pub(crate) fn is_satisfied_by(&self, voters: &[Voter]) -> bool {
         let holds = |instance: &Instance| voters.iter().any(|voter| voter.instance == *instance);
         match self {
             Self::Add(voter) => voters.contains(voter),
--- a/crates/verbenaslip-replica/src/election.rs
+++ b/crates/verbenaslip-replica/src/election.rs
@@ -5,7 +5,7 @@
 use verbenaslip_base::name::Instance;
 
 use crate::entry::Position;
-use crate::leader::Leading;
+use crate::leader::LeaderState;
 use crate::message::{Body, Message};
 use crate::replica::{Replica, State};
 use crate::voter::{Identity, Voter};
@@ -25,7 +25,7 @@
     /// Whether votes would be given.
     PreVote,
     /// Votes; the own one counts once the write with this mark is durable.
-    Vote { mark: u64 },
+    Vote { sequence: u64 },
 }
 
 impl Replica {
@@ -33,114 +33,120 @@
     ///
     /// Without this, a voter that was cut off would come back with a term that it raised alone, and
     /// its answers would depose a healthy leader: one would notice an election after each heal.
-    pub(crate) fn campaign(&mut self) {
-        self.rest();
+    pub(crate) fn start_pre_vote(&mut self) {
+        self.reset_election_timer();
         self.leader = None;
-        let term = self.hard.term.saturating_add(1);
+        let term = self.hard_state.term.saturating_add(1);
         let granted = BTreeSet::from([self.identity]);
         self.state = State::Candidate(Campaign { stage: Stage::PreVote, term, granted });
-        let last = self.log.last();
-        for voter in self.others() {
+        let last_position = self.log.last();
+        for voter in self.other_voters() {
             let mut message =
-                self.message(Some(voter.identity), Body::PreVote { last_position: last });
+                self.new_message(Some(voter.identity), Body::PreVote { last_position });
             message.term = term;
-            self.hold(&voter.instance, message);
+            self.send_after_writes(&voter.instance, message);
         }
-        self.count();
+        self.count_votes();
     }
 
     /// Starts a term and asks for votes.
-    pub(crate) fn stand(&mut self, transfer: bool) {
-        self.hard.term = self.hard.term.saturating_add(1);
-        self.hard.voted = Some(self.identity);
-        self.unsaved = true;
-        self.outbox.forget();
-        self.receiving = None;
+    pub(crate) fn start_election(&mut self, transfer: bool) {
+        self.hard_state.term = self.hard_state.term.saturating_add(1);
+        self.hard_state.voted = Some(self.identity);
+        self.hard_state_changed = true;
+        self.outbox.discard_held();
+        self.incoming_snapshot = None;
         self.leader = None;
-        self.rest();
-        self.save();
-        let stage = Stage::Vote { mark: self.outbox.issued() };
-        let term = self.hard.term;
+        self.reset_election_timer();
+        self.save_hard_state();
+        let stage = Stage::Vote { sequence: self.outbox.last_sequence() };
+        let term = self.hard_state.term;
         self.state = State::Candidate(Campaign { stage, term, granted: BTreeSet::new() });
-        let last = self.log.last();
-        for voter in self.others() {
+        let last_position = self.log.last();
+        for voter in self.other_voters() {
             let message =
-                self.message(Some(voter.identity), Body::Vote { last_position: last, transfer });
-            self.hold(&voter.instance, message);
+                self.new_message(Some(voter.identity), Body::Vote { last_position, transfer });
+            self.send_after_writes(&voter.instance, message);
         }
     }
 
     /// Counts the own vote once it is durable.
     pub(crate) fn count_own_vote(&mut self) {
         let State::Candidate(campaign) = &mut self.state else { return };
-        let Stage::Vote { mark } = campaign.stage else { return };
-        if self.outbox.is_stored(mark) && campaign.granted.insert(self.identity) {
-            self.count();
+        let Stage::Vote { sequence } = campaign.stage else { return };
+        if self.outbox.is_durable(sequence) && campaign.granted.insert(self.identity) {
+            self.count_votes();
         }
     }
 
     /// Answers a pre-vote, which promises nothing.
-    pub(crate) fn pre_vote(&mut self, from: &Instance, message: &Message, last: Position) {
-        let newer = message.term > self.hard.term;
-        let granted = newer && !self.is_loyal() && last >= self.log.last();
-        let mut answer = self.message(Some(message.sender), Body::PreVoteResponse { granted });
+    pub(crate) fn handle_pre_vote(
+        &mut self,
+        from: &Instance,
+        message: &Message,
+        last_position: Position,
+    ) {
+        let is_newer_term = message.term > self.hard_state.term;
+        let granted = is_newer_term && !self.refuses_votes() && last_position >= self.log.last();
+        let mut answer = self.new_message(Some(message.sender), Body::PreVoteResponse { granted });
         if granted {
             answer.term = message.term;
         }
-        self.hold(from, answer);
+        self.send_after_writes(from, answer);
     }
 
     /// Takes the answer to a pre-vote.
-    pub(crate) fn pre_voted(&mut self, message: &Message, granted: bool) {
+    pub(crate) fn handle_pre_vote_response(&mut self, message: &Message, granted: bool) {
         if !granted {
-            if message.term > self.hard.term {
-                self.follow(message.term, None);
+            if message.term > self.hard_state.term {
+                self.become_follower(message.term, None);
             }
             return;
         }
-        self.grant(message, true);
+        self.record_vote(message, true);
     }
 
     /// Answers a vote.
-    pub(crate) fn vote(
+    pub(crate) fn handle_vote(
         &mut self,
         from: &Instance,
         message: &Message,
-        last: Position,
+        last_position: Position,
         transfer: bool,
     ) {
         // The leader of the term just before has given up its lease and asked for this election.
-        let asked = transfer && Some(message.term) == self.hard.term.checked_add(1);
-        if self.is_loyal() && !asked {
+        let is_transfer = transfer && Some(message.term) == self.hard_state.term.checked_add(1);
+        if self.refuses_votes() && !is_transfer {
             return;
         }
-        if message.term > self.hard.term {
-            self.follow(message.term, None);
+        if message.term > self.hard_state.term {
+            self.become_follower(message.term, None);
         }
-        let free = self.hard.voted.is_none_or(|voted| voted == message.sender);
-        let granted = message.term == self.hard.term && free && last >= self.log.last();
+        let can_vote = self.hard_state.voted.is_none_or(|voted| voted == message.sender);
+        let granted =
+            message.term == self.hard_state.term && can_vote && last_position >= self.log.last();
         if granted {
-            self.unsaved |= self.hard.voted.is_none();
-            self.hard.voted = Some(message.sender);
-            self.rest();
+            self.hard_state_changed |= self.hard_state.voted.is_none();
+            self.hard_state.voted = Some(message.sender);
+            self.reset_election_timer();
         }
-        let answer = self.message(Some(message.sender), Body::VoteResponse { granted });
-        self.hold(from, answer);
+        let answer = self.new_message(Some(message.sender), Body::VoteResponse { granted });
+        self.send_after_writes(from, answer);
     }
 
     /// Takes the answer to a vote.
-    pub(crate) fn voted(&mut self, message: &Message, granted: bool) {
-        if message.term > self.hard.term {
-            self.follow(message.term, None);
+    pub(crate) fn handle_vote_response(&mut self, message: &Message, granted: bool) {
+        if message.term > self.hard_state.term {
+            self.become_follower(message.term, None);
             return;
         }
         if granted {
-            self.grant(message, false);
+            self.record_vote(message, false);
         }
     }
 
     /// Lists the other voters, each once.
-    pub(crate) fn others(&self) -> Vec<Voter> {
+    pub(crate) fn other_voters(&self) -> Vec<Voter> {
         let members: BTreeSet<&Voter> = self.log.config().members().collect();
         members.into_iter().filter(|voter| voter.identity != self.identity).cloned().collect()
     }
@@ -149,41 +155,42 @@
     ///
     /// If a voter that acknowledged a heartbeat gave its vote to somebody else soon after, the old
     /// leader, cut off from the news, would still act under its lease: two leaders at one time.
-    fn is_loyal(&self) -> bool {
+    fn refuses_votes(&self) -> bool {
         let election = self.setup.timing.election_timeout;
-        self.is_leader() || self.heard.is_some_and(|heard| self.now < heard + election)
+        self.is_leader() || self.leader_heard_at.is_some_and(|heard| self.now < heard + election)
     }
 
     /// Counts a vote or pre-vote that was given.
-    fn grant(&mut self, message: &Message, pre: bool) {
+    fn record_vote(&mut self, message: &Message, is_pre_vote: bool) {
         let State::Candidate(campaign) = &mut self.state else { return };
-        let stage = (campaign.stage == Stage::PreVote) == pre;
+        let stage = (campaign.stage == Stage::PreVote) == is_pre_vote;
         if stage && message.term == campaign.term {
             campaign.granted.insert(message.sender);
-            self.count();
+            self.count_votes();
         }
     }
 
     /// Goes on to the next stage when a quorum has granted this one.
-    fn count(&mut self) {
+    fn count_votes(&mut self) {
         let State::Candidate(campaign) = &self.state else { return };
         let granted = |identity| u64::from(campaign.granted.contains(&identity));
-        if self.log.config().quorum(granted) == 0 {
+        if self.log.config().quorum_value(granted) == 0 {
             return;
         }
         match campaign.stage {
-            Stage::PreVote => self.stand(false),
-            Stage::Vote { mark } if self.outbox.is_stored(mark) => self.lead(),
+            Stage::PreVote => self.start_election(false),
+            Stage::Vote { sequence } if self.outbox.is_durable(sequence) => self.become_leader(),
             Stage::Vote { .. } => {}
         }
     }
 
     /// Takes up leadership.
-    fn lead(&mut self) {
-        let last = self.log.last();
-        let others = self.others();
+    fn become_leader(&mut self) {
+        let last_position = self.log.last();
+        let others = self.other_voters();
         self.leader = Some(self.setup.instance.clone());
-        self.state = State::Leader(Box::new(Leading::new(self.now, last.index + 1, others)));
+        self.state =
+            State::Leader(Box::new(LeaderState::new(self.now, last_position.index + 1, others)));
         self.append_empty();
     }
 }
--- a/crates/verbenaslip-replica/src/entry.rs
+++ b/crates/verbenaslip-replica/src/entry.rs
@@ -7,7 +7,7 @@
 use crate::config::Config;
 
 /// Bytes that an entry costs on the wire and on disk beside its command, at most.
-pub(crate) const OVERHEAD: usize = 48;
+pub(crate) const ENTRY_OVERHEAD_BYTES: usize = 48;
 
 /// Places an entry; ordered as logs are compared in an election: by term, then by index.
 #[data(copy, ord, hash, default)]
@@ -31,11 +31,14 @@
     /// Returns about how many bytes the entry takes.
     pub fn size(&self) -> usize {
         match &self.payload {
-            Payload::Empty => OVERHEAD,
-            Payload::Command(command) => OVERHEAD + command.len(),
+            Payload::Empty => ENTRY_OVERHEAD_BYTES,
+            Payload::Command(command) => ENTRY_OVERHEAD_BYTES + command.len(),
             Payload::Config(config) => {
-                OVERHEAD
-                    + config.members().map(|v| OVERHEAD + v.instance.as_str().len()).sum::<usize>()
+                ENTRY_OVERHEAD_BYTES
+                    + config
+                        .members()
+                        .map(|v| ENTRY_OVERHEAD_BYTES + v.instance.as_str().len())
+                        .sum::<usize>()
             }
         }
     }
--- a/crates/verbenaslip-replica/src/follower.rs
+++ b/crates/verbenaslip-replica/src/follower.rs
@@ -9,103 +9,105 @@
 
 impl Replica {
     /// Takes entries, a heartbeat or a part of a snapshot.
-    pub(crate) fn lead_by(&mut self, from: &Instance, message: Message) {
-        if message.term < self.hard.term {
+    pub(crate) fn handle_leader_message(&mut self, from: &Instance, message: Message) {
+        if message.term < self.hard_state.term {
             // The sender has been replaced; it steps down when it sees the newer term.
             let answer = Body::AppendResponse { match_index: 0, round: 0 };
-            let answer = self.message(Some(message.sender), answer);
-            self.hold(from, answer);
+            let answer = self.new_message(Some(message.sender), answer);
+            self.send_after_writes(from, answer);
             return;
         }
-        if self.is_leader() && message.term == self.hard.term {
+        if self.is_leader() && message.term == self.hard_state.term {
             return;
         }
-        self.hear(from, message.term);
+        self.record_leader(from, message.term);
         let answer = match message.body {
             Body::Append { previous, entries, commit_index, round } => {
-                if !is_chain(previous, &entries, message.term) {
+                if !is_contiguous(previous, &entries, message.term) {
                     return;
                 }
-                self.append_from(previous, entries, commit_index, round)
+                self.append_from_leader(previous, entries, commit_index, round)
             }
             Body::SnapshotChunk { header, offset, bytes, round } => {
-                self.chunk(header, offset, &bytes, round)
+                self.receive_chunk(header, offset, &bytes, round)
             }
             _ => return,
         };
         let Some(answer) = answer else { return };
-        let claimed = match &answer {
-            Body::AppendResponse { match_index: matched, .. } => *matched,
+        let claimed_index = match &answer {
+            Body::AppendResponse { match_index, .. } => *match_index,
             _ => 0,
         };
-        let answer = self.message(Some(message.sender), answer);
-        if claimed > self.outbox.index() {
-            self.hold(from, answer);
+        let answer = self.new_message(Some(message.sender), answer);
+        if claimed_index > self.outbox.durable_index() {
+            self.send_after_writes(from, answer);
         } else {
-            self.hold_term(from, answer);
+            self.send_after_hard_state(from, answer);
         }
     }
 
     /// Notes that the leader of a term is there.
-    fn hear(&mut self, from: &Instance, term: u64) {
-        self.follow(term, Some(from.clone()));
-        self.heard = Some(self.now);
-        self.rest();
+    fn record_leader(&mut self, from: &Instance, term: u64) {
+        self.become_follower(term, Some(from.clone()));
+        self.leader_heard_at = Some(self.now);
+        self.reset_election_timer();
     }
 
     /// Adds entries that follow the log, and returns the answer.
-    fn append_from(
+    fn append_from_leader(
         &mut self,
         previous: Position,
         entries: Vec<Entry>,
         commit: u64,
         round: u64,
     ) -> Option<Body> {
-        let known = previous.index < self.log.base().index
+        let is_known = previous.index < self.log.base().index
             || self.log.term(previous.index) == Some(previous.term);
-        if !known {
-            let hint = self.log.meet(previous);
+        if !is_known {
+            let hint = self.log.last_possible_match(previous);
             return Some(Body::AppendConflict { previous_index: previous.index, hint, round });
         }
-        let mut matched = previous.index + entries.len() as u64;
+        let mut match_index = previous.index + entries.len() as u64;
         let heartbeat = entries.is_empty();
-        self.merge(entries)?;
-        self.commit = self.commit.max(commit.min(matched));
+        self.merge_entries(entries)?;
+        self.commit_index = self.commit_index.max(commit.min(match_index));
         if heartbeat {
             // What is not durable yet is answered with the append that brought it.
-            matched = matched.min(self.outbox.index());
+            match_index = match_index.min(self.outbox.durable_index());
         }
-        Some(Body::AppendResponse { match_index: matched, round })
+        Some(Body::AppendResponse { match_index, round })
     }
 
     /// Adds the entries that are not there yet, in place of those that differ.
     ///
     /// Returns none, and changes nothing, when a committed entry would have to go: no leader of
     /// this group can ask for that, so the message is broken.
-    fn merge(&mut self, mut entries: Vec<Entry>) -> Option<()> {
+    fn merge_entries(&mut self, mut entries: Vec<Entry>) -> Option<()> {
         let base = self.log.base().index;
-        let held = |entry: &Entry| {
+        let is_held = |entry: &Entry| {
             let Position { term, index } = entry.position;
             index <= base || self.log.term(index) == Some(term)
         };
-        let there = entries.iter().take_while(|entry| held(entry)).count();
-        let fresh = entries.split_off(there);
-        let Some(first) = fresh.first().map(|entry| entry.position.index) else { return Some(()) };
-        if first <= self.commit {
+        let known_count = entries.iter().take_while(|entry| is_held(entry)).count();
+        let new_entries = entries.split_off(known_count);
+        let Some(first) = new_entries.first().map(|entry| entry.position.index) else {
+            return Some(());
+        };
+        if first <= self.commit_index {
             return None;
         }
         if first <= self.log.last().index {
-            self.save();
+            self.save_hard_state();
             self.log.truncate(first);
-            self.outbox.store(Write::Truncate { from: first }, &mut self.out);
+            self.outbox.write(Write::Truncate { from: first }, &mut self.outputs);
         }
-        self.append(fresh);
+        self.append_entries(new_entries);
         Some(())
     }
 }
 
 /// Tells whether entries follow a position without a gap, in terms that never fall.
-fn is_chain(previous: Position, entries: &[Entry], term: u64) -> bool {
+fn is_contiguous(previous: Position, entries: &[Entry], term: u64) -> bool {
     let mut last = previous;
     for entry in entries {
         let Position { term, index } = entry.position;
--- a/crates/verbenaslip-replica/src/founding.rs
+++ b/crates/verbenaslip-replica/src/founding.rs
@@ -16,24 +16,24 @@
 use crate::voter::{Group, Identity, Voter};
 
 /// Time between two questions to the other founders.
-const INTERVAL: Duration = Duration::from_secs(1);
+const QUERY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Holds which founders have said that their folder is new.
 #[derive(Debug)]
 pub(crate) struct Founding {
-    ask: Duration,
-    fresh: BTreeMap<Instance, Identity>,
+    next_query: Duration,
+    new_founders: BTreeMap<Instance, Identity>,
 }
 
 impl Founding {
     /// Starts with the first question due at once.
     pub(crate) fn new(now: Duration) -> Self {
-        Self { ask: now, fresh: BTreeMap::new() }
+        Self { next_query: now, new_founders: BTreeMap::new() }
     }
 
     /// Returns when the next question is due.
-    pub(crate) fn wake(&self) -> Duration {
-        self.ask
+    pub(crate) fn next_tick(&self) -> Duration {
+        self.next_query
     }
 }
 
@@ -44,66 +44,67 @@
     /// group would stand beside the first, and edits would be gone. So all founders must be new, and
     /// must say so to this very folder; a folder that is in a group never says it.
     pub(crate) fn tick_founding(&mut self) {
-        if self.now < self.founding.ask {
+        if self.now < self.founding.next_query {
             return;
         }
-        self.founding.ask = self.now + INTERVAL;
-        if !self.is_founder() {
+        self.founding.next_query = self.now + QUERY_INTERVAL;
+        if !self.is_group_founder() {
             return;
         }
-        self.founding.fresh.clear();
+        self.founding.new_founders.clear();
         for instance in self.setup.founders.clone() {
             if instance != self.setup.instance {
-                let message = self.message(None, Body::FoundingQuery);
+                let message = self.new_message(None, Body::FoundingQuery);
                 self.send(&instance, message);
             }
         }
-        self.found();
+        self.form_group();
     }
 
     /// Answers the question whether this folder is new.
-    pub(crate) fn asked_to_found(&mut self, from: &Instance, sender: Identity) {
+    pub(crate) fn handle_founding_query(&mut self, from: &Instance, sender: Identity) {
         if self.is_new() && self.setup.founders.contains(from) {
-            let answer = self.message(Some(sender), Body::FoundingResponse);
+            let answer = self.new_message(Some(sender), Body::FoundingResponse);
             self.send(from, answer);
         }
     }
 
     /// Takes the news that another founder's folder is new.
-    pub(crate) fn told_fresh(&mut self, from: &Instance, sender: Identity) {
-        if self.is_founder() && self.setup.founders.contains(from) {
-            self.founding.fresh.insert(from.clone(), sender);
-            self.found();
+    pub(crate) fn handle_founding_response(&mut self, from: &Instance, sender: Identity) {
+        if self.is_group_founder() && self.setup.founders.contains(from) {
+            self.founding.new_founders.insert(from.clone(), sender);
+            self.form_group();
         }
     }
 
     /// Forms the group once all founders are known to be new.
-    fn found(&mut self) {
-        let fresh = &self.founding.fresh;
+    fn form_group(&mut self) {
+        let new_founders = &self.founding.new_founders;
         let voter = |instance: &Instance| {
-            let own = *instance == self.setup.instance;
-            let identity = if own { Some(self.identity) } else { fresh.get(instance).copied() };
+            let is_own = *instance == self.setup.instance;
+            let identity =
+                if is_own { Some(self.identity) } else { new_founders.get(instance).copied() };
             identity.map(|identity| Voter { instance: instance.clone(), identity })
         };
         let Some(voters) = self.setup.founders.iter().map(voter).collect::<Option<Vec<_>>>() else {
             return;
         };
-        self.hard.group = Some(Group(self.identity.0));
-        self.hard.term = 1;
-        self.hard.voted = Some(self.identity);
-        self.unsaved = true;
-        let payload = Payload::Config(Config::of(voters));
-        self.append(vec![Entry { position: Position { term: 1, index: 1 }, payload }]);
-        self.election = self.now;
+        self.hard_state.group = Some(Group(self.identity.0));
+        self.hard_state.term = 1;
+        self.hard_state.voted = Some(self.identity);
+        self.hard_state_changed = true;
+        let payload = Payload::Config(Config::new(voters));
+        self.append_entries(vec![Entry { position: Position { term: 1, index: 1 }, payload }]);
+        self.election_due_at = self.now;
     }
 
     /// Tells whether it falls to this replica to form the group.
-    fn is_founder(&self) -> bool {
+    fn is_group_founder(&self) -> bool {
         self.is_new() && self.setup.founders.iter().min() == Some(&self.setup.instance)
     }
 
     /// Tells whether this folder has never been in a group.
     fn is_new(&self) -> bool {
-        self.hard.group.is_none() && self.hard.term == 0 && self.log.last().index == 0
+        self.hard_state.group.is_none() && self.hard_state.term == 0 && self.log.last().index == 0
     }
 }
--- a/crates/verbenaslip-replica/src/input.rs
+++ b/crates/verbenaslip-replica/src/input.rs
@@ -29,7 +29,7 @@
     },
     /// Asks up to which index the state must be applied so that a read misses nothing committed
     /// before this call; answered once, with the token.
-    Confirm {
+    ReadIndex {
         /// Chosen by the reader, unique among its open confirmations.
         token: u64,
     },
--- a/crates/verbenaslip-replica/src/leader.rs
+++ b/crates/verbenaslip-replica/src/leader.rs
@@ -6,7 +6,7 @@
 
 use verbenaslip_base::name::Instance;
 
-use crate::change::Changing;
+use crate::change::PendingChange;
 use crate::entry::{Entry, Payload, Position};
 use crate::output::{Answer, Output, Rejection};
 use crate::peer::Peer;
@@ -18,169 +18,173 @@
 
 /// Holds what a leader keeps for one term.
 #[derive(Debug)]
-pub(crate) struct Leading {
+pub(crate) struct LeaderState {
     /// The followers, and voters that catch up.
     pub(crate) peers: BTreeMap<Identity, Peer>,
     /// The index of the first entry of the term.
-    pub(crate) start: u64,
+    pub(crate) first_index: u64,
     /// When it was elected.
-    pub(crate) since: Duration,
+    pub(crate) elected_at: Duration,
     /// The rounds of the term.
     pub(crate) rounds: Rounds,
     /// When the next heartbeats are due.
-    pub(crate) beat: Duration,
+    pub(crate) next_heartbeat: Duration,
     /// Whether a message must go to every follower in this step.
-    pub(crate) beating: bool,
+    pub(crate) heartbeat_due: bool,
     /// Proposals that wait for a quorum, by index.
-    pub(crate) proposals: BTreeMap<u64, Proposal>,
+    pub(crate) proposals: BTreeMap<u64, PendingProposal>,
     /// The bytes of these proposals.
-    pub(crate) waiting: usize,
+    pub(crate) pending_bytes: usize,
     /// Confirmations that wait for a round.
-    pub(crate) confirms: Vec<Confirm>,
+    pub(crate) pending_reads: Vec<PendingRead>,
     /// The change of the voter set that was asked for in this term.
-    pub(crate) change: Option<Changing>,
+    pub(crate) voter_change: Option<PendingChange>,
     /// The handing over of leadership.
     pub(crate) transfer: Option<Transfer>,
     /// Whether a lease may be held; not again in this term once an election was asked for.
-    pub(crate) lease: bool,
+    pub(crate) may_hold_lease: bool,
     /// Whether a lease was held in this term.
-    pub(crate) ready: bool,
+    pub(crate) had_lease: bool,
     /// The other folders seen at voters' instances.
-    pub(crate) strangers: BTreeMap<Instance, Identity>,
+    pub(crate) changed_identities: BTreeMap<Instance, Identity>,
 }
 
 /// Holds one proposal that waits.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Proposal {
+pub(crate) struct PendingProposal {
     pub(crate) token: u64,
     pub(crate) size: usize,
 }
 
 /// Holds one confirmation that waits.
 #[derive(Debug)]
-pub(crate) struct Confirm {
+pub(crate) struct PendingRead {
     token: u64,
     /// The first round that began after the question.
     round: u64,
 }
 
-impl Leading {
+impl LeaderState {
     /// Starts a term of leadership.
     pub(crate) fn new(now: Duration, start: u64, others: Vec<Voter>) -> Self {
         let peer = |voter: Voter| (voter.identity, Peer::new(voter, start));
         Self {
             peers: others.into_iter().map(peer).collect(),
-            start,
-            since: now,
+            first_index: start,
+            elected_at: now,
             rounds: Rounds::default(),
-            beat: now,
-            beating: false,
+            next_heartbeat: now,
+            heartbeat_due: false,
             proposals: BTreeMap::new(),
-            waiting: 0,
-            confirms: Vec::new(),
-            change: None,
+            pending_bytes: 0,
+            pending_reads: Vec::new(),
+            voter_change: None,
             transfer: None,
-            lease: true,
-            ready: false,
-            strangers: BTreeMap::new(),
+            may_hold_lease: true,
+            had_lease: false,
+            changed_identities: BTreeMap::new(),
         }
     }
 
     /// Returns when the next timer is due.
-    pub(crate) fn wake(&self, timing: &Timing) -> Duration {
-        let change = self.change.as_ref().map(Changing::until);
-        let transfer = self.transfer.as_ref().map(Transfer::until);
-        let deserted = Some(self.deserted(timing));
-        [change, transfer, deserted].into_iter().flatten().fold(self.beat, Duration::min)
+    pub(crate) fn next_tick(&self, timing: &Timing) -> Duration {
+        let change = self.voter_change.as_ref().map(PendingChange::deadline);
+        let transfer = self.transfer.as_ref().map(Transfer::deadline);
+        let quorum_deadline = Some(self.quorum_deadline(timing));
+        [change, transfer, quorum_deadline]
+            .into_iter()
+            .flatten()
+            .fold(self.next_heartbeat, Duration::min)
     }
 
     /// Tells whether a confirmation waits for a round that has not begun, and none is under way.
-    pub(crate) fn is_round_asked_for(&self) -> bool {
-        let newest = self.confirms.iter().map(|confirm| confirm.round).max().unwrap_or(0);
-        newest > self.rounds.number() && !self.rounds.is_open()
+    pub(crate) fn needs_round(&self) -> bool {
+        let newest_round = self.pending_reads.iter().map(|read| read.round).max().unwrap_or(0);
+        newest_round > self.rounds.number() && !self.rounds.is_open()
     }
 
     /// Returns when this leader steps down unless a quorum answers.
-    fn deserted(&self, timing: &Timing) -> Duration {
-        let heard = self.rounds.confirmed().map_or(self.since, |round| round.began);
-        heard + timing.election_timeout * 2
+    fn quorum_deadline(&self, timing: &Timing) -> Duration {
+        let last_confirmed_at =
+            self.rounds.confirmed().map_or(self.elected_at, |round| round.started_at);
+        last_confirmed_at + timing.election_timeout * 2
     }
 }
 
 impl Replica {
     /// Takes a proposal.
     pub(crate) fn propose(&mut self, token: u64, command: Arc<[u8]>) {
-        if let Err(rejection) = self.takes(command.len()) {
-            self.out.push(Output::Answer { token, answer: Answer::Rejected(rejection) });
+        if let Err(rejection) = self.check_proposal(command.len()) {
+            self.outputs.push(Output::Answer { token, answer: Answer::Rejected(rejection) });
             return;
         }
         let size = command.len();
-        let index = self.append_own(Payload::Command(command));
-        let State::Leader(leading) = &mut self.state else { return };
-        leading.waiting += size;
-        leading.proposals.insert(index, Proposal { token, size });
+        let index = self.append_payload(Payload::Command(command));
+        let State::Leader(leader_state) = &mut self.state else { return };
+        leader_state.pending_bytes += size;
+        leader_state.proposals.insert(index, PendingProposal { token, size });
     }
 
     /// Takes the question whether this is still the leader.
-    pub(crate) fn confirm(&mut self, token: u64) {
-        let State::Leader(leading) = &mut self.state else {
-            self.out.push(Output::ReadRejected { token, leader: self.leader.clone() });
+    pub(crate) fn read_index(&mut self, token: u64) {
+        let State::Leader(leader_state) = &mut self.state else {
+            self.outputs.push(Output::ReadRejected { token, leader: self.leader.clone() });
             return;
         };
-        let round = leading.rounds.number() + 1;
-        leading.confirms.push(Confirm { token, round });
+        let round = leader_state.rounds.number() + 1;
+        leader_state.pending_reads.push(PendingRead { token, round });
     }
 
     /// Appends the first entry of a term.
     pub(crate) fn append_empty(&mut self) {
-        self.append_own(Payload::Empty);
+        self.append_payload(Payload::Empty);
     }
 
     /// Appends an entry of the own term and returns its index.
-    pub(crate) fn append_own(&mut self, payload: Payload) -> u64 {
-        let position = Position { term: self.hard.term, index: self.log.last().index + 1 };
-        self.append(vec![Entry { position, payload }]);
+    pub(crate) fn append_payload(&mut self, payload: Payload) -> u64 {
+        let position = Position { term: self.hard_state.term, index: self.log.last().index + 1 };
+        self.append_entries(vec![Entry { position, payload }]);
         position.index
     }
 
     /// Runs a leader's timers.
     pub(crate) fn tick_leader(&mut self) {
-        let State::Leader(leading) = &mut self.state else { return };
+        let State::Leader(leader_state) = &mut self.state else { return };
         // A leader that is cut off would keep its callers waiting while others elect a new one.
-        if self.now >= leading.deserted(&self.setup.timing) {
-            self.follow(self.hard.term, None);
+        if self.now >= leader_state.quorum_deadline(&self.setup.timing) {
+            self.become_follower(self.hard_state.term, None);
             return;
         }
-        if self.now >= leading.beat {
-            leading.beat = self.now + self.setup.timing.heartbeat_interval;
-            leading.beating = true;
+        if self.now >= leader_state.next_heartbeat {
+            leader_state.next_heartbeat = self.now + self.setup.timing.heartbeat_interval;
+            leader_state.heartbeat_due = true;
         }
         self.tick_change();
         self.tick_transfer();
     }
 
     /// Takes what a quorum has acknowledged: rounds and entries.
-    pub(crate) fn acknowledge(&mut self) {
-        let State::Leader(leading) = &mut self.state else { return };
-        let (own, config) = (self.identity, self.log.config());
-        let newest = leading.rounds.number();
-        let round = config.quorum(|identity| match leading.peers.get(&identity) {
-            Some(peer) => peer.round,
+    pub(crate) fn count_acknowledgements(&mut self) {
+        let State::Leader(leader_state) = &mut self.state else { return };
+        let (own_identity, config) = (self.identity, self.log.config());
+        let newest_round = leader_state.rounds.number();
+        let round = config.quorum_value(|identity| match leader_state.peers.get(&identity) {
+            Some(peer) => peer.acknowledged_round,
             None => {
-                if identity == own {
-                    newest
+                if identity == own_identity {
+                    newest_round
                 } else {
                     0
                 }
             }
         });
-        leading.rounds.acknowledge(round);
-        let stored = self.outbox.index();
-        let matched = config.quorum(|identity| match leading.peers.get(&identity) {
-            Some(peer) => peer.matched,
+        leader_state.rounds.acknowledge(round);
+        let own_match_index = self.outbox.durable_index();
+        let match_index = config.quorum_value(|identity| match leader_state.peers.get(&identity) {
+            Some(peer) => peer.match_index,
             None => {
-                if identity == own {
-                    stored
+                if identity == own_identity {
+                    own_match_index
                 } else {
                     0
                 }
@@ -188,8 +192,10 @@
         });
         // An entry of an older term may be on a quorum and still be replaced by a leader that has a
         // newer one; only an entry of the own term commits it for good.
-        if matched > self.commit && self.log.term(matched) == Some(self.hard.term) {
-            self.commit = matched;
+        if match_index > self.commit_index
+            && self.log.term(match_index) == Some(self.hard_state.term)
+        {
+            self.commit_index = match_index;
         }
     }
 
@@ -197,61 +203,61 @@
     ///
     /// An answer that comes late may confirm a first round that is older than a lease, when others
     /// already have a newer leader; only a valid lease shows that this one's state is current.
-    pub(crate) fn note_ready(&mut self) {
-        let leased = self.lease_until(self.now).is_some();
-        let State::Leader(leading) = &mut self.state else { return };
-        leading.ready |= leased;
+    pub(crate) fn record_lease(&mut self) {
+        let has_lease = self.lease_until(self.now).is_some();
+        let State::Leader(leader_state) = &mut self.state else { return };
+        leader_state.had_lease |= has_lease;
     }
 
     /// Answers the confirmations whose round, or the lease, allows it.
-    pub(crate) fn answer_confirms(&mut self) {
-        let leased = self.lease_until(self.now).is_some();
-        let State::Leader(leading) = &mut self.state else { return };
-        if leading.confirms.is_empty() || self.commit < leading.start {
+    pub(crate) fn answer_reads(&mut self) {
+        let has_lease = self.lease_until(self.now).is_some();
+        let State::Leader(leader_state) = &mut self.state else { return };
+        if leader_state.pending_reads.is_empty() || self.commit_index < leader_state.first_index {
             return;
         }
-        let confirmed = leading.rounds.confirmed().map_or(0, |round| round.number);
-        let index = self.commit;
-        let out = &mut self.out;
-        leading.confirms.retain(|confirm| {
-            let waits = !leased && confirm.round > confirmed;
-            if !waits {
-                out.push(Output::ReadIndex { token: confirm.token, index });
+        let confirmed = leader_state.rounds.confirmed().map_or(0, |round| round.number);
+        let index = self.commit_index;
+        let outputs = &mut self.outputs;
+        leader_state.pending_reads.retain(|read| {
+            let is_waiting = !has_lease && read.round > confirmed;
+            if !is_waiting {
+                outputs.push(Output::ReadIndex { token: read.token, index });
             }
-            waits
+            is_waiting
         });
     }
 
     /// Ends a leadership: whoever waits is answered.
-    pub(crate) fn resign(&mut self, leading: Leading) {
-        self.rest();
-        for Proposal { token, .. } in leading.proposals.into_values() {
-            self.out.push(Output::Answer { token, answer: Answer::Unknown });
+    pub(crate) fn end_leadership(&mut self, leader_state: LeaderState) {
+        self.reset_election_timer();
+        for PendingProposal { token, .. } in leader_state.proposals.into_values() {
+            self.outputs.push(Output::Answer { token, answer: Answer::Unknown });
         }
-        for confirm in leading.confirms {
+        for read in leader_state.pending_reads {
             let leader = self.leader.clone();
-            self.out.push(Output::ReadRejected { token: confirm.token, leader });
+            self.outputs.push(Output::ReadRejected { token: read.token, leader });
         }
-        let Some(change) = leading.change else { return };
+        let Some(change) = leader_state.voter_change else { return };
         let rejection = Rejection::NotLeader { leader: self.leader.clone() };
-        self.out.push(change.abandoned(rejection));
+        self.outputs.push(change.abort_answer(rejection));
     }
 
     /// Says why a proposal can't be taken.
-    fn takes(&self, size: usize) -> Result<(), Rejection> {
-        let State::Leader(leading) = &self.state else {
+    fn check_proposal(&self, size: usize) -> Result<(), Rejection> {
+        let State::Leader(leader_state) = &self.state else {
             return Err(Rejection::NotLeader { leader: self.leader.clone() });
         };
-        if leading.transfer.is_some() {
+        if leader_state.transfer.is_some() {
             return Err(Rejection::TransferInProgress);
         }
         let limit = self.setup.limits.max_command_bytes;
         if size > limit {
             return Err(Rejection::TooLarge { size: size as u64, limit: limit as u64 });
         }
-        let pending = leading.proposals.len();
-        let full = leading.waiting + size > self.setup.limits.max_pending_bytes;
-        if pending >= self.setup.limits.pending || (full && pending > 0) {
+        let pending = leader_state.proposals.len();
+        let exceeds_bytes = leader_state.pending_bytes + size > self.setup.limits.max_pending_bytes;
+        if pending >= self.setup.limits.max_pending_proposals || (exceeds_bytes && pending > 0) {
             return Err(Rejection::Busy { pending: pending as u64 });
         }
         Ok(())
--- a/crates/verbenaslip-replica/src/log.rs
+++ b/crates/verbenaslip-replica/src/log.rs
@@ -13,12 +13,12 @@
     base: Position,
     entries: VecDeque<Entry>,
     /// The set in force at the base, then one for each configuration entry; never empty.
-    configs: Vec<Placed>,
+    configs: Vec<IndexedConfig>,
 }
 
 /// Holds a voter set and the index from which it is in force.
 #[derive(Debug)]
-struct Placed {
+struct IndexedConfig {
     index: u64,
     config: Config,
 }
@@ -26,7 +26,7 @@
 impl Log {
     /// Starts after a base with the set in force there.
     pub(crate) fn new(base: Position, config: Config) -> Self {
-        let configs = vec![Placed { index: base.index, config }];
+        let configs = vec![IndexedConfig { index: base.index, config }];
         Self { base, entries: VecDeque::new(), configs }
     }
 
@@ -58,7 +58,8 @@
     pub(crate) fn push(&mut self, entry: Entry) {
         debug_assert_eq!(entry.position.index, self.last().index + 1);
         if let Payload::Config(config) = &entry.payload {
-            self.configs.push(Placed { index: entry.position.index, config: config.clone() });
+            self.configs
+                .push(IndexedConfig { index: entry.position.index, config: config.clone() });
         }
         self.entries.push_back(entry);
     }
@@ -68,7 +69,7 @@
         let keep = from.saturating_sub(self.base.index).saturating_sub(1);
         self.entries.truncate(usize::try_from(keep).unwrap_or(usize::MAX));
         let base = self.base.index;
-        self.configs.retain(|placed| placed.index <= base || placed.index < from);
+        self.configs.retain(|indexed| indexed.index <= base || indexed.index < from);
     }
 
     /// Drops the entries up to an index, which becomes the base.
@@ -78,17 +79,17 @@
         self.entries.drain(..drop.min(self.entries.len()));
         self.base = Position { term, index: through };
         // The newest set at or before the base stays: it is the one in force there.
-        let newest = self.configs.iter().rposition(|placed| placed.index <= through).unwrap_or(0);
+        let newest = self.configs.iter().rposition(|indexed| indexed.index <= through).unwrap_or(0);
         self.configs.drain(..newest);
     }
 
     /// Returns the index before the tail that ends at an index and has at most so many entries and
     /// bytes.
-    pub(crate) fn before_tail(&self, end: u64, entries: u64, bytes: usize) -> u64 {
-        let least = end.saturating_sub(entries).max(self.base.index);
+    pub(crate) fn base_for_retention(&self, end: u64, entries: u64, bytes: usize) -> u64 {
+        let lowest = end.saturating_sub(entries).max(self.base.index);
         let mut index = end;
         let mut size = 0;
-        while index > least {
+        while index > lowest {
             size += self.entry(index).map_or(0, Entry::size);
             if size > bytes {
                 break;
@@ -100,28 +101,28 @@
 
     /// Returns the voter set in force, committed or not.
     pub(crate) fn config(&self) -> &Config {
-        &self.placed().config
+        &self.newest_config().config
     }
 
     /// Tells whether an identity is in the voter set that was in force at an index, or in a later one.
-    pub(crate) fn may_count(&self, identity: Identity, index: u64) -> bool {
-        let in_force = self.configs.iter().rposition(|placed| placed.index <= index).unwrap_or(0);
-        self.configs[in_force..].iter().any(|placed| placed.config.contains(identity))
+    pub(crate) fn is_voter_since(&self, identity: Identity, index: u64) -> bool {
+        let in_force = self.configs.iter().rposition(|indexed| indexed.index <= index).unwrap_or(0);
+        self.configs[in_force..].iter().any(|indexed| indexed.config.contains(identity))
     }
 
     /// Returns the index from which the voter set is in force.
     pub(crate) fn config_index(&self) -> u64 {
-        self.placed().index
+        self.newest_config().index
     }
 
     /// Returns the voter set in force at an index.
     pub(crate) fn config_at(&self, index: u64) -> Option<&Config> {
-        self.configs.iter().rfind(|placed| placed.index <= index).map(|placed| &placed.config)
+        self.configs.iter().rfind(|indexed| indexed.index <= index).map(|indexed| &indexed.config)
     }
 
     /// Returns the greatest position that can be equal to a log whose entry at the given index, or
     /// the one before it, is of the given term: terms never fall along a log.
-    pub(crate) fn meet(&self, hint: Position) -> Position {
+    pub(crate) fn last_possible_match(&self, hint: Position) -> Position {
         let mut index = hint.index.min(self.last().index);
         while self.term(index).is_some_and(|term| term > hint.term) {
             index -= 1;
@@ -130,7 +131,7 @@
     }
 
     /// Returns entries from an index on, at least one if there is one, then as many as fit.
-    pub(crate) fn slice(&self, from: u64, bytes: usize) -> Vec<Entry> {
+    pub(crate) fn entries_from(&self, from: u64, bytes: usize) -> Vec<Entry> {
         let mut entries: Vec<Entry> = Vec::new();
         let mut size = 0;
         let mut index = from;
@@ -146,7 +147,7 @@
     }
 
     /// Returns the newest set with its index.
-    fn placed(&self) -> &Placed {
+    fn newest_config(&self) -> &IndexedConfig {
         // The list begins with the base's set, which neither truncating nor compacting removes.
         &self.configs[self.configs.len() - 1]
     }
--- a/crates/verbenaslip-replica/src/outbox.rs
+++ b/crates/verbenaslip-replica/src/outbox.rs
@@ -6,7 +6,7 @@
 use crate::storage::Write;
 
 /// The most messages that wait for the disk; the oldest go first, as if the network had lost them.
-const HELD: usize = 1024;
+const MAX_HELD_OUTPUTS: usize = 1024;
 
 /// Numbers the writes and keeps what waits for them.
 ///
@@ -15,121 +15,124 @@
 /// notice it as two leaders or as a lost edit. Nothing leaves here before the mark is stored.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
-    issued: u64,
-    stored: u64,
+    last_sequence: u64,
+    durable_sequence: u64,
     /// The mark of the last write of the term.
-    hard: u64,
-    held: VecDeque<Held>,
+    hard_state_sequence: u64,
+    held: VecDeque<HeldOutput>,
     /// Marks of appends that are not durable yet, each with the last index it makes durable.
-    appends: VecDeque<Pending>,
+    pending_appends: VecDeque<PendingAppend>,
     /// The last index that is durable.
-    index: u64,
+    durable_index: u64,
 }
 
 /// Holds an output and the mark it waits for.
 #[derive(Debug)]
-struct Held {
-    mark: u64,
+struct HeldOutput {
+    sequence: u64,
     output: Output,
 }
 
 /// Holds an append that is not durable yet.
 #[derive(Debug)]
-struct Pending {
-    mark: u64,
+struct PendingAppend {
+    sequence: u64,
     index: u64,
 }
 
 impl Outbox {
     /// Starts with a log that is durable up to an index.
     pub(crate) fn new(index: u64) -> Self {
-        Self { index, ..Self::default() }
+        Self { durable_index: index, ..Self::default() }
     }
 
     /// Returns the mark of the last write.
-    pub(crate) fn issued(&self) -> u64 {
-        self.issued
+    pub(crate) fn last_sequence(&self) -> u64 {
+        self.last_sequence
     }
 
     /// Tells whether the writes up to a mark are durable.
-    pub(crate) fn is_stored(&self, mark: u64) -> bool {
-        mark <= self.stored
+    pub(crate) fn is_durable(&self, sequence: u64) -> bool {
+        sequence <= self.durable_sequence
     }
 
     /// Returns the last index that is durable.
-    pub(crate) fn index(&self) -> u64 {
-        self.index
+    pub(crate) fn durable_index(&self) -> u64 {
+        self.durable_index
     }
 
     /// Numbers a write.
-    pub(crate) fn store(&mut self, write: Write, out: &mut Vec<Output>) {
-        self.issued += 1;
-        let mark = self.issued;
+    pub(crate) fn write(&mut self, write: Write, outputs: &mut Vec<Output>) {
+        self.last_sequence += 1;
+        let sequence = self.last_sequence;
         match &write {
             Write::Append(entries) => {
                 if let Some(entry) = entries.last() {
-                    self.appends.push_back(Pending { mark, index: entry.position.index });
+                    self.pending_appends
+                        .push_back(PendingAppend { sequence, index: entry.position.index });
                 }
             }
-            Write::Truncate { from } => self.cut(from.saturating_sub(1)),
+            Write::Truncate { from } => self.truncate(from.saturating_sub(1)),
             Write::Install(snapshot) => {
-                self.cut(0);
-                self.appends.push_back(Pending { mark, index: snapshot.position.index });
+                self.truncate(0);
+                self.pending_appends
+                    .push_back(PendingAppend { sequence, index: snapshot.position.index });
             }
-            Write::HardState(_) => self.hard = mark,
+            Write::HardState(_) => self.hard_state_sequence = sequence,
             Write::Compact { .. } => {}
         }
-        out.push(Output::Store { sequence: mark, write });
+        outputs.push(Output::Store { sequence, write });
     }
 
     /// Sends an output that promises nothing but the term once that is durable.
     ///
     /// If answers to heartbeats waited for entries that they do not speak of, a disk that hangs for
     /// longer than a lease would end the lease, and all instances would refuse work for want of it.
-    pub(crate) fn hold_term(&mut self, output: Output, out: &mut Vec<Output>) {
-        if self.is_stored(self.hard) {
-            out.push(output);
+    pub(crate) fn send_after_hard_state(&mut self, output: Output, outputs: &mut Vec<Output>) {
+        if self.is_durable(self.hard_state_sequence) {
+            outputs.push(output);
             return;
         }
-        self.hold(output, out);
+        self.send_after_writes(output, outputs);
     }
 
     /// Sends an output once everything written so far is durable.
-    pub(crate) fn hold(&mut self, output: Output, out: &mut Vec<Output>) {
-        if self.is_stored(self.issued) {
-            out.push(output);
+    pub(crate) fn send_after_writes(&mut self, output: Output, outputs: &mut Vec<Output>) {
+        if self.is_durable(self.last_sequence) {
+            outputs.push(output);
             return;
         }
         // A disk that hangs would otherwise gather answers to heartbeats without end.
-        if self.held.len() == HELD {
+        if self.held.len() == MAX_HELD_OUTPUTS {
             self.held.pop_front();
         }
-        self.held.push_back(Held { mark: self.issued, output });
+        self.held.push_back(HeldOutput { sequence: self.last_sequence, output });
     }
 
     /// Forgets what is held back.
     ///
     /// An acknowledgement of an older term must not leave after the entries it is for were cut off
     /// in a newer one: the old leader would count a copy that is gone.
-    pub(crate) fn forget(&mut self) {
+    pub(crate) fn discard_held(&mut self) {
         self.held.clear();
     }
 
     /// Takes the news that writes are durable, and lets go what waited for them.
-    pub(crate) fn stored(&mut self, mark: u64, out: &mut Vec<Output>) {
-        self.stored = self.stored.max(mark.min(self.issued));
-        let free = self.held.partition_point(|held| held.mark <= self.stored);
-        out.extend(self.held.drain(..free).map(|held| held.output));
-        let durable = self.appends.partition_point(|append| append.mark <= self.stored);
-        for append in self.appends.drain(..durable) {
-            self.index = self.index.max(append.index);
+    pub(crate) fn mark_durable(&mut self, sequence: u64, outputs: &mut Vec<Output>) {
+        self.durable_sequence = self.durable_sequence.max(sequence.min(self.last_sequence));
+        let released = self.held.partition_point(|held| held.sequence <= self.durable_sequence);
+        outputs.extend(self.held.drain(..released).map(|held| held.output));
+        let durable =
+            self.pending_appends.partition_point(|append| append.sequence <= self.durable_sequence);
+        for append in self.pending_appends.drain(..durable) {
+            self.durable_index = self.durable_index.max(append.index);
         }
     }
 
     /// Counts no index after the given one as durable, now or when its mark comes.
-    fn cut(&mut self, last: u64) {
-        self.index = self.index.min(last);
-        for append in &mut self.appends {
+    fn truncate(&mut self, last: u64) {
+        self.durable_index = self.durable_index.min(last);
+        for append in &mut self.pending_appends {
             append.index = append.index.min(last);
         }
     }
--- a/crates/verbenaslip-replica/src/output.rs
+++ b/crates/verbenaslip-replica/src/output.rs
@@ -105,11 +105,11 @@
         pending: u64,
     },
     /// another change of the voter set is under way (ask again when it has ended)
-    Changing,
+    ChangeInProgress,
     /// the change does not fit the voter set: unknown voter, taken instance, or 1 to 7 voters passed
-    Unfit,
+    InvalidChange,
     /// the new voter did not catch up, or no quorum of the new set answered (check that its voters run and can be reached)
-    Behind,
+    CatchUpFailed,
 }
 
 /// Says what a replica is.
--- a/crates/verbenaslip-replica/src/peer.rs
+++ b/crates/verbenaslip-replica/src/peer.rs
@@ -13,43 +13,50 @@
     /// Who it is.
     pub(crate) voter: Voter,
     /// The last index known to be equal and stored there.
-    pub(crate) matched: u64,
+    pub(crate) match_index: u64,
     /// The next index to send.
-    pub(crate) next: u64,
+    pub(crate) next_index: u64,
     /// The last round that it acknowledged.
-    pub(crate) round: u64,
+    pub(crate) acknowledged_round: u64,
     /// When it last answered.
-    pub(crate) heard: Option<Duration>,
+    pub(crate) last_heard: Option<Duration>,
     /// How entries go to it.
-    pub(crate) flow: Flow,
+    pub(crate) mode: ReplicationMode,
 }
 
 impl Peer {
     /// Starts with a follower of unknown state, probed at the end of the log.
     pub(crate) fn new(voter: Voter, next: u64) -> Self {
-        let flow = Flow::Probe { waiting: false };
-        Self { voter, matched: 0, next, round: 0, heard: None, flow }
+        let flow = ReplicationMode::Probe { waiting: false };
+        Self {
+            voter,
+            match_index: 0,
+            next_index: next,
+            acknowledged_round: 0,
+            last_heard: None,
+            mode: flow,
+        }
     }
 
     /// Takes an acknowledgement of entries up to an index.
-    pub(crate) fn matches(&mut self, matched: u64) {
-        self.matched = self.matched.max(matched);
-        self.next = self.next.max(self.matched + 1);
-        if let Flow::Stream { flight } = &mut self.flow {
+    pub(crate) fn record_match(&mut self, matched: u64) {
+        self.match_index = self.match_index.max(matched);
+        self.next_index = self.next_index.max(self.match_index + 1);
+        if let ReplicationMode::Stream { in_flight: flight } = &mut self.mode {
             flight.retain(|last| *last > matched);
         }
     }
 
     /// Falls back to probing from an index.
-    pub(crate) fn probe(&mut self, next: u64) {
-        self.next = next.max(self.matched + 1);
-        self.flow = Flow::Probe { waiting: false };
+    pub(crate) fn start_probe(&mut self, next: u64) {
+        self.next_index = next.max(self.match_index + 1);
+        self.mode = ReplicationMode::Probe { waiting: false };
     }
 }
 
 /// Says how entries go to a follower.
 #[derive(Debug)]
-pub(crate) enum Flow {
+pub(crate) enum ReplicationMode {
     /// Looks for the place where the logs meet, one empty append at a time.
     Probe {
         /// Whether an answer is awaited.
@@ -58,7 +65,7 @@
     /// Sends entries without waiting for each answer.
     Stream {
         /// The last index of each append that is on the way.
-        flight: VecDeque<u64>,
+        in_flight: VecDeque<u64>,
     },
     /// Sends a snapshot, one chunk at a time.
     Snapshot {
@@ -67,6 +74,6 @@
         /// How much of it has arrived.
         offset: u64,
         /// When the last chunk was sent; none before the next one may go.
-        sent: Option<Duration>,
+        sent_at: Option<Duration>,
     },
 }
--- a/crates/verbenaslip-replica/src/replication.rs
+++ b/crates/verbenaslip-replica/src/replication.rs
@@ -4,149 +4,154 @@
 
 use crate::entry::{Entry, Position};
 use crate::message::{Body, Message};
-use crate::peer::{Flow, Peer};
+use crate::peer::{Peer, ReplicationMode};
 use crate::replica::{Replica, State};
 
 impl Replica {
     /// Sends to each follower what is due.
     pub(crate) fn replicate(&mut self) {
-        let State::Leader(leading) = &mut self.state else { return };
-        let asked = leading.is_round_asked_for();
-        let beat = std::mem::take(&mut leading.beating) || asked;
-        if beat {
-            leading.rounds.begin(self.now);
+        let State::Leader(leader_state) = &mut self.state else { return };
+        let needs_round = leader_state.needs_round();
+        let is_heartbeat = std::mem::take(&mut leader_state.heartbeat_due) || needs_round;
+        if is_heartbeat {
+            leader_state.rounds.begin(self.now);
         }
-        let round = leading.rounds.number();
-        let mut peers = std::mem::take(&mut leading.peers);
+        let round = leader_state.rounds.number();
+        let mut peers = std::mem::take(&mut leader_state.peers);
         for peer in peers.values_mut() {
-            self.feed(peer, round, beat);
+            self.replicate_to(peer, round, is_heartbeat);
         }
-        let State::Leader(leading) = &mut self.state else { return };
-        leading.peers = peers;
-        if beat && leading.peers.is_empty() {
+        let State::Leader(leader_state) = &mut self.state else { return };
+        leader_state.peers = peers;
+        if is_heartbeat && leader_state.peers.is_empty() {
             // A single voter is its own quorum.
-            leading.rounds.acknowledge(round);
+            leader_state.rounds.acknowledge(round);
         }
     }
 
     /// Takes a follower's answer.
-    pub(crate) fn answered(&mut self, message: &Message) {
-        if message.term > self.hard.term {
-            self.follow(message.term, None);
+    pub(crate) fn handle_replication_response(&mut self, message: &Message) {
+        if message.term > self.hard_state.term {
+            self.become_follower(message.term, None);
             return;
         }
-        let State::Leader(leading) = &mut self.state else { return };
-        let Some(peer) = leading.peers.get_mut(&message.sender) else { return };
-        if message.term < self.hard.term {
+        let State::Leader(leader_state) = &mut self.state else { return };
+        let Some(peer) = leader_state.peers.get_mut(&message.sender) else { return };
+        if message.term < self.hard_state.term {
             return;
         }
-        peer.heard = Some(self.now);
-        let newest = leading.rounds.number();
+        peer.last_heard = Some(self.now);
+        let newest_round = leader_state.rounds.number();
         let (Body::AppendResponse { round, .. }
         | Body::AppendConflict { round, .. }
         | Body::SnapshotChunkResponse { round, .. }) = &message.body
         else {
             return;
         };
-        peer.round = peer.round.max((*round).min(newest));
+        peer.acknowledged_round = peer.acknowledged_round.max((*round).min(newest_round));
         match message.body {
-            Body::AppendResponse { match_index: matched, .. }
-                if matched <= self.log.last().index =>
-            {
-                peer.matches(matched);
-                settle(peer, matched);
+            Body::AppendResponse { match_index, .. } if match_index <= self.log.last().index => {
+                peer.record_match(match_index);
+                start_stream_if_matched(peer, match_index);
             }
             Body::AppendConflict { previous_index: previous, hint, .. }
-                if is_current(peer, previous) =>
+                if is_current_conflict(peer, previous) =>
             {
-                let meet = self.log.meet(hint);
-                peer.probe(meet.index + 1);
+                let possible_match = self.log.last_possible_match(hint);
+                peer.start_probe(possible_match.index + 1);
             }
-            Body::SnapshotChunkResponse { position, received_bytes: received, .. } => {
-                advance(peer, position, received)
+            Body::SnapshotChunkResponse { position, received_bytes, .. } => {
+                record_received_bytes(peer, position, received_bytes)
             }
             _ => {}
         }
     }
 
     /// Sends one follower what is due.
-    fn feed(&mut self, peer: &mut Peer, round: u64, beat: bool) {
-        if !matches!(peer.flow, Flow::Snapshot { .. }) && self.log.term(peer.next - 1).is_none() {
+    fn replicate_to(&mut self, peer: &mut Peer, round: u64, is_heartbeat: bool) {
+        if !matches!(peer.mode, ReplicationMode::Snapshot { .. })
+            && self.log.term(peer.next_index - 1).is_none()
+        {
             self.begin_snapshot(peer);
         }
-        match &mut peer.flow {
-            Flow::Probe { waiting } => {
-                if !std::mem::replace(waiting, true) || beat {
+        match &mut peer.mode {
+            ReplicationMode::Probe { waiting } => {
+                if !std::mem::replace(waiting, true) || is_heartbeat {
                     self.send_append(peer, round, Vec::new());
                 }
             }
-            Flow::Stream { .. } => self.stream(peer, round, beat),
-            Flow::Snapshot { .. } => self.feed_snapshot(peer, round, beat),
+            ReplicationMode::Stream { .. } => self.stream_entries(peer, round, is_heartbeat),
+            ReplicationMode::Snapshot { .. } => self.send_snapshot(peer, round, is_heartbeat),
         }
     }
 
     /// Sends entries as far as the window allows, or a heartbeat when one is due.
-    fn stream(&mut self, peer: &mut Peer, round: u64, beat: bool) {
-        let size = self.setup.limits;
-        let mut due = beat;
+    fn stream_entries(&mut self, peer: &mut Peer, round: u64, is_heartbeat: bool) {
+        let limits = self.setup.limits;
+        let mut heartbeat_due = is_heartbeat;
         loop {
-            let Flow::Stream { flight } = &mut peer.flow else { return };
-            if flight.len() >= size.window {
+            let ReplicationMode::Stream { in_flight } = &mut peer.mode else { return };
+            if in_flight.len() >= limits.max_in_flight_appends {
                 break;
             }
-            let entries = self.log.slice(peer.next, size.message);
+            let entries = self.log.entries_from(peer.next_index, limits.max_message_bytes);
             let Some(last) = entries.last().map(|entry| entry.position.index) else { break };
-            flight.push_back(last);
+            in_flight.push_back(last);
             self.send_append(peer, round, entries);
-            peer.next = last + 1;
-            due = false;
+            peer.next_index = last + 1;
+            heartbeat_due = false;
         }
-        if due {
+        if heartbeat_due {
             self.send_append(peer, round, Vec::new());
         }
     }
 
     /// Sends entries that begin at the follower's next index.
     fn send_append(&mut self, peer: &Peer, round: u64, entries: Vec<Entry>) {
-        let index = peer.next - 1;
+        let index = peer.next_index - 1;
         let previous = Position { term: self.log.term(index).unwrap_or(0), index };
-        self.send_to(peer, Body::Append { previous, entries, commit_index: self.commit, round });
+        self.send_to(
+            peer,
+            Body::Append { previous, entries, commit_index: self.commit_index, round },
+        );
     }
 
     /// Sends a follower a message of the present term.
     pub(crate) fn send_to(&mut self, peer: &Peer, body: Body) {
-        let message = self.message(Some(peer.voter.identity), body);
+        let message = self.new_message(Some(peer.voter.identity), body);
         self.send(&peer.voter.instance, message);
     }
 }
 
 /// Goes over to streaming when the place where the logs meet is found.
-fn settle(peer: &mut Peer, matched: u64) {
-    let found = match &peer.flow {
-        Flow::Probe { .. } => matched + 1 == peer.next,
-        Flow::Snapshot { snapshot, .. } => matched >= snapshot.position.index,
-        Flow::Stream { .. } => false,
+fn start_stream_if_matched(peer: &mut Peer, match_index: u64) {
+    let is_matched = match &peer.mode {
+        ReplicationMode::Probe { .. } => match_index + 1 == peer.next_index,
+        ReplicationMode::Snapshot { snapshot, .. } => match_index >= snapshot.position.index,
+        ReplicationMode::Stream { .. } => false,
     };
-    if found {
-        peer.flow = Flow::Stream { flight: VecDeque::new() };
+    if is_matched {
+        peer.mode = ReplicationMode::Stream { in_flight: VecDeque::new() };
     }
 }
 
 /// Tells whether a divergence is about the last thing sent, not about something long settled.
-fn is_current(peer: &Peer, previous: u64) -> bool {
-    let sent = match &peer.flow {
-        Flow::Probe { .. } => previous == peer.next - 1,
-        Flow::Stream { .. } => previous < peer.next,
-        Flow::Snapshot { .. } => false,
+fn is_current_conflict(peer: &Peer, previous: u64) -> bool {
+    let is_last_sent = match &peer.mode {
+        ReplicationMode::Probe { .. } => previous == peer.next_index - 1,
+        ReplicationMode::Stream { .. } => previous < peer.next_index,
+        ReplicationMode::Snapshot { .. } => false,
     };
-    sent && previous > peer.matched
+    is_last_sent && previous > peer.match_index
 }
 
 /// Takes the news how much of a snapshot has arrived.
-fn advance(peer: &mut Peer, position: Position, received: u64) {
-    let Flow::Snapshot { snapshot, offset, sent } = &mut peer.flow else { return };
-    if snapshot.position == position && received <= snapshot.state.len() as u64 {
-        *offset = received;
-        *sent = None;
+fn record_received_bytes(peer: &mut Peer, position: Position, received_bytes: u64) {
+    let ReplicationMode::Snapshot { snapshot, offset, sent_at } = &mut peer.mode else {
+        return;
+    };
+    if snapshot.position == position && received_bytes <= snapshot.state.len() as u64 {
+        *offset = received_bytes;
+        *sent_at = None;
     }
 }
--- a/crates/verbenaslip-replica/src/rescue.rs
+++ b/crates/verbenaslip-replica/src/rescue.rs
@@ -14,12 +14,16 @@
 /// instance stopped, on the folder of all that are left whose [`Recovered::newest`] is greatest. The
 /// new group, whose identity is drawn by the caller, keeps voters of the old one out if they return;
 /// their folders must be moved away before they are added.
-pub fn alone(recovered: &Recovered, instance: impl Into<Instance>, group: Group) -> Vec<Write> {
+pub fn force_single_voter(
+    recovered: &Recovered,
+    instance: impl Into<Instance>,
+    group: Group,
+) -> Vec<Write> {
     let last = recovered.last_position();
     let voter = Voter { instance: instance.into(), identity: recovered.identity };
     let term = recovered.hard_state.term.max(last.term) + 1;
-    let hard = HardState { group: Some(group), term, voted: Some(recovered.identity) };
+    let hard_state = HardState { group: Some(group), term, voted: Some(recovered.identity) };
     let position = Position { term, index: last.index + 1 };
-    let payload = Payload::Config(Config::of(vec![voter]));
-    vec![Write::HardState(hard), Write::Append(vec![Entry { position, payload }])]
+    let payload = Payload::Config(Config::new(vec![voter]));
+    vec![Write::HardState(hard_state), Write::Append(vec![Entry { position, payload }])]
 }
--- a/crates/verbenaslip-replica/src/round.rs
+++ b/crates/verbenaslip-replica/src/round.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// The most rounds that wait for a quorum at once.
-const OPEN: usize = 64;
+const MAX_OPEN_ROUNDS: usize = 64;
 
 /// Holds one round.
 #[derive(Clone, Copy, Debug)]
@@ -12,7 +12,7 @@
     /// Its number.
     pub(crate) number: u64,
     /// When it began, before any of its messages was sent.
-    pub(crate) began: Duration,
+    pub(crate) started_at: Duration,
 }
 
 /// Keeps the rounds of one leader in one term.
@@ -42,10 +42,10 @@
     /// Begins a round.
     pub(crate) fn begin(&mut self, now: Duration) {
         self.number += 1;
-        if self.open.len() == OPEN {
+        if self.open.len() == MAX_OPEN_ROUNDS {
             self.open.pop_front();
         }
-        self.open.push_back(Round { number: self.number, began: now });
+        self.open.push_back(Round { number: self.number, started_at: now });
     }
 
     /// Takes the newest round that a quorum has acknowledged.
--- a/crates/verbenaslip-replica/src/setup.rs
+++ b/crates/verbenaslip-replica/src/setup.rs
@@ -6,7 +6,7 @@
 use verbenaslip_base::name::Instance;
 
 /// Thousandths in one.
-const MILLE: u32 = 1000;
+const PER_MILLE: u32 = 1000;
 
 /// Sets a replica up.
 #[data]
@@ -47,9 +47,9 @@
     pub election_timeout: Duration,
     /// How far the rate of a clock may be off, in thousandths. The clock must go on while the process
     /// is stopped; one that stands still while a machine is suspended lets a lease outlive its time.
-    pub drift: u32,
+    pub clock_drift_per_mille: u32,
     /// How long a new voter may take to catch up.
-    pub change: Duration,
+    pub catch_up_timeout: Duration,
 }
 
 impl Default for Timing {
@@ -57,8 +57,8 @@
         Self {
             heartbeat_interval: Duration::from_millis(250),
             election_timeout: Duration::from_secs(1),
-            drift: 20,
-            change: Duration::from_secs(60),
+            clock_drift_per_mille: 20,
+            catch_up_timeout: Duration::from_secs(60),
         }
     }
 }
@@ -68,9 +68,9 @@
     ///
     /// A leader's clock may be slow and a voter's fast; even then the lease ends before the voter
     /// gives its vote to somebody else.
-    pub fn lease(&self) -> Duration {
-        let drift = self.drift.min(MILLE - 1);
-        self.election_timeout * (MILLE - drift) / (MILLE + drift)
+    pub fn lease_duration(&self) -> Duration {
+        let drift = self.clock_drift_per_mille.min(PER_MILLE - 1);
+        self.election_timeout * (PER_MILLE - drift) / (PER_MILLE + drift)
     }
 }
 
@@ -80,38 +80,38 @@
     /// The largest command.
     pub max_command_bytes: usize,
     /// The most that one append or chunk carries.
-    pub message: usize,
+    pub max_message_bytes: usize,
     /// How many appends may be on the way to one voter.
-    pub window: usize,
+    pub max_in_flight_appends: usize,
     /// How many proposals may wait for a quorum,
-    pub pending: usize,
+    pub max_pending_proposals: usize,
     /// and how many bytes they may have together.
     pub max_pending_bytes: usize,
     /// A snapshot is asked for after this many entries,
-    pub entries: u64,
+    pub snapshot_after_entries: u64,
     /// or after this many bytes of entries.
-    pub bytes: usize,
+    pub snapshot_after_bytes: usize,
     /// Entries before a snapshot that are kept for followers that lag,
-    pub tail: u64,
+    pub retained_entries: u64,
     /// and the most bytes that they may have together.
-    pub tail_bytes: usize,
+    pub retained_bytes: usize,
     /// The largest snapshot.
-    pub snapshot: u64,
+    pub max_snapshot_bytes: u64,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
             max_command_bytes: 256 << 10,
-            message: 64 << 10,
-            window: 4,
-            pending: 16 << 10,
+            max_message_bytes: 64 << 10,
+            max_in_flight_appends: 4,
+            max_pending_proposals: 16 << 10,
             max_pending_bytes: 8 << 20,
-            entries: 8 << 10,
-            bytes: 8 << 20,
-            tail: 1 << 10,
-            tail_bytes: 2 << 20,
-            snapshot: 64 << 20,
+            snapshot_after_entries: 8 << 10,
+            snapshot_after_bytes: 8 << 20,
+            retained_entries: 1 << 10,
+            retained_bytes: 2 << 20,
+            max_snapshot_bytes: 64 << 20,
         }
     }
 }
--- a/crates/verbenaslip-replica/src/snapshot.rs
+++ b/crates/verbenaslip-replica/src/snapshot.rs
@@ -6,103 +6,109 @@
 use crate::log::Log;
 use crate::message::{Body, SnapshotHeader};
 use crate::output::Output;
-use crate::peer::{Flow, Peer};
+use crate::peer::{Peer, ReplicationMode};
 use crate::replica::Replica;
 use crate::storage::{Snapshot, Write};
 
 /// Heartbeats without an answer after which a chunk is sent again.
-const RESEND: u32 = 4;
+const RESEND_AFTER_HEARTBEATS: u32 = 4;
 
 /// Holds the part of a snapshot that has arrived.
 #[derive(Debug)]
-pub(crate) struct Receiving {
-    head: SnapshotHeader,
+pub(crate) struct IncomingSnapshot {
+    header: SnapshotHeader,
     bytes: Vec<u8>,
 }
 
 impl Replica {
     /// Asks for a snapshot when enough has been applied since the last one.
-    pub(crate) fn want_snapshot(&mut self) {
-        let size = self.setup.limits;
-        let covered = self.snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index);
-        let since = self.applied.saturating_sub(covered.max(self.wanted));
-        let many = since >= size.entries;
-        let large = self.grown >= size.bytes;
-        if since > 0 && (many || large) {
-            self.wanted = self.applied;
-            self.grown = 0;
-            self.out.push(Output::RequestSnapshot { index: self.applied });
+    pub(crate) fn request_snapshot(&mut self) {
+        let limits = self.setup.limits;
+        let covered_index = self.snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index);
+        let entries_since =
+            self.applied_index.saturating_sub(covered_index.max(self.requested_snapshot));
+        let enough_entries = entries_since >= limits.snapshot_after_entries;
+        let enough_bytes = self.applied_bytes >= limits.snapshot_after_bytes;
+        if entries_since > 0 && (enough_entries || enough_bytes) {
+            self.requested_snapshot = self.applied_index;
+            self.applied_bytes = 0;
+            self.outputs.push(Output::RequestSnapshot { index: self.applied_index });
         }
     }
 
     /// Keeps the state machine's state and drops the log before it, but for a tail.
     pub(crate) fn compact(&mut self, index: u64, state: Arc<[u8]>) {
-        let covered = self.snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index);
-        if index <= covered || index > self.applied {
+        let covered_index = self.snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index);
+        if index <= covered_index || index > self.applied_index {
             return;
         }
         let Some(term) = self.log.term(index) else { return };
         let Some(config) = self.log.config_at(index).cloned() else { return };
         let snapshot = Arc::new(Snapshot { position: Position { term, index }, config, state });
-        let through =
-            self.log.before_tail(index, self.setup.limits.tail, self.setup.limits.tail_bytes);
-        self.save();
+        let through = self.log.base_for_retention(
+            index,
+            self.setup.limits.retained_entries,
+            self.setup.limits.retained_bytes,
+        );
+        self.save_hard_state();
         self.log.compact(through);
         self.snapshot = Some(snapshot.clone());
         let write = Write::Compact { snapshot, first: through + 1 };
-        self.outbox.store(write, &mut self.out);
+        self.outbox.write(write, &mut self.outputs);
     }
 
     /// Takes a part of a snapshot, and returns the answer.
-    pub(crate) fn chunk(
+    pub(crate) fn receive_chunk(
         &mut self,
-        head: SnapshotHeader,
+        header: SnapshotHeader,
         offset: u64,
         bytes: &[u8],
         round: u64,
     ) -> Option<Body> {
-        let position = head.position;
+        let position = header.position;
         if self.log.term(position.index) == Some(position.term) {
-            self.commit = self.commit.max(position.index);
+            self.commit_index = self.commit_index.max(position.index);
         }
-        if position.index <= self.commit {
-            self.receiving = None;
+        if position.index <= self.commit_index {
+            self.incoming_snapshot = None;
             return Some(Body::AppendResponse { match_index: position.index, round });
         }
-        if head.total_bytes > self.setup.limits.snapshot {
+        if header.total_bytes > self.setup.limits.max_snapshot_bytes {
             return None;
         }
-        let mut receiving = self
-            .receiving
+        let mut incoming = self
+            .incoming_snapshot
             .take()
-            .filter(|receiving| receiving.head == head)
-            .unwrap_or(Receiving { head, bytes: Vec::new() });
-        let received = receiving.bytes.len() as u64;
-        let fits = received + bytes.len() as u64 <= receiving.head.total_bytes;
-        if offset == received && fits {
-            receiving.bytes.extend_from_slice(bytes);
+            .filter(|incoming| incoming.header == header)
+            .unwrap_or(IncomingSnapshot { header, bytes: Vec::new() });
+        let received_bytes = incoming.bytes.len() as u64;
+        let fits_total = received_bytes + bytes.len() as u64 <= incoming.header.total_bytes;
+        if offset == received_bytes && fits_total {
+            incoming.bytes.extend_from_slice(bytes);
         }
-        let received = receiving.bytes.len() as u64;
-        if received == receiving.head.total_bytes {
-            self.install(receiving);
+        let received_bytes = incoming.bytes.len() as u64;
+        if received_bytes == incoming.header.total_bytes {
+            self.install(incoming);
             return Some(Body::AppendResponse { match_index: position.index, round });
         }
-        self.receiving = Some(receiving);
-        Some(Body::SnapshotChunkResponse { position, received_bytes: received, round })
+        self.incoming_snapshot = Some(incoming);
+        Some(Body::SnapshotChunkResponse { position, received_bytes, round })
     }
 
     /// Starts sending a follower the snapshot, since the entries it lacks are gone.
     pub(crate) fn begin_snapshot(&mut self, peer: &mut Peer) {
         let Some(snapshot) = self.snapshot.clone() else { return };
-        peer.flow = Flow::Snapshot { snapshot, offset: 0, sent: None };
+        peer.mode = ReplicationMode::Snapshot { snapshot, offset: 0, sent_at: None };
     }
 
     /// Sends the next chunk, the last one again, or a bare heartbeat.
-    pub(crate) fn feed_snapshot(&mut self, peer: &mut Peer, round: u64, beat: bool) {
-        let resend = self.setup.timing.heartbeat_interval * RESEND;
-        let Flow::Snapshot { snapshot, offset, sent } = &mut peer.flow else { return };
-        if sent.is_some_and(|sent| self.now < sent + resend) {
-            if beat {
+    pub(crate) fn send_snapshot(&mut self, peer: &mut Peer, round: u64, is_heartbeat: bool) {
+        let resend_after = self.setup.timing.heartbeat_interval * RESEND_AFTER_HEARTBEATS;
+        let ReplicationMode::Snapshot { snapshot, offset, sent_at } = &mut peer.mode else {
+            return;
+        };
+        if sent_at.is_some_and(|sent_at| self.now < sent_at + resend_after) {
+            if is_heartbeat {
                 let previous = Position::default();
                 let entries = Vec::new();
                 self.send_to(peer, Body::Append { previous, entries, commit_index: 0, round });
@@ -113,10 +119,10 @@
         if let Some(newest) = self.snapshot.as_ref().filter(|_| *offset == 0) {
             *snapshot = newest.clone();
         }
-        *sent = Some(self.now);
+        *sent_at = Some(self.now);
         let total = snapshot.state.len();
         let from = usize::try_from(*offset).map_or(total, |offset| offset.min(total));
-        let to = total.min(from.saturating_add(self.setup.limits.message));
+        let to = total.min(from.saturating_add(self.setup.limits.max_message_bytes));
         let body = Body::SnapshotChunk {
             header: SnapshotHeader {
                 position: snapshot.position,
@@ -131,18 +137,18 @@
     }
 
     /// Replaces log and state by a snapshot that has arrived whole.
-    fn install(&mut self, receiving: Receiving) {
-        let Receiving { head, bytes } = receiving;
-        let SnapshotHeader { position, config, .. } = head;
+    fn install(&mut self, incoming: IncomingSnapshot) {
+        let IncomingSnapshot { header, bytes } = incoming;
+        let SnapshotHeader { position, config, .. } = header;
         let snapshot = Arc::new(Snapshot { position, config: config.clone(), state: bytes.into() });
-        self.save();
-        self.outbox.store(Write::Install(snapshot.clone()), &mut self.out);
+        self.save_hard_state();
+        self.outbox.write(Write::Install(snapshot.clone()), &mut self.outputs);
         self.log = Log::new(position, config);
-        self.commit = position.index;
-        self.applied = position.index;
-        self.grown = 0;
-        self.wanted = position.index;
+        self.commit_index = position.index;
+        self.applied_index = position.index;
+        self.applied_bytes = 0;
+        self.requested_snapshot = position.index;
         self.snapshot = Some(snapshot.clone());
-        self.out.push(Output::Install(snapshot));
+        self.outputs.push(Output::Install(snapshot));
     }
 }
--- a/crates/verbenaslip-replica/src/status.rs
+++ b/crates/verbenaslip-replica/src/status.rs
@@ -54,7 +54,7 @@
 
 impl Progress {
     /// Starts without knowledge of a voter.
-    fn of(voter: Voter, votes: bool) -> Self {
+    fn new(voter: Voter, votes: bool) -> Self {
         Self { voter, is_voter: votes, match_index: None, since_last_response: None }
     }
 }
@@ -62,16 +62,16 @@
 impl Replica {
     /// Shows operators how this replica stands.
     pub fn status(&self, now: Duration) -> Status {
-        let lease = self.lease_until(now).map(|until| until.saturating_sub(now));
+        let lease = self.lease_until(now).map(|expires_at| expires_at.saturating_sub(now));
         Status {
             instance: self.setup.instance.clone(),
             identity: self.identity,
-            group: self.hard.group,
-            term: self.hard.term,
+            group: self.hard_state.group,
+            term: self.hard_state.term,
             leader: self.leader.clone(),
-            role: self.duty(),
+            role: self.role(),
             last_index: self.log.last().index,
-            commit_index: self.commit,
+            commit_index: self.commit_index,
             snapshot_index: self.snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index),
             lease_remaining: lease,
             is_joint: self.log.config().is_joint(),
@@ -80,22 +80,25 @@
     }
 
     /// Returns what this replica does.
-    pub(crate) fn duty(&self) -> ReplicaRole {
+    pub(crate) fn role(&self) -> ReplicaRole {
         match &self.state {
             State::Follower => ReplicaRole::Follower,
             State::Candidate(_) => ReplicaRole::Candidate,
-            State::Leader(leading) if leading.ready => ReplicaRole::Leader,
+            State::Leader(leader_state) if leader_state.had_lease => ReplicaRole::Leader,
             State::Leader(_) => ReplicaRole::Elected,
         }
     }
 
     /// Tells of a changed role.
-    pub(crate) fn show(&mut self) {
-        let role =
-            RoleUpdate { term: self.hard.term, leader: self.leader.clone(), role: self.duty() };
-        if role != self.shown {
-            self.shown = role.clone();
-            self.out.push(Output::RoleChanged(role));
+    pub(crate) fn report_role(&mut self) {
+        let role = RoleUpdate {
+            term: self.hard_state.term,
+            leader: self.leader.clone(),
+            role: self.role(),
+        };
+        if role != self.reported_role {
+            self.reported_role = role.clone();
+            self.outputs.push(Output::RoleChanged(role));
         }
     }
 
@@ -104,15 +107,16 @@
         let config = self.log.config();
         let mut voters: BTreeMap<Identity, Progress> = config
             .members()
-            .map(|voter| (voter.identity, Progress::of(voter.clone(), true)))
+            .map(|voter| (voter.identity, Progress::new(voter.clone(), true)))
             .collect();
-        if let State::Leader(leading) = &self.state {
-            for peer in leading.peers.values() {
+        if let State::Leader(leader_state) = &self.state {
+            for peer in leader_state.peers.values() {
                 let progress = voters
                     .entry(peer.voter.identity)
-                    .or_insert_with(|| Progress::of(peer.voter.clone(), false));
-                progress.match_index = Some(peer.matched);
-                progress.since_last_response = peer.heard.map(|heard| now.saturating_sub(heard));
+                    .or_insert_with(|| Progress::new(peer.voter.clone(), false));
+                progress.match_index = Some(peer.match_index);
+                progress.since_last_response =
+                    peer.last_heard.map(|heard| now.saturating_sub(heard));
             }
         }
         let mut voters: Vec<Progress> = voters.into_values().collect();
--- a/crates/verbenaslip-replica/src/storage.rs
+++ b/crates/verbenaslip-replica/src/storage.rs
@@ -92,7 +92,7 @@
     /// The entries kept, without gaps; they may begin before the end of the snapshot.
     pub entries: Vec<Entry>,
     /// What was cut from the end of the log as a write that never became durable.
-    pub torn_tail: Option<Torn>,
+    pub torn_tail: Option<TornTail>,
 }
 
 impl Recovered {
@@ -133,7 +133,7 @@
 
 /// Tells of a torn tail that was cut.
 #[data]
-pub struct Torn {
+pub struct TornTail {
     /// The file.
     pub file: Arc<str>,
     /// Where the cut was made.
@@ -148,7 +148,7 @@
     /// could not {step} {file}: {reason} (check the data folder's disk and its rights)
     Io {
         /// What was being done.
-        step: Step,
+        step: FileOperation,
         /// The file.
         file: Arc<str>,
         /// What the system said.
@@ -157,7 +157,7 @@
     /// the disk is full while it should {step} {file} (free space, then restart this instance)
     Full {
         /// What was being done.
-        step: Step,
+        step: FileOperation,
         /// The file.
         file: Arc<str>,
     },
@@ -178,7 +178,7 @@
     /// the storage takes no writes since an earlier failure (restart this instance)
     Stopped,
     /// the writes do not follow what is stored: {what} (please report this)
-    Order {
+    OutOfOrder {
         /// What does not fit.
         what: Arc<str>,
     },
@@ -188,7 +188,7 @@
 
 /// Names the steps of work on files.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Step {
+pub enum FileOperation {
     /// open
     Open,
     /// list
--- a/crates/verbenaslip-replica/src/transfer.rs
+++ b/crates/verbenaslip-replica/src/transfer.rs
@@ -9,83 +9,86 @@
 /// Holds a handing over that is under way.
 #[derive(Debug)]
 pub(crate) struct Transfer {
-    until: Duration,
+    deadline: Duration,
     /// Whether a follower has been told to campaign.
-    asked: bool,
+    campaign_sent: bool,
 }
 
 impl Transfer {
     /// Returns when it is given up.
-    pub(crate) fn until(&self) -> Duration {
-        self.until
+    pub(crate) fn deadline(&self) -> Duration {
+        self.deadline
     }
 }
 
 impl Replica {
     /// Begins to hand leadership over, if there is somebody else.
-    pub(crate) fn transfer(&mut self) {
-        let until = self.now + self.setup.timing.election_timeout * 2;
-        let alone = self.others().is_empty();
-        let State::Leader(leading) = &mut self.state else { return };
-        if !alone && leading.transfer.is_none() {
-            leading.transfer = Some(Transfer { until, asked: false });
+    pub(crate) fn transfer_leadership(&mut self) {
+        let deadline = self.now + self.setup.timing.election_timeout * 2;
+        let is_only_voter = self.other_voters().is_empty();
+        let State::Leader(leader_state) = &mut self.state else { return };
+        if !is_only_voter && leader_state.transfer.is_none() {
+            leader_state.transfer = Some(Transfer { deadline, campaign_sent: false });
         }
     }
 
     /// Gives up a handing over that takes too long.
     pub(crate) fn tick_transfer(&mut self) {
-        let State::Leader(leading) = &mut self.state else { return };
-        let Some(transfer) = leading.transfer.take_if(|transfer| self.now >= transfer.until) else {
+        let State::Leader(leader_state) = &mut self.state else { return };
+        let Some(transfer) =
+            leader_state.transfer.take_if(|transfer| self.now >= transfer.deadline)
+        else {
             return;
         };
         // Once asked, a follower may be elected at any later time, so leading on would mean a
         // leader without a lease for good. A new election ends that.
-        if transfer.asked {
-            self.follow(self.hard.term, None);
+        if transfer.campaign_sent {
+            self.become_follower(self.hard_state.term, None);
         }
     }
 
     /// Tells a follower to campaign once nothing is left to replicate.
     pub(crate) fn advance_transfer(&mut self) {
-        let State::Leader(leading) = &self.state else { return };
-        let due = leading.transfer.as_ref().is_some_and(|transfer| !transfer.asked);
-        if due && self.commit == self.log.last().index {
-            self.hand_over();
+        let State::Leader(leader_state) = &self.state else { return };
+        let is_unsent =
+            leader_state.transfer.as_ref().is_some_and(|transfer| !transfer.campaign_sent);
+        if is_unsent && self.commit_index == self.log.last().index {
+            self.transfer_to_successor();
         }
     }
 
     /// Takes the request to campaign at once.
-    pub(crate) fn asked_to_campaign(&mut self, message: &Message) {
-        if message.term == self.hard.term && !self.is_leader() && self.may_campaign() {
-            self.stand(true);
+    pub(crate) fn handle_campaign(&mut self, message: &Message) {
+        if message.term == self.hard_state.term && !self.is_leader() && self.may_campaign() {
+            self.start_election(true);
         }
     }
 
     /// Gives up the lease and tells the best follower to campaign.
-    pub(crate) fn hand_over(&mut self) {
+    pub(crate) fn transfer_to_successor(&mut self) {
         let Some(best) = self.successor() else { return };
-        let State::Leader(leading) = &mut self.state else { return };
+        let State::Leader(leader_state) = &mut self.state else { return };
         // The follower's election passes over the refusal of votes that protects the lease, and
         // this leader may not hear of it. So the lease ends here, before the request leaves.
-        leading.lease = false;
-        if let Some(transfer) = &mut leading.transfer {
-            transfer.asked = true;
+        leader_state.may_hold_lease = false;
+        if let Some(transfer) = &mut leader_state.transfer {
+            transfer.campaign_sent = true;
         }
-        let Some(peer) = leading.peers.remove(&best) else { return };
+        let Some(peer) = leader_state.peers.remove(&best) else { return };
         self.send_to(&peer, Body::Campaign);
-        let State::Leader(leading) = &mut self.state else { return };
-        leading.peers.insert(best, peer);
+        let State::Leader(leader_state) = &mut self.state else { return };
+        leader_state.peers.insert(best, peer);
     }
 
     /// Picks a voter that holds the whole log and answered lately, the last heard first.
     fn successor(&self) -> Option<Identity> {
-        let State::Leader(leading) = &self.state else { return None };
+        let State::Leader(leader_state) = &self.state else { return None };
         let (last, config) = (self.log.last().index, self.log.config());
-        leading
+        leader_state
             .peers
             .values()
-            .filter(|peer| config.voters.contains(&peer.voter) && peer.matched == last)
-            .max_by_key(|peer| peer.heard)
+            .filter(|peer| config.voters.contains(&peer.voter) && peer.match_index == last)
+            .max_by_key(|peer| peer.last_heard)
             .map(|peer| peer.voter.identity)
     }
 }
--- a/crates/verbenaslip-replica/tests/count.rs
+++ b/crates/verbenaslip-replica/tests/count.rs
@@ -4,7 +4,7 @@
 
 use verbenaslip_replica::setup::Limits;
 
-use simulation::{Traffic, World, ms};
+use simulation::{Simulation, Traffic, ms};
 
 /// Holds what is measured for a number of voters, and the bounds.
 struct Case {
@@ -35,31 +35,33 @@
 #[test]
 fn traffic_stays_within_its_bounds() {
     for case in CASES {
-        let mut world = World::with(case.voters, 1, Limits::default());
-        world.settle();
-        world.run(ms(10_000));
-        let idle = cost(&mut world, 60, Traffic::default(), |world| world.run(ms(1_000)));
+        let mut simulation = Simulation::with_limits(case.voters, 1, Limits::default());
+        simulation.wait_for_leader();
+        simulation.run(ms(10_000));
+        let idle = average_traffic(&mut simulation, 60, Traffic::default(), |simulation| {
+            simulation.run(ms(1_000))
+        });
         // The heartbeats of the second that each proposal or burst is given are not its own.
-        let single = cost(&mut world, 60, idle, |world| {
-            let leader = world.settle();
-            world.propose_sized(leader, 100);
-            world.run(ms(1_000));
+        let single = average_traffic(&mut simulation, 60, idle, |simulation| {
+            let leader = simulation.wait_for_leader();
+            simulation.propose_sized(leader, 100);
+            simulation.run(ms(1_000));
         });
-        let burst = cost(&mut world, 10, idle, |world| {
-            let leader = world.settle();
+        let burst = average_traffic(&mut simulation, 10, idle, |simulation| {
+            let leader = simulation.wait_for_leader();
             for _ in 0..1_000 {
-                world.propose_sized(leader, 100);
+                simulation.propose_sized(leader, 100);
             }
-            world.run(ms(1_000));
+            simulation.run(ms(1_000));
         });
         println!("{} voters: idle {idle:?}, single {single:?}, burst {burst:?}", case.voters);
-        for (name, found, bound) in [
+        for (name, measured, bound) in [
             ("idle", idle, case.idle),
             ("single", single, case.single),
             ("burst", burst, case.burst),
         ] {
-            assert!(found.messages <= bound.messages, "{name}: {found:?}, bound {bound:?}");
-            assert!(found.bytes <= bound.bytes, "{name}: {found:?}, bound {bound:?}");
+            assert!(measured.messages <= bound.messages, "{name}: {measured:?}, bound {bound:?}");
+            assert!(measured.bytes <= bound.bytes, "{name}: {measured:?}, bound {bound:?}");
         }
     }
 }
@@ -68,37 +70,47 @@
 // Cause: messages without a bound.
 #[test]
 fn messages_are_bounded() {
-    let size = Limits {
+    let limits = Limits {
         max_command_bytes: 10_000,
-        message: 4_000,
-        entries: 20,
-        tail: 5,
+        max_message_bytes: 4_000,
+        snapshot_after_entries: 20,
+        retained_entries: 5,
         ..Limits::default()
     };
-    let mut world = World::with(3, 1, size);
-    let leader = world.settle();
-    let follower = world.others(leader)[0];
-    world.crash(follower);
+    let mut simulation = Simulation::with_limits(3, 1, limits);
+    let leader = simulation.wait_for_leader();
+    let follower = simulation.others(leader)[0];
+    simulation.crash(follower);
     for _ in 0..30 {
-        world.propose_sized(leader, 10_000);
-        world.propose_sized(leader, 900);
-        world.run(ms(5));
+        simulation.propose_sized(leader, 10_000);
+        simulation.propose_sized(leader, 900);
+        simulation.run(ms(5));
     }
-    world.restart(follower);
-    world.run(ms(5_000));
-    assert!(world.largest <= 10_000 + 500, "a message of {} bytes", world.largest);
-    let token = world.propose_sized(leader, 10_001);
-    assert!(format!("{:?}", world.answers[&token]).contains("TooLarge"));
+    simulation.restart(follower);
+    simulation.run(ms(5_000));
+    assert!(
+        simulation.largest_message <= 10_000 + 500,
+        "a message of {} bytes",
+        simulation.largest_message
+    );
+    let token = simulation.propose_sized(leader, 10_001);
+    assert!(format!("{:?}", simulation.answers[&token]).contains("TooLarge"));
 }
 
 /// Returns what one run costs beside what it costs anyway, averaged over several and rounded up.
-fn cost(world: &mut World, runs: u64, anyway: Traffic, run: impl Fn(&mut World)) -> Traffic {
-    let before = world.traffic;
+fn average_traffic(
+    simulation: &mut Simulation,
+    runs: u64,
+    baseline: Traffic,
+    run: impl Fn(&mut Simulation),
+) -> Traffic {
+    let before = simulation.traffic;
     for _ in 0..runs {
-        run(world);
+        run(simulation);
     }
     Traffic {
-        messages: (world.traffic.messages - before.messages).div_ceil(runs) - anyway.messages,
-        bytes: (world.traffic.bytes - before.bytes).div_ceil(runs) - anyway.bytes,
+        messages: (simulation.traffic.messages - before.messages).div_ceil(runs)
+            - baseline.messages,
+        bytes: (simulation.traffic.bytes - before.bytes).div_ceil(runs) - baseline.bytes,
     }
 }
--- a/crates/verbenaslip-replica/tests/rule.rs
+++ b/crates/verbenaslip-replica/tests/rule.rs
@@ -19,10 +19,10 @@
 const GROUP: Group = Group(1);
 
 /// Holds voter 0 of several and what it has put out.
-struct Bench {
+struct Harness {
     replica: Replica,
     now: Duration,
-    mark: u64,
+    last_sequence: u64,
 }
 
 fn voter(number: u128) -> Voter {
@@ -39,46 +39,46 @@
     Entry { position: position(term, index), payload }
 }
 
-impl Bench {
+impl Harness {
     /// Opens voter 0 of so many, in a term, with entries after the first configuration.
     fn open(voters: u128, term: u64, entries: Vec<Entry>) -> Self {
-        let config = Config::of((0..voters).map(voter).collect());
+        let config = Config::new((0..voters).map(voter).collect());
         let first = Entry { position: position(1, 1), payload: Payload::Config(config) };
-        let hard = HardState { group: Some(GROUP), term, voted: None };
+        let hard_state = HardState { group: Some(GROUP), term, voted: None };
         let entries = [vec![first], entries].concat();
-        let recovered = Recovered { hard_state: hard, entries, ..Recovered::empty(Identity(1)) };
+        let recovered = Recovered { hard_state, entries, ..Recovered::empty(Identity(1)) };
         let replica = Replica::open(Setup::new("n0", Vec::new(), 1), recovered, Duration::ZERO);
         let now = Timing::default().election_timeout * 3;
-        Self { replica, now, mark: 0 }
+        Self { replica, now, last_sequence: 0 }
     }
 
     /// Opens voter 0 and has it elected.
     fn elected(voters: u128, term: u64, entries: Vec<Entry>) -> Self {
-        let mut bench = Self::open(voters, term - 1, entries);
-        bench.step(Input::Tick);
+        let mut harness = Self::open(voters, term - 1, entries);
+        harness.step(Input::Tick);
         for number in 1..voters {
-            bench.hear(number, term, Body::PreVoteResponse { granted: true });
+            harness.receive(number, term, Body::PreVoteResponse { granted: true });
         }
-        bench.stored();
+        harness.complete_writes();
         for number in 1..voters {
-            bench.hear(number, term, Body::VoteResponse { granted: true });
+            harness.receive(number, term, Body::VoteResponse { granted: true });
         }
-        assert!(bench.replica.is_leader());
-        bench
+        assert!(harness.replica.is_leader());
+        harness
     }
 
     fn step(&mut self, input: Input) -> Vec<Output> {
         let mut out = Vec::new();
         self.replica.step(self.now, input, &mut out);
         for output in &out {
-            if let Output::Store { sequence: mark, .. } = output {
-                self.mark = *mark;
+            if let Output::Store { sequence, .. } = output {
+                self.last_sequence = *sequence;
             }
         }
         out
     }
 
-    fn hear(&mut self, from: u128, term: u64, body: Body) -> Vec<Output> {
+    fn receive(&mut self, from: u128, term: u64, body: Body) -> Vec<Output> {
         let Voter { instance, identity: sender } = voter(from);
         let target = Some(Identity(1));
         let message = Message { group: Some(GROUP), sender, target, term, body };
@@ -86,21 +86,21 @@
     }
 
     /// Lets the leader begin its next round.
-    fn beat(&mut self) {
+    fn start_next_round(&mut self) {
         self.now += Timing::default().heartbeat_interval;
         self.step(Input::Tick);
     }
 
-    fn stored(&mut self) -> Vec<Output> {
-        self.step(Input::Stored { sequence: self.mark })
+    fn complete_writes(&mut self) -> Vec<Output> {
+        self.step(Input::Stored { sequence: self.last_sequence })
     }
 }
 
-fn sends(out: &[Output]) -> usize {
+fn count_messages(out: &[Output]) -> usize {
     out.iter().filter(|output| matches!(output, Output::Send { .. })).count()
 }
 
-fn stores(out: &[Output]) -> usize {
+fn count_writes(out: &[Output]) -> usize {
     out.iter().filter(|output| matches!(output, Output::Store { .. })).count()
 }
 
@@ -114,14 +114,10 @@
         commit_index: 1,
         round: 1,
     };
-    let config = Config::of((0..3).map(voter).collect());
-    let head = SnapshotHeader { position: position(4, 50), config, total_bytes: 3 };
-    let chunk = Body::SnapshotChunk {
-        header: head,
-        offset: 0,
-        bytes: Arc::from([1, 2, 3].as_slice()),
-        round: 1,
-    };
+    let config = Config::new((0..3).map(voter).collect());
+    let header = SnapshotHeader { position: position(4, 50), config, total_bytes: 3 };
+    let chunk =
+        Body::SnapshotChunk { header, offset: 0, bytes: Arc::from([1, 2, 3].as_slice()), round: 1 };
     let cases = [
         ("vote", Body::Vote { last_position: position(1, 1), transfer: false }),
         ("entries", append(vec![command(4, 2)])),
@@ -130,16 +126,20 @@
         ("last part of a snapshot", chunk),
     ];
     for (name, body) in cases {
-        let mut bench = Bench::open(3, 2, vec![command(2, 2)]);
+        let mut harness = Harness::open(3, 2, vec![command(2, 2)]);
         if name == "vote" {
-            bench = Bench::open(3, 2, Vec::new());
+            harness = Harness::open(3, 2, Vec::new());
         }
-        let out = bench.hear(1, 4, body);
-        assert_eq!(sends(&out), 0, "{name}: an answer left before the write was durable");
-        assert!(stores(&out) > 0, "{name}: nothing is written");
-        let early = bench.step(Input::Stored { sequence: bench.mark - 1 });
-        assert_eq!(sends(&early), 0, "{name}: an answer left before its last write was durable");
-        assert_eq!(sends(&bench.stored()), 1, "{name}: no answer came");
+        let out = harness.receive(1, 4, body);
+        assert_eq!(count_messages(&out), 0, "{name}: an answer left before the write was durable");
+        assert!(count_writes(&out) > 0, "{name}: nothing is written");
+        let early_answer = harness.step(Input::Stored { sequence: harness.last_sequence - 1 });
+        assert_eq!(
+            count_messages(&early_answer),
+            0,
+            "{name}: an answer left before its last write was durable"
+        );
+        assert_eq!(count_messages(&harness.complete_writes()), 1, "{name}: no answer came");
     }
 }
 
@@ -147,15 +147,15 @@
 // to the disk, a heartbeat behind them is answered at once. Cause: an answer that claims them as well.
 #[test]
 fn a_heartbeat_is_answered_at_once_for_what_is_durable() {
-    let mut bench = Bench::open(3, 4, Vec::new());
+    let mut harness = Harness::open(3, 4, Vec::new());
     let append =
         |previous, entries, round| Body::Append { previous, entries, commit_index: 1, round };
-    let out = bench.hear(1, 4, append(position(1, 1), vec![command(4, 2)], 1));
-    assert_eq!(sends(&out), 0);
-    let out = bench.hear(1, 4, append(position(4, 2), Vec::new(), 2));
+    let out = harness.receive(1, 4, append(position(1, 1), vec![command(4, 2)], 1));
+    assert_eq!(count_messages(&out), 0);
+    let out = harness.receive(1, 4, append(position(4, 2), Vec::new(), 2));
     let [Output::Send { message, .. }] = &out[..] else { panic!("one answer: {out:?}") };
     assert_eq!(message.body, Body::AppendResponse { match_index: 1, round: 2 });
-    let out = bench.stored();
+    let out = harness.complete_writes();
     let [Output::Send { message, .. }] = &out[..] else { panic!("one answer: {out:?}") };
     assert_eq!(message.body, Body::AppendResponse { match_index: 2, round: 1 });
 }
@@ -165,11 +165,11 @@
 // Cause: answers that are kept over a change of term.
 #[test]
 fn answers_of_an_older_term_never_leave() {
-    let mut bench = Bench::open(3, 2, Vec::new());
+    let mut harness = Harness::open(3, 2, Vec::new());
     let append = |entries, previous| Body::Append { previous, entries, commit_index: 1, round: 1 };
-    bench.hear(1, 3, append(vec![command(3, 2)], position(1, 1)));
-    bench.hear(2, 4, append(vec![command(4, 2)], position(1, 1)));
-    let out = bench.stored();
+    harness.receive(1, 3, append(vec![command(3, 2)], position(1, 1)));
+    harness.receive(2, 4, append(vec![command(4, 2)], position(1, 1)));
+    let out = harness.complete_writes();
     let terms = out.iter().filter_map(|output| match output {
         Output::Send { message, .. } => Some(message.term),
         _ => None,
@@ -182,28 +182,32 @@
 // of older terms.
 #[test]
 fn an_entry_of_an_older_term_commits_only_with_one_of_the_own() {
-    let mut bench = Bench::elected(5, 4, vec![command(2, 2)]);
-    bench.stored();
+    let mut harness = Harness::elected(5, 4, vec![command(2, 2)]);
+    harness.complete_writes();
     for number in 1..4 {
-        bench.hear(number, 4, Body::AppendResponse { match_index: 2, round: 1 });
+        harness.receive(number, 4, Body::AppendResponse { match_index: 2, round: 1 });
     }
-    assert_eq!(bench.replica.commit(), 0, "an entry of term 2 was committed by counting copies");
+    assert_eq!(
+        harness.replica.commit_index(),
+        0,
+        "an entry of term 2 was committed by counting copies"
+    );
     for number in 1..3 {
-        bench.hear(number, 4, Body::AppendResponse { match_index: 3, round: 1 });
+        harness.receive(number, 4, Body::AppendResponse { match_index: 3, round: 1 });
     }
-    assert_eq!(bench.replica.commit(), 3);
+    assert_eq!(harness.replica.commit_index(), 3);
 }
 
 // Symptom: an edit answered as committed is gone after the leader and one follower lost power.
 // Sequence: the leader counts itself before its own disk is done. Cause: own copy taken for stored.
 #[test]
 fn the_own_copy_counts_once_it_is_stored() {
-    let mut bench = Bench::elected(3, 4, Vec::new());
-    let out = bench.step(Input::Propose { token: 5, command: Arc::from([1].as_slice()) });
-    assert_eq!(stores(&out), 1);
-    bench.hear(1, 4, Body::AppendResponse { match_index: 3, round: 1 });
-    assert_eq!(bench.replica.commit(), 0, "one durable copy of three is no quorum");
-    let out = bench.stored();
+    let mut harness = Harness::elected(3, 4, Vec::new());
+    let out = harness.step(Input::Propose { token: 5, command: Arc::from([1].as_slice()) });
+    assert_eq!(count_writes(&out), 1);
+    harness.receive(1, 4, Body::AppendResponse { match_index: 3, round: 1 });
+    assert_eq!(harness.replica.commit_index(), 0, "one durable copy of three is no quorum");
+    let out = harness.complete_writes();
     let answer = Output::Answer { token: 5, answer: Answer::Committed(position(4, 3)) };
     assert!(out.contains(&answer), "{out:?}");
 }
@@ -212,27 +216,26 @@
 // Sequence: any of these messages. Cause: numbers taken on trust.
 #[test]
 fn broken_messages_change_nothing_committed() {
-    let far = position(u64::MAX, u64::MAX);
-    let config = Config::of((0..3).map(voter).collect());
-    let head = SnapshotHeader { position: far, config, total_bytes: u64::MAX };
+    let out_of_range = position(u64::MAX, u64::MAX);
+    let config = Config::new((0..3).map(voter).collect());
+    let header = SnapshotHeader { position: out_of_range, config, total_bytes: u64::MAX };
     let append =
         |previous, entries| Body::Append { previous, entries, commit_index: u64::MAX, round: 9 };
     let bodies = [
         append(position(1, 1), vec![command(1, 2), command(9, 4)]),
         append(position(0, 0), vec![command(4, 1)]),
-        append(far, vec![command(9, 1)]),
-        append(far, Vec::new()),
+        append(out_of_range, vec![command(9, 1)]),
+        append(out_of_range, Vec::new()),
         append(position(4, 2), vec![command(3, 3)]),
         Body::AppendResponse { match_index: u64::MAX, round: u64::MAX },
-        Body::AppendConflict { previous_index: u64::MAX, hint: far, round: u64::MAX },
+        Body::AppendConflict { previous_index: u64::MAX, hint: out_of_range, round: u64::MAX },
         Body::AppendConflict { previous_index: 0, hint: position(0, 0), round: 0 },
-        Body::SnapshotChunk {
-            header: head,
-            offset: u64::MAX,
-            bytes: Arc::from([].as_slice()),
-            round: 1,
+        Body::SnapshotChunk { header, offset: u64::MAX, bytes: Arc::from([].as_slice()), round: 1 },
+        Body::SnapshotChunkResponse {
+            position: out_of_range,
+            received_bytes: u64::MAX,
+            round: u64::MAX,
         },
-        Body::SnapshotChunkResponse { position: far, received_bytes: u64::MAX, round: u64::MAX },
         Body::VoteResponse { granted: true },
         Body::PreVoteResponse { granted: true },
         Body::Campaign,
@@ -242,19 +245,19 @@
     ];
     for terms in [[4, 4], [4, u64::MAX], [u64::MAX, u64::MAX], [0, 4]] {
         for body in &bodies {
-            let mut bench = Bench::elected(3, 4, vec![command(2, 2)]);
-            bench.stored();
-            bench.hear(1, 4, Body::AppendResponse { match_index: 3, round: 1 });
-            assert_eq!(bench.replica.commit(), 3);
+            let mut harness = Harness::elected(3, 4, vec![command(2, 2)]);
+            harness.complete_writes();
+            harness.receive(1, 4, Body::AppendResponse { match_index: 3, round: 1 });
+            assert_eq!(harness.replica.commit_index(), 3);
             for term in terms {
-                bench.hear(2, term, body.clone());
-                bench.now += Duration::from_secs(5);
-                bench.step(Input::Tick);
-                bench.stored();
+                harness.receive(2, term, body.clone());
+                harness.now += Duration::from_secs(5);
+                harness.step(Input::Tick);
+                harness.complete_writes();
             }
-            assert_eq!(bench.replica.commit(), 3, "{body:?}");
-            assert!(bench.replica.term() < 1 << 60, "no terms are left after {body:?}");
-            assert!(bench.replica.applied() <= bench.replica.commit());
+            assert_eq!(harness.replica.commit_index(), 3, "{body:?}");
+            assert!(harness.replica.term() < 1 << 60, "no terms are left after {body:?}");
+            assert!(harness.replica.applied_index() <= harness.replica.commit_index());
         }
     }
 }
@@ -263,16 +266,16 @@
 // power, and gives it again to somebody else. Cause: only the new term is written, not the vote.
 #[test]
 fn a_vote_is_written_also_when_the_term_is_known() {
-    let mut bench = Bench::open(3, 4, Vec::new());
-    let out = bench.hear(1, 4, Body::Vote { last_position: position(1, 1), transfer: false });
+    let mut harness = Harness::open(3, 4, Vec::new());
+    let out = harness.receive(1, 4, Body::Vote { last_position: position(1, 1), transfer: false });
     let voted = HardState { group: Some(GROUP), term: 4, voted: Some(voter(1).identity) };
     let writes = out.iter().filter_map(|output| match output {
         Output::Store { write, .. } => Some(write),
         _ => None,
     });
     assert_eq!(writes.collect::<Vec<_>>(), [&Write::HardState(voted)]);
-    assert_eq!(sends(&bench.stored()), 1);
-    let out = bench.hear(2, 4, Body::Vote { last_position: position(1, 1), transfer: false });
+    assert_eq!(count_messages(&harness.complete_writes()), 1);
+    let out = harness.receive(2, 4, Body::Vote { last_position: position(1, 1), transfer: false });
     let [Output::Send { message, .. }] = &out[..] else { panic!("one answer: {out:?}") };
     assert_eq!(message.body, Body::VoteResponse { granted: false });
 }
@@ -289,24 +292,24 @@
         (position(4, 1), true),
         (position(2, 9), false),
     ];
-    for (last, given) in cases {
+    for (last_position, expected) in cases {
         for transfer in [false, true] {
-            let mut bench = Bench::open(3, 3, vec![command(3, 2)]);
-            bench.hear(1, 4, Body::Vote { last_position: last, transfer });
-            let out = bench.stored();
+            let mut harness = Harness::open(3, 3, vec![command(3, 2)]);
+            harness.receive(1, 4, Body::Vote { last_position, transfer });
+            let out = harness.complete_writes();
             let granted = out.iter().any(|output| {
                 let Output::Send { message, .. } = output else { return false };
                 matches!(message.body, Body::VoteResponse { granted: true })
             });
-            assert_eq!(granted, given, "{last:?}");
+            assert_eq!(granted, expected, "{last_position:?}");
         }
-        let mut bench = Bench::open(3, 3, vec![command(3, 2)]);
-        let out = bench.hear(1, 4, Body::PreVote { last_position: last });
+        let mut harness = Harness::open(3, 3, vec![command(3, 2)]);
+        let out = harness.receive(1, 4, Body::PreVote { last_position });
         let granted = out.iter().any(|output| {
             let Output::Send { message, .. } = output else { return false };
             matches!(message.body, Body::PreVoteResponse { granted: true })
         });
-        assert_eq!(granted, given, "pre-vote, {last:?}");
+        assert_eq!(granted, expected, "pre-vote, {last_position:?}");
     }
 }
 
@@ -314,33 +317,36 @@
 // has an older set than the group's, begins a change at once. Cause: building on what may be replaced.
 #[test]
 fn a_change_waits_for_an_entry_of_the_own_term() {
-    let mut bench = Bench::elected(3, 4, vec![command(2, 2)]);
-    bench.stored();
+    let mut harness = Harness::elected(3, 4, vec![command(2, 2)]);
+    harness.complete_writes();
     let change = Change::Remove(voter(2).instance);
-    assert_eq!(stores(&bench.step(Input::ChangeVoters { token: 1, change })), 0);
-    bench.beat();
-    bench.hear(1, 4, Body::AppendResponse { match_index: 2, round: 2 });
-    assert!(!bench.replica.voters().is_joint(), "the change began before an entry of the own term");
-    bench.hear(1, 4, Body::AppendResponse { match_index: 3, round: 2 });
-    assert!(bench.replica.voters().is_joint());
+    assert_eq!(count_writes(&harness.step(Input::ChangeVoters { token: 1, change })), 0);
+    harness.start_next_round();
+    harness.receive(1, 4, Body::AppendResponse { match_index: 2, round: 2 });
+    assert!(
+        !harness.replica.voters().is_joint(),
+        "the change began before an entry of the own term"
+    );
+    harness.receive(1, 4, Body::AppendResponse { match_index: 3, round: 2 });
+    assert!(harness.replica.voters().is_joint());
 }
 
 // Symptom: after an addition one more loss stops the group. Sequence: the new voter caught up and died
 // before it was made one. Cause: a voter taken for living by what it once answered.
 #[test]
 fn a_new_voter_must_have_answered_just_now() {
-    let mut bench = Bench::elected(3, 4, Vec::new());
-    bench.stored();
-    bench.hear(1, 4, Body::AppendResponse { match_index: 2, round: 1 });
-    bench.step(Input::ChangeVoters { token: 1, change: Change::Add(voter(3)) });
-    bench.hear(3, 4, Body::AppendResponse { match_index: 2, round: 1 });
-    bench.beat();
+    let mut harness = Harness::elected(3, 4, Vec::new());
+    harness.complete_writes();
+    harness.receive(1, 4, Body::AppendResponse { match_index: 2, round: 1 });
+    harness.step(Input::ChangeVoters { token: 1, change: Change::Add(voter(3)) });
+    harness.receive(3, 4, Body::AppendResponse { match_index: 2, round: 1 });
+    harness.start_next_round();
     for number in [1, 2] {
-        bench.hear(number, 4, Body::AppendResponse { match_index: 2, round: 2 });
+        harness.receive(number, 4, Body::AppendResponse { match_index: 2, round: 2 });
     }
-    assert!(!bench.replica.voters().is_joint(), "the new voter was not heard since the question");
-    bench.hear(3, 4, Body::AppendResponse { match_index: 2, round: 2 });
-    assert!(bench.replica.voters().is_joint());
+    assert!(!harness.replica.voters().is_joint(), "the new voter was not heard since the question");
+    harness.receive(3, 4, Body::AppendResponse { match_index: 2, round: 2 });
+    assert!(harness.replica.voters().is_joint());
 }
 
 // Symptom: an operator who resends a change after a leader change is told that it does not fit.
@@ -348,10 +354,10 @@
 // checked like a new change.
 #[test]
 fn a_resent_change_is_told_to_wait_for_the_first() {
-    let set = Config::of((0..3).map(voter).collect());
-    let settled = Entry { position: position(3, 2), payload: Payload::Config(set) };
-    let mut bench = Bench::elected(3, 4, vec![settled]);
-    bench.stored();
+    let config = Config::new((0..3).map(voter).collect());
+    let committed_config = Entry { position: position(3, 2), payload: Payload::Config(config) };
+    let mut harness = Harness::elected(3, 4, vec![committed_config]);
+    harness.complete_writes();
     let change = || Change::Add(voter(2));
     let answer = |out: Vec<Output>| {
         out.into_iter().find_map(|output| match output {
@@ -359,11 +365,11 @@
             _ => None,
         })
     };
-    let early = answer(bench.step(Input::ChangeVoters { token: 1, change: change() }));
-    assert_eq!(early, Some(Answer::Rejected(Rejection::Changing)));
-    bench.hear(1, 4, Body::AppendResponse { match_index: 3, round: 1 });
-    let late = answer(bench.step(Input::ChangeVoters { token: 2, change: change() }));
-    assert_eq!(late, Some(Answer::Committed(position(3, 2))));
+    let early_answer = answer(harness.step(Input::ChangeVoters { token: 1, change: change() }));
+    assert_eq!(early_answer, Some(Answer::Rejected(Rejection::ChangeInProgress)));
+    harness.receive(1, 4, Body::AppendResponse { match_index: 3, round: 1 });
+    let late_answer = answer(harness.step(Input::ChangeVoters { token: 2, change: change() }));
+    assert_eq!(late_answer, Some(Answer::Committed(position(3, 2))));
 }
 
 // Symptom: committed edits are gone after a repair. Sequence: voter 2 is replaced by voter 3; the
@@ -371,23 +377,27 @@
 // change that asks the new set alone.
 #[test]
 fn a_replacement_asks_a_quorum_of_both_sets() {
-    let mut bench = Bench::elected(3, 4, Vec::new());
-    bench.stored();
-    bench.hear(1, 4, Body::AppendResponse { match_index: 2, round: 1 });
+    let mut harness = Harness::elected(3, 4, Vec::new());
+    harness.complete_writes();
+    harness.receive(1, 4, Body::AppendResponse { match_index: 2, round: 1 });
     let change = Change::Replace { old: voter(2).instance, new: voter(3) };
-    bench.step(Input::ChangeVoters { token: 1, change });
-    bench.beat();
-    bench.hear(1, 4, Body::AppendResponse { match_index: 2, round: 1 });
-    bench.hear(3, 4, Body::AppendResponse { match_index: 2, round: 2 });
-    assert!(!bench.replica.voters().is_joint(), "the old set was not heard since the question");
-    bench.hear(1, 4, Body::AppendResponse { match_index: 2, round: 2 });
-    assert!(bench.replica.voters().is_joint());
-    bench.stored();
-    bench.hear(3, 4, Body::AppendResponse { match_index: 3, round: 1 });
-    assert_eq!(bench.replica.commit(), 2, "one voter of three of the old set has the change");
-    bench.hear(1, 4, Body::AppendResponse { match_index: 3, round: 1 });
-    assert_eq!(bench.replica.commit(), 3);
-    assert!(!bench.replica.voters().is_joint());
+    harness.step(Input::ChangeVoters { token: 1, change });
+    harness.start_next_round();
+    harness.receive(1, 4, Body::AppendResponse { match_index: 2, round: 1 });
+    harness.receive(3, 4, Body::AppendResponse { match_index: 2, round: 2 });
+    assert!(!harness.replica.voters().is_joint(), "the old set was not heard since the question");
+    harness.receive(1, 4, Body::AppendResponse { match_index: 2, round: 2 });
+    assert!(harness.replica.voters().is_joint());
+    harness.complete_writes();
+    harness.receive(3, 4, Body::AppendResponse { match_index: 3, round: 1 });
+    assert_eq!(
+        harness.replica.commit_index(),
+        2,
+        "one voter of three of the old set has the change"
+    );
+    harness.receive(1, 4, Body::AppendResponse { match_index: 3, round: 1 });
+    assert_eq!(harness.replica.commit_index(), 3);
+    assert!(!harness.replica.voters().is_joint());
 }
 
 // Symptom: edits end as unknown although the stop was planned. Sequence: one of four followers has
@@ -395,14 +405,17 @@
 #[test]
 fn a_hand_over_waits_until_all_is_committed() {
     let campaigns = |out: &[Output]| {
-        let told = |output: &&Output| matches!(output, Output::Send { message, .. } if message.body == Body::Campaign);
-        out.iter().filter(told).count()
+        let is_campaign = |output: &&Output| matches!(output, Output::Send { message, .. } if message.body == Body::Campaign);
+        out.iter().filter(is_campaign).count()
     };
-    let mut bench = Bench::elected(5, 4, Vec::new());
-    bench.stored();
-    bench.hear(1, 4, Body::AppendResponse { match_index: 2, round: 1 });
-    assert_eq!(campaigns(&bench.step(Input::TransferLeadership)), 0);
-    assert_eq!(campaigns(&bench.hear(2, 4, Body::AppendResponse { match_index: 2, round: 1 })), 1);
+    let mut harness = Harness::elected(5, 4, Vec::new());
+    harness.complete_writes();
+    harness.receive(1, 4, Body::AppendResponse { match_index: 2, round: 1 });
+    assert_eq!(campaigns(&harness.step(Input::TransferLeadership)), 0);
+    assert_eq!(
+        campaigns(&harness.receive(2, 4, Body::AppendResponse { match_index: 2, round: 1 })),
+        1
+    );
 }
 
 // Symptom: a panic, or a commit index that falls, after a peer with a broken build sends nonsense.
@@ -412,37 +425,39 @@
 fn nonsense_in_any_order_never_panics() {
     for seed in 0..400 {
         let mut random = Pcg32::seed_from_u64(seed);
-        let mut bench = match seed % 2 {
-            0 => Bench::elected(3, 4, vec![command(2, 2)]),
-            _ => Bench::open(3, 3, vec![command(2, 2), command(3, 3)]),
+        let mut harness = match seed % 2 {
+            0 => Harness::elected(3, 4, vec![command(2, 2)]),
+            _ => Harness::open(3, 3, vec![command(2, 2), command(3, 3)]),
         };
         let mut commit = 0;
         for token in 0..150 {
             match random.random_range(0..10) {
-                0 => bench.now += Duration::from_millis(random.random_range(0..3_000)),
-                1 => drop(bench.stored()),
-                2 => drop(bench.step(Input::Propose { token, command: Arc::from([1].as_slice()) })),
+                0 => harness.now += Duration::from_millis(random.random_range(0..3_000)),
+                1 => drop(harness.complete_writes()),
+                2 => {
+                    drop(harness.step(Input::Propose { token, command: Arc::from([1].as_slice()) }))
+                }
                 3 => {
                     let index = random.random_range(0..20);
-                    bench.step(Input::Snapshot { index, state: Arc::from([2].as_slice()) });
+                    harness.step(Input::Snapshot { index, state: Arc::from([2].as_slice()) });
                 }
-                4 => drop(bench.step(Input::TransferLeadership)),
+                4 => drop(harness.step(Input::TransferLeadership)),
                 _ => {
-                    let body = nonsense(&mut random);
-                    let (from, term) = (random.random_range(0..4), number(&mut random));
-                    bench.hear(from, term, body);
+                    let body = random_body(&mut random);
+                    let (from, term) = (random.random_range(0..4), random_number(&mut random));
+                    harness.receive(from, term, body);
                 }
             }
-            bench.step(Input::Tick);
-            assert!(bench.replica.commit() >= commit, "seed {seed}: the commit index fell");
-            assert!(bench.replica.applied() <= bench.replica.commit());
-            commit = bench.replica.commit();
+            harness.step(Input::Tick);
+            assert!(harness.replica.commit_index() >= commit, "seed {seed}: the commit index fell");
+            assert!(harness.replica.applied_index() <= harness.replica.commit_index());
+            commit = harness.replica.commit_index();
         }
     }
 }
 
 /// Draws a number that is small most of the time.
-fn number(random: &mut Pcg32) -> u64 {
+fn random_number(random: &mut Pcg32) -> u64 {
     match random.random_range(0..20) {
         0 => u64::MAX - random.random_range(0..3),
         1 => (1 << 60) - random.random_range(0..3),
@@ -450,43 +465,53 @@
     }
 }
 
-fn nonsense(random: &mut Pcg32) -> Body {
-    let place = |random: &mut Pcg32| position(number(random), number(random));
+fn random_body(random: &mut Pcg32) -> Body {
+    let random_position =
+        |random: &mut Pcg32| position(random_number(random), random_number(random));
     let granted = random.random_range(0..2) == 0;
     match random.random_range(0..12) {
-        0 => Body::PreVote { last_position: place(random) },
+        0 => Body::PreVote { last_position: random_position(random) },
         1 => Body::PreVoteResponse { granted },
-        2 => Body::Vote { last_position: place(random), transfer: granted },
+        2 => Body::Vote { last_position: random_position(random), transfer: granted },
         3 => Body::VoteResponse { granted },
-        4 => Body::AppendResponse { match_index: number(random), round: number(random) },
+        4 => Body::AppendResponse {
+            match_index: random_number(random),
+            round: random_number(random),
+        },
         5 => Body::AppendConflict {
-            previous_index: number(random),
-            hint: place(random),
-            round: number(random),
+            previous_index: random_number(random),
+            hint: random_position(random),
+            round: random_number(random),
         },
         6 => Body::SnapshotChunkResponse {
-            position: place(random),
-            received_bytes: number(random),
-            round: number(random),
+            position: random_position(random),
+            received_bytes: random_number(random),
+            round: random_number(random),
         },
         7 => Body::Campaign,
         8 | 9 => {
-            let previous = place(random);
+            let previous = random_position(random);
             let count = random.random_range(0..4);
-            let next =
-                |n: u64| command(number(&mut random.clone()), previous.index.wrapping_add(n));
+            let next = |n: u64| {
+                command(random_number(&mut random.clone()), previous.index.wrapping_add(n))
+            };
             let entries = (1..=count).map(next).collect();
-            Body::Append { previous, entries, commit_index: number(random), round: number(random) }
+            Body::Append {
+                previous,
+                entries,
+                commit_index: random_number(random),
+                round: random_number(random),
+            }
         }
         _ => {
-            let config = Config::of((0..random.random_range(0..4)).map(voter).collect());
-            let head = SnapshotHeader {
-                position: place(random),
+            let config = Config::new((0..random.random_range(0..4)).map(voter).collect());
+            let header = SnapshotHeader {
+                position: random_position(random),
                 config,
                 total_bytes: random.random_range(0..5),
             };
             let bytes = vec![1; random.random_range(0..5)].into();
-            Body::SnapshotChunk { header: head, offset: random.random_range(0..3), bytes, round: 1 }
+            Body::SnapshotChunk { header, offset: random.random_range(0..3), bytes, round: 1 }
         }
     }
 }
@@ -494,8 +519,8 @@
 #[test]
 fn a_lease_is_shorter_than_a_refusal_by_the_drift_of_two_clocks() {
     let timing = Timing::default();
-    let slow = timing.lease() * 1000 / (1000 - timing.drift);
-    let fast = timing.election_timeout * 1000 / (1000 + timing.drift);
+    let slow = timing.lease_duration() * 1000 / (1000 - timing.clock_drift_per_mille);
+    let fast = timing.election_timeout * 1000 / (1000 + timing.clock_drift_per_mille);
     assert!(slow <= fast, "a lease of {slow:?} true time, a refusal of {fast:?}");
-    assert!(timing.lease() > timing.heartbeat_interval * 3);
+    assert!(timing.lease_duration() > timing.heartbeat_interval * 3);
 }
--- a/crates/verbenaslip-replica/tests/simulation/disk.rs
+++ b/crates/verbenaslip-replica/tests/simulation/disk.rs
@@ -16,7 +16,7 @@
     }
 
     /// Keeps one write.
-    pub fn keep(&mut self, write: Write) {
+    pub fn apply(&mut self, write: Write) {
         let entries = &mut self.content.entries;
         match write {
             Write::HardState(hard) => self.content.hard_state = hard,
