--- a/crates/verbenaslip-replica/tests/simulation/mod.rs
+++ b/crates/verbenaslip-replica/tests/simulation/mod.rs
@@ -22,7 +22,7 @@
 use verbenaslip_replica::setup::{Limits, Setup, Timing};
 
 pub use self::disk::Disk;
-pub use self::invariants::Monitor;
+pub use self::invariants::InvariantChecker;
 pub use self::node::{Clock, Node};
 
 /// Returns milliseconds.
@@ -32,23 +32,28 @@
 
 /// Sets how the network and the disks behave.
 #[derive(Clone, Copy, Debug)]
-pub struct Weather {
+pub struct Conditions {
     /// Messages lost, in a thousand.
-    pub loss: u32,
+    pub loss_per_mille: u32,
     /// Messages doubled, in a thousand.
-    pub double: u32,
+    pub duplicated_per_mille: u32,
     /// The shortest and longest time on the way, in microseconds.
-    pub delay: (u64, u64),
+    pub delay_micros: (u64, u64),
     /// Messages that take up to a hundred times as long, in a thousand.
-    pub stray: u32,
+    pub delayed_per_mille: u32,
     /// The shortest and longest time of a sync, in microseconds.
-    pub sync: (u64, u64),
+    pub sync_micros: (u64, u64),
 }
 
-impl Weather {
+impl Conditions {
     /// Nothing is lost and all is fast.
-    pub const CALM: Self =
-        Self { loss: 0, double: 0, delay: (500, 500), stray: 0, sync: (200, 200) };
+    pub const RELIABLE: Self = Self {
+        loss_per_mille: 0,
+        duplicated_per_mille: 0,
+        delay_micros: (500, 500),
+        delayed_per_mille: 0,
+        sync_micros: (200, 200),
+    };
 }
 
 /// Something that will happen.
@@ -56,31 +61,31 @@
 enum Event {
     Deliver { from: usize, to: usize, message: Box<Message> },
     Timer { node: usize },
-    Synced { node: usize, life: u32, mark: u64 },
-    Snapshot { node: usize, life: u32 },
+    WritesDurable { node: usize, incarnation: u32, sequence: u64 },
+    Snapshot { node: usize, incarnation: u32 },
 }
 
 #[derive(Debug, PartialEq, Eq)]
-struct Due {
+struct ScheduledEvent {
     at: Duration,
     sequence: u64,
     event: Event,
 }
 
-impl Ord for Due {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
-impl PartialOrd for Due {
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
 /// Picks messages.
-pub type Snare = fn(&Message) -> bool;
+pub type MessageFilter = fn(&Message) -> bool;
 
 /// Counts what was sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -90,26 +95,26 @@
 }
 
 /// Holds the replicas, the network between them and the true time.
-pub struct World {
+pub struct Simulation {
     pub now: Duration,
     pub nodes: Vec<Node>,
-    pub weather: Weather,
-    pub monitor: Monitor,
+    pub conditions: Conditions,
+    pub monitor: InvariantChecker,
     pub traffic: Traffic,
     /// Snapshots that came from a leader.
-    pub received: u64,
+    pub received_snapshots: u64,
     /// The largest message sent.
-    pub largest: u64,
+    pub largest_message: u64,
     pub random: Pcg64Mcg,
     pub steps: u64,
-    pub size: Limits,
+    pub limits: Limits,
     /// The kinds of message that are held up instead of sent.
-    pub snare: Option<Snare>,
-    pub snared: Vec<(usize, usize, Message)>,
-    cuts: BTreeSet<(usize, usize)>,
-    events: BinaryHeap<Reverse<Due>>,
+    pub hold_filter: Option<MessageFilter>,
+    pub held_messages: Vec<(usize, usize, Message)>,
+    blocked_links: BTreeSet<(usize, usize)>,
+    events: BinaryHeap<Reverse<ScheduledEvent>>,
     sequence: u64,
-    tokens: u64,
+    last_token: u64,
     /// The answers to proposals and changes.
     pub answers: BTreeMap<u64, Answer>,
     /// The indices at which reads were confirmed; none when refused.
@@ -122,54 +127,63 @@
     Instance::from(format!("n{node}").as_str())
 }
 
-impl World {
+impl Simulation {
     /// Starts founders with new folders.
     pub fn new(founders: usize, seed: u64) -> Self {
-        let size = Limits { entries: 40, tail: 10, message: 512, window: 3, ..Limits::default() };
-        Self::with(founders, seed, size)
+        let size = Limits {
+            snapshot_after_entries: 40,
+            retained_entries: 10,
+            max_message_bytes: 512,
+            max_in_flight_appends: 3,
+            ..Limits::default()
+        };
+        Self::with_limits(founders, seed, size)
     }
 
     /// Starts founders with new folders and given sizes.
-    pub fn with(founders: usize, seed: u64, size: Limits) -> Self {
-        let mut world = Self {
+    pub fn with_limits(founders: usize, seed: u64, size: Limits) -> Self {
+        let mut simulation = Self {
             now: Duration::ZERO,
             nodes: Vec::new(),
-            weather: Weather::CALM,
-            monitor: Monitor::default(),
+            conditions: Conditions::RELIABLE,
+            monitor: InvariantChecker::default(),
             traffic: Traffic::default(),
-            received: 0,
-            largest: 0,
+            received_snapshots: 0,
+            largest_message: 0,
             random: Pcg64Mcg::seed_from_u64(seed),
             steps: 0,
-            size,
-            snare: None,
-            snared: Vec::new(),
-            cuts: BTreeSet::new(),
+            limits: size,
+            hold_filter: None,
+            held_messages: Vec::new(),
+            blocked_links: BTreeSet::new(),
             events: BinaryHeap::new(),
             sequence: 0,
-            tokens: 0,
+            last_token: 0,
             answers: BTreeMap::new(),
             reads: BTreeMap::new(),
             founders,
         };
         for _ in 0..founders {
-            world.join();
+            simulation.join();
         }
-        world
+        simulation
     }
 
     /// Starts founders and waits until they have a leader with a lease.
-    pub fn formed(founders: usize, seed: u64) -> Self {
-        let mut world = Self::new(founders, seed);
-        world.settle();
-        world
+    pub fn with_leader(founders: usize, seed: u64) -> Self {
+        let mut simulation = Self::new(founders, seed);
+        simulation.wait_for_leader();
+        simulation
     }
 
     /// Adds a node with a new folder, and returns its number.
     pub fn join(&mut self) -> usize {
         let node = self.nodes.len();
         let identity = self.random.random();
-        self.nodes.push(Node::new(identity, Clock { offset: ms(node as u64 * 977), rate: 1000 }));
+        self.nodes.push(Node::new(
+            identity,
+            Clock { offset: ms(node as u64 * 977), rate_per_mille: 1000 },
+        ));
         self.start(node);
         node
     }
@@ -177,52 +191,54 @@
     /// Sets a node's clock rate in thousandths of the true one; before it has run.
     pub fn set_rate(&mut self, node: usize, rate: u32) {
         // The local time must not jump, so the offset takes up the difference.
-        let local = self.nodes[node].clock.local(self.now);
+        let local_time = self.nodes[node].clock.local_time(self.now);
         let scaled = self.now * rate / 1000;
-        self.nodes[node].clock = Clock { offset: local.saturating_sub(scaled), rate };
+        self.nodes[node].clock =
+            Clock { offset: local_time.saturating_sub(scaled), rate_per_mille: rate };
     }
 
     /// Runs until a time has passed.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
-        while self.peek().is_some_and(|at| at <= end) {
-            self.next();
+        while self.next_event_at().is_some_and(|at| at <= end) {
+            self.run_next_event();
         }
         self.now = end;
-        self.check();
+        self.check_invariants();
     }
 
     /// Runs until a condition holds; false when it does not within the time.
-    pub fn until(&mut self, limit: Duration, done: impl Fn(&Self) -> bool) -> bool {
+    pub fn run_until(&mut self, limit: Duration, done: impl Fn(&Self) -> bool) -> bool {
         let end = self.now + limit;
         loop {
             if done(self) {
                 return true;
             }
-            if self.peek().is_none_or(|at| at > end) {
+            if self.next_event_at().is_none_or(|at| at > end) {
                 self.now = end;
                 return done(self);
             }
-            self.next();
+            self.run_next_event();
         }
     }
 
     /// Waits for a leader with a lease, and returns it.
-    pub fn settle(&mut self) -> usize {
-        let found = self.until(ms(30_000), |world| world.leased().is_some());
-        assert!(found, "no leader with a lease came within 30 s: {:?}", self.summary());
-        self.leased().expect("was just found")
+    pub fn wait_for_leader(&mut self) -> usize {
+        let has_leader =
+            self.run_until(ms(30_000), |simulation| simulation.leaseholder().is_some());
+        assert!(has_leader, "no leader with a lease came within 30 s: {:?}", self.summary());
+        self.leaseholder().expect("was just found")
     }
 
     /// Returns the node that holds a valid lease.
-    pub fn leased(&self) -> Option<usize> {
-        (0..self.nodes.len()).find(|&node| self.holds_lease(node) && !self.nodes[node].frozen)
+    pub fn leaseholder(&self) -> Option<usize> {
+        (0..self.nodes.len()).find(|&node| self.holds_lease(node) && !self.nodes[node].paused)
     }
 
     /// Tells whether a node holds a lease that is valid by its own clock.
     pub fn holds_lease(&self, node: usize) -> bool {
         let Some(replica) = &self.nodes[node].replica else { return false };
-        replica.lease_until(self.nodes[node].clock.local(self.now)).is_some()
+        replica.lease_until(self.nodes[node].clock.local_time(self.now)).is_some()
     }
 
     /// Returns a running replica.
@@ -232,7 +248,7 @@
 
     /// Proposes a command of a size at a node, and returns its token.
     pub fn propose_sized(&mut self, node: usize, size: usize) -> u64 {
-        let token = self.token();
+        let token = self.new_token();
         let mut command = token.to_le_bytes().to_vec();
         command.resize(size.max(8), 7);
         self.monitor.proposed(token);
@@ -246,16 +262,16 @@
     }
 
     /// Asks a node to confirm a read, and returns the token.
-    pub fn confirm(&mut self, node: usize) -> u64 {
-        let token = self.token();
-        self.monitor.asked(token);
-        self.step(node, Input::Confirm { token });
+    pub fn request_read(&mut self, node: usize) -> u64 {
+        let token = self.new_token();
+        self.monitor.read_requested(token);
+        self.step(node, Input::ReadIndex { token });
         token
     }
 
     /// Asks a node for another voter set, and returns the token.
     pub fn change(&mut self, node: usize, change: Change) -> u64 {
-        let token = self.token();
+        let token = self.new_token();
         self.step(node, Input::ChangeVoters { token, change });
         token
     }
@@ -268,9 +284,9 @@
     /// Proposes at whoever leads until one command is committed, and returns its index.
     pub fn commit_one(&mut self) -> u64 {
         for _ in 0..20 {
-            let leader = self.settle();
+            let leader = self.wait_for_leader();
             let token = self.propose(leader);
-            self.until(ms(5_000), |world| world.answers.contains_key(&token));
+            self.run_until(ms(5_000), |simulation| simulation.answers.contains_key(&token));
             if let Some(Answer::Committed(position)) = self.answers.get(&token) {
                 return position.index;
             }
@@ -284,31 +300,31 @@
     }
 
     /// Drops all messages from one node to another.
-    pub fn cut_one_way(&mut self, from: usize, to: usize) {
-        self.cuts.insert((from, to));
+    pub fn disconnect_one_way(&mut self, from: usize, to: usize) {
+        self.blocked_links.insert((from, to));
     }
 
     /// Drops all messages between a node and all others.
     pub fn isolate(&mut self, node: usize) {
         for other in 0..self.nodes.len() {
-            self.cut_one_way(node, other);
-            self.cut_one_way(other, node);
+            self.disconnect_one_way(node, other);
+            self.disconnect_one_way(other, node);
         }
     }
 
     /// Heals all cuts.
     pub fn heal(&mut self) {
-        self.cuts.clear();
+        self.blocked_links.clear();
     }
 
     /// Stops a node's process for a while; its clock goes on.
-    pub fn freeze(&mut self, node: usize) {
-        self.nodes[node].frozen = true;
+    pub fn pause(&mut self, node: usize) {
+        self.nodes[node].paused = true;
     }
 
     /// Lets a frozen node go on with what has come meanwhile.
-    pub fn thaw(&mut self, node: usize) {
-        self.nodes[node].frozen = false;
+    pub fn resume(&mut self, node: usize) {
+        self.nodes[node].paused = false;
         for input in std::mem::take(&mut self.nodes[node].inbox) {
             self.step(node, input);
         }
@@ -318,11 +334,11 @@
     /// Kills a node with the power: a part of what was not synced is lost.
     pub fn crash(&mut self, node: usize) {
         let kept = self.random.random_range(0..=self.nodes[node].pending.len());
-        self.crash_keeping(node, kept);
+        self.crash_after_writes(node, kept);
     }
 
     /// Kills a node with the power; the first few writes on their way became durable.
-    pub fn crash_keeping(&mut self, node: usize, kept: usize) {
+    pub fn crash_after_writes(&mut self, node: usize, kept: usize) {
         self.nodes[node].crash(kept);
     }
 
@@ -343,26 +359,26 @@
 
     /// Gives a node an input, and does what it wants done.
     pub fn step(&mut self, node: usize, input: Input) {
-        if self.nodes[node].frozen {
+        if self.nodes[node].paused {
             self.nodes[node].inbox.push(input);
             return;
         }
-        let local = self.nodes[node].clock.local(self.now);
+        let local_time = self.nodes[node].clock.local_time(self.now);
         let Some(replica) = &mut self.nodes[node].replica else { return };
         let mut out = Vec::new();
-        replica.step(local, input, &mut out);
+        replica.step(local_time, input, &mut out);
         self.steps += 1;
         for output in out {
             self.perform(node, output);
         }
-        self.schedule(node);
-        self.check();
+        self.schedule_timer(node);
+        self.check_invariants();
     }
 
     /// Sends the snared messages on.
-    pub fn release(&mut self) {
-        for (from, to, message) in std::mem::take(&mut self.snared) {
-            self.push(ms(1), Event::Deliver { from, to, message: Box::new(message) });
+    pub fn release_held(&mut self) {
+        for (from, to, message) in std::mem::take(&mut self.held_messages) {
+            self.schedule_event(ms(1), Event::Deliver { from, to, message: Box::new(message) });
         }
     }
 
@@ -371,50 +387,50 @@
         self.nodes.iter().map(|node| node.summary(self.now)).collect()
     }
 
-    fn token(&mut self) -> u64 {
-        self.tokens += 1;
-        self.tokens
+    fn new_token(&mut self) -> u64 {
+        self.last_token += 1;
+        self.last_token
     }
 
     fn start(&mut self, node: usize) {
         let founders = (0..self.founders).map(instance).collect();
         let mut setup = Setup::new(instance(node), founders, self.random.random());
-        setup.limits = self.size;
-        setup.timing = Timing { change: ms(20_000), ..Timing::default() };
+        setup.limits = self.limits;
+        setup.timing = Timing { catch_up_timeout: ms(20_000), ..Timing::default() };
         let now = self.now;
         self.nodes[node].start(setup, now);
-        self.monitor.started(node);
+        self.monitor.node_started(node);
         self.step(node, Input::Tick);
     }
 
-    fn peek(&self) -> Option<Duration> {
-        self.events.peek().map(|due| due.0.at)
+    fn next_event_at(&self) -> Option<Duration> {
+        self.events.peek().map(|scheduled| scheduled.0.at)
     }
 
     /// Lets the next event happen.
-    pub fn next(&mut self) {
-        let Some(Reverse(due)) = self.events.pop() else { return };
-        self.now = self.now.max(due.at);
-        match due.event {
+    pub fn run_next_event(&mut self) {
+        let Some(Reverse(scheduled)) = self.events.pop() else { return };
+        self.now = self.now.max(scheduled.at);
+        match scheduled.event {
             Event::Deliver { from, to, message } => {
-                if !self.cuts.contains(&(from, to)) {
+                if !self.blocked_links.contains(&(from, to)) {
                     self.step(to, Input::Message { from: instance(from), message: *message });
                 }
             }
             Event::Timer { node } => {
                 self.nodes[node].timer = None;
-                if !self.nodes[node].frozen {
+                if !self.nodes[node].paused {
                     self.step(node, Input::Tick);
                 }
             }
-            Event::Synced { node, life, mark } => {
-                if self.nodes[node].life == life {
-                    self.nodes[node].sync(mark);
-                    self.step(node, Input::Stored { sequence: mark });
+            Event::WritesDurable { node, incarnation, sequence } => {
+                if self.nodes[node].incarnation == incarnation {
+                    self.nodes[node].sync(sequence);
+                    self.step(node, Input::Stored { sequence });
                 }
             }
-            Event::Snapshot { node, life } => {
-                if self.nodes[node].life == life {
+            Event::Snapshot { node, incarnation } => {
+                if self.nodes[node].incarnation == incarnation {
                     let input = self.nodes[node].snapshot();
                     self.step(node, input);
                 }
@@ -425,42 +441,42 @@
     fn perform(&mut self, node: usize, output: Output) {
         match output {
             Output::Send { to, message } => self.send(node, &to, message),
-            Output::Store { sequence: mark, write } => {
-                self.nodes[node].pending.push((mark, write));
-                let delay = self.between(self.weather.sync);
-                let life = self.nodes[node].life;
-                self.push(delay, Event::Synced { node, life, mark });
+            Output::Store { sequence, write } => {
+                self.nodes[node].pending.push((sequence, write));
+                let delay = self.random_delay(self.conditions.sync_micros);
+                let incarnation = self.nodes[node].incarnation;
+                self.schedule_event(delay, Event::WritesDurable { node, incarnation, sequence });
             }
             Output::Apply { position, command } => {
                 self.nodes[node].apply(position, &command);
-                let chain = self.nodes[node].chain;
-                self.monitor.applied(node, position, &command, chain);
+                let state_hash = self.nodes[node].state_hash;
+                self.monitor.check_applied(node, position, &command, state_hash);
             }
             Output::Install(snapshot) => {
-                let own = self.nodes[node].disk.content.snapshot.as_ref();
-                self.received += u64::from(own != Some(&snapshot));
+                let stored_snapshot = self.nodes[node].disk.content.snapshot.as_ref();
+                self.received_snapshots += u64::from(stored_snapshot != Some(&snapshot));
                 self.nodes[node].install(&snapshot);
-                let chain = self.nodes[node].chain;
-                self.monitor.installed(node, snapshot.position, chain);
+                let state_hash = self.nodes[node].state_hash;
+                self.monitor.check_installed(node, snapshot.position, state_hash);
             }
             Output::RequestSnapshot { .. } => {
-                let life = self.nodes[node].life;
-                self.push(ms(1), Event::Snapshot { node, life });
+                let incarnation = self.nodes[node].incarnation;
+                self.schedule_event(ms(1), Event::Snapshot { node, incarnation });
             }
             Output::Answer { token, answer } => {
-                self.monitor.answered(token, &answer);
+                self.monitor.check_answer(token, &answer);
                 let before = self.answers.insert(token, answer);
                 assert_eq!(before, None, "proposal {token} was answered twice");
             }
             Output::ReadIndex { token, index } => {
-                self.monitor.confirmed(token, index);
+                self.monitor.check_read(token, index);
                 assert_eq!(self.reads.insert(token, Some(index)), None, "a read answered twice");
             }
             Output::ReadRejected { token, .. } => {
                 assert_eq!(self.reads.insert(token, None), None, "a read answered twice");
             }
             Output::RoleChanged(role) => self.nodes[node].roles.push(role),
-            Output::IdentityChanged(voter) => self.nodes[node].strangers.push(voter),
+            Output::IdentityChanged(voter) => self.nodes[node].changed_identities.push(voter),
         }
     }
 
@@ -469,57 +485,60 @@
         let bytes = postcard::to_stdvec(&message).expect("messages can be encoded").len() as u64;
         self.traffic.messages += 1;
         self.traffic.bytes += bytes;
-        self.largest = self.largest.max(bytes);
-        if self.snare.is_some_and(|snare| snare(&message)) {
-            self.snared.push((from, to, message));
+        self.largest_message = self.largest_message.max(bytes);
+        if self.hold_filter.is_some_and(|snare| snare(&message)) {
+            self.held_messages.push((from, to, message));
             return;
         }
-        let weather = self.weather;
-        if self.cuts.contains(&(from, to)) || self.chance(weather.loss) {
+        let conditions = self.conditions;
+        if self.blocked_links.contains(&(from, to)) || self.chance(conditions.loss_per_mille) {
             return;
         }
-        let copies = 1 + u32::from(self.chance(weather.double));
+        let copies = 1 + u32::from(self.chance(conditions.duplicated_per_mille));
         for _ in 0..copies {
-            let mut delay = self.between(weather.delay);
-            if self.chance(weather.stray) {
+            let mut delay = self.random_delay(conditions.delay_micros);
+            if self.chance(conditions.delayed_per_mille) {
                 delay *= self.random.random_range(1..100);
             }
-            self.push(delay, Event::Deliver { from, to, message: Box::new(message.clone()) });
+            self.schedule_event(
+                delay,
+                Event::Deliver { from, to, message: Box::new(message.clone()) },
+            );
         }
     }
 
     /// Makes sure that a node is woken when its next timer is due.
-    fn schedule(&mut self, node: usize) {
+    fn schedule_timer(&mut self, node: usize) {
         let Some(replica) = &self.nodes[node].replica else { return };
-        let at = self.nodes[node].clock.due(replica.next_tick()).max(self.now);
+        let at = self.nodes[node].clock.true_time(replica.next_tick()).max(self.now);
         if self.nodes[node].timer.is_none_or(|timer| at < timer) {
             self.nodes[node].timer = Some(at);
-            self.push(at - self.now, Event::Timer { node });
+            self.schedule_event(at - self.now, Event::Timer { node });
         }
     }
 
-    fn push(&mut self, delay: Duration, event: Event) {
+    fn schedule_event(&mut self, delay: Duration, event: Event) {
         self.sequence += 1;
         let at = self.now + delay;
-        self.events.push(Reverse(Due { at, sequence: self.sequence, event }));
+        self.events.push(Reverse(ScheduledEvent { at, sequence: self.sequence, event }));
     }
 
     /// Draws whether something happens that happens so often in a thousand.
-    pub fn chance(&mut self, mille: u32) -> bool {
-        mille > 0 && self.random.random_range(0..1000) < mille
+    pub fn chance(&mut self, per_mille: u32) -> bool {
+        per_mille > 0 && self.random.random_range(0..1000) < per_mille
     }
 
-    fn between(&mut self, (least, most): (u64, u64)) -> Duration {
-        Duration::from_micros(self.random.random_range(least..=most))
+    fn random_delay(&mut self, (min, max): (u64, u64)) -> Duration {
+        Duration::from_micros(self.random.random_range(min..=max))
     }
 
     /// Checks what must hold after every step.
-    fn check(&mut self) {
+    fn check_invariants(&mut self) {
         let mut leases = 0;
         for number in 0..self.nodes.len() {
             let node = &self.nodes[number];
             let Some(replica) = &node.replica else { continue };
-            self.monitor.check(number, replica);
+            self.monitor.check_replica(number, replica);
             leases += u32::from(self.holds_lease(number));
         }
         assert!(leases <= 1, "{leases} valid leases at one time: {:?}", self.summary());
@@ -527,53 +546,53 @@
 }
 
 /// Tells whether a message is one that a leader sends to a follower.
-pub fn is_leaders(message: &Message) -> bool {
+pub fn is_from_leader(message: &Message) -> bool {
     matches!(message.body, Body::Append { .. } | Body::SnapshotChunk { .. })
 }
 
-impl World {
+impl Simulation {
     /// Lists the nodes other than one.
     pub fn others(&self, node: usize) -> Vec<usize> {
         (0..self.nodes.len()).filter(|other| *other != node).collect()
     }
 
     /// Drops all messages between two nodes.
-    pub fn cut(&mut self, one: usize, other: usize) {
-        self.cut_one_way(one, other);
-        self.cut_one_way(other, one);
+    pub fn disconnect(&mut self, one: usize, other: usize) {
+        self.disconnect_one_way(one, other);
+        self.disconnect_one_way(other, one);
     }
 
     /// Replaces the voter of a node whose disk was lost by the folder that is there now.
-    pub fn repair(&mut self, node: usize) {
+    pub fn replace_lost_voter(&mut self, node: usize) {
         let new = self.replica(node).voter();
         let change = Change::Replace { old: new.instance.clone(), new };
-        let leader = self.settle();
+        let leader = self.wait_for_leader();
         let token = self.change(leader, change);
-        assert!(self.until(ms(20_000), |world| world.answers.contains_key(&token)));
+        assert!(self.run_until(ms(20_000), |simulation| simulation.answers.contains_key(&token)));
         let answer = &self.answers[&token];
         assert!(matches!(answer, Answer::Committed(_)), "the repair ended with {answer:?}");
     }
 
     /// Ends all faults, commits once more, and checks that every voter has everything.
-    pub fn recover(&mut self) {
+    pub fn recover_and_verify(&mut self) {
         self.heal();
-        self.snare = None;
-        self.weather = Weather::CALM;
+        self.hold_filter = None;
+        self.conditions = Conditions::RELIABLE;
         for node in 0..self.nodes.len() {
-            if self.nodes[node].frozen {
-                self.thaw(node);
+            if self.nodes[node].paused {
+                self.resume(node);
             }
             self.restart(node);
         }
         self.run(ms(5_000));
         let index = self.commit_one();
         self.run(ms(5_000));
-        let leader = self.settle();
+        let leader = self.wait_for_leader();
         let config = self.replica(leader).voters().clone();
         for node in 0..self.nodes.len() {
             let replica = self.replica(node);
-            let behind = config.contains(replica.identity()) && replica.applied() < index;
-            assert!(!behind, "node {node} stays behind {index}: {:?}", self.summary());
+            let is_behind = config.contains(replica.identity()) && replica.applied_index() < index;
+            assert!(!is_behind, "node {node} stays behind {index}: {:?}", self.summary());
         }
     }
 }
--- a/crates/verbenaslip-replica/tests/simulation/node.rs
+++ b/crates/verbenaslip-replica/tests/simulation/node.rs
@@ -15,25 +15,26 @@
 use super::Disk;
 
 /// Bytes that the state is padded to, so that a snapshot needs several chunks.
-const STATE: usize = 2000;
+const STATE_BYTES: usize = 2000;
 
 /// Runs at a rate of its own.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     pub offset: Duration,
     /// Thousandths of the true rate.
-    pub rate: u32,
+    pub rate_per_mille: u32,
 }
 
 impl Clock {
     /// Returns the local time at a true time.
-    pub fn local(&self, now: Duration) -> Duration {
-        self.offset + now * self.rate / 1000
+    pub fn local_time(&self, now: Duration) -> Duration {
+        self.offset + now * self.rate_per_mille / 1000
     }
 
     /// Returns the true time at which the clock shows a local time, rounded up.
-    pub fn due(&self, local: Duration) -> Duration {
-        local.saturating_sub(self.offset) * 1000 / self.rate + Duration::from_nanos(2)
+    pub fn true_time(&self, local_time: Duration) -> Duration {
+        local_time.saturating_sub(self.offset) * 1000 / self.rate_per_mille
+            + Duration::from_nanos(2)
     }
 }
 
@@ -44,16 +45,16 @@
     /// Writes that are not durable yet.
     pub pending: Vec<(u64, Write)>,
     pub clock: Clock,
-    pub frozen: bool,
+    pub paused: bool,
     /// What came while it was frozen.
     pub inbox: Vec<Input>,
     /// Counts starts.
-    pub life: u32,
+    pub incarnation: u32,
     pub timer: Option<Duration>,
     /// A running hash over all applied commands.
-    pub chain: u64,
+    pub state_hash: u64,
     pub roles: Vec<RoleUpdate>,
-    pub strangers: Vec<Voter>,
+    pub changed_identities: Vec<Voter>,
     /// How many snapshots were installed.
     pub installs: u32,
 }
@@ -65,63 +66,63 @@
             disk: Disk::new(identity),
             pending: Vec::new(),
             clock,
-            frozen: false,
+            paused: false,
             inbox: Vec::new(),
-            life: 0,
+            incarnation: 0,
             timer: None,
-            chain: 0,
+            state_hash: 0,
             roles: Vec::new(),
-            strangers: Vec::new(),
+            changed_identities: Vec::new(),
             installs: 0,
         }
     }
 
     pub fn start(&mut self, setup: Setup, now: Duration) {
-        self.life += 1;
-        self.chain = 0;
+        self.incarnation += 1;
+        self.state_hash = 0;
         self.timer = None;
-        self.frozen = false;
-        let local = self.clock.local(now);
-        self.replica = Some(Replica::open(setup, self.disk.content.clone(), local));
+        self.paused = false;
+        let local_time = self.clock.local_time(now);
+        self.replica = Some(Replica::open(setup, self.disk.content.clone(), local_time));
     }
 
     /// Ends the process; the first of the writes on their way may have become durable.
-    pub fn crash(&mut self, kept: usize) {
-        self.life += 1;
+    pub fn crash(&mut self, snapshot_config: usize) {
+        self.incarnation += 1;
         self.replica = None;
         self.inbox.clear();
-        for (_, write) in self.pending.drain(..).take(kept) {
-            self.disk.keep(write);
+        for (_, write) in self.pending.drain(..).take(snapshot_config) {
+            self.disk.apply(write);
         }
     }
 
     /// Makes writes durable up to a mark.
-    pub fn sync(&mut self, mark: u64) {
-        let durable = self.pending.partition_point(|(number, _)| *number <= mark);
+    pub fn sync(&mut self, sequence: u64) {
+        let durable = self.pending.partition_point(|(number, _)| *number <= sequence);
         for (_, write) in self.pending.drain(..durable) {
-            self.disk.keep(write);
+            self.disk.apply(write);
         }
     }
 
     pub fn apply(&mut self, position: Position, command: &[u8]) {
         let mut hasher = std::hash::DefaultHasher::new();
-        hasher.write_u64(self.chain);
+        hasher.write_u64(self.state_hash);
         hasher.write_u64(position.index);
         hasher.write_u64(position.term);
         hasher.write(command);
-        self.chain = hasher.finish();
+        self.state_hash = hasher.finish();
     }
 
     pub fn install(&mut self, snapshot: &Snapshot) {
-        let chain = snapshot.state.first_chunk::<8>().expect("states begin with the chain");
-        self.chain = u64::from_le_bytes(*chain);
+        let state_hash = snapshot.state.first_chunk::<8>().expect("states begin with the chain");
+        self.state_hash = u64::from_le_bytes(*state_hash);
         self.installs += 1;
     }
 
     pub fn snapshot(&self) -> Input {
-        let index = self.replica.as_ref().map_or(0, Replica::applied);
-        let mut state = self.chain.to_le_bytes().to_vec();
-        state.resize(STATE, 3);
+        let index = self.replica.as_ref().map_or(0, Replica::applied_index);
+        let mut state = self.state_hash.to_le_bytes().to_vec();
+        state.resize(STATE_BYTES, 3);
         Input::Snapshot { index, state: state.into() }
     }
 
@@ -131,17 +132,17 @@
             return replica.voters().clone();
         }
         let content = &self.disk.content;
-        let newest = content.entries.iter().rev().find_map(|entry| match &entry.payload {
+        let newest_config = content.entries.iter().rev().find_map(|entry| match &entry.payload {
             Payload::Config(config) => Some(config.clone()),
             _ => None,
         });
-        let kept = content.snapshot.as_ref().map(|snapshot| snapshot.config.clone());
-        newest.or(kept).unwrap_or_default()
+        let snapshot_config = content.snapshot.as_ref().map(|snapshot| snapshot.config.clone());
+        newest_config.or(snapshot_config).unwrap_or_default()
     }
 
     pub fn summary(&self, now: Duration) -> String {
         let Some(replica) = &self.replica else { return "down".to_owned() };
-        let status = replica.status(self.clock.local(now));
+        let status = replica.status(self.clock.local_time(now));
         format!(
             "{} {:?} term {} leader {:?} last {} commit {} snapshot {} lease {:?} joint {}{}",
             status.instance,
@@ -153,7 +154,7 @@
             status.snapshot_index,
             status.lease_remaining,
             status.is_joint,
-            if self.frozen { " frozen" } else { "" },
+            if self.paused { " frozen" } else { "" },
         )
     }
 }
