--- a/crates/verbenaslip-disk/src/checksummed.rs
+++ b/crates/verbenaslip-disk/src/checksummed.rs
@@ -1,26 +1,26 @@
-//! Files that are replaced whole: a mark, a length, a checksum and the content.
+//! The format of files that are replaced as a whole: magic, length, checksum and content.
 
 use displaydoc::Display;
 
-/// Begins every such file.
+/// The first bytes of each file.
 const MAGIC: [u8; 8] = *b"VSLIPC01";
-/// Bytes before the content: mark, length, checksum.
+/// The size of the header: magic, length and checksum.
 const HEADER_BYTES: usize = 8 + 8 + 4;
 
-/// Says what is wrong with a file.
+/// A fault in the format of a file.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Fault {
-    /// it does not begin as it should
+    /// the file does not begin with the expected magic
     Magic,
-    /// it is shorter or longer than it says
+    /// the file does not have the length in its header
     Length,
-    /// its checksum does not match
+    /// the checksum does not match
     Checksum,
 }
 
 impl std::error::Error for Fault {}
 
-/// Wraps content for a file.
+/// Encodes content in the file format.
 pub fn encode(content: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(HEADER_BYTES + content.len());
     bytes.extend_from_slice(&MAGIC);
@@ -30,11 +30,11 @@
     bytes
 }
 
-/// Returns the content of a file.
+/// Returns the content of an encoded file.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with it.
+/// Returns the fault if the bytes are not a valid file.
 pub fn decode(bytes: &[u8]) -> Result<&[u8], Fault> {
     let (magic, rest) = bytes.split_first_chunk::<8>().ok_or(Fault::Magic)?;
     if *magic != MAGIC {
--- a/crates/verbenaslip-disk/src/directory.rs
+++ b/crates/verbenaslip-disk/src/directory.rs
@@ -1,4 +1,4 @@
-//! One voter's data folder.
+//! The data directory of one voter.
 
 use std::hash::{BuildHasher, RandomState};
 use std::io::{self, ErrorKind};
@@ -14,32 +14,32 @@
 use crate::files::{Files, LOCK_FILE, SystemFiles};
 use crate::{checksummed, file_name, segment};
 
-/// Bytes after which a new log file is begun, where nothing else is said.
+/// The default size at which a new log file is started, in bytes.
 const DEFAULT_SEGMENT_BYTES: u64 = 4 << 20;
 
-/// Says how a folder is opened on given files.
+/// Options for opening a data directory on given files.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// The identity that a new folder gets.
+    /// The identity of the data directory if it is new.
     pub new_identity: Identity,
-    /// Bytes after which a new log file is begun.
+    /// The size at which a new log file is started, in bytes.
     pub segment_bytes: u64,
 }
 
-/// Keeps one voter's state in a folder that is open here and nowhere else.
+/// Stores the state of one voter in a directory, which is locked while it is open.
 pub struct DataDirectory {
     pub(crate) files: Box<dyn Files>,
     pub(crate) identity: Identity,
     pub(crate) segments: Vec<Segment>,
-    /// Records that are not yet handed to the last log file.
+    /// Records that are not yet written to the last log file.
     buffer: Vec<u8>,
-    /// The index that the next entry must have; none when any may follow.
+    /// The index that the next entry must have, or `None` if any index may follow.
     pub(crate) next_index: Option<u64>,
-    /// The index at which the kept snapshot ends.
+    /// The index that the stored snapshot covers.
     pub(crate) snapshot_index: Option<u64>,
-    /// Bytes after which a new log file is begun.
+    /// The size at which a new log file is started, in bytes.
     max_segment_bytes: u64,
-    /// Whether the last log file has content that is not durable.
+    /// Whether the last log file has content that is not synced.
     unsynced: bool,
     /// Whether an earlier write or sync failed.
     failed: bool,
@@ -50,26 +50,26 @@
 pub(crate) struct Segment {
     pub(crate) name: String,
     pub(crate) first_index: u64,
-    /// Where each entry's record begins.
+    /// The offset of each entry's record.
     pub(crate) offsets: Vec<u64>,
     pub(crate) size: u64,
-    /// How much of it is durable.
+    /// The number of bytes that are durable.
     pub(crate) durable_bytes: u64,
 }
 
 impl Segment {
-    /// Returns the index after its last entry.
+    /// Returns the index after the last entry.
     pub(crate) fn next_index(&self) -> u64 {
         self.first_index + self.offsets.len() as u64
     }
 }
 
 impl DataDirectory {
-    /// Opens a folder, creating it where needed, and reads what it holds.
+    /// Opens a data directory, creating it if needed, and reads its content.
     ///
     /// # Errors
     ///
-    /// Returns an error when the folder is in use, can't be read, or is damaged.
+    /// Returns an error if the directory is in use, can't be read, or is damaged.
     pub fn open(path: impl AsRef<Path>) -> Result<(Self, Recovered), Error> {
         let path = path.as_ref();
         let files = SystemFiles::open(path).map_err(|error| match error.kind() {
@@ -84,11 +84,11 @@
         )
     }
 
-    /// Opens a folder on given files.
+    /// Opens a data directory on given files.
     ///
     /// # Errors
     ///
-    /// Returns an error when the folder can't be read or is damaged.
+    /// Returns an error if the directory can't be read or is damaged.
     pub fn open_on(
         files: impl Files + 'static,
         options: Options,
@@ -108,7 +108,7 @@
         Ok((directory, recovered))
     }
 
-    /// Writes one write.
+    /// Applies one write.
     fn apply_write(&mut self, write: &Write) -> Result<(), Error> {
         match write {
             Write::HardState(hard_state) => self.write_hard_state(hard_state),
@@ -119,32 +119,32 @@
         }
     }
 
-    /// Replaces the term and vote.
+    /// Replaces the hard state.
     fn write_hard_state(&mut self, hard_state: &HardState) -> Result<(), Error> {
         let content = postcard::to_stdvec(hard_state).unwrap_or_default();
         self.replace_file(file_name::HARD_STATE, &checksummed::encode(&content))
     }
 
-    /// Adds an entry to the buffer, in a new log file when the last one is full.
+    /// Adds an entry to the buffer, and starts a new log file if the last one is full.
     fn buffer_entry(&mut self, entry: &Entry) -> Result<(), Error> {
         let index = entry.position.index;
         if self.next_index.is_some_and(|next| next != index) {
-            let what = format!("entry {index} comes where {:?} is due", self.next_index);
+            let what = format!("got entry {index}, expected {:?}", self.next_index);
             return Err(Error::OutOfOrder { what: what.into() });
         }
         if self.segments.last().is_none_or(|last| last.size >= self.max_segment_bytes) {
             self.start_segment(index)?;
         }
         let Some(last) = self.segments.last_mut() else { return Ok(()) };
-        let before = self.buffer.len();
+        let previous = self.buffer.len();
         segment::append_record(entry, last.durable_bytes, &mut self.buffer);
         last.offsets.push(last.size);
-        last.size += (self.buffer.len() - before) as u64;
+        last.size += (self.buffer.len() - previous) as u64;
         self.next_index = Some(index + 1);
         Ok(())
     }
 
-    /// Begins a log file; the one before it is durable first, so that only the last can be torn.
+    /// Starts a log file. The previous one is synced first, so that only the last one can be torn.
     fn start_segment(&mut self, first_index: u64) -> Result<(), Error> {
         self.finish_last_segment()?;
         let name = file_name::log(first_index);
@@ -164,19 +164,21 @@
         Ok(())
     }
 
-    /// Drops an entry and all after it.
+    /// Removes an entry and all after it.
     fn truncate(&mut self, from: u64) -> Result<(), Error> {
         self.flush()?;
-        // A file that begins at the cut would be left empty; the newest go first, so that a power
-        // loss on the way leaves no gap.
+        // A file that starts at or after `from` would become empty, so it is removed. The newest
+        // file is removed first, so that a power loss in between leaves no gap.
         while self.segments.last().is_some_and(|last| last.first_index >= from) {
             self.remove_last_segment()?;
         }
         self.next_index = Some(from);
         let Some(last) = self.segments.last_mut() else { return Ok(()) };
-        let keep = usize::try_from(from - last.first_index).unwrap_or(usize::MAX);
-        let Some(size) = last.offsets.get(keep).copied() else { return self.sync_and_seal() };
-        last.offsets.truncate(keep);
+        let kept_entries = usize::try_from(from - last.first_index).unwrap_or(usize::MAX);
+        let Some(size) = last.offsets.get(kept_entries).copied() else {
+            return self.sync_and_seal();
+        };
+        last.offsets.truncate(kept_entries);
         last.size = size;
         last.durable_bytes = size;
         let name = last.name.clone();
@@ -188,10 +190,10 @@
         Ok(())
     }
 
-    /// Keeps a snapshot, then drops the log files that lie before an index.
+    /// Stores a snapshot, then removes the log files that end before an index.
     fn compact(&mut self, snapshot: &Snapshot, first_index: u64) -> Result<(), Error> {
         self.write_snapshot(snapshot)?;
-        // The oldest go first, so that a power loss on the way leaves no gap.
+        // The oldest file is removed first, so that a power loss in between leaves no gap.
         while self.segments.len() > 1 && self.segments[0].next_index() <= first_index {
             let name = self.segments[0].name.clone();
             self.remove_file(&name)?;
@@ -200,7 +202,7 @@
         Ok(())
     }
 
-    /// Keeps a snapshot, then drops the whole log.
+    /// Stores a snapshot, then removes the whole log.
     fn install(&mut self, snapshot: &Snapshot) -> Result<(), Error> {
         self.write_snapshot(snapshot)?;
         self.remove_log()?;
@@ -208,7 +210,7 @@
         Ok(())
     }
 
-    /// Drops all log files, the newest first.
+    /// Removes all log files, the newest first.
     pub(crate) fn remove_log(&mut self) -> Result<(), Error> {
         self.buffer.clear();
         while !self.segments.is_empty() {
@@ -224,7 +226,7 @@
         self.remove_file(&last.name)
     }
 
-    /// Keeps a snapshot, then removes the one before it.
+    /// Stores a snapshot, then removes the previous one.
     fn write_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), Error> {
         let header =
             SnapshotHeader { position: snapshot.position, config: snapshot.config.clone() };
@@ -232,11 +234,11 @@
         content.extend_from_slice(&snapshot.state);
         let index = snapshot.position.index;
         self.replace_file(&file_name::snapshot(index), &checksummed::encode(&content))?;
-        let before = self.snapshot_index.replace(index).filter(|before| *before != index);
-        before.map_or(Ok(()), |before| self.remove_file(&file_name::snapshot(before)))
+        let previous = self.snapshot_index.replace(index).filter(|previous| *previous != index);
+        previous.map_or(Ok(()), |previous| self.remove_file(&file_name::snapshot(previous)))
     }
 
-    /// Puts a file in place whole, so that after a power loss there is the old one or the new one.
+    /// Replaces a file atomically: after a power loss, either the old or the new content is there.
     pub(crate) fn replace_file(&mut self, name: &str, bytes: &[u8]) -> Result<(), Error> {
         let temporary = format!("{name}{}", file_name::UNFINISHED_SUFFIX);
         self.run_operation(FileOperation::Write, &temporary, |files, name| files.create(name))?;
@@ -247,17 +249,18 @@
         self.run_operation(FileOperation::Rename, name, |files, name| {
             files.rename(&temporary, name)
         })?;
-        // Without this the rename may be undone by a power loss, and with it a vote that has left.
+        // Without this sync, a power loss could undo the rename and thus a vote that was already
+        // sent.
         self.run_operation(FileOperation::Sync, name, |files, _| files.sync_directory())
     }
 
-    /// Removes a file for good.
+    /// Removes a file durably.
     pub(crate) fn remove_file(&mut self, name: &str) -> Result<(), Error> {
         self.run_operation(FileOperation::Remove, name, |files, name| files.remove(name))?;
         self.run_operation(FileOperation::Sync, name, |files, _| files.sync_directory())
     }
 
-    /// Hands buffered records to the last log file.
+    /// Writes the buffered records to the last log file.
     fn flush(&mut self) -> Result<(), Error> {
         if self.buffer.is_empty() {
             return Ok(());
@@ -268,15 +271,15 @@
         self.run_operation(FileOperation::Write, &name, |files, name| files.append(name, &bytes))
     }
 
-    /// Makes the last log file durable, with its seal, before another one follows it.
+    /// Syncs the last log file, with its seal, before another one follows.
     ///
-    /// A seal that is torn off by a power loss would look like damage in a file that is not the last.
+    /// If a power loss tore off the seal of a file that is not the last, it would look like damage.
     fn finish_last_segment(&mut self) -> Result<(), Error> {
         self.flush()?;
         self.sync_last_segment()
     }
 
-    /// Makes the last log file durable if it is not, and seals it.
+    /// Syncs the last log file if needed, and appends a seal.
     fn sync_and_seal(&mut self) -> Result<(), Error> {
         self.flush()?;
         if !self.unsynced {
@@ -284,7 +287,8 @@
         }
         self.sync_last_segment()?;
         let Some(last) = self.segments.last_mut() else { return Ok(()) };
-        // The seal needs no sync of its own: it only has to reach the disk before the disk decays.
+        // The seal needs no sync of its own, because it only helps to detect damage that occurs
+        // later.
         let mut seal = Vec::new();
         segment::append_seal(last.durable_bytes, &mut seal);
         last.size += seal.len() as u64;
@@ -303,7 +307,7 @@
         Ok(())
     }
 
-    /// Does one thing with a file.
+    /// Runs an operation on a file and converts its error.
     pub(crate) fn run_operation<T>(
         &mut self,
         step: FileOperation,
@@ -313,10 +317,11 @@
         operation(self.files.as_mut(), name).map_err(|error| storage_error(step, name, &error))
     }
 
-    /// Runs work unless an earlier one failed, and notes when this one does.
+    /// Runs an operation unless an earlier one failed, and records whether it fails.
     ///
-    /// After a failed write or sync nobody knows what is on the disk; a second sync may even claim
-    /// success for pages that were dropped. Going on would acknowledge what is not kept.
+    /// After a failed write or sync, the content of the disk is unknown; a second sync may even
+    /// succeed although pages were dropped. Continuing would acknowledge writes that are not
+    /// stored.
     fn run_unless_failed(
         &mut self,
         operation: impl FnOnce(&mut Self) -> Result<(), Error>,
@@ -348,14 +353,14 @@
     }
 }
 
-/// Describes a snapshot in its file, before the state's bytes.
+/// The header of a snapshot file, which precedes the encoded state.
 #[verbenaslip_base::data]
 pub(crate) struct SnapshotHeader {
     pub(crate) position: Position,
     pub(crate) config: verbenaslip_replica::config::Config,
 }
 
-/// Words what the system said.
+/// Converts an error of the operating system.
 pub(crate) fn storage_error(step: FileOperation, name: &str, error: &io::Error) -> Error {
     let file: Arc<str> = name.into();
     match error.kind() {
@@ -364,8 +369,9 @@
     }
 }
 
-/// Draws an identity from the randomness that the standard library takes from the system.
+/// Returns a random identity, based on the random state of the standard library.
 fn random_identity(path: &Path) -> Identity {
-    let half = |salt: u8| u128::from(RandomState::new().hash_one((path, std::process::id(), salt)));
-    Identity((half(0) << 64) | half(1))
+    let random_half =
+        |salt: u8| u128::from(RandomState::new().hash_one((path, std::process::id(), salt)));
+    Identity((random_half(0) << 64) | random_half(1))
 }
--- a/crates/verbenaslip-disk/src/files.rs
+++ b/crates/verbenaslip-disk/src/files.rs
@@ -1,88 +1,89 @@
-//! The port to the files of one folder.
+//! The interface to the files of one directory.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// Works on the files of one folder, by name.
+/// Accesses the files of one directory by name.
 ///
-/// Content lasts only after `sync`; creation, renaming and removal last only after `sync_directory`.
+/// Content is durable only after `sync`; creating, renaming and removing a file is durable only
+/// after `sync_directory`.
 pub trait Files: Send {
-    /// Lists the names, in any order.
+    /// Returns the file names, in any order.
     ///
     /// # Errors
     ///
-    /// Returns what the system says.
+    /// Returns the error of the operating system.
     fn list(&mut self) -> io::Result<Vec<String>>;
 
-    /// Reads a file whole.
+    /// Reads a whole file.
     ///
     /// # Errors
     ///
-    /// Returns what the system says; `NotFound` when there is none.
+    /// Returns the error of the operating system; `NotFound` if the file does not exist.
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Creates an empty file, or empties the one there is.
+    /// Creates an empty file, or truncates the existing one.
     ///
     /// # Errors
     ///
-    /// Returns what the system says.
+    /// Returns the error of the operating system.
     fn create(&mut self, name: &str) -> io::Result<()>;
 
-    /// Writes at the end of a file.
+    /// Appends to a file.
     ///
     /// # Errors
     ///
-    /// Returns what the system says; a part may have been written.
+    /// Returns the error of the operating system; a part may have been written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Cuts a file to a size.
+    /// Truncates a file to a size in bytes.
     ///
     /// # Errors
     ///
-    /// Returns what the system says.
+    /// Returns the error of the operating system.
     fn truncate(&mut self, name: &str, size: u64) -> io::Result<()>;
 
     /// Makes a file's content durable.
     ///
     /// # Errors
     ///
-    /// Returns what the system says; then nothing is known about what lasts.
+    /// Returns the error of the operating system; the durable content is then unknown.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
-    /// Gives a file another name, in place of the file that had it.
+    /// Renames a file and replaces the file that has the new name, if any.
     ///
     /// # Errors
     ///
-    /// Returns what the system says.
+    /// Returns the error of the operating system.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
     ///
-    /// Returns what the system says.
+    /// Returns the error of the operating system.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 
-    /// Makes the folder's names durable.
+    /// Makes creation, renaming and removal of files durable.
     ///
     /// # Errors
     ///
-    /// Returns what the system says.
+    /// Returns the error of the operating system.
     fn sync_directory(&mut self) -> io::Result<()>;
 }
 
-/// Works on the files of a real folder, and keeps other processes out of it.
+/// Accesses the files of a real directory, and locks it against other processes.
 #[derive(Debug)]
 pub struct SystemFiles {
     path: PathBuf,
-    /// The file that was written last, kept open.
+    /// The file that was last written, kept open.
     last_opened: Option<OpenFile>,
-    /// Holds the lock until it is dropped.
+    /// The lock file, which stays locked until it is dropped.
     _lock: File,
 }
 
-/// Holds a file open for writing at its end.
+/// A file that is open for appending.
 #[derive(Debug)]
 struct OpenFile {
     name: String,
@@ -93,28 +94,29 @@
 pub const LOCK_FILE: &str = "lock";
 
 impl SystemFiles {
-    /// Opens a folder, creating it where needed, and locks it.
+    /// Opens a directory, creating it if needed, and locks it.
     ///
     /// # Errors
     ///
-    /// Returns what the system says; `WouldBlock` when another process has it open.
+    /// Returns the error of the operating system; `WouldBlock` if another process has it open.
     pub fn open(path: &Path) -> io::Result<Self> {
         fs::create_dir_all(path)?;
-        // Two processes on one folder would vote twice in a term and mix their records.
+        // Two processes on one directory could vote twice in a term and would interleave their
+        // records.
         let lock = OpenOptions::new()
             .create(true)
             .truncate(false)
             .write(true)
             .open(path.join(LOCK_FILE))?;
         lock.try_lock()?;
-        // The folder itself lasts once its parent is synced.
+        // The directory itself is durable once its parent is synced.
         if let Some(parent) = path.parent().filter(|parent| !parent.as_os_str().is_empty()) {
             File::open(parent)?.sync_all()?;
         }
         Ok(Self { path: path.to_owned(), last_opened: None, _lock: lock })
     }
 
-    /// Returns the file, open for writing at its end.
+    /// Returns the file, opened for appending.
     fn open_for_append(&mut self, name: &str) -> io::Result<&mut File> {
         let file = match self.last_opened.take().filter(|file| file.name == name) {
             Some(file) => file,
@@ -126,7 +128,7 @@
         Ok(&mut self.last_opened.insert(file).file)
     }
 
-    /// Lets go of a file that is about to change its name or to go.
+    /// Closes a file that is about to be renamed, replaced or removed.
     fn close(&mut self, name: &str) {
         self.last_opened = self.last_opened.take().filter(|file| file.name != name);
     }
--- a/crates/verbenaslip-disk/src/lib.rs
+++ b/crates/verbenaslip-disk/src/lib.rs
@@ -1,25 +1,28 @@
-//! The replicated log's files: checksummed, synced, safe against torn tails.
+//! Files of the replicated log: checksummed, synced and protected against torn tails.
 //!
-//! [`DataDirectory`] keeps one voter's state in one data folder and implements
-//! [`verbenaslip_replica::storage::Storage`]. It holds:
+//! [`DataDirectory`] stores the state of one voter and implements
+//! [`verbenaslip_replica::storage::Storage`]. The directory contains:
 //!
 //! | file | content | how it changes |
 //! |---|---|---|
-//! | `lock` | nothing; held while the folder is open | never |
-//! | `identity` | the folder's identity, drawn when it is created | never |
-//! | `hard` | term, vote and group | whole, by rename |
-//! | `snapshot-…` | the state up to an index | whole, by rename; older ones go afterwards |
-//! | `log-…` | records, from the index in the name | appended; cut at the end by truncation |
+//! | `lock` | nothing; locked while the directory is open | never |
+//! | `identity` | the random identity of the directory | never |
+//! | `hard` | term, vote and group | replaced by rename |
+//! | `snapshot-…` | the state up to the index in the name | replaced by rename; older ones are then removed |
+//! | `log-…` | records, starting at the index in the name | appended; truncated at the end |
 //!
-//! [`checked`] is the form of a file that is replaced whole, [`segment`] that of a log file. Each
-//! record carries how much of its file was durable when it was written. So after a power loss a
-//! fault where nothing was durable yet is a torn tail: it is cut and reported. A fault before that
-//! is damage: opening fails with file, offset and hint, and loses nothing silently. After each sync
-//! an empty record (a *seal*) follows, without a sync of its own, so that the last records are soon
-//! covered as well. Only when power is lost before the seal reaches the disk, and the disk also
-//! damaged the records before it, can these not be told from a torn tail.
+//! [`checksummed`] defines the format of files that are replaced as a whole, and [`segment`] that
+//! of log files. Each record contains the number of bytes of its file that were durable when it was
+//! written. After a power loss, a fault in bytes that were not durable is a torn tail, which is
+//! truncated and reported. A fault in durable bytes is damage: opening fails with an error that
+//! names the file and the offset, and nothing is removed.
 //!
-//! All access goes through the [`files::Files`] port: [`files::System`] is the real one.
+//! An empty record, the *seal*, is written after each sync to cover the last records as well. The
+//! seal itself is not synced. If the power fails before the seal is durable and the disk also
+//! damages the records before it, the damage can't be distinguished from a torn tail.
+//!
+//! All file access goes through the [`files::Files`] trait, which [`files::SystemFiles`] implements
+//! for real files.
 
 pub mod checksummed;
 pub mod files;
--- a/crates/verbenaslip-disk/src/load.rs
+++ b/crates/verbenaslip-disk/src/load.rs
@@ -1,4 +1,4 @@
-//! Reads a folder, and repairs what a power loss may leave.
+//! Loading a data directory, and repairing what a power loss may leave.
 
 use std::io::ErrorKind;
 use std::sync::Arc;
@@ -13,25 +13,25 @@
 use crate::segment::{HEADER_BYTES, Scan};
 use crate::{checksummed, file_name, segment};
 
-/// Holds what the log files contain.
+/// Holds the content of the log files.
 struct LoadedLog {
     entries: Vec<Entry>,
-    torn: Option<TornTail>,
+    torn_tail: Option<TornTail>,
 }
 
 impl DataDirectory {
-    /// Reads everything, and cuts what never became durable.
+    /// Reads everything, and truncates what never became durable.
     pub(crate) fn read_all(&mut self) -> Result<Recovered, Error> {
         let names = self.list_files()?;
         self.identity = self.read_identity(&names)?;
         let hard_state = self.read_hard_state(&names)?;
         let snapshot = self.read_snapshot(&names)?;
-        let LoadedLog { entries, torn } = self.read_log(&names)?;
+        let LoadedLog { entries, torn_tail } = self.read_log(&names)?;
         let snapshot_index = snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index);
         check_no_gap(snapshot_index, &entries)?;
         let count = entries.len();
         let recovered =
-            Recovered { identity: self.identity, hard_state, snapshot, entries, torn_tail: torn }
+            Recovered { identity: self.identity, hard_state, snapshot, entries, torn_tail }
                 .without_stale_entries();
         if recovered.entries.is_empty() && (count > 0 || !self.segments.is_empty()) {
             self.remove_log()?;
@@ -45,23 +45,23 @@
         Ok(recovered)
     }
 
-    /// Makes durable what was read.
+    /// Syncs what was read.
     ///
-    /// After a process died without a power loss, the files show writes that were never synced. The
-    /// voter would acknowledge them as stored, and a power loss would then take them away.
+    /// After a process crash without a power loss, the files show writes that were never synced.
+    /// The voter would acknowledge them as stored, and a later power loss could remove them.
     fn sync_loaded(&mut self) -> Result<(), Error> {
         if let Some(name) = self.segments.last().map(|last| last.name.clone()) {
             self.run_operation(FileOperation::Sync, &name, |files, name| files.sync(name))?;
         }
-        self.run_operation(FileOperation::Sync, "the data folder", |files, _| {
+        self.run_operation(FileOperation::Sync, "the data directory", |files, _| {
             files.sync_directory()
         })
     }
 
-    /// Lists the files in order, and removes those that were never finished.
+    /// Returns the file names in order, and removes files that were not completely written.
     fn list_files(&mut self) -> Result<Vec<String>, Error> {
         let mut names =
-            self.run_operation(FileOperation::List, "the data folder", |files, _| files.list())?;
+            self.run_operation(FileOperation::List, "the data directory", |files, _| files.list())?;
         names.sort();
         for temporary in names.extract_if(.., |name| name.ends_with(file_name::UNFINISHED_SUFFIX)) {
             self.run_operation(FileOperation::Remove, &temporary, |files, name| {
@@ -71,11 +71,11 @@
         Ok(names)
     }
 
-    /// Reads the folder's identity, or keeps the one that was drawn if the folder is new.
+    /// Reads the identity, or stores the random one if the data directory is new.
     fn read_identity(&mut self, names: &[String]) -> Result<Identity, Error> {
         if let Some(content) = self.read_checksummed(file_name::IDENTITY)? {
             let identity = postcard::from_bytes(&content);
-            return identity.map_err(|_| damaged(file_name::IDENTITY, 0, &"it can't be read"));
+            return identity.map_err(|_| damaged(file_name::IDENTITY, 0, &"it can't be decoded"));
         }
         let has_voter_files = names.iter().any(|name| {
             name == file_name::HARD_STATE
@@ -83,25 +83,31 @@
                 || file_name::snapshot_index(name).is_some()
         });
         if has_voter_files {
-            // With a new identity this voter could vote twice; it must not go on as itself.
-            return Err(damaged(file_name::IDENTITY, 0, &"it is missing beside a log"));
+            // With a new identity, this voter could vote twice in a term.
+            return Err(damaged(
+                file_name::IDENTITY,
+                0,
+                &"it is missing although other files exist",
+            ));
         }
         let content = postcard::to_stdvec(&self.identity).unwrap_or_default();
         self.replace_file(file_name::IDENTITY, &checksummed::encode(&content))?;
         Ok(self.identity)
     }
 
-    /// Reads the term and vote.
+    /// Reads the hard state.
     fn read_hard_state(&mut self, names: &[String]) -> Result<HardState, Error> {
         let Some(content) = self.read_checksummed(file_name::HARD_STATE)? else {
-            // The term is written before the first entry, so it can't be missing beside one.
+            // The hard state is written before the first entry, so it can't be missing if there is
+            // a log.
             let has_log =
                 names.iter().any(|name| is_log(name) || file_name::snapshot_index(name).is_some());
-            let missing = || damaged(file_name::HARD_STATE, 0, &"it is missing beside a log");
-            return if has_log { Err(missing()) } else { Ok(HardState::default()) };
+            let missing_error =
+                || damaged(file_name::HARD_STATE, 0, &"it is missing although there is a log");
+            return if has_log { Err(missing_error()) } else { Ok(HardState::default()) };
         };
         postcard::from_bytes(&content)
-            .map_err(|_| damaged(file_name::HARD_STATE, 0, &"it can't be read"))
+            .map_err(|_| damaged(file_name::HARD_STATE, 0, &"it can't be decoded"))
     }
 
     /// Reads the newest snapshot, and removes older ones.
@@ -110,10 +116,10 @@
             names.iter().filter_map(|n| file_name::snapshot_index(n)).collect();
         let Some(newest) = indices.pop() else { return Ok(None) };
         let name = file_name::snapshot(newest);
-        let unreadable = || damaged(&name, 0, &"it can't be read");
-        let content = self.read_checksummed(&name)?.ok_or_else(unreadable)?;
+        let undecodable = || damaged(&name, 0, &"it can't be decoded");
+        let content = self.read_checksummed(&name)?.ok_or_else(undecodable)?;
         let (header, state) =
-            postcard::take_from_bytes::<SnapshotHeader>(&content).map_err(|_| unreadable())?;
+            postcard::take_from_bytes::<SnapshotHeader>(&content).map_err(|_| undecodable())?;
         if header.position.index != newest {
             return Err(damaged(&name, 0, &"its name does not match its content"));
         }
@@ -125,12 +131,12 @@
         Ok(Some(Arc::new(Snapshot { position, config, state: state.into() })))
     }
 
-    /// Reads the log files, and cuts a torn tail.
+    /// Reads the log files, and truncates a torn tail.
     fn read_log(&mut self, names: &[String]) -> Result<LoadedLog, Error> {
         self.segments.clear();
         let logs: Vec<&String> = names.iter().filter(|name| is_log(name)).collect();
         let mut entries: Vec<Entry> = Vec::new();
-        let mut torn = None;
+        let mut torn_tail = None;
         for (position, name) in logs.iter().enumerate() {
             let bytes =
                 self.run_operation(FileOperation::Read, name, |files, name| files.read(name))?;
@@ -140,7 +146,7 @@
                 if !last || fault.was_durable {
                     return Err(damaged(name, scan.valid_bytes, &fault.kind));
                 }
-                torn = Some(self.cut_torn_tail(name, &scan, bytes.len() as u64)?);
+                torn_tail = Some(self.truncate_torn_tail(name, &scan, bytes.len() as u64)?);
             }
             let Some(first_index) = scan.first_index else { continue };
             check_continuity(name, first_index, &scan, entries.last())?;
@@ -149,11 +155,16 @@
             self.segments.push(Segment { name, first_index, offsets, size, durable_bytes: size });
             entries.extend(scan.records.into_iter().map(|record| record.entry));
         }
-        Ok(LoadedLog { entries, torn })
+        Ok(LoadedLog { entries, torn_tail })
     }
 
-    /// Cuts a torn tail off the last log file; a file without a whole header goes.
-    fn cut_torn_tail(&mut self, name: &str, scan: &Scan, size: u64) -> Result<TornTail, Error> {
+    /// Truncates a torn tail of the last log file, or removes a file without a complete header.
+    fn truncate_torn_tail(
+        &mut self,
+        name: &str,
+        scan: &Scan,
+        size: u64,
+    ) -> Result<TornTail, Error> {
         if scan.valid_bytes < HEADER_BYTES as u64 {
             self.remove_file(name)?;
         } else {
@@ -165,7 +176,7 @@
         Ok(TornTail { file: name.into(), offset: scan.valid_bytes, bytes: size - scan.valid_bytes })
     }
 
-    /// Reads the content of a file that is replaced whole, none when there is no such file.
+    /// Reads the content of a checksummed file, or returns `None` if the file does not exist.
     fn read_checksummed(&mut self, name: &str) -> Result<Option<Vec<u8>>, Error> {
         let bytes = match self.files.read(name) {
             Ok(bytes) => bytes,
@@ -177,7 +188,7 @@
     }
 }
 
-/// Checks that a log file begins where its name and the file before say, without a gap.
+/// Checks that a log file matches its name, follows the previous one, and has no gap.
 fn check_continuity(
     name: &str,
     first_index: u64,
@@ -191,10 +202,10 @@
     {
         return Err(damaged(name, 0, &"a log file before it is missing"));
     }
-    let gap = (first_index..)
+    let out_of_order = (first_index..)
         .zip(&scan.records)
         .find(|(expected, r)| r.entry.position.index != *expected);
-    if let Some((_, record)) = gap {
+    if let Some((_, record)) = out_of_order {
         return Err(damaged(name, record.offset, &"an entry is out of order"));
     }
     Ok(())
@@ -211,12 +222,12 @@
     Ok(())
 }
 
-/// Tells whether a file is a log file.
+/// Returns whether a file is a log file.
 fn is_log(name: &str) -> bool {
     file_name::log_index(name).is_some()
 }
 
-/// Words a damage.
+/// Returns the error for a damaged file.
 fn damaged(name: &str, offset: u64, what: &impl ToString) -> Error {
     Error::Damaged { file: name.into(), offset, what: what.to_string().into() }
 }
--- a/crates/verbenaslip-disk/src/segment.rs
+++ b/crates/verbenaslip-disk/src/segment.rs
@@ -1,64 +1,66 @@
-//! The form of a log file: a header, then records.
+//! The format of a log file: a header followed by records.
 //!
-//! A record is length, checksum and floor (4 bytes each, little-endian), then the entry in
-//! `postcard`. The checksum covers length, floor and entry. The floor is how much of the file was
-//! durable when the record was written. A record without an entry is a seal.
+//! A record consists of its length, its checksum and the number of durable bytes (4 bytes each,
+//! little-endian), followed by the log entry in `postcard` encoding. The checksum covers all but
+//! itself. The number of durable bytes tells how much of the file was durable when the record was
+//! written. A record without a log entry is a seal.
 
 use displaydoc::Display;
 use verbenaslip_replica::entry::Entry;
 
-/// Begins every log file.
+/// The first bytes of each log file.
 const MAGIC: [u8; 8] = *b"VSLIPL01";
-/// Bytes of the header: mark, first index, checksum.
+/// The size of the file header: magic, first index and checksum.
 pub const HEADER_BYTES: usize = 8 + 8 + 4;
-/// Bytes of a record before its entry.
+/// The size of a record's header, which precedes the entry.
 const RECORD_HEADER_BYTES: usize = 4 + 4 + 4;
 
-/// Holds what a log file contains.
+/// Holds the content of a log file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Scan {
-    /// The index in the header; none when the header is not whole.
+    /// The index in the header, or `None` if the header is incomplete or invalid.
     pub first_index: Option<u64>,
-    /// The entries, each with its place.
+    /// The entries with their offsets.
     pub records: Vec<Record>,
-    /// Where the last whole record ends.
+    /// The offset at which the last valid record ends.
     pub valid_bytes: u64,
-    /// What stands after it, if that is not the end of the file.
+    /// The fault after the last valid record, if any.
     pub fault: Option<Fault>,
 }
 
-/// Holds an entry and its place in the file.
+/// Holds a log entry and its offset in the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Where the record begins.
+    /// The offset of the record, in bytes.
     pub offset: u64,
-    /// The entry.
+    /// The log entry.
     pub entry: Entry,
 }
 
-/// Tells of bytes that are no record.
+/// Describes bytes that are not a valid record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// What is wrong.
+    /// The kind of fault.
     pub kind: FaultKind,
-    /// Whether a later record shows that these bytes were durable once, so that this is no torn tail.
+    /// Whether a later record proves that these bytes were durable, so that they are not a torn
+    /// tail.
     pub was_durable: bool,
 }
 
-/// Says what is wrong at the end of the whole records.
+/// The kind of a fault after the valid records.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum FaultKind {
-    /// the file's header is not whole
+    /// the file's header is incomplete
     Header,
-    /// a record is cut off
+    /// a record is truncated
     Truncated,
     /// a record's checksum does not match
     Checksum,
-    /// a record's entry can't be read
+    /// a record's entry can't be decoded
     Entry,
 }
 
-/// Returns the header of a log file that begins at an index.
+/// Returns the header of a log file that starts at an index.
 pub fn encode_header(first_index: u64) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(HEADER_BYTES);
     bytes.extend_from_slice(&MAGIC);
@@ -67,22 +69,22 @@
     bytes
 }
 
-/// Adds the record of an entry.
+/// Appends the record of a log entry to `bytes`.
 pub fn append_record(entry: &Entry, durable_bytes: u64, bytes: &mut Vec<u8>) {
     let content = postcard::to_stdvec(entry).unwrap_or_default();
     append_content(&content, durable_bytes, bytes);
 }
 
-/// Adds a record without an entry, which tells how much is durable.
+/// Appends a seal, which only records how many bytes are durable, to `bytes`.
 pub fn append_seal(durable_bytes: u64, bytes: &mut Vec<u8>) {
     append_content(&[], durable_bytes, bytes);
 }
 
-/// Reads a log file; takes any bytes.
+/// Reads a log file. Any bytes are allowed.
 pub fn scan(bytes: &[u8]) -> Scan {
     let Some(first_index) = decode_header(bytes) else {
-        // The header is synced before any record is written, so behind a broken one there must
-        // be nothing; otherwise it was whole once.
+        // The header is synced before the first record is written. So bytes after an invalid header
+        // prove that the header was durable once.
         let fault = Fault { kind: FaultKind::Header, was_durable: bytes.len() > HEADER_BYTES };
         return Scan { first_index: None, records: Vec::new(), valid_bytes: 0, fault: Some(fault) };
     };
@@ -104,14 +106,14 @@
     Scan { first_index: Some(first_index), records, valid_bytes: offset as u64, fault }
 }
 
-/// Holds one record as it was read.
+/// A decoded record.
 struct DecodedRecord {
     entry: Option<Entry>,
     durable_bytes: u32,
     end: usize,
 }
 
-/// Adds a record.
+/// Appends a record with encoded content to `bytes`.
 fn append_content(content: &[u8], durable_bytes: u64, bytes: &mut Vec<u8>) {
     let length = (content.len() as u32).to_le_bytes();
     let durable_bytes = u32::try_from(durable_bytes).unwrap_or(u32::MAX).to_le_bytes();
@@ -121,7 +123,7 @@
     bytes.extend_from_slice(content);
 }
 
-/// Reads the index in a header, none when it is not whole.
+/// Returns the first index in a header, or `None` if the header is incomplete or invalid.
 fn decode_header(bytes: &[u8]) -> Option<u64> {
     let (fields, rest) = bytes.split_first_chunk::<16>()?;
     let (checksum, _) = rest.split_first_chunk::<4>()?;
@@ -130,7 +132,7 @@
     is_valid.then_some(u64::from_le_bytes(*first_index))
 }
 
-/// Reads the record at an offset.
+/// Decodes the record at an offset.
 fn decode_record(bytes: &[u8], offset: usize) -> Result<DecodedRecord, FaultKind> {
     let rest = bytes.get(offset..).ok_or(FaultKind::Truncated)?;
     let (length, rest) = rest.split_first_chunk::<4>().ok_or(FaultKind::Truncated)?;
@@ -153,7 +155,7 @@
     })
 }
 
-/// Tells whether any record after a fault says that the fault's place was durable.
+/// Returns whether any record after a fault states that the bytes of the fault were durable.
 fn was_durable(bytes: &[u8], fault: usize) -> bool {
     let later = fault.saturating_add(1)..bytes.len().saturating_sub(RECORD_HEADER_BYTES - 1);
     later.into_iter().any(|offset| {
@@ -161,7 +163,7 @@
     })
 }
 
-/// Returns a record's checksum.
+/// Returns the checksum of a record.
 fn checksum(length: [u8; 4], durable_bytes: [u8; 4], content: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&length);
--- a/crates/verbenaslip-replica/src/change.rs
+++ b/crates/verbenaslip-replica/src/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the voter set, by a joint configuration.
+//! Changes of the voter set through a joint configuration.
 
 use std::time::Duration;
 
@@ -8,38 +8,38 @@
 use crate::peer::Peer;
 use crate::replica::{Replica, State};
 
-/// Entries by which a new voter may lag when it begins to count.
+/// The maximum number of log entries by which a new voter may lag when it becomes a voter.
 const MAX_CATCH_UP_LAG_ENTRIES: u64 = 64;
 
-/// Holds the change that was asked for in this term.
+/// Holds the voter change that was requested in this term.
 #[derive(Debug)]
 pub(crate) struct PendingChange {
     token: u64,
     change: Change,
     deadline: Duration,
-    /// The first round that begins after the change was asked for.
+    /// The first round that begins after the change was requested.
     first_round: u64,
     stage: Stage,
 }
 
-/// Says how far a change is.
+/// The progress of a voter change.
 #[derive(Debug, PartialEq, Eq)]
 enum Stage {
-    /// The new voter catches up; nothing is in the log yet.
+    /// The new voter catches up; the log does not contain the change yet.
     CatchUp,
-    /// The joint configuration is in the log.
+    /// The log contains the joint configuration.
     Joint,
-    /// The new configuration is in the log at this index.
+    /// The log contains the new configuration at this index.
     Final(u64),
 }
 
 impl PendingChange {
-    /// Returns when the new voter must have caught up.
+    /// Returns the time by which the new voter must have caught up.
     pub(crate) fn deadline(&self) -> Duration {
         if self.stage == Stage::CatchUp { self.deadline } else { Duration::MAX }
     }
 
-    /// Answers when the leadership is lost.
+    /// Returns the answer to the requester when the change is given up.
     pub(crate) fn abort_answer(&self, rejection: Rejection) -> Output {
         let answer = match self.stage {
             Stage::CatchUp => Answer::Rejected(rejection),
@@ -50,7 +50,7 @@
 }
 
 impl Replica {
-    /// Takes a change of the voter set.
+    /// Handles a request to change the voter set.
     pub(crate) fn change_voters(&mut self, token: u64, change: Change) {
         if let Some(answer) = self.immediate_answer(&change) {
             self.outputs.push(Output::Answer { token, answer });
@@ -73,7 +73,7 @@
         });
     }
 
-    /// Gives up on a new voter that does not catch up.
+    /// Gives up a change whose new voter does not catch up in time.
     pub(crate) fn tick_change(&mut self) {
         let State::Leader(leader_state) = &mut self.state else { return };
         let Some(change) =
@@ -85,11 +85,12 @@
         self.remove_former_peers();
     }
 
-    /// Goes on with a change as far as what is committed allows.
+    /// Advances a change as far as the commit index allows.
     pub(crate) fn advance_change(&mut self) {
         let State::Leader(leader_state) = &self.state else { return };
-        // A leader that has not committed anything in its term may hold a configuration that a
-        // newer one has replaced elsewhere; building on it could make two sets without overlap.
+        // A leader that has committed nothing in its term may hold a configuration that a newer
+        // leader has replaced. A change based on it could result in two voter sets without a common
+        // member.
         let is_committed = self.commit_index >= leader_state.first_index
             && self.commit_index >= self.log.config_index();
         if !is_committed {
@@ -117,7 +118,8 @@
         self.outputs.push(Output::Answer { token: change.token, answer });
     }
 
-    /// Lets go of followers that no longer count, and of leadership if this is one of them.
+    /// Removes followers that are no longer voters, and steps down if this replica is no longer a
+    /// voter.
     pub(crate) fn remove_former_voters(&mut self) {
         let State::Leader(leader_state) = &self.state else { return };
         let config = self.log.config();
@@ -134,7 +136,7 @@
         self.become_follower(self.hard_state.term, None);
     }
 
-    /// Answers a change that needs no work or can't be taken.
+    /// Returns the answer to a change that needs no work or can't be accepted.
     fn immediate_answer(&self, change: &Change) -> Option<Answer> {
         let State::Leader(leader_state) = &self.state else {
             let leader = self.leader.clone();
@@ -149,7 +151,8 @@
         }
         let index = self.log.config_index();
         if change.is_satisfied_by(&config.voters) {
-            // It is what an earlier leader appended; whether that stays is not known before it commits.
+            // An earlier leader appended this configuration, which may still be replaced until it
+            // commits.
             if index > self.commit_index {
                 return Some(Answer::Rejected(Rejection::ChangeInProgress));
             }
@@ -178,10 +181,10 @@
         self.has_live_quorum(&joint, change.first_round).then_some(joint)
     }
 
-    /// Tells whether a quorum of each set has answered since a round began.
+    /// Returns whether a quorum of each voter set has answered since a round began.
     ///
-    /// An entry with a set of which no quorum lives can never commit, and whoever holds it can never
-    /// be elected by the others: the group would hang until an operator rescues it.
+    /// A configuration without a live quorum can never commit, and a voter that has it in its log
+    /// can't be elected by the others. The group would hang until an operator rescues it.
     fn has_live_quorum(&self, config: &Config, round: u64) -> bool {
         let State::Leader(leader_state) = &self.state else { return false };
         let has_answered = |identity| match leader_state.peers.get(&identity) {
@@ -192,7 +195,7 @@
         config.quorum_value(has_answered) >= round
     }
 
-    /// Appends a configuration, which is in force at once.
+    /// Appends a configuration, which is in force at once, and returns its index.
     fn append_config(&mut self, config: Config) -> u64 {
         let index = self.append_payload(Payload::Config(config));
         let others = self.other_voters();
@@ -204,7 +207,7 @@
         index
     }
 
-    /// Notes how far the change that was asked for is.
+    /// Sets the stage of the pending change.
     fn set_change_stage(&mut self, stage: Stage) {
         let State::Leader(leader_state) = &mut self.state else { return };
         if let Some(change) = &mut leader_state.voter_change {
@@ -212,7 +215,7 @@
         }
     }
 
-    /// Drops followers that are neither voters nor catching up.
+    /// Removes followers that are neither voters nor catching up.
     fn remove_former_peers(&mut self) {
         let config = self.log.config();
         let State::Leader(leader_state) = &mut self.state else { return };
--- a/crates/verbenaslip-replica/src/election.rs
+++ b/crates/verbenaslip-replica/src/election.rs
@@ -1,4 +1,4 @@
-//! Campaigns, votes and pre-votes.
+//! Campaigns, pre-votes and votes.
 
 use std::collections::BTreeSet;
 
@@ -10,29 +10,31 @@
 use crate::replica::{Replica, State};
 use crate::voter::{Identity, Voter};
 
-/// Holds the votes that a candidate has.
+/// Holds the progress of a candidate's campaign.
 #[derive(Debug)]
 pub(crate) struct Campaign {
     stage: Stage,
-    /// The term that is asked for.
+    /// The term that the candidate wants to lead.
     term: u64,
     granted: BTreeSet<Identity>,
 }
 
-/// Says what is being asked for.
+/// Says what a candidate asks for.
 #[derive(Debug, PartialEq, Eq)]
 enum Stage {
-    /// Whether votes would be given.
+    /// Asks whether voters would grant a vote.
     PreVote,
-    /// Votes; the own one counts once the write with this mark is durable.
+    /// Asks for votes. The candidate's own vote counts once the write with this sequence number is
+    /// durable.
     Vote { sequence: u64 },
 }
 
 impl Replica {
-    /// Asks whether votes would be given.
+    /// Starts a campaign with a pre-vote.
     ///
-    /// Without this, a voter that was cut off would come back with a term that it raised alone, and
-    /// its answers would depose a healthy leader: one would notice an election after each heal.
+    /// Without pre-votes, a voter in a network partition would keep raising its term. After the
+    /// partition its answers would depose a healthy leader, so that each partition would end with
+    /// an election.
     pub(crate) fn start_pre_vote(&mut self) {
         self.reset_election_timer();
         self.leader = None;
@@ -49,7 +51,7 @@
         self.count_votes();
     }
 
-    /// Starts a term and asks for votes.
+    /// Starts a new term and asks for votes.
     pub(crate) fn start_election(&mut self, transfer: bool) {
         self.hard_state.term = self.hard_state.term.saturating_add(1);
         self.hard_state.voted = Some(self.identity);
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Counts the own vote once it is durable.
+    /// Counts this candidate's own vote once it is durable.
     pub(crate) fn count_own_vote(&mut self) {
         let State::Candidate(campaign) = &mut self.state else { return };
         let Stage::Vote { sequence } = campaign.stage else { return };
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Answers a pre-vote, which promises nothing.
+    /// Answers a pre-vote, which does not bind this voter.
     pub(crate) fn handle_pre_vote(
         &mut self,
         from: &Instance,
@@ -95,7 +97,7 @@
         self.send_after_writes(from, answer);
     }
 
-    /// Takes the answer to a pre-vote.
+    /// Handles the answer to a pre-vote.
     pub(crate) fn handle_pre_vote_response(&mut self, message: &Message, granted: bool) {
         if !granted {
             if message.term > self.hard_state.term {
@@ -106,7 +108,7 @@
         self.record_vote(message, true);
     }
 
-    /// Answers a vote.
+    /// Answers a request for a vote.
     pub(crate) fn handle_vote(
         &mut self,
         from: &Instance,
@@ -114,7 +116,7 @@
         last_position: Position,
         transfer: bool,
     ) {
-        // The leader of the term just before has given up its lease and asked for this election.
+        // The leader of the previous term has given up its lease and requested this election.
         let is_transfer = transfer && Some(message.term) == self.hard_state.term.checked_add(1);
         if self.refuses_votes() && !is_transfer {
             return;
@@ -134,7 +136,7 @@
         self.send_after_writes(from, answer);
     }
 
-    /// Takes the answer to a vote.
+    /// Handles the answer to a request for a vote.
     pub(crate) fn handle_vote_response(&mut self, message: &Message, granted: bool) {
         if message.term > self.hard_state.term {
             self.become_follower(message.term, None);
@@ -145,22 +147,24 @@
         }
     }
 
-    /// Lists the other voters, each once.
+    /// Returns all voters except this one, each once.
     pub(crate) fn other_voters(&self) -> Vec<Voter> {
         let members: BTreeSet<&Voter> = self.log.config().members().collect();
         members.into_iter().filter(|voter| voter.identity != self.identity).cloned().collect()
     }
 
-    /// Tells whether votes are refused for the sake of a leader that may hold a lease.
+    /// Returns whether this voter refuses votes because a leader may hold a lease.
     ///
-    /// If a voter that acknowledged a heartbeat gave its vote to somebody else soon after, the old
-    /// leader, cut off from the news, would still act under its lease: two leaders at one time.
+    /// If a voter that acknowledged a heartbeat voted for another candidate soon after, the old
+    /// leader would not notice and would still act under its lease: there would be two leaders at
+    /// the same time.
     fn refuses_votes(&self) -> bool {
-        let election = self.setup.timing.election_timeout;
-        self.is_leader() || self.leader_heard_at.is_some_and(|heard| self.now < heard + election)
+        let election_timeout = self.setup.timing.election_timeout;
+        self.is_leader()
+            || self.leader_heard_at.is_some_and(|heard| self.now < heard + election_timeout)
     }
 
-    /// Counts a vote or pre-vote that was given.
+    /// Records a granted vote or pre-vote.
     fn record_vote(&mut self, message: &Message, is_pre_vote: bool) {
         let State::Candidate(campaign) = &mut self.state else { return };
         let stage = (campaign.stage == Stage::PreVote) == is_pre_vote;
@@ -170,7 +174,7 @@
         }
     }
 
-    /// Goes on to the next stage when a quorum has granted this one.
+    /// Proceeds to the next stage when a quorum has granted the current one.
     fn count_votes(&mut self) {
         let State::Candidate(campaign) = &self.state else { return };
         let granted = |identity| u64::from(campaign.granted.contains(&identity));
@@ -184,7 +188,7 @@
         }
     }
 
-    /// Takes up leadership.
+    /// Becomes the leader of the current term.
     fn become_leader(&mut self) {
         let last_position = self.log.last();
         let others = self.other_voters();
--- a/crates/verbenaslip-replica/src/entry.rs
+++ b/crates/verbenaslip-replica/src/entry.rs
@@ -1,4 +1,4 @@
-//! What the log is made of.
+//! Log entries.
 
 use std::sync::Arc;
 
@@ -6,29 +6,30 @@
 
 use crate::config::Config;
 
-/// Bytes that an entry costs on the wire and on disk beside its command, at most.
+/// The maximum size of a log entry on the wire and on disk in addition to its command, in bytes.
 pub(crate) const ENTRY_OVERHEAD_BYTES: usize = 48;
 
-/// Places an entry; ordered as logs are compared in an election: by term, then by index.
+/// The position of a log entry. Positions are ordered by term, then by index, as an election
+/// compares logs.
 #[data(copy, ord, hash, default)]
 pub struct Position {
-    /// The term of the leader that made it.
+    /// The term of the leader that appended the entry.
     pub term: u64,
-    /// Its place in the log, from 1; zero is before the log.
+    /// The index in the log, starting at 1; zero is the position before the first entry.
     pub index: u64,
 }
 
-/// Holds one entry of the log.
+/// Holds one log entry.
 #[data]
 pub struct Entry {
-    /// Where it stands.
+    /// The position of the entry.
     pub position: Position,
-    /// What it carries.
+    /// The content of the entry.
     pub payload: Payload,
 }
 
 impl Entry {
-    /// Returns about how many bytes the entry takes.
+    /// Returns the approximate size of the entry, in bytes.
     pub fn size(&self) -> usize {
         match &self.payload {
             Payload::Empty => ENTRY_OVERHEAD_BYTES,
@@ -44,13 +45,13 @@
     }
 }
 
-/// Holds what an entry carries.
+/// Holds the content of a log entry.
 #[data]
 pub enum Payload {
-    /// Nothing: a leader's first entry, by which earlier ones become committed.
+    /// Nothing. A new leader appends such an entry to commit the entries before it.
     Empty,
-    /// A command for the state machine, not looked into here.
+    /// A command for the state machine, which this crate does not interpret.
     Command(Arc<[u8]>),
-    /// A voter set, in force from the moment the entry is appended.
+    /// A voter set, in force as soon as the entry is appended.
     Config(Config),
 }
--- a/crates/verbenaslip-replica/src/follower.rs
+++ b/crates/verbenaslip-replica/src/follower.rs
@@ -1,4 +1,4 @@
-//! What a follower does with its leader's messages.
+//! How a follower handles the messages of its leader.
 
 use verbenaslip_base::name::Instance;
 
@@ -8,10 +8,11 @@
 use crate::storage::Write;
 
 impl Replica {
-    /// Takes entries, a heartbeat or a part of a snapshot.
+    /// Handles log entries, a heartbeat or a snapshot chunk.
     pub(crate) fn handle_leader_message(&mut self, from: &Instance, message: Message) {
         if message.term < self.hard_state.term {
-            // The sender has been replaced; it steps down when it sees the newer term.
+            // The sender is a former leader, which steps down when it sees the newer term in the
+            // answer.
             let answer = Body::AppendResponse { match_index: 0, round: 0 };
             let answer = self.new_message(Some(message.sender), answer);
             self.send_after_writes(from, answer);
@@ -46,14 +47,14 @@
         }
     }
 
-    /// Notes that the leader of a term is there.
+    /// Records the leader of a term and when it was heard.
     fn record_leader(&mut self, from: &Instance, term: u64) {
         self.become_follower(term, Some(from.clone()));
         self.leader_heard_at = Some(self.now);
         self.reset_election_timer();
     }
 
-    /// Adds entries that follow the log, and returns the answer.
+    /// Appends log entries from the leader and returns the answer.
     fn append_from_leader(
         &mut self,
         previous: Position,
@@ -72,16 +73,17 @@
         self.merge_entries(entries)?;
         self.commit_index = self.commit_index.max(commit.min(match_index));
         if heartbeat {
-            // What is not durable yet is answered with the append that brought it.
+            // Entries that are not durable yet are acknowledged by the answer to the append that
+            // sent them.
             match_index = match_index.min(self.outbox.durable_index());
         }
         Some(Body::AppendResponse { match_index, round })
     }
 
-    /// Adds the entries that are not there yet, in place of those that differ.
+    /// Appends the entries that are missing, and replaces those that differ.
     ///
-    /// Returns none, and changes nothing, when a committed entry would have to go: no leader of
-    /// this group can ask for that, so the message is broken.
+    /// Returns `None` and changes nothing if a committed entry would be replaced. No leader of this
+    /// group can request that, so the message is invalid.
     fn merge_entries(&mut self, mut entries: Vec<Entry>) -> Option<()> {
         let base = self.log.base().index;
         let is_held = |entry: &Entry| {
@@ -106,7 +108,7 @@
     }
 }
 
-/// Tells whether entries follow a position without a gap, in terms that never fall.
+/// Returns whether entries follow a position without a gap and with terms that never decrease.
 fn is_contiguous(previous: Position, entries: &[Entry], term: u64) -> bool {
     let mut last = previous;
     for entry in entries {
--- a/crates/verbenaslip-replica/src/founding.rs
+++ b/crates/verbenaslip-replica/src/founding.rs
@@ -1,8 +1,9 @@
-//! The very first start: how new folders form a group.
+//! Forming a group from new data directories at the first start.
 //!
-//! If the founding folder is lost before its first entry is committed, the others wait for it with
-//! empty logs and for good: they may have voted, so they are not new. Nothing was accepted then; an
-//! operator moves these folders away and starts the instances again.
+//! If the data directory of the founder that forms the group is lost before its first log entry is
+//! committed, the other founders wait for it forever with empty logs: they may have voted, so they
+//! are not new. No command has been accepted at that time. An operator has to move their data
+//! directories away and restart the instances.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,10 +16,10 @@
 use crate::replica::Replica;
 use crate::voter::{Group, Identity, Voter};
 
-/// Time between two questions to the other founders.
+/// The time between two queries to the other founders.
 const QUERY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Holds which founders have said that their folder is new.
+/// Holds the founders that have reported a new data directory.
 #[derive(Debug)]
 pub(crate) struct Founding {
     next_query: Duration,
@@ -26,23 +27,25 @@
 }
 
 impl Founding {
-    /// Starts with the first question due at once.
+    /// Returns a state in which the first query is due at once.
     pub(crate) fn new(now: Duration) -> Self {
         Self { next_query: now, new_founders: BTreeMap::new() }
     }
 
-    /// Returns when the next question is due.
+    /// Returns when the next query is due.
     pub(crate) fn next_tick(&self) -> Duration {
         self.next_query
     }
 }
 
 impl Replica {
-    /// Asks the other founders whether they are new, if it is this one that founds.
+    /// Queries the other founders whether they are new, if this replica is the one that forms the
+    /// group.
     ///
-    /// If a founder whose disk was lost could found alone or with a part of the others, a second
-    /// group would stand beside the first, and edits would be gone. So all founders must be new, and
-    /// must say so to this very folder; a folder that is in a group never says it.
+    /// If a founder that lost its disk could form a group alone or with some of the others, there
+    /// would be a second group, without the committed commands of the first. So all founders must
+    /// be new, and must confirm that to this identity. A replica that is in a group never confirms
+    /// it.
     pub(crate) fn tick_founding(&mut self) {
         if self.now < self.founding.next_query {
             return;
@@ -61,7 +64,7 @@
         self.form_group();
     }
 
-    /// Answers the question whether this folder is new.
+    /// Answers the query whether this data directory is new.
     pub(crate) fn handle_founding_query(&mut self, from: &Instance, sender: Identity) {
         if self.is_new() && self.setup.founders.contains(from) {
             let answer = self.new_message(Some(sender), Body::FoundingResponse);
@@ -69,7 +72,7 @@
         }
     }
 
-    /// Takes the news that another founder's folder is new.
+    /// Handles the report that another founder's data directory is new.
     pub(crate) fn handle_founding_response(&mut self, from: &Instance, sender: Identity) {
         if self.is_group_founder() && self.setup.founders.contains(from) {
             self.founding.new_founders.insert(from.clone(), sender);
@@ -98,12 +101,12 @@
         self.election_due_at = self.now;
     }
 
-    /// Tells whether it falls to this replica to form the group.
+    /// Returns whether this replica is the founder that forms the group: the first one by name.
     fn is_group_founder(&self) -> bool {
         self.is_new() && self.setup.founders.iter().min() == Some(&self.setup.instance)
     }
 
-    /// Tells whether this folder has never been in a group.
+    /// Returns whether this data directory has never been in a group.
     fn is_new(&self) -> bool {
         self.hard_state.group.is_none() && self.hard_state.term == 0 && self.log.last().index == 0
     }
--- a/crates/verbenaslip-replica/src/input.rs
+++ b/crates/verbenaslip-replica/src/input.rs
@@ -1,4 +1,4 @@
-//! What happens to a replica.
+//! Inputs of a replica.
 
 use std::sync::Arc;
 
@@ -8,48 +8,48 @@
 use crate::config::Change;
 use crate::message::Message;
 
-/// Tells a replica what happened.
+/// Tells a replica about an event or a request.
 #[data]
 pub enum Input {
-    /// Time has passed; due at [`crate::Replica::wake`].
+    /// Time has passed; due at [`crate::Replica::next_tick`].
     Tick,
-    /// A message came.
+    /// A message was received.
     Message {
         /// The instance that sent it.
         from: Instance,
         /// The message.
         message: Message,
     },
-    /// Proposes a command; answered once, with the token.
+    /// Proposes a command. There is one answer, with the same token.
     Propose {
-        /// Chosen by the proposer, unique among its open proposals and changes.
+        /// Chosen by the proposer; unique among its pending proposals and changes.
         token: u64,
         /// The command.
         command: Arc<[u8]>,
     },
-    /// Asks up to which index the state must be applied so that a read misses nothing committed
-    /// before this call; answered once, with the token.
+    /// Requests the index up to which the state must be applied so that a read includes everything
+    /// committed before this request. There is one answer, with the same token.
     ReadIndex {
-        /// Chosen by the reader, unique among its open confirmations.
+        /// Chosen by the reader; unique among its pending reads.
         token: u64,
     },
-    /// All writes up to a mark are durable.
+    /// All writes up to a sequence number are durable.
     Stored {
-        /// The mark of the last one.
+        /// The sequence number of the last durable write.
         sequence: u64,
     },
-    /// The state machine gives its state, as asked for by `RequestSnapshot`.
+    /// The state machine's state, in answer to `RequestSnapshot`.
     Snapshot {
-        /// The last applied index that it covers.
+        /// The last applied index that the state covers.
         index: u64,
-        /// The state.
+        /// The encoded state.
         state: Arc<[u8]>,
     },
-    /// This replica will stop: it hands leadership over if it has it.
+    /// This replica is about to stop and must transfer its leadership, if it is the leader.
     TransferLeadership,
-    /// Asks for another voter set; answered once, with the token.
+    /// Requests a change of the voter set. There is one answer, with the same token.
     ChangeVoters {
-        /// Chosen by the proposer, unique among its open proposals and changes.
+        /// Chosen by the proposer; unique among its pending proposals and changes.
         token: u64,
         /// The change.
         change: Change,
--- a/crates/verbenaslip-replica/src/leader.rs
+++ b/crates/verbenaslip-replica/src/leader.rs
@@ -1,4 +1,4 @@
-//! What a leader does: proposals, rounds, commit and reads.
+//! The leader: proposals, rounds, commits and reads.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,61 +16,62 @@
 use crate::transfer::Transfer;
 use crate::voter::{Identity, Voter};
 
-/// Holds what a leader keeps for one term.
+/// Holds the state of a leader during one term.
 #[derive(Debug)]
 pub(crate) struct LeaderState {
-    /// The followers, and voters that catch up.
+    /// The followers and the voters that catch up.
     pub(crate) peers: BTreeMap<Identity, Peer>,
-    /// The index of the first entry of the term.
+    /// The index of the first log entry of the term.
     pub(crate) first_index: u64,
-    /// When it was elected.
+    /// When this replica was elected.
     pub(crate) elected_at: Duration,
     /// The rounds of the term.
     pub(crate) rounds: Rounds,
     /// When the next heartbeats are due.
     pub(crate) next_heartbeat: Duration,
-    /// Whether a message must go to every follower in this step.
+    /// Whether this step must send a message to every follower.
     pub(crate) heartbeat_due: bool,
-    /// Proposals that wait for a quorum, by index.
+    /// The proposals that wait for a quorum, by index.
     pub(crate) proposals: BTreeMap<u64, PendingProposal>,
-    /// The bytes of these proposals.
+    /// The total size of the pending proposals, in bytes.
     pub(crate) pending_bytes: usize,
-    /// Confirmations that wait for a round.
+    /// The reads that wait for a round to be confirmed.
     pub(crate) pending_reads: Vec<PendingRead>,
-    /// The change of the voter set that was asked for in this term.
+    /// The voter change that was requested in this term.
     pub(crate) voter_change: Option<PendingChange>,
-    /// The handing over of leadership.
+    /// The leadership transfer in progress.
     pub(crate) transfer: Option<Transfer>,
-    /// Whether a lease may be held; not again in this term once an election was asked for.
+    /// Whether this leader may hold a lease. Stays false for the rest of the term once a follower
+    /// was asked to campaign.
     pub(crate) may_hold_lease: bool,
-    /// Whether a lease was held in this term.
+    /// Whether this leader has held a lease in this term.
     pub(crate) had_lease: bool,
-    /// The other folders seen at voters' instances.
+    /// The new identities seen on instances of voters.
     pub(crate) changed_identities: BTreeMap<Instance, Identity>,
 }
 
-/// Holds one proposal that waits.
+/// Holds a proposal that waits for a quorum.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingProposal {
     pub(crate) token: u64,
     pub(crate) size: usize,
 }
 
-/// Holds one confirmation that waits.
+/// Holds a read that waits for its round to be confirmed.
 #[derive(Debug)]
 pub(crate) struct PendingRead {
     token: u64,
-    /// The first round that began after the question.
+    /// The first round that began after the read was requested.
     round: u64,
 }
 
 impl LeaderState {
-    /// Starts a term of leadership.
-    pub(crate) fn new(now: Duration, start: u64, others: Vec<Voter>) -> Self {
-        let peer = |voter: Voter| (voter.identity, Peer::new(voter, start));
+    /// Returns the state of a newly elected leader.
+    pub(crate) fn new(now: Duration, first_index: u64, others: Vec<Voter>) -> Self {
+        let peer = |voter: Voter| (voter.identity, Peer::new(voter, first_index));
         Self {
             peers: others.into_iter().map(peer).collect(),
-            first_index: start,
+            first_index,
             elected_at: now,
             rounds: Rounds::default(),
             next_heartbeat: now,
@@ -97,13 +98,14 @@
             .fold(self.next_heartbeat, Duration::min)
     }
 
-    /// Tells whether a confirmation waits for a round that has not begun, and none is under way.
+    /// Returns whether a pending read needs a round that has not begun, while no other round is
+    /// open.
     pub(crate) fn needs_round(&self) -> bool {
         let newest_round = self.pending_reads.iter().map(|read| read.round).max().unwrap_or(0);
         newest_round > self.rounds.number() && !self.rounds.is_open()
     }
 
-    /// Returns when this leader steps down unless a quorum answers.
+    /// Returns when this leader steps down unless a quorum confirms another round.
     fn quorum_deadline(&self, timing: &Timing) -> Duration {
         let last_confirmed_at =
             self.rounds.confirmed().map_or(self.elected_at, |round| round.started_at);
@@ -112,7 +114,7 @@
 }
 
 impl Replica {
-    /// Takes a proposal.
+    /// Handles a proposal.
     pub(crate) fn propose(&mut self, token: u64, command: Arc<[u8]>) {
         if let Err(rejection) = self.check_proposal(command.len()) {
             self.outputs.push(Output::Answer { token, answer: Answer::Rejected(rejection) });
@@ -125,7 +127,7 @@
         leader_state.proposals.insert(index, PendingProposal { token, size });
     }
 
-    /// Takes the question whether this is still the leader.
+    /// Handles a request for a read index.
     pub(crate) fn read_index(&mut self, token: u64) {
         let State::Leader(leader_state) = &mut self.state else {
             self.outputs.push(Output::ReadRejected { token, leader: self.leader.clone() });
@@ -135,22 +137,23 @@
         leader_state.pending_reads.push(PendingRead { token, round });
     }
 
-    /// Appends the first entry of a term.
+    /// Appends the first log entry of a term.
     pub(crate) fn append_empty(&mut self) {
         self.append_payload(Payload::Empty);
     }
 
-    /// Appends an entry of the own term and returns its index.
+    /// Appends a log entry of the current term and returns its index.
     pub(crate) fn append_payload(&mut self, payload: Payload) -> u64 {
         let position = Position { term: self.hard_state.term, index: self.log.last().index + 1 };
         self.append_entries(vec![Entry { position, payload }]);
         position.index
     }
 
-    /// Runs a leader's timers.
+    /// Runs the timers of a leader.
     pub(crate) fn tick_leader(&mut self) {
         let State::Leader(leader_state) = &mut self.state else { return };
-        // A leader that is cut off would keep its callers waiting while others elect a new one.
+        // Without this, an isolated leader would keep its callers waiting while others elect a new
+        // leader.
         if self.now >= leader_state.quorum_deadline(&self.setup.timing) {
             self.become_follower(self.hard_state.term, None);
             return;
@@ -163,7 +166,7 @@
         self.tick_transfer();
     }
 
-    /// Takes what a quorum has acknowledged: rounds and entries.
+    /// Updates the confirmed round and the commit index from the acknowledgements of a quorum.
     pub(crate) fn count_acknowledgements(&mut self) {
         let State::Leader(leader_state) = &mut self.state else { return };
         let (own_identity, config) = (self.identity, self.log.config());
@@ -190,8 +193,9 @@
                 }
             }
         });
-        // An entry of an older term may be on a quorum and still be replaced by a leader that has a
-        // newer one; only an entry of the own term commits it for good.
+        // A log entry of an older term can be replaced even if a quorum stores it, namely by a
+        // leader whose log ends with a newer term. Only an entry of the current term commits the
+        // entries before it.
         if match_index > self.commit_index
             && self.log.term(match_index) == Some(self.hard_state.term)
         {
@@ -199,17 +203,18 @@
         }
     }
 
-    /// Notes that the first lease has begun.
+    /// Records that this leader has held a lease.
     ///
-    /// An answer that comes late may confirm a first round that is older than a lease, when others
-    /// already have a newer leader; only a valid lease shows that this one's state is current.
+    /// A late answer can confirm a first round that is older than the lease duration, when a newer
+    /// leader may already exist. Only a valid lease proves that the state of this leader is
+    /// current.
     pub(crate) fn record_lease(&mut self) {
         let has_lease = self.lease_until(self.now).is_some();
         let State::Leader(leader_state) = &mut self.state else { return };
         leader_state.had_lease |= has_lease;
     }
 
-    /// Answers the confirmations whose round, or the lease, allows it.
+    /// Answers the pending reads whose round is confirmed, or all of them while the lease is valid.
     pub(crate) fn answer_reads(&mut self) {
         let has_lease = self.lease_until(self.now).is_some();
         let State::Leader(leader_state) = &mut self.state else { return };
@@ -228,7 +233,7 @@
         });
     }
 
-    /// Ends a leadership: whoever waits is answered.
+    /// Ends this replica's leadership and answers everything that is pending.
     pub(crate) fn end_leadership(&mut self, leader_state: LeaderState) {
         self.reset_election_timer();
         for PendingProposal { token, .. } in leader_state.proposals.into_values() {
@@ -243,7 +248,7 @@
         self.outputs.push(change.abort_answer(rejection));
     }
 
-    /// Says why a proposal can't be taken.
+    /// Returns an error if a proposal of the given size can't be accepted.
     fn check_proposal(&self, size: usize) -> Result<(), Rejection> {
         let State::Leader(leader_state) = &self.state else {
             return Err(Rejection::NotLeader { leader: self.leader.clone() });
--- a/crates/verbenaslip-replica/src/lib.rs
+++ b/crates/verbenaslip-replica/src/lib.rs
@@ -1,35 +1,41 @@
 //! The replicated log: terms, quorum, leader lease, snapshots, voters.
 //!
-//! A few instances with a data folder, the *voters*, keep one sequence of commands. [`Replica`] is
-//! one voter's decisions as a pure state machine: it is handed the time and an [`input::Input`] and
-//! returns [`output::Output`]s; it never reads a clock, opens a socket or touches a file.
+//! A few instances that have a data directory, the *voters*, keep one sequence of commands in a
+//! replicated log similar to Raft. [`Replica`] makes the decisions of one voter as a pure state
+//! machine: it receives the time and an [`input::Input`] and returns [`output::Output`]s. It never
+//! reads a clock, opens a socket or touches a file.
 //!
-//! The parts follow each other like this:
+//! The life of a replica:
 //!
-//! 1. [`storage::Storage`] loads what the folder holds ([`storage::Recovered`]); [`Replica::open`]
-//!    starts from it. An empty folder joins no group on its own: the founders of [`setup::Setup`]
-//!    form one only when all of them are new, so that lost disks never found a second group.
-//! 2. A voter that hears no leader campaigns: first a pre-vote, which changes no term, then a vote
-//!    in a new term. Votes and acknowledgements count for the identity of a folder
-//!    ([`voter::Identity`]), never for an instance's name, so that a voter whose disk was lost
-//!    returns as somebody new and can't vote twice.
-//! 3. The leader sends entries and heartbeats in numbered rounds. A round acknowledged by a quorum
-//!    extends the leader lease, counted from when the round was *sent*. Voters refuse votes for the
-//!    election timeout after they heard a leader (also after a restart, when they can't know), and
-//!    the lease is shorter than that by the drift that clocks may have. So at most one replica
-//!    holds a valid lease at any moment. A leader without a quorum steps down.
-//! 4. Every write goes out as [`output::Output::Store`] with a rising mark. What depends on it (a
-//!    vote, an acknowledgement) is held back until [`input::Input::Stored`] says it is synced.
-//! 5. An entry of the leader's own term that a quorum has stored is committed, and with it all
-//!    before. It is applied in order, and the proposal's token is answered, exactly once.
-//! 6. [`output::Output::RequestSnapshot`] asks the state machine for its state; the log before it is
-//!    dropped but for a tail. A follower that is further behind gets the snapshot in chunks.
-//! 7. The voter set changes by [`input::Input::Change`]: a new voter first catches up, then a joint
-//!    configuration needs a quorum of the old and of the new set, then the new set alone counts.
-//!    [`input::Input::Transfer`] hands leadership over before a planned stop.
+//! 1. [`storage::Storage`] loads the data directory ([`storage::Recovered`]), and [`Replica::open`]
+//!    starts from its content. An empty data directory does not form a group on its own: the
+//!    founders in [`setup::Setup`] form a group only if all of them are new. Otherwise voters that
+//!    lost their disks could form a second group.
+//! 2. A voter that hears no leader starts a campaign: first a pre-vote, which does not change the
+//!    term, then a vote in a new term. Votes and acknowledgements are counted by the identity of
+//!    the data directory ([`voter::Identity`]), not by the name of the instance. A voter that lost
+//!    its disk therefore returns as a new voter and can't vote twice.
+//! 3. The leader sends log entries and heartbeats in numbered rounds. A round that a quorum
+//!    acknowledges extends the leader's lease, measured from the time at which the round was
+//!    *sent*. Voters refuse votes for one election timeout after they heard a leader, and also
+//!    after a restart, since a restarted voter doesn't know when it last heard one. The lease is
+//!    shorter than the election timeout by the allowed clock drift, so at most one replica holds a
+//!    valid lease at any time. A leader without a quorum steps down.
+//! 4. Every write is an [`output::Output::Store`] with an increasing sequence number. Messages that
+//!    depend on a write (votes, acknowledgements) are held until [`input::Input::Stored`] reports
+//!    that the write is synced.
+//! 5. A log entry of the leader's own term that a quorum has stored is committed, together with all
+//!    entries before it. Committed entries are applied in order, and each proposal is answered
+//!    exactly once.
+//! 6. [`output::Output::RequestSnapshot`] asks the state machine for its state. The log before the
+//!    snapshot is dropped except for a tail. A follower that needs older entries receives the
+//!    snapshot in chunks.
+//! 7. [`input::Input::ChangeVoters`] changes the voter set: a new voter first catches up, then a
+//!    joint configuration needs a quorum of both the old and the new set, and finally only the new
+//!    set counts. [`input::Input::TransferLeadership`] hands over leadership before a planned stop.
 //!
-//! When a quorum of the disks is lost for good, nothing more is committed, rather than something
-//! lost in silence; [`rescue::alone`] is the way out that an operator may choose.
+//! If a quorum of the disks is lost permanently, the group commits nothing more, because going on
+//! could silently lose committed entries. An operator can then use [`rescue::force_single_voter`].
 
 pub mod config;
 pub mod entry;
--- a/crates/verbenaslip-replica/src/message.rs
+++ b/crates/verbenaslip-replica/src/message.rs
@@ -1,4 +1,4 @@
-//! What replicas say to each other. Every message is bounded by the sizes in the setup.
+//! Messages between replicas. The limits in the setup bound the size of every message.
 
 use std::sync::Arc;
 
@@ -8,25 +8,26 @@
 use crate::entry::{Entry, Position};
 use crate::voter::{Group, Identity};
 
-/// Carries one message between two folders.
+/// A message between two replicas.
 #[data]
 pub struct Message {
-    /// The sender's group, none before it has one.
+    /// The sender's group, or `None` before the sender has one.
     pub group: Option<Group>,
-    /// The sender's folder.
+    /// The identity of the sender's data directory.
     pub sender: Identity,
-    /// The folder that is meant; another one at the same instance must not act on it.
+    /// The identity that the message is for. Another data directory on the same instance must
+    /// ignore it.
     pub target: Option<Identity>,
-    /// The sender's term; for a pre-vote and its grant, the term that is asked for.
+    /// The sender's term; for a pre-vote and its grant, the requested term.
     pub term: u64,
-    /// What is said.
+    /// The content of the message.
     pub body: Body,
 }
 
 impl Message {
-    /// Returns about how many bytes the message takes.
+    /// Returns the approximate size of the message, in bytes.
     pub fn size(&self) -> usize {
-        /// Bytes of the envelope and the fixed fields.
+        /// The bytes of the envelope and the fixed fields.
         const FIXED: usize = 96;
         match &self.body {
             Body::Append { entries, .. } => FIXED + entries.iter().map(Entry::size).sum::<usize>(),
@@ -36,95 +37,95 @@
     }
 }
 
-/// Holds what is said.
+/// The content of a message.
 #[data]
 pub enum Body {
-    /// Asks whether a vote would be given, without starting a term.
+    /// Asks whether a vote would be granted, without starting a term.
     PreVote {
-        /// The sender's last entry.
+        /// The position of the sender's last log entry.
         last_position: Position,
     },
     /// Answers a pre-vote.
     PreVoteResponse {
-        /// Whether the vote would be given.
+        /// Whether the vote would be granted.
         granted: bool,
     },
     /// Asks for a vote.
     Vote {
-        /// The sender's last entry.
+        /// The position of the sender's last log entry.
         last_position: Position,
-        /// Whether the leader of the term before asked for this election, having given up its lease.
+        /// Whether the previous term's leader has given up its lease and requested this election.
         transfer: bool,
     },
-    /// Answers a vote.
+    /// Answers a request for a vote.
     VoteResponse {
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// Adds entries; without entries it is a heartbeat.
+    /// Sends log entries; without entries, the message is a heartbeat.
     Append {
-        /// The entry before the first one.
+        /// The position before the first sent entry.
         previous: Position,
-        /// The entries.
+        /// The log entries.
         entries: Vec<Entry>,
         /// The leader's commit index.
         commit_index: u64,
-        /// The leader's round.
+        /// The number of the leader's round.
         round: u64,
     },
-    /// Answers an append: everything up to an index is stored.
+    /// Acknowledges an append.
     AppendResponse {
-        /// The last index known to be equal and stored.
+        /// The last index known to match the leader's log and to be stored.
         match_index: u64,
-        /// The round that is answered.
+        /// The number of the round that is answered.
         round: u64,
     },
-    /// Answers an append that does not follow the log.
+    /// Rejects an append whose previous position is not in the log.
     AppendConflict {
-        /// The index that was not there, or was of another term.
+        /// The index that is missing or has another term.
         previous_index: u64,
-        /// The last position that might be equal.
+        /// The last position that may match the leader's log.
         hint: Position,
-        /// The round that is answered.
+        /// The number of the round that is answered.
         round: u64,
     },
-    /// Carries a part of a snapshot.
+    /// Sends a part of a snapshot.
     SnapshotChunk {
-        /// What the whole snapshot is.
+        /// The description of the whole snapshot.
         header: SnapshotHeader,
-        /// Where the part begins.
+        /// The offset of the part in the snapshot, in bytes.
         offset: u64,
-        /// The part.
+        /// The bytes of the part.
         bytes: Arc<[u8]>,
-        /// The leader's round.
+        /// The number of the leader's round.
         round: u64,
     },
-    /// Answers a part of a snapshot.
+    /// Acknowledges a part of a snapshot.
     SnapshotChunkResponse {
-        /// The snapshot.
+        /// The position that the snapshot covers.
         position: Position,
-        /// How many bytes of it have been received from its start.
+        /// The number of bytes received so far, counted from the start of the snapshot.
         received_bytes: u64,
-        /// The round that is answered.
+        /// The number of the round that is answered.
         round: u64,
     },
-    /// Tells a follower to campaign at once, since the leader is stopping.
+    /// Tells a follower to campaign at once, because the leader transfers its leadership.
     Campaign,
-    /// Asks another founder whether its folder is new.
+    /// Asks another founder whether its data directory is new.
     FoundingQuery,
-    /// Answers that the folder is new.
+    /// Answers that the data directory is new.
     FoundingResponse,
-    /// Answers that another folder is here now than the one that was meant.
+    /// Answers that the instance has another data directory than the addressed one.
     IdentityChanged,
 }
 
-/// Describes a snapshot that comes in chunks.
+/// Describes a snapshot that is sent in chunks.
 #[data]
 pub struct SnapshotHeader {
-    /// The last entry that it covers.
+    /// The position of the last log entry that the snapshot covers.
     pub position: Position,
-    /// The voter set in force there.
+    /// The voter set in force at that position.
     pub config: Config,
-    /// Its bytes.
+    /// The size of the snapshot, in bytes.
     pub total_bytes: u64,
 }
--- a/crates/verbenaslip-replica/src/outbox.rs
+++ b/crates/verbenaslip-replica/src/outbox.rs
@@ -1,39 +1,40 @@
-//! Holds messages back until the writes they depend on are durable.
+//! Holds messages until the writes they depend on are durable.
 
 use std::collections::VecDeque;
 
 use crate::output::Output;
 use crate::storage::Write;
 
-/// The most messages that wait for the disk; the oldest go first, as if the network had lost them.
+/// The maximum number of held outputs. Beyond it the oldest are dropped, like messages lost in the
+/// network.
 const MAX_HELD_OUTPUTS: usize = 1024;
 
-/// Numbers the writes and keeps what waits for them.
+/// Numbers the writes and holds the outputs that depend on them.
 ///
-/// If a vote or an acknowledgement left before its write was durable and the power failed, the voter
-/// would vote a second time in the term, or a committed entry would be on too few disks. One would
-/// notice it as two leaders or as a lost edit. Nothing leaves here before the mark is stored.
+/// If a vote or an acknowledgement were sent before its write is durable and the power failed, the
+/// voter could vote twice in a term, or a committed log entry could be on too few disks. The result
+/// would be two leaders or a lost command. So an output is held until its write is durable.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     last_sequence: u64,
     durable_sequence: u64,
-    /// The mark of the last write of the term.
+    /// The sequence number of the last write of the hard state.
     hard_state_sequence: u64,
     held: VecDeque<HeldOutput>,
-    /// Marks of appends that are not durable yet, each with the last index it makes durable.
+    /// The appends that are not durable yet.
     pending_appends: VecDeque<PendingAppend>,
-    /// The last index that is durable.
+    /// The last durable log index.
     durable_index: u64,
 }
 
-/// Holds an output and the mark it waits for.
+/// Holds an output and the sequence number of the write that it depends on.
 #[derive(Debug)]
 struct HeldOutput {
     sequence: u64,
     output: Output,
 }
 
-/// Holds an append that is not durable yet.
+/// Holds the sequence number of an append that is not durable yet, and the last index it contains.
 #[derive(Debug)]
 struct PendingAppend {
     sequence: u64,
@@ -41,27 +42,27 @@
 }
 
 impl Outbox {
-    /// Starts with a log that is durable up to an index.
+    /// Returns an outbox for a log that is durable up to an index.
     pub(crate) fn new(index: u64) -> Self {
         Self { durable_index: index, ..Self::default() }
     }
 
-    /// Returns the mark of the last write.
+    /// Returns the sequence number of the last write.
     pub(crate) fn last_sequence(&self) -> u64 {
         self.last_sequence
     }
 
-    /// Tells whether the writes up to a mark are durable.
+    /// Returns whether the writes up to a sequence number are durable.
     pub(crate) fn is_durable(&self, sequence: u64) -> bool {
         sequence <= self.durable_sequence
     }
 
-    /// Returns the last index that is durable.
+    /// Returns the last durable log index.
     pub(crate) fn durable_index(&self) -> u64 {
         self.durable_index
     }
 
-    /// Numbers a write.
+    /// Outputs a write with the next sequence number.
     pub(crate) fn write(&mut self, write: Write, outputs: &mut Vec<Output>) {
         self.last_sequence += 1;
         let sequence = self.last_sequence;
@@ -84,10 +85,11 @@
         outputs.push(Output::Store { sequence, write });
     }
 
-    /// Sends an output that promises nothing but the term once that is durable.
+    /// Sends an output as soon as the hard state is durable.
     ///
-    /// If answers to heartbeats waited for entries that they do not speak of, a disk that hangs for
-    /// longer than a lease would end the lease, and all instances would refuse work for want of it.
+    /// Answers to heartbeats must not wait for log entries that they don't acknowledge. Otherwise a
+    /// disk that hangs for longer than a lease would end the lease, and all instances would refuse
+    /// work.
     pub(crate) fn send_after_hard_state(&mut self, output: Output, outputs: &mut Vec<Output>) {
         if self.is_durable(self.hard_state_sequence) {
             outputs.push(output);
@@ -96,28 +98,29 @@
         self.send_after_writes(output, outputs);
     }
 
-    /// Sends an output once everything written so far is durable.
+    /// Sends an output as soon as all writes so far are durable.
     pub(crate) fn send_after_writes(&mut self, output: Output, outputs: &mut Vec<Output>) {
         if self.is_durable(self.last_sequence) {
             outputs.push(output);
             return;
         }
-        // A disk that hangs would otherwise gather answers to heartbeats without end.
+        // Without a limit, answers to heartbeats would accumulate while a disk hangs.
         if self.held.len() == MAX_HELD_OUTPUTS {
             self.held.pop_front();
         }
         self.held.push_back(HeldOutput { sequence: self.last_sequence, output });
     }
 
-    /// Forgets what is held back.
+    /// Discards the held outputs.
     ///
-    /// An acknowledgement of an older term must not leave after the entries it is for were cut off
-    /// in a newer one: the old leader would count a copy that is gone.
+    /// An acknowledgement of an older term must not be sent after its entries were truncated in a
+    /// newer term: the old leader would count a copy that no longer exists.
     pub(crate) fn discard_held(&mut self) {
         self.held.clear();
     }
 
-    /// Takes the news that writes are durable, and lets go what waited for them.
+    /// Records that the writes up to a sequence number are durable, and sends the outputs held for
+    /// them.
     pub(crate) fn mark_durable(&mut self, sequence: u64, outputs: &mut Vec<Output>) {
         self.durable_sequence = self.durable_sequence.max(sequence.min(self.last_sequence));
         let released = self.held.partition_point(|held| held.sequence <= self.durable_sequence);
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Counts no index after the given one as durable, now or when its mark comes.
+    /// Treats no index after `last` as durable, including those of pending appends.
     fn truncate(&mut self, last: u64) {
         self.durable_index = self.durable_index.min(last);
         for append in &mut self.pending_appends {
--- a/crates/verbenaslip-replica/src/output.rs
+++ b/crates/verbenaslip-replica/src/output.rs
@@ -1,4 +1,4 @@
-//! What a replica wants done.
+//! Outputs of a replica.
 
 use std::sync::Arc;
 
@@ -11,97 +11,98 @@
 use crate::storage::{Snapshot, Write};
 use crate::voter::Voter;
 
-/// Asks the driver to do something; outputs are taken in order.
+/// An action for the driver. The driver must take the outputs in order.
 #[data]
 pub enum Output {
-    /// Sends a message; it may be lost, late, doubled or out of order.
+    /// Sends a message. The network may lose, delay, duplicate or reorder it.
     Send {
-        /// The instance.
+        /// The receiving instance.
         to: Instance,
         /// The message.
         message: Message,
     },
-    /// Writes and syncs; then the mark is given back as `Input::Stored`.
+    /// Writes and syncs. Afterwards the driver passes the sequence number to `Input::Stored`.
     Store {
-        /// Rises by one with each write.
+        /// The sequence number of the write, which increases by one with each write.
         sequence: u64,
-        /// What to write.
+        /// The write.
         write: Write,
     },
-    /// Applies a committed command; positions come in order, each index once, some indices carry
-    /// no command.
+    /// Applies a committed command. Positions are in order and each index occurs at most once;
+    /// entries without a command are skipped.
     Apply {
-        /// The entry's place.
+        /// The position of the log entry.
         position: Position,
         /// The command.
         command: Arc<[u8]>,
     },
-    /// Replaces the state machine's state.
+    /// Replaces the state of the state machine by a snapshot.
     Install(Arc<Snapshot>),
-    /// Answers a proposal or change.
+    /// Answers a proposal or a voter change.
     Answer {
-        /// The proposal's token.
+        /// The token of the request.
         token: u64,
-        /// What became of it.
+        /// The outcome.
         answer: Answer,
     },
-    /// Answers a confirmation: this was the leader after the question.
+    /// Answers a read: this replica was still the leader after the request.
     ReadIndex {
-        /// The question's token.
+        /// The token of the request.
         token: u64,
-        /// Reads are current once everything up to this index is applied.
+        /// The index up to which the state must be applied before the read.
         index: u64,
     },
-    /// Answers a confirmation: this is not, or no longer, the leader.
+    /// Answers a read: this replica is not the leader, or no longer.
     ReadRejected {
-        /// The question's token.
+        /// The token of the request.
         token: u64,
-        /// The leader, where known.
+        /// The leader, if known.
         leader: Option<Instance>,
     },
-    /// Tells that the role, the term or the known leader has changed.
+    /// Reports that the role, the term or the known leader has changed.
     RoleChanged(RoleUpdate),
-    /// Asks for the state at this applied index or later, so that the log can be compacted.
+    /// Requests the state at this applied index or a later one, so that the log can be compacted.
     RequestSnapshot {
-        /// The index.
+        /// The applied index.
         index: u64,
     },
-    /// Tells that a voter's instance now runs another folder; it should be replaced by this one.
+    /// Reports that a voter's instance now has another data directory. The given voter should
+    /// replace it.
     IdentityChanged(Voter),
 }
 
-/// Says what became of a proposal.
+/// The outcome of a proposal or a voter change.
 #[data]
 pub enum Answer {
-    /// It is committed and stays so.
+    /// It is committed at this position, permanently.
     Committed(Position),
-    /// It was not taken and will never be committed.
+    /// It was not accepted and will never be committed.
     Rejected(Rejection),
-    /// It may or may not become committed: the leadership was lost meanwhile.
+    /// It may or may not be committed, because this replica lost its leadership.
     Unknown,
 }
 
-/// Says why a proposal was not taken.
+/// The reason for which a proposal or a voter change was not accepted.
 #[derive(Display)]
 #[data]
 pub enum Rejection {
     /// this voter is not the leader (ask the leader)
     NotLeader {
-        /// The leader, where known.
+        /// The leader, if known.
         leader: Option<Instance>,
     },
     /// the leader is handing over (ask again in a moment)
     TransferInProgress,
     /// the command has {size} bytes, {limit} are allowed (split it)
     TooLarge {
-        /// Its bytes.
+        /// The size of the command, in bytes.
         size: u64,
-        /// The most allowed.
+        /// The maximum size, in bytes.
         limit: u64,
     },
     /// {pending} proposals wait for a quorum (ask again in a moment)
     Busy {
-        /// The proposals that wait.
+        /// The number of pending proposals.
         pending: u64,
     },
     /// another change of the voter set is under way (ask again when it has ended)
@@ -112,26 +113,26 @@
     CatchUpFailed,
 }
 
-/// Says what a replica is.
+/// The term, the leader and the role of a replica.
 #[data]
 pub struct RoleUpdate {
-    /// The term.
+    /// The current term.
     pub term: u64,
-    /// The leader, where known; also this replica itself.
+    /// The leader, if known; may be this replica.
     pub leader: Option<Instance>,
-    /// What this replica is.
+    /// The role of this replica.
     pub role: ReplicaRole,
 }
 
-/// Names what a replica does in its term.
+/// The role of a replica in its term.
 #[data(copy, ord, hash)]
 pub enum ReplicaRole {
-    /// Follows a leader or waits for one.
+    /// Follows a leader, or waits for one.
     Follower,
-    /// Asks for votes.
+    /// Asks for pre-votes or votes.
     Candidate,
-    /// Was elected, and has not yet committed an entry of its term and held a lease.
+    /// Was elected, but has not both held a lease and committed a log entry of its term yet.
     Elected,
-    /// Leads: its first lease has begun, and its commit index covers everything committed before.
+    /// Is the leader: it has held a lease, and its commit index covers everything committed before.
     Leader,
 }
--- a/crates/verbenaslip-replica/src/peer.rs
+++ b/crates/verbenaslip-replica/src/peer.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of one follower.
+//! What a leader knows about one follower.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,73 +7,66 @@
 use crate::storage::Snapshot;
 use crate::voter::Voter;
 
-/// Holds the progress of one follower.
+/// Holds the replication progress of one follower.
 #[derive(Debug)]
 pub(crate) struct Peer {
-    /// Who it is.
+    /// The follower.
     pub(crate) voter: Voter,
-    /// The last index known to be equal and stored there.
+    /// The last index known to match the leader's log and to be stored by the follower.
     pub(crate) match_index: u64,
-    /// The next index to send.
+    /// The index of the next log entry to send.
     pub(crate) next_index: u64,
-    /// The last round that it acknowledged.
+    /// The last round that the follower acknowledged.
     pub(crate) acknowledged_round: u64,
-    /// When it last answered.
+    /// When the follower last answered.
     pub(crate) last_heard: Option<Duration>,
-    /// How entries go to it.
+    /// How log entries are sent to the follower.
     pub(crate) mode: ReplicationMode,
 }
 
 impl Peer {
-    /// Starts with a follower of unknown state, probed at the end of the log.
-    pub(crate) fn new(voter: Voter, next: u64) -> Self {
-        let flow = ReplicationMode::Probe { waiting: false };
-        Self {
-            voter,
-            match_index: 0,
-            next_index: next,
-            acknowledged_round: 0,
-            last_heard: None,
-            mode: flow,
-        }
+    /// Returns the state of a follower whose log is not known. Probing starts before `next_index`.
+    pub(crate) fn new(voter: Voter, next_index: u64) -> Self {
+        let mode = ReplicationMode::Probe { waiting: false };
+        Self { voter, match_index: 0, next_index, acknowledged_round: 0, last_heard: None, mode }
     }
 
-    /// Takes an acknowledgement of entries up to an index.
-    pub(crate) fn record_match(&mut self, matched: u64) {
-        self.match_index = self.match_index.max(matched);
+    /// Records that the follower's log matches up to an index.
+    pub(crate) fn record_match(&mut self, match_index: u64) {
+        self.match_index = self.match_index.max(match_index);
         self.next_index = self.next_index.max(self.match_index + 1);
-        if let ReplicationMode::Stream { in_flight: flight } = &mut self.mode {
-            flight.retain(|last| *last > matched);
+        if let ReplicationMode::Stream { in_flight } = &mut self.mode {
+            in_flight.retain(|last| *last > match_index);
         }
     }
 
-    /// Falls back to probing from an index.
-    pub(crate) fn start_probe(&mut self, next: u64) {
-        self.next_index = next.max(self.match_index + 1);
+    /// Returns to probing, starting before `next_index`.
+    pub(crate) fn start_probe(&mut self, next_index: u64) {
+        self.next_index = next_index.max(self.match_index + 1);
         self.mode = ReplicationMode::Probe { waiting: false };
     }
 }
 
-/// Says how entries go to a follower.
+/// Says how log entries are sent to a follower.
 #[derive(Debug)]
 pub(crate) enum ReplicationMode {
-    /// Looks for the place where the logs meet, one empty append at a time.
+    /// Searches for the last matching position with one empty append at a time.
     Probe {
-        /// Whether an answer is awaited.
+        /// Whether an answer is expected.
         waiting: bool,
     },
-    /// Sends entries without waiting for each answer.
+    /// Sends log entries without waiting for each answer.
     Stream {
-        /// The last index of each append that is on the way.
+        /// The last index of each append that has not been acknowledged.
         in_flight: VecDeque<u64>,
     },
     /// Sends a snapshot, one chunk at a time.
     Snapshot {
-        /// The snapshot.
+        /// The snapshot to send.
         snapshot: Arc<Snapshot>,
-        /// How much of it has arrived.
+        /// The number of bytes that the follower has received.
         offset: u64,
-        /// When the last chunk was sent; none before the next one may go.
+        /// When the last chunk was sent, or `None` if the next chunk may be sent at once.
         sent_at: Option<Duration>,
     },
 }
--- a/crates/verbenaslip-replica/src/receive.rs
+++ b/crates/verbenaslip-replica/src/receive.rs
@@ -1,4 +1,4 @@
-//! Takes messages in, and turns away those that are meant for somebody else.
+//! Dispatches incoming messages and rejects those for another identity or group.
 
 use verbenaslip_base::name::Instance;
 
@@ -7,14 +7,14 @@
 use crate::replica::{Replica, State};
 use crate::voter::Voter;
 
-/// The first term or index that no group ever reaches.
+/// Terms and indices must be below this limit, which no group reaches.
 ///
-/// A broken message with a number near the end of its range would leave no later term or index, and
-/// the group could never elect or append again.
+/// An invalid message with a number close to `u64::MAX` would leave no later term or index, so the
+/// group could never elect a leader or append an entry again.
 const TERM_AND_INDEX_LIMIT: u64 = 1 << 60;
 
 impl Replica {
-    /// Takes a message.
+    /// Handles a message from another replica.
     pub(crate) fn handle_message(&mut self, from: &Instance, message: Message) {
         if !is_plausible(&message) || !self.accepts(from, &message) {
             return;
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Tells whether a message is for this folder and from its group.
+    /// Returns whether a message is addressed to this identity and comes from its group.
     fn accepts(&mut self, from: &Instance, message: &Message) -> bool {
         if matches!(
             message.body,
@@ -54,15 +54,16 @@
             return false;
         }
         if message.target != Some(self.identity) {
-            // A leader that still counts on a folder that was lost here would wait forever for its
-            // acknowledgements. It learns of the new folder, and an operator or a plan replaces it.
+            // A leader that still counts on the lost data directory would wait for its
+            // acknowledgements forever. The answer tells the leader the new identity, so that an
+            // operator or a plan can replace the voter.
             if matches!(message.body, Body::Append { .. } | Body::SnapshotChunk { .. }) {
                 let answer = self.new_message(Some(message.sender), Body::IdentityChanged);
                 self.send(from, answer);
             }
             return false;
         }
-        // A group that addresses this very folder counts it among its members, or is about to.
+        // A group that addresses this identity has it as a member or is about to add it.
         let joins_group = matches!(
             message.body,
             Body::PreVote { .. }
@@ -77,7 +78,7 @@
         true
     }
 
-    /// Takes the news that a voter's instance runs another folder.
+    /// Handles the report that a voter's instance now has another data directory.
     fn handle_identity_changed(&mut self, from: &Instance, message: &Message) {
         let voter = Voter { instance: from.clone(), identity: message.sender };
         let config = self.log.config();
@@ -94,7 +95,7 @@
     }
 }
 
-/// Tells whether a message's numbers are such as a group may reach.
+/// Returns whether the numbers in a message are within the limits that a group can reach.
 fn is_plausible(message: &Message) -> bool {
     let snapshot_position = match &message.body {
         Body::SnapshotChunk { header: head, .. } => Some(head.position),
--- a/crates/verbenaslip-replica/src/replica.rs
+++ b/crates/verbenaslip-replica/src/replica.rs
@@ -1,4 +1,4 @@
-//! One voter of the replicated log.
+//! The state machine of one voter of the replicated log.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,27 +22,27 @@
 use crate::storage::{HardState, Recovered, Snapshot, Write};
 use crate::voter::{Group, Identity, Voter};
 
-/// Decides for one voter; see the crate's page for how the parts follow each other.
+/// Makes the decisions of one voter; the crate documentation describes how the parts work together.
 #[derive(Debug)]
 pub struct Replica {
     pub(crate) setup: Setup,
     pub(crate) identity: Identity,
     pub(crate) hard_state: HardState,
-    /// Whether the term, vote or group has changed since it was last written.
+    /// Whether the hard state has changed since it was last written.
     pub(crate) hard_state_changed: bool,
     pub(crate) log: Log,
     pub(crate) snapshot: Option<Arc<Snapshot>>,
-    /// Bytes of entries applied since a snapshot was last asked for.
+    /// The bytes of log entries applied since a snapshot was last requested.
     pub(crate) applied_bytes: usize,
-    /// The index for which a snapshot was last asked.
+    /// The applied index at which a snapshot was last requested.
     pub(crate) requested_snapshot: u64,
     pub(crate) commit_index: u64,
     pub(crate) applied_index: u64,
     pub(crate) state: State,
     pub(crate) leader: Option<Instance>,
-    /// When a leader was last heard, of whatever term.
+    /// When a message from a leader of any term was last received.
     pub(crate) leader_heard_at: Option<Duration>,
-    /// When the next campaign begins.
+    /// When the next campaign starts.
     pub(crate) election_due_at: Duration,
     pub(crate) incoming_snapshot: Option<IncomingSnapshot>,
     pub(crate) founding: Founding,
@@ -53,21 +53,21 @@
     pub(crate) reported_role: RoleUpdate,
 }
 
-/// Holds what a replica does in its term.
+/// Holds the role of a replica in its term and the state of that role.
 #[derive(Debug)]
 pub(crate) enum State {
-    /// Follows a leader or waits for one.
+    /// Follows a leader, or waits for one.
     Follower,
-    /// Asks for votes or pre-votes.
+    /// Asks for pre-votes or votes.
     Candidate(Campaign),
-    /// Leads.
+    /// Is the leader.
     Leader(Box<LeaderState>),
 }
 
 impl Replica {
-    /// Opens a replica on what its folder holds.
+    /// Opens a replica on the content of its data directory.
     ///
-    /// A snapshot in it comes out as `Install` at the first step.
+    /// The first call of [`Replica::step`] returns [`Output::Install`] if there is a snapshot.
     pub fn open(setup: Setup, recovered: Recovered, now: Duration) -> Self {
         let recovered = recovered.without_stale_entries();
         let (base, config) = log_base(&recovered);
@@ -84,9 +84,10 @@
         }
         let mut random = Pcg32::seed_from_u64(setup.seed);
         let commit_index = recovered.snapshot.as_ref().map_or(base.index, |s| s.position.index);
-        // The voter may have acknowledged a leader just before it stopped, and that leader counts on
-        // it for its lease. Granting a vote now would allow two valid leases, noticed as two leaders
-        // that both give orders. So a restarted voter behaves as if it had just heard a leader.
+        // The voter may have acknowledged a leader just before it stopped, and that leader's lease
+        // relies on the acknowledgement. Granting a vote now could allow two valid leases and
+        // therefore two leaders that give orders. So a restarted voter behaves as if it had just
+        // heard a leader.
         let leader_heard_at = hard_state.group.map(|_| now);
         let election_due_at = now + random_election_timeout(&setup, &mut random);
         let reported_role =
@@ -118,9 +119,10 @@
         }
     }
 
-    /// Takes an input at a time on the local clock, and adds what is to be done to `out`, in order.
+    /// Processes an input at the given time of the local clock, and appends the actions that the
+    /// driver has to take, in order, to `outputs`.
     ///
-    /// Time never runs backwards here: an earlier `now` counts as the last one.
+    /// A `now` before that of an earlier call is treated as the latest time seen.
     pub fn step(&mut self, now: Duration, input: Input, outputs: &mut Vec<Output>) {
         self.now = self.now.max(now);
         match input {
@@ -136,12 +138,13 @@
         self.tick();
         self.advance();
         self.report_role();
-        // The state machine's answer is a step of its own, whose writes must follow all of this one's.
+        // The state machine's answer is a separate step. Its writes must follow all writes of this
+        // step.
         self.request_snapshot();
         outputs.append(&mut self.outputs);
     }
 
-    /// Returns when the next `Tick` is due.
+    /// Returns when the next [`Input::Tick`] is due, on the local clock.
     pub fn next_tick(&self) -> Duration {
         match &self.state {
             State::Leader(leader_state) => leader_state.next_tick(&self.setup.timing),
@@ -150,39 +153,40 @@
         }
     }
 
-    /// Returns the leader, where known.
+    /// Returns the instance of the leader, if known.
     pub fn leader(&self) -> Option<&Instance> {
         self.leader.as_ref()
     }
 
-    /// Returns the term.
+    /// Returns the current term.
     pub fn term(&self) -> u64 {
         self.hard_state.term
     }
 
-    /// Returns the identity of the folder.
+    /// Returns the identity of the data directory.
     pub fn identity(&self) -> Identity {
         self.identity
     }
 
-    /// Returns this replica as a voter, for a change that adds it.
+    /// Returns this replica as a voter, for use in a change that adds it.
     pub fn voter(&self) -> Voter {
         Voter { instance: self.setup.instance.clone(), identity: self.identity }
     }
 
-    /// Returns the group, none before the first contact with it.
+    /// Returns the group, or `None` before the first contact with one.
     pub fn group(&self) -> Option<Group> {
         self.hard_state.group
     }
 
-    /// Tells whether this replica was elected and has not stepped down; without a lease that proves
-    /// nothing about other instances.
+    /// Returns whether this replica was elected and has not stepped down. Without a lease, another
+    /// replica may have been elected since.
     pub fn is_leader(&self) -> bool {
         matches!(self.state, State::Leader(_))
     }
 
-    /// Returns until when, on this instance's clock, no other replica can lead; none when not
-    /// leading, or when the state does not yet cover everything committed before.
+    /// Returns the time on the local clock until which no other replica can hold a lease. Returns
+    /// `None` if this replica holds no lease, or if it has not committed a log entry of its term
+    /// yet.
     pub fn lease_until(&self, now: Duration) -> Option<Duration> {
         let State::Leader(leader_state) = &self.state else { return None };
         if !leader_state.may_hold_lease || self.commit_index < leader_state.first_index {
@@ -198,17 +202,17 @@
         self.commit_index
     }
 
-    /// Returns the last index handed out to be applied.
+    /// Returns the last index that was output to be applied.
     pub fn applied_index(&self) -> u64 {
         self.applied_index
     }
 
-    /// Returns the voter set in force, committed or not.
+    /// Returns the voter set in force, whether committed or not.
     pub fn voters(&self) -> &Config {
         self.log.config()
     }
 
-    /// Runs the timers.
+    /// Runs the timers of the current role.
     fn tick(&mut self) {
         match self.state {
             State::Leader(_) => self.tick_leader(),
@@ -221,7 +225,7 @@
         }
     }
 
-    /// Runs the timers of a replica that is no voter: new, catching up, or removed.
+    /// Runs the timers of a replica that is not a voter: new, catching up, or removed.
     fn tick_non_voter(&mut self) {
         if self.now >= self.election_due_at {
             self.leader = None;
@@ -229,7 +233,7 @@
         self.tick_founding();
     }
 
-    /// Commits, applies, answers and sends what the last input made possible.
+    /// Commits, applies, answers and sends whatever the last input made possible.
     fn advance(&mut self) {
         self.count_acknowledgements();
         self.record_lease();
@@ -244,13 +248,13 @@
         self.save_hard_state();
     }
 
-    /// Takes the news that writes are durable.
+    /// Handles the report that writes are durable.
     fn handle_stored(&mut self, sequence: u64) {
         self.outbox.mark_durable(sequence, &mut self.outputs);
         self.count_own_vote();
     }
 
-    /// Hands out what is committed and not yet applied.
+    /// Outputs the committed commands that have not been applied yet.
     fn apply_committed(&mut self) {
         while self.applied_index < self.commit_index {
             let Some(entry) = self.log.entry(self.applied_index + 1) else { return };
@@ -264,7 +268,7 @@
         }
     }
 
-    /// Answers the proposal at a position that is now committed and applied.
+    /// Answers the proposal at a position that has been committed and applied.
     fn answer_proposal(&mut self, position: Position) {
         let State::Leader(leader_state) = &mut self.state else { return };
         let Some(proposal) = leader_state.proposals.remove(&position.index) else { return };
@@ -273,7 +277,7 @@
         self.outputs.push(Output::Answer { token: proposal.token, answer });
     }
 
-    /// Takes up a term, newer or the same, as a follower.
+    /// Becomes a follower in the given term, which is the current one or a newer one.
     pub(crate) fn become_follower(&mut self, term: u64, leader: Option<Instance>) {
         if term > self.hard_state.term {
             self.hard_state.term = term;
@@ -293,27 +297,29 @@
         }
     }
 
-    /// Draws the next election timeout.
+    /// Chooses the next random election timeout.
     pub(crate) fn reset_election_timer(&mut self) {
         self.election_due_at = self.now + random_election_timeout(&self.setup, &mut self.random);
     }
 
-    /// Tells whether this replica is a voter of a group, or was when the last known commit was made.
+    /// Returns whether this replica may campaign: it is in a voter set that is in force at the
+    /// commit index or later.
     ///
-    /// A leader that removed itself may alone have the entry that says so, and lose power. The others
-    /// can't be elected without its vote, which goes to no shorter log; so it must campaign itself.
+    /// A leader that removes itself can lose power while it is the only voter with that log entry.
+    /// The others can't be elected without its vote, and it grants no vote to a candidate with a
+    /// shorter log. So it has to campaign itself until its removal is committed.
     pub(crate) fn may_campaign(&self) -> bool {
         self.hard_state.group.is_some() && self.log.is_voter_since(self.identity, self.commit_index)
     }
 
-    /// Writes the term, vote and group if they have changed.
+    /// Writes the hard state if it has changed.
     pub(crate) fn save_hard_state(&mut self) {
         if std::mem::take(&mut self.hard_state_changed) {
             self.outbox.write(Write::HardState(self.hard_state), &mut self.outputs);
         }
     }
 
-    /// Appends entries to the log and writes them.
+    /// Appends log entries in memory and writes them.
     pub(crate) fn append_entries(&mut self, entries: Vec<Entry>) {
         if entries.is_empty() {
             return;
@@ -325,56 +331,57 @@
         self.outbox.write(Write::Append(entries), &mut self.outputs);
     }
 
-    /// Makes a message in the present term.
+    /// Builds a message in the current term.
     pub(crate) fn new_message(&self, target: Option<Identity>, body: Body) -> Message {
         let (group, sender, term) = (self.hard_state.group, self.identity, self.hard_state.term);
         Message { group, sender, target, term, body }
     }
 
-    /// Sends a message that promises nothing.
+    /// Sends a message at once, for messages that depend on no write.
     pub(crate) fn send(&mut self, to: &Instance, message: Message) {
         self.outputs.push(Output::Send { to: to.clone(), message });
     }
 
-    /// Sends a message that promises nothing but the term once that is durable.
+    /// Sends a message as soon as the hard state is durable.
     pub(crate) fn send_after_hard_state(&mut self, to: &Instance, message: Message) {
         self.save_hard_state();
         self.outbox
             .send_after_hard_state(Output::Send { to: to.clone(), message }, &mut self.outputs);
     }
 
-    /// Sends a message once everything written so far is durable.
+    /// Sends a message as soon as all writes so far are durable.
     pub(crate) fn send_after_writes(&mut self, to: &Instance, message: Message) {
         self.save_hard_state();
         self.outbox.send_after_writes(Output::Send { to: to.clone(), message }, &mut self.outputs);
     }
 }
 
-/// Returns the position before the first entry held in memory, and the voter set in force there.
+/// Returns the position before the first log entry held in memory, and the voter set in force
+/// there.
 fn log_base(recovered: &Recovered) -> (Position, Config) {
     let Some(snapshot) = &recovered.snapshot else {
         return (Position::default(), Config::default());
     };
-    // The tail before the snapshot's end serves followers that lag. The term before its first entry
-    // is not known, so that entry becomes the base. The set in force there is not known either, but
-    // nobody asks for it: what is committed is never cut off.
+    // The log entries before the end of the snapshot serve followers that lag. The term before the
+    // first of them is not known, so that entry itself becomes the base. The voter set at the base
+    // is not known either, but it is never needed, because committed entries are never truncated.
     let first = recovered.entries.first().map(|entry| entry.position);
     let base = first.filter(|first| first.index <= snapshot.position.index);
     (base.unwrap_or(snapshot.position), snapshot.config.clone())
 }
 
-/// Tells whether the power failed between the two writes that found a group.
+/// Returns whether the power failed between the two writes that form a group.
 ///
-/// Then the term says that there is a group, and the log does not say who is in it: no founder would
-/// ever campaign, nor ask the others again. Nobody else has heard of that group, since no message
-/// leaves before both writes are durable; so the folder counts as new.
+/// In that state the hard state names a group, but the log does not contain its voters: no founder
+/// would campaign or query the other founders again. No other instance knows of the group, because
+/// no message is sent before both writes are durable. So the data directory is treated as new.
 fn is_partially_founded(recovered: &Recovered) -> bool {
     let own = Some(Group(recovered.identity.0));
     let empty = recovered.entries.is_empty() && recovered.snapshot.is_none();
     empty && recovered.hard_state.group == own && recovered.hard_state.term == 1
 }
 
-/// Draws an election timeout between once and twice the shortest one.
+/// Returns a random election timeout between one and two times the configured timeout.
 fn random_election_timeout(setup: &Setup, random: &mut Pcg32) -> Duration {
     let shortest = setup.timing.election_timeout;
     let nanos = u64::try_from(shortest.as_nanos()).unwrap_or(u64::MAX).max(1);
--- a/crates/verbenaslip-replica/src/replication.rs
+++ b/crates/verbenaslip-replica/src/replication.rs
@@ -1,4 +1,4 @@
-//! How a leader sends to each follower, and takes its answers.
+//! Replication from the leader to each follower.
 
 use std::collections::VecDeque;
 
@@ -8,7 +8,7 @@
 use crate::replica::{Replica, State};
 
 impl Replica {
-    /// Sends to each follower what is due.
+    /// Sends log entries, snapshot chunks or heartbeats to every follower as needed.
     pub(crate) fn replicate(&mut self) {
         let State::Leader(leader_state) = &mut self.state else { return };
         let needs_round = leader_state.needs_round();
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Takes a follower's answer.
+    /// Handles a follower's answer to an append or a snapshot chunk.
     pub(crate) fn handle_replication_response(&mut self, message: &Message) {
         if message.term > self.hard_state.term {
             self.become_follower(message.term, None);
@@ -54,8 +54,8 @@
                 peer.record_match(match_index);
                 start_stream_if_matched(peer, match_index);
             }
-            Body::AppendConflict { previous_index: previous, hint, .. }
-                if is_current_conflict(peer, previous) =>
+            Body::AppendConflict { previous_index, hint, .. }
+                if is_current_conflict(peer, previous_index) =>
             {
                 let possible_match = self.log.last_possible_match(hint);
                 peer.start_probe(possible_match.index + 1);
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Sends one follower what is due.
+    /// Sends the next message to one follower, if there is one to send.
     fn replicate_to(&mut self, peer: &mut Peer, round: u64, is_heartbeat: bool) {
         if !matches!(peer.mode, ReplicationMode::Snapshot { .. })
             && self.log.term(peer.next_index - 1).is_none()
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Sends entries as far as the window allows, or a heartbeat when one is due.
+    /// Sends log entries until the in-flight limit is reached, or a heartbeat if one is due.
     fn stream_entries(&mut self, peer: &mut Peer, round: u64, is_heartbeat: bool) {
         let limits = self.setup.limits;
         let mut heartbeat_due = is_heartbeat;
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Sends entries that begin at the follower's next index.
+    /// Sends log entries, which start at the follower's next index.
     fn send_append(&mut self, peer: &Peer, round: u64, entries: Vec<Entry>) {
         let index = peer.next_index - 1;
         let previous = Position { term: self.log.term(index).unwrap_or(0), index };
@@ -116,14 +116,14 @@
         );
     }
 
-    /// Sends a follower a message of the present term.
+    /// Sends a message of the current term to a follower.
     pub(crate) fn send_to(&mut self, peer: &Peer, body: Body) {
         let message = self.new_message(Some(peer.voter.identity), body);
         self.send(&peer.voter.instance, message);
     }
 }
 
-/// Goes over to streaming when the place where the logs meet is found.
+/// Switches to streaming once the follower's log is known to match.
 fn start_stream_if_matched(peer: &mut Peer, match_index: u64) {
     let is_matched = match &peer.mode {
         ReplicationMode::Probe { .. } => match_index + 1 == peer.next_index,
@@ -135,17 +135,17 @@
     }
 }
 
-/// Tells whether a divergence is about the last thing sent, not about something long settled.
-fn is_current_conflict(peer: &Peer, previous: u64) -> bool {
+/// Returns whether a conflict refers to the latest append and not to one that is already resolved.
+fn is_current_conflict(peer: &Peer, previous_index: u64) -> bool {
     let is_last_sent = match &peer.mode {
-        ReplicationMode::Probe { .. } => previous == peer.next_index - 1,
-        ReplicationMode::Stream { .. } => previous < peer.next_index,
+        ReplicationMode::Probe { .. } => previous_index == peer.next_index - 1,
+        ReplicationMode::Stream { .. } => previous_index < peer.next_index,
         ReplicationMode::Snapshot { .. } => false,
     };
-    is_last_sent && previous > peer.match_index
+    is_last_sent && previous_index > peer.match_index
 }
 
-/// Takes the news how much of a snapshot has arrived.
+/// Records how much of a snapshot a follower has received.
 fn record_received_bytes(peer: &mut Peer, position: Position, received_bytes: u64) {
     let ReplicationMode::Snapshot { snapshot, offset, sent_at } = &mut peer.mode else {
         return;
--- a/crates/verbenaslip-replica/src/rescue.rs
+++ b/crates/verbenaslip-replica/src/rescue.rs
@@ -1,4 +1,4 @@
-//! What an operator does when a quorum of the voters' disks is lost for good.
+//! Recovery by an operator after a quorum of the voters' disks was lost permanently.
 
 use verbenaslip_base::name::Instance;
 
@@ -7,13 +7,16 @@
 use crate::storage::{HardState, Recovered, Write};
 use crate::voter::{Group, Voter};
 
-/// Makes one folder the only voter of a new group, with everything that it holds.
+/// Returns the writes that make one data directory the only voter of a new group, with all its
+/// content.
 ///
-/// This gives up the promise that nothing committed is lost: what only the lost folders held is gone,
-/// and what was never answered as committed may become so. It is for an operator alone, with the
-/// instance stopped, on the folder of all that are left whose [`Recovered::newest`] is greatest. The
-/// new group, whose identity is drawn by the caller, keeps voters of the old one out if they return;
-/// their folders must be moved away before they are added.
+/// This gives up durability: entries that only the lost disks held are gone, and entries that were
+/// never answered as committed may become committed. Only an operator may use it, while the
+/// instance is stopped, on the remaining data directory with the greatest
+/// [`Recovered::last_position`].
+///
+/// The caller chooses the new group's identity at random. It keeps voters of the old group out if
+/// they return; their data directories must be moved away before they are added.
 pub fn force_single_voter(
     recovered: &Recovered,
     instance: impl Into<Instance>,
--- a/crates/verbenaslip-replica/src/setup.rs
+++ b/crates/verbenaslip-replica/src/setup.rs
@@ -1,31 +1,31 @@
-//! What a replica is told at its start.
+//! Settings that a replica receives at its start.
 
 use std::time::Duration;
 
 use verbenaslip_base::data;
 use verbenaslip_base::name::Instance;
 
-/// Thousandths in one.
+/// Denominator of a rate in thousandths.
 const PER_MILLE: u32 = 1000;
 
-/// Sets a replica up.
+/// Holds the settings of a replica.
 #[data]
 pub struct Setup {
     /// This instance.
     pub instance: Instance,
-    /// The instances that form the group at the very first start, this one among them; empty for
-    /// an instance that only ever joins.
+    /// The instances that form the group at its first start, including this one. Empty for an
+    /// instance that only joins an existing group.
     pub founders: Vec<Instance>,
-    /// Seeds the election timeouts; must differ between instances.
+    /// The seed for the random election timeouts; must differ between instances.
     pub seed: u64,
-    /// The times.
+    /// The timeouts and intervals.
     pub timing: Timing,
-    /// The sizes.
+    /// The size limits.
     pub limits: Limits,
 }
 
 impl Setup {
-    /// Sets up with the usual times and sizes.
+    /// Returns settings with the default timing and limits.
     pub fn new(instance: impl Into<Instance>, founders: Vec<Instance>, seed: u64) -> Self {
         Self {
             instance: instance.into(),
@@ -37,18 +37,19 @@
     }
 }
 
-/// Holds the times; all voters must have the same.
+/// Holds timeouts and intervals, which must be the same on all voters.
 #[data(copy)]
 pub struct Timing {
-    /// Between two rounds of heartbeats.
+    /// The time between two rounds of heartbeats.
     pub heartbeat_interval: Duration,
-    /// The shortest election timeout, the longest being twice that. For this long after hearing a
-    /// leader, or after a restart, a voter refuses votes.
+    /// The shortest election timeout; the longest is twice this value. A voter refuses votes for
+    /// this time after it heard a leader and after a restart.
     pub election_timeout: Duration,
-    /// How far the rate of a clock may be off, in thousandths. The clock must go on while the process
-    /// is stopped; one that stands still while a machine is suspended lets a lease outlive its time.
+    /// The allowed error of a clock's rate, in thousandths. The clock must also advance while the
+    /// process is paused: if a clock stops while its machine is suspended, a lease is valid for too
+    /// long.
     pub clock_drift_per_mille: u32,
-    /// How long a new voter may take to catch up.
+    /// The time within which a new voter must catch up.
     pub catch_up_timeout: Duration,
 }
 
@@ -64,38 +65,39 @@
 }
 
 impl Timing {
-    /// Returns how long a lease lasts on the leader's clock, from when its round was sent.
+    /// Returns the duration of a lease on the leader's clock, measured from when its round was
+    /// sent.
     ///
-    /// A leader's clock may be slow and a voter's fast; even then the lease ends before the voter
-    /// gives its vote to somebody else.
+    /// The lease ends before a voter can vote for another candidate, even if the leader's clock is
+    /// slow and the voter's clock is fast.
     pub fn lease_duration(&self) -> Duration {
         let drift = self.clock_drift_per_mille.min(PER_MILLE - 1);
         self.election_timeout * (PER_MILLE - drift) / (PER_MILLE + drift)
     }
 }
 
-/// Holds the sizes, in bytes where not said otherwise.
+/// Holds limits on sizes and counts.
 #[data(copy)]
 pub struct Limits {
-    /// The largest command.
+    /// The largest command, in bytes.
     pub max_command_bytes: usize,
-    /// The most that one append or chunk carries.
+    /// The maximum payload of one append or snapshot chunk, in bytes.
     pub max_message_bytes: usize,
-    /// How many appends may be on the way to one voter.
+    /// The maximum number of unacknowledged appends to one follower.
     pub max_in_flight_appends: usize,
-    /// How many proposals may wait for a quorum,
+    /// The maximum number of proposals that wait for a quorum.
     pub max_pending_proposals: usize,
-    /// and how many bytes they may have together.
+    /// The maximum total size of the proposals that wait for a quorum, in bytes.
     pub max_pending_bytes: usize,
-    /// A snapshot is asked for after this many entries,
+    /// The number of applied log entries after which a snapshot is requested.
     pub snapshot_after_entries: u64,
-    /// or after this many bytes of entries.
+    /// The size of applied log entries after which a snapshot is requested, in bytes.
     pub snapshot_after_bytes: usize,
-    /// Entries before a snapshot that are kept for followers that lag,
+    /// The maximum number of log entries before a snapshot that are kept for followers that lag.
     pub retained_entries: u64,
-    /// and the most bytes that they may have together.
+    /// The maximum total size of the log entries that are kept before a snapshot, in bytes.
     pub retained_bytes: usize,
-    /// The largest snapshot.
+    /// The largest snapshot that a follower accepts, in bytes.
     pub max_snapshot_bytes: u64,
 }
 
--- a/crates/verbenaslip-replica/src/snapshot.rs
+++ b/crates/verbenaslip-replica/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Compaction, and snapshots that travel in chunks.
+//! Log compaction, and snapshots sent in chunks.
 
 use std::sync::Arc;
 
@@ -10,10 +10,10 @@
 use crate::replica::Replica;
 use crate::storage::{Snapshot, Write};
 
-/// Heartbeats without an answer after which a chunk is sent again.
+/// The number of heartbeat intervals without an answer after which a chunk is sent again.
 const RESEND_AFTER_HEARTBEATS: u32 = 4;
 
-/// Holds the part of a snapshot that has arrived.
+/// Holds the received part of a snapshot.
 #[derive(Debug)]
 pub(crate) struct IncomingSnapshot {
     header: SnapshotHeader,
@@ -21,7 +21,7 @@
 }
 
 impl Replica {
-    /// Asks for a snapshot when enough has been applied since the last one.
+    /// Requests a snapshot if enough has been applied since the last one.
     pub(crate) fn request_snapshot(&mut self) {
         let limits = self.setup.limits;
         let covered_index = self.snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index);
@@ -36,7 +36,8 @@
         }
     }
 
-    /// Keeps the state machine's state and drops the log before it, but for a tail.
+    /// Stores the state machine's state as a snapshot, and drops the log before it except for a
+    /// tail.
     pub(crate) fn compact(&mut self, index: u64, state: Arc<[u8]>) {
         let covered_index = self.snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index);
         if index <= covered_index || index > self.applied_index {
@@ -57,7 +58,7 @@
         self.outbox.write(write, &mut self.outputs);
     }
 
-    /// Takes a part of a snapshot, and returns the answer.
+    /// Handles a snapshot chunk and returns the answer.
     pub(crate) fn receive_chunk(
         &mut self,
         header: SnapshotHeader,
@@ -95,13 +96,13 @@
         Some(Body::SnapshotChunkResponse { position, received_bytes, round })
     }
 
-    /// Starts sending a follower the snapshot, since the entries it lacks are gone.
+    /// Starts sending the snapshot to a follower that needs entries no longer in the log.
     pub(crate) fn begin_snapshot(&mut self, peer: &mut Peer) {
         let Some(snapshot) = self.snapshot.clone() else { return };
         peer.mode = ReplicationMode::Snapshot { snapshot, offset: 0, sent_at: None };
     }
 
-    /// Sends the next chunk, the last one again, or a bare heartbeat.
+    /// Sends the next chunk, repeats the last one, or sends a heartbeat.
     pub(crate) fn send_snapshot(&mut self, peer: &mut Peer, round: u64, is_heartbeat: bool) {
         let resend_after = self.setup.timing.heartbeat_interval * RESEND_AFTER_HEARTBEATS;
         let ReplicationMode::Snapshot { snapshot, offset, sent_at } = &mut peer.mode else {
@@ -115,7 +116,8 @@
             }
             return;
         }
-        // A follower that was away would first get the snapshot from when it left, and then another.
+        // If the snapshot is replaced before its first chunk was received, the follower gets the
+        // newest one instead of two snapshots in a row.
         if let Some(newest) = self.snapshot.as_ref().filter(|_| *offset == 0) {
             *snapshot = newest.clone();
         }
@@ -136,7 +138,7 @@
         self.send_to(peer, body);
     }
 
-    /// Replaces log and state by a snapshot that has arrived whole.
+    /// Replaces the log and the state by a completely received snapshot.
     fn install(&mut self, incoming: IncomingSnapshot) {
         let IncomingSnapshot { header, bytes } = incoming;
         let SnapshotHeader { position, config, .. } = header;
--- a/crates/verbenaslip-replica/src/status.rs
+++ b/crates/verbenaslip-replica/src/status.rs
@@ -1,4 +1,4 @@
-//! What operators are shown.
+//! The status of a replica for operators.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,57 +10,57 @@
 use crate::replica::{Replica, State};
 use crate::voter::{Group, Identity, Voter};
 
-/// Shows how a replica stands.
+/// Describes the state of a replica.
 #[data]
 pub struct Status {
     /// This instance.
     pub instance: Instance,
-    /// Its folder.
+    /// The identity of the data directory.
     pub identity: Identity,
-    /// Its group, none before the first contact with it.
+    /// The group, or `None` before the first contact with one.
     pub group: Option<Group>,
-    /// The term.
+    /// The current term.
     pub term: u64,
-    /// The leader, where known.
+    /// The leader, if known.
     pub leader: Option<Instance>,
-    /// What this replica does.
+    /// The role of this replica.
     pub role: ReplicaRole,
-    /// The last entry.
+    /// The index of the last log entry.
     pub last_index: u64,
-    /// The last committed index it knows.
+    /// The last index known to be committed.
     pub commit_index: u64,
     /// The last index that the snapshot covers.
     pub snapshot_index: u64,
-    /// How much longer the lease lasts, on the leader alone.
+    /// How much longer the lease is valid; only known to the leader.
     pub lease_remaining: Option<Duration>,
-    /// Whether the voter set is being changed.
+    /// Whether a joint configuration is in force.
     pub is_joint: bool,
-    /// The voters, and those that catch up; the progress is known to the leader alone.
+    /// The voters and the new voters that catch up; their progress is only known to the leader.
     pub voters: Vec<Progress>,
 }
 
-/// Shows how one voter stands.
+/// Describes the state of one voter.
 #[data]
 pub struct Progress {
     /// The voter.
     pub voter: Voter,
-    /// Whether its vote counts already.
+    /// Whether it is a voter already, and not only catching up.
     pub is_voter: bool,
-    /// How far its log is known to be equal to the leader's.
+    /// The last index at which its log is known to match the leader's.
     pub match_index: Option<u64>,
-    /// How long ago it last answered.
+    /// The time since its last answer.
     pub since_last_response: Option<Duration>,
 }
 
 impl Progress {
-    /// Starts without knowledge of a voter.
-    fn new(voter: Voter, votes: bool) -> Self {
-        Self { voter, is_voter: votes, match_index: None, since_last_response: None }
+    /// Returns a voter whose progress is not known.
+    fn new(voter: Voter, is_voter: bool) -> Self {
+        Self { voter, is_voter, match_index: None, since_last_response: None }
     }
 }
 
 impl Replica {
-    /// Shows operators how this replica stands.
+    /// Returns the status of this replica for operators.
     pub fn status(&self, now: Duration) -> Status {
         let lease = self.lease_until(now).map(|expires_at| expires_at.saturating_sub(now));
         Status {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Returns what this replica does.
+    /// Returns the role of this replica.
     pub(crate) fn role(&self) -> ReplicaRole {
         match &self.state {
             State::Follower => ReplicaRole::Follower,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Tells of a changed role.
+    /// Reports the role, the term and the leader if one of them has changed.
     pub(crate) fn report_role(&mut self) {
         let role = RoleUpdate {
             term: self.hard_state.term,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Lists the voters and those that catch up.
+    /// Returns the voters and the new voters that catch up.
     fn progress(&self, now: Duration) -> Vec<Progress> {
         let config = self.log.config();
         let mut voters: BTreeMap<Identity, Progress> = config
--- a/crates/verbenaslip-replica/src/storage.rs
+++ b/crates/verbenaslip-replica/src/storage.rs
@@ -1,4 +1,4 @@
-//! The port to the folder that survives a restart.
+//! The interface to storage that survives a restart.
 
 use std::sync::Arc;
 
@@ -9,94 +9,96 @@
 use crate::entry::{Entry, Position};
 use crate::voter::{Group, Identity};
 
-/// Keeps a replica's writes; one thread owns it.
+/// Stores a replica's writes; owned by a single thread.
 pub trait Storage: Send {
-    /// Reads everything that the storage holds.
+    /// Reads everything in the storage.
     ///
     /// # Errors
     ///
     /// Returns an error when the storage can't be read or is damaged.
     fn load(&mut self) -> Result<Recovered, Error>;
 
-    /// Takes writes in order; they need not be durable before [`Storage::sync`].
+    /// Accepts writes in order. They need not be durable before [`Storage::sync`].
     ///
     /// # Errors
     ///
-    /// Returns an error when a write fails. The storage then takes no more: the voter stops
-    /// acknowledging until it is opened again.
+    /// Returns an error when a write fails. The storage then accepts no more writes, and the voter
+    /// acknowledges nothing until the storage is opened again.
     fn write(&mut self, writes: &[Write]) -> Result<(), Error>;
 
-    /// Makes all taken writes durable; only after it may their marks be given as stored.
+    /// Makes all accepted writes durable. Only then may their sequence numbers be reported as
+    /// stored.
     ///
     /// # Errors
     ///
-    /// Returns an error when the writes may not be durable; the storage then takes no more.
+    /// Returns an error when the writes may not be durable. The storage then accepts no more
+    /// writes.
     fn sync(&mut self) -> Result<(), Error>;
 }
 
-/// Asks for something to be kept.
+/// A change of the stored data.
 #[data]
 pub enum Write {
-    /// Replaces the term and vote.
+    /// Replaces the hard state.
     HardState(HardState),
-    /// Adds entries, which follow the last one kept.
+    /// Appends log entries that directly follow the last stored one.
     Append(Vec<Entry>),
-    /// Drops the entry at `from` and all after it; a power loss may leave a part of them. The term
-    /// of the leader that asked for it is durable before, and that leader drops the rest again.
+    /// Removes the entry at `from` and all after it. A power loss may leave some of them; the
+    /// leader's term is durable by then, and the leader truncates the rest again.
     Truncate {
-        /// The first index to drop.
+        /// The first index to remove.
         from: u64,
     },
-    /// Keeps a snapshot of the own state; then entries before `first` may be dropped.
+    /// Stores a snapshot of this replica's state. Log entries before `first` may then be dropped.
     Compact {
-        /// The snapshot.
+        /// The snapshot to store.
         snapshot: Arc<Snapshot>,
-        /// The first index that must stay.
+        /// The first index that must be kept.
         first: u64,
     },
-    /// Keeps a snapshot received from the leader, and drops all entries.
+    /// Stores a snapshot received from the leader, and removes all log entries.
     Install(Arc<Snapshot>),
 }
 
-/// Holds what must never be forgotten between two votes.
+/// Holds the state that must be durable before a vote or an acknowledgement is sent.
 #[data(copy, default)]
 pub struct HardState {
-    /// The group, none before the first contact with it.
+    /// The group, or `None` before the first contact with one.
     pub group: Option<Group>,
-    /// The latest term seen.
+    /// The latest known term.
     pub term: u64,
-    /// Whom this voter chose in that term.
+    /// The candidate that this voter voted for in that term.
     pub voted: Option<Identity>,
 }
 
-/// Holds the state machine's state up to a position.
+/// Holds the state of the state machine up to a position.
 #[data]
 pub struct Snapshot {
-    /// The last entry that the state covers.
+    /// The position of the last log entry that the state covers.
     pub position: Position,
-    /// The voter set in force there.
+    /// The voter set in force at that position.
     pub config: Config,
-    /// The state, not looked into here.
+    /// The encoded state, which this crate does not interpret.
     pub state: Arc<[u8]>,
 }
 
-/// Holds what a folder had when it was opened.
+/// Holds the content of a data directory when it was opened.
 #[data]
 pub struct Recovered {
-    /// The identity of the folder.
+    /// The identity of the data directory.
     pub identity: Identity,
-    /// The term and vote.
+    /// The term, vote and group.
     pub hard_state: HardState,
-    /// The newest whole snapshot.
+    /// The newest complete snapshot.
     pub snapshot: Option<Arc<Snapshot>>,
-    /// The entries kept, without gaps; they may begin before the end of the snapshot.
+    /// The stored log entries, without gaps. They may start before the end of the snapshot.
     pub entries: Vec<Entry>,
-    /// What was cut from the end of the log as a write that never became durable.
+    /// The part that was truncated from the end of the log because its write never became durable.
     pub torn_tail: Option<TornTail>,
 }
 
 impl Recovered {
-    /// Returns what a newly created folder holds.
+    /// Returns the content of a new data directory.
     pub fn empty(identity: Identity) -> Self {
         Self {
             identity,
@@ -107,16 +109,17 @@
         }
     }
 
-    /// Returns the position of the newest entry that the folder holds or that its snapshot covers.
+    /// Returns the last position in the log or covered by the snapshot, whichever is greater.
     pub fn last_position(&self) -> Position {
         let end = self.snapshot.as_ref().map(|snapshot| snapshot.position).unwrap_or_default();
         self.entries.last().map_or(end, |entry| entry.position.max(end))
     }
 
-    /// Drops the entries if they are not those that the snapshot was made from or followed by.
+    /// Drops the log entries if they don't belong to the snapshot: they must contain its position
+    /// or directly follow it.
     ///
-    /// A power loss between keeping an installed snapshot and dropping the old log leaves both; the
-    /// old entries may differ from what the group committed.
+    /// A power loss after an installed snapshot is stored and before the old log is removed leaves
+    /// both. The old entries may differ from what the group committed.
     #[must_use]
     pub fn without_stale_entries(mut self) -> Self {
         let Some(snapshot) = &self.snapshot else { return self };
@@ -131,62 +134,62 @@
     }
 }
 
-/// Tells of a torn tail that was cut.
+/// Describes a torn tail that was truncated.
 #[data]
 pub struct TornTail {
-    /// The file.
+    /// The name of the file.
     pub file: Arc<str>,
-    /// Where the cut was made.
+    /// The new size of the file, in bytes.
     pub offset: u64,
-    /// How many bytes were cut.
+    /// The number of removed bytes.
     pub bytes: u64,
 }
 
-/// Says why the storage failed.
+/// The reason for which the storage failed.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Error {
-    /// could not {step} {file}: {reason} (check the data folder's disk and its rights)
+    /// could not {step} {file}: {reason} (check the data directory's disk and its permissions)
     Io {
-        /// What was being done.
+        /// The failed operation.
         step: FileOperation,
-        /// The file.
+        /// The name of the file.
         file: Arc<str>,
-        /// What the system said.
+        /// The error message of the operating system.
         reason: Arc<str>,
     },
-    /// the disk is full while it should {step} {file} (free space, then restart this instance)
+    /// the disk is full: could not {step} {file} (free space, then restart this instance)
     Full {
-        /// What was being done.
+        /// The failed operation.
         step: FileOperation,
-        /// The file.
+        /// The name of the file.
         file: Arc<str>,
     },
-    /// {file} is damaged at byte {offset}: {what} (restore the disk, or move the folder away so that this voter returns as a new one, and replace it in the voter set)
+    /// {file} is damaged at byte {offset}: {what} (restore the disk, or move the data directory away so that this voter returns as a new one, and replace it in the voter set)
     Damaged {
-        /// The file.
+        /// The name of the file.
         file: Arc<str>,
-        /// Where the damage begins.
+        /// The offset at which the damage begins, in bytes.
         offset: u64,
-        /// What is wrong there.
+        /// A description of the damage.
         what: Arc<str>,
     },
-    /// {file} is in use by another process (stop it, or name another data folder)
+    /// {file} is in use by another process (stop that process, or use another data directory)
     Locked {
         /// The lock file.
         file: Arc<str>,
     },
-    /// the storage takes no writes since an earlier failure (restart this instance)
+    /// the storage accepts no writes after an earlier failure (restart this instance)
     Stopped,
-    /// the writes do not follow what is stored: {what} (please report this)
+    /// the writes do not follow the stored log: {what} (please report this)
     OutOfOrder {
-        /// What does not fit.
+        /// A description of the mismatch.
         what: Arc<str>,
     },
 }
 
 impl std::error::Error for Error {}
 
-/// Names the steps of work on files.
+/// An operation on files.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum FileOperation {
     /// open
@@ -203,6 +206,6 @@
     Rename,
     /// remove
     Remove,
-    /// cut
+    /// truncate
     Truncate,
 }
--- a/crates/verbenaslip-replica/src/transfer.rs
+++ b/crates/verbenaslip-replica/src/transfer.rs
@@ -1,4 +1,4 @@
-//! Handing leadership over before a planned stop.
+//! Leadership transfer before a planned stop.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use crate::replica::{Replica, State};
 use crate::voter::Identity;
 
-/// Holds a handing over that is under way.
+/// Holds a leadership transfer in progress.
 #[derive(Debug)]
 pub(crate) struct Transfer {
     deadline: Duration,
@@ -15,14 +15,14 @@
 }
 
 impl Transfer {
-    /// Returns when it is given up.
+    /// Returns when the transfer is given up.
     pub(crate) fn deadline(&self) -> Duration {
         self.deadline
     }
 }
 
 impl Replica {
-    /// Begins to hand leadership over, if there is somebody else.
+    /// Starts a leadership transfer if there is another voter.
     pub(crate) fn transfer_leadership(&mut self) {
         let deadline = self.now + self.setup.timing.election_timeout * 2;
         let is_only_voter = self.other_voters().is_empty();
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Gives up a handing over that takes too long.
+    /// Gives up a transfer that takes too long.
     pub(crate) fn tick_transfer(&mut self) {
         let State::Leader(leader_state) = &mut self.state else { return };
         let Some(transfer) =
@@ -40,14 +40,14 @@
         else {
             return;
         };
-        // Once asked, a follower may be elected at any later time, so leading on would mean a
-        // leader without a lease for good. A new election ends that.
+        // Once it was told to campaign, a follower can be elected at any later time, so this leader
+        // can never hold a lease again. Stepping down lets a new election end that state.
         if transfer.campaign_sent {
             self.become_follower(self.hard_state.term, None);
         }
     }
 
-    /// Tells a follower to campaign once nothing is left to replicate.
+    /// Tells a follower to campaign once everything is committed.
     pub(crate) fn advance_transfer(&mut self) {
         let State::Leader(leader_state) = &self.state else { return };
         let is_unsent =
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Takes the request to campaign at once.
+    /// Handles the request to campaign at once.
     pub(crate) fn handle_campaign(&mut self, message: &Message) {
         if message.term == self.hard_state.term && !self.is_leader() && self.may_campaign() {
             self.start_election(true);
@@ -68,8 +68,9 @@
     pub(crate) fn transfer_to_successor(&mut self) {
         let Some(best) = self.successor() else { return };
         let State::Leader(leader_state) = &mut self.state else { return };
-        // The follower's election passes over the refusal of votes that protects the lease, and
-        // this leader may not hear of it. So the lease ends here, before the request leaves.
+        // Voters grant votes in this election even while they would refuse them to protect the
+        // lease, and this leader may not learn of it. So the lease must end before the request is
+        // sent.
         leader_state.may_hold_lease = false;
         if let Some(transfer) = &mut leader_state.transfer {
             transfer.campaign_sent = true;
@@ -80,7 +81,7 @@
         leader_state.peers.insert(best, peer);
     }
 
-    /// Picks a voter that holds the whole log and answered lately, the last heard first.
+    /// Returns the voter that stores the whole log and was heard last, if there is one.
     fn successor(&self) -> Option<Identity> {
         let State::Leader(leader_state) = &self.state else { return None };
         let (last, config) = (self.log.last().index, self.log.config());
--- a/crates/verbenaslip-replica/src/voter.rs
+++ b/crates/verbenaslip-replica/src/voter.rs
@@ -1,11 +1,11 @@
-//! Who votes: an instance together with the identity of its data folder.
+//! Voters: an instance together with the identity of its data directory.
 
 use std::fmt;
 
 use verbenaslip_base::data;
 use verbenaslip_base::name::Instance;
 
-/// Identifies one data folder: drawn at random when the folder is created, and lost with it.
+/// Identifies a data directory: chosen at random when it is created, and lost with it.
 #[data(copy, ord, hash)]
 pub struct Identity(pub u128);
 
@@ -15,17 +15,17 @@
     }
 }
 
-/// Identifies a group of voters: the identity of the folder that founded it.
+/// Identifies a group of voters by the identity of the data directory that formed it.
 #[data(copy, ord, hash)]
 pub struct Group(pub u128);
 
-/// Names a member of the voter set.
+/// A member of the voter set.
 ///
-/// The instance says where to send; the identity says whose votes and acknowledgements count.
+/// Messages are sent to the instance. Votes and acknowledgements are counted by the identity.
 #[data(ord, hash)]
 pub struct Voter {
-    /// The instance.
+    /// The instance of the voter.
     pub instance: Instance,
-    /// The identity of its data folder.
+    /// The identity of the voter's data directory.
     pub identity: Identity,
 }
