--- a/crates/verbenaslip-disk/benches/voters.rs
+++ b/crates/verbenaslip-disk/benches/voters.rs
@@ -1,4 +1,4 @@
-//! Prints what voters cost: processor time idle and for each command, and the syncs of a folder.
+//! Measures the cost of voters: CPU time when idle and per command, and syncs of a data directory.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -15,9 +15,9 @@
 use verbenaslip_replica::storage::{HardState, Recovered, Storage, Write};
 use verbenaslip_replica::voter::Identity;
 
-/// Time between two looks at the timers.
+/// The time between two checks of the timers.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
-/// Bytes of a command, about those of a claim or of one edited row.
+/// The size of a command, similar to that of a claim or of one edited row.
 const COMMAND_BYTES: usize = 200;
 const MEASUREMENTS: usize = 5;
 
@@ -52,17 +52,15 @@
     }
 
     fn step(&mut self, number: usize, input: Input) {
-        let mut out = Vec::new();
-        self.voters[number].step(self.now, input, &mut out);
-        for output in out {
+        let mut outputs = Vec::new();
+        self.voters[number].step(self.now, input, &mut outputs);
+        for output in outputs {
             match output {
                 Output::Send { to, message } => {
                     let to = (0..self.voters.len()).find(|n| instance(*n) == to);
-                    self.queue.push((number, to.expect("a known voter"), message));
-                }
-                Output::Store { sequence: mark, .. } => {
-                    self.step(number, Input::Stored { sequence: mark })
+                    self.queue.push((number, to.expect("the receiver is a voter"), message));
                 }
+                Output::Store { sequence, .. } => self.step(number, Input::Stored { sequence }),
                 Output::RequestSnapshot { index } => {
                     let state = Arc::from([0; 100].as_slice());
                     self.step(number, Input::Snapshot { index, state });
@@ -94,7 +92,7 @@
         }
     }
 
-    /// Proposes commands, so many at a time.
+    /// Proposes commands in batches.
     fn propose(&mut self, count: u64, batch_size: u64) {
         let leader = self.leader().expect("the group has a leader");
         let command: Arc<[u8]> = vec![7; COMMAND_BYTES].into();
@@ -142,7 +140,7 @@
         let _ = std::fs::remove_dir_all(&path);
         write_and_sync_batches(&path, 100, 100);
         let started_at = Instant::now();
-        DataDirectory::open(&path).expect("the folder opens");
+        DataDirectory::open(&path).expect("the directory opens");
         elapsed_micros(started_at) / 1_000.0
     });
     let _ = std::fs::remove_dir_all(&path);
@@ -152,7 +150,7 @@
     Path::new(env!("CARGO_TARGET_TMPDIR")).join("bench")
 }
 
-/// Measures one write and sync of a batch.
+/// Returns the time of one write and sync of a batch, in microseconds.
 fn measure_write_and_sync(path: &Path, batch_size: u64) -> f64 {
     const SYNCS: u64 = 200;
     let _ = std::fs::remove_dir_all(path);
@@ -162,8 +160,8 @@
 }
 
 fn write_and_sync_batches(path: &Path, syncs: u64, batch_size: u64) {
-    let (mut directory, _) = DataDirectory::open(path).expect("the folder opens");
-    directory.write(&[Write::HardState(HardState::default())]).expect("the folder takes the term");
+    let (mut directory, _) = DataDirectory::open(path).expect("the directory opens");
+    directory.write(&[Write::HardState(HardState::default())]).expect("the write succeeds");
     let command: Arc<[u8]> = vec![7; COMMAND_BYTES].into();
     for sync in 0..syncs {
         let entry = |index| Entry {
@@ -172,8 +170,8 @@
         };
         let first = sync * batch_size + 1;
         let entries = (first..first + batch_size).map(entry).collect();
-        directory.write(&[Write::Append(entries)]).expect("the folder takes entries");
-        directory.sync().expect("the folder syncs");
+        directory.write(&[Write::Append(entries)]).expect("the write succeeds");
+        directory.sync().expect("the sync succeeds");
     }
 }
 
--- a/crates/verbenaslip-disk/tests/memory/mod.rs
+++ b/crates/verbenaslip-disk/tests/memory/mod.rs
@@ -1,6 +1,6 @@
-//! Files in memory that forget what was not synced.
+//! Files in memory that lose unsynced changes.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses only a part of this module")]
 
 use std::collections::BTreeMap;
 use std::io::{Error, ErrorKind, Result};
@@ -8,14 +8,14 @@
 
 use verbenaslip_disk::files::Files;
 
-/// Holds a file's content as it is seen and as it would be after a power loss.
+/// The visible content of a file, and its content after a power loss.
 #[derive(Clone, Debug, Default)]
 struct Content {
     visible: Vec<u8>,
     durable: Vec<u8>,
 }
 
-/// Holds the folder; clones are the same folder.
+/// Holds the files of one directory; clones share the same files.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryFiles {
     state: Arc<Mutex<State>>,
@@ -24,30 +24,30 @@
 #[derive(Clone, Debug, Default)]
 struct State {
     contents: Vec<Content>,
-    /// Which content each name has, as it is seen and as it would be after a power loss.
+    /// The index of the content of each name, as visible and as after a power loss.
     visible_names: BTreeMap<String, usize>,
     durable_names: BTreeMap<String, usize>,
     operations: u64,
-    /// The operation at which the power fails.
+    /// The number of the operation at which the power fails.
     fails_at: Option<u64>,
-    /// The bytes that still fit.
+    /// The number of free bytes on the disk.
     free_bytes: Option<usize>,
 }
 
-/// Says what a power loss leaves of what was not synced.
+/// The unsynced changes that a power loss discards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loss {
-    /// Nothing.
+    /// Loses all changes.
     All,
-    /// Names changed, contents did not.
+    /// Loses contents, but keeps names.
     Contents,
-    /// Contents changed, names did not.
+    /// Loses names, but keeps contents.
     Names,
-    /// Names changed, and a part of each content.
+    /// Keeps names, and the given number of unsynced bytes of each file.
     Part(usize),
-    /// Names changed, and contents have their length but zeros in it.
+    /// Keeps names, and the sizes of the files, but unsynced contents are zeros.
     Zeros,
-    /// Nothing is lost, as when only the process ends.
+    /// Loses nothing, as when only the process exits.
     Nothing,
 }
 
@@ -64,7 +64,7 @@
         self.lock().free_bytes = bytes;
     }
 
-    /// Ends the power, and returns the folder as it is afterwards.
+    /// Returns the files as they are after a power loss.
     pub fn after_power_loss(&self, loss: Loss) -> Self {
         if loss == Loss::Nothing {
             return self.after_process_exit();
@@ -92,7 +92,7 @@
         Self { state: Arc::new(Mutex::new(state)) }
     }
 
-    /// Ends the process alone: everything is seen, nothing more is durable than before.
+    /// Returns the files as they are after the process exits, without a power loss.
     pub fn after_process_exit(&self) -> Self {
         let mut state = self.lock().clone();
         state.fails_at = None;
@@ -100,7 +100,7 @@
         Self { state: Arc::new(Mutex::new(state)) }
     }
 
-    /// Flips a bit in a file.
+    /// Flips a bit of a file.
     pub fn flip_bit(&self, name: &str, offset: usize) {
         let mut state = self.lock();
         let content = state.visible_names[name];
@@ -120,7 +120,7 @@
         self.state.lock().expect("no test panics while it holds the lock")
     }
 
-    /// Does one operation unless the power fails at it.
+    /// Performs one operation unless the power fails at it.
     fn run_operation<T>(&self, work: impl FnOnce(&mut State) -> Result<T>) -> Result<T> {
         let mut state = self.lock();
         if state.fails_at.is_some_and(|fails| state.operations >= fails) {
@@ -131,7 +131,7 @@
     }
 }
 
-/// Keeps what is durable and so many bytes of what is not.
+/// Returns the durable content and at most `bytes` of the unsynced content after it.
 fn durable_with_partial_tail(visible: &[u8], durable: &[u8], bytes: usize) -> Vec<u8> {
     if !visible.starts_with(durable) {
         return durable.to_vec();
@@ -139,7 +139,7 @@
     visible[..visible.len().min(durable.len() + bytes)].to_vec()
 }
 
-/// Keeps what is durable, and zeros in place of the rest.
+/// Returns the durable content followed by zeros in place of the unsynced content.
 fn durable_with_zeroed_tail(visible: &[u8], durable: &[u8]) -> Vec<u8> {
     let mut remaining = durable.to_vec();
     remaining.resize(visible.len().max(durable.len()), 0);
--- a/crates/verbenaslip-disk/tests/power.rs
+++ b/crates/verbenaslip-disk/tests/power.rs
@@ -1,4 +1,4 @@
-//! The folder under power loss at every operation, full disks and damage.
+//! The data directory under power loss at every operation, with full disks and with damage.
 
 mod memory;
 
@@ -12,12 +12,12 @@
 
 use memory::{Loss, MemoryFiles};
 
-/// Log files are small, so that each life fills several.
+/// Uses small log files, so that the test writes several of them.
 const SMALL_SEGMENTS: Options = Options { new_identity: Identity(7), segment_bytes: 300 };
-/// One log file holds it all.
+/// Uses a single log file.
 const ONE_SEGMENT: Options = Options { segment_bytes: 4 << 20, ..SMALL_SEGMENTS };
 
-/// What a power loss may leave.
+/// The tested kinds of power loss.
 const LOSSES: [Loss; 9] = [
     Loss::All,
     Loss::Contents,
@@ -49,7 +49,7 @@
     Arc::new(Snapshot { position, config: Config::default(), state: vec![9; 100].into() })
 }
 
-/// A voter's life: batches of writes, each synced before the next.
+/// Returns batches of writes, each of which is synced before the next.
 fn write_batches() -> Vec<Vec<Write>> {
     vec![
         vec![hard_state(1), append(1, 1..=1)],
@@ -69,7 +69,7 @@
     ]
 }
 
-/// What a folder must hold after writes.
+/// The expected content of a data directory.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Model {
     hard_state: HardState,
@@ -95,8 +95,8 @@
         self.snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index)
     }
 
-    /// Tells whether what was recovered has everything of this model; older entries may remain
-    /// before the snapshot, and the beginning may be gone.
+    /// Returns whether the recovered content has everything in this model. Entries before the end
+    /// of the snapshot are not compared.
     fn matches(&self, recovered: &Recovered) -> bool {
         let snapshot_index = self.snapshot_index();
         let expected: Vec<&Entry> =
@@ -109,8 +109,8 @@
     }
 }
 
-/// Runs a life until the power fails; returns what was acknowledged, and every state that the
-/// writes after that may have reached.
+/// Writes the batches until the power fails. Returns the acknowledged content, and every state that
+/// the unacknowledged writes may have reached.
 fn run_until_failure(files: &MemoryFiles) -> (Model, Vec<Model>) {
     let mut acknowledged = Model::default();
     let Ok((mut directory, _)) = DataDirectory::open_on(files.clone(), SMALL_SEGMENTS) else {
@@ -120,7 +120,8 @@
         let mut intermediate_states = vec![acknowledged.clone()];
         let mut model = acknowledged.clone();
         for write in &batch {
-            // Entries come and go one by one, the last one first to go; other writes are whole.
+            // Entries are added and removed one by one, the last one first; other writes are
+            // atomic.
             match write {
                 Write::Truncate { from } => {
                     while model.entries.last().is_some_and(|last| last.position.index >= *from) {
@@ -146,9 +147,9 @@
     (acknowledged.clone(), vec![acknowledged])
 }
 
-// Symptom: a voter forgets a vote or acknowledged entries, or can't be opened, after a power loss.
-// Sequence: the power fails at one operation on the files; unsynced contents and names are lost, kept
-// or torn. Cause: an order of writes, renames and syncs with a hole in it.
+// The power fails at each operation on the files; unsynced contents and names are lost, kept or
+// torn. Guards against a wrong order of writes, renames and syncs, after which a voter forgets a
+// vote or acknowledged entries, or can't be opened.
 #[test]
 fn power_loss_at_every_operation_keeps_what_was_acknowledged() {
     let files = MemoryFiles::default();
@@ -172,20 +173,20 @@
                 || intermediate_states
                     .iter()
                     .any(|model| is_intermediate_state(&acknowledged, model, &recovered));
-            let places: Vec<Position> = recovered.entries.iter().map(|e| e.position).collect();
+            let positions: Vec<Position> = recovered.entries.iter().map(|e| e.position).collect();
             assert!(
                 is_kept,
-                "operation {operation}, {loss:?}: {:?} {places:?}",
+                "operation {operation}, {loss:?}: {:?} {positions:?}",
                 recovered.hard_state
             );
-            assert!(is_consistent(&recovered), "operation {operation}, {loss:?}: {places:?}");
+            assert!(is_consistent(&recovered), "operation {operation}, {loss:?}: {positions:?}");
             check_accepts_writes(directory, &recovered, &remaining_files);
         }
     }
     println!("{operations} operations, {} losses each", LOSSES.len());
 }
 
-/// Tells whether the entries are those that the snapshot was made from or is followed by.
+/// Returns whether the entries contain the snapshot's position or directly follow it.
 fn is_consistent(recovered: &Recovered) -> bool {
     let snapshot_position =
         recovered.snapshot.as_ref().map(|snapshot| snapshot.position).unwrap_or_default();
@@ -194,9 +195,9 @@
     follows || recovered.entries.iter().any(|entry| entry.position == snapshot_position)
 }
 
-/// Tells whether a folder holds a state that the writes after the last acknowledgement passed.
+/// Returns whether the recovered content is a state between the last acknowledgement and `model`.
 fn is_intermediate_state(acknowledged: &Model, model: &Model, recovered: &Recovered) -> bool {
-    // The term and snapshot files are durable at once, the log's records only with the sync.
+    // The hard state and snapshots are durable at once, log records only after a sync.
     let is_known_hard_state =
         [acknowledged.hard_state, model.hard_state].contains(&recovered.hard_state);
     let with_recovered_hard_state = Model { hard_state: recovered.hard_state, ..model.clone() };
@@ -205,8 +206,8 @@
             || holds_committed(acknowledged, model, recovered))
 }
 
-/// Tells whether a newer snapshot is there while the records after it were lost: the log then ends
-/// before it or was made for it, and everything acknowledged is in one of the two.
+/// Returns whether the recovered content has the newer snapshot of `model`, and every acknowledged
+/// entry of `model` after it. Unsynced records after the snapshot may be lost.
 fn holds_committed(acknowledged: &Model, model: &Model, recovered: &Recovered) -> bool {
     if recovered.snapshot != model.snapshot {
         return false;
@@ -220,7 +221,7 @@
             .all(|e| e.position.index <= snapshot_index || model.entries.contains(e))
 }
 
-/// Checks that a recovered folder takes more, and keeps it.
+/// Checks that a recovered data directory accepts and stores more writes.
 fn check_accepts_writes(mut directory: DataDirectory, recovered: &Recovered, files: &MemoryFiles) {
     let snapshot_index = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index);
     let last = recovered.entries.last().map_or(snapshot_index, |entry| entry.position.index);
@@ -228,9 +229,9 @@
     directory
         .write(&writes)
         .and_then(|()| directory.sync())
-        .expect("a recovered folder takes writes");
+        .expect("a recovered directory accepts writes");
     let (_, reopened) = DataDirectory::open_on(files.after_power_loss(Loss::All), SMALL_SEGMENTS)
-        .expect("what was synced can be read");
+        .expect("synced content can be read");
     assert_eq!(
         reopened.entries.last().map(|e| e.position),
         Some(Position { term: 9, index: last + 3 })
@@ -238,36 +239,39 @@
     assert_eq!(reopened.identity, recovered.identity);
 }
 
-// Symptom: acknowledged entries are gone after a process died and then the power failed. Sequence:
-// entries are written, the process dies before the sync, a new one reads and acknowledges them, the
-// power fails. Cause: what can be read is taken for durable.
+// A process crashes before a sync. The next process reads its entries and acknowledges them, and
+// then the power fails. Guards against treating readable content as durable: acknowledged entries
+// would be lost.
 #[test]
-fn what_is_read_at_opening_is_durable() {
+fn loaded_content_is_durable() {
     let files = MemoryFiles::default();
     let (mut directory, _) =
-        DataDirectory::open_on(files.clone(), SMALL_SEGMENTS).expect("a new folder opens");
-    directory.write(&[hard_state(1), append(1, 1..=3)]).expect("the writes are taken");
+        DataDirectory::open_on(files.clone(), SMALL_SEGMENTS).expect("a new directory opens");
+    directory.write(&[hard_state(1), append(1, 1..=3)]).expect("the writes succeed");
     drop(directory);
     let files = files.after_process_exit();
     let (_, reopened) =
-        DataDirectory::open_on(files.clone(), SMALL_SEGMENTS).expect("the folder opens again");
+        DataDirectory::open_on(files.clone(), SMALL_SEGMENTS).expect("the directory opens again");
     let (_, after_power_loss) =
         DataDirectory::open_on(files.after_power_loss(Loss::All), SMALL_SEGMENTS)
-            .expect("and after a power loss");
+            .expect("the directory opens after a power loss");
     assert_eq!(reopened.entries.len(), 3);
     assert_eq!(after_power_loss.entries, reopened.entries);
 }
 
-// Symptom: a voter acknowledges entries that are not on its disk. Sequence: the disk fills up in the
-// middle of a record. Cause: going on after a failed write.
+// The disk becomes full in the middle of a record. Guards against accepting writes after a failed
+// one: a voter would acknowledge entries that are not stored.
 #[test]
-fn a_full_disk_stops_the_folder_and_corrupts_nothing() {
+fn a_full_disk_stops_writes_and_corrupts_nothing() {
     for free_bytes in 0..300 {
         let files = MemoryFiles::default();
         let (mut directory, _) =
-            DataDirectory::open_on(files.clone(), SMALL_SEGMENTS).expect("a new folder opens");
+            DataDirectory::open_on(files.clone(), SMALL_SEGMENTS).expect("a new directory opens");
         let first_batch = [hard_state(1), append(1, 1..=3)];
-        directory.write(&first_batch).and_then(|()| directory.sync()).expect("there is room");
+        directory
+            .write(&first_batch)
+            .and_then(|()| directory.sync())
+            .expect("there is enough space");
         files.set_free_bytes(Some(free_bytes));
         let second_batch = [append(1, 4..=6), hard_state(2)];
         let Err(error) = directory.write(&second_batch).and_then(|()| directory.sync()) else {
@@ -278,41 +282,45 @@
         assert_eq!(
             directory.write(&[hard_state(3)]),
             Err(Error::Stopped),
-            "it goes on after a failure"
+            "a write succeeded after a failure"
         );
         assert_eq!(directory.sync(), Err(Error::Stopped));
         let (_, recovered) = DataDirectory::open_on(files.after_process_exit(), SMALL_SEGMENTS)
-            .expect("it opens again");
+            .expect("the directory opens again");
         assert!(
             recovered.entries.len() >= 3,
-            "{free_bytes} free bytes: acknowledged entries are gone"
+            "{free_bytes} free bytes: acknowledged entries are missing"
         );
         assert!(recovered.hard_state.term <= 2);
     }
 }
 
-// Symptom: committed edits are silently gone after a disk decayed. Sequence: one bit flips somewhere
-// in a file that was durable. Cause: damage taken for a torn tail and cut off.
+// One bit flips in a durable file. Guards against damage that is mistaken for a torn tail and
+// removed: committed commands would be lost silently.
 #[test]
-fn a_flipped_bit_anywhere_is_an_error_that_names_the_place() {
+fn a_flipped_bit_is_an_error_that_names_the_file() {
     let files = MemoryFiles::default();
     let (mut directory, _) =
-        DataDirectory::open_on(files.clone(), ONE_SEGMENT).expect("a new folder opens");
+        DataDirectory::open_on(files.clone(), ONE_SEGMENT).expect("a new directory opens");
     let compact = Write::Compact { snapshot: snapshot(1, 4), first: 1 };
     for batch in [vec![hard_state(1), append(1, 1..=5)], vec![append(1, 6..=9)], vec![compact]] {
-        directory.write(&batch).and_then(|()| directory.sync()).expect("the writes are taken");
+        directory.write(&batch).and_then(|()| directory.sync()).expect("the writes succeed");
     }
     drop(directory);
-    let log = files.names().into_iter().find(|name| name.starts_with("log-")).expect("a log file");
+    let log = files
+        .names()
+        .into_iter()
+        .find(|name| name.starts_with("log-"))
+        .expect("there is a log file");
     let seal = 12;
     for name in files.names() {
-        // The last seal guards the records before it, and nothing guards the seal itself.
+        // The last seal protects the records before it, but nothing protects the seal itself.
         let checked_bytes = files.size(&name) - if name == log { seal } else { 0 };
         for offset in 0..checked_bytes {
             let files = files.after_process_exit();
             files.flip_bit(&name, offset);
             let Err(error) = DataDirectory::open_on(files, ONE_SEGMENT) else {
-                panic!("{name} is damaged at {offset} and opens");
+                panic!("{name} is damaged at {offset}, but the directory opens");
             };
             assert!(matches!(&error, Error::Damaged { file, .. } if **file == name), "{error}");
             assert!(error.to_string().contains("replace it in the voter set"), "{error}");
@@ -325,18 +333,18 @@
     for missing in ["identity", "hard", "log-00000000000000000001"] {
         let files = MemoryFiles::default();
         let (mut directory, _) =
-            DataDirectory::open_on(files.clone(), ONE_SEGMENT).expect("a new folder opens");
+            DataDirectory::open_on(files.clone(), ONE_SEGMENT).expect("a new directory opens");
         let large: Arc<[u8]> = vec![1; 250_000].into();
         for index in 1..=20 {
             let position = Position { term: 1, index };
             let payload = Payload::Command(large.clone());
             let writes = [hard_state(1), Write::Append(vec![Entry { position, payload }])];
-            directory.write(&writes).and_then(|()| directory.sync()).expect("the writes are taken");
+            directory.write(&writes).and_then(|()| directory.sync()).expect("the writes succeed");
         }
         let mut files = files.after_process_exit();
-        verbenaslip_disk::files::Files::remove(&mut files, missing).expect("the file was there");
+        verbenaslip_disk::files::Files::remove(&mut files, missing).expect("the file exists");
         let Err(error) = DataDirectory::open_on(files, ONE_SEGMENT) else {
-            panic!("opens without {missing}")
+            panic!("the directory opens without {missing}")
         };
         assert!(matches!(error, Error::Damaged { .. }), "{missing}: {error}");
     }
--- a/crates/verbenaslip-disk/tests/segment.rs
+++ b/crates/verbenaslip-disk/tests/segment.rs
@@ -1,4 +1,4 @@
-//! The forms of the files, fed with what is no such file.
+//! The file formats with invalid input.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// Makes a log file of commands, each with a floor at its own place.
+/// Returns a log file of commands, each recorded as written when all bytes before it were durable.
 fn log_file(commands: &[Vec<u8>]) -> Vec<u8> {
     let mut bytes = segment::encode_header(1);
     for (index, command) in (1..).zip(commands) {
@@ -46,14 +46,14 @@
     }
 
     #[test]
-    fn what_is_written_is_read(commands in vec(vec(any::<u8>(), 0..60), 0..12)) {
+    fn written_records_are_read(commands in vec(vec(any::<u8>(), 0..60), 0..12)) {
         let scan = segment::scan(&log_file(&commands));
         prop_assert_eq!(scan.fault, None);
         prop_assert_eq!(scan.records.len(), commands.len());
     }
 
     #[test]
-    fn a_cut_file_gives_a_prefix(commands in vec(vec(any::<u8>(), 0..60), 1..12), length in 0..900_usize) {
+    fn a_truncated_file_gives_a_prefix(commands in vec(vec(any::<u8>(), 0..60), 1..12), length in 0..900_usize) {
         let file = log_file(&commands);
         let length = length.min(file.len());
         let scan = segment::scan(&file[..length]);
@@ -79,7 +79,7 @@
     }
 
     #[test]
-    fn a_changed_checked_file_is_refused(
+    fn a_changed_checksummed_file_is_rejected(
         content in vec(any::<u8>(), 0..200),
         offset in any::<usize>(),
         bit_mask in 1..=255_u8,
--- a/crates/verbenaslip-disk/tests/system.rs
+++ b/crates/verbenaslip-disk/tests/system.rs
@@ -1,4 +1,4 @@
-//! The real files.
+//! The data directory on real files.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use verbenaslip_replica::storage::{Error, HardState, Storage, Write};
 use verbenaslip_replica::voter::Group;
 
-/// Returns a new path for a test's folder.
+/// Returns the path of a new data directory.
 fn new_directory_path(name: &str) -> std::path::PathBuf {
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&path);
@@ -15,9 +15,9 @@
 }
 
 #[test]
-fn a_folder_keeps_its_content_and_identity() {
+fn a_directory_keeps_its_content_and_identity() {
     let path = new_directory_path("keeps");
-    let (mut directory, empty) = DataDirectory::open(&path).expect("a new folder opens");
+    let (mut directory, empty) = DataDirectory::open(&path).expect("a new directory opens");
     let hard_state = HardState { group: Some(Group(3)), term: 4, voted: Some(empty.identity) };
     let command: Arc<[u8]> = vec![5; 200_000].into();
     let entry = |index| Entry {
@@ -25,25 +25,26 @@
         payload: Payload::Command(command.clone()),
     };
     let writes = [Write::HardState(hard_state), Write::Append((1..=50).map(entry).collect())];
-    directory.write(&writes).and_then(|()| directory.sync()).expect("the writes are taken");
+    directory.write(&writes).and_then(|()| directory.sync()).expect("the writes succeed");
     drop(directory);
-    let (mut directory, recovered) = DataDirectory::open(&path).expect("it opens again");
+    let (mut directory, recovered) = DataDirectory::open(&path).expect("the directory opens again");
     assert_eq!(recovered.identity, empty.identity);
     assert_eq!(recovered.hard_state, hard_state);
     assert_eq!(recovered.entries, (1..=50).map(entry).collect::<Vec<_>>());
-    assert_eq!(directory.load().expect("it can be read again"), recovered);
-    let other = DataDirectory::open(new_directory_path("other")).expect("another folder opens").1;
+    assert_eq!(directory.load().expect("the directory can be read again"), recovered);
+    let other =
+        DataDirectory::open(new_directory_path("other")).expect("another directory opens").1;
     assert_ne!(other.identity, empty.identity);
 }
 
-// Symptom: a voter votes twice in a term. Sequence: an operator starts a second process on the same
-// folder. Cause: two processes that write one file.
+// An operator starts a second process on the same data directory. Guards against two processes that
+// write to the same files: the voter could vote twice in a term.
 #[test]
-fn a_folder_opens_once() {
+fn a_directory_opens_only_once() {
     let path = new_directory_path("once");
-    let first = DataDirectory::open(&path).expect("a new folder opens");
-    let Err(error) = DataDirectory::open(&path) else { panic!("it opened twice") };
+    let first = DataDirectory::open(&path).expect("a new directory opens");
+    let Err(error) = DataDirectory::open(&path) else { panic!("the directory opened twice") };
     assert!(matches!(error, Error::Locked { .. }), "{error}");
     drop(first);
-    DataDirectory::open(&path).expect("it opens when the first is gone");
+    DataDirectory::open(&path).expect("the directory opens after the first is dropped");
 }
--- a/crates/verbenaslip-disk/tests/voters.rs
+++ b/crates/verbenaslip-disk/tests/voters.rs
@@ -1,4 +1,4 @@
-//! Voters on their folders, losing power again and again.
+//! Voters with data directories that repeatedly lose power.
 
 mod memory;
 
@@ -21,7 +21,7 @@
 use memory::{Loss, MemoryFiles};
 
 const VOTERS: usize = 3;
-/// Time between two looks at the timers.
+/// The time between two ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 const LOSSES: [Loss; 6] =
     [Loss::All, Loss::Contents, Loss::Names, Loss::Part(40), Loss::Zeros, Loss::Nothing];
@@ -30,7 +30,7 @@
     replica: Replica,
     directory: DataDirectory,
     files: MemoryFiles,
-    /// Writes that are not handed to the folder yet, and the mark of the last one.
+    /// The writes that were not passed to the data directory yet.
     writes: Vec<Write>,
     last_sequence: u64,
     applied: u64,
@@ -41,7 +41,7 @@
     now: Duration,
     queue: Vec<(usize, usize, Message)>,
     random: Pcg64Mcg,
-    /// What was applied at each index, by anybody.
+    /// The command that was first applied at each index.
     history: BTreeMap<u64, Arc<[u8]>>,
     committed: u64,
     installs: u64,
@@ -78,9 +78,9 @@
     }
 
     fn step(&mut self, number: usize, input: Input) {
-        let mut out = Vec::new();
-        self.voters[number].replica.step(self.now, input, &mut out);
-        for output in out {
+        let mut outputs = Vec::new();
+        self.voters[number].replica.step(self.now, input, &mut outputs);
+        for output in outputs {
             self.perform(number, output);
         }
     }
@@ -89,7 +89,7 @@
         let voter = &mut self.voters[number];
         match output {
             Output::Send { to, message } => {
-                let to = (0..VOTERS).find(|n| instance(*n) == to).expect("a known voter");
+                let to = (0..VOTERS).find(|n| instance(*n) == to).expect("the receiver is a voter");
                 self.queue.push((number, to, message));
             }
             Output::Store { sequence, write } => {
@@ -100,7 +100,7 @@
                 voter.applied = position.index;
                 let first_command =
                     self.history.entry(position.index).or_insert_with(|| command.clone());
-                assert_eq!(*first_command, command, "voter {number} applied something else");
+                assert_eq!(*first_command, command, "voter {number} applied another command");
             }
             Output::Install(snapshot) => {
                 voter.applied = snapshot.position.index;
@@ -117,14 +117,14 @@
         }
     }
 
-    /// Hands writes to the folder, and syncs them most of the time.
+    /// Passes the writes to the data directory, and syncs them most of the time.
     fn write_and_sync(&mut self, number: usize) {
         let should_sync = self.random.random_range(0..4) > 0;
         let voter = &mut self.voters[number];
         let writes = std::mem::take(&mut voter.writes);
-        voter.directory.write(&writes).expect("the folder takes every write in its order");
+        voter.directory.write(&writes).expect("the directory accepts every write");
         if should_sync {
-            voter.directory.sync().expect("the folder syncs");
+            voter.directory.sync().expect("the directory syncs");
             let sequence = voter.last_sequence;
             self.step(number, Input::Stored { sequence });
         }
@@ -156,10 +156,10 @@
     }
 }
 
-// Symptom: a voter can't start after a power loss, or an edit answered as committed is gone. Sequence:
-// three voters take edits, compact, catch up by snapshots, and lose power at any moment, alone or all
-// at once, with none or a part of what was not synced. Cause: writes in an order that the folder does
-// not expect, or taken for durable before they are.
+// Three voters commit commands, compact their logs, catch up from snapshots, and lose power at any
+// time, one by one or all at once, with none or some of the unsynced writes durable. Guards against
+// an order of writes that the data directory does not expect, and against writes that are treated
+// as durable too early: a voter could not start, or committed commands would be lost.
 #[test]
 fn voters_lose_nothing_committed_over_power_losses() {
     let mut installs = 0;
@@ -179,9 +179,12 @@
         assert!(committed > 100, "seed {seed}: only {committed} committed");
         (0..500).for_each(|_| group.run_round());
         for (number, voter) in group.voters.iter().enumerate() {
-            assert!(voter.applied >= committed, "seed {seed}: voter {number} lacks {committed}");
+            assert!(
+                voter.applied >= committed,
+                "seed {seed}: voter {number} has not applied {committed}"
+            );
         }
         installs += group.installs;
     }
-    assert!(installs > 100, "{installs} snapshots came back or from a leader");
+    assert!(installs > 100, "only {installs} snapshots were installed");
 }
--- a/crates/verbenaslip-replica/tests/count.rs
+++ b/crates/verbenaslip-replica/tests/count.rs
@@ -1,4 +1,4 @@
-//! What the log costs: messages and bytes, idle and for each proposal.
+//! Bounds on the traffic of the log: messages and bytes when idle and per proposal.
 
 mod simulation;
 
@@ -6,14 +6,14 @@
 
 use simulation::{Simulation, Traffic, ms};
 
-/// Holds what is measured for a number of voters, and the bounds.
+/// The bounds for a number of voters.
 struct Case {
     voters: usize,
-    /// Messages and bytes of all voters together in an idle second.
+    /// Messages and bytes of all voters in an idle second.
     idle: Traffic,
-    /// Messages and bytes of all voters together for one proposal of 100 bytes on its own.
+    /// Messages and bytes of all voters for a single proposal of 100 bytes.
     single: Traffic,
-    /// Messages and bytes of all voters together for 1000 proposals of 100 bytes in a burst.
+    /// Messages and bytes of all voters for a burst of 1000 proposals of 100 bytes each.
     burst: Traffic,
 }
 
@@ -41,7 +41,7 @@
         let idle = average_traffic(&mut simulation, 60, Traffic::default(), |simulation| {
             simulation.run(ms(1_000))
         });
-        // The heartbeats of the second that each proposal or burst is given are not its own.
+        // Each proposal or burst runs for one second, whose heartbeats are subtracted.
         let single = average_traffic(&mut simulation, 60, idle, |simulation| {
             let leader = simulation.wait_for_leader();
             simulation.propose_sized(leader, 100);
@@ -66,8 +66,8 @@
     }
 }
 
-// Symptom: a message that no frame can carry. Sequence: the largest commands and a large snapshot.
-// Cause: messages without a bound.
+// Guards against messages that exceed the largest frame: the test sends commands of the maximum
+// size and a snapshot that needs several chunks.
 #[test]
 fn messages_are_bounded() {
     let limits = Limits {
@@ -97,7 +97,7 @@
     assert!(format!("{:?}", simulation.answers[&token]).contains("TooLarge"));
 }
 
-/// Returns what one run costs beside what it costs anyway, averaged over several and rounded up.
+/// Returns the average traffic of a run minus the baseline, rounded up.
 fn average_traffic(
     simulation: &mut Simulation,
     runs: u64,
--- a/crates/verbenaslip-replica/tests/fault.rs
+++ b/crates/verbenaslip-replica/tests/fault.rs
@@ -1,6 +1,6 @@
-//! Replicas stepped through faults by hand. The world checks its invariants after every step: one
-//! leader a term, nothing committed lost or changed, at most one valid lease, reads that miss
-//! nothing, each proposal applied and answered at most once.
+//! Simulations of specific faults. After every step the simulation checks that there is at most one
+//! leader per term and one valid lease, that nothing committed is lost or changed, that reads are
+//! current, and that each proposal is applied and answered at most once.
 
 mod simulation;
 
@@ -11,8 +11,8 @@
 
 use simulation::{Conditions, Simulation, instance, is_from_leader, ms};
 
-/// Holds one fault: the world is formed and has committed a little, the fault happens, and then
-/// everything must recover.
+/// One fault. It happens after the group has committed some entries, and everything must recover
+/// afterwards.
 struct Case {
     name: &'static str,
     founders: usize,
@@ -21,41 +21,45 @@
 
 const CASES: &[Case] = &[
     Case { name: "leader crashes", founders: 3, fault: leader_crashes },
-    Case { name: "every voter crashes at once", founders: 5, fault: all_crash },
-    Case { name: "follower cut off for long", founders: 3, fault: follower_returns },
-    Case { name: "leader cut off, believes on", founders: 3, fault: leader_returns },
-    Case { name: "leader cut off, believes on", founders: 5, fault: leader_returns },
-    Case { name: "leader hears nobody", founders: 3, fault: leader_is_deaf },
-    Case { name: "leader is heard by nobody", founders: 3, fault: leader_is_mute },
-    Case { name: "one link is cut", founders: 3, fault: link_is_cut },
-    Case { name: "chain of links", founders: 5, fault: chain_of_links },
-    Case { name: "leader frozen past its lease", founders: 3, fault: leader_freezes },
-    Case { name: "voters frozen in turn", founders: 5, fault: voters_freeze },
+    Case { name: "every voter crashes at once", founders: 5, fault: all_voters_crash },
+    Case { name: "long isolation of a follower", founders: 3, fault: isolated_follower_returns },
+    Case { name: "long isolation of the leader", founders: 3, fault: isolated_leader_returns },
+    Case { name: "long isolation of the leader", founders: 5, fault: isolated_leader_returns },
+    Case { name: "leader receives nothing", founders: 3, fault: leader_receives_nothing },
+    Case { name: "leader sends nothing", founders: 3, fault: leader_sends_nothing },
+    Case { name: "one link is down", founders: 3, fault: link_is_down },
+    Case { name: "ring of links", founders: 5, fault: ring_of_links },
+    Case { name: "leader paused longer than its lease", founders: 3, fault: leader_pauses },
+    Case { name: "voters paused in turn", founders: 5, fault: voters_pause },
     Case { name: "voter restarts within a lease", founders: 3, fault: voter_restarts_in_lease },
-    Case { name: "storm of losses and doubles", founders: 3, fault: storm },
-    Case { name: "storm of losses and doubles", founders: 5, fault: storm },
+    Case { name: "lost and duplicated messages", founders: 3, fault: unreliable_network },
+    Case { name: "lost and duplicated messages", founders: 5, fault: unreliable_network },
     Case { name: "slow disks", founders: 3, fault: slow_disks },
     Case { name: "disks hang", founders: 3, fault: disks_hang },
-    Case { name: "old messages come late", founders: 3, fault: old_messages },
+    Case { name: "old messages arrive late", founders: 3, fault: old_messages },
     Case { name: "power fails at every vote", founders: 3, fault: power_fails_at_votes },
-    Case { name: "lost disk, then the leader dies", founders: 3, fault: disk_lost },
-    Case { name: "second loss right after a repair", founders: 3, fault: second_loss },
-    Case { name: "two losses and repairs of five", founders: 5, fault: two_repairs },
-    Case { name: "repaired leader", founders: 3, fault: leader_loses_disk },
-    Case { name: "change cut off half-way", founders: 3, fault: change_cut_off },
-    Case { name: "follower far behind", founders: 3, fault: far_behind },
+    Case { name: "lost disk, then leader crash", founders: 3, fault: disk_is_lost },
+    Case { name: "second disk loss right after a replacement", founders: 3, fault: second_loss },
+    Case { name: "two disk losses and replacements", founders: 5, fault: two_repairs },
+    Case { name: "leader loses its disk", founders: 3, fault: leader_loses_disk },
+    Case { name: "voter change interrupted", founders: 3, fault: change_is_interrupted },
+    Case { name: "follower lags far behind", founders: 3, fault: follower_lags },
     Case { name: "snapshot interrupted", founders: 3, fault: snapshot_interrupted },
-    Case { name: "racing proposals and resends", founders: 3, fault: racing },
-    Case { name: "handing over", founders: 3, fault: hands_over },
-    Case { name: "handing over to the deaf", founders: 3, fault: hands_over_to_the_deaf },
-    Case { name: "handing over is held up", founders: 3, fault: hand_over_held_up },
+    Case { name: "concurrent proposals", founders: 3, fault: concurrent_proposals },
+    Case { name: "leadership transfer", founders: 3, fault: leadership_is_transferred },
+    Case {
+        name: "leadership transfer to unreachable followers",
+        founders: 3,
+        fault: transfer_to_unreachable_followers,
+    },
+    Case { name: "delayed leadership transfer", founders: 3, fault: transfer_is_delayed },
     Case { name: "leader is removed", founders: 5, fault: leader_removed },
-    Case { name: "removed voter comes back", founders: 5, fault: removed_returns },
+    Case { name: "removed voter returns", founders: 5, fault: removed_voter_returns },
     Case { name: "founders lose their disks", founders: 3, fault: founder_loses_disk },
 ];
 
 #[test]
-fn every_fault_passes_without_loss() {
+fn every_fault_loses_nothing_committed() {
     for case in CASES {
         for seed in 0..5 {
             println!("{} ({} founders, seed {seed})", case.name, case.founders);
@@ -68,8 +72,8 @@
     }
 }
 
-// Symptom: edits answered as committed are gone after the leader died. Sequence: commit, crash with
-// a part of the unsynced writes lost, new leader. Cause: counting copies that were not durable.
+// Guards against a leader that counts copies which are not durable: after a crash that loses some
+// of the unsynced writes, a new leader would lack committed commands.
 fn leader_crashes(simulation: &mut Simulation, leader: usize) {
     for _ in 0..10 {
         simulation.propose(leader);
@@ -79,9 +83,9 @@
     simulation.commit_many(3);
 }
 
-// Symptom: edits are gone after a power loss everywhere. Sequence: proposals on their way, all
-// crash, all restart. Cause: an acknowledgement that left before its write was durable.
-fn all_crash(simulation: &mut Simulation, leader: usize) {
+// Guards against acknowledgements that are sent before their writes are durable: committed commands
+// would be lost when all voters crash and restart.
+fn all_voters_crash(simulation: &mut Simulation, leader: usize) {
     for round in 0..10 {
         for _ in 0..round {
             simulation.propose(leader);
@@ -97,27 +101,23 @@
     }
 }
 
-// Symptom: an election after each healed cut. Sequence: a follower is cut off for long and comes
-// back. Cause: without a pre-vote it raises its term all alone and deposes the leader with it.
-fn follower_returns(simulation: &mut Simulation, leader: usize) {
+// Guards against an election after each network partition. Without pre-votes, an isolated follower
+// would raise its term and depose the leader when it returns.
+fn isolated_follower_returns(simulation: &mut Simulation, leader: usize) {
     let term = simulation.replica(leader).term();
     let follower = simulation.others(leader)[0];
     simulation.isolate(follower);
     simulation.run(ms(20_000));
-    assert_eq!(
-        simulation.replica(follower).term(),
-        term,
-        "a voter that is cut off raised its term"
-    );
+    assert_eq!(simulation.replica(follower).term(), term, "an isolated voter raised its term");
     simulation.heal();
     simulation.run(ms(5_000));
     assert_eq!(simulation.replica(leader).term(), term, "a returning follower deposed the leader");
     assert!(simulation.holds_lease(leader));
 }
 
-// Symptom: callers of an old leader wait for ever, or its edits appear later. Sequence: the leader
-// is cut off, others elect a new one, the old one comes back. Cause: it does not step down.
-fn leader_returns(simulation: &mut Simulation, leader: usize) {
+// Guards against an isolated leader that does not step down: its callers would wait forever, or its
+// proposals would be committed later, after others have elected a new leader.
+fn isolated_leader_returns(simulation: &mut Simulation, leader: usize) {
     simulation.isolate(leader);
     let token = simulation.propose(leader);
     let read = simulation.request_read(leader);
@@ -125,16 +125,16 @@
     assert!(!simulation.replica(leader).is_leader(), "a leader without a quorum still leads");
     assert_eq!(simulation.answers.get(&token), Some(&Answer::Unknown));
     let read = simulation.reads.get(&read).expect("the read was answered");
-    // Under the lease that was still valid a read may be answered; the world checked its index.
+    // The read may be answered while the lease is still valid; the simulation has checked its
+    // index.
     assert!(read.is_none() || read.is_some_and(|index| index > 0));
     simulation.commit_many(50);
     assert!(simulation.leaseholder().is_some_and(|other| other != leader));
 }
 
-// Symptom: no edit can be made although all instances run. Sequence: the leader's messages arrive,
-// the answers do not. Cause: a leader that does not step down without a quorum, and followers that
-// keep following it.
-fn leader_is_deaf(simulation: &mut Simulation, leader: usize) {
+// The leader's messages arrive, but the answers don't. Guards against a leader that does not step
+// down without a quorum while its followers keep following it, so that nothing can be committed.
+fn leader_receives_nothing(simulation: &mut Simulation, leader: usize) {
     for other in simulation.others(leader) {
         simulation.disconnect_one_way(other, leader);
     }
@@ -144,8 +144,8 @@
     simulation.commit_many(3);
 }
 
-// Symptom and sequence as above, the other way round: answers would arrive, nothing is sent.
-fn leader_is_mute(simulation: &mut Simulation, leader: usize) {
+// The opposite of the case above: the leader receives messages, but can't send any.
+fn leader_sends_nothing(simulation: &mut Simulation, leader: usize) {
     for other in simulation.others(leader) {
         simulation.disconnect_one_way(leader, other);
     }
@@ -155,10 +155,10 @@
     simulation.commit_many(3);
 }
 
-// Symptom: leadership flaps, or two leaders hold leases. Sequence: the link between the leader and
-// one follower is cut; that follower asks the third for votes again and again. Cause: a voter that
-// hears the leader gives its vote to somebody else.
-fn link_is_cut(simulation: &mut Simulation, leader: usize) {
+// The link between the leader and one follower is down, and that follower keeps asking the third
+// voter for votes. Guards against a voter that hears the leader but grants the vote: leadership
+// would keep changing, or two leaders would hold leases.
+fn link_is_down(simulation: &mut Simulation, leader: usize) {
     let term = simulation.replica(leader).term();
     let follower = simulation.others(leader)[0];
     simulation.disconnect(leader, follower);
@@ -173,9 +173,9 @@
     assert_eq!(simulation.replica(leader).term(), term);
 }
 
-// Symptom: no progress although the instances are connected by way of each other. Sequence: a ring
-// of five is cut so that each reaches two others. Cause: elections that end each other.
-fn chain_of_links(simulation: &mut Simulation, _leader: usize) {
+// Each of five voters reaches only two others. Guards against elections that keep interrupting each
+// other, so that nothing is committed although all instances are connected through others.
+fn ring_of_links(simulation: &mut Simulation, _leader: usize) {
     for node in 0..5 {
         simulation.disconnect(node, (node + 2) % 5);
     }
@@ -183,13 +183,13 @@
     simulation.commit_many(3);
 }
 
-// Symptom: an old leader's orders or reads come out after it was replaced. Sequence: it freezes for
-// longer than its lease and goes on where it was. Cause: a lease counted from the answer.
-fn leader_freezes(simulation: &mut Simulation, leader: usize) {
-    for freeze in [300, 900, 1_000, 2_500, 20_000] {
+// The leader's process is paused for longer than its lease. Guards against a lease that is measured
+// from the answer: the old leader would still send orders or answer reads after it was replaced.
+fn leader_pauses(simulation: &mut Simulation, leader: usize) {
+    for pause_ms in [300, 900, 1_000, 2_500, 20_000] {
         simulation.propose(leader);
         simulation.pause(leader);
-        simulation.run(ms(freeze));
+        simulation.run(ms(pause_ms));
         simulation.request_read(leader);
         simulation.resume(leader);
         simulation.run(ms(100));
@@ -197,9 +197,10 @@
     }
 }
 
-// Symptom: elections without end. Sequence: each voter in turn freezes for a while, with its clock
-// going on. Cause: timers that fire before the messages that came meanwhile are read.
-fn voters_freeze(simulation: &mut Simulation, _leader: usize) {
+// Each voter's process is paused in turn while its clock advances. Guards against election timers
+// that fire before the messages received in the meantime are read, which would cause endless
+// elections.
+fn voters_pause(simulation: &mut Simulation, _leader: usize) {
     for round in 0..10 {
         let node = round % 5;
         simulation.pause(node);
@@ -209,9 +210,9 @@
     }
 }
 
-// Symptom: two leaders hold valid leases. Sequence: a voter acknowledges the leader's round, its
-// process restarts at once, and it gives its vote to a follower that does not hear the leader.
-// Cause: the promise not to vote within the lease lives in memory alone.
+// A voter acknowledges the leader's round, restarts at once, and is asked for its vote by a
+// follower that does not hear the leader. Guards against a restart that forgets to refuse votes
+// during the lease: two leaders would hold valid leases.
 fn voter_restarts_in_lease(simulation: &mut Simulation, leader: usize) {
     let [voter, candidate] = simulation.others(leader)[..] else { panic!("three voters") };
     for _ in 0..10 {
@@ -235,9 +236,9 @@
     }
 }
 
-// Symptom: lost, doubled or mixed-up edits. Sequence: losses, doubles, long delays and reordering,
-// while edits go on. Cause: answers taken for something else than they answer.
-fn storm(simulation: &mut Simulation, _leader: usize) {
+// Messages are lost, duplicated, delayed and reordered while commands are proposed. Guards against
+// answers that are matched to the wrong request, which would lose, duplicate or mix up commands.
+fn unreliable_network(simulation: &mut Simulation, _leader: usize) {
     simulation.conditions = Conditions {
         loss_per_mille: 150,
         duplicated_per_mille: 150,
@@ -253,8 +254,8 @@
     }
 }
 
-// Symptom: a leader's term falls apart under load. Sequence: each sync takes up to half a second.
-// Cause: heartbeats that wait for the disk.
+// Each sync takes up to half a second. Guards against heartbeats that wait for the disk, which
+// would end the leader's term under load.
 fn slow_disks(simulation: &mut Simulation, _leader: usize) {
     simulation.conditions.sync_micros = (100_000, 500_000);
     for _ in 0..20 {
@@ -262,23 +263,26 @@
     }
 }
 
-// Symptom: all instances refuse work for want of a lease, although no edit is under way. Sequence:
-// every disk hangs for three seconds with a write on it. Cause: answers to heartbeats that wait for
-// writes which they do not speak of.
+// Every disk hangs for three seconds with a pending write. Guards against answers to heartbeats
+// that wait for unrelated writes: the lease would end and all instances would refuse work.
 fn disks_hang(simulation: &mut Simulation, leader: usize) {
     simulation.conditions.sync_micros = (3_000_000, 3_000_000);
     let tokens = [simulation.propose(leader), simulation.propose(leader)];
     for _ in 0..100 {
         simulation.run(ms(100));
-        assert!(simulation.holds_lease(leader), "the lease is gone: {:?}", simulation.summary());
+        assert!(
+            simulation.holds_lease(leader),
+            "the leader lost its lease: {:?}",
+            simulation.summary()
+        );
     }
     for token in tokens {
         assert!(matches!(simulation.answers.get(&token), Some(Answer::Committed(_))));
     }
 }
 
-// Symptom: an old leader's edits replace newer ones. Sequence: appends of a cut-off leader are held
-// up in the network for seconds and arrive when the group has moved on. Cause: terms not compared.
+// Appends of an isolated leader are delayed for seconds and arrive after the group has moved on.
+// Guards against missing term checks: old entries would replace newer ones.
 fn old_messages(simulation: &mut Simulation, leader: usize) {
     simulation.hold_filter = Some(is_from_leader);
     for _ in 0..5 {
@@ -293,8 +297,8 @@
     simulation.run(ms(2_000));
 }
 
-// Symptom: two leaders in a term. Sequence: during elections every voter's power fails again and
-// again, with none to all of its writes durable. Cause: a vote that left before it was durable.
+// The power of each voter fails repeatedly during elections, with any part of its writes durable.
+// Guards against a vote that is sent before it is durable: a term would have two leaders.
 fn power_fails_at_votes(simulation: &mut Simulation, leader: usize) {
     simulation.conditions.sync_micros = (5_000, 40_000);
     simulation.crash(leader);
@@ -307,10 +311,11 @@
     }
 }
 
-// Symptom: committed edits are gone although a single disk was lost. Sequence: an edit is on the
-// leader and one follower; the follower's disk is lost; the leader dies; the empty folder and the
-// follower that lacks the edit elect a leader. Cause: votes counted by name, not by folder.
-fn disk_lost(simulation: &mut Simulation, leader: usize) {
+// A command is stored by the leader and one follower. The follower loses its disk and the leader
+// crashes. Guards against votes that are counted by name instead of identity: the empty data
+// directory and the follower without the command would elect a leader, and the command would be
+// lost.
+fn disk_is_lost(simulation: &mut Simulation, leader: usize) {
     let [empty, behind] = simulation.others(leader)[..] else { panic!("three voters") };
     simulation.isolate(behind);
     simulation.commit_many(5);
@@ -318,14 +323,17 @@
     simulation.crash(leader);
     simulation.heal();
     simulation.run(ms(20_000));
-    assert_eq!(simulation.leaseholder(), None, "a leader was elected by a folder that is no voter");
+    assert_eq!(
+        simulation.leaseholder(),
+        None,
+        "a data directory that is not a voter elected a leader"
+    );
     simulation.restart(leader);
     simulation.replace_lost_voter(empty);
 }
 
-// Symptom: committed edits are gone after a repair and one more loss. Sequence: a disk is lost, the
-// new folder is made a voter, and at once another voter's disk is lost. Cause: a new voter counts
-// before it holds everything.
+// A voter loses its disk and is replaced, and at once another voter loses its disk. Guards against
+// a new voter that counts before it stores everything: committed commands would be lost.
 fn second_loss(simulation: &mut Simulation, leader: usize) {
     let [first, second] = simulation.others(leader)[..] else { panic!("three voters") };
     simulation.commit_many(60);
@@ -339,7 +347,7 @@
     simulation.replace_lost_voter(second);
 }
 
-// Symptom and cause as above, with two disks of five lost at once and a third after the repairs.
+// As above, with five voters: two lose their disks at once, and two more after the replacements.
 fn two_repairs(simulation: &mut Simulation, leader: usize) {
     let others = simulation.others(leader);
     simulation.commit_many(30);
@@ -355,9 +363,8 @@
     simulation.replace_lost_voter(others[2]);
 }
 
-// Symptom: the group hangs after its leader's disk was lost. Sequence: the leader comes back with a
-// new folder under the same name. Cause: others wait for the folder that is gone, and nobody says
-// which one is there now.
+// The leader loses its disk and returns with a new data directory under the same name. Guards
+// against voters that wait forever for the lost identity without a report of the new one.
 fn leader_loses_disk(simulation: &mut Simulation, leader: usize) {
     simulation.lose_disk(leader);
     let new = simulation.wait_for_leader();
@@ -366,14 +373,14 @@
     assert_eq!(
         reported,
         [simulation.replica(leader).voter()],
-        "the new leader tells of the new folder, once"
+        "the new leader reports the new identity once"
     );
     simulation.replace_lost_voter(leader);
 }
 
-// Symptom: a voter set that nobody agreed on stays in force. Sequence: a leader is cut off with a
-// change in its log alone. Cause: the set is not taken back when the entry is cut off.
-fn change_cut_off(simulation: &mut Simulation, leader: usize) {
+// A leader is isolated while only its own log contains a voter change. Guards against a voter set
+// that stays in force after its log entry is truncated.
+fn change_is_interrupted(simulation: &mut Simulation, leader: usize) {
     let new = simulation.join();
     simulation.run(ms(2_000));
     let before = simulation.replica(leader).voters().clone();
@@ -382,7 +389,7 @@
     let token = simulation.change(leader, Change::Add(voter));
     let joint = simulation
         .run_until(ms(1_500), |simulation| simulation.replica(leader).voters().is_joint());
-    assert!(joint, "the change is in the leader's log");
+    assert!(joint, "the leader's log does not have the change");
     for other in simulation.others(leader) {
         if other != new {
             simulation.disconnect(leader, other);
@@ -407,9 +414,9 @@
         .any(|entry| matches!(&entry.payload, Payload::Config(config) if config.is_joint()))
 }
 
-// Symptom: a voter never catches up after a long absence. Sequence: it is down while the log is
-// compacted past its end. Cause: entries that are gone are asked for again and again.
-fn far_behind(simulation: &mut Simulation, leader: usize) {
+// A voter is down while the log is compacted past its last entry. Guards against repeated requests
+// for entries that are no longer there, so that the voter would never catch up.
+fn follower_lags(simulation: &mut Simulation, leader: usize) {
     let follower = simulation.others(leader)[0];
     simulation.crash(follower);
     let installs = simulation.nodes[follower].installs;
@@ -419,12 +426,12 @@
         simulation.run_until(ms(5_000), |simulation| simulation.replica(follower).applied_index()
             >= index)
     );
-    assert_eq!(simulation.nodes[follower].installs, installs + 1, "one snapshot came");
+    assert_eq!(simulation.nodes[follower].installs, installs + 1, "expected exactly one snapshot");
 }
 
-// Symptom: a snapshot never arrives, or arrives mixed from two. Sequence: the leader dies between
-// chunks, the next one has a newer snapshot, chunks are lost and doubled. Cause: parts joined
-// without looking at what they are parts of.
+// The leader crashes between chunks, the next leader has a newer snapshot, and chunks are lost and
+// duplicated. Guards against chunks of different snapshots that are joined, and against a snapshot
+// that never arrives.
 fn snapshot_interrupted(simulation: &mut Simulation, leader: usize) {
     let follower = simulation.others(leader)[0];
     simulation.crash(follower);
@@ -440,10 +447,10 @@
     simulation.commit_many(60);
 }
 
-// Symptom: one edit twice, or an edit answered as refused that appears. Sequence: proposals at all
-// voters at once, while the leader changes, and the same again. Cause: tokens answered twice or for
-// another index.
-fn racing(simulation: &mut Simulation, _leader: usize) {
+// All voters receive proposals while the leader changes. Guards against tokens that are answered
+// twice or for another index: a command would be applied twice, or applied although it was
+// rejected.
+fn concurrent_proposals(simulation: &mut Simulation, _leader: usize) {
     for round in 0..30 {
         for node in 0..3 {
             simulation.propose(node);
@@ -458,9 +465,10 @@
     }
 }
 
-// Symptom: a planned stop of the leader stops edits for seconds and leaves some unknown. Sequence:
-// proposals, then the hand-over. Cause: no hand-over, or one before everything is replicated.
-fn hands_over(simulation: &mut Simulation, leader: usize) {
+// Guards against a planned stop of the leader that interrupts commits for seconds or leaves
+// proposals with an unknown outcome, because leadership is not transferred or is transferred before
+// everything is replicated.
+fn leadership_is_transferred(simulation: &mut Simulation, leader: usize) {
     let tokens: Vec<u64> = (0..10).map(|_| simulation.propose(leader)).collect();
     simulation.transfer(leader);
     let late = simulation.propose(leader);
@@ -477,9 +485,9 @@
     }
 }
 
-// Symptom: a leader that can't hand over refuses edits for good. Sequence: the followers are gone
-// when it begins. Cause: a hand-over without an end.
-fn hands_over_to_the_deaf(simulation: &mut Simulation, leader: usize) {
+// The followers are unreachable when the transfer starts. Guards against a transfer without a time
+// limit, during which the leader would reject all proposals.
+fn transfer_to_unreachable_followers(simulation: &mut Simulation, leader: usize) {
     for other in simulation.others(leader) {
         simulation.disconnect_one_way(leader, other);
     }
@@ -490,15 +498,15 @@
     simulation.commit_one();
 }
 
-// Symptom: two valid leases after a hand-over. Sequence: the request to campaign is held up in the
-// network; the leader gives up waiting; then the request arrives. Cause: a lease taken up again
-// after somebody was asked to campaign.
-fn hand_over_held_up(simulation: &mut Simulation, leader: usize) {
+// The request to campaign is delayed in the network, and the leader gives up the transfer before it
+// arrives. Guards against a leader that holds a lease again after it sent that request: there would
+// be two valid leases.
+fn transfer_is_delayed(simulation: &mut Simulation, leader: usize) {
     simulation.hold_filter = Some(|message| matches!(message.body, Body::Campaign));
     simulation.transfer(leader);
     simulation.run(ms(20));
-    assert!(!simulation.held_messages.is_empty(), "a follower is asked to campaign");
-    assert!(!simulation.holds_lease(leader), "the lease ends before the request arrives");
+    assert!(!simulation.held_messages.is_empty(), "no follower was asked to campaign");
+    assert!(!simulation.holds_lease(leader), "the lease is still valid after the request");
     simulation.hold_filter = None;
     simulation.run(ms(500));
     simulation.isolate(leader);
@@ -508,8 +516,8 @@
     simulation.run(ms(10_000));
 }
 
-// Symptom: a removed leader goes on leading. Sequence: it commits the set without itself. Cause: it
-// counts itself, or never steps down.
+// Guards against a leader that commits its own removal and continues as the leader, because it
+// counts itself or does not step down.
 fn leader_removed(simulation: &mut Simulation, leader: usize) {
     let token = simulation.change(leader, Change::Remove(instance(leader)));
     simulation.run(ms(2_000));
@@ -523,9 +531,9 @@
     assert!(!simulation.replica(leader).is_leader());
 }
 
-// Symptom: a removed voter disturbs the group. Sequence: it is cut off while it is removed, and
-// still believes that it is a voter. Cause: its campaigns raise the term.
-fn removed_returns(simulation: &mut Simulation, leader: usize) {
+// A voter is isolated while it is removed, and still considers itself a voter. Guards against a
+// removed voter whose campaigns raise the group's term.
+fn removed_voter_returns(simulation: &mut Simulation, leader: usize) {
     let removed = simulation.others(leader)[0];
     simulation.isolate(removed);
     let token = simulation.change(leader, Change::Remove(instance(removed)));
@@ -538,23 +546,22 @@
     assert!(simulation.holds_lease(leader));
 }
 
-// Symptom: a second group beside the first, and all edits gone. Sequence: the first founder's disk
-// is lost, then another one's, and they ask each other whether they are new. Cause: founding
-// without all founders.
+// Two founders lose their disks and ask each other whether they are new. Guards against forming a
+// second group without all founders, which would lose all committed commands.
 fn founder_loses_disk(simulation: &mut Simulation, _leader: usize) {
     simulation.lose_disk(0);
     simulation.lose_disk(1);
     simulation.run(ms(20_000));
-    assert_eq!(simulation.leaseholder(), None, "a quorum of empty folders formed a group");
+    assert_eq!(simulation.leaseholder(), None, "empty data directories formed a group");
     assert_eq!(simulation.replica(0).group(), None);
-    // What is left can't serve; the world is begun anew so that the case ends as all others.
+    // The remaining voter has no quorum. A new simulation lets this case end like all others.
     *simulation = Simulation::with_leader(3, 77);
 }
 
-// Symptom: a leader waits for ever for a new voter that is not there. Sequence: a change adds an
-// instance that is down. Cause: catching up without an end; meanwhile edits must go on.
+// The added instance is down. Guards against a leader that waits forever for a new voter; proposals
+// must be committed in the meantime.
 #[test]
-fn a_voter_that_does_not_catch_up_is_not_taken() {
+fn a_voter_that_does_not_catch_up_is_not_added() {
     let mut simulation = Simulation::with_leader(3, 3);
     let new = simulation.join();
     let voter = simulation.replica(new).voter();
@@ -573,12 +580,11 @@
     simulation.recover_and_verify();
 }
 
-// Symptom: a reader sees the state from before an edit that was answered. Sequence: the leader is cut
-// off, another one is elected and commits, and the old one, which does not know, is asked. Cause: a
-// read that is answered without asking a quorum.
+// The leader is isolated, another one is elected and commits, and the old one is asked for a read
+// before it notices. Guards against a stale read that is answered without a quorum.
 #[test]
 fn a_replaced_leader_confirms_no_read() {
-    let mut stale = 0;
+    let mut stale_leaders = 0;
     for seed in 0..20 {
         let mut simulation = Simulation::with_leader(3, seed);
         let old_leader = simulation.wait_for_leader();
@@ -587,56 +593,59 @@
             simulation.leaseholder().is_some_and(|new| new != old_leader)
         });
         simulation.commit_one();
-        stale += u32::from(simulation.replica(old_leader).is_leader());
+        stale_leaders += u32::from(simulation.replica(old_leader).is_leader());
         let read = simulation.request_read(old_leader);
         simulation.run(ms(3_000));
         assert_eq!(simulation.reads.get(&read), Some(&None), "seed {seed}");
     }
-    assert!(stale > 3, "in {stale} of 20 runs the old leader still believed that it leads");
+    assert!(
+        stale_leaders > 3,
+        "the old leader was still the leader in only {stale_leaders} of 20 runs"
+    );
 }
 
-// Symptom: an operator's resent change is refused, or done twice. Sequence: the answer was lost, the
-// same change is asked for again. Cause: changes that are not idempotent.
+// The answer to a change is lost and the same change is requested again. Guards against changes
+// that are not idempotent: the resent change would be rejected, or applied twice.
 #[test]
-fn changes_are_answered_by_what_is_there() {
+fn changes_are_idempotent() {
     let mut simulation = Simulation::with_leader(3, 4);
     let new = simulation.join();
     let voter = simulation.replica(new).voter();
     let leader = simulation.wait_for_leader();
-    let taken = Change::Add(simulation.replica(leader).voter());
+    let existing = Change::Add(simulation.replica(leader).voter());
     let unknown = Change::Remove(instance(9));
     let cases = [
         (Change::Add(voter.clone()), true),
         (Change::Add(voter.clone()), true),
-        (taken, true),
+        (existing, true),
         (unknown.clone(), true),
         (Change::Replace { old: instance(9), new: simulation.replica(leader).voter() }, true),
-        (Change::Replace { old: instance(8), new: lost_voter() }, false),
+        (Change::Replace { old: instance(8), new: unknown_voter() }, false),
         (Change::Remove(instance(new)), true),
         (Change::Remove(instance(new)), true),
     ];
-    for (change, fits) in cases {
+    for (change, is_accepted) in cases {
         let token = simulation.change(leader, change.clone());
         simulation.run(ms(3_000));
         let answer = simulation.answers.get(&token).expect("the change was answered");
-        assert_eq!(matches!(answer, Answer::Committed(_)), fits, "{change:?}: {answer:?}");
+        assert_eq!(matches!(answer, Answer::Committed(_)), is_accepted, "{change:?}: {answer:?}");
     }
     assert_eq!(simulation.replica(leader).voters().voters.len(), 3);
     simulation.recover_and_verify();
 }
 
-// Symptom: the group hangs for good after a change of the voter set. Sequence: one of three voters is
-// down; an operator removes another one, or the wrong one. Cause: a change to a set of which no quorum
-// is there; its entry can never commit, and nobody can be elected without it.
+// One of three voters is down, and an operator removes another one. Guards against a change to a
+// voter set without a live quorum: its entry could never commit, nobody could be elected without
+// it, and the group would hang forever.
 #[test]
-fn a_change_to_a_set_without_a_living_quorum_is_not_begun() {
+fn a_change_to_a_set_without_a_live_quorum_is_rejected() {
     let mut simulation = Simulation::with_leader(3, 8);
     simulation.commit_many(3);
     let leader = simulation.wait_for_leader();
-    let [down, living] = simulation.others(leader)[..] else { panic!("three voters") };
+    let [down, live] = simulation.others(leader)[..] else { panic!("three voters") };
     simulation.crash(down);
     simulation.run(ms(3_000));
-    let token = simulation.change(leader, Change::Remove(instance(living)));
+    let token = simulation.change(leader, Change::Remove(instance(live)));
     simulation.run(ms(100));
     simulation.commit_many(3);
     simulation.run(ms(20_000));
@@ -647,10 +656,10 @@
     simulation.recover_and_verify();
 }
 
-// Symptom: no leader ever comes after a voter was removed. Sequence: of four voters the leader is
-// removed; the entry with the set without it is in its log alone when it loses power, and another
-// voter's disk is lost. Cause: it is no voter by its own log, so it does not campaign; the others need
-// its vote, and it refuses them, since its log is newer.
+// A leader of four voters is removed. It loses power while only its log contains the new voter set,
+// and another voter loses its disk. By its own log the removed leader is not a voter, but the
+// others need its vote, which it refuses because its log is newer. Guards against a removed leader
+// that does not campaign: no leader could ever be elected.
 #[test]
 fn a_removed_leader_campaigns_until_its_removal_is_committed() {
     let mut simulation = Simulation::with_leader(4, 9);
@@ -663,7 +672,7 @@
         let identity = simulation.replica(leader).identity();
         !simulation.replica(leader).voters().contains(identity)
     });
-    assert!(removed, "the set without the leader is in its log");
+    assert!(removed, "the leader's log does not have the set without it");
     simulation.run(ms(1));
     simulation.hold_filter = None;
     simulation.crash_after_writes(leader, 9);
@@ -684,11 +693,11 @@
         .any(|entry| matches!(&entry.payload, Payload::Config(config) if has_three_voters(config)))
 }
 
-// Symptom: an operator can't get the service back after two of three disks are lost. Sequence: the
-// folder that is left becomes a group of its own, the others join it with new folders; a voter of the
-// old group that returns against all expectation must not disturb. Cause: no way out of a lost quorum.
+// Two of three disks are lost. The remaining data directory becomes a group of its own, and the
+// others join it with new data directories. A voter of the old group that returns unexpectedly must
+// not disturb the new group.
 #[test]
-fn a_lost_quorum_is_left_by_the_folder_that_remains() {
+fn the_remaining_voter_recovers_from_a_lost_quorum() {
     let mut simulation = Simulation::with_leader(3, 6);
     let index = simulation.commit_many(60);
     let leader = simulation.wait_for_leader();
@@ -727,22 +736,22 @@
     simulation.recover_and_verify();
 }
 
-/// Returns a voter that does not exist.
-fn lost_voter() -> verbenaslip_replica::voter::Voter {
+/// Returns a voter that no instance runs.
+fn unknown_voter() -> verbenaslip_replica::voter::Voter {
     let identity = verbenaslip_replica::voter::Identity(99);
     verbenaslip_replica::voter::Voter { instance: instance(7), identity }
 }
 
-// Symptom: after the very first start no leader ever comes. Sequence: the founder writes term and
-// group, then the first entry; the power fails between the two. Cause: the group is there without
-// its voters, so nobody campaigns, and the founder is no longer new, so nobody is asked again.
+// The power fails between the two writes that form a group: the hard state and the first entry.
+// Guards against a group without voters: nobody would campaign, and the founder would no longer be
+// new, so it would not query the other founders again.
 #[test]
 fn founding_survives_a_power_loss_between_its_writes() {
     for kept in 0..=2 {
         let mut simulation = Simulation::new(3, 2);
         let has_started =
             simulation.run_until(ms(5_000), |simulation| simulation.nodes[0].pending.len() >= 2);
-        assert!(has_started, "the founder writes term and first entry");
+        assert!(has_started, "the founder wrote no hard state and first entry");
         simulation.crash_after_writes(0, kept);
         simulation.run(ms(500));
         simulation.restart(0);
@@ -761,8 +770,8 @@
     }
 }
 
-// Symptom: a group of one can't grow, or loses what it had. Sequence: one voter, then three, then
-// five, then the first leaves. Cause: changes that need a majority that is not there.
+// A group grows from one voter to five, and then removes its founder. Guards against changes that
+// need a majority which does not exist, and against loss of the commands of the first voter.
 #[test]
 fn a_group_grows_from_one_to_five_and_loses_its_founder() {
     let mut simulation = Simulation::with_leader(1, 5);
--- a/crates/verbenaslip-replica/tests/rule.rs
+++ b/crates/verbenaslip-replica/tests/rule.rs
@@ -1,4 +1,4 @@
-//! Single rules, shown on one replica that is handed its messages.
+//! Tests of single rules on one replica with handcrafted messages.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 
 const GROUP: Group = Group(1);
 
-/// Holds voter 0 of several and what it has put out.
+/// Holds voter 0 of a group, whose other voters are simulated by messages.
 struct Harness {
     replica: Replica,
     now: Duration,
@@ -40,7 +40,7 @@
 }
 
 impl Harness {
-    /// Opens voter 0 of so many, in a term, with entries after the first configuration.
+    /// Opens voter 0 of a number of voters, in a term, with entries after the first configuration.
     fn open(voters: u128, term: u64, entries: Vec<Entry>) -> Self {
         let config = Config::new((0..voters).map(voter).collect());
         let first = Entry { position: position(1, 1), payload: Payload::Config(config) };
@@ -52,7 +52,7 @@
         Self { replica, now, last_sequence: 0 }
     }
 
-    /// Opens voter 0 and has it elected.
+    /// Opens voter 0 and lets the others elect it.
     fn elected(voters: u128, term: u64, entries: Vec<Entry>) -> Self {
         let mut harness = Self::open(voters, term - 1, entries);
         harness.step(Input::Tick);
@@ -68,14 +68,14 @@
     }
 
     fn step(&mut self, input: Input) -> Vec<Output> {
-        let mut out = Vec::new();
-        self.replica.step(self.now, input, &mut out);
-        for output in &out {
+        let mut outputs = Vec::new();
+        self.replica.step(self.now, input, &mut outputs);
+        for output in &outputs {
             if let Output::Store { sequence, .. } = output {
                 self.last_sequence = *sequence;
             }
         }
-        out
+        outputs
     }
 
     fn receive(&mut self, from: u128, term: u64, body: Body) -> Vec<Output> {
@@ -85,7 +85,7 @@
         self.step(Input::Message { from: instance, message })
     }
 
-    /// Lets the leader begin its next round.
+    /// Starts the leader's next round.
     fn start_next_round(&mut self) {
         self.now += Timing::default().heartbeat_interval;
         self.step(Input::Tick);
@@ -96,18 +96,18 @@
     }
 }
 
-fn count_messages(out: &[Output]) -> usize {
-    out.iter().filter(|output| matches!(output, Output::Send { .. })).count()
+fn count_messages(outputs: &[Output]) -> usize {
+    outputs.iter().filter(|output| matches!(output, Output::Send { .. })).count()
 }
 
-fn count_writes(out: &[Output]) -> usize {
-    out.iter().filter(|output| matches!(output, Output::Store { .. })).count()
+fn count_writes(outputs: &[Output]) -> usize {
+    outputs.iter().filter(|output| matches!(output, Output::Store { .. })).count()
 }
 
-// Symptom: two leaders in a term, or an edit gone, after a power loss. Sequence: a vote or an
-// acknowledgement leaves, then the power fails before its write is durable. Cause: not waiting.
+// Guards against a vote or an acknowledgement that is sent before its write is durable. After a
+// power loss, a term could have two leaders, or a committed command could be lost.
 #[test]
-fn what_promises_something_waits_for_the_disk() {
+fn answers_wait_for_durable_writes() {
     let append = |entries: Vec<Entry>| Body::Append {
         previous: position(1, 1),
         entries,
@@ -122,7 +122,7 @@
         ("vote", Body::Vote { last_position: position(1, 1), transfer: false }),
         ("entries", append(vec![command(4, 2)])),
         ("heartbeat of a new term", append(Vec::new())),
-        ("entries in place of others", append(vec![command(4, 2), command(4, 3)])),
+        ("entries that replace others", append(vec![command(4, 2), command(4, 3)])),
         ("last part of a snapshot", chunk),
     ];
     for (name, body) in cases {
@@ -130,92 +130,96 @@
         if name == "vote" {
             harness = Harness::open(3, 2, Vec::new());
         }
-        let out = harness.receive(1, 4, body);
-        assert_eq!(count_messages(&out), 0, "{name}: an answer left before the write was durable");
-        assert!(count_writes(&out) > 0, "{name}: nothing is written");
+        let outputs = harness.receive(1, 4, body);
+        assert_eq!(
+            count_messages(&outputs),
+            0,
+            "{name}: an answer was sent before the write was durable"
+        );
+        assert!(count_writes(&outputs) > 0, "{name}: nothing was written");
         let early_answer = harness.step(Input::Stored { sequence: harness.last_sequence - 1 });
         assert_eq!(
             count_messages(&early_answer),
             0,
-            "{name}: an answer left before its last write was durable"
+            "{name}: an answer was sent before the last write was durable"
         );
-        assert_eq!(count_messages(&harness.complete_writes()), 1, "{name}: no answer came");
+        assert_eq!(count_messages(&harness.complete_writes()), 1, "{name}: expected one answer");
     }
 }
 
-// Symptom: an edit answered as committed is gone after a power loss. Sequence: entries are on their way
-// to the disk, a heartbeat behind them is answered at once. Cause: an answer that claims them as well.
+// Entries are not durable yet when a heartbeat after them is answered. Guards against an answer
+// that acknowledges these entries as well: a power loss would lose a committed command.
 #[test]
-fn a_heartbeat_is_answered_at_once_for_what_is_durable() {
+fn heartbeats_acknowledge_only_durable_entries() {
     let mut harness = Harness::open(3, 4, Vec::new());
     let append =
         |previous, entries, round| Body::Append { previous, entries, commit_index: 1, round };
-    let out = harness.receive(1, 4, append(position(1, 1), vec![command(4, 2)], 1));
-    assert_eq!(count_messages(&out), 0);
-    let out = harness.receive(1, 4, append(position(4, 2), Vec::new(), 2));
-    let [Output::Send { message, .. }] = &out[..] else { panic!("one answer: {out:?}") };
+    let outputs = harness.receive(1, 4, append(position(1, 1), vec![command(4, 2)], 1));
+    assert_eq!(count_messages(&outputs), 0);
+    let outputs = harness.receive(1, 4, append(position(4, 2), Vec::new(), 2));
+    let [Output::Send { message, .. }] = &outputs[..] else {
+        panic!("expected one answer: {outputs:?}")
+    };
     assert_eq!(message.body, Body::AppendResponse { match_index: 1, round: 2 });
-    let out = harness.complete_writes();
-    let [Output::Send { message, .. }] = &out[..] else { panic!("one answer: {out:?}") };
+    let outputs = harness.complete_writes();
+    let [Output::Send { message, .. }] = &outputs[..] else {
+        panic!("expected one answer: {outputs:?}")
+    };
     assert_eq!(message.body, Body::AppendResponse { match_index: 2, round: 1 });
 }
 
-// Symptom: an old leader commits an edit that is gone. Sequence: a follower stores entries of term 3,
-// learns of term 4 before the disk is done, and drops the entries; then the answer for term 3 leaves.
-// Cause: answers that are kept over a change of term.
+// A follower receives entries of term 3, learns of term 4 before they are durable, and removes
+// them. Guards against sending the acknowledgement for term 3 afterwards: the old leader could
+// commit a command that no longer exists.
 #[test]
-fn answers_of_an_older_term_never_leave() {
+fn answers_of_an_older_term_are_discarded() {
     let mut harness = Harness::open(3, 2, Vec::new());
     let append = |entries, previous| Body::Append { previous, entries, commit_index: 1, round: 1 };
     harness.receive(1, 3, append(vec![command(3, 2)], position(1, 1)));
     harness.receive(2, 4, append(vec![command(4, 2)], position(1, 1)));
-    let out = harness.complete_writes();
-    let terms = out.iter().filter_map(|output| match output {
+    let outputs = harness.complete_writes();
+    let terms = outputs.iter().filter_map(|output| match output {
         Output::Send { message, .. } => Some(message.term),
         _ => None,
     });
     assert_eq!(terms.collect::<Vec<_>>(), [4]);
 }
 
-// Symptom: an edit answered as committed is replaced. Sequence: a leader of term 4 finds its entry of
-// term 2 on a quorum; it dies, and a voter with an entry of term 3 is elected. Cause: counting copies
-// of older terms.
+// A leader of term 4 finds its entry of term 2 on a quorum. It crashes, and a voter with an entry
+// of term 3 is elected. Guards against committing an entry of an older term by counting copies: the
+// committed entry would be replaced.
 #[test]
-fn an_entry_of_an_older_term_commits_only_with_one_of_the_own() {
+fn an_entry_of_an_older_term_commits_only_with_one_of_the_current_term() {
     let mut harness = Harness::elected(5, 4, vec![command(2, 2)]);
     harness.complete_writes();
     for number in 1..4 {
         harness.receive(number, 4, Body::AppendResponse { match_index: 2, round: 1 });
     }
-    assert_eq!(
-        harness.replica.commit_index(),
-        0,
-        "an entry of term 2 was committed by counting copies"
-    );
+    assert_eq!(harness.replica.commit_index(), 0, "counting copies committed an entry of term 2");
     for number in 1..3 {
         harness.receive(number, 4, Body::AppendResponse { match_index: 3, round: 1 });
     }
     assert_eq!(harness.replica.commit_index(), 3);
 }
 
-// Symptom: an edit answered as committed is gone after the leader and one follower lost power.
-// Sequence: the leader counts itself before its own disk is done. Cause: own copy taken for stored.
+// Guards against a leader that counts its own copy before it is durable: a committed command would
+// be lost if the leader and one follower lose power.
 #[test]
-fn the_own_copy_counts_once_it_is_stored() {
+fn the_leaders_copy_counts_once_it_is_durable() {
     let mut harness = Harness::elected(3, 4, Vec::new());
-    let out = harness.step(Input::Propose { token: 5, command: Arc::from([1].as_slice()) });
-    assert_eq!(count_writes(&out), 1);
+    let outputs = harness.step(Input::Propose { token: 5, command: Arc::from([1].as_slice()) });
+    assert_eq!(count_writes(&outputs), 1);
     harness.receive(1, 4, Body::AppendResponse { match_index: 3, round: 1 });
-    assert_eq!(harness.replica.commit_index(), 0, "one durable copy of three is no quorum");
-    let out = harness.complete_writes();
+    assert_eq!(harness.replica.commit_index(), 0, "one durable copy of three is not a quorum");
+    let outputs = harness.complete_writes();
     let answer = Output::Answer { token: 5, answer: Answer::Committed(position(4, 3)) };
-    assert!(out.contains(&answer), "{out:?}");
+    assert!(outputs.contains(&answer), "{outputs:?}");
 }
 
-// Symptom: a panic, or a committed entry changed, on a message from a broken or hostile peer.
-// Sequence: any of these messages. Cause: numbers taken on trust.
+// Guards against panics and changes of committed entries caused by the numbers in messages of a
+// broken or hostile peer.
 #[test]
-fn broken_messages_change_nothing_committed() {
+fn invalid_messages_change_nothing_committed() {
     let out_of_range = position(u64::MAX, u64::MAX);
     let config = Config::new((0..3).map(voter).collect());
     let header = SnapshotHeader { position: out_of_range, config, total_bytes: u64::MAX };
@@ -256,34 +260,38 @@
                 harness.complete_writes();
             }
             assert_eq!(harness.replica.commit_index(), 3, "{body:?}");
-            assert!(harness.replica.term() < 1 << 60, "no terms are left after {body:?}");
+            assert!(harness.replica.term() < 1 << 60, "the term is too large after {body:?}");
             assert!(harness.replica.applied_index() <= harness.replica.commit_index());
         }
     }
 }
 
-// Symptom: two leaders in a term. Sequence: a voter learns of a term, then gives its vote in it, loses
-// power, and gives it again to somebody else. Cause: only the new term is written, not the vote.
+// A voter learns of a term, votes in it, loses power, and is asked for a vote again. Guards against
+// writing only the new term and not the vote: the term could have two leaders.
 #[test]
-fn a_vote_is_written_also_when_the_term_is_known() {
+fn a_vote_is_written_even_if_the_term_is_known() {
     let mut harness = Harness::open(3, 4, Vec::new());
-    let out = harness.receive(1, 4, Body::Vote { last_position: position(1, 1), transfer: false });
+    let outputs =
+        harness.receive(1, 4, Body::Vote { last_position: position(1, 1), transfer: false });
     let voted = HardState { group: Some(GROUP), term: 4, voted: Some(voter(1).identity) };
-    let writes = out.iter().filter_map(|output| match output {
+    let writes = outputs.iter().filter_map(|output| match output {
         Output::Store { write, .. } => Some(write),
         _ => None,
     });
     assert_eq!(writes.collect::<Vec<_>>(), [&Write::HardState(voted)]);
     assert_eq!(count_messages(&harness.complete_writes()), 1);
-    let out = harness.receive(2, 4, Body::Vote { last_position: position(1, 1), transfer: false });
-    let [Output::Send { message, .. }] = &out[..] else { panic!("one answer: {out:?}") };
+    let outputs =
+        harness.receive(2, 4, Body::Vote { last_position: position(1, 1), transfer: false });
+    let [Output::Send { message, .. }] = &outputs[..] else {
+        panic!("expected one answer: {outputs:?}")
+    };
     assert_eq!(message.body, Body::VoteResponse { granted: false });
 }
 
-// Symptom: committed edits are gone after an election. Sequence: a voter that lacks them asks one that
-// has them. Cause: votes given without looking at the logs.
+// Guards against votes that are granted without comparing the logs: a voter that lacks committed
+// commands could be elected.
 #[test]
-fn votes_go_to_logs_that_lack_nothing() {
+fn votes_go_only_to_up_to_date_logs() {
     let cases = [
         (position(1, 1), false),
         (position(2, 2), false),
@@ -296,16 +304,16 @@
         for transfer in [false, true] {
             let mut harness = Harness::open(3, 3, vec![command(3, 2)]);
             harness.receive(1, 4, Body::Vote { last_position, transfer });
-            let out = harness.complete_writes();
-            let granted = out.iter().any(|output| {
+            let outputs = harness.complete_writes();
+            let granted = outputs.iter().any(|output| {
                 let Output::Send { message, .. } = output else { return false };
                 matches!(message.body, Body::VoteResponse { granted: true })
             });
             assert_eq!(granted, expected, "{last_position:?}");
         }
         let mut harness = Harness::open(3, 3, vec![command(3, 2)]);
-        let out = harness.receive(1, 4, Body::PreVote { last_position });
-        let granted = out.iter().any(|output| {
+        let outputs = harness.receive(1, 4, Body::PreVote { last_position });
+        let granted = outputs.iter().any(|output| {
             let Output::Send { message, .. } = output else { return false };
             matches!(message.body, Body::PreVoteResponse { granted: true })
         });
@@ -313,10 +321,11 @@
     }
 }
 
-// Symptom: two voter sets without a common member decide at once. Sequence: a new leader, whose log
-// has an older set than the group's, begins a change at once. Cause: building on what may be replaced.
+// The log of a new leader has an older voter set than the group. Guards against a change that
+// starts from a configuration that may be replaced: two voter sets without a common member could
+// decide.
 #[test]
-fn a_change_waits_for_an_entry_of_the_own_term() {
+fn a_change_waits_for_an_entry_of_the_current_term() {
     let mut harness = Harness::elected(3, 4, vec![command(2, 2)]);
     harness.complete_writes();
     let change = Change::Remove(voter(2).instance);
@@ -325,16 +334,16 @@
     harness.receive(1, 4, Body::AppendResponse { match_index: 2, round: 2 });
     assert!(
         !harness.replica.voters().is_joint(),
-        "the change began before an entry of the own term"
+        "the change began before an entry of the current term was committed"
     );
     harness.receive(1, 4, Body::AppendResponse { match_index: 3, round: 2 });
     assert!(harness.replica.voters().is_joint());
 }
 
-// Symptom: after an addition one more loss stops the group. Sequence: the new voter caught up and died
-// before it was made one. Cause: a voter taken for living by what it once answered.
+// The new voter caught up and then crashed before it became a voter. Guards against treating a
+// voter as live because of an old answer: after the change, one more loss would stop the group.
 #[test]
-fn a_new_voter_must_have_answered_just_now() {
+fn a_new_voter_must_answer_after_the_request() {
     let mut harness = Harness::elected(3, 4, Vec::new());
     harness.complete_writes();
     harness.receive(1, 4, Body::AppendResponse { match_index: 2, round: 1 });
@@ -344,23 +353,25 @@
     for number in [1, 2] {
         harness.receive(number, 4, Body::AppendResponse { match_index: 2, round: 2 });
     }
-    assert!(!harness.replica.voters().is_joint(), "the new voter was not heard since the question");
+    assert!(
+        !harness.replica.voters().is_joint(),
+        "the new voter has not answered since the request"
+    );
     harness.receive(3, 4, Body::AppendResponse { match_index: 2, round: 2 });
     assert!(harness.replica.voters().is_joint());
 }
 
-// Symptom: an operator who resends a change after a leader change is told that it does not fit.
-// Sequence: the new leader holds the change of the old one, not yet committed. Cause: a resend that is
-// checked like a new change.
+// The new leader's log has the change of the old leader, which is not committed. Guards against
+// validating a resent change like a new one: the operator would be told that it is invalid.
 #[test]
-fn a_resent_change_is_told_to_wait_for_the_first() {
+fn a_resent_change_waits_for_the_first() {
     let config = Config::new((0..3).map(voter).collect());
     let committed_config = Entry { position: position(3, 2), payload: Payload::Config(config) };
     let mut harness = Harness::elected(3, 4, vec![committed_config]);
     harness.complete_writes();
     let change = || Change::Add(voter(2));
-    let answer = |out: Vec<Output>| {
-        out.into_iter().find_map(|output| match output {
+    let answer = |outputs: Vec<Output>| {
+        outputs.into_iter().find_map(|output| match output {
             Output::Answer { answer, .. } => Some(answer),
             _ => None,
         })
@@ -372,11 +383,11 @@
     assert_eq!(late_answer, Some(Answer::Committed(position(3, 2))));
 }
 
-// Symptom: committed edits are gone after a repair. Sequence: voter 2 is replaced by voter 3; the
-// leader and voter 3 alone would be a quorum of the new set, voters 1 and 2 one of the old. Cause: a
-// change that asks the new set alone.
+// Voter 2 is replaced by voter 3. The leader and voter 3 would be a quorum of the new set, and
+// voters 1 and 2 one of the old set. Guards against a change that needs only the new set: committed
+// commands could be lost.
 #[test]
-fn a_replacement_asks_a_quorum_of_both_sets() {
+fn a_replacement_needs_a_quorum_of_both_sets() {
     let mut harness = Harness::elected(3, 4, Vec::new());
     harness.complete_writes();
     harness.receive(1, 4, Body::AppendResponse { match_index: 2, round: 1 });
@@ -385,7 +396,7 @@
     harness.start_next_round();
     harness.receive(1, 4, Body::AppendResponse { match_index: 2, round: 1 });
     harness.receive(3, 4, Body::AppendResponse { match_index: 2, round: 2 });
-    assert!(!harness.replica.voters().is_joint(), "the old set was not heard since the question");
+    assert!(!harness.replica.voters().is_joint(), "the old set has not answered since the request");
     harness.receive(1, 4, Body::AppendResponse { match_index: 2, round: 2 });
     assert!(harness.replica.voters().is_joint());
     harness.complete_writes();
@@ -393,20 +404,20 @@
     assert_eq!(
         harness.replica.commit_index(),
         2,
-        "one voter of three of the old set has the change"
+        "only one of three voters of the old set has the change"
     );
     harness.receive(1, 4, Body::AppendResponse { match_index: 3, round: 1 });
     assert_eq!(harness.replica.commit_index(), 3);
     assert!(!harness.replica.voters().is_joint());
 }
 
-// Symptom: edits end as unknown although the stop was planned. Sequence: one of four followers has
-// everything, no quorum does, and that follower is told to campaign. Cause: a hand-over too early.
+// One of four followers has everything, but no quorum does. Guards against telling that follower to
+// campaign too early: proposals would end as unknown although the stop was planned.
 #[test]
-fn a_hand_over_waits_until_all_is_committed() {
-    let campaigns = |out: &[Output]| {
+fn a_transfer_waits_until_everything_is_committed() {
+    let campaigns = |outputs: &[Output]| {
         let is_campaign = |output: &&Output| matches!(output, Output::Send { message, .. } if message.body == Body::Campaign);
-        out.iter().filter(is_campaign).count()
+        outputs.iter().filter(is_campaign).count()
     };
     let mut harness = Harness::elected(5, 4, Vec::new());
     harness.complete_writes();
@@ -418,11 +429,10 @@
     );
 }
 
-// Symptom: a panic, or a commit index that falls, after a peer with a broken build sends nonsense.
-// Sequence: any messages in any order, between ticks, proposals and syncs. Cause: states that only
-// make sense together, checked apart.
+// A peer with a broken build sends invalid messages in any order, between ticks, proposals and
+// syncs. Guards against panics and a decreasing commit index.
 #[test]
-fn nonsense_in_any_order_never_panics() {
+fn random_messages_never_panic() {
     for seed in 0..400 {
         let mut random = Pcg32::seed_from_u64(seed);
         let mut harness = match seed % 2 {
@@ -449,14 +459,17 @@
                 }
             }
             harness.step(Input::Tick);
-            assert!(harness.replica.commit_index() >= commit, "seed {seed}: the commit index fell");
+            assert!(
+                harness.replica.commit_index() >= commit,
+                "seed {seed}: the commit index decreased"
+            );
             assert!(harness.replica.applied_index() <= harness.replica.commit_index());
             commit = harness.replica.commit_index();
         }
     }
 }
 
-/// Draws a number that is small most of the time.
+/// Returns a random number that is small most of the time.
 fn random_number(random: &mut Pcg32) -> u64 {
     match random.random_range(0..20) {
         0 => u64::MAX - random.random_range(0..3),
@@ -517,10 +530,13 @@
 }
 
 #[test]
-fn a_lease_is_shorter_than_a_refusal_by_the_drift_of_two_clocks() {
+fn a_lease_ends_before_votes_are_granted_despite_clock_drift() {
     let timing = Timing::default();
-    let slow = timing.lease_duration() * 1000 / (1000 - timing.clock_drift_per_mille);
-    let fast = timing.election_timeout * 1000 / (1000 + timing.clock_drift_per_mille);
-    assert!(slow <= fast, "a lease of {slow:?} true time, a refusal of {fast:?}");
+    let max_lease = timing.lease_duration() * 1000 / (1000 - timing.clock_drift_per_mille);
+    let min_refusal = timing.election_timeout * 1000 / (1000 + timing.clock_drift_per_mille);
+    assert!(
+        max_lease <= min_refusal,
+        "the lease lasts {max_lease:?}, but votes are refused for only {min_refusal:?}"
+    );
     assert!(timing.lease_duration() > timing.heartbeat_interval * 3);
 }
--- a/crates/verbenaslip-replica/tests/schedules.rs
+++ b/crates/verbenaslip-replica/tests/schedules.rs
@@ -1,4 +1,5 @@
-//! Random schedules of faults with fixed seeds; the world checks after every step.
+//! Random schedules of faults with fixed seeds. The simulation checks its invariants after every
+//! step.
 
 mod simulation;
 
@@ -9,10 +10,10 @@
 
 use simulation::{Conditions, Simulation, instance, ms};
 
-/// Actions in one schedule.
+/// The number of actions in one schedule.
 const ACTIONS_PER_SCHEDULE: usize = 560;
 
-/// Counts what schedules brought about, so that they can't pass by doing nothing.
+/// Counts what the schedules did, so that a schedule without effects fails the test.
 #[derive(Clone, Copy, Debug, Default)]
 struct Totals {
     schedules: u64,
@@ -26,13 +27,13 @@
     reads: u64,
 }
 
-/// Holds one schedule as it goes.
+/// Holds a running schedule.
 struct Schedule {
     simulation: Simulation,
     totals: Totals,
-    /// The changes of the voter set that were asked for.
+    /// The requested voter changes.
     changes: Vec<(u64, Change)>,
-    /// Every proposal, with the node and the life in which it was made.
+    /// All proposals, with the node and its incarnation.
     proposals: Vec<(u64, usize, u32)>,
     reads: Vec<(u64, usize, u32)>,
 }
@@ -158,8 +159,8 @@
         self.simulation.leaseholder()
     }
 
-    /// Loses a disk if the voters that are left are still a quorum of every set that may decide:
-    /// those in force in any log, and those that are being changed to.
+    /// Loses a disk if the remaining voters are a quorum of every voter set that may decide: those
+    /// in force in any log, and those that result from pending changes.
     fn lose_disk(&mut self, node: usize) {
         let sets: Vec<Vec<Voter>> = self.possible_voter_sets();
         let is_available = |voter: &&Voter| {
@@ -169,8 +170,8 @@
             };
             (0..self.simulation.nodes.len()).any(|other| is_same_run(&other))
         };
-        // Before anything is committed, what the group is stands on its founder's disk alone.
-        if self.simulation.monitor.max_commit_index == 0 {
+        // Before anything is committed, the group exists only on its founder's disk.
+        if self.simulation.invariants.max_commit_index == 0 {
             return;
         }
         let is_safe = |set: &Vec<Voter>| set.iter().filter(is_available).count() > set.len() / 2;
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Lists the voter sets in force in any log, and those that open changes lead to.
+    /// Returns the voter sets in force in any log, and those that result from pending changes.
     fn possible_voter_sets(&self) -> Vec<Vec<Voter>> {
         let mut sets: Vec<Vec<Voter>> = Vec::new();
         for node in &self.simulation.nodes {
@@ -188,10 +189,10 @@
             sets.extend([config.voters, config.outgoing]);
         }
         sets.retain(|set| !set.is_empty());
-        let open =
+        let pending =
             self.changes.iter().filter(|change| !self.simulation.answers.contains_key(&change.0));
         let mut next = Vec::new();
-        for (_, change) in open {
+        for (_, change) in pending {
             let (leaving, new) = match change {
                 Change::Remove(instance) => (instance, None),
                 Change::Add(voter) => (&voter.instance, Some(voter.clone())),
@@ -206,7 +207,7 @@
         sets
     }
 
-    /// Replaces a voter whose disk was lost by the folder that is there now.
+    /// Replaces a voter whose disk was lost by the new data directory on its instance.
     fn replace_lost_voter(&mut self) {
         let Some(leader) = self.leader() else { return };
         let replacement =
@@ -222,17 +223,17 @@
         }
     }
 
-    /// Removes a voter of four or more, or adds one that is not in the set.
+    /// Removes a voter of at least four, or adds an instance that is not a voter.
     fn change_voter_count(&mut self) {
         let Some(leader) = self.leader() else { return };
         let config = self.simulation.replica(leader).voters();
-        let outside = (0..self.simulation.nodes.len())
+        let non_voter = (0..self.simulation.nodes.len())
             .find(|&node| !config.voters.iter().any(|voter| voter.instance == instance(node)));
         let size = config.voters.len();
         let removed = self.random_node();
         if size > 3 && self.simulation.chance(700) {
             self.change(leader, Change::Remove(instance(removed)));
-        } else if let Some(node) = outside {
+        } else if let Some(node) = non_voter {
             if let Some(replica) = &self.simulation.nodes[node].replica {
                 let voter = replica.voter();
                 self.change(leader, Change::Add(voter));
@@ -247,7 +248,8 @@
         self.changes.push((token, change));
     }
 
-    /// Ends all faults: everything committed must be everywhere, and every proposal answered.
+    /// Ends all faults. Every voter must apply everything committed, and all requests must be
+    /// answered.
     fn recover_and_verify(&mut self) {
         self.simulation.heal();
         self.resume_all();
@@ -266,9 +268,9 @@
         for voter in &config.voters {
             let node = (0..self.simulation.nodes.len())
                 .find(|&node| instance(node) == voter.instance)
-                .expect("voters are nodes");
+                .expect("every voter is a node");
             let applied = self.simulation.replica(node).applied_index();
-            assert!(applied >= index, "{voter:?} stays at {applied}, {index} is committed");
+            assert!(applied >= index, "{voter:?} has applied {applied}, but {index} is committed");
         }
         for (token, node, incarnation) in &self.proposals {
             let is_same_run = self.simulation.nodes[*node].incarnation == *incarnation;
@@ -284,7 +286,7 @@
 }
 
 impl Schedule {
-    /// Adds what this schedule brought about.
+    /// Adds the counts of this schedule to the totals.
     fn add_to(&self, totals: &mut Totals) {
         let is_committed = |token: &&u64| {
             matches!(self.simulation.answers.get(*token), Some(Answer::Committed(_)))
@@ -303,7 +305,7 @@
     }
 }
 
-/// Runs schedules of one kind; each must get something done and have enough steps.
+/// Runs schedules for a number of founders and checks that they had enough effects.
 fn run_schedules(founders: usize, seeds: std::ops::Range<u64>) {
     let mut totals = Totals::default();
     for seed in seeds {
@@ -320,7 +322,7 @@
     assert!(totals.crashes > 4 * totals.schedules, "too few crashes: {totals:?}");
     assert!(totals.snapshots > totals.schedules / 2, "too few snapshots received: {totals:?}");
     assert!(totals.lost_disks > totals.schedules / 2, "too few disks lost: {totals:?}");
-    assert!(totals.changes > totals.schedules / 2, "too few changes of the voter set: {totals:?}");
+    assert!(totals.changes > totals.schedules / 2, "too few voter changes: {totals:?}");
     assert!(totals.reads > 5 * totals.schedules, "too few reads: {totals:?}");
 }
 
--- a/crates/verbenaslip-replica/tests/simulation/disk.rs
+++ b/crates/verbenaslip-replica/tests/simulation/disk.rs
@@ -1,21 +1,21 @@
-//! What a folder holds, as a model: only synced writes are in it.
+//! A model of a data directory that contains only synced writes.
 
 use verbenaslip_replica::storage::{Recovered, Write};
 use verbenaslip_replica::voter::Identity;
 
-/// Holds the durable content of one folder.
+/// Holds the durable content of a data directory.
 #[derive(Clone, Debug)]
 pub struct Disk {
     pub content: Recovered,
 }
 
 impl Disk {
-    /// Creates a new folder.
+    /// Returns a new data directory.
     pub fn new(identity: u128) -> Self {
         Self { content: Recovered::empty(Identity(identity)) }
     }
 
-    /// Keeps one write.
+    /// Applies one write.
     pub fn apply(&mut self, write: Write) {
         let entries = &mut self.content.entries;
         match write {
--- a/crates/verbenaslip-replica/tests/simulation/mod.rs
+++ b/crates/verbenaslip-replica/tests/simulation/mod.rs
@@ -1,7 +1,7 @@
-//! Steps several replicas through an in-memory network, and checks after every step what must
-//! always hold.
+//! Simulates several replicas with an in-memory network, and checks the invariants after every
+//! step.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses only a part of this module")]
 
 mod disk;
 mod invariants;
@@ -25,28 +25,28 @@
 pub use self::invariants::InvariantChecker;
 pub use self::node::{Clock, Node};
 
-/// Returns milliseconds.
+/// Returns a duration in milliseconds.
 pub fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
-/// Sets how the network and the disks behave.
+/// The behavior of the network and the disks.
 #[derive(Clone, Copy, Debug)]
 pub struct Conditions {
-    /// Messages lost, in a thousand.
+    /// The rate of lost messages, in thousandths.
     pub loss_per_mille: u32,
-    /// Messages doubled, in a thousand.
+    /// The rate of duplicated messages, in thousandths.
     pub duplicated_per_mille: u32,
-    /// The shortest and longest time on the way, in microseconds.
+    /// The minimum and maximum network delay, in microseconds.
     pub delay_micros: (u64, u64),
-    /// Messages that take up to a hundred times as long, in a thousand.
+    /// The rate of messages with up to a hundred times the delay, in thousandths.
     pub delayed_per_mille: u32,
-    /// The shortest and longest time of a sync, in microseconds.
+    /// The minimum and maximum duration of a sync, in microseconds.
     pub sync_micros: (u64, u64),
 }
 
 impl Conditions {
-    /// Nothing is lost and all is fast.
+    /// No messages are lost, and delays are short.
     pub const RELIABLE: Self = Self {
         loss_per_mille: 0,
         duplicated_per_mille: 0,
@@ -56,7 +56,7 @@
     };
 }
 
-/// Something that will happen.
+/// A future event.
 #[derive(Debug, PartialEq, Eq)]
 enum Event {
     Deliver { from: usize, to: usize, message: Box<Message> },
@@ -84,10 +84,10 @@
     }
 }
 
-/// Picks messages.
+/// Selects messages.
 pub type MessageFilter = fn(&Message) -> bool;
 
-/// Counts what was sent.
+/// Counts sent messages and bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     pub messages: u64,
@@ -99,16 +99,16 @@
     pub now: Duration,
     pub nodes: Vec<Node>,
     pub conditions: Conditions,
-    pub monitor: InvariantChecker,
+    pub invariants: InvariantChecker,
     pub traffic: Traffic,
-    /// Snapshots that came from a leader.
+    /// The number of snapshots received from a leader.
     pub received_snapshots: u64,
-    /// The largest message sent.
+    /// The size of the largest sent message, in bytes.
     pub largest_message: u64,
     pub random: Pcg64Mcg,
     pub steps: u64,
     pub limits: Limits,
-    /// The kinds of message that are held up instead of sent.
+    /// Selects the messages that are held instead of delivered.
     pub hold_filter: Option<MessageFilter>,
     pub held_messages: Vec<(usize, usize, Message)>,
     blocked_links: BTreeSet<(usize, usize)>,
@@ -117,42 +117,42 @@
     last_token: u64,
     /// The answers to proposals and changes.
     pub answers: BTreeMap<u64, Answer>,
-    /// The indices at which reads were confirmed; none when refused.
+    /// The indices of the confirmed reads, or `None` if a read was rejected.
     pub reads: BTreeMap<u64, Option<u64>>,
     founders: usize,
 }
 
-/// The name of a node's instance.
+/// Returns the instance name of a node.
 pub fn instance(node: usize) -> Instance {
     Instance::from(format!("n{node}").as_str())
 }
 
 impl Simulation {
-    /// Starts founders with new folders.
+    /// Starts founders with new data directories.
     pub fn new(founders: usize, seed: u64) -> Self {
-        let size = Limits {
+        let limits = Limits {
             snapshot_after_entries: 40,
             retained_entries: 10,
             max_message_bytes: 512,
             max_in_flight_appends: 3,
             ..Limits::default()
         };
-        Self::with_limits(founders, seed, size)
+        Self::with_limits(founders, seed, limits)
     }
 
-    /// Starts founders with new folders and given sizes.
-    pub fn with_limits(founders: usize, seed: u64, size: Limits) -> Self {
+    /// Starts founders with new data directories and the given limits.
+    pub fn with_limits(founders: usize, seed: u64, limits: Limits) -> Self {
         let mut simulation = Self {
             now: Duration::ZERO,
             nodes: Vec::new(),
             conditions: Conditions::RELIABLE,
-            monitor: InvariantChecker::default(),
+            invariants: InvariantChecker::default(),
             traffic: Traffic::default(),
             received_snapshots: 0,
             largest_message: 0,
             random: Pcg64Mcg::seed_from_u64(seed),
             steps: 0,
-            limits: size,
+            limits,
             hold_filter: None,
             held_messages: Vec::new(),
             blocked_links: BTreeSet::new(),
@@ -169,14 +169,14 @@
         simulation
     }
 
-    /// Starts founders and waits until they have a leader with a lease.
+    /// Starts founders and waits until one of them is a leader with a lease.
     pub fn with_leader(founders: usize, seed: u64) -> Self {
         let mut simulation = Self::new(founders, seed);
         simulation.wait_for_leader();
         simulation
     }
 
-    /// Adds a node with a new folder, and returns its number.
+    /// Adds a node with a new data directory and returns its number.
     pub fn join(&mut self) -> usize {
         let node = self.nodes.len();
         let identity = self.random.random();
@@ -188,16 +188,16 @@
         node
     }
 
-    /// Sets a node's clock rate in thousandths of the true one; before it has run.
+    /// Sets a node's clock rate in thousandths of the true rate.
     pub fn set_rate(&mut self, node: usize, rate: u32) {
-        // The local time must not jump, so the offset takes up the difference.
+        // The offset compensates for the new rate, so that the local time does not jump.
         let local_time = self.nodes[node].clock.local_time(self.now);
         let scaled = self.now * rate / 1000;
         self.nodes[node].clock =
             Clock { offset: local_time.saturating_sub(scaled), rate_per_mille: rate };
     }
 
-    /// Runs until a time has passed.
+    /// Runs for a duration.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.next_event_at().is_some_and(|at| at <= end) {
@@ -207,7 +207,7 @@
         self.check_invariants();
     }
 
-    /// Runs until a condition holds; false when it does not within the time.
+    /// Runs until a condition holds; returns false if it does not hold within the limit.
     pub fn run_until(&mut self, limit: Duration, done: impl Fn(&Self) -> bool) -> bool {
         let end = self.now + limit;
         loop {
@@ -222,12 +222,12 @@
         }
     }
 
-    /// Waits for a leader with a lease, and returns it.
+    /// Waits for a leader with a lease and returns its node.
     pub fn wait_for_leader(&mut self) -> usize {
         let has_leader =
             self.run_until(ms(30_000), |simulation| simulation.leaseholder().is_some());
-        assert!(has_leader, "no leader with a lease came within 30 s: {:?}", self.summary());
-        self.leaseholder().expect("was just found")
+        assert!(has_leader, "no leader with a lease within 30 s: {:?}", self.summary());
+        self.leaseholder().expect("a leaseholder was just found")
     }
 
     /// Returns the node that holds a valid lease.
@@ -235,53 +235,53 @@
         (0..self.nodes.len()).find(|&node| self.holds_lease(node) && !self.nodes[node].paused)
     }
 
-    /// Tells whether a node holds a lease that is valid by its own clock.
+    /// Returns whether a node holds a lease that is valid by its own clock.
     pub fn holds_lease(&self, node: usize) -> bool {
         let Some(replica) = &self.nodes[node].replica else { return false };
         replica.lease_until(self.nodes[node].clock.local_time(self.now)).is_some()
     }
 
-    /// Returns a running replica.
+    /// Returns the replica of a running node.
     pub fn replica(&self, node: usize) -> &Replica {
         self.nodes[node].replica.as_ref().expect("the node runs")
     }
 
-    /// Proposes a command of a size at a node, and returns its token.
+    /// Proposes a command of the given size on a node, and returns the token.
     pub fn propose_sized(&mut self, node: usize, size: usize) -> u64 {
         let token = self.new_token();
         let mut command = token.to_le_bytes().to_vec();
         command.resize(size.max(8), 7);
-        self.monitor.proposed(token);
+        self.invariants.proposed(token);
         self.step(node, Input::Propose { token, command: command.into() });
         token
     }
 
-    /// Proposes a small command at a node, and returns its token.
+    /// Proposes a small command on a node, and returns the token.
     pub fn propose(&mut self, node: usize) -> u64 {
         self.propose_sized(node, 8)
     }
 
-    /// Asks a node to confirm a read, and returns the token.
+    /// Requests a read index from a node, and returns the token.
     pub fn request_read(&mut self, node: usize) -> u64 {
         let token = self.new_token();
-        self.monitor.read_requested(token);
+        self.invariants.read_requested(token);
         self.step(node, Input::ReadIndex { token });
         token
     }
 
-    /// Asks a node for another voter set, and returns the token.
+    /// Requests a voter change from a node, and returns the token.
     pub fn change(&mut self, node: usize, change: Change) -> u64 {
         let token = self.new_token();
         self.step(node, Input::ChangeVoters { token, change });
         token
     }
 
-    /// Asks a node to hand over.
+    /// Tells a node to transfer its leadership.
     pub fn transfer(&mut self, node: usize) {
         self.step(node, Input::TransferLeadership);
     }
 
-    /// Proposes at whoever leads until one command is committed, and returns its index.
+    /// Proposes commands to the current leader until one is committed, and returns its index.
     pub fn commit_one(&mut self) -> u64 {
         for _ in 0..20 {
             let leader = self.wait_for_leader();
@@ -291,12 +291,12 @@
                 return position.index;
             }
         }
-        panic!("nothing could be committed: {:?}", self.summary());
+        panic!("no command was committed: {:?}", self.summary());
     }
 
-    /// Commits several commands and returns the last one's index.
+    /// Commits several commands and returns the index of the last one.
     pub fn commit_many(&mut self, count: usize) -> u64 {
-        (0..count).map(|_| self.commit_one()).last().expect("asked for at least one")
+        (0..count).map(|_| self.commit_one()).last().expect("the count is at least one")
     }
 
     /// Drops all messages from one node to another.
@@ -312,17 +312,17 @@
         }
     }
 
-    /// Heals all cuts.
+    /// Restores all links.
     pub fn heal(&mut self) {
         self.blocked_links.clear();
     }
 
-    /// Stops a node's process for a while; its clock goes on.
+    /// Pauses a node's process while its clock advances.
     pub fn pause(&mut self, node: usize) {
         self.nodes[node].paused = true;
     }
 
-    /// Lets a frozen node go on with what has come meanwhile.
+    /// Resumes a paused node, which first handles the inputs received in the meantime.
     pub fn resume(&mut self, node: usize) {
         self.nodes[node].paused = false;
         for input in std::mem::take(&mut self.nodes[node].inbox) {
@@ -331,25 +331,25 @@
         self.step(node, Input::Tick);
     }
 
-    /// Kills a node with the power: a part of what was not synced is lost.
+    /// Fails a node's power: a random number of its pending writes become durable.
     pub fn crash(&mut self, node: usize) {
         let kept = self.random.random_range(0..=self.nodes[node].pending.len());
         self.crash_after_writes(node, kept);
     }
 
-    /// Kills a node with the power; the first few writes on their way became durable.
+    /// Fails a node's power after a number of its pending writes became durable.
     pub fn crash_after_writes(&mut self, node: usize, kept: usize) {
         self.nodes[node].crash(kept);
     }
 
-    /// Starts a node again on its folder.
+    /// Restarts a node on its data directory.
     pub fn restart(&mut self, node: usize) {
         if self.nodes[node].replica.is_none() {
             self.start(node);
         }
     }
 
-    /// Loses a node's disk; it comes back with a new folder.
+    /// Loses a node's disk and restarts the node with a new data directory.
     pub fn lose_disk(&mut self, node: usize) {
         self.nodes[node].crash(0);
         let identity = self.random.random();
@@ -357,7 +357,7 @@
         self.start(node);
     }
 
-    /// Gives a node an input, and does what it wants done.
+    /// Passes an input to a node and performs its outputs.
     pub fn step(&mut self, node: usize, input: Input) {
         if self.nodes[node].paused {
             self.nodes[node].inbox.push(input);
@@ -365,24 +365,24 @@
         }
         let local_time = self.nodes[node].clock.local_time(self.now);
         let Some(replica) = &mut self.nodes[node].replica else { return };
-        let mut out = Vec::new();
-        replica.step(local_time, input, &mut out);
+        let mut outputs = Vec::new();
+        replica.step(local_time, input, &mut outputs);
         self.steps += 1;
-        for output in out {
+        for output in outputs {
             self.perform(node, output);
         }
         self.schedule_timer(node);
         self.check_invariants();
     }
 
-    /// Sends the snared messages on.
+    /// Delivers the held messages.
     pub fn release_held(&mut self) {
         for (from, to, message) in std::mem::take(&mut self.held_messages) {
             self.schedule_event(ms(1), Event::Deliver { from, to, message: Box::new(message) });
         }
     }
 
-    /// Describes the nodes in one line each.
+    /// Describes each node in one line.
     pub fn summary(&self) -> Vec<String> {
         self.nodes.iter().map(|node| node.summary(self.now)).collect()
     }
@@ -399,7 +399,7 @@
         setup.timing = Timing { catch_up_timeout: ms(20_000), ..Timing::default() };
         let now = self.now;
         self.nodes[node].start(setup, now);
-        self.monitor.node_started(node);
+        self.invariants.node_started(node);
         self.step(node, Input::Tick);
     }
 
@@ -407,7 +407,7 @@
         self.events.peek().map(|scheduled| scheduled.0.at)
     }
 
-    /// Lets the next event happen.
+    /// Runs the next event.
     pub fn run_next_event(&mut self) {
         let Some(Reverse(scheduled)) = self.events.pop() else { return };
         self.now = self.now.max(scheduled.at);
@@ -450,30 +450,34 @@
             Output::Apply { position, command } => {
                 self.nodes[node].apply(position, &command);
                 let state_hash = self.nodes[node].state_hash;
-                self.monitor.check_applied(node, position, &command, state_hash);
+                self.invariants.check_applied(node, position, &command, state_hash);
             }
             Output::Install(snapshot) => {
                 let stored_snapshot = self.nodes[node].disk.content.snapshot.as_ref();
                 self.received_snapshots += u64::from(stored_snapshot != Some(&snapshot));
                 self.nodes[node].install(&snapshot);
                 let state_hash = self.nodes[node].state_hash;
-                self.monitor.check_installed(node, snapshot.position, state_hash);
+                self.invariants.check_installed(node, snapshot.position, state_hash);
             }
             Output::RequestSnapshot { .. } => {
                 let incarnation = self.nodes[node].incarnation;
                 self.schedule_event(ms(1), Event::Snapshot { node, incarnation });
             }
             Output::Answer { token, answer } => {
-                self.monitor.check_answer(token, &answer);
+                self.invariants.check_answer(token, &answer);
                 let before = self.answers.insert(token, answer);
                 assert_eq!(before, None, "proposal {token} was answered twice");
             }
             Output::ReadIndex { token, index } => {
-                self.monitor.check_read(token, index);
-                assert_eq!(self.reads.insert(token, Some(index)), None, "a read answered twice");
+                self.invariants.check_read(token, index);
+                assert_eq!(
+                    self.reads.insert(token, Some(index)),
+                    None,
+                    "a read was answered twice"
+                );
             }
             Output::ReadRejected { token, .. } => {
-                assert_eq!(self.reads.insert(token, None), None, "a read answered twice");
+                assert_eq!(self.reads.insert(token, None), None, "a read was answered twice");
             }
             Output::RoleChanged(role) => self.nodes[node].roles.push(role),
             Output::IdentityChanged(voter) => self.nodes[node].changed_identities.push(voter),
@@ -486,7 +490,7 @@
         self.traffic.messages += 1;
         self.traffic.bytes += bytes;
         self.largest_message = self.largest_message.max(bytes);
-        if self.hold_filter.is_some_and(|snare| snare(&message)) {
+        if self.hold_filter.is_some_and(|filter| filter(&message)) {
             self.held_messages.push((from, to, message));
             return;
         }
@@ -507,7 +511,7 @@
         }
     }
 
-    /// Makes sure that a node is woken when its next timer is due.
+    /// Schedules the next tick of a node.
     fn schedule_timer(&mut self, node: usize) {
         let Some(replica) = &self.nodes[node].replica else { return };
         let at = self.nodes[node].clock.true_time(replica.next_tick()).max(self.now);
@@ -523,7 +527,7 @@
         self.events.push(Reverse(ScheduledEvent { at, sequence: self.sequence, event }));
     }
 
-    /// Draws whether something happens that happens so often in a thousand.
+    /// Returns true with a probability given in thousandths.
     pub fn chance(&mut self, per_mille: u32) -> bool {
         per_mille > 0 && self.random.random_range(0..1000) < per_mille
     }
@@ -532,26 +536,26 @@
         Duration::from_micros(self.random.random_range(min..=max))
     }
 
-    /// Checks what must hold after every step.
+    /// Checks the invariants.
     fn check_invariants(&mut self) {
         let mut leases = 0;
         for number in 0..self.nodes.len() {
             let node = &self.nodes[number];
             let Some(replica) = &node.replica else { continue };
-            self.monitor.check_replica(number, replica);
+            self.invariants.check_replica(number, replica);
             leases += u32::from(self.holds_lease(number));
         }
-        assert!(leases <= 1, "{leases} valid leases at one time: {:?}", self.summary());
+        assert!(leases <= 1, "{leases} valid leases at the same time: {:?}", self.summary());
     }
 }
 
-/// Tells whether a message is one that a leader sends to a follower.
+/// Returns whether a message is sent by a leader to a follower.
 pub fn is_from_leader(message: &Message) -> bool {
     matches!(message.body, Body::Append { .. } | Body::SnapshotChunk { .. })
 }
 
 impl Simulation {
-    /// Lists the nodes other than one.
+    /// Returns all nodes except one.
     pub fn others(&self, node: usize) -> Vec<usize> {
         (0..self.nodes.len()).filter(|other| *other != node).collect()
     }
@@ -562,7 +566,7 @@
         self.disconnect_one_way(other, one);
     }
 
-    /// Replaces the voter of a node whose disk was lost by the folder that is there now.
+    /// Replaces the voter of a node that lost its disk by its new data directory.
     pub fn replace_lost_voter(&mut self, node: usize) {
         let new = self.replica(node).voter();
         let change = Change::Replace { old: new.instance.clone(), new };
@@ -570,10 +574,10 @@
         let token = self.change(leader, change);
         assert!(self.run_until(ms(20_000), |simulation| simulation.answers.contains_key(&token)));
         let answer = &self.answers[&token];
-        assert!(matches!(answer, Answer::Committed(_)), "the repair ended with {answer:?}");
+        assert!(matches!(answer, Answer::Committed(_)), "the replacement ended with {answer:?}");
     }
 
-    /// Ends all faults, commits once more, and checks that every voter has everything.
+    /// Ends all faults, commits once more, and checks that every voter has applied everything.
     pub fn recover_and_verify(&mut self) {
         self.heal();
         self.hold_filter = None;
@@ -592,7 +596,7 @@
         for node in 0..self.nodes.len() {
             let replica = self.replica(node);
             let is_behind = config.contains(replica.identity()) && replica.applied_index() < index;
-            assert!(!is_behind, "node {node} stays behind {index}: {:?}", self.summary());
+            assert!(!is_behind, "node {node} has not applied {index}: {:?}", self.summary());
         }
     }
 }
--- a/crates/verbenaslip-replica/tests/simulation/node.rs
+++ b/crates/verbenaslip-replica/tests/simulation/node.rs
@@ -1,4 +1,4 @@
-//! One replica with its clock, folder and state machine.
+//! One replica with its clock, data directory and state machine.
 
 use std::hash::Hasher;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 
 use super::Disk;
 
-/// Bytes that the state is padded to, so that a snapshot needs several chunks.
+/// The size of the encoded state, which makes a snapshot need several chunks.
 const STATE_BYTES: usize = 2000;
 
-/// Runs at a rate of its own.
+/// A clock with its own offset and rate.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     pub offset: Duration,
-    /// Thousandths of the true rate.
+    /// The rate in thousandths of the true rate.
     pub rate_per_mille: u32,
 }
 
@@ -38,24 +38,24 @@
     }
 }
 
-/// Holds one node.
+/// Holds the state of one node.
 pub struct Node {
     pub replica: Option<Replica>,
     pub disk: Disk,
-    /// Writes that are not durable yet.
+    /// The writes that are not durable yet, with their sequence numbers.
     pub pending: Vec<(u64, Write)>,
     pub clock: Clock,
     pub paused: bool,
-    /// What came while it was frozen.
+    /// The inputs received while the node was paused.
     pub inbox: Vec<Input>,
-    /// Counts starts.
+    /// The number of starts and crashes.
     pub incarnation: u32,
     pub timer: Option<Duration>,
-    /// A running hash over all applied commands.
+    /// A running hash of all applied commands.
     pub state_hash: u64,
     pub roles: Vec<RoleUpdate>,
     pub changed_identities: Vec<Voter>,
-    /// How many snapshots were installed.
+    /// The number of installed snapshots.
     pub installs: u32,
 }
 
@@ -86,17 +86,17 @@
         self.replica = Some(Replica::open(setup, self.disk.content.clone(), local_time));
     }
 
-    /// Ends the process; the first of the writes on their way may have become durable.
-    pub fn crash(&mut self, snapshot_config: usize) {
+    /// Stops the process after the given number of pending writes became durable.
+    pub fn crash(&mut self, durable_writes: usize) {
         self.incarnation += 1;
         self.replica = None;
         self.inbox.clear();
-        for (_, write) in self.pending.drain(..).take(snapshot_config) {
+        for (_, write) in self.pending.drain(..).take(durable_writes) {
             self.disk.apply(write);
         }
     }
 
-    /// Makes writes durable up to a mark.
+    /// Makes the writes up to a sequence number durable.
     pub fn sync(&mut self, sequence: u64) {
         let durable = self.pending.partition_point(|(number, _)| *number <= sequence);
         for (_, write) in self.pending.drain(..durable) {
@@ -114,7 +114,7 @@
     }
 
     pub fn install(&mut self, snapshot: &Snapshot) {
-        let state_hash = snapshot.state.first_chunk::<8>().expect("states begin with the chain");
+        let state_hash = snapshot.state.first_chunk::<8>().expect("the state begins with the hash");
         self.state_hash = u64::from_le_bytes(*state_hash);
         self.installs += 1;
     }
@@ -126,7 +126,7 @@
         Input::Snapshot { index, state: state.into() }
     }
 
-    /// Returns the voter set in force in its log, also while it is down.
+    /// Returns the voter set in force in the node's log, even if the node is down.
     pub fn config(&self) -> Config {
         if let Some(replica) = &self.replica {
             return replica.voters().clone();
@@ -154,7 +154,7 @@
             status.snapshot_index,
             status.lease_remaining,
             status.is_joint,
-            if self.paused { " frozen" } else { "" },
+            if self.paused { " paused" } else { "" },
         )
     }
 }
