--- a/crates/verbenaslip-policy/benches/bench/engine.rs
+++ b/crates/verbenaslip-policy/benches/bench/engine.rs
@@ -8,34 +8,34 @@
 use verbenaslip_policy::route::CacheEvent;
 
 /// Tokens of a prompt that one iteration computes at most.
-const CHUNK: u32 = 2048;
+const MAX_CHUNK_TOKENS: u32 = 2048;
 /// Tokens in a block.
-const BLOCK: u32 = 16;
+const BLOCK_TOKENS: u32 = 16;
 
 /// One engine or plain service.
 pub struct Engine {
     pub announcement: Announcement,
     pub alive: bool,
-    pub stepping: bool,
+    pub iterating: bool,
     pub speed: Speed,
     pub waiting: Vec<Job>,
     pub batch: Vec<Job>,
     pub cache: Lru,
     pub events: Vec<CacheEvent>,
-    pub reported: Load,
-    pub busy: Duration,
-    pub computed: u64,
-    pub slowed: f64,
+    pub reported_load: Load,
+    pub busy_time: Duration,
+    pub computed_tokens: u64,
+    pub slowdown: f64,
     order: u64,
 }
 
 /// How fast an engine is.
 #[derive(Clone, Copy)]
 pub struct Speed {
-    pub base: f64,
-    pub crowding: f64,
-    pub prefill: f64,
-    pub blocks: usize,
+    pub base_seconds: f64,
+    pub seconds_per_job: f64,
+    pub prefill_tokens_per_second: f64,
+    pub cache_blocks: usize,
 }
 
 /// One run at an engine.
@@ -47,16 +47,16 @@
     pub prompt: u32,
     pub tokens: u32,
     pub prefix: Vec<u64>,
-    pub computed: u32,
-    pub to_compute: u32,
-    pub made: u32,
+    pub computed_tokens: u32,
+    pub tokens_to_compute: u32,
+    pub produced_tokens: u32,
     order: u64,
 }
 
 /// Tells what an iteration brought.
 pub enum Progress {
-    First(Request, u32),
-    Ended(Request, u32),
+    FirstToken(Request, u32),
+    Completed(Request, u32),
 }
 
 impl Engine {
@@ -64,21 +64,21 @@
         Self {
             announcement,
             alive: true,
-            stepping: false,
+            iterating: false,
             speed,
             waiting: Vec::new(),
             batch: Vec::new(),
-            cache: Lru::new(speed.blocks),
+            cache: Lru::new(speed.cache_blocks),
             events: Vec::new(),
-            reported: Load::default(),
-            busy: Duration::ZERO,
-            computed: 0,
-            slowed: 1.0,
+            reported_load: Load::default(),
+            busy_time: Duration::ZERO,
+            computed_tokens: 0,
+            slowdown: 1.0,
             order: 0,
         }
     }
 
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.alive && self.announcement.phase == Phase::Ready
     }
 
@@ -88,55 +88,57 @@
         self.waiting.push(job);
     }
 
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.batch.is_empty() && self.waiting.is_empty()
     }
 
     /// Fills free slots, highest priority first, and returns how long the next iteration takes.
-    pub fn begin(&mut self) -> Duration {
+    pub fn begin_iteration(&mut self) -> Duration {
         self.waiting.sort_by_key(|job| (std::cmp::Reverse(job.priority), job.order));
         while self.batch.len() < self.announcement.slots as usize && !self.waiting.is_empty() {
             let mut job = self.waiting.remove(0);
-            let cached = self.cache.known(&job.prefix) as u32 * BLOCK;
-            job.to_compute = job.prompt.saturating_sub(cached).max(1);
+            let cached = self.cache.cached_prefix_len(&job.prefix) as u32 * BLOCK_TOKENS;
+            job.tokens_to_compute = job.prompt.saturating_sub(cached).max(1);
             self.batch.push(job);
         }
-        let decoding = self.batch.iter().filter(|job| job.computed >= job.to_compute).count();
-        let prefill = f64::from(self.chunk()) / self.speed.prefill;
+        let decoding =
+            self.batch.iter().filter(|job| job.computed_tokens >= job.tokens_to_compute).count();
+        let prefill = f64::from(self.chunk_tokens()) / self.speed.prefill_tokens_per_second;
         let decode = if decoding == 0 {
             0.0
         } else {
-            self.speed.base + self.speed.crowding * decoding as f64
+            self.speed.base_seconds + self.speed.seconds_per_job * decoding as f64
         };
-        let took = Duration::from_secs_f64((prefill + decode).max(0.000_1) * self.slowed);
-        self.busy += took;
+        let took = Duration::from_secs_f64((prefill + decode).max(0.000_1) * self.slowdown);
+        self.busy_time += took;
         took
     }
 
     /// Ends the iteration.
-    pub fn end(&mut self) -> Vec<Progress> {
+    pub fn end_iteration(&mut self) -> Vec<Progress> {
         let mut progress = Vec::new();
-        let chunk = self.chunk();
-        let target = self.batch.iter().position(|job| job.computed < job.to_compute);
-        for job in self.batch.iter_mut().filter(|job| job.computed >= job.to_compute) {
-            job.made += 1;
+        let chunk_tokens = self.chunk_tokens();
+        let target = self.batch.iter().position(|job| job.computed_tokens < job.tokens_to_compute);
+        for job in self.batch.iter_mut().filter(|job| job.computed_tokens >= job.tokens_to_compute)
+        {
+            job.produced_tokens += 1;
         }
         if let Some(index) = target {
             let job = &mut self.batch[index];
-            job.computed += chunk;
-            self.computed += u64::from(chunk);
-            if job.computed >= job.to_compute {
-                job.made = 1;
-                progress.push(Progress::First(job.request, job.attempt));
+            job.computed_tokens += chunk_tokens;
+            self.computed_tokens += u64::from(chunk_tokens);
+            if job.computed_tokens >= job.tokens_to_compute {
+                job.produced_tokens = 1;
+                progress.push(Progress::FirstToken(job.request, job.attempt));
                 let (stored, evicted) = self.cache.store(&job.prefix);
                 self.events.extend(stored.into_iter().map(CacheEvent::Stored));
                 self.events.extend(evicted.into_iter().map(CacheEvent::Evicted));
             }
         }
         self.batch.retain(|job| {
-            let done = job.made >= job.tokens;
+            let done = job.produced_tokens >= job.tokens;
             if done {
-                progress.push(Progress::Ended(job.request, job.attempt));
+                progress.push(Progress::Completed(job.request, job.attempt));
             }
             !done
         });
@@ -144,14 +146,14 @@
     }
 
     /// Returns the job whose prompt is computed whole at the end of this iteration.
-    pub fn computed_next(&self) -> Option<&Job> {
-        let job = self.batch.iter().find(|job| job.computed < job.to_compute)?;
-        (job.to_compute - job.computed <= CHUNK).then_some(job)
+    pub fn finishing_prefill(&self) -> Option<&Job> {
+        let job = self.batch.iter().find(|job| job.computed_tokens < job.tokens_to_compute)?;
+        (job.tokens_to_compute - job.computed_tokens <= MAX_CHUNK_TOKENS).then_some(job)
     }
 
-    fn chunk(&self) -> u32 {
-        let job = self.batch.iter().find(|job| job.computed < job.to_compute);
-        job.map_or(0, |job| (job.to_compute - job.computed).min(CHUNK))
+    fn chunk_tokens(&self) -> u32 {
+        let job = self.batch.iter().find(|job| job.computed_tokens < job.tokens_to_compute);
+        job.map_or(0, |job| (job.tokens_to_compute - job.computed_tokens).min(MAX_CHUNK_TOKENS))
     }
 }
 
@@ -164,9 +166,9 @@
             prompt,
             tokens: tokens.max(1),
             prefix: Vec::new(),
-            computed: 0,
-            to_compute: 0,
-            made: 0,
+            computed_tokens: 0,
+            tokens_to_compute: 0,
+            produced_tokens: 0,
             order: 0,
         }
     }
@@ -174,20 +176,20 @@
 
 /// Keeps the blocks used last.
 pub struct Lru {
-    most: usize,
-    used: BTreeMap<u64, u64>,
-    ages: BTreeMap<u64, u64>,
+    max_blocks: usize,
+    last_use: BTreeMap<u64, u64>,
+    by_last_use: BTreeMap<u64, u64>,
     clock: u64,
 }
 
 impl Lru {
-    fn new(most: usize) -> Self {
-        Self { most, used: BTreeMap::new(), ages: BTreeMap::new(), clock: 0 }
+    fn new(max_blocks: usize) -> Self {
+        Self { max_blocks, last_use: BTreeMap::new(), by_last_use: BTreeMap::new(), clock: 0 }
     }
 
     /// Returns how many blocks from the start are held.
-    pub fn known(&self, prefix: &[u64]) -> usize {
-        prefix.iter().take_while(|block| self.used.contains_key(block)).count()
+    pub fn cached_prefix_len(&self, prefix: &[u64]) -> usize {
+        prefix.iter().take_while(|block| self.last_use.contains_key(block)).count()
     }
 
     /// Stores blocks, the first ones as the last used, and returns what is new and what had to go.
@@ -195,15 +197,15 @@
         let (mut stored, mut evicted) = (Vec::new(), Vec::new());
         for block in prefix.iter().rev() {
             self.clock += 1;
-            match self.used.insert(*block, self.clock) {
-                Some(old) => drop(self.ages.remove(&old)),
+            match self.last_use.insert(*block, self.clock) {
+                Some(old) => drop(self.by_last_use.remove(&old)),
                 None => stored.push(*block),
             }
-            self.ages.insert(self.clock, *block);
+            self.by_last_use.insert(self.clock, *block);
         }
-        while self.used.len() > self.most {
-            let Some((_, block)) = self.ages.pop_first() else { break };
-            self.used.remove(&block);
+        while self.last_use.len() > self.max_blocks {
+            let Some((_, block)) = self.by_last_use.pop_first() else { break };
+            self.last_use.remove(&block);
             evicted.push(block);
         }
         (stored, evicted)
@@ -211,4 +213,4 @@
 }
 
 /// Cache events that were published and are still on their way.
-pub type Mail = VecDeque<(Duration, verbenaslip_policy::route::CacheBatch)>;
+pub type PendingEvents = VecDeque<(Duration, verbenaslip_policy::route::CacheBatch)>;
--- a/crates/verbenaslip-policy/benches/bench/measure.rs
+++ b/crates/verbenaslip-policy/benches/bench/measure.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use super::workload::{Caller, Workload};
-use super::world::World;
+use super::world::Simulation;
 
 /// How a caller fared in the end.
 #[derive(Clone, Copy, Debug)]
 pub enum Outcome {
     /// The answer came whole.
-    Whole { late: bool, slow: bool, took: Duration },
+    Completed { late: bool, slow: bool, took: Duration },
     /// It was refused and did not come back in time.
     Refused { hinted: bool },
     /// The run was lost and not run again.
@@ -26,15 +26,15 @@
     /// and its first token within the row's aim.
     pub cost: f64,
     /// Price of the machines' busy time for one answer at the latency target, in millionths.
-    pub busy: f64,
+    pub busy_cost: f64,
     /// Prompt tokens computed again, for a thousand that had to be computed.
-    pub again: f64,
+    pub recomputed: f64,
     /// Weighted fairness between teams in the two minutes after the top of the hour.
     pub jain: f64,
     /// Callers who came back when told to and were then served on time.
-    pub good: u32,
+    pub good_hints: u32,
     /// Callers who came back when told to and were refused again or late.
-    pub bad: u32,
+    pub bad_hints: u32,
     /// Callers who were refused and were not told when to come back.
     pub unhinted: u32,
     /// Runs lost that may have run.
@@ -46,7 +46,7 @@
 /// Counts callers and those served on time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Share {
-    pub all: u32,
+    pub total: u32,
     pub on_time: u32,
     pub late: u32,
     pub slow: u32,
@@ -56,16 +56,16 @@
 impl Share {
     /// Returns the share at the latency target, the first token counted.
     pub fn target(&self) -> f64 {
-        100.0 * f64::from(self.on_target) / f64::from(self.all.max(1))
+        100.0 * f64::from(self.on_target) / f64::from(self.total.max(1))
     }
 
     pub fn percent(&self) -> f64 {
-        100.0 * f64::from(self.on_time) / f64::from(self.all.max(1))
+        100.0 * f64::from(self.on_time) / f64::from(self.total.max(1))
     }
 
     fn add(&mut self, outcome: Option<Outcome>) {
-        self.all += 1;
-        if let Some(Outcome::Whole { late, slow, .. }) = outcome {
+        self.total += 1;
+        if let Some(Outcome::Completed { late, slow, .. }) = outcome {
             self.on_time += u32::from(!late);
             self.late += u32::from(late);
             self.slow += u32::from(slow);
@@ -90,10 +90,10 @@
         self.rows.values().map(Share::percent).fold(100.0, f64::min)
     }
 
-    fn sum(&self, fits: impl Fn(&str, &str) -> bool) -> Share {
-        let rows = self.rows.iter().filter(|((team, class), _)| fits(team, class));
+    fn sum(&self, matches: impl Fn(&str, &str) -> bool) -> Share {
+        let rows = self.rows.iter().filter(|((team, class), _)| matches(team, class));
         rows.fold(Share::default(), |sum, (_, share)| Share {
-            all: sum.all + share.all,
+            total: sum.total + share.total,
             on_time: sum.on_time + share.on_time,
             late: sum.late + share.late,
             slow: sum.slow + share.slow,
@@ -104,20 +104,20 @@
 
 impl Workload {
     /// Returns the milliseconds in which a caller's first token is aimed at.
-    pub fn first(&self, caller: &Caller) -> u64 {
+    pub fn first_token_ms(&self, caller: &Caller) -> u64 {
         let row = self.table.row(&caller.head.team, &caller.head.class);
         u64::from(row.map_or(1_400, |row| row.first_token_ms))
     }
 }
 
 /// Counts everything of a run.
-pub fn measure(world: &World, workload: &Workload) -> Measures {
+pub fn measure(simulation: &Simulation, workload: &Workload) -> Measures {
     let mut measures = Measures::default();
-    for fate in world.fates() {
-        let head = &fate.caller.head;
+    for state in simulation.caller_states() {
+        let head = &state.caller.head;
         let row = (head.team.to_string(), head.class.to_string());
-        measures.rows.entry(row).or_default().add(fate.outcome);
-        match fate.outcome {
+        measures.rows.entry(row).or_default().add(state.outcome);
+        match state.outcome {
             Some(Outcome::Refused { hinted: false }) => measures.unhinted += 1,
             Some(Outcome::Lost) => measures.lost += 1,
             None => measures.unsettled += 1,
@@ -125,38 +125,42 @@
         }
     }
     let on_target = f64::from(measures.total().on_target.max(1));
-    measures.cost = world.price / on_target;
-    measures.busy = world.busy_price / on_target;
-    measures.again = 1000.0 * world.again as f64 / world.least.max(1) as f64;
-    measures.jain = jain(world, workload);
-    measures.good = world.good;
-    measures.bad = world.bad;
+    measures.cost = simulation.price / on_target;
+    measures.busy_cost = simulation.busy_price / on_target;
+    measures.recomputed =
+        1000.0 * simulation.recomputed as f64 / simulation.required_tokens.max(1) as f64;
+    measures.jain = jain(simulation, workload);
+    measures.good_hints = simulation.good_hints;
+    measures.bad_hints = simulation.bad_hints;
     measures
 }
 
 /// Returns Jain's index of what each team got on time beside what its weight entitled it to.
-fn jain(world: &World, workload: &Workload) -> f64 {
-    let mut teams: BTreeMap<&str, Claim> = BTreeMap::new();
-    for fate in world.fates() {
-        let at = fate.caller.at.as_secs_f64();
+fn jain(simulation: &Simulation, workload: &Workload) -> f64 {
+    let mut teams: BTreeMap<&str, TeamShare> = BTreeMap::new();
+    for state in simulation.caller_states() {
+        let at = state.caller.at.as_secs_f64();
         let top = workload.span.top;
         if !(top..top + 120.0).contains(&at) {
             continue;
         }
-        let head = &fate.caller.head;
-        let work = f64::from(head.prompt) / 8000.0 + f64::from(fate.caller.tokens) * 0.0024;
+        let head = &state.caller.head;
+        let work = f64::from(head.prompt) / 8000.0 + f64::from(state.caller.tokens) * 0.0024;
         let row = workload.table.row(&head.team, &head.class);
         let team = teams.entry(head.team.as_str()).or_default();
         team.weight = f64::from(row.map_or(1, |row| row.weight));
         team.demand += work;
-        if matches!(fate.outcome, Some(Outcome::Whole { late: false, .. })) {
+        if matches!(state.outcome, Some(Outcome::Completed { late: false, .. })) {
             team.served += work;
         }
     }
-    let claims: Vec<Claim> = teams.into_values().collect();
-    let entitled = fill(&claims, claims.iter().map(|claim| claim.served).sum());
-    let ratios: Vec<f64> =
-        claims.iter().zip(entitled).map(|(claim, due)| claim.served / due.max(1e-9)).collect();
+    let shares: Vec<TeamShare> = teams.into_values().collect();
+    let entitled = share_by_weight(&shares, shares.iter().map(|share| share.served).sum());
+    let ratios: Vec<f64> = shares
+        .iter()
+        .zip(entitled)
+        .map(|(share, entitled_work)| share.served / entitled_work.max(1e-9))
+        .collect();
     let (sum, squares) =
         ratios.iter().fold((0.0, 0.0), |(sum, squares), x| (sum + x, squares + x * x));
     if squares == 0.0 { 0.0 } else { sum * sum / (ratios.len() as f64 * squares) }
@@ -164,29 +168,30 @@
 
 /// Holds what a team's weight is, what it asked for and what it got on time.
 #[derive(Default)]
-struct Claim {
+struct TeamShare {
     weight: f64,
     demand: f64,
     served: f64,
 }
 
 /// Shares a total by weight, none above its demand.
-fn fill(claims: &[Claim], total: f64) -> Vec<f64> {
-    let mut given = vec![0.0; claims.len()];
-    let mut left = total;
-    for _ in 0..claims.len() {
-        let open: Vec<usize> =
-            (0..claims.len()).filter(|i| given[*i] < claims[*i].demand - 1e-9).collect();
-        let weights: f64 = open.iter().map(|i| claims[*i].weight).sum();
-        if open.is_empty() || left <= 1e-9 {
+fn share_by_weight(shares: &[TeamShare], total: f64) -> Vec<f64> {
+    let mut assigned = vec![0.0; shares.len()];
+    let mut remaining = total;
+    for _ in 0..shares.len() {
+        let unsatisfied: Vec<usize> =
+            (0..shares.len()).filter(|i| assigned[*i] < shares[*i].demand - 1e-9).collect();
+        let weights: f64 = unsatisfied.iter().map(|i| shares[*i].weight).sum();
+        if unsatisfied.is_empty() || remaining <= 1e-9 {
             break;
         }
-        let each = left / weights;
-        for index in open {
-            let add = (each * claims[index].weight).min(claims[index].demand - given[index]);
-            given[index] += add;
-            left -= add;
+        let per_weight = remaining / weights;
+        for index in unsatisfied {
+            let add =
+                (per_weight * shares[index].weight).min(shares[index].demand - assigned[index]);
+            assigned[index] += add;
+            remaining -= add;
         }
     }
-    given
+    assigned
 }
--- a/crates/verbenaslip-policy/benches/bench/mod.rs
+++ b/crates/verbenaslip-policy/benches/bench/mod.rs
@@ -10,7 +10,7 @@
 pub mod world;
 
 use measure::Measures;
-use policy::{Baseline, Ours, Policy};
+use policy::{Baseline, Policy, ProjectPolicy};
 use workload::Workload;
 use world::Fault;
 
@@ -23,8 +23,8 @@
 /// Returns a policy by name.
 pub fn policy(name: &str, workload: &Workload) -> Box<dyn Policy> {
     match name {
-        "verbenaslip" => Box::new(Ours::new(&workload.table, &workload.zones, true)),
-        "no admission" => Box::new(Ours::new(&workload.table, &workload.zones, false)),
+        "verbenaslip" => Box::new(ProjectPolicy::new(&workload.table, &workload.zones, true)),
+        "no admission" => Box::new(ProjectPolicy::new(&workload.table, &workload.zones, false)),
         "least loaded" => Box::new(Baseline::new(true)),
         _ => Box::new(Baseline::new(false)),
     }
--- a/crates/verbenaslip-policy/benches/bench/speed.rs
+++ b/crates/verbenaslip-policy/benches/bench/speed.rs
@@ -10,7 +10,7 @@
 use verbenaslip_base::name::Instance;
 use verbenaslip_policy::dispatch::Dispatcher;
 use verbenaslip_policy::limit::Limiter;
-use verbenaslip_policy::row::Terms;
+use verbenaslip_policy::row::RowParams;
 use verbenaslip_table::{Row, Table};
 
 /// Requests in one measurement.
@@ -24,7 +24,7 @@
     println!("| upstreams | median | least to most | beside 12 |\n|---|---|---|---|");
     let mut first = None;
     for upstreams in [12, 120, 1_000] {
-        let mut times: Vec<f64> = (0..ROUNDS).map(|_| request(upstreams)).collect();
+        let mut times: Vec<f64> = (0..ROUNDS).map(|_| time_request(upstreams)).collect();
         times.sort_by(f64::total_cmp);
         let median = times[ROUNDS / 2];
         let base = *first.get_or_insert(median);
@@ -39,7 +39,7 @@
     println!("| instances | median | least to most | beside 6 |\n|---|---|---|---|");
     let mut first = None;
     for instances in [6, 40, 320] {
-        let mut times: Vec<f64> = (0..ROUNDS).map(|_| step(instances)).collect();
+        let mut times: Vec<f64> = (0..ROUNDS).map(|_| time_limiter_tick(instances)).collect();
         times.sort_by(f64::total_cmp);
         let median = times[ROUNDS / 2];
         let base = *first.get_or_insert(median);
@@ -48,7 +48,7 @@
     }
 }
 
-fn request(upstreams: u32) -> f64 {
+fn time_request(upstreams: u32) -> f64 {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut dispatcher = Dispatcher::new(Duration::ZERO, "i0".into(), "z0".into(), 1);
     dispatcher.set_members(Duration::ZERO, &["i0".into()]);
@@ -72,25 +72,25 @@
     begin.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS)
 }
 
-fn step(count: usize) -> f64 {
+fn time_limiter_tick(count: usize) -> f64 {
     let names: Vec<Instance> = (0..count).map(|i| Instance::new(format!("i{i:03}"))).collect();
     let table = table(20);
-    let rows: Vec<_> = table.rows().iter().map(|row| (row.key(), Terms::from(row))).collect();
+    let rows: Vec<_> = table.rows().iter().map(|row| (row.key(), RowParams::from(row))).collect();
     let start = |name: &Instance| {
         let mut limiter = Limiter::new(Duration::ZERO, name.clone(), 1);
-        limiter.members(Duration::ZERO, &names);
-        limiter.table(Duration::ZERO, rows.iter().map(|(key, terms)| (key, terms)));
+        limiter.set_members(Duration::ZERO, &names);
+        limiter.set_rows(Duration::ZERO, rows.iter().map(|(key, params)| (key, params)));
         limiter
     };
-    let (mut one, mut other) = (start(&names[0]), start(&names[1]));
+    let (mut receiver, mut sender) = (start(&names[0]), start(&names[1]));
     let mut total = Duration::ZERO;
     for second in 0..20 {
         let now = Duration::from_secs(second);
-        rows.iter().for_each(|(key, _)| other.asked(now, key));
-        let report = other.step(now);
+        rows.iter().for_each(|(key, _)| sender.record_demand(now, key));
+        let report = sender.tick(now);
         let begin = Instant::now();
-        names[1..].iter().for_each(|name| one.heard(now, name, &report));
-        one.step(now);
+        names[1..].iter().for_each(|name| receiver.handle_report(now, name, &report));
+        receiver.tick(now);
         total += begin.elapsed();
     }
     total.as_secs_f64() * 1e6 / 20.0
--- a/crates/verbenaslip-policy/benches/bench/workload.rs
+++ b/crates/verbenaslip-policy/benches/bench/workload.rs
@@ -29,9 +29,9 @@
     pub at: Duration,
     pub head: Head,
     /// How long after it was sent the whole answer is due.
-    pub due: Duration,
+    pub time_limit: Duration,
     /// Until when the caller comes back after refusals.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// Tokens that the answer will have.
     pub tokens: u32,
 }
@@ -51,48 +51,72 @@
 struct Class {
     name: &'static str,
     priority: u32,
-    due: u64,
-    first: u64,
+    deadline_ms: u64,
+    first_token_ms: u64,
     service: bool,
 }
 
 /// Draws Kajlinjen's hour: few large drafting jobs with long dossiers, many small checks.
 pub fn kajlinjen(seed: u64, span: Span) -> Workload {
     let classes = [
-        Class { name: "draft", priority: 5, due: 90_000, first: 15_000, service: false },
-        Class { name: "check", priority: 7, due: 10_000, first: 1_400, service: false },
-        Class { name: "explain", priority: 6, due: 15_000, first: 1_400, service: false },
-        Class { name: "record", priority: 7, due: 5_000, first: 2_000, service: true },
+        Class {
+            name: "draft",
+            priority: 5,
+            deadline_ms: 90_000,
+            first_token_ms: 15_000,
+            service: false,
+        },
+        Class {
+            name: "check",
+            priority: 7,
+            deadline_ms: 10_000,
+            first_token_ms: 1_400,
+            service: false,
+        },
+        Class {
+            name: "explain",
+            priority: 6,
+            deadline_ms: 15_000,
+            first_token_ms: 1_400,
+            service: false,
+        },
+        Class {
+            name: "record",
+            priority: 7,
+            deadline_ms: 5_000,
+            first_token_ms: 2_000,
+            service: true,
+        },
     ];
     let teams =
         [("agent-a", 300), ("agent-b", 300), ("agent-c", 150), ("agent-d", 150), ("desk", 100)];
     let demand = [0.34, 0.30, 0.16, 0.12, 0.08];
-    let mut draw = Draw::new(seed, span, "laytime");
+    let mut generator = Generator::new(seed, span, "laytime");
     for (team, part) in teams.iter().map(|team| team.0).zip(demand) {
-        draw.each(part * 0.55, |draw, at| {
-            let dossier = draw.text(4_000, 14_000);
-            let tokens = draw.rng.random_range(500..1_100);
-            draw.push(at, (team, &classes[0]), &dossier, tokens, 1_500);
+        generator.generate_arrivals(part * 0.55, |generator, at| {
+            let dossier = generator.text(4_000, 14_000);
+            let tokens = generator.rng.random_range(500..1_100);
+            generator.push(at, (team, &classes[0]), &dossier, tokens, 1_500);
             // A third of the letters are drafted again from the same dossier.
-            if draw.rng.random_range(0..3) == 0 {
-                let again = at + draw.rng.random_range(30.0..90.0);
-                let revised = draw.extend(&dossier, 200);
-                draw.push(again, (team, &classes[0]), &revised, tokens, 1_500);
+            if generator.rng.random_range(0..3) == 0 {
+                let again = at + generator.rng.random_range(30.0..90.0);
+                let revised = generator.extend(&dossier, 200);
+                generator.push(again, (team, &classes[0]), &revised, tokens, 1_500);
             }
         });
-        draw.each(part * 9.0, |draw, at| {
-            let text = draw.shared("check", 400, 100, 600);
-            let tokens = draw.rng.random_range(30..100);
-            draw.push(at, (team, &classes[1]), &text, tokens, 160);
+        generator.generate_arrivals(part * 9.0, |generator, at| {
+            let text = generator.text_with_common_prefix("check", 400, 100, 600);
+            let tokens = generator.rng.random_range(30..100);
+            generator.push(at, (team, &classes[1]), &text, tokens, 160);
         });
-        draw.each(part * 4.0, |draw, at| {
-            let text = draw.shared("explain", 300, 100, 500);
-            let tokens = draw.rng.random_range(80..220);
-            draw.push(at, (team, &classes[2]), &text, tokens, 300);
+        generator.generate_arrivals(part * 4.0, |generator, at| {
+            let text = generator.text_with_common_prefix("explain", 300, 100, 500);
+            let tokens = generator.rng.random_range(80..220);
+            generator.push(at, (team, &classes[2]), &text, tokens, 300);
         });
-        draw.each(part * 3.0, |draw, at| {
-            let text = draw.text(50, 200);
-            draw.push(at, (team, &classes[3]), &text, 1, 1);
+        generator.generate_arrivals(part * 3.0, |generator, at| {
+            let text = generator.text(50, 200);
+            generator.push(at, (team, &classes[3]), &text, 1, 1);
         });
     }
     let table = table(&teams, &classes);
@@ -101,7 +125,7 @@
         name: "kajlinjen",
         span,
         table,
-        callers: draw.done(),
+        callers: generator.into_callers(),
         zones,
         model: "laytime",
         service: "claims-record",
@@ -111,35 +135,59 @@
 /// Draws the Office's hour: threads that are resent as they grow, lookups, confirmations.
 pub fn office(seed: u64, span: Span) -> Workload {
     let classes = [
-        Class { name: "review", priority: 5, due: 30_000, first: 4_000, service: false },
-        Class { name: "thread", priority: 6, due: 30_000, first: 3_000, service: false },
-        Class { name: "lookup", priority: 7, due: 8_000, first: 1_400, service: false },
-        Class { name: "confirm", priority: 8, due: 5_000, first: 2_000, service: true },
+        Class {
+            name: "review",
+            priority: 5,
+            deadline_ms: 30_000,
+            first_token_ms: 4_000,
+            service: false,
+        },
+        Class {
+            name: "thread",
+            priority: 6,
+            deadline_ms: 30_000,
+            first_token_ms: 3_000,
+            service: false,
+        },
+        Class {
+            name: "lookup",
+            priority: 7,
+            deadline_ms: 8_000,
+            first_token_ms: 1_400,
+            service: false,
+        },
+        Class {
+            name: "confirm",
+            priority: 8,
+            deadline_ms: 5_000,
+            first_token_ms: 2_000,
+            service: true,
+        },
     ];
     let teams = [("millinery", 300), ("bridal", 250), ("felt", 150), ("straw", 150), ("trim", 150)];
     let demand = [0.36, 0.28, 0.16, 0.12, 0.08];
-    let mut draw = Draw::new(seed, span, "assistant");
+    let mut generator = Generator::new(seed, span, "assistant");
     for (team, part) in teams.iter().map(|team| team.0).zip(demand) {
         for (class, rate, turns) in [(&classes[0], 0.5, 3), (&classes[1], 0.9, 6)] {
-            draw.each(part * rate, |draw, start| {
-                let mut text = draw.shared(class.name, 600, 1_000, 3_000);
+            generator.generate_arrivals(part * rate, |generator, start| {
+                let mut text = generator.text_with_common_prefix(class.name, 600, 1_000, 3_000);
                 let mut at = start;
-                for _ in 0..draw.rng.random_range(1..=turns) {
-                    let tokens = draw.rng.random_range(100..350);
-                    draw.push(at, (team, class), &text, tokens, 500);
-                    text = draw.extend(&text, tokens + 250);
-                    at += draw.rng.random_range(20.0..60.0);
+                for _ in 0..generator.rng.random_range(1..=turns) {
+                    let tokens = generator.rng.random_range(100..350);
+                    generator.push(at, (team, class), &text, tokens, 500);
+                    text = generator.extend(&text, tokens + 250);
+                    at += generator.rng.random_range(20.0..60.0);
                 }
             });
         }
-        draw.each(part * 8.0, |draw, at| {
-            let text = draw.shared("lookup", 700, 20, 120);
-            let tokens = draw.rng.random_range(20..80);
-            draw.push(at, (team, &classes[2]), &text, tokens, 120);
+        generator.generate_arrivals(part * 8.0, |generator, at| {
+            let text = generator.text_with_common_prefix("lookup", 700, 20, 120);
+            let tokens = generator.rng.random_range(20..80);
+            generator.push(at, (team, &classes[2]), &text, tokens, 120);
         });
-        draw.each(part * 3.0, |draw, at| {
-            let text = draw.text(40, 120);
-            draw.push(at, (team, &classes[3]), &text, 1, 1);
+        generator.generate_arrivals(part * 3.0, |generator, at| {
+            let text = generator.text(40, 120);
+            generator.push(at, (team, &classes[3]), &text, 1, 1);
         });
     }
     let table = table(&teams, &classes);
@@ -148,7 +196,7 @@
         name: "office",
         span,
         table,
-        callers: draw.done(),
+        callers: generator.into_callers(),
         zones,
         model: "assistant",
         service: "stock-orders",
@@ -160,9 +208,9 @@
         classes.iter().map(move |class| Row {
             weight: *weight,
             priority: class.priority,
-            deadline_ms: class.due as u32,
-            first_token_ms: class.first as u32,
-            max_wait_ms: (class.due / 2) as u32,
+            deadline_ms: class.deadline_ms as u32,
+            first_token_ms: class.first_token_ms as u32,
+            max_wait_ms: (class.deadline_ms / 2) as u32,
             ..Row::new(*team, class.name)
         })
     });
@@ -170,7 +218,7 @@
 }
 
 /// Draws requests.
-struct Draw {
+struct Generator {
     rng: Pcg64Mcg,
     callers: Vec<Caller>,
     span: Span,
@@ -178,23 +226,24 @@
     next: u128,
 }
 
-impl Draw {
+impl Generator {
     fn new(seed: u64, span: Span, model: &'static str) -> Self {
         Self { rng: Pcg64Mcg::seed_from_u64(seed), callers: Vec::new(), span, model, next: 1 }
     }
 
     /// Draws arrivals at a rate that rises fourfold at the top of the hour and falls again.
-    fn each(&mut self, rate: f64, mut make: impl FnMut(&mut Self, f64)) {
+    fn generate_arrivals(&mut self, rate: f64, mut add_callers: impl FnMut(&mut Self, f64)) {
         let mut at = 0.0;
         loop {
-            at += -(1.0 - self.rng.random_range(0.0..1.0_f64)).ln() / (rate * WAVE);
+            at += -(1.0 - self.rng.random_range(0.0..1.0_f64)).ln() / (rate * PEAK_FACTOR);
             if at >= self.span.arrivals {
                 return;
             }
             let after = at - self.span.top;
-            let now = if after < 0.0 { 1.0 } else { 1.0 + (WAVE - 1.0) * (-after / 60.0).exp() };
-            if self.rng.random_range(0.0..WAVE) < now {
-                make(self, at);
+            let now =
+                if after < 0.0 { 1.0 } else { 1.0 + (PEAK_FACTOR - 1.0) * (-after / 60.0).exp() };
+            if self.rng.random_range(0.0..PEAK_FACTOR) < now {
+                add_callers(self, at);
             }
         }
     }
@@ -205,7 +254,13 @@
     }
 
     /// Draws a text that begins like all others of a kind.
-    fn shared(&mut self, kind: &str, common: u32, least: u32, most: u32) -> Vec<u64> {
+    fn text_with_common_prefix(
+        &mut self,
+        kind: &str,
+        common: u32,
+        least: u32,
+        most: u32,
+    ) -> Vec<u64> {
         let mut blocks = Vec::new();
         for index in 0..common / 16 {
             blocks.push(hash::narrow(&[kind.as_bytes(), &index.to_le_bytes()]));
@@ -231,7 +286,7 @@
         most: u32,
     ) {
         self.next += 1;
-        let due = Duration::from_millis(class.due);
+        let time_limit = Duration::from_millis(class.deadline_ms);
         let model = if class.service { "service" } else { self.model };
         let head = Head {
             request: Request(self.next),
@@ -247,14 +302,14 @@
             prefix: text.to_vec(),
         };
         let at = Duration::from_secs_f64(at);
-        self.callers.push(Caller { at, head, due, patience: due * 4, tokens });
+        self.callers.push(Caller { at, head, time_limit, timeout: time_limit * 4, tokens });
     }
 
-    fn done(mut self) -> Vec<Caller> {
+    fn into_callers(mut self) -> Vec<Caller> {
         self.callers.sort_by_key(|caller| (caller.at, caller.head.request));
         self.callers
     }
 }
 
 /// By how much arrivals rise at the top of the hour.
-const WAVE: f64 = 4.0;
+const PEAK_FACTOR: f64 = 4.0;
--- a/crates/verbenaslip-policy/benches/policy.rs
+++ b/crates/verbenaslip-policy/benches/policy.rs
@@ -30,31 +30,31 @@
         workload.callers.iter().map(|caller| caller.head.class.to_string()).collect();
     classes.sort();
     classes.dedup();
-    let only = std::env::args().any(|arg| arg == "--ours");
-    for name in bench::POLICIES.into_iter().take(if only { 1 } else { 4 }) {
+    let only_own = std::env::args().any(|arg| arg == "--ours");
+    for name in bench::POLICIES.into_iter().take(if only_own { 1 } else { 4 }) {
         let start = Instant::now();
-        let m = bench::run(workload, name, fault);
-        let by: Vec<String> = classes
+        let measures = bench::run(workload, name, fault);
+        let by_class: Vec<String> = classes
             .iter()
             .map(|class| {
-                let share = m.class(class);
+                let share = measures.class(class);
                 format!("{class} {:.1} ({:.1})", share.percent(), share.target())
             })
             .collect();
         println!(
             "| {name} | {:.2} | {:.2} | {:.1} | {:.0} | {:.0} | {:.0} | {:.3} | {}/{} | {} | {} | {} | {:.2} |",
-            m.total().percent(),
-            m.total().target(),
-            m.worst(),
-            m.cost,
-            m.busy,
-            m.again,
-            m.jain,
-            m.good,
-            m.bad,
-            m.unhinted,
-            m.lost,
-            by.join(", "),
+            measures.total().percent(),
+            measures.total().target(),
+            measures.worst(),
+            measures.cost,
+            measures.busy_cost,
+            measures.recomputed,
+            measures.jain,
+            measures.good_hints,
+            measures.bad_hints,
+            measures.unhinted,
+            measures.lost,
+            by_class.join(", "),
             start.elapsed().as_secs_f64(),
         );
     }
--- a/crates/verbenaslip-policy/src/admit.rs
+++ b/crates/verbenaslip-policy/src/admit.rs
@@ -7,7 +7,7 @@
 
 mod lane;
 mod queue;
-mod returns;
+mod retry_hint;
 
-pub use self::queue::{Admission, Given, Item, Queue};
-pub use self::returns::Returns;
+pub use self::queue::{Admission, Expired, Queue, QueuedRequest};
+pub use self::retry_hint::RetryHints;
--- a/crates/verbenaslip-policy/src/dispatch.rs
+++ b/crates/verbenaslip-policy/src/dispatch.rs
@@ -12,13 +12,13 @@
 use verbenaslip_base::refusal::{Reason, Refusal};
 use verbenaslip_table::{Key, Row, Table};
 
-use crate::admit::{Admission, Given, Item, Queue, Returns};
+use crate::admit::{Admission, Expired, Queue, QueuedRequest, RetryHints};
 use crate::limit::{Limiter, Report};
 use crate::pool::Pool;
-use crate::retry::{Ask as Retry, Decision, Denial, FailureKind, Moved, Retries};
-use crate::route::{Ask, CacheBatch, Choice, Loss, Router};
-use crate::row::Terms;
-use crate::wave::Wave;
+use crate::retry::{Backlog, Decision, Denial, FailureKind, RetryBudgets, RetryQuery};
+use crate::route::{CacheBatch, Choice, Loss, RouteQuery, Router};
+use crate::row::RowParams;
+use crate::zone_loss::ZoneLosses;
 
 /// Orders a run: this request, at this upstream.
 #[data(float)]
@@ -36,34 +36,39 @@
 pub struct Dispatcher {
     limiter: Limiter,
     router: Router,
-    retries: Retries,
-    wave: Wave,
+    retry_budgets: RetryBudgets,
+    zone_losses: ZoneLosses,
     table: Table,
     queues: BTreeMap<Model, Queue>,
-    returns: BTreeMap<Key, Returns>,
+    retry_hints: BTreeMap<Key, RetryHints>,
     running: BTreeMap<Request, Running>,
-    delayed: BTreeMap<(Duration, Request), Item>,
+    delayed: BTreeMap<(Duration, Request), QueuedRequest>,
 }
 
 /// Holds a request that runs.
 #[derive(Debug)]
 struct Running {
-    item: Item,
-    estimate: u32,
+    queued: QueuedRequest,
+    estimated_tokens: u32,
     runs: u32,
 }
 
 impl Dispatcher {
     /// Starts an instance in a zone; `incarnation` rises at each of its starts.
-    pub fn new(now: Duration, me: Instance, zone: AvailabilityZone, incarnation: u64) -> Self {
+    pub fn new(
+        now: Duration,
+        own_name: Instance,
+        zone: AvailabilityZone,
+        incarnation: u64,
+    ) -> Self {
         Self {
-            limiter: Limiter::new(now, me, incarnation),
+            limiter: Limiter::new(now, own_name, incarnation),
             router: Router::new(zone),
-            retries: Retries::default(),
-            wave: Wave::default(),
+            retry_budgets: RetryBudgets::default(),
+            zone_losses: ZoneLosses::default(),
             table: Table::default(),
             queues: BTreeMap::new(),
-            returns: BTreeMap::new(),
+            retry_hints: BTreeMap::new(),
             running: BTreeMap::new(),
             delayed: BTreeMap::new(),
         }
@@ -72,48 +77,48 @@
     /// Puts a table in force, also for what already waits and runs.
     pub fn set_table(&mut self, now: Duration, table: &Table) {
         self.table = table.clone();
-        let rows: Vec<(Key, Terms)> =
-            table.rows().iter().map(|row| (row.key(), Terms::from(row))).collect();
-        self.limiter.table(now, rows.iter().map(|(key, terms)| (key, terms)));
-        let terms = |key: &Key| self.table.get(key).map(Terms::from);
-        self.queues.values_mut().for_each(|queue| queue.retune(terms));
-        self.retries.keep(|key| table.get(key).is_some());
-        self.returns.retain(|key, _| table.get(key).is_some());
+        let rows: Vec<(Key, RowParams)> =
+            table.rows().iter().map(|row| (row.key(), RowParams::from(row))).collect();
+        self.limiter.set_rows(now, rows.iter().map(|(key, params)| (key, params)));
+        let params = |key: &Key| self.table.get(key).map(RowParams::from);
+        self.queues.values_mut().for_each(|queue| queue.update_params(params));
+        self.retry_budgets.retain_rows(|key| table.get(key).is_some());
+        self.retry_hints.retain(|key, _| table.get(key).is_some());
     }
 
     /// Takes over the instances that membership counts as alive, this one counted.
     pub fn set_members(&mut self, now: Duration, members: &[Instance]) {
-        self.limiter.members(now, members);
-        self.router.instances(members.len().max(1) as u32);
+        self.limiter.set_members(now, members);
+        self.router.set_instances(members.len().max(1) as u32);
     }
 
     /// Takes another instance's report of its part of the limits.
     pub fn handle_report(&mut self, now: Duration, from: &Instance, report: &Report) {
-        self.limiter.heard(now, from, report);
+        self.limiter.handle_report(now, from, report);
     }
 
     /// Returns the report to spread; called about once a second.
     pub fn tick_limits(&mut self, now: Duration) -> Report {
-        self.limiter.step(now)
+        self.limiter.tick(now)
     }
 
     /// Falls back to safe parts of the limits, as when others counted this instance as dead.
     pub fn reset_shares(&mut self, now: Duration) {
-        self.limiter.doubt(now);
+        self.limiter.reset_shares(now);
     }
 
     /// Takes an announcement that was made at a time on this instance's clock.
     pub fn handle_announcement(&mut self, heard: Duration, announcement: &Announcement) {
         let leaving = matches!(announcement.phase, Phase::Leaving { notice: Some(_) });
-        self.router.announce(heard, announcement);
+        self.router.handle_announcement(heard, announcement);
         if leaving {
-            self.note_loss(heard, &announcement.zone, &announcement.upstream);
+            self.record_zone_loss(heard, &announcement.zone, &announcement.upstream);
         }
     }
 
     /// Takes cache events of an upstream.
     pub fn handle_cache_events(&mut self, upstream: &Upstream, batch: &CacheBatch) {
-        self.router.cached(upstream, batch);
+        self.router.handle_cache_events(upstream, batch);
     }
 
     /// Forgets an upstream that is gone and returns what ran there.
@@ -121,10 +126,10 @@
     /// Each of those requests is then to be told by [`Dispatcher::failed`].
     pub fn remove_upstream(&mut self, now: Duration, upstream: &Upstream) -> Loss {
         if let Some(announcement) = self.router.announcement(upstream).cloned() {
-            self.note_loss(now, &announcement.zone, upstream);
+            self.record_zone_loss(now, &announcement.zone, upstream);
         }
-        self.retries.forget(upstream);
-        self.router.lost(upstream)
+        self.retry_budgets.remove_upstream(upstream);
+        self.router.remove_upstream(upstream)
     }
 
     /// Takes in a request, or refuses it at once.
@@ -140,16 +145,24 @@
         let Some(row) = self.table.row(&head.team, &head.class) else {
             return Admission::Refused(Refusal { reason: Reason::NoRow, retry: None });
         };
-        let (key, terms) = (row.key(), Terms::from(row));
-        let cached = self.router.best_cached(now, &head);
-        let item = Item { head, key, arrived, terms, cached, avoid: Vec::new(), begun: false };
-        self.limiter.asked(now, &item.key);
-        let pool = self.router.pool(now, &item.head.model);
-        if let Some(refusal) = self.limited(now, &item, &pool, rng) {
+        let (key, params) = (row.key(), RowParams::from(row));
+        let cached_tokens = self.router.max_cached_tokens(now, &head);
+        let queued = QueuedRequest {
+            head,
+            key,
+            arrived,
+            params,
+            cached_tokens,
+            avoid: Vec::new(),
+            may_have_run: false,
+        };
+        self.limiter.record_demand(now, &queued.key);
+        let pool = self.router.pool(now, &queued.head.model);
+        if let Some(refusal) = self.check_limits(now, &queued, &pool, rng) {
             return Admission::Refused(refusal);
         }
-        let queue = self.queues.entry(item.head.model.clone()).or_default();
-        queue.offer(now, item, &pool, rng)
+        let queue = self.queues.entry(queued.head.model.clone()).or_default();
+        queue.offer(now, queued, &pool, rng)
     }
 
     /// Takes over a request that another instance, or an earlier run here, has begun.
@@ -160,28 +173,36 @@
         self.cancel(now, head.request);
         let row = self.table.row(&head.team, &head.class);
         // The row may be gone by now; what was accepted under it is still answered.
-        let fallback = Row::new(head.team.clone(), head.class.clone());
-        let row = row.unwrap_or(&fallback);
-        let (key, terms) = (row.key(), Terms::from(row));
-        let cached = self.router.best_cached(now, &head);
-        let item = Item { head, key, arrived, terms, cached, avoid: avoid.to_vec(), begun: true };
-        let pool = self.router.pool(now, &item.head.model);
-        self.queues.entry(item.head.model.clone()).or_default().put_back(item, &pool);
+        let default_row = Row::new(head.team.clone(), head.class.clone());
+        let row = row.unwrap_or(&default_row);
+        let (key, params) = (row.key(), RowParams::from(row));
+        let cached_tokens = self.router.max_cached_tokens(now, &head);
+        let queued = QueuedRequest {
+            head,
+            key,
+            arrived,
+            params,
+            cached_tokens,
+            avoid: avoid.to_vec(),
+            may_have_run: true,
+        };
+        let pool = self.router.pool(now, &queued.head.model);
+        self.queues.entry(queued.head.model.clone()).or_default().requeue(queued, &pool);
     }
 
     /// Allows a request that was taken in to run: it is journalled, and claimed where it must be.
     pub fn mark_ready(&mut self, request: Request) -> bool {
-        self.queues.values_mut().any(|queue| queue.ready(request))
+        self.queues.values_mut().any(|queue| queue.mark_ready(request))
     }
 
     /// Returns all runs that can start now.
     pub fn next_dispatches(&mut self, now: Duration, rng: &mut impl Rng) -> Vec<Dispatch> {
-        self.requeue(now);
+        self.requeue_delayed(now);
         let busy = self.queues.iter().filter(|(_, queue)| !queue.is_empty());
         let models: Vec<Model> = busy.map(|(model, _)| model.clone()).collect();
         let mut dispatches = Vec::new();
         for model in models {
-            while let Some(dispatch) = self.next_of(now, &model, rng) {
+            while let Some(dispatch) = self.next_dispatch(now, &model, rng) {
                 dispatches.push(dispatch);
             }
         }
@@ -189,31 +210,36 @@
     }
 
     /// Gives up what waits in vain; their callers get the answers at once.
-    pub fn expire(&mut self, now: Duration, rng: &mut impl Rng) -> Vec<Given> {
-        let mut given = Vec::new();
+    pub fn expire(&mut self, now: Duration, rng: &mut impl Rng) -> Vec<Expired> {
+        let mut expired = Vec::new();
         for (model, queue) in self.queues.iter_mut().filter(|(_, queue)| !queue.is_empty()) {
             let pool = self.router.pool(now, model);
-            given.extend(queue.expire(now, &pool, rng));
+            expired.extend(queue.expire(now, &pool, rng));
         }
-        given
+        expired
     }
 
     /// Notes a request's first token.
     pub fn record_first_token(&mut self, now: Duration, request: Request) {
-        self.router.first_token(now, request);
+        self.router.record_first_token(now, request);
     }
 
     /// Notes that a request's answer is whole, with so many tokens.
     pub fn record_completion(&mut self, now: Duration, request: Request, tokens: u32) {
-        let home = self.router.home(request).cloned();
+        let upstream = self.router.upstream_of(request).cloned();
         let Some(running) = self.running.remove(&request) else { return };
-        let item = running.item;
-        self.leave(&item);
-        self.router.ended(now, &item.head.model, request, tokens);
-        let used = i64::from(item.head.prompt) + i64::from(tokens);
-        self.limiter.ended(&item.key, i64::from(running.estimate) - used);
-        if let Some(upstream) = home {
-            self.retries.succeeded(now, &item.key, &upstream, item.terms.retries);
+        let queued = running.queued;
+        self.release_slot(&queued);
+        self.router.record_completion(now, &queued.head.model, request, tokens);
+        let used_tokens = i64::from(queued.head.prompt) + i64::from(tokens);
+        self.limiter.release(&queued.key, i64::from(running.estimated_tokens) - used_tokens);
+        if let Some(upstream) = upstream {
+            self.retry_budgets.record_success(
+                now,
+                &queued.key,
+                &upstream,
+                queued.params.retry_percent,
+            );
         }
     }
 
@@ -225,25 +251,25 @@
         now: Duration,
         request: Request,
         upstream: &Upstream,
-        fate: FailureKind,
+        failure: FailureKind,
         rng: &mut impl Rng,
     ) -> Decision {
-        self.router.failed(now, request);
+        self.router.record_failure(now, request);
         let Some(running) = self.running.remove(&request) else {
             return Decision::Denied(Denial::MayHaveRun);
         };
-        self.limiter.ended(&running.item.key, i64::from(running.estimate));
-        self.leave(&running.item);
-        let ask = self.retry(now, &running, upstream, fate);
-        let verdict = self.retries.ask(now, &ask, rng);
-        if let Decision::RetryAfter(delay) = verdict {
-            let mut item = running.item;
-            item.begun = true;
-            item.avoid.retain(|avoided| avoided != upstream);
-            item.avoid.push(upstream.clone());
-            self.delayed.insert((now.saturating_add(delay), request), item);
+        self.limiter.release(&running.queued.key, i64::from(running.estimated_tokens));
+        self.release_slot(&running.queued);
+        let query = self.retry_query(now, &running, upstream, failure);
+        let decision = self.retry_budgets.decide(now, &query, rng);
+        if let Decision::RetryAfter(delay) = decision {
+            let mut queued = running.queued;
+            queued.may_have_run = true;
+            queued.avoid.retain(|avoided| avoided != upstream);
+            queued.avoid.push(upstream.clone());
+            self.delayed.insert((now.saturating_add(delay), request), queued);
         }
-        verdict
+        decision
     }
 
     /// Chooses where a running request could go on, as when its upstream is leaving.
@@ -253,18 +279,18 @@
         request: Request,
         rng: &mut impl Rng,
     ) -> Option<Choice> {
-        let item = &self.running.get(&request)?.item;
-        let mut ask = ask(item);
-        ask.avoid.extend(self.router.home(request).cloned());
-        self.router.choose(now, &ask, rng)
+        let queued = &self.running.get(&request)?.queued;
+        let mut query = route_query(queued);
+        query.avoid.extend(self.router.upstream_of(request).cloned());
+        self.router.choose(now, &query, rng)
     }
 
     /// Notes that a running request was moved to another upstream.
     pub fn record_move(&mut self, now: Duration, request: Request, choice: &Choice) {
         let Some(running) = self.running.get_mut(&request) else { return };
         running.runs += 1;
-        self.router.withdrawn(now, request);
-        self.router.sent(now, &running.item.head, choice);
+        self.router.record_withdrawal(now, request);
+        self.router.record_sent(now, &running.queued.head, choice);
     }
 
     /// Forgets a request whose caller has gone; returns the upstream where it ran, if it did.
@@ -272,11 +298,11 @@
         self.queues.values_mut().for_each(|queue| drop(queue.remove(request)));
         self.delayed.retain(|(_, delayed), _| *delayed != request);
         let running = self.running.remove(&request)?;
-        let home = self.router.home(request).cloned();
-        self.router.withdrawn(now, request);
-        self.limiter.ended(&running.item.key, i64::from(running.estimate));
-        self.leave(&running.item);
-        home
+        let upstream = self.router.upstream_of(request).cloned();
+        self.router.record_withdrawal(now, request);
+        self.limiter.release(&running.queued.key, i64::from(running.estimated_tokens));
+        self.release_slot(&running.queued);
+        upstream
     }
 
     /// Returns the router, for status and for the plan.
@@ -299,88 +325,96 @@
         self.running.len()
     }
 
-    fn next_of(&mut self, now: Duration, model: &Model, rng: &mut impl Rng) -> Option<Dispatch> {
+    fn next_dispatch(
+        &mut self,
+        now: Duration,
+        model: &Model,
+        rng: &mut impl Rng,
+    ) -> Option<Dispatch> {
         let queue = self.queues.get_mut(model).filter(|queue| !queue.is_empty())?;
         let pool = self.router.pool(now, model);
         let limiter = &mut self.limiter;
-        let may = |key: &Key, item: &Item| limiter.check(now, key, tokens(item, &pool)).is_ok();
-        let item = queue.next(now, &pool, may)?;
-        let Some(choice) = self.router.choose(now, &ask(&item), rng) else {
-            queue.left(&item);
-            queue.put_back(item, &pool);
+        let is_allowed = |key: &Key, queued: &QueuedRequest| {
+            limiter.check(now, key, estimate_tokens(queued, &pool)).is_ok()
+        };
+        let queued = queue.next(now, &pool, is_allowed)?;
+        let Some(choice) = self.router.choose(now, &route_query(&queued), rng) else {
+            queue.release(&queued);
+            queue.requeue(queued, &pool);
             return None;
         };
-        let estimate = tokens(&item, &pool);
+        let estimated_tokens = estimate_tokens(&queued, &pool);
         // The queue has just asked whether there is room, so taking it can't fail.
-        let _ = self.limiter.take(now, &item.key, estimate);
-        self.router.sent(now, &item.head, &choice);
-        let runs = item.avoid.len() as u32 + 1;
-        let (head, priority) = (item.head.clone(), i32::from(item.terms.priority));
-        self.running.insert(head.request, Running { item, estimate, runs });
+        let _ = self.limiter.acquire(now, &queued.key, estimated_tokens);
+        self.router.record_sent(now, &queued.head, &choice);
+        let runs = queued.avoid.len() as u32 + 1;
+        let (head, priority) = (queued.head.clone(), i32::from(queued.params.priority));
+        self.running.insert(head.request, Running { queued, estimated_tokens, runs });
         Some(Dispatch { head, choice, priority })
     }
 
-    fn leave(&mut self, item: &Item) {
-        if let Some(queue) = self.queues.get_mut(&item.head.model) {
-            queue.left(item);
+    fn release_slot(&mut self, queued: &QueuedRequest) {
+        if let Some(queue) = self.queues.get_mut(&queued.head.model) {
+            queue.release(queued);
         }
     }
 
     /// Puts failed requests whose delay is over back into their queues.
-    fn requeue(&mut self, now: Duration) {
+    fn requeue_delayed(&mut self, now: Duration) {
         while let Some(entry) = self.delayed.first_entry() {
             if entry.key().0 > now {
                 return;
             }
-            let item = entry.remove();
-            let pool = self.router.pool(now, &item.head.model);
-            self.queues.entry(item.head.model.clone()).or_default().put_back(item, &pool);
+            let queued = entry.remove();
+            let pool = self.router.pool(now, &queued.head.model);
+            self.queues.entry(queued.head.model.clone()).or_default().requeue(queued, &pool);
         }
     }
 
     /// Refuses a request that its row's limits would keep waiting too long.
-    fn limited(
+    fn check_limits(
         &mut self,
         now: Duration,
-        item: &Item,
+        queued: &QueuedRequest,
         pool: &Pool,
         rng: &mut impl Rng,
     ) -> Option<Refusal> {
-        let ahead = self.queues.get(&item.head.model).map_or(0, |queue| queue.waiting(&item.key));
-        let estimate = tokens(item, pool);
-        let wait = self.limiter.wait(now, &item.key, ahead, estimate);
-        let left = item.head.deadline.saturating_sub(now);
-        if wait <= item.terms.wait.min(left) {
+        let ahead =
+            self.queues.get(&queued.head.model).map_or(0, |queue| queue.len_of_row(&queued.key));
+        let estimated_tokens = estimate_tokens(queued, pool);
+        let wait = self.limiter.predict_wait(now, &queued.key, ahead, estimated_tokens);
+        let time_left = queued.head.deadline.saturating_sub(now);
+        if wait <= queued.params.max_wait.min(time_left) {
             return None;
         }
-        let rate = self.limiter.rate(now, &item.key).unwrap_or(1.0);
-        let returns = self.returns.entry(item.key.clone()).or_default();
-        let retry = returns.hint(now, wait.as_secs_f64(), 1.0, rate, rng);
+        let rate = self.limiter.rate(now, &queued.key).unwrap_or(1.0);
+        let hints = self.retry_hints.entry(queued.key.clone()).or_default();
+        let retry = hints.hint(now, wait.as_secs_f64(), 1.0, rate, rng);
         Some(Refusal { reason: Reason::Limit, retry: Some(retry) })
     }
 
-    fn retry(
+    fn retry_query(
         &self,
         now: Duration,
         running: &Running,
         upstream: &Upstream,
-        fate: FailureKind,
-    ) -> Retry {
+        failure: FailureKind,
+    ) -> RetryQuery {
         let zone = self.router.announcement(upstream).map(|announcement| &announcement.zone);
-        let wave = match zone {
-            Some(zone) => self.wave.on(now, zone),
-            None => self.wave.any(now),
+        let zone_lost = match zone {
+            Some(zone) => self.zone_losses.is_active(now, zone),
+            None => self.zone_losses.any_active(now),
         };
-        let pool = self.router.pool(now, &running.item.head.model);
-        let moved = self.waits(&running.item.head.model, &pool);
-        Retry {
-            key: running.item.key.clone(),
+        let pool = self.router.pool(now, &running.queued.head.model);
+        let backlog = self.backlog(&running.queued.head.model, &pool);
+        RetryQuery {
+            key: running.queued.key.clone(),
             upstream: upstream.clone(),
-            idempotent: running.item.head.idempotent,
-            fate,
+            idempotent: running.queued.head.idempotent,
+            failure,
             runs: running.runs,
-            percent: running.item.terms.retries,
-            wave: wave.then_some(moved),
+            retry_percent: running.queued.params.retry_percent,
+            zone_loss: zone_lost.then_some(backlog),
         }
     }
 
@@ -388,27 +422,27 @@
     ///
     /// Moved work goes back into its queue, which gives it only slots that are free, so a short
     /// delay is enough; a longer one by what was lost made more of it late.
-    fn waits(&self, model: &Model, pool: &Pool) -> Moved {
-        Moved { work: self.queues.get(model).map_or(0.0, Queue::work), room: pool.slots }
+    fn backlog(&self, model: &Model, pool: &Pool) -> Backlog {
+        Backlog { slot_seconds: self.queues.get(model).map_or(0.0, Queue::work), slots: pool.slots }
     }
 
-    fn note_loss(&mut self, now: Duration, zone: &AvailabilityZone, upstream: &Upstream) {
-        self.wave.lost(now, zone, upstream, self.router.in_zone(zone));
+    fn record_zone_loss(&mut self, now: Duration, zone: &AvailabilityZone, upstream: &Upstream) {
+        self.zone_losses.record_loss(now, zone, upstream, self.router.count_in_zone(zone));
     }
 }
 
 /// Returns what the router needs to know of a request.
-fn ask(item: &Item) -> Ask {
-    Ask {
-        head: item.head.clone(),
-        terms: item.terms,
-        arrived: item.arrived,
-        avoid: item.avoid.clone(),
+fn route_query(queued: &QueuedRequest) -> RouteQuery {
+    RouteQuery {
+        head: queued.head.clone(),
+        params: queued.params,
+        arrived: queued.arrived,
+        avoid: queued.avoid.clone(),
     }
 }
 
 /// Estimates the tokens that count against a row's token limit.
-fn tokens(item: &Item, pool: &Pool) -> u32 {
-    let output = item.head.output.min(item.terms.output);
-    item.head.prompt.saturating_add(pool.service.tokens(output) as u32)
+fn estimate_tokens(queued: &QueuedRequest, pool: &Pool) -> u32 {
+    let output = queued.head.output.min(queued.params.max_output_tokens);
+    queued.head.prompt.saturating_add(pool.service_times.expected_tokens(output) as u32)
 }
--- a/crates/verbenaslip-policy/src/estimate.rs
+++ b/crates/verbenaslip-policy/src/estimate.rs
@@ -6,24 +6,24 @@
 #[data(copy, float)]
 pub struct Mean {
     value: f64,
-    gain: f64,
+    sample_weight: f64,
 }
 
 impl Mean {
-    /// Starts at a prior value; `gain` is the part of each new sample, between 0 and 1.
-    pub fn new(value: f64, gain: f64) -> Self {
-        Self { value, gain: gain.clamp(0.0, 1.0) }
+    /// Starts at a prior value; `sample_weight` is the part of each new sample, between 0 and 1.
+    pub fn new(value: f64, sample_weight: f64) -> Self {
+        Self { value, sample_weight: sample_weight.clamp(0.0, 1.0) }
     }
 
     /// Takes a sample; one that is not a finite number is dropped.
     pub fn add(&mut self, sample: f64) {
         if sample.is_finite() {
-            self.value += self.gain * (sample - self.value);
+            self.value += self.sample_weight * (sample - self.value);
         }
     }
 
     /// Returns the mean.
-    pub fn get(&self) -> f64 {
+    pub fn value(&self) -> f64 {
         self.value
     }
 }
@@ -32,8 +32,8 @@
 ///
 /// A prior with the weight of a few samples keeps the line sane when all samples have the same x.
 #[data(copy, float)]
-pub struct Line {
-    keep: f64,
+pub struct LinearFit {
+    decay: f64,
     weight: f64,
     x: f64,
     y: f64,
@@ -41,16 +41,16 @@
     xy: f64,
 }
 
-impl Line {
+impl LinearFit {
     /// Starts from a prior line, held by two points `span` apart that each weigh as four samples.
     pub fn new(base: f64, slope: f64, span: f64) -> Self {
-        let mut line = Self { keep: 1.0, weight: 0.0, x: 0.0, y: 0.0, xx: 0.0, xy: 0.0 };
+        let mut fit = Self { decay: 1.0, weight: 0.0, x: 0.0, y: 0.0, xx: 0.0, xy: 0.0 };
         for _ in 0..4 {
-            line.add(0.0, base);
-            line.add(span, base + slope * span);
+            fit.add(0.0, base);
+            fit.add(span, base + slope * span);
         }
-        line.keep = 0.98;
-        line
+        fit.decay = 0.98;
+        fit
     }
 
     /// Takes a sample; one that is not a pair of finite numbers is dropped.
@@ -58,11 +58,11 @@
         if !(x.is_finite() && y.is_finite()) {
             return;
         }
-        self.weight = self.weight * self.keep + 1.0;
-        self.x = self.x * self.keep + x;
-        self.y = self.y * self.keep + y;
-        self.xx = self.xx * self.keep + x * x;
-        self.xy = self.xy * self.keep + x * y;
+        self.weight = self.weight * self.decay + 1.0;
+        self.x = self.x * self.decay + x;
+        self.y = self.y * self.decay + y;
+        self.xx = self.xx * self.decay + x * x;
+        self.xy = self.xy * self.decay + x * y;
     }
 
     /// Returns the slope, never below zero.
@@ -76,7 +76,7 @@
     }
 
     /// Returns the line's value at x, never below zero.
-    pub fn at(&self, x: f64) -> f64 {
+    pub fn value_at(&self, x: f64) -> f64 {
         let mean = self.x / self.weight;
         (self.y / self.weight + self.slope() * (x - mean)).max(0.0)
     }
--- a/crates/verbenaslip-policy/src/lib.rs
+++ b/crates/verbenaslip-policy/src/lib.rs
@@ -20,5 +20,5 @@
 pub mod retry;
 pub mod route;
 pub mod row;
-pub mod service;
-pub mod wave;
+pub mod service_time;
+pub mod zone_loss;
--- a/crates/verbenaslip-policy/src/limit.rs
+++ b/crates/verbenaslip-policy/src/limit.rs
@@ -16,11 +16,11 @@
 
 mod bucket;
 mod limiter;
-mod part;
 mod peers;
 mod report;
+mod share;
 
-pub use self::limiter::{Limiter, Refused, What};
-pub use self::part::{FLOOR, HOLD};
-pub use self::peers::{FORGET, STALE};
-pub use self::report::{Entry, MOST_ENTRIES, Report};
+pub use self::limiter::{Exceeded, Limit, Limiter};
+pub use self::peers::{DEPARTED_RETENTION, REPORT_MAX_AGE};
+pub use self::report::{MAX_ENTRIES, Report, ReportEntry};
+pub use self::share::{ANNOUNCE_DELAY, BASE_FRACTION};
--- a/crates/verbenaslip-policy/src/limit/limiter.rs
+++ b/crates/verbenaslip-policy/src/limit/limiter.rs
@@ -8,32 +8,32 @@
 use verbenaslip_table::Key;
 
 use crate::limit::bucket::Bucket;
-use crate::limit::part::{Aim, FLOOR, HOLD, Part};
 use crate::limit::peers::Peers;
-use crate::limit::report::{Entry, MOST_ENTRIES, Report, WHOLE};
-use crate::row::{self, Terms};
+use crate::limit::report::{FULL_SHARE, MAX_ENTRIES, Report, ReportEntry};
+use crate::limit::share::{ANNOUNCE_DELAY, BASE_FRACTION, Share, ShareGoal};
+use crate::row::{self, RowParams};
 
 /// Seconds over which demand is remembered.
-const DEMAND: f64 = 2.0;
+const DEMAND_DECAY_SECONDS: f64 = 2.0;
 /// The demand below which a row counts as idle.
-const IDLE: f64 = 0.05;
+const IDLE_DEMAND: f64 = 0.05;
 /// The most slots that are split into whole ones; its square must be below [`WHOLE`].
-const FEW: u32 = 120;
+const MAX_WHOLE_SLOTS: u32 = 120;
 /// The longest time between two steps that is no freeze.
-const FREEZE: Duration = HOLD;
+const MAX_ACTIVE_GAP: Duration = ANNOUNCE_DELAY;
 
 /// Tells why a request may not run now under its row's limits.
 #[data(copy)]
-pub struct Refused {
+pub struct Exceeded {
     /// The limit that is used up.
-    pub what: What,
+    pub limit: Limit,
     /// How long until there is room, as far as is known.
-    pub after: Duration,
+    pub retry_after: Duration,
 }
 
 /// Names a limit of a row.
 #[data(copy, ord, hash)]
-pub enum What {
+pub enum Limit {
     /// Requests a second.
     Rate,
     /// Requests at once.
@@ -45,136 +45,146 @@
 /// Keeps this instance's part of every row's limits.
 #[derive(Debug)]
 pub struct Limiter {
-    me: Instance,
+    own_name: Instance,
     incarnation: u64,
     sequence: u32,
     peers: Peers,
-    rows: BTreeMap<Key, Row>,
-    started: Duration,
-    stepped: Duration,
+    rows: BTreeMap<Key, RowState>,
+    warm_up_start: Duration,
+    last_activity: Duration,
 }
 
 /// Holds one row's state.
 #[derive(Debug)]
-struct Row {
-    digest: u32,
-    terms: Terms,
-    part: Part,
-    rate: Bucket,
-    tokens: Bucket,
+struct RowState {
+    row_hash: u32,
+    params: RowParams,
+    share: Share,
+    request_bucket: Bucket,
+    token_bucket: Bucket,
     running: u32,
     demand: f64,
-    asked: Duration,
+    demand_updated: Duration,
 }
 
 impl Limiter {
     /// Starts without any part; it grows once the others have been heard for [`HOLD`].
-    pub fn new(now: Duration, me: Instance, incarnation: u64) -> Self {
+    pub fn new(now: Duration, own_name: Instance, incarnation: u64) -> Self {
         Self {
-            me,
+            own_name,
             incarnation,
             sequence: 0,
             peers: Peers::default(),
             rows: BTreeMap::new(),
-            started: now,
-            stepped: now,
+            warm_up_start: now,
+            last_activity: now,
         }
     }
 
     /// Takes over the instances that membership counts as alive, this one among them or not.
-    pub fn members(&mut self, now: Duration, members: &[Instance]) {
-        self.peers.members(now, &self.me, members);
+    pub fn set_members(&mut self, now: Duration, members: &[Instance]) {
+        self.peers.set_members(now, &self.own_name, members);
     }
 
     /// Falls back to the even part, as when this instance learns that others counted it as dead.
     ///
     /// With a cut in one direction this instance hears all others while they may have handed out
     /// its part; only membership can tell.
-    pub fn doubt(&mut self, now: Duration) {
-        self.restart(now);
+    pub fn reset_shares(&mut self, now: Duration) {
+        self.restart_warm_up(now);
     }
 
     /// Takes the rows of the table in force; rows that are gone lose their state.
     ///
     /// Parts are relative to the limits, so an edit of a limit is in force at once everywhere.
-    pub fn table<'a>(&mut self, now: Duration, rows: impl Iterator<Item = (&'a Key, &'a Terms)>) {
-        let mut old = std::mem::take(&mut self.rows);
-        for (key, terms) in rows {
-            let row = old.remove(key).unwrap_or_else(|| Row::new(now, key, *terms));
-            self.rows.insert(key.clone(), Row { terms: *terms, ..row });
+    pub fn set_rows<'a>(
+        &mut self,
+        now: Duration,
+        rows: impl Iterator<Item = (&'a Key, &'a RowParams)>,
+    ) {
+        let mut previous = std::mem::take(&mut self.rows);
+        for (key, params) in rows {
+            let row = previous.remove(key).unwrap_or_else(|| RowState::new(now, key, *params));
+            self.rows.insert(key.clone(), RowState { params: *params, ..row });
         }
     }
 
     /// Takes another instance's report.
-    pub fn heard(&mut self, now: Duration, from: &Instance, report: &Report) {
-        self.notice_freeze(now);
-        self.peers.heard(now, from, report);
+    pub fn handle_report(&mut self, now: Duration, from: &Instance, report: &Report) {
+        self.restart_after_pause(now);
+        self.peers.handle_report(now, from, report);
     }
 
     /// Moves the parts and returns the report to spread; called about once a second.
-    pub fn step(&mut self, now: Duration) -> Report {
-        self.notice_freeze(now);
-        self.peers.forget(now);
-        self.move_parts(now);
-        self.report()
+    pub fn tick(&mut self, now: Duration) -> Report {
+        self.restart_after_pause(now);
+        self.peers.remove_departed(now);
+        self.update_shares(now);
+        self.make_report()
     }
 
     /// Returns whether a request may run now; takes nothing.
-    pub fn check(&mut self, now: Duration, key: &Key, tokens: u32) -> Result<(), Refused> {
-        self.notice_freeze(now);
-        let floor = self.floor(now);
+    pub fn check(&mut self, now: Duration, key: &Key, tokens: u32) -> Result<(), Exceeded> {
+        self.restart_after_pause(now);
+        let base = self.base_share(now);
         let Some(row) = self.rows.get_mut(key) else { return Ok(()) };
-        row.check(now, floor, tokens)
+        row.check(now, base, tokens)
     }
 
     /// Takes room for one request, whose tokens are as estimated, or refuses.
-    pub fn take(&mut self, now: Duration, key: &Key, tokens: u32) -> Result<(), Refused> {
+    pub fn acquire(&mut self, now: Duration, key: &Key, tokens: u32) -> Result<(), Exceeded> {
         self.check(now, key, tokens)?;
         let Some(row) = self.rows.get_mut(key) else { return Ok(()) };
         row.running += 1;
-        row.rate.take(1.0);
-        row.tokens.take(f64::from(tokens));
+        row.request_bucket.take(1.0);
+        row.token_bucket.take(f64::from(tokens));
         Ok(())
     }
 
     /// Notes that a request was offered, which counts as demand.
-    pub fn asked(&mut self, now: Duration, key: &Key) {
+    pub fn record_demand(&mut self, now: Duration, key: &Key) {
         if let Some(row) = self.rows.get_mut(key) {
-            row.ask(now);
+            row.record_demand(now);
         }
     }
 
     /// Gives room back when a run ends; `unused` is what the estimate of its tokens was too high.
-    pub fn ended(&mut self, key: &Key, unused: i64) {
+    pub fn release(&mut self, key: &Key, unused: i64) {
         let Some(row) = self.rows.get_mut(key) else { return };
         row.running = row.running.saturating_sub(1);
-        row.tokens.take(-(unused as f64));
+        row.token_bucket.take(-(unused as f64));
     }
 
     /// Predicts how long until a request has room, when so many of its row wait before it.
-    pub fn wait(&mut self, now: Duration, key: &Key, ahead: usize, tokens: u32) -> Duration {
-        self.notice_freeze(now);
-        let floor = self.floor(now);
+    pub fn predict_wait(
+        &mut self,
+        now: Duration,
+        key: &Key,
+        ahead: usize,
+        tokens: u32,
+    ) -> Duration {
+        self.restart_after_pause(now);
+        let base = self.base_share(now);
         let Some(row) = self.rows.get_mut(key) else { return Duration::ZERO };
-        row.wait(now, floor, ahead, tokens)
+        row.predict_wait(now, base, ahead, tokens)
     }
 
     /// Returns how many of a row may run at once here; none for a row that the table lacks.
     pub fn concurrency(&self, now: Duration, key: &Key) -> Option<u32> {
-        let floor = self.floor(now);
-        Some(self.rows.get(key)?.concurrency(floor))
+        let base = self.base_share(now);
+        Some(self.rows.get(key)?.concurrency(base))
     }
 
     /// Returns the requests a second that a row may start here, if that is limited.
     pub fn rate(&self, now: Duration, key: &Key) -> Option<f64> {
-        let floor = self.floor(now);
+        let base = self.base_share(now);
         let row = self.rows.get(key)?;
-        Some(f64::from(row.terms.rate?) * row.share(floor))
+        Some(f64::from(row.params.rate?) * row.rate_share(base))
     }
 
     /// Says whether this instance has its even part: the others have heard of it by now.
     pub fn has_base_share(&self, now: Duration) -> bool {
-        now.saturating_sub(self.started) >= HOLD
+        now.saturating_sub(self.warm_up_start) >= ANNOUNCE_DELAY
     }
 
     /// Returns how many of a row run here.
@@ -183,10 +193,14 @@
     }
 
     /// Returns the even part of a limit that is this instance's own without asking anyone.
-    fn floor(&self, now: Duration) -> Floor {
+    fn base_share(&self, now: Duration) -> BaseShare {
         // An instance that others have not yet heard of is not yet counted in their even parts.
-        Floor {
-            part: if self.has_base_share(now) { FLOOR / self.peers.count() as f64 } else { 0.0 },
+        BaseShare {
+            fraction: if self.has_base_share(now) {
+                BASE_FRACTION / self.peers.count() as f64
+            } else {
+                0.0
+            },
         }
     }
 
@@ -195,226 +209,257 @@
     /// A frozen instance wakes with its old parts, while the others may have forgotten it and
     /// handed them out; the sum of both would be a burst. It shows as a long time between steps,
     /// and reports that waited in the socket look fresh, so it waits as long as a newcomer.
-    fn notice_freeze(&mut self, now: Duration) {
-        if now.saturating_sub(self.stepped) > FREEZE {
-            self.restart(now);
+    fn restart_after_pause(&mut self, now: Duration) {
+        if now.saturating_sub(self.last_activity) > MAX_ACTIVE_GAP {
+            self.restart_warm_up(now);
         }
-        self.stepped = self.stepped.max(now);
+        self.last_activity = self.last_activity.max(now);
     }
 
-    fn restart(&mut self, now: Duration) {
-        self.started = now;
-        self.stepped = now;
+    fn restart_warm_up(&mut self, now: Duration) {
+        self.warm_up_start = now;
+        self.last_activity = now;
         for row in self.rows.values_mut() {
-            row.part.drop_to(0.0);
+            row.share.reduce_to(0.0);
         }
     }
 
-    fn move_parts(&mut self, now: Duration) {
-        let settled = self.has_base_share(now);
-        let isolated = !self.peers.majority(now);
-        let complete = self.peers.complete(now);
+    fn update_shares(&mut self, now: Duration) {
+        let warmed_up = self.has_base_share(now);
+        let minority = !self.peers.hears_majority(now);
+        let hears_all = self.peers.hears_all_members(now);
         for row in self.rows.values_mut() {
-            row.fade(now);
-            if isolated {
-                row.part.drop_to(0.0);
+            row.decay_demand(now);
+            if minority {
+                row.share.reduce_to(0.0);
                 continue;
             }
-            let mut aim = aim(&self.me, row, &self.peers);
+            let mut goal = share_goal(&self.own_name, row, &self.peers);
             // A raise is only safe when all were heard; giving up is safe at any time.
-            if !(settled && complete) {
-                aim.target = aim.target.min(row.part.used);
+            if !(warmed_up && hears_all) {
+                goal.target = goal.target.min(row.share.in_use);
             }
-            row.part.step(now, &aim);
+            row.share.update(now, &goal);
         }
-        self.bound_rows();
+        self.drop_unreported_shares();
     }
 
     /// Gives up the smallest parts of more rows than a report holds.
     ///
     /// A part that is not reported would be handed out a second time.
-    fn bound_rows(&mut self) {
-        let order = |row: &Row| (Entry::scaled(row.demand), part(row.part.announced));
-        let mut rows: Vec<&mut Row> = self.rows.values_mut().collect();
+    fn drop_unreported_shares(&mut self) {
+        let order = |row: &RowState| {
+            (ReportEntry::encode_demand(row.demand), to_report_units(row.share.announced))
+        };
+        let mut rows: Vec<&mut RowState> = self.rows.values_mut().collect();
         rows.sort_by_key(|row| std::cmp::Reverse(order(row)));
-        for row in rows.into_iter().skip(MOST_ENTRIES) {
-            row.part.drop_to(0.0);
+        for row in rows.into_iter().skip(MAX_ENTRIES) {
+            row.share.reduce_to(0.0);
         }
     }
 
-    fn report(&mut self) -> Report {
+    fn make_report(&mut self) -> Report {
         self.sequence = self.sequence.saturating_add(1);
-        let listed = |row: &&Row| row.part.announced > 0.0 || row.demand > IDLE;
-        let mut rows: Vec<&Row> = self.rows.values().filter(listed).collect();
+        let listed = |row: &&RowState| row.share.announced > 0.0 || row.demand > IDLE_DEMAND;
+        let mut rows: Vec<&RowState> = self.rows.values().filter(listed).collect();
         rows.sort_by_key(|row| {
-            std::cmp::Reverse((part(row.part.announced), Entry::scaled(row.demand)))
+            std::cmp::Reverse((
+                to_report_units(row.share.announced),
+                ReportEntry::encode_demand(row.demand),
+            ))
         });
-        let entries = rows.into_iter().take(MOST_ENTRIES).map(Row::entry).collect();
+        let entries = rows.into_iter().take(MAX_ENTRIES).map(RowState::report_entry).collect();
         Report { incarnation: self.incarnation, sequence: self.sequence, entries }
     }
 }
 
 /// Holds the even part of a limit.
 #[derive(Clone, Copy)]
-struct Floor {
-    part: f64,
+struct BaseShare {
+    fraction: f64,
 }
 
-impl Row {
-    fn new(now: Duration, key: &Key, terms: Terms) -> Self {
+impl RowState {
+    fn new(now: Duration, key: &Key, params: RowParams) -> Self {
         Self {
-            digest: row::digest(key),
-            terms,
-            part: Part::default(),
-            rate: Bucket::new(now),
-            tokens: Bucket::new(now),
+            row_hash: row::row_hash(key),
+            params,
+            share: Share::default(),
+            request_bucket: Bucket::new(now),
+            token_bucket: Bucket::new(now),
             running: 0,
             demand: 0.0,
-            asked: now,
+            demand_updated: now,
         }
     }
 
     /// Returns this instance's part of a limit that can be cut as finely as one likes.
-    fn share(&self, floor: Floor) -> f64 {
-        floor.part + (1.0 - FLOOR) * self.part.used / (1.0 + self.slack())
+    fn rate_share(&self, base: BaseShare) -> f64 {
+        base.fraction + (1.0 - BASE_FRACTION) * self.share.in_use / (1.0 + self.rounding_slack())
     }
 
     /// Returns what parts may add up to above 1, so that few slots can be split into whole ones.
     ///
     /// A third of a limit of three must count as one in spite of the report's rounding. With a
     /// limit of `l` the slots are rounded down to at most `l + l * l / WHOLE`, so below `l + 1`.
-    fn slack(&self) -> f64 {
-        let few = (self.terms.concurrency <= FEW).then_some(self.terms.concurrency);
-        f64::from(few.unwrap_or(0)) / f64::from(WHOLE)
+    fn rounding_slack(&self) -> f64 {
+        let whole_slots =
+            (self.params.concurrency <= MAX_WHOLE_SLOTS).then_some(self.params.concurrency);
+        f64::from(whole_slots.unwrap_or(0)) / f64::from(FULL_SHARE)
     }
 
     /// Returns how many may run at once.
-    fn concurrency(&self, floor: Floor) -> u32 {
+    fn concurrency(&self, base: BaseShare) -> u32 {
         const ROUNDING: f64 = 1e-6;
-        let limit = f64::from(self.terms.concurrency);
+        let limit = f64::from(self.params.concurrency);
         // An even part below one would be lost to rounding at every instance, so all is by demand.
-        let share = if self.indivisible(floor) {
-            self.part.used
+        let share = if self.base_below_one(base) {
+            self.share.in_use
         } else {
             // Rounding down takes care of the slack, which so may stay; without it a lone instance
             // would never reach a small limit.
-            floor.part + (1.0 - FLOOR) * self.part.used
+            base.fraction + (1.0 - BASE_FRACTION) * self.share.in_use
         };
         (limit * share + ROUNDING) as u32
     }
 
     /// Returns whether an even part of the concurrency would be less than one.
-    fn indivisible(&self, floor: Floor) -> bool {
-        f64::from(self.terms.concurrency) * floor.part < 1.0
+    fn base_below_one(&self, base: BaseShare) -> bool {
+        f64::from(self.params.concurrency) * base.fraction < 1.0
     }
 
     /// Returns the part that running requests keep from being given up.
-    fn least(&self) -> f64 {
-        f64::from(self.running) / f64::from(self.terms.concurrency.max(1))
+    fn running_share(&self) -> f64 {
+        f64::from(self.running) / f64::from(self.params.concurrency.max(1))
     }
 
-    fn fill(&mut self, now: Duration, floor: Floor) {
-        let share = self.share(floor);
-        if let Some(rate) = self.terms.rate {
-            let depth = (f64::from(self.terms.burst) * share).max(1.0);
-            self.rate.fill(now, f64::from(rate) * share, depth);
+    fn refill(&mut self, now: Duration, base: BaseShare) {
+        let share = self.rate_share(base);
+        if let Some(rate) = self.params.rate {
+            let burst = (f64::from(self.params.burst) * share).max(1.0);
+            self.request_bucket.refill(now, f64::from(rate) * share, burst);
         }
-        if let Some(tokens) = self.terms.tokens {
+        if let Some(tokens) = self.params.tokens_per_second {
             let rate = f64::from(tokens) * share;
-            self.tokens.fill(now, rate, rate);
+            self.token_bucket.refill(now, rate, rate);
         }
     }
 
-    fn check(&mut self, now: Duration, floor: Floor, tokens: u32) -> Result<(), Refused> {
-        self.fill(now, floor);
-        let share = self.share(floor);
-        if self.running >= self.concurrency(floor) {
-            return Err(Refused { what: What::Concurrency, after: HOLD });
+    fn check(&mut self, now: Duration, base: BaseShare, tokens: u32) -> Result<(), Exceeded> {
+        self.refill(now, base);
+        let share = self.rate_share(base);
+        if self.running >= self.concurrency(base) {
+            return Err(Exceeded { limit: Limit::Concurrency, retry_after: ANNOUNCE_DELAY });
         }
-        if let Some(rate) = self.terms.rate {
-            refuse(What::Rate, self.rate.until(1.0, f64::from(rate) * share))?;
+        if let Some(rate) = self.params.rate {
+            require_no_wait(
+                Limit::Rate,
+                self.request_bucket.seconds_until(1.0, f64::from(rate) * share),
+            )?;
         }
-        if let Some(limit) = self.terms.tokens {
+        if let Some(limit) = self.params.tokens_per_second {
             let rate = f64::from(limit) * share;
             // A request larger than the bucket goes when it is full, and the rest is owed.
-            refuse(What::Tokens, self.tokens.until(f64::from(tokens).min(rate), rate))?;
+            require_no_wait(
+                Limit::Tokens,
+                self.token_bucket.seconds_until(f64::from(tokens).min(rate), rate),
+            )?;
         }
         Ok(())
     }
 
-    fn wait(&mut self, now: Duration, floor: Floor, ahead: usize, tokens: u32) -> Duration {
-        self.fill(now, floor);
-        let share = self.share(floor);
-        let each = ahead as f64 + 1.0;
+    fn predict_wait(
+        &mut self,
+        now: Duration,
+        base: BaseShare,
+        ahead: usize,
+        tokens: u32,
+    ) -> Duration {
+        self.refill(now, base);
+        let share = self.rate_share(base);
+        let count = ahead as f64 + 1.0;
         let mut wait: f64 = 0.0;
-        if let Some(rate) = self.terms.rate {
-            wait = wait.max(self.rate.until(each, f64::from(rate) * share));
+        if let Some(rate) = self.params.rate {
+            wait = wait.max(self.request_bucket.seconds_until(count, f64::from(rate) * share));
         }
-        if let Some(limit) = self.terms.tokens {
+        if let Some(limit) = self.params.tokens_per_second {
             let rate = f64::from(limit) * share;
-            wait = wait.max(self.tokens.until(each * f64::from(tokens).min(rate), rate));
+            wait = wait
+                .max(self.token_bucket.seconds_until(count * f64::from(tokens).min(rate), rate));
         }
-        seconds(wait)
+        to_duration(wait)
     }
 
-    fn ask(&mut self, now: Duration) {
-        self.fade(now);
-        self.demand += 1.0 / DEMAND;
+    fn record_demand(&mut self, now: Duration) {
+        self.decay_demand(now);
+        self.demand += 1.0 / DEMAND_DECAY_SECONDS;
     }
 
-    fn fade(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.asked).as_secs_f64();
-        self.asked = self.asked.max(now);
-        self.demand *= (-passed / DEMAND).exp();
+    fn decay_demand(&mut self, now: Duration) {
+        let elapsed = now.saturating_sub(self.demand_updated).as_secs_f64();
+        self.demand_updated = self.demand_updated.max(now);
+        self.demand *= (-elapsed / DEMAND_DECAY_SECONDS).exp();
     }
 
-    fn entry(&self) -> Entry {
+    fn report_entry(&self) -> ReportEntry {
         let demand = self.demand + f64::from(self.running);
-        Entry { row: self.digest, demand: Entry::scaled(demand), part: part(self.part.announced) }
+        ReportEntry {
+            row: self.row_hash,
+            demand: ReportEntry::encode_demand(demand),
+            share: to_report_units(self.share.announced),
+        }
     }
 }
 
 /// Returns where demand moves a row's part.
-fn aim(me: &Instance, row: &Row, peers: &Peers) -> Aim {
-    let mut claims: Vec<Claim> = peers.entries(row.digest).map(Claim::of).collect();
-    let own = claims.len();
-    claims.push(Claim::of((me, &row.entry())));
+fn share_goal(own_name: &Instance, row: &RowState, peers: &Peers) -> ShareGoal {
+    let mut claims: Vec<Claim> = peers.entries(row.row_hash).map(Claim::from_entry).collect();
+    let own_index = claims.len();
+    claims.push(Claim::from_entry((own_name, &row.report_entry())));
     let total: f64 = claims.iter().map(|claim| claim.demand).sum();
-    let others = peers.held(row.digest);
-    let whole = 1.0 + row.slack();
-    let idle = Aim { target: row.part.used, whole, others, lacking: 0.0, least: row.least() };
+    let held_by_others = peers.total_share(row.row_hash);
+    let max_total = 1.0 + row.rounding_slack();
+    let unchanged = ShareGoal {
+        target: row.share.in_use,
+        total: max_total,
+        held_by_others,
+        others_shortfall: 0.0,
+        minimum: row.running_share(),
+    };
     // While nobody asks, all keep what they had, so that the next hour starts like the last one; and
     // nobody is left without, or a burst after a start would find most of the limit in no one's hands.
-    if total <= IDLE {
-        let even = 1.0 / peers.count() as f64;
-        return Aim { target: row.part.used.max(even), ..idle };
-    }
-    let contenders = claims.iter().filter(|claim| claim.demand > IDLE).count();
-    let units = row.terms.concurrency;
-    if (units as usize) < contenders * 4 {
-        whole_units(&mut claims, units);
+    if total <= IDLE_DEMAND {
+        let even_share = 1.0 / peers.count() as f64;
+        return ShareGoal { target: row.share.in_use.max(even_share), ..unchanged };
+    }
+    let contenders = claims.iter().filter(|claim| claim.demand > IDLE_DEMAND).count();
+    let slots = row.params.concurrency;
+    if (slots as usize) < contenders * 4 {
+        assign_whole_slots(&mut claims, slots);
     } else {
         // Less than a report can tell is nothing, or many idle instances would hold a lot together.
-        let told = |part: f64| (part * f64::from(WHOLE)).floor() / f64::from(WHOLE);
-        claims.iter_mut().for_each(|claim| claim.target = told(claim.demand / total));
-    }
-    let target = claims[own].target;
-    let lacking = claims[..own].iter().map(|claim| (claim.target - claim.part).max(0.0)).sum();
-    Aim { target, lacking, ..idle }
+        let reportable =
+            |share: f64| (share * f64::from(FULL_SHARE)).floor() / f64::from(FULL_SHARE);
+        claims.iter_mut().for_each(|claim| claim.target = reportable(claim.demand / total));
+    }
+    let target = claims[own_index].target;
+    let others_shortfall =
+        claims[..own_index].iter().map(|claim| (claim.target - claim.share).max(0.0)).sum();
+    ShareGoal { target, others_shortfall, ..unchanged }
 }
 
 /// Holds one instance's demand for a row, and what it is given.
 struct Claim<'a> {
     name: &'a Instance,
     demand: f64,
-    part: f64,
+    share: f64,
     target: f64,
 }
 
 impl<'a> Claim<'a> {
-    fn of((name, entry): (&'a Instance, &Entry)) -> Self {
-        let part = f64::from(entry.part) / f64::from(WHOLE);
-        Self { name, demand: entry.demand(), part, target: 0.0 }
+    fn from_entry((name, entry): (&'a Instance, &ReportEntry)) -> Self {
+        let share = f64::from(entry.share) / f64::from(FULL_SHARE);
+        Self { name, demand: entry.decode_demand(), share, target: 0.0 }
     }
 
     /// Returns the demand by which few slots are split.
@@ -422,17 +467,17 @@
     /// Who holds one counts more: a slot that changed hands with each small change of demand would
     /// be on its way most of the time.
     fn weight(&self) -> f64 {
-        const HOLDER: f64 = 8.0;
-        if self.part > 0.0 { self.demand * HOLDER } else { self.demand }
+        const HOLDER_WEIGHT: f64 = 8.0;
+        if self.share > 0.0 { self.demand * HOLDER_WEIGHT } else { self.demand }
     }
 }
 
 /// Splits few slots into whole ones by demand, the largest remainders first, then by name.
-fn whole_units(claims: &mut [Claim], units: u32) {
+fn assign_whole_slots(claims: &mut [Claim], slots: u32) {
     let total: f64 = claims.iter().map(Claim::weight).sum();
-    let units = f64::from(units.max(1));
-    let quota = |claim: &Claim| units * claim.weight() / total;
-    let left = units - claims.iter().map(|claim| quota(claim).floor()).sum::<f64>();
+    let slots = f64::from(slots.max(1));
+    let quota = |claim: &Claim| slots * claim.weight() / total;
+    let unassigned = slots - claims.iter().map(|claim| quota(claim).floor()).sum::<f64>();
     let mut order: Vec<usize> = (0..claims.len()).collect();
     order.sort_by(|a, b| {
         let (a, b) = (&claims[*a], &claims[*b]);
@@ -440,22 +485,22 @@
     });
     for (rank, index) in order.into_iter().enumerate() {
         let claim = &mut claims[index];
-        let given = quota(claim).floor() + f64::from(u8::from((rank as f64) < left));
-        claim.target = (given * f64::from(WHOLE) / units).ceil() / f64::from(WHOLE);
+        let assigned = quota(claim).floor() + f64::from(u8::from((rank as f64) < unassigned));
+        claim.target = (assigned * f64::from(FULL_SHARE) / slots).ceil() / f64::from(FULL_SHARE);
     }
 }
 
 /// Puts a part on the scale of a report, rounded up so that it never hides what is held.
-fn part(part: f64) -> u16 {
-    (part.clamp(0.0, 1.0) * f64::from(WHOLE)).ceil() as u16
+fn to_report_units(share: f64) -> u16 {
+    (share.clamp(0.0, 1.0) * f64::from(FULL_SHARE)).ceil() as u16
 }
 
 /// Refuses when there is a time to wait.
-fn refuse(what: What, wait: f64) -> Result<(), Refused> {
-    if wait <= 0.0 { Ok(()) } else { Err(Refused { what, after: seconds(wait) }) }
+fn require_no_wait(limit: Limit, wait: f64) -> Result<(), Exceeded> {
+    if wait <= 0.0 { Ok(()) } else { Err(Exceeded { limit, retry_after: to_duration(wait) }) }
 }
 
 /// Turns any number of seconds into a duration; endless means that a part has yet to come.
-fn seconds(value: f64) -> Duration {
-    Duration::try_from_secs_f64(value).unwrap_or(HOLD * 2)
+fn to_duration(value: f64) -> Duration {
+    Duration::try_from_secs_f64(value).unwrap_or(ANNOUNCE_DELAY * 2)
 }
--- a/crates/verbenaslip-policy/src/plan.rs
+++ b/crates/verbenaslip-policy/src/plan.rs
@@ -12,12 +12,12 @@
 mod order;
 mod planner;
 mod settings;
-mod store;
+mod weight_store;
 
 pub use self::forecast::Forecast;
 pub use self::mix::{Capacity, Mix};
-pub use self::offer::{Offer, Offers};
+pub use self::offer::{Offer, OfferBackoff};
 pub use self::order::{Machine, MachineState, Order, View};
 pub use self::planner::Planner;
-pub use self::settings::{MachineClass, Settings, Weights};
-pub use self::store::Store;
+pub use self::settings::{MachineClass, ModelWeights, Settings};
+pub use self::weight_store::WeightStore;
--- a/crates/verbenaslip-policy/src/plan/forecast.rs
+++ b/crates/verbenaslip-policy/src/plan/forecast.rs
@@ -5,17 +5,17 @@
 use verbenaslip_base::name::Model;
 
 /// Seconds in one step of the histogram.
-const STEP: u32 = 10;
+const STEP_SECONDS: u32 = 10;
 /// Steps in an hour.
-const STEPS: usize = 360;
+const STEPS_PER_HOUR: usize = 360;
 /// Seconds in an hour.
-const HOUR: u32 = 3600;
+const SECONDS_PER_HOUR: u32 = 3600;
 /// The part of the newest hour in the learned one.
-const GAIN: f64 = 0.4;
+const NEW_HOUR_WEIGHT: f64 = 0.4;
 /// Steps over which work may be spread by waiting, so that a peak counts over that time.
-const SMOOTH: usize = 2;
+const SMOOTHING_STEPS: usize = 2;
 /// The most models that are followed; bounds memory.
-const MOST_MODELS: usize = 64;
+const MAX_MODELS: usize = 64;
 
 /// Learns the work that arrives at each part of the hour, for each model.
 ///
@@ -23,51 +23,51 @@
 #[derive(Debug, Default)]
 pub struct Forecast {
     hour: Option<u64>,
-    models: BTreeMap<Model, Hours>,
+    models: BTreeMap<Model, HourProfile>,
 }
 
 /// Holds the learned hour and the running one of a model.
 #[derive(Debug)]
-struct Hours {
+struct HourProfile {
     learned: Vec<f64>,
-    running: Vec<f64>,
-    hours: u32,
-    reserved: f64,
-    total: f64,
+    current: Vec<f64>,
+    hours_seen: u32,
+    reserved_work: f64,
+    total_work: f64,
 }
 
 impl Forecast {
     /// Adds work that arrived in a second of an hour, with its row's reserve in hundredths.
     pub fn add(&mut self, hour: u64, second: u32, model: &Model, work: f64, reserve: u32) {
-        self.turn(hour);
+        self.start_hour(hour);
         if !work.is_finite() || work <= 0.0 {
             return;
         }
-        if !self.models.contains_key(model) && self.models.len() >= MOST_MODELS {
+        if !self.models.contains_key(model) && self.models.len() >= MAX_MODELS {
             return;
         }
-        let hours = self.models.entry(model.clone()).or_insert_with(Hours::new);
-        if let Some(step) = hours.running.get_mut(step(second)) {
+        let profile = self.models.entry(model.clone()).or_insert_with(HourProfile::new);
+        if let Some(step) = profile.current.get_mut(step_of(second)) {
             *step += work;
         }
-        hours.total += work;
-        hours.reserved += work * f64::from(reserve.min(100)) / 100.0;
+        profile.total_work += work;
+        profile.reserved_work += work * f64::from(reserve.min(100)) / 100.0;
     }
 
     /// Ends the running hour when another begins.
-    pub fn turn(&mut self, hour: u64) {
-        let Some(running) = self.hour.replace(hour) else { return };
-        if running != hour {
-            self.models.values_mut().for_each(Hours::turn);
+    pub fn start_hour(&mut self, hour: u64) {
+        let Some(previous) = self.hour.replace(hour) else { return };
+        if previous != hour {
+            self.models.values_mut().for_each(HourProfile::finish_hour);
         }
     }
 
     /// Returns the most work a second that is expected in a time from a second of the hour on.
     pub fn peak(&self, model: &Model, second: u32, span: u32) -> f64 {
-        let Some(hours) = self.models.get(model) else { return 0.0 };
-        let first = step(second);
-        let steps = (span.div_ceil(STEP) as usize + 1).min(STEPS);
-        let ahead = (first..first + steps).map(|at| hours.expected(at, first));
+        let Some(profile) = self.models.get(model) else { return 0.0 };
+        let first = step_of(second);
+        let steps = (span.div_ceil(STEP_SECONDS) as usize + 1).min(STEPS_PER_HOUR);
+        let ahead = (first..first + steps).map(|at| profile.expected(at, first));
         ahead.fold(0.0, f64::max)
     }
 
@@ -77,42 +77,49 @@
     }
 
     /// Returns the part of a model's work whose rows want on-demand machines.
-    pub fn reserve(&self, model: &Model) -> f64 {
-        let Some(hours) = self.models.get(model) else { return 0.0 };
-        if hours.total > 0.0 { hours.reserved / hours.total } else { 0.0 }
+    pub fn reserve_fraction(&self, model: &Model) -> f64 {
+        let Some(profile) = self.models.get(model) else { return 0.0 };
+        if profile.total_work > 0.0 { profile.reserved_work / profile.total_work } else { 0.0 }
     }
 }
 
-impl Hours {
+impl HourProfile {
     fn new() -> Self {
-        let empty = vec![0.0; STEPS];
-        Self { learned: empty.clone(), running: empty, hours: 0, reserved: 0.0, total: 0.0 }
+        let empty = vec![0.0; STEPS_PER_HOUR];
+        Self {
+            learned: empty.clone(),
+            current: empty,
+            hours_seen: 0,
+            reserved_work: 0.0,
+            total_work: 0.0,
+        }
     }
 
-    fn turn(&mut self) {
+    fn finish_hour(&mut self) {
         // The first hours weigh as much as they are few, so that a start from nothing is quick.
-        let gain = GAIN.max(1.0 / f64::from(self.hours + 1));
-        for (learned, running) in self.learned.iter_mut().zip(&mut self.running) {
-            *learned += gain * (*running - *learned);
-            *running = 0.0;
+        let weight = NEW_HOUR_WEIGHT.max(1.0 / f64::from(self.hours_seen + 1));
+        for (learned, current) in self.learned.iter_mut().zip(&mut self.current) {
+            *learned += weight * (*current - *learned);
+            *current = 0.0;
         }
-        self.hours = self.hours.saturating_add(1);
-        self.total *= 1.0 - GAIN;
-        self.reserved *= 1.0 - GAIN;
+        self.hours_seen = self.hours_seen.saturating_add(1);
+        self.total_work *= 1.0 - NEW_HOUR_WEIGHT;
+        self.reserved_work *= 1.0 - NEW_HOUR_WEIGHT;
     }
 
     /// Returns the work a second expected around a step, smoothed over the steps before it.
     fn expected(&self, at: usize, now: usize) -> f64 {
-        let over = |hour: &[f64]| -> f64 {
-            let steps = (0..SMOOTH).map(|back| hour[(at + STEPS - back) % STEPS]);
-            steps.sum::<f64>() / (SMOOTH as f64 * f64::from(STEP))
+        let mean_rate = |hour: &[f64]| -> f64 {
+            let steps = (0..SMOOTHING_STEPS)
+                .map(|back| hour[(at + STEPS_PER_HOUR - back) % STEPS_PER_HOUR]);
+            steps.sum::<f64>() / (SMOOTHING_STEPS as f64 * f64::from(STEP_SECONDS))
         };
         // What has come in this very step of the running hour may be more than ever before.
-        let seen = if at <= now + 1 { over(&self.running) } else { 0.0 };
-        over(&self.learned).max(seen)
+        let observed = if at <= now + 1 { mean_rate(&self.current) } else { 0.0 };
+        mean_rate(&self.learned).max(observed)
     }
 }
 
-fn step(second: u32) -> usize {
-    ((second % HOUR) / STEP) as usize
+fn step_of(second: u32) -> usize {
+    ((second % SECONDS_PER_HOUR) / STEP_SECONDS) as usize
 }
--- a/crates/verbenaslip-policy/src/plan/mix.rs
+++ b/crates/verbenaslip-policy/src/plan/mix.rs
@@ -12,41 +12,41 @@
 #[data(default)]
 pub struct Capacity {
     /// Slots in each zone.
-    pub zones: BTreeMap<AvailabilityZone, u32>,
+    pub slots_by_zone: BTreeMap<AvailabilityZone, u32>,
     /// Slots on on-demand machines, of all.
-    pub on_demand: u32,
+    pub on_demand_slots: u32,
 }
 
 impl Capacity {
     /// Adds slots.
     pub fn add(&mut self, zone: &AvailabilityZone, market: Market, slots: u32) {
-        *self.zones.entry(zone.clone()).or_default() += slots;
+        *self.slots_by_zone.entry(zone.clone()).or_default() += slots;
         if market == Market::OnDemand {
-            self.on_demand += slots;
+            self.on_demand_slots += slots;
         }
     }
 
     /// Takes slots away.
-    pub fn take(&mut self, zone: &AvailabilityZone, market: Market, slots: u32) {
-        if let Some(held) = self.zones.get_mut(zone) {
+    pub fn remove(&mut self, zone: &AvailabilityZone, market: Market, slots: u32) {
+        if let Some(held) = self.slots_by_zone.get_mut(zone) {
             *held = held.saturating_sub(slots);
         }
         if market == Market::OnDemand {
-            self.on_demand = self.on_demand.saturating_sub(slots);
+            self.on_demand_slots = self.on_demand_slots.saturating_sub(slots);
         }
     }
 
     /// Returns all slots.
-    pub fn total(&self) -> u32 {
-        self.zones.values().sum()
+    pub fn total_slots(&self) -> u32 {
+        self.slots_by_zone.values().sum()
     }
 
     /// Returns the slots that are left when the largest zone is lost.
-    pub fn surviving(&self) -> u32 {
-        let zones = self.zones.values().filter(|slots| **slots > 0).count();
-        let largest = self.zones.values().max().copied().unwrap_or(0);
+    pub fn surviving_slots(&self) -> u32 {
+        let zones = self.slots_by_zone.values().filter(|slots| **slots > 0).count();
+        let largest = self.slots_by_zone.values().max().copied().unwrap_or(0);
         // With one zone there is nothing that could survive, and adding to it would never end.
-        if zones <= 1 { 0 } else { self.total() - largest }
+        if zones <= 1 { 0 } else { self.total_slots() - largest }
     }
 }
 
@@ -54,47 +54,53 @@
 #[derive(Debug)]
 pub struct Mix<'a> {
     /// The slots needed after the loss of a zone.
-    pub need: u32,
+    pub needed_slots: u32,
     /// The part of the slots wanted on on-demand machines, up to 1.
-    pub reserve: f64,
+    pub reserve_fraction: f64,
     /// The offers that may be tried, each with its slots.
     pub offers: Vec<(&'a Offer, u32)>,
 }
 
 impl Mix<'_> {
     /// Returns the next machine to add, or none when the need is met or nothing helps.
-    pub fn next(&self, have: &Capacity) -> Option<(&Offer, u32)> {
-        if have.surviving() >= self.need {
+    pub fn next_machine(&self, capacity: &Capacity) -> Option<(&Offer, u32)> {
+        if capacity.surviving_slots() >= self.needed_slots {
             return None;
         }
-        let zones = self.zones();
+        let zones = self.cheapest_zones();
         // A lone zone can't survive its own loss; it at least meets the need while it stands.
-        if zones.len() < 2 && have.total() >= self.need.max(1) && have.surviving() == 0 {
+        if zones.len() < 2
+            && capacity.total_slots() >= self.needed_slots.max(1)
+            && capacity.surviving_slots() == 0
+        {
             return None;
         }
-        let held = |zone: &AvailabilityZone| have.zones.get(zone).copied().unwrap_or(0);
-        let largest = have.zones.values().max().copied().unwrap_or(0);
-        let zone = zones.iter().min_by_key(|zone| held(zone))?;
+        let slots_in =
+            |zone: &AvailabilityZone| capacity.slots_by_zone.get(zone).copied().unwrap_or(0);
+        let largest = capacity.slots_by_zone.values().max().copied().unwrap_or(0);
+        let zone = zones.iter().min_by_key(|zone| slots_in(zone))?;
         // Where only the largest zone has offers left, more machines there would not help.
-        if zones.len() < 2 && held(zone) >= largest && have.surviving() > 0 {
+        if zones.len() < 2 && slots_in(zone) >= largest && capacity.surviving_slots() > 0 {
             return None;
         }
-        let short = f64::from(have.on_demand) < self.reserve * f64::from(have.total() + 1);
-        let wanted = short.then(|| self.cheapest(zone, Some(Market::OnDemand))).flatten();
-        wanted.or_else(|| self.cheapest(zone, None))
+        let below_reserve = f64::from(capacity.on_demand_slots)
+            < self.reserve_fraction * f64::from(capacity.total_slots() + 1);
+        let on_demand =
+            below_reserve.then(|| self.cheapest_offer(zone, Some(Market::OnDemand))).flatten();
+        on_demand.or_else(|| self.cheapest_offer(zone, None))
     }
 
     /// Returns the zones among which capacity is spread at the lowest cost.
     ///
     /// Spread over `k` zones each needs `need / (k - 1)`, so the cost is the sum of the zones' unit
     /// prices over `k - 1`; a dear zone is left out when its price outweighs the better spread.
-    fn zones(&self) -> Vec<&AvailabilityZone> {
+    fn cheapest_zones(&self) -> Vec<&AvailabilityZone> {
         let mut prices: Vec<(f64, &AvailabilityZone)> = Vec::new();
         for (offer, slots) in &self.offers {
-            let unit = offer.unit(*slots);
+            let price = offer.price_per_slot(*slots);
             match prices.iter_mut().find(|(_, zone)| *zone == &offer.zone) {
-                Some(entry) => entry.0 = entry.0.min(unit),
-                None => prices.push((unit, &offer.zone)),
+                Some(entry) => entry.0 = entry.0.min(price),
+                None => prices.push((price, &offer.zone)),
             }
         }
         prices.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(b.1)));
@@ -104,10 +110,15 @@
         prices.into_iter().take(count).map(|(_, zone)| zone).collect()
     }
 
-    fn cheapest(&self, zone: &AvailabilityZone, market: Option<Market>) -> Option<(&Offer, u32)> {
+    fn cheapest_offer(
+        &self,
+        zone: &AvailabilityZone,
+        market: Option<Market>,
+    ) -> Option<(&Offer, u32)> {
         let fits = |offer: &Offer| offer.zone == *zone && market.is_none_or(|m| offer.market == m);
         let fitting = self.offers.iter().filter(|(offer, slots)| *slots > 0 && fits(offer));
-        let best = fitting.min_by(|a, b| a.0.unit(a.1).total_cmp(&b.0.unit(b.1)))?;
+        let best =
+            fitting.min_by(|a, b| a.0.price_per_slot(a.1).total_cmp(&b.0.price_per_slot(b.1)))?;
         Some((best.0, best.1))
     }
 }
--- a/crates/verbenaslip-policy/src/plan/offer.rs
+++ b/crates/verbenaslip-policy/src/plan/offer.rs
@@ -10,11 +10,11 @@
 use verbenaslip_base::name::AvailabilityZone;
 
 /// How long an offer is left alone after its first refusal.
-const FIRST: Duration = Duration::from_secs(20);
+const FIRST_COOLDOWN: Duration = Duration::from_secs(20);
 /// How long it is left alone at most.
-const LONGEST: Duration = Duration::from_secs(600);
+const MAX_COOLDOWN: Duration = Duration::from_secs(600);
 /// What the losses of reclaimable machines add to their price.
-const LOSSES: f64 = 1.1;
+const RECLAIM_COST_FACTOR: f64 = 1.1;
 
 /// Offers a machine class in a zone and market at a price.
 #[data]
@@ -31,41 +31,41 @@
 
 impl Offer {
     /// Returns what a slot costs, with what is lost through reclaims.
-    pub(crate) fn unit(&self, slots: u32) -> f64 {
-        let losses = if self.market == Market::Reclaimable { LOSSES } else { 1.0 };
-        self.price as f64 * losses / f64::from(slots.max(1))
+    pub(crate) fn price_per_slot(&self, slots: u32) -> f64 {
+        let factor = if self.market == Market::Reclaimable { RECLAIM_COST_FACTOR } else { 1.0 };
+        self.price as f64 * factor / f64::from(slots.max(1))
     }
 
-    fn key(&self) -> Key {
+    fn key(&self) -> OfferKey {
         (self.zone.clone(), self.class.clone(), self.market)
     }
 }
 
 /// Identifies an offer whatever its price.
-type Key = (AvailabilityZone, Arc<str>, Market);
+type OfferKey = (AvailabilityZone, Arc<str>, Market);
 
 /// Remembers refusals, so that the next best offer is tried instead of the same one again.
 #[derive(Debug, Default)]
-pub struct Offers {
-    refused: BTreeMap<Key, (u32, Duration)>,
+pub struct OfferBackoff {
+    refused: BTreeMap<OfferKey, (u32, Duration)>,
 }
 
-impl Offers {
+impl OfferBackoff {
     /// Notes that a start was refused.
-    pub fn refused(&mut self, now: Duration, offer: &Offer, rng: &mut impl Rng) {
+    pub fn record_refusal(&mut self, now: Duration, offer: &Offer, rng: &mut impl Rng) {
         let entry = self.refused.entry(offer.key()).or_default();
         entry.0 = entry.0.saturating_add(1);
-        let rest = FIRST.saturating_mul(1 << (entry.0 - 1).min(8)).min(LONGEST);
-        entry.1 = now.saturating_add(rest.mul_f64(rng.random_range(0.75..=1.25)));
+        let cooldown = FIRST_COOLDOWN.saturating_mul(1 << (entry.0 - 1).min(8)).min(MAX_COOLDOWN);
+        entry.1 = now.saturating_add(cooldown.mul_f64(rng.random_range(0.75..=1.25)));
     }
 
     /// Notes that a start succeeded.
-    pub fn granted(&mut self, offer: &Offer) {
+    pub fn record_grant(&mut self, offer: &Offer) {
         self.refused.remove(&offer.key());
     }
 
     /// Returns whether an offer may be tried.
-    pub fn may(&self, now: Duration, offer: &Offer) -> bool {
+    pub fn is_available(&self, now: Duration, offer: &Offer) -> bool {
         self.refused.get(&offer.key()).is_none_or(|(_, until)| now >= *until)
     }
 }
--- a/crates/verbenaslip-policy/src/plan/order.rs
+++ b/crates/verbenaslip-policy/src/plan/order.rs
@@ -89,11 +89,11 @@
 
 /// Remembers a start whose machine is not yet in the list.
 #[derive(Debug, Clone)]
-pub(crate) struct Pending {
+pub(crate) struct PendingStart {
     pub(crate) offer: Offer,
     pub(crate) model: Model,
     pub(crate) slots: u32,
-    pub(crate) at: Duration,
-    pub(crate) told: Duration,
+    pub(crate) ordered_at: Duration,
+    pub(crate) last_sent_at: Duration,
     pub(crate) name: Option<Upstream>,
 }
--- a/crates/verbenaslip-policy/src/plan/planner.rs
+++ b/crates/verbenaslip-policy/src/plan/planner.rs
@@ -10,33 +10,33 @@
 
 use crate::plan::forecast::Forecast;
 use crate::plan::mix::{Capacity, Mix};
-use crate::plan::offer::{Offer, Offers};
-use crate::plan::order::{Machine, MachineState, Order, Pending, View};
+use crate::plan::offer::{Offer, OfferBackoff};
+use crate::plan::order::{Machine, MachineState, Order, PendingStart, View};
 use crate::plan::settings::{MachineClass, Settings};
-use crate::plan::store::Store;
+use crate::plan::weight_store::WeightStore;
 
 /// How long before it is needed a machine must be ready.
-const EARLY: Duration = Duration::from_secs(60);
+const READY_MARGIN: Duration = Duration::from_secs(60);
 /// How far the plan looks before it gives a machine back.
-const KEEP: u32 = 900;
+const SURPLUS_LOOKAHEAD_SECONDS: u32 = 900;
 /// Capacity above the need before a machine counts as too many.
-const SURPLUS: f64 = 1.15;
+const SURPLUS_FACTOR: f64 = 1.15;
 /// How long an order is waited for before it is repeated.
-const REPEAT: Duration = Duration::from_secs(5);
+const REPEAT_AFTER: Duration = Duration::from_secs(5);
 /// How long a started machine may take to appear before it counts as lost.
-const LOST: Duration = Duration::from_secs(600);
+const LOST_AFTER: Duration = Duration::from_secs(600);
 
 /// Decides which machines to start and to give back.
 #[derive(Debug)]
 pub struct Planner {
     settings: Settings,
     forecast: Forecast,
-    offers: Offers,
-    store: Store,
-    pending: BTreeMap<u128, Pending>,
+    offers: OfferBackoff,
+    weight_store: WeightStore,
+    pending_starts: BTreeMap<u128, PendingStart>,
     ordinals: BTreeMap<String, u32>,
     hour: u64,
-    surplus: BTreeMap<Model, Duration>,
+    surplus_since: BTreeMap<Model, Duration>,
     draining: BTreeMap<Upstream, Duration>,
     loading: BTreeMap<(Upstream, Model), Duration>,
 }
@@ -47,12 +47,12 @@
         Self {
             settings,
             forecast: Forecast::default(),
-            offers: Offers::default(),
-            store: Store::default(),
-            pending: BTreeMap::new(),
+            offers: OfferBackoff::default(),
+            weight_store: WeightStore::default(),
+            pending_starts: BTreeMap::new(),
             ordinals: BTreeMap::new(),
             hour: 0,
-            surplus: BTreeMap::new(),
+            surplus_since: BTreeMap::new(),
             draining: BTreeMap::new(),
             loading: BTreeMap::new(),
         }
@@ -64,10 +64,10 @@
     }
 
     /// Learns how many requests a machine class runs at once, from an engine that runs on one.
-    pub fn set_machine_class(&mut self, size: MachineClass) {
-        match self.settings.sizes.iter_mut().find(|known| known.name == size.name) {
-            Some(known) => *known = size,
-            None => self.settings.sizes.push(size),
+    pub fn set_machine_class(&mut self, class: MachineClass) {
+        match self.settings.machine_classes.iter_mut().find(|known| known.name == class.name) {
+            Some(known) => *known = class,
+            None => self.settings.machine_classes.push(class),
         }
     }
 
@@ -77,65 +77,67 @@
     }
 
     /// Notes that a start was granted.
-    pub fn record_started(&mut self, request: u128, name: &Upstream) {
-        let Some(pending) = self.pending.get_mut(&request) else { return };
+    pub fn record_started(&mut self, id: u128, name: &Upstream) {
+        let Some(pending) = self.pending_starts.get_mut(&id) else { return };
         pending.name = Some(name.clone());
-        self.offers.granted(&pending.offer);
+        self.offers.record_grant(&pending.offer);
     }
 
     /// Notes that a start was refused; the next step tries the next best offer.
-    pub fn record_refused(&mut self, now: Duration, request: u128, rng: &mut impl Rng) {
-        let Some(pending) = self.pending.remove(&request) else { return };
-        self.offers.refused(now, &pending.offer, rng);
+    pub fn record_refused(&mut self, now: Duration, id: u128, rng: &mut impl Rng) {
+        let Some(pending) = self.pending_starts.remove(&id) else { return };
+        self.offers.record_refusal(now, &pending.offer, rng);
     }
 
     /// Decides; called every few seconds on the leader.
     pub fn tick(&mut self, now: Duration, view: &View) -> Vec<Order> {
-        self.forecast.turn(view.hour);
+        self.forecast.start_hour(view.hour);
         if view.hour != self.hour {
             self.hour = view.hour;
             self.ordinals.clear();
         }
-        self.settle(now, view);
-        let mut orders = self.repeat(now);
+        self.drop_finished(now, view);
+        let mut orders = self.repeat_unanswered_starts(now);
         let models: Vec<Model> = self.forecast.models().cloned().collect();
         for model in &models {
             let mut capacity = self.capacity(view, model);
-            self.load(now, view, model, &mut capacity, &mut orders);
-            self.start(now, view, model, &mut capacity, &mut orders);
-            self.give_back(now, view, model, &capacity, &mut orders);
+            self.order_loads(now, view, model, &mut capacity, &mut orders);
+            self.order_starts(now, view, model, &mut capacity, &mut orders);
+            self.drain_surplus(now, view, model, &capacity, &mut orders);
         }
-        self.stop(now, view, &mut orders);
+        self.stop_drained(now, view, &mut orders);
         orders
     }
 
     /// Returns the slots needed for a model's expected work from now on.
-    pub fn need(&self, view: &View, model: &Model, span: u32) -> u32 {
+    pub fn needed_slots(&self, view: &View, model: &Model, span: u32) -> u32 {
         let peak = self.forecast.peak(model, view.second, span);
-        (peak / self.settings.use_of_slots.clamp(0.1, 1.0)).ceil().min(1e6) as u32
+        (peak / self.settings.target_utilization.clamp(0.1, 1.0)).ceil().min(1e6) as u32
     }
 
     /// Drops what is done, lost or gone.
-    fn settle(&mut self, now: Duration, view: &View) {
+    fn drop_finished(&mut self, now: Duration, view: &View) {
         let listed = |name: &Upstream| view.machines.iter().any(|machine| machine.name == *name);
-        self.pending.retain(|_, pending| {
-            let there = pending.name.as_ref().is_some_and(listed);
-            !there && now.saturating_sub(pending.at) < LOST
+        self.pending_starts.retain(|_, pending| {
+            let is_listed = pending.name.as_ref().is_some_and(listed);
+            !is_listed && now.saturating_sub(pending.ordered_at) < LOST_AFTER
         });
         self.draining.retain(|name, _| listed(name));
         self.loading.retain(|(name, model), at| {
             let loaded = |m: &Machine| m.name == *name && m.models.contains(model);
-            listed(name) && !view.machines.iter().any(loaded) && now.saturating_sub(*at) < LOST
+            listed(name)
+                && !view.machines.iter().any(loaded)
+                && now.saturating_sub(*at) < LOST_AFTER
         });
     }
 
     /// Repeats starts whose answer was lost, under the same identity.
-    fn repeat(&mut self, now: Duration) -> Vec<Order> {
+    fn repeat_unanswered_starts(&mut self, now: Duration) -> Vec<Order> {
         let mut orders = Vec::new();
-        for (request, pending) in &mut self.pending {
-            if pending.name.is_none() && now.saturating_sub(pending.told) >= REPEAT {
-                pending.told = now;
-                orders.push(order(*request, pending));
+        for (id, pending) in &mut self.pending_starts {
+            if pending.name.is_none() && now.saturating_sub(pending.last_sent_at) >= REPEAT_AFTER {
+                pending.last_sent_at = now;
+                orders.push(start_order(*id, pending));
             }
         }
         orders
@@ -147,7 +149,7 @@
         for machine in self.serving(view, model) {
             capacity.add(&machine.zone, machine.market, self.settings.slots(&machine.class));
         }
-        for pending in self.pending.values().filter(|pending| pending.model == *model) {
+        for pending in self.pending_starts.values().filter(|pending| pending.model == *model) {
             capacity.add(&pending.offer.zone, pending.offer.market, pending.slots);
         }
         capacity
@@ -168,7 +170,7 @@
     }
 
     /// Loads a model at machines without any, which is quicker and cheaper than a start.
-    fn load(
+    fn order_loads(
         &mut self,
         now: Duration,
         view: &View,
@@ -176,22 +178,22 @@
         capacity: &mut Capacity,
         orders: &mut Vec<Order>,
     ) {
-        let need = self.need(view, model, self.lead(now, model, 1));
-        let seconds = self.settings.load(model);
+        let need = self.needed_slots(view, model, self.lead_seconds(now, model, 1));
+        let seconds = self.settings.load_seconds(model);
         let empty =
             view.machines.iter().filter(|m| m.state == MachineState::Ready && m.models.is_empty());
         for machine in empty {
-            let taken = self.loading.keys().any(|(name, _)| *name == machine.name);
-            if taken || self.draining.contains_key(&machine.name) {
+            let is_loading = self.loading.keys().any(|(name, _)| *name == machine.name);
+            if is_loading || self.draining.contains_key(&machine.name) {
                 continue;
             }
-            if capacity.surviving() >= need {
+            if capacity.surviving_slots() >= need {
                 return;
             }
             // One that waits for the store counts as well: a machine started in its place would
             // have to load from the same store, and later.
             capacity.add(&machine.zone, machine.market, self.settings.slots(&machine.class));
-            if !self.store.book(now, seconds) {
+            if !self.weight_store.try_book(now, seconds) {
                 continue;
             }
             self.loading.insert((machine.name.clone(), model.clone()), now);
@@ -200,7 +202,7 @@
     }
 
     /// Starts what will be needed when a machine ordered now is ready.
-    fn start(
+    fn order_starts(
         &mut self,
         now: Duration,
         view: &View,
@@ -208,57 +210,68 @@
         capacity: &mut Capacity,
         orders: &mut Vec<Order>,
     ) {
-        let reserve = self.forecast.reserve(model);
-        let mut lead = self.lead(now, model, 1);
+        let reserve = self.forecast.reserve_fraction(model);
+        let mut lead = self.lead_seconds(now, model, 1);
         loop {
-            let offers = self.allowed(now, view);
-            let mix = Mix { need: self.need(view, model, lead), reserve, offers };
-            let Some((offer, slots)) = mix.next(capacity) else { return };
+            let offers = self.available_offers(now, view);
+            let mix = Mix {
+                needed_slots: self.needed_slots(view, model, lead),
+                reserve_fraction: reserve,
+                offers,
+            };
+            let Some((offer, slots)) = mix.next_machine(capacity) else { return };
             let (offer, slots) = (offer.clone(), slots);
-            if self.machines(view) >= self.settings.most as usize {
+            if self.machine_count(view) >= self.settings.max_machines as usize {
                 return;
             }
             // Loads queue at the store: the more machines start, the earlier they must.
-            self.store.add(now, self.settings.load(model));
-            lead = self.lead(now, model, 1);
+            self.weight_store.add_load(now, self.settings.load_seconds(model));
+            lead = self.lead_seconds(now, model, 1);
             capacity.add(&offer.zone, offer.market, slots);
-            orders.push(self.order(now, offer, model, slots));
+            orders.push(self.new_start(now, offer, model, slots));
         }
     }
 
     /// Returns how many machines there are or will be.
-    fn machines(&self, view: &View) -> usize {
-        view.machines.len() + self.pending.len()
+    fn machine_count(&self, view: &View) -> usize {
+        view.machines.len() + self.pending_starts.len()
     }
 
     /// Returns the offers that may be tried now, each with its slots.
-    fn allowed<'a>(&self, now: Duration, view: &'a View) -> Vec<(&'a Offer, u32)> {
-        let may = view.offers.iter().filter(|offer| self.offers.may(now, offer));
-        let sized = may.map(|offer| (offer, self.settings.slots(&offer.class)));
-        sized.filter(|(_, slots)| *slots > 0).collect()
+    fn available_offers<'a>(&self, now: Duration, view: &'a View) -> Vec<(&'a Offer, u32)> {
+        let available = view.offers.iter().filter(|offer| self.offers.is_available(now, offer));
+        let with_slots = available.map(|offer| (offer, self.settings.slots(&offer.class)));
+        with_slots.filter(|(_, slots)| *slots > 0).collect()
     }
 
     /// Returns the seconds until so many more machines with a model would be ready.
-    fn lead(&self, now: Duration, model: &Model, count: u32) -> u32 {
-        let loads = self.settings.load(model) * f64::from(count) + self.store.backlog(now);
-        (self.settings.start + EARLY).as_secs() as u32 + loads.ceil().min(3600.0) as u32
+    fn lead_seconds(&self, now: Duration, model: &Model, count: u32) -> u32 {
+        let loads = self.settings.load_seconds(model) * f64::from(count)
+            + self.weight_store.backlog_seconds(now);
+        (self.settings.start_time + READY_MARGIN).as_secs() as u32 + loads.ceil().min(3600.0) as u32
     }
 
-    fn order(&mut self, now: Duration, offer: Offer, model: &Model, slots: u32) -> Order {
+    fn new_start(&mut self, now: Duration, offer: Offer, model: &Model, slots: u32) -> Order {
         let market = format!("{:?}", offer.market);
         let parts = [offer.zone.as_str(), &offer.class, &market, model.as_str()];
         let ordinal = self.ordinals.entry(parts.join("/")).or_default();
-        let request = identity(self.hour, *ordinal, &parts);
+        let id = start_id(self.hour, *ordinal, &parts);
         *ordinal += 1;
-        let pending =
-            Pending { offer, model: model.clone(), slots, at: now, told: now, name: None };
-        let order = order(request, &pending);
-        self.pending.insert(request, pending);
+        let pending = PendingStart {
+            offer,
+            model: model.clone(),
+            slots,
+            ordered_at: now,
+            last_sent_at: now,
+            name: None,
+        };
+        let order = start_order(id, &pending);
+        self.pending_starts.insert(id, pending);
         order
     }
 
     /// Drains one machine that has been too many for a while.
-    fn give_back(
+    fn drain_surplus(
         &mut self,
         now: Duration,
         view: &View,
@@ -266,13 +279,14 @@
         capacity: &Capacity,
         orders: &mut Vec<Order>,
     ) {
-        let need = f64::from(self.need(view, model, KEEP)) * SURPLUS;
+        let need =
+            f64::from(self.needed_slots(view, model, SURPLUS_LOOKAHEAD_SECONDS)) * SURPLUS_FACTOR;
         let Some(name) = self.surplus_machine(view, model, capacity, need) else {
-            self.surplus.remove(model);
+            self.surplus_since.remove(model);
             return;
         };
-        let since = *self.surplus.entry(model.clone()).or_insert(now);
-        if now.saturating_sub(since) < self.settings.hold {
+        let since = *self.surplus_since.entry(model.clone()).or_insert(now);
+        if now.saturating_sub(since) < self.settings.surplus_hold {
             return;
         }
         self.draining.insert(name.clone(), now);
@@ -287,36 +301,39 @@
         capacity: &Capacity,
         need: f64,
     ) -> Option<Upstream> {
-        let spare = |machine: &&Machine| {
-            let mut left = capacity.clone();
-            left.take(&machine.zone, machine.market, self.settings.slots(&machine.class));
-            let reserve = self.forecast.reserve(model) * f64::from(left.total());
-            let kept =
-                machine.market == Market::Reclaimable || f64::from(left.on_demand) >= reserve;
-            kept && f64::from(left.surviving()) >= need
+        let is_spare = |machine: &&Machine| {
+            let mut remaining = capacity.clone();
+            remaining.remove(&machine.zone, machine.market, self.settings.slots(&machine.class));
+            let reserve =
+                self.forecast.reserve_fraction(model) * f64::from(remaining.total_slots());
+            let keeps_reserve = machine.market == Market::Reclaimable
+                || f64::from(remaining.on_demand_slots) >= reserve;
+            keeps_reserve && f64::from(remaining.surviving_slots()) >= need
         };
         let price = |machine: &Machine| {
-            let same = view.offers.iter().find(|offer| {
-                let class = offer.class == machine.class && offer.market == machine.market;
-                class && offer.zone == machine.zone
+            let matching = view.offers.iter().find(|offer| {
+                let same_kind = offer.class == machine.class && offer.market == machine.market;
+                same_kind && offer.zone == machine.zone
             });
-            same.map_or(f64::MAX, |offer| offer.unit(self.settings.slots(&offer.class)))
+            matching
+                .map_or(f64::MAX, |offer| offer.price_per_slot(self.settings.slots(&offer.class)))
         };
-        let alone = |machine: &&Machine| machine.models.len() <= 1;
-        let ready = |machine: &&Machine| machine.state == MachineState::Ready;
-        let spares = self.serving(view, model).filter(ready).filter(alone).filter(spare);
-        let dearest = spares.max_by(|a, b| price(a).total_cmp(&price(b)))?;
-        Some(dearest.name.clone())
+        let serves_only_this = |machine: &&Machine| machine.models.len() <= 1;
+        let is_ready = |machine: &&Machine| machine.state == MachineState::Ready;
+        let candidates =
+            self.serving(view, model).filter(is_ready).filter(serves_only_this).filter(is_spare);
+        let most_expensive = candidates.max_by(|a, b| price(a).total_cmp(&price(b)))?;
+        Some(most_expensive.name.clone())
     }
 
     /// Stops what has drained.
-    fn stop(&mut self, now: Duration, view: &View, orders: &mut Vec<Order>) {
+    fn stop_drained(&mut self, now: Duration, view: &View, orders: &mut Vec<Order>) {
         for (name, since) in &self.draining {
             let machine = view.machines.iter().find(|machine| machine.name == *name);
             let idle = machine.is_some_and(|machine| {
                 machine.state == MachineState::Leaving && machine.running == 0
             });
-            if idle || now.saturating_sub(*since) >= self.settings.drain {
+            if idle || now.saturating_sub(*since) >= self.settings.drain_timeout {
                 orders.push(Order::Stop { name: name.clone() });
             }
         }
@@ -325,16 +342,16 @@
 
 /// Names a start so that a new leader in the same hour, counting from the first again, repeats the
 /// same orders instead of starting the same machines twice.
-fn identity(hour: u64, ordinal: u32, parts: &[&str]) -> u128 {
+fn start_id(hour: u64, ordinal: u32, parts: &[&str]) -> u128 {
     let (hour, ordinal) = (hour.to_le_bytes(), ordinal.to_le_bytes());
     let mut bytes: Vec<&[u8]> = vec![&hour, &ordinal];
     bytes.extend(parts.iter().map(|part| part.as_bytes()));
     hash::wide(&bytes)
 }
 
-fn order(request: u128, pending: &Pending) -> Order {
+fn start_order(id: u128, pending: &PendingStart) -> Order {
     Order::Start {
-        id: request,
+        id,
         zone: pending.offer.zone.clone(),
         class: pending.offer.class.clone(),
         market: pending.offer.market,
--- a/crates/verbenaslip-policy/src/pool.rs
+++ b/crates/verbenaslip-policy/src/pool.rs
@@ -2,7 +2,7 @@
 
 use verbenaslip_base::data;
 
-use crate::service::Service;
+use crate::service_time::ServiceTimes;
 
 /// Sums up the upstreams that offer one model and take new work.
 #[data(copy, float, default)]
@@ -12,11 +12,11 @@
     /// Requests that they run at once.
     pub slots: u32,
     /// Slots free now, after correction for the age of the load reports.
-    pub free: u32,
+    pub free_slots: u32,
     /// Slots that this instance may expect to fill when all instances want them.
-    pub share: f64,
+    pub slot_share: f64,
     /// Requests running on an upstream on average.
-    pub running: f64,
+    pub mean_running: f64,
     /// The live service times.
-    pub service: Service,
+    pub service_times: ServiceTimes,
 }
--- a/crates/verbenaslip-policy/src/retry.rs
+++ b/crates/verbenaslip-policy/src/retry.rs
@@ -9,25 +9,25 @@
 use verbenaslip_table::Key;
 
 /// The most retries that a budget saves up.
-const SAVED: f64 = 20.0;
+const MAX_SAVED: f64 = 20.0;
 /// Seconds in which an idle budget earns one retry, so that a quiet team may retry at all.
-const EARNING: f64 = 10.0;
+const EARN_INTERVAL_SECONDS: f64 = 10.0;
 /// Percent of an upstream's successes that others may retry on it.
-const UPSTREAM_PERCENT: u32 = 20;
+const UPSTREAM_RETRY_PERCENT: u32 = 20;
 /// How often a request may lose its upstream before further runs are charged to a budget.
-const FREE_RUNS: u32 = 3;
+const UNCHARGED_RUNS: u32 = 3;
 /// The first delay of the backoff.
-const FIRST: Duration = Duration::from_millis(50);
+const FIRST_BACKOFF: Duration = Duration::from_millis(50);
 /// The longest delay of the backoff.
-const LONGEST: Duration = Duration::from_secs(10);
+const MAX_BACKOFF: Duration = Duration::from_secs(10);
 /// The shortest time over which the work of a lost zone is spread.
-const SHORTEST_SPREAD: Duration = Duration::from_millis(200);
+const MIN_SPREAD: Duration = Duration::from_millis(200);
 /// The longest time over which the work of a lost zone is spread.
-const LONGEST_SPREAD: Duration = Duration::from_secs(8);
+const MAX_SPREAD: Duration = Duration::from_secs(8);
 
 /// Asks whether a failed run may be followed by another.
 #[data(float)]
-pub struct Ask {
+pub struct RetryQuery {
     /// The row that pays.
     pub key: Key,
     /// The upstream that failed.
@@ -35,13 +35,13 @@
     /// Whether a second run does no harm.
     pub idempotent: bool,
     /// What became of the failed run.
-    pub fate: FailureKind,
+    pub failure: FailureKind,
     /// How many runs there were.
     pub runs: u32,
     /// The row's retries for a hundred successes.
-    pub percent: u32,
+    pub retry_percent: u32,
     /// The wave that took the upstream, if one did.
-    pub wave: Option<Moved>,
+    pub zone_loss: Option<Backlog>,
 }
 
 /// Says what became of a failed run, as far as it matters for another one.
@@ -59,11 +59,11 @@
 
 /// Describes what work that a wave has set free finds elsewhere.
 #[data(copy, float)]
-pub struct Moved {
+pub struct Backlog {
     /// Seconds of slot time that wait before it.
-    pub work: f64,
+    pub slot_seconds: f64,
     /// Slots on the upstreams that are left.
-    pub room: u32,
+    pub slots: u32,
 }
 
 /// Decides whether a failed run is followed by another.
@@ -88,57 +88,60 @@
 
 /// Keeps the budgets of teams' rows and of upstreams.
 #[derive(Debug, Default)]
-pub struct Retries {
+pub struct RetryBudgets {
     rows: BTreeMap<Key, Budget>,
     upstreams: BTreeMap<Upstream, Budget>,
 }
 
-impl Retries {
+impl RetryBudgets {
     /// Earns from a success.
-    pub fn succeeded(&mut self, now: Duration, key: &Key, upstream: &Upstream, percent: u32) {
+    pub fn record_success(&mut self, now: Duration, key: &Key, upstream: &Upstream, percent: u32) {
         self.rows.entry(key.clone()).or_insert_with(|| Budget::new(now)).earn(percent);
         let budget = self.upstreams.entry(upstream.clone()).or_insert_with(|| Budget::new(now));
-        budget.earn(UPSTREAM_PERCENT);
+        budget.earn(UPSTREAM_RETRY_PERCENT);
     }
 
     /// Decides about another run and pays for it.
-    pub fn ask(&mut self, now: Duration, ask: &Ask, rng: &mut impl Rng) -> Decision {
-        if !ask.idempotent && !matches!(ask.fate, FailureKind::Unreachable | FailureKind::Refused) {
+    pub fn decide(&mut self, now: Duration, query: &RetryQuery, rng: &mut impl Rng) -> Decision {
+        if !query.idempotent
+            && !matches!(query.failure, FailureKind::Unreachable | FailureKind::Refused)
+        {
             return Decision::Denied(Denial::MayHaveRun);
         }
         // A reclaim is nobody's fault, so moved work is not paid for; but all of it at once on the
         // upstreams that are left would make them late as well, so it is spread by their room.
-        if let Some(moved) = ask.wave {
-            return Decision::RetryAfter(spread(moved, rng));
+        if let Some(backlog) = query.zone_loss {
+            return Decision::RetryAfter(spread(backlog, rng));
         }
         // The first engines to die do so before anybody can call it a wave. Charged to a budget,
         // the work that ran there would end as unknown although it could go on elsewhere; that it
         // ran bounds how much there is, and the count of runs stops a request that kills engines.
-        if matches!(ask.fate, FailureKind::Unreachable | FailureKind::Lost) && ask.runs <= FREE_RUNS
+        if matches!(query.failure, FailureKind::Unreachable | FailureKind::Lost)
+            && query.runs <= UNCHARGED_RUNS
         {
-            return Decision::RetryAfter(backoff(ask.runs, rng));
+            return Decision::RetryAfter(backoff(query.runs, rng));
         }
-        let row = self.rows.entry(ask.key.clone()).or_insert_with(|| Budget::new(now));
-        if !row.has(now) {
+        let row = self.rows.entry(query.key.clone()).or_insert_with(|| Budget::new(now));
+        if !row.can_spend(now) {
             return Decision::Denied(Denial::Team);
         }
         let upstream =
-            self.upstreams.entry(ask.upstream.clone()).or_insert_with(|| Budget::new(now));
-        if !upstream.has(now) {
+            self.upstreams.entry(query.upstream.clone()).or_insert_with(|| Budget::new(now));
+        if !upstream.can_spend(now) {
             return Decision::Denied(Denial::Upstream);
         }
-        row.pay();
-        upstream.pay();
-        Decision::RetryAfter(backoff(ask.runs, rng))
+        row.spend();
+        upstream.spend();
+        Decision::RetryAfter(backoff(query.runs, rng))
     }
 
     /// Forgets an upstream that is gone.
-    pub fn forget(&mut self, upstream: &Upstream) {
+    pub fn remove_upstream(&mut self, upstream: &Upstream) {
         self.upstreams.remove(upstream);
     }
 
     /// Keeps only the rows that the table still has.
-    pub fn keep(&mut self, keep: impl Fn(&Key) -> bool) {
+    pub fn retain_rows(&mut self, keep: impl Fn(&Key) -> bool) {
         self.rows.retain(|key, _| keep(key));
     }
 }
@@ -147,45 +150,46 @@
 #[derive(Debug)]
 struct Budget {
     saved: f64,
-    at: Duration,
+    updated: Duration,
 }
 
 impl Budget {
     fn new(now: Duration) -> Self {
-        Self { saved: 1.0, at: now }
+        Self { saved: 1.0, updated: now }
     }
 
     fn earn(&mut self, percent: u32) {
-        self.saved = (self.saved + f64::from(percent.min(100)) / 100.0).min(SAVED);
+        self.saved = (self.saved + f64::from(percent.min(100)) / 100.0).min(MAX_SAVED);
     }
 
-    fn has(&mut self, now: Duration) -> bool {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.at = self.at.max(now);
+    fn can_spend(&mut self, now: Duration) -> bool {
+        let elapsed = now.saturating_sub(self.updated).as_secs_f64();
+        self.updated = self.updated.max(now);
         // Time alone earns no more than one retry, so that a long idle time is no stock of retries.
         if self.saved < 1.0 {
-            self.saved = (self.saved + passed / EARNING).min(1.0);
+            self.saved = (self.saved + elapsed / EARN_INTERVAL_SECONDS).min(1.0);
         }
         self.saved >= 1.0
     }
 
-    fn pay(&mut self) {
+    fn spend(&mut self) {
         self.saved -= 1.0;
     }
 }
 
 /// Draws a delay between half of and the whole doubled step.
 fn backoff(runs: u32, rng: &mut impl Rng) -> Duration {
-    let doubled = FIRST.saturating_mul(1 << runs.saturating_sub(1).min(16)).min(LONGEST);
+    let doubled =
+        FIRST_BACKOFF.saturating_mul(1 << runs.saturating_sub(1).min(16)).min(MAX_BACKOFF);
     doubled.mul_f64(rng.random_range(0.5..=1.0))
 }
 
 /// Draws a delay over the time that the room left needs to take in the moved work.
-fn spread(moved: Moved, rng: &mut impl Rng) -> Duration {
-    let needed = moved.work.max(0.0) / f64::from(moved.room.max(1));
-    let limit = needed.clamp(SHORTEST_SPREAD.as_secs_f64(), LONGEST_SPREAD.as_secs_f64());
-    if !limit.is_finite() {
-        return LONGEST_SPREAD;
+fn spread(backlog: Backlog, rng: &mut impl Rng) -> Duration {
+    let needed_seconds = backlog.slot_seconds.max(0.0) / f64::from(backlog.slots.max(1));
+    let max_seconds = needed_seconds.clamp(MIN_SPREAD.as_secs_f64(), MAX_SPREAD.as_secs_f64());
+    if !max_seconds.is_finite() {
+        return MAX_SPREAD;
     }
-    Duration::from_secs_f64(limit * rng.random_range(0.0..=1.0))
+    Duration::from_secs_f64(max_seconds * rng.random_range(0.0..=1.0))
 }
--- a/crates/verbenaslip-policy/src/route.rs
+++ b/crates/verbenaslip-policy/src/route.rs
@@ -13,7 +13,7 @@
 mod router;
 mod score;
 
-pub use self::cache::{Cache, CacheBatch, CacheEvent};
+pub use self::cache::{CacheBatch, CacheEvent, CacheIndex};
 pub use self::health::Health;
 pub use self::latency::Latency;
-pub use self::router::{Ask, Choice, Loss, Router};
+pub use self::router::{Choice, Loss, RouteQuery, Router};
--- a/crates/verbenaslip-policy/src/route/router.rs
+++ b/crates/verbenaslip-policy/src/route/router.rs
@@ -11,36 +11,36 @@
 use verbenaslip_base::name::{AvailabilityZone, Model, Upstream};
 
 use crate::pool::Pool;
-use crate::route::cache::{Cache, CacheBatch};
-use crate::route::engine::{Engine, Sent};
+use crate::route::cache::{CacheBatch, CacheIndex};
+use crate::route::engine::{Engine, Run};
 use crate::route::score::Prediction;
-use crate::row::Terms;
-use crate::service::Service;
+use crate::row::RowParams;
+use crate::service_time::ServiceTimes;
 
 /// The most cached blocks remembered over all upstreams; bounds memory.
-const MOST_BLOCKS: usize = 200_000;
+const MAX_BLOCKS: usize = 200_000;
 /// The most cached blocks remembered of one upstream.
-const MOST_BLOCKS_EACH: usize = 8_192;
+const MAX_BLOCKS_PER_UPSTREAM: usize = 8_192;
 /// The silence after which an upstream is doubtful and gets no new work.
-const SILENT: Duration = Duration::from_secs(4);
+const MAX_SILENCE: Duration = Duration::from_secs(4);
 /// Seconds that a hop to another availability zone adds.
-const HOP: f64 = 0.002;
+const CROSS_ZONE_SECONDS: f64 = 0.002;
 /// An upstream so many times slower than its peers is shed.
-const OUTLIER: f64 = 2.5;
+const OUTLIER_RATIO: f64 = 2.5;
 /// The comparisons needed before an upstream may be shed.
-const OUTLIER_SAMPLES: u32 = 8;
+const MIN_OUTLIER_SAMPLES: u32 = 8;
 /// The part of an engine's slots that are taken as free no more, as its load is not known exactly.
-const UNSURE: f64 = 0.4;
+const UNCERTAIN_LOAD_FRACTION: f64 = 0.4;
 /// Candidates whose cost is within this factor of the best count as equally good.
-const NEAR: f64 = 1.1;
+const NEAR_BEST_RATIO: f64 = 1.1;
 
 /// Asks for an upstream for a request.
 #[data]
-pub struct Ask {
+pub struct RouteQuery {
     /// The request.
     pub head: Head,
     /// The terms of its row.
-    pub terms: Terms,
+    pub params: RowParams,
     /// When it arrived.
     pub arrived: Duration,
     /// Upstreams that it must not run on, such as those that have just failed it.
@@ -55,9 +55,9 @@
     /// Prompt tokens that are expected to be cached there.
     pub cached_tokens: u32,
     /// Expected seconds to the first token.
-    pub first: f64,
+    pub first_token_seconds: f64,
     /// Expected seconds to the whole answer.
-    pub whole: f64,
+    pub total_seconds: f64,
 }
 
 /// Tells what was running at an upstream that was lost.
@@ -66,7 +66,7 @@
     /// The requests of this instance.
     pub requests: Vec<Request>,
     /// Slot seconds that they still needed.
-    pub work: f64,
+    pub slot_seconds: f64,
 }
 
 /// Knows all upstreams and chooses between them.
@@ -75,8 +75,8 @@
     zone: AvailabilityZone,
     instances: u32,
     engines: BTreeMap<Upstream, Engine>,
-    services: BTreeMap<Model, Service>,
-    homes: BTreeMap<Request, Upstream>,
+    service_times: BTreeMap<Model, ServiceTimes>,
+    upstreams_by_request: BTreeMap<Request, Upstream>,
 }
 
 impl Router {
@@ -86,183 +86,194 @@
             zone,
             instances: 1,
             engines: BTreeMap::new(),
-            services: BTreeMap::new(),
-            homes: BTreeMap::new(),
+            service_times: BTreeMap::new(),
+            upstreams_by_request: BTreeMap::new(),
         }
     }
 
     /// Takes over how many instances share the upstreams, this one counted.
-    pub fn instances(&mut self, instances: u32) {
+    pub fn set_instances(&mut self, instances: u32) {
         self.instances = instances.max(1);
     }
 
     /// Takes an announcement; `heard` is when it was made, on this instance's clock.
-    pub fn announce(&mut self, heard: Duration, announcement: &Announcement) {
-        let blocks = self.blocks();
+    pub fn handle_announcement(&mut self, heard: Duration, announcement: &Announcement) {
+        let blocks = self.max_blocks_per_upstream();
         if let Some(engine) = self.engines.get_mut(&announcement.upstream) {
-            engine.announce(heard, announcement);
+            engine.handle_announcement(heard, announcement);
             return;
         }
         let engine = Engine::new(heard, announcement.clone(), blocks);
         self.engines.insert(announcement.upstream.clone(), engine);
-        let blocks = self.blocks();
+        let blocks = self.max_blocks_per_upstream();
         self.engines.values_mut().for_each(|engine| engine.cache.resize(blocks));
     }
 
     /// Forgets an upstream that is gone for good, and returns what ran there.
-    pub fn lost(&mut self, upstream: &Upstream) -> Loss {
+    pub fn remove_upstream(&mut self, upstream: &Upstream) -> Loss {
         let Some(engine) = self.engines.remove(upstream) else {
-            return Loss { requests: Vec::new(), work: 0.0 };
+            return Loss { requests: Vec::new(), slot_seconds: 0.0 };
         };
-        let requests: Vec<Request> = engine.sent.keys().copied().collect();
-        requests.iter().for_each(|request| drop(self.homes.remove(request)));
-        Loss { work: engine.sent.values().map(|sent| sent.seconds).sum(), requests }
+        let requests: Vec<Request> = engine.runs.keys().copied().collect();
+        requests.iter().for_each(|request| drop(self.upstreams_by_request.remove(request)));
+        Loss { slot_seconds: engine.runs.values().map(|run| run.expected_seconds).sum(), requests }
     }
 
     /// Takes cache events of an upstream.
-    pub fn cached(&mut self, upstream: &Upstream, batch: &CacheBatch) {
+    pub fn handle_cache_events(&mut self, upstream: &Upstream, batch: &CacheBatch) {
         if let Some(engine) = self.engines.get_mut(upstream) {
-            engine.cache.events(batch);
+            engine.cache.apply(batch);
         }
     }
 
     /// Returns what is known of an upstream's cache.
-    pub fn cache(&self, upstream: &Upstream) -> Option<&Cache> {
+    pub fn cache(&self, upstream: &Upstream) -> Option<&CacheIndex> {
         Some(&self.engines.get(upstream)?.cache)
     }
 
     /// Chooses an upstream, or none when no one takes new work for the model.
-    pub fn choose(&self, now: Duration, ask: &Ask, rng: &mut impl Rng) -> Option<Choice> {
-        let fresh = |engine: &&Engine| !ask.avoid.contains(&engine.announcement.upstream);
-        let candidates: Vec<&Engine> = self.candidates(now, &ask.head.model).collect();
+    pub fn choose(&self, now: Duration, query: &RouteQuery, rng: &mut impl Rng) -> Option<Choice> {
+        let is_allowed = |engine: &&Engine| !query.avoid.contains(&engine.announcement.upstream);
+        let candidates: Vec<&Engine> = self.candidates(now, &query.head.model).collect();
         // One that has failed it before is still better than none.
-        let anew: Vec<&Engine> = candidates.iter().copied().filter(fresh).collect();
-        let left = if anew.is_empty() { candidates } else { anew };
+        let allowed: Vec<&Engine> = candidates.iter().copied().filter(is_allowed).collect();
+        let eligible = if allowed.is_empty() { candidates } else { allowed };
         let mut scored: Vec<(f64, Choice)> =
-            left.into_iter().map(|engine| self.score(now, ask, engine)).collect();
+            eligible.into_iter().map(|engine| self.score(now, query, engine)).collect();
         scored.sort_by(|a, b| a.0.total_cmp(&b.0));
         let best = scored.first()?.0;
-        let near = scored.iter().take_while(|(cost, _)| *cost <= best * NEAR).count();
+        let near_best =
+            scored.iter().take_while(|(cost, _)| *cost <= best * NEAR_BEST_RATIO).count();
         // Two random ones among the near best, the better of the two: all instances see the same
         // old reports, and if each took the single best they would all crowd onto it.
-        let (one, two) = (rng.random_range(0..near), rng.random_range(0..near));
-        Some(scored.swap_remove(one.min(two)).1)
+        let (first, second) = (rng.random_range(0..near_best), rng.random_range(0..near_best));
+        Some(scored.swap_remove(first.min(second)).1)
     }
 
     /// Notes that a request was sent to an upstream.
-    pub fn sent(&mut self, now: Duration, head: &Head, choice: &Choice) {
-        self.take_back(head.request);
-        let service = self.service(&head.model);
+    pub fn record_sent(&mut self, now: Duration, head: &Head, choice: &Choice) {
+        self.remove_run(head.request);
+        let service_times = self.service_times(&head.model);
         let Some(engine) = self.engines.get_mut(&choice.upstream) else { return };
         let computed = head.prompt.saturating_sub(choice.cached_tokens);
-        let sent = Sent {
-            at: now,
-            first: None,
-            expected_first: choice.first,
-            computed,
-            prefill: service.prefill(computed),
-            seconds: choice.whole,
-            running: engine.load(self.instances),
-            alone: engine.prefilling(now, 1) <= 0.0,
-            allowed: head.output,
+        let run = Run {
+            sent_at: now,
+            first_token_at: None,
+            expected_first_token_seconds: choice.first_token_seconds,
+            computed_tokens: computed,
+            prefill_seconds: service_times.prefill_seconds(computed),
+            expected_seconds: choice.total_seconds,
+            load_at_send: engine.estimate_load(self.instances),
+            only_prefill: engine.pending_prefill_seconds(now, 1) <= 0.0,
+            max_output_tokens: head.output,
         };
-        engine.cache.sent(&head.prefix);
-        engine.health.sent();
-        engine.sent.insert(head.request, sent);
-        self.homes.insert(head.request, choice.upstream.clone());
+        engine.cache.record_prompt(&head.prefix);
+        engine.health.record_sent();
+        engine.runs.insert(head.request, run);
+        self.upstreams_by_request.insert(head.request, choice.upstream.clone());
     }
 
     /// Notes a request's first token.
-    pub fn first_token(&mut self, now: Duration, request: Request) {
-        let Some(engine) = self.homes.get(&request).and_then(|name| self.engines.get_mut(name))
+    pub fn record_first_token(&mut self, now: Duration, request: Request) {
+        let Some(engine) =
+            self.upstreams_by_request.get(&request).and_then(|name| self.engines.get_mut(name))
         else {
             return;
         };
-        let Some(sent) = engine.sent.get_mut(&request) else { return };
-        if sent.first.is_some() {
+        let Some(run) = engine.runs.get_mut(&request) else { return };
+        if run.first_token_at.is_some() {
             return;
         }
-        sent.first = Some(now);
-        let took = now.saturating_sub(sent.at);
-        engine.latency.first(took, sent.expected_first);
-        engine.health.worked();
+        run.first_token_at = Some(now);
+        let took = now.saturating_sub(run.sent_at);
+        engine.latency.record_first_token(took, run.expected_first_token_seconds);
+        engine.health.record_success();
         // A prefill behind others says little about the engine's own speed.
-        if sent.alone
+        if run.only_prefill
             && let Some(model) = engine.announcement.models.first()
         {
-            let computed = sent.computed;
-            self.services.entry(model.clone()).or_default().prefilled(computed, took);
+            let computed = run.computed_tokens;
+            self.service_times.entry(model.clone()).or_default().record_prefill(computed, took);
         }
     }
 
     /// Notes that a request's answer is whole, with so many tokens.
-    pub fn ended(&mut self, now: Duration, model: &Model, request: Request, tokens: u32) {
+    pub fn record_completion(
+        &mut self,
+        now: Duration,
+        model: &Model,
+        request: Request,
+        tokens: u32,
+    ) {
         let instances = self.instances;
-        let service = self.services.entry(model.clone()).or_default();
-        let Some(engine) = self.homes.remove(&request).and_then(|name| self.engines.get_mut(&name))
+        let service_times = self.service_times.entry(model.clone()).or_default();
+        let Some(engine) =
+            self.upstreams_by_request.remove(&request).and_then(|name| self.engines.get_mut(&name))
         else {
             return;
         };
-        let after = engine.load(instances);
-        let Some(sent) = engine.end(now, request) else { return };
-        engine.health.worked();
-        service.length(tokens, sent.allowed);
-        service.held(now.saturating_sub(sent.at));
-        let Some(first) = sent.first else { return };
+        let after = engine.estimate_load(instances);
+        let Some(run) = engine.end_run(now, request) else { return };
+        engine.health.record_success();
+        service_times.record_length(tokens, run.max_output_tokens);
+        service_times.record_hold(now.saturating_sub(run.sent_at));
+        let Some(first) = run.first_token_at else { return };
         if tokens < 2 {
             return;
         }
-        let running = (sent.running + after) / 2.0;
+        let running = (run.load_at_send + after) / 2.0;
         let interval = now.saturating_sub(first).as_secs_f64() / f64::from(tokens - 1);
-        engine.latency.interval(interval, service.interval(running));
-        service.decoded(running, interval);
+        engine.latency.record_inter_token(interval, service_times.inter_token_seconds(running));
+        service_times.record_decode(running, interval);
     }
 
     /// Notes that a request's run failed through its upstream.
-    pub fn failed(&mut self, now: Duration, request: Request) {
-        let Some(engine) = self.homes.remove(&request).and_then(|name| self.engines.get_mut(&name))
+    pub fn record_failure(&mut self, now: Duration, request: Request) {
+        let Some(engine) =
+            self.upstreams_by_request.remove(&request).and_then(|name| self.engines.get_mut(&name))
         else {
             return;
         };
-        engine.end(now, request);
-        engine.health.failed(now);
+        engine.end_run(now, request);
+        engine.health.record_failure(now);
     }
 
     /// Notes that a run was cancelled or moved for reasons that say nothing of the upstream.
-    pub fn withdrawn(&mut self, now: Duration, request: Request) {
-        let Some(engine) = self.homes.remove(&request).and_then(|name| self.engines.get_mut(&name))
+    pub fn record_withdrawal(&mut self, now: Duration, request: Request) {
+        let Some(engine) =
+            self.upstreams_by_request.remove(&request).and_then(|name| self.engines.get_mut(&name))
         else {
             return;
         };
-        engine.end(now, request);
+        engine.end_run(now, request);
     }
 
     /// Sums up what the upstreams of a model could take now.
     pub fn pool(&self, now: Duration, model: &Model) -> Pool {
-        let mut pool = Pool { service: self.service(model), ..Pool::default() };
+        let mut pool = Pool { service_times: self.service_times(model), ..Pool::default() };
         let mut running = 0.0;
         for engine in self.candidates(now, model) {
             let slots = engine.announcement.slots;
-            let load = engine.load(self.instances);
+            let load = engine.estimate_load(self.instances);
             pool.upstreams += 1;
             pool.slots += slots;
-            pool.free += (f64::from(slots) - load).max(0.0) as u32;
+            pool.free_slots += (f64::from(slots) - load).max(0.0) as u32;
             running += load.min(f64::from(slots));
         }
-        pool.running = running / f64::from(pool.upstreams.max(1));
-        pool.share = f64::from(pool.slots) / f64::from(self.instances);
+        pool.mean_running = running / f64::from(pool.upstreams.max(1));
+        pool.slot_share = f64::from(pool.slots) / f64::from(self.instances);
         pool
     }
 
     /// Returns the most prompt tokens that any candidate is expected to have cached.
-    pub fn best_cached(&self, now: Duration, head: &Head) -> u32 {
-        let tokens = self.candidates(now, &head.model).map(|e| e.cache.tokens(&head.prefix));
+    pub fn max_cached_tokens(&self, now: Duration, head: &Head) -> u32 {
+        let tokens = self.candidates(now, &head.model).map(|e| e.cache.cached_tokens(&head.prefix));
         tokens.fold(0.0, f64::max).min(f64::from(head.prompt)) as u32
     }
 
     /// Returns where a request runs.
-    pub fn home(&self, request: Request) -> Option<&Upstream> {
-        self.homes.get(&request)
+    pub fn upstream_of(&self, request: Request) -> Option<&Upstream> {
+        self.upstreams_by_request.get(&request)
     }
 
     /// Returns the models for which any upstream is known.
@@ -280,29 +291,29 @@
     }
 
     /// Returns how many upstreams of a zone are known.
-    pub fn in_zone(&self, zone: &AvailabilityZone) -> usize {
+    pub fn count_in_zone(&self, zone: &AvailabilityZone) -> usize {
         self.engines.values().filter(|engine| engine.announcement.zone == *zone).count()
     }
 
     /// Returns the live service times of a model.
-    pub fn service(&self, model: &Model) -> Service {
-        self.services.get(model).copied().unwrap_or_default()
+    pub fn service_times(&self, model: &Model) -> ServiceTimes {
+        self.service_times.get(model).copied().unwrap_or_default()
     }
 
     /// Returns the upstreams that may get new work for a model.
     fn candidates(&self, now: Duration, model: &Model) -> impl Iterator<Item = &Engine> {
-        let doubted = self.doubted_zones(now, model);
-        let typical = self.typical_slowness(model);
-        self.offering(model).filter(move |engine| {
+        let partitioned = self.likely_partitioned_zones(now, model);
+        let median = self.median_slowness(model);
+        self.ready_upstreams(model).filter(move |engine| {
             let zone = &engine.announcement.zone;
-            let heard = engine.silent(now) <= SILENT;
-            let works = engine.health.may(now) || doubted.contains(zone);
-            heard && works && !outlier(engine, typical)
+            let is_heard = engine.silence(now) <= MAX_SILENCE;
+            let accepts_work = engine.health.accepts_work(now) || partitioned.contains(zone);
+            is_heard && accepts_work && !is_outlier(engine, median)
         })
     }
 
     /// Returns the ready upstreams with a model loaded.
-    fn offering(&self, model: &Model) -> impl Iterator<Item = &Engine> {
+    fn ready_upstreams(&self, model: &Model) -> impl Iterator<Item = &Engine> {
         self.engines.values().filter(move |engine| {
             let ready = engine.announcement.phase == Phase::Ready;
             ready && engine.announcement.models.contains(model)
@@ -313,23 +324,25 @@
     ///
     /// If connections from here to a whole zone fail while its upstreams still reach the other
     /// instances, the fault is more likely on this side; emptying the zone would crowd the others.
-    fn doubted_zones(&self, now: Duration, model: &Model) -> Vec<AvailabilityZone> {
-        if !self.offering(model).any(|engine| engine.health.down()) {
+    fn likely_partitioned_zones(&self, now: Duration, model: &Model) -> Vec<AvailabilityZone> {
+        if !self.ready_upstreams(model).any(|engine| engine.health.is_down()) {
             return Vec::new();
         }
         let mut zones: BTreeMap<&AvailabilityZone, (usize, usize)> = BTreeMap::new();
-        for engine in self.offering(model).filter(|engine| engine.silent(now) <= SILENT) {
+        for engine in
+            self.ready_upstreams(model).filter(|engine| engine.silence(now) <= MAX_SILENCE)
+        {
             let counts = zones.entry(&engine.announcement.zone).or_default();
             counts.0 += 1;
-            counts.1 += usize::from(engine.health.down());
+            counts.1 += usize::from(engine.health.is_down());
         }
-        let most = zones.into_iter().filter(|(_, (all, down))| *all > 1 && down * 2 > *all);
-        most.map(|(zone, _)| zone.clone()).collect()
+        let mostly_down = zones.into_iter().filter(|(_, (all, down))| *all > 1 && down * 2 > *all);
+        mostly_down.map(|(zone, _)| zone.clone()).collect()
     }
 
     /// Returns the median slowness of a model's upstreams.
-    fn typical_slowness(&self, model: &Model) -> f64 {
-        let mut all: Vec<f64> = self.offering(model).map(|e| e.latency.slowness()).collect();
+    fn median_slowness(&self, model: &Model) -> f64 {
+        let mut all: Vec<f64> = self.ready_upstreams(model).map(|e| e.latency.slowness()).collect();
         let middle = all.len().saturating_sub(1) / 2;
         if all.is_empty() {
             return 1.0;
@@ -337,66 +350,78 @@
         *all.select_nth_unstable_by(middle, f64::total_cmp).1
     }
 
-    fn score(&self, now: Duration, ask: &Ask, engine: &Engine) -> (f64, Choice) {
-        let cached = engine.cache.tokens(&ask.head.prefix).min(f64::from(ask.head.prompt)) as u32;
-        let prediction = self.predict(now, ask, engine, cached);
-        let left = ask.head.deadline.saturating_sub(now).as_secs_f64();
-        let cost = prediction.cost(left, now.saturating_sub(ask.arrived), &ask.terms);
+    fn score(&self, now: Duration, query: &RouteQuery, engine: &Engine) -> (f64, Choice) {
+        let cached_tokens =
+            engine.cache.cached_tokens(&query.head.prefix).min(f64::from(query.head.prompt)) as u32;
+        let prediction = self.predict(now, query, engine, cached_tokens);
+        let seconds_left = query.head.deadline.saturating_sub(now).as_secs_f64();
+        let cost = prediction.cost(seconds_left, now.saturating_sub(query.arrived), &query.params);
         let upstream = engine.announcement.upstream.clone();
         (
             cost,
             Choice {
                 upstream,
-                cached_tokens: cached,
-                first: prediction.first,
-                whole: prediction.whole,
+                cached_tokens,
+                first_token_seconds: prediction.first_token_seconds,
+                total_seconds: prediction.total_seconds,
             },
         )
     }
 
-    fn predict(&self, now: Duration, ask: &Ask, engine: &Engine, cached: u32) -> Prediction {
-        let service = self.service(&ask.head.model);
-        let load = engine.load(self.instances);
+    fn predict(
+        &self,
+        now: Duration,
+        query: &RouteQuery,
+        engine: &Engine,
+        cached_tokens: u32,
+    ) -> Prediction {
+        let service_times = self.service_times(&query.head.model);
+        let load = engine.estimate_load(self.instances);
         let slots = f64::from(engine.announcement.slots.max(1));
         let running = load.min(slots);
-        let slow = engine.latency.slowness().max(1.0);
-        let hop = if engine.announcement.zone == self.zone { 0.0 } else { HOP };
-        let computed = ask.head.prompt.saturating_sub(cached);
+        let slowness = engine.latency.slowness().max(1.0);
+        let zone_seconds =
+            if engine.announcement.zone == self.zone { 0.0 } else { CROSS_ZONE_SECONDS };
+        let computed = query.head.prompt.saturating_sub(cached_tokens);
         let tokens = match engine.announcement.kind {
-            Kind::Engine => service.tokens(ask.head.output.min(ask.terms.output)),
+            Kind::Engine => {
+                service_times.expected_tokens(query.head.output.min(query.params.max_output_tokens))
+            }
             Kind::Service => 0.0,
         };
-        let interval = service.interval(running);
-        let prefill = service.prefill(computed);
+        let interval = service_times.inter_token_seconds(running);
+        let prefill = service_times.prefill_seconds(computed);
         // Beyond its slots each one more waits until one of the slots is free.
-        let excess = (load + 1.0 - slots * (1.0 - UNSURE)).max(0.0);
-        let wait = excess * service.hold() / slots;
-        let prefilling = engine.prefilling(now, self.instances);
-        let first = hop + slow * (wait + prefilling + prefill);
-        let growth = service.interval(running + 1.0) - interval;
+        let excess = (load + 1.0 - slots * (1.0 - UNCERTAIN_LOAD_FRACTION)).max(0.0);
+        let wait = excess * service_times.hold_seconds() / slots;
+        let pending_prefill = engine.pending_prefill_seconds(now, self.instances);
+        let first = zone_seconds + slowness * (wait + pending_prefill + prefill);
+        let growth = service_times.inter_token_seconds(running + 1.0) - interval;
         Prediction {
-            first,
-            whole: first + slow * tokens * interval,
-            work: prefill + tokens * interval / (running + 1.0),
-            delay: growth * tokens + prefill * (running / slots),
-            price: engine.announcement.price as f64,
+            first_token_seconds: first,
+            total_seconds: first + slowness * tokens * interval,
+            engine_seconds: prefill + tokens * interval / (running + 1.0),
+            added_delay_seconds: growth * tokens + prefill * (running / slots),
+            hourly_price: engine.announcement.price as f64,
         }
     }
 
-    fn take_back(&mut self, request: Request) {
-        if let Some(engine) = self.homes.remove(&request).and_then(|n| self.engines.get_mut(&n)) {
-            engine.sent.remove(&request);
+    fn remove_run(&mut self, request: Request) {
+        if let Some(engine) =
+            self.upstreams_by_request.remove(&request).and_then(|n| self.engines.get_mut(&n))
+        {
+            engine.runs.remove(&request);
         }
     }
 
-    fn blocks(&self) -> usize {
-        (MOST_BLOCKS / self.engines.len().max(1)).min(MOST_BLOCKS_EACH)
+    fn max_blocks_per_upstream(&self) -> usize {
+        (MAX_BLOCKS / self.engines.len().max(1)).min(MAX_BLOCKS_PER_UPSTREAM)
     }
 }
 
 /// Returns whether an upstream is so slow that it is shed, and not due for a probe.
-fn outlier(engine: &Engine, typical: f64) -> bool {
-    let slow = engine.latency.slowness() > OUTLIER * typical.max(1.0);
+fn is_outlier(engine: &Engine, median: f64) -> bool {
+    let is_slow = engine.latency.slowness() > OUTLIER_RATIO * median.max(1.0);
     // One run at a time keeps measuring it, so that it comes back when it is fast again.
-    slow && engine.latency.samples() >= OUTLIER_SAMPLES && !engine.sent.is_empty()
+    is_slow && engine.latency.samples() >= MIN_OUTLIER_SAMPLES && !engine.runs.is_empty()
 }
--- a/crates/verbenaslip-policy/tests/admit.rs
+++ b/crates/verbenaslip-policy/tests/admit.rs
@@ -6,24 +6,28 @@
 use verbenaslip_base::refusal::Reason;
 use verbenaslip_policy::admit::{Admission, Queue};
 
-use crate::common::{item, ms, pool, rng, terms};
+use crate::common::{ms, params, pool, queued, rng};
 
 mod common;
 
 #[test]
-fn an_idle_queue_admits_and_gives_the_request_once_it_is_ready() {
+fn an_idle_queue_admits_a_request_and_returns_it_once_ready() {
     let (mut queue, mut rng) = (Queue::default(), rng(1));
-    let request = item(1, "a", terms(|_| ()));
+    let request = queued(1, "a", params(|_| ()));
     let admission = queue.offer(ms(0), request.clone(), &pool(8, 8), &mut rng);
     assert_eq!(admission, Admission::Admitted);
-    assert_eq!(queue.next(ms(0), &pool(8, 8), |_, _| true), None, "it is not journalled yet");
-    assert!(queue.ready(request.head.request));
+    assert_eq!(
+        queue.next(ms(0), &pool(8, 8), |_, _| true),
+        None,
+        "the request is not marked ready yet"
+    );
+    assert!(queue.mark_ready(request.head.request));
     assert_eq!(queue.next(ms(0), &pool(8, 8), |_, _| true), Some(request));
     assert!(queue.is_empty());
 }
 
 #[test]
-fn what_cannot_be_on_time_is_refused_at_once() {
+fn requests_that_cannot_meet_their_deadline_are_refused() {
     // Symptom: callers wait until their deadline for an answer that could never come. Sequence: a
     // request arrives whose service time alone, or with the backlog, exceeds what is left. Cause:
     // admission without a prediction.
@@ -55,11 +59,11 @@
     for case in cases {
         let (mut queue, mut rng) = (Queue::default(), rng(1));
         for id in 0..case.waiting {
-            let mut ahead = item(100 + id, "a", terms(|_| ()));
+            let mut ahead = queued(100 + id, "a", params(|_| ()));
             ahead.head.deadline = case.deadline - ms(100);
             queue.offer(ms(0), ahead, &pool(8, 0), &mut rng);
         }
-        let mut last = item(1, "a", terms(|_| ()));
+        let mut last = queued(1, "a", params(|_| ()));
         last.head.deadline = case.deadline;
         let admission = queue.offer(ms(0), last, &pool(8, 0), &mut rng);
         let Admission::Refused(refusal) = admission else {
@@ -73,54 +77,58 @@
 }
 
 #[test]
-fn equal_lanes_share_by_weight() {
+fn lanes_of_one_priority_share_by_weight() {
     let (mut queue, mut rng) = (Queue::default(), rng(1));
-    for (team, weight, base) in [("a", 300, 0), ("b", 100, 1000)] {
+    for (team, weight, first_id) in [("a", 300, 0), ("b", 100, 1000)] {
         for id in 0..200 {
-            let mut request = item(base + id, team, terms(|row| row.weight = weight));
-            request.terms.wait = ms(1_000_000);
+            let mut request = queued(first_id + id, team, params(|row| row.weight = weight));
+            request.params.max_wait = ms(1_000_000);
             request.head.deadline = ms(1_000_000);
-            let identity = request.head.request;
+            let request_id = request.head.request;
             queue.offer(ms(0), request, &pool(64, 0), &mut rng);
-            assert!(queue.ready(identity));
+            assert!(queue.mark_ready(request_id));
         }
     }
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
     for _ in 0..100 {
-        let next = queue.next(ms(0), &pool(8, 8), |_, _| true).expect("both lanes have work");
+        let next =
+            queue.next(ms(0), &pool(8, 8), |_, _| true).expect("both lanes have queued requests");
         *counts.entry(next.head.team.to_string()).or_default() += 1;
     }
     assert_eq!(counts["a"], 75, "{counts:?}");
 }
 
 #[test]
-fn a_higher_priority_goes_first_but_starves_no_lower_one() {
+fn higher_priorities_go_first_without_starving_lower_ones() {
     // Symptom: bulk work never runs while small work comes without end. Sequence: 300 requests of
     // priority 7 and ten of priority 2 wait. Cause: strict priority without a bound.
     let (mut queue, mut rng) = (Queue::default(), rng(1));
-    for (team, priority, base, count) in [("high", 7, 0, 300), ("low", 2, 1_000, 10)] {
+    for (team, priority, first_id, count) in [("high", 7, 0, 300), ("low", 2, 1_000, 10)] {
         for id in 0..count {
-            let mut request = item(base + id, team, terms(|row| row.priority = priority));
-            request.terms.wait = ms(1_000_000);
+            let mut request = queued(first_id + id, team, params(|row| row.priority = priority));
+            request.params.max_wait = ms(1_000_000);
             request.head.deadline = ms(1_000_000);
-            let identity = request.head.request;
+            let request_id = request.head.request;
             queue.offer(ms(0), request, &pool(512, 0), &mut rng);
-            assert!(queue.ready(identity));
+            assert!(queue.mark_ready(request_id));
         }
     }
-    let mut turns = Vec::new();
+    let mut low_turns = Vec::new();
     for turn in 0..100 {
-        let next = queue.next(ms(0), &pool(8, 8), |_, _| true).expect("work waits");
+        let next = queue.next(ms(0), &pool(8, 8), |_, _| true).expect("requests are queued");
         if next.head.team.as_str() == "low" {
-            turns.push(turn);
+            low_turns.push(turn);
         }
     }
-    assert!((7..=10).contains(&turns.len()), "a tenth of the work: {turns:?}");
-    assert!(turns[0] >= 5, "the higher one goes first: {turns:?}");
+    assert!(
+        (7..=10).contains(&low_turns.len()),
+        "the low priority gets about a tenth: {low_turns:?}"
+    );
+    assert!(low_turns[0] >= 5, "the higher priority goes first: {low_turns:?}");
 }
 
 #[test]
-fn slots_stay_free_for_the_priorities_above() {
+fn slots_stay_free_for_higher_priorities() {
     // Symptom: small urgent requests find no slot while long drafts run. Sequence: urgent ones come
     // steadily, then in a second without any the drafts ask for every free slot. Cause: priority
     // that counts only when a slot is given.
@@ -129,45 +137,45 @@
     for step in 0..200 {
         let now = ms(step * 100);
         id += 1;
-        let mut urgent = item(id, "urgent", terms(|row| row.priority = 7));
+        let mut urgent = queued(id, "urgent", params(|row| row.priority = 7));
         urgent.head.deadline = now + ms(30_000);
-        let identity = urgent.head.request;
+        let request_id = urgent.head.request;
         queue.offer(now, urgent, &pool(64, 40), &mut rng);
-        queue.ready(identity);
+        queue.mark_ready(request_id);
         let taken = queue.next(now, &pool(64, 40), |_, _| true).expect("slots are free");
-        queue.left(&taken);
+        queue.release(&taken);
     }
     let now = ms(20_000);
     for draft in 0..64 {
-        let mut request = item(10_000 + draft, "draft", terms(|row| row.priority = 3));
+        let mut request = queued(10_000 + draft, "draft", params(|row| row.priority = 3));
         request.head.deadline = now + ms(600_000);
-        request.terms.wait = ms(600_000);
-        let identity = request.head.request;
+        request.params.max_wait = ms(600_000);
+        let request_id = request.head.request;
         queue.offer(now, request, &pool(64, 40), &mut rng);
-        queue.ready(identity);
+        queue.mark_ready(request_id);
     }
     let mut free = 40;
     while queue.next(now, &pool(64, free), |_, _| true).is_some() {
         free -= 1;
     }
-    assert!((5..=25).contains(&free), "{free} slots stay free");
+    assert!((5..=25).contains(&free), "{free} slots stayed free");
 }
 
 #[test]
-fn the_refused_are_told_different_times() {
+fn refused_callers_get_different_retry_hints() {
     // Symptom: all who were refused return in the same second and are refused again. Sequence: 200
     // requests come at once, most are refused. Cause: a fixed hint.
     let (mut queue, mut rng) = (Queue::default(), rng(1));
     let mut hints = Vec::new();
     for id in 0..400 {
-        let mut request = item(id, "a", terms(|_| ()));
+        let mut request = queued(id, "a", params(|_| ()));
         request.head.deadline = ms(6_000);
         let admission = queue.offer(ms(0), request, &pool(8, 0), &mut rng);
         if let Admission::Refused(refusal) = admission {
-            hints.push(refusal.retry.expect("coming back helps").as_secs());
+            hints.push(refusal.retry.expect("the refusal has a retry hint").as_secs());
         }
     }
-    assert!(hints.len() >= 300, "{} were refused", hints.len());
+    assert!(hints.len() >= 300, "only {} requests were refused", hints.len());
     let mut seconds: BTreeMap<u64, usize> = BTreeMap::new();
     hints.iter().for_each(|hint| *seconds.entry(*hint).or_default() += 1);
     // Eight slots take some four of them a second.
@@ -176,81 +184,81 @@
 }
 
 #[test]
-fn what_becomes_late_while_it_waits_is_given_up_at_once() {
+fn requests_that_become_late_while_queued_are_refused() {
     // Symptom: a caller waits until its deadline for a refusal. Sequence: a request waits, no slot
     // comes free, and its service time no longer fits. Cause: a queue that only looks at the head
     // when a slot is free. Holding an answer back so that nobody asks again is not accepted.
     let (mut queue, mut rng) = (Queue::default(), rng(1));
-    let mut late = item(1, "a", terms(|_| ()));
+    let mut late = queued(1, "a", params(|_| ()));
     late.head.deadline = ms(8_000);
-    let mut patient = item(2, "a", terms(|row| row.max_wait_ms = 3_000));
-    patient.head.deadline = ms(60_000);
-    for request in [late, patient] {
+    let mut impatient = queued(2, "a", params(|row| row.max_wait_ms = 3_000));
+    impatient.head.deadline = ms(60_000);
+    for request in [late, impatient] {
         queue.offer(ms(0), request, &pool(8, 0), &mut rng);
     }
     assert!(queue.expire(ms(1_000), &pool(8, 0), &mut rng).is_empty());
-    let given = queue.expire(ms(3_100), &pool(8, 0), &mut rng);
-    assert_eq!(given.len(), 1, "it has waited as long as its row allows: {given:?}");
-    assert_eq!(given[0].refusal.reason, Reason::Overload);
-    let given = queue.expire(ms(7_000), &pool(8, 0), &mut rng);
-    assert_eq!(given.len(), 1, "its answer no longer fits: {given:?}");
-    assert_eq!(given[0].refusal.reason, Reason::Deadline);
-    assert!(given[0].refusal.retry.is_some());
+    let expired = queue.expire(ms(3_100), &pool(8, 0), &mut rng);
+    assert_eq!(expired.len(), 1, "the request reached the maximum wait of its row: {expired:?}");
+    assert_eq!(expired[0].refusal.reason, Reason::Overload);
+    let expired = queue.expire(ms(7_000), &pool(8, 0), &mut rng);
+    assert_eq!(expired.len(), 1, "the answer can no longer meet the deadline: {expired:?}");
+    assert_eq!(expired[0].refusal.reason, Reason::Deadline);
+    assert!(expired[0].refusal.retry.is_some());
     assert!(queue.is_empty());
 }
 
 #[test]
 fn without_upstreams_a_request_is_refused_with_a_hint() {
     let (mut queue, mut rng) = (Queue::default(), rng(1));
-    let admission = queue.offer(ms(0), item(1, "a", terms(|_| ())), &pool(0, 0), &mut rng);
+    let admission = queue.offer(ms(0), queued(1, "a", params(|_| ())), &pool(0, 0), &mut rng);
     let Admission::Refused(refusal) = admission else { panic!("{admission:?}") };
     assert_eq!(refusal.reason, Reason::NoUpstream);
     assert!(refusal.retry.is_some());
 }
 
 #[test]
-fn a_lane_that_was_idle_has_no_credit() {
+fn an_idle_lane_gains_no_credit() {
     // Symptom: a team that was idle for an hour takes every slot for minutes. Sequence: two teams
     // are served, one goes on alone for a hundred requests, then the other comes back. Cause: service
     // counted since ever.
     let (mut queue, mut rng) = (Queue::default(), rng(1));
     let mut add = |queue: &mut Queue, team: &str, from: u128, count: u128| {
         for id in from..from + count {
-            let mut request = item(id, team, terms(|_| ()));
-            request.terms.wait = ms(1_000_000);
+            let mut request = queued(id, team, params(|_| ()));
+            request.params.max_wait = ms(1_000_000);
             request.head.deadline = ms(1_000_000);
-            let identity = request.head.request;
+            let request_id = request.head.request;
             queue.offer(ms(0), request, &pool(64, 0), &mut rng);
-            queue.ready(identity);
+            queue.mark_ready(request_id);
         }
     };
     add(&mut queue, "old", 0, 200);
     add(&mut queue, "new", 900, 1);
     for _ in 0..100 {
-        queue.next(ms(0), &pool(8, 8), |_, _| true).expect("work waits");
+        queue.next(ms(0), &pool(8, 8), |_, _| true).expect("requests are queued");
     }
     add(&mut queue, "new", 1_000, 50);
     let next = (0..20).filter_map(|_| queue.next(ms(0), &pool(8, 8), |_, _| true));
-    let new = next.filter(|item| item.head.team.as_str() == "new").count();
+    let new = next.filter(|queued| queued.head.team.as_str() == "new").count();
     assert!((9..=11).contains(&new), "{new} of 20");
 }
 
 #[test]
-fn any_numbers_are_taken_without_panic() {
+fn extreme_numbers_do_not_panic() {
     let (mut queue, mut rng) = (Queue::default(), rng(1));
-    let strange = [0, 1, u32::MAX];
-    for (id, prompt) in (0..).zip(strange) {
-        for (more, output) in (0..).zip(strange) {
+    let extremes = [0, 1, u32::MAX];
+    for (id, prompt) in (0..).zip(extremes) {
+        for (minor, output) in (0..).zip(extremes) {
             for deadline in [Duration::ZERO, ms(1), Duration::MAX] {
-                let mut request = item(id * 10 + more, "a", terms(|_| ()));
+                let mut request = queued(id * 10 + minor, "a", params(|_| ()));
                 request.head.prompt = prompt;
                 request.head.output = output;
                 request.head.deadline = deadline;
-                request.cached = output;
-                request.terms.weight = 0;
-                let identity = request.head.request;
+                request.cached_tokens = output;
+                request.params.weight = 0;
+                let request_id = request.head.request;
                 queue.offer(Duration::MAX, request, &pool(u32::MAX, 0), &mut rng);
-                queue.ready(identity);
+                queue.mark_ready(request_id);
                 queue.next(ms(0), &pool(1, 1), |_, _| true);
                 queue.expire(Duration::MAX, &pool(0, 0), &mut rng);
             }
--- a/crates/verbenaslip-policy/tests/common/mod.rs
+++ b/crates/verbenaslip-policy/tests/common/mod.rs
@@ -10,9 +10,9 @@
 use verbenaslip_base::attempt::Request;
 use verbenaslip_base::head::Head;
 use verbenaslip_base::name::{Instance, Model};
-use verbenaslip_policy::admit::Item;
+use verbenaslip_policy::admit::QueuedRequest;
 use verbenaslip_policy::pool::Pool;
-use verbenaslip_policy::row::Terms;
+use verbenaslip_policy::row::RowParams;
 use verbenaslip_table::{Key, Row};
 
 /// Returns a generator with a fixed seed.
@@ -31,10 +31,10 @@
 }
 
 /// Returns the terms of a usual row, changed.
-pub fn terms(change: impl FnOnce(&mut Row)) -> Terms {
+pub fn params(change: impl FnOnce(&mut Row)) -> RowParams {
     let mut row = Row::new("team", "class");
     change(&mut row);
-    Terms::from(&row)
+    RowParams::from(&row)
 }
 
 /// Returns a small request that is due 30 s from zero.
@@ -55,22 +55,22 @@
 }
 
 /// Returns an offered request.
-pub fn item(id: u128, team: &str, terms: Terms) -> Item {
-    Item {
+pub fn queued(id: u128, team: &str, params: RowParams) -> QueuedRequest {
+    QueuedRequest {
         head: head(id, team),
         key: key(team, "class"),
         arrived: Duration::ZERO,
-        terms,
-        cached: 0,
+        params,
+        cached_tokens: 0,
         avoid: Vec::new(),
-        begun: false,
+        may_have_run: false,
     }
 }
 
 /// Returns a pool with slots, of which some are free.
-pub fn pool(slots: u32, free: u32) -> Pool {
-    let share = f64::from(slots);
-    Pool { upstreams: 1, slots, free, share, running: 4.0, ..Pool::default() }
+pub fn pool(slots: u32, free_slots: u32) -> Pool {
+    let slot_share = f64::from(slots);
+    Pool { upstreams: 1, slots, free_slots, slot_share, mean_running: 4.0, ..Pool::default() }
 }
 
 /// Returns an announcement of a ready engine.
