--- a/crates/verbenaslip-policy/tests/dispatch.rs
+++ b/crates/verbenaslip-policy/tests/dispatch.rs
@@ -17,39 +17,39 @@
 mod common;
 
 /// One instance alone, at a time at which it holds its limits.
-struct Node {
+struct Harness {
     dispatcher: Dispatcher,
     rng: Pcg64Mcg,
     now: Duration,
 }
 
-impl Node {
+impl Harness {
     fn new(row: impl FnOnce(&mut Row)) -> Self {
         let mut dispatcher = Dispatcher::new(ms(0), "i0".into(), "z0".into(), 1);
         dispatcher.set_members(ms(0), &["i0".into()]);
-        let mut node = Self { dispatcher, rng: rng(1), now: ms(0) };
-        node.table(row);
-        node.wait(8);
-        node.announce(1);
-        node
+        let mut harness = Self { dispatcher, rng: rng(1), now: ms(0) };
+        harness.set_table(row);
+        harness.advance(8);
+        harness.announce_all(1);
+        harness
     }
 
     /// Lets seconds pass, with the limits stepped once in each.
-    fn wait(&mut self, seconds: u64) {
+    fn advance(&mut self, seconds: u64) {
         for _ in 0..seconds {
             self.now += ms(1_000);
             self.dispatcher.tick_limits(self.now);
         }
     }
 
-    fn table(&mut self, edit: impl FnOnce(&mut Row)) {
+    fn set_table(&mut self, edit: impl FnOnce(&mut Row)) {
         let mut row = Row::new("a", "class");
         edit(&mut row);
-        let table = Table::new([row]).expect("the row is allowed");
+        let table = Table::new([row]).expect("the row is valid");
         self.dispatcher.set_table(self.now, &table);
     }
 
-    fn announce(&mut self, sequence: u64) {
+    fn announce_all(&mut self, sequence: u64) {
         for number in 0..6 {
             let zone = format!("z{}", number % 3);
             let announcement = engine(&format!("e{number}"), &zone, sequence);
@@ -65,59 +65,64 @@
         admission
     }
 
-    fn next(&mut self) -> Vec<Dispatch> {
+    fn dispatch(&mut self) -> Vec<Dispatch> {
         self.dispatcher.next_dispatches(self.now, &mut self.rng)
     }
 }
 
 #[test]
-fn a_request_runs_once_it_is_ready_and_is_forgotten_when_it_ended() {
-    let mut node = Node::new(|_| ());
-    assert_eq!(node.offer(1), Admission::Admitted);
-    let runs = node.next();
+fn a_request_runs_once_ready_and_is_removed_when_completed() {
+    let mut harness = Harness::new(|_| ());
+    assert_eq!(harness.offer(1), Admission::Admitted);
+    let runs = harness.dispatch();
     assert_eq!(runs.len(), 1);
-    assert!(node.next().is_empty());
-    node.now += ms(100);
-    node.dispatcher.record_first_token(node.now, Request(1));
-    node.now += ms(900);
-    node.dispatcher.record_completion(node.now, Request(1), 40);
-    assert_eq!((node.dispatcher.running(), node.dispatcher.waiting()), (0, 0));
-    assert_eq!(node.dispatcher.limiter().running(&key("a", "class")), 0);
+    assert!(harness.dispatch().is_empty());
+    harness.now += ms(100);
+    harness.dispatcher.record_first_token(harness.now, Request(1));
+    harness.now += ms(900);
+    harness.dispatcher.record_completion(harness.now, Request(1), 40);
+    assert_eq!((harness.dispatcher.running(), harness.dispatcher.waiting()), (0, 0));
+    assert_eq!(harness.dispatcher.limiter().running(&key("a", "class")), 0);
 }
 
 #[test]
-fn refusals_name_their_reason() {
+fn refusals_state_their_reason() {
     struct Case {
         name: &'static str,
-        set: fn(&mut Node),
+        prepare: fn(&mut Harness),
         reason: Reason,
         hint: bool,
     }
-    let leave = |node: &mut Node| {
+    let all_leave = |harness: &mut Harness| {
         for number in 0..6 {
             let mut leaving = engine(&format!("e{number}"), "z0", 2);
             leaving.phase = Phase::Leaving { notice: Some(10_000) };
-            node.dispatcher.handle_announcement(node.now, &leaving);
+            harness.dispatcher.handle_announcement(harness.now, &leaving);
         }
     };
     let cases = [
-        Case { name: "all are leaving", set: leave, reason: Reason::NoUpstream, hint: true },
+        Case {
+            name: "all are leaving",
+            prepare: all_leave,
+            reason: Reason::NoUpstream,
+            hint: true,
+        },
         Case {
             name: "the row is gone",
-            set: |node| node.dispatcher.set_table(node.now, &Table::default()),
+            prepare: |harness| harness.dispatcher.set_table(harness.now, &Table::default()),
             reason: Reason::NoRow,
             hint: false,
         },
         Case {
             name: "the rate is used up",
-            set: |node| {
-                node.table(|row| {
+            prepare: |harness| {
+                harness.set_table(|row| {
                     row.rate = Some(1);
                     row.burst = 1;
                     row.max_wait_ms = 1_000;
                 });
                 (100..104).for_each(|id| {
-                    node.offer(id);
+                    harness.offer(id);
                 });
             },
             reason: Reason::Limit,
@@ -125,9 +130,9 @@
         },
     ];
     for case in cases {
-        let mut node = Node::new(|_| ());
-        (case.set)(&mut node);
-        let admission = node.offer(1);
+        let mut harness = Harness::new(|_| ());
+        (case.prepare)(&mut harness);
+        let admission = harness.offer(1);
         let Admission::Refused(refusal) = admission else {
             panic!("{}: {admission:?}", case.name);
         };
@@ -137,100 +142,100 @@
 }
 
 #[test]
-fn an_edit_of_a_limit_holds_for_what_already_waits() {
+fn a_changed_limit_applies_to_queued_requests() {
     // Symptom: an operator lowers the concurrency in an overload and nothing changes. Sequence: 12
     // requests wait, the row's concurrency is lowered to 4, then raised to 6. Cause: limits taken
     // from the request instead of the table.
-    let mut node = Node::new(|row| row.concurrency = 100);
+    let mut harness = Harness::new(|row| row.concurrency = 100);
     (1..=12).for_each(|id| {
-        node.offer(id);
+        harness.offer(id);
     });
-    node.table(|row| row.concurrency = 4);
-    assert_eq!(node.next().len(), 4);
-    node.table(|row| row.concurrency = 6);
-    assert_eq!(node.next().len(), 2);
-    node.table(|row| row.concurrency = 3);
-    node.dispatcher.record_completion(node.now, Request(1), 10);
-    assert!(node.next().is_empty(), "five run, three are allowed");
+    harness.set_table(|row| row.concurrency = 4);
+    assert_eq!(harness.dispatch().len(), 4);
+    harness.set_table(|row| row.concurrency = 6);
+    assert_eq!(harness.dispatch().len(), 2);
+    harness.set_table(|row| row.concurrency = 3);
+    harness.dispatcher.record_completion(harness.now, Request(1), 10);
+    assert!(harness.dispatch().is_empty(), "five requests run and only three are allowed");
 }
 
 #[test]
-fn a_reclaimed_zone_is_left_at_once_and_its_work_comes_back_spread() {
+fn work_of_a_reclaimed_zone_moves_at_once_and_is_spread() {
     // Symptom: at the top of the hour a zone is taken, and its requests are lost or flood the other
     // zones. Sequence: 48 requests fill all slots, a zone's engines get their notice, new requests
     // come, the engines die, later the others' requests end. Cause: held choices, retries that go
     // straight to an upstream, budgets charged for reclaims.
-    let mut node = Node::new(|_| ());
+    let mut harness = Harness::new(|_| ());
     (1..=48).for_each(|id| {
-        node.offer(id);
+        harness.offer(id);
     });
-    let runs = node.next();
+    let runs = harness.dispatch();
     assert_eq!(runs.len(), 48);
-    let taken = |name: &Upstream| ["e0", "e3"].contains(&name.as_str());
+    let in_reclaimed_zone = |name: &Upstream| ["e0", "e3"].contains(&name.as_str());
     for name in ["e0", "e3"] {
         let mut leaving = engine(name, "z0", 2);
         leaving.phase = Phase::Leaving { notice: Some(2_000) };
-        node.dispatcher.handle_announcement(node.now, &leaving);
+        harness.dispatcher.handle_announcement(harness.now, &leaving);
     }
     (100..110).for_each(|id| {
-        node.offer(id);
+        harness.offer(id);
     });
-    assert!(node.next().iter().all(|run| !taken(&run.choice.upstream)));
-    node.wait(2);
+    assert!(harness.dispatch().iter().all(|run| !in_reclaimed_zone(&run.choice.upstream)));
+    harness.advance(2);
     let mut delays = Vec::new();
     for name in ["e0", "e3"] {
-        node.dispatcher.remove_upstream(node.now, &name.into());
+        harness.dispatcher.remove_upstream(harness.now, &name.into());
     }
-    for run in runs.iter().filter(|run| taken(&run.choice.upstream)) {
+    for run in runs.iter().filter(|run| in_reclaimed_zone(&run.choice.upstream)) {
         let (request, name) = (run.head.request, &run.choice.upstream);
-        let verdict = node.dispatcher.handle_failure(
-            node.now,
+        let decision = harness.dispatcher.handle_failure(
+            harness.now,
             request,
             name,
             FailureKind::Lost,
-            &mut node.rng,
+            &mut harness.rng,
         );
-        let Decision::RetryAfter(delay) = verdict else { panic!("{verdict:?}") };
+        let Decision::RetryAfter(delay) = decision else { panic!("{decision:?}") };
         delays.push(delay);
     }
-    assert!(delays.iter().any(|delay| *delay > ms(50)), "all at once: {delays:?}");
-    node.wait(9);
+    assert!(delays.iter().any(|delay| *delay > ms(50)), "no delay exceeds 50 ms: {delays:?}");
+    harness.advance(9);
     for number in [1, 2, 4, 5] {
         let mut announcement = engine(&format!("e{number}"), &format!("z{}", number % 3), 9);
         announcement.load.running = 8;
-        node.dispatcher.handle_announcement(node.now, &announcement);
+        harness.dispatcher.handle_announcement(harness.now, &announcement);
     }
-    assert!(node.next().is_empty(), "every slot is taken");
-    node.now += ms(10);
-    for run in runs.iter().filter(|run| !taken(&run.choice.upstream)) {
-        node.dispatcher.record_completion(node.now, run.head.request, 20);
+    assert!(harness.dispatch().is_empty(), "all slots are in use");
+    harness.now += ms(10);
+    for run in runs.iter().filter(|run| !in_reclaimed_zone(&run.choice.upstream)) {
+        harness.dispatcher.record_completion(harness.now, run.head.request, 20);
     }
-    let again = node.next().into_iter().filter(|run| run.head.request.0 < 100).count();
-    assert_eq!(again, delays.len(), "all run again");
+    let rerun = harness.dispatch().into_iter().filter(|run| run.head.request.0 < 100).count();
+    assert_eq!(rerun, delays.len(), "every lost request runs again");
 }
 
 #[test]
-fn a_non_idempotent_run_that_was_lost_is_not_run_again() {
-    let mut node = Node::new(|_| ());
+fn a_lost_non_idempotent_run_is_not_retried() {
+    let mut harness = Harness::new(|_| ());
     let mut confirm = head(1, "a");
     confirm.idempotent = false;
-    confirm.deadline = node.now + ms(30_000);
-    node.dispatcher.offer(node.now, confirm, node.now, &mut node.rng);
-    node.dispatcher.mark_ready(Request(1));
-    let run = node.next().remove(0);
-    let verdict = node.dispatcher.handle_failure(
-        node.now,
+    confirm.deadline = harness.now + ms(30_000);
+    harness.dispatcher.offer(harness.now, confirm, harness.now, &mut harness.rng);
+    harness.dispatcher.mark_ready(Request(1));
+    let run = harness.dispatch().remove(0);
+    let decision = harness.dispatcher.handle_failure(
+        harness.now,
         Request(1),
         &run.choice.upstream,
         FailureKind::Lost,
-        &mut node.rng,
+        &mut harness.rng,
     );
-    assert_eq!(verdict, Decision::Denied(Denial::MayHaveRun));
-    assert!(node.next().is_empty());
+    assert_eq!(decision, Decision::Denied(Denial::MayHaveRun));
+    assert!(harness.dispatch().is_empty());
 }
 
 #[test]
-fn a_cancelled_request_leaves_nothing_behind() {
+fn a_cancelled_request_leaves_no_state() {
     struct Case {
         name: &'static str,
         runs: bool,
@@ -242,49 +247,49 @@
         Case { name: "about to run again", runs: true, failed: true },
     ];
     for case in cases {
-        let mut node = Node::new(|_| ());
-        node.offer(1);
-        let runs = if case.runs { node.next() } else { Vec::new() };
+        let mut harness = Harness::new(|_| ());
+        harness.offer(1);
+        let runs = if case.runs { harness.dispatch() } else { Vec::new() };
         if case.failed {
             let upstream = runs[0].choice.upstream.clone();
-            node.dispatcher.handle_failure(
-                node.now,
+            harness.dispatcher.handle_failure(
+                harness.now,
                 Request(1),
                 &upstream,
                 FailureKind::Lost,
-                &mut node.rng,
+                &mut harness.rng,
             );
         }
-        let home = node.dispatcher.cancel(node.now, Request(1));
-        assert_eq!(home.is_some(), case.runs && !case.failed, "{}", case.name);
-        node.wait(20);
-        node.announce(5);
-        assert!(node.next().is_empty(), "{}", case.name);
-        assert_eq!(node.dispatcher.waiting() + node.dispatcher.running(), 0, "{}", case.name);
-        assert_eq!(node.dispatcher.limiter().running(&key("a", "class")), 0, "{}", case.name);
+        let upstream = harness.dispatcher.cancel(harness.now, Request(1));
+        assert_eq!(upstream.is_some(), case.runs && !case.failed, "{}", case.name);
+        harness.advance(20);
+        harness.announce_all(5);
+        assert!(harness.dispatch().is_empty(), "{}", case.name);
+        assert_eq!(harness.dispatcher.waiting() + harness.dispatcher.running(), 0, "{}", case.name);
+        assert_eq!(harness.dispatcher.limiter().running(&key("a", "class")), 0, "{}", case.name);
     }
 }
 
 #[test]
-fn late_and_repeated_news_of_a_request_is_harmless() {
-    let mut node = Node::new(|_| ());
-    node.offer(1);
-    let run = node.next().remove(0);
+fn late_and_repeated_events_are_harmless() {
+    let mut harness = Harness::new(|_| ());
+    harness.offer(1);
+    let run = harness.dispatch().remove(0);
     for _ in 0..2 {
-        node.dispatcher.record_first_token(node.now, Request(1));
-        node.dispatcher.record_completion(node.now, Request(1), 10);
+        harness.dispatcher.record_first_token(harness.now, Request(1));
+        harness.dispatcher.record_completion(harness.now, Request(1), 10);
         let upstream = &run.choice.upstream;
-        node.dispatcher.handle_failure(
-            node.now,
+        harness.dispatcher.handle_failure(
+            harness.now,
             Request(1),
             upstream,
             FailureKind::Lost,
-            &mut node.rng,
+            &mut harness.rng,
         );
-        node.dispatcher.remove_upstream(node.now, upstream);
-        node.dispatcher.cancel(node.now, Request(99));
-        node.dispatcher.record_move(node.now, Request(1), &run.choice);
+        harness.dispatcher.remove_upstream(harness.now, upstream);
+        harness.dispatcher.cancel(harness.now, Request(99));
+        harness.dispatcher.record_move(harness.now, Request(1), &run.choice);
     }
-    assert_eq!(node.dispatcher.running() + node.dispatcher.waiting(), 0);
-    assert_eq!(node.dispatcher.limiter().running(&key("a", "class")), 0);
+    assert_eq!(harness.dispatcher.running() + harness.dispatcher.waiting(), 0);
+    assert_eq!(harness.dispatcher.limiter().running(&key("a", "class")), 0);
 }
--- a/crates/verbenaslip-policy/tests/measures.rs
+++ b/crates/verbenaslip-policy/tests/measures.rs
@@ -18,7 +18,7 @@
     at_target: f64,
     worst_row: f64,
     cost: f64,
-    again: f64,
+    recomputed: f64,
     jain: f64,
     /// Bad hints for a hundred good ones.
     bad_hints: u32,
@@ -34,7 +34,7 @@
             at_target: 74.0,
             worst_row: 75.0,
             cost: 690.0,
-            again: 150.0,
+            recomputed: 150.0,
             jain: 0.98,
             bad_hints: 60,
         },
@@ -51,7 +51,7 @@
             at_target: 59.0,
             worst_row: 48.0,
             cost: 770.0,
-            again: 225.0,
+            recomputed: 225.0,
             jain: 0.97,
             bad_hints: 80,
         },
@@ -68,7 +68,7 @@
             at_target: 98.5,
             worst_row: 99.0,
             cost: 550.0,
-            again: 750.0,
+            recomputed: 750.0,
             jain: 0.99,
             bad_hints: 10,
         },
@@ -85,7 +85,7 @@
             at_target: 97.5,
             worst_row: 99.0,
             cost: 505.0,
-            again: 950.0,
+            recomputed: 950.0,
             jain: 0.99,
             bad_hints: 10,
         },
@@ -100,27 +100,44 @@
 }
 
 fn check(workload: &Workload, fault: Fault, bounds: &Bounds) {
-    let ours = bench::run(workload, "verbenaslip", fault);
-    check_bounds(&ours, bounds);
+    let measures = bench::run(workload, "verbenaslip", fault);
+    check_bounds(&measures, bounds);
     for name in bench::BASELINES {
         let baseline = bench::run(workload, name, fault);
-        let (mine, theirs) = (ours.total().percent(), baseline.total().percent());
-        assert!(mine >= theirs, "{mine} % on time, {theirs} % by {name}");
-        assert!(ours.again <= baseline.again * 1.02, "{} again by {name}", baseline.again);
+        let (own_percent, baseline_percent) =
+            (measures.total().percent(), baseline.total().percent());
+        assert!(
+            own_percent >= baseline_percent,
+            "{own_percent} % on time, {baseline_percent} % with {name}"
+        );
+        assert!(
+            measures.recomputed <= baseline.recomputed * 1.02,
+            "{} recomputed with {name}",
+            baseline.recomputed
+        );
     }
-    assert_eq!(ours.lost, 0, "no run was lost that may not be run again");
-    assert_eq!(ours.unsettled, 0, "every caller got its answer");
+    assert_eq!(measures.lost, 0, "a run that may not be retried was lost");
+    assert_eq!(measures.unsettled, 0, "some callers got neither an answer nor a refusal");
 }
 
-fn check_bounds(ours: &Measures, bounds: &Bounds) {
-    let total = ours.total();
+fn check_bounds(measures: &Measures, bounds: &Bounds) {
+    let total = measures.total();
     assert!(total.percent() >= bounds.on_time, "{} % on time", total.percent());
     assert!(total.target() >= bounds.at_target, "{} % at target", total.target());
-    assert!(ours.worst() >= bounds.worst_row, "{} % in the worst row", ours.worst());
-    assert!(ours.cost <= bounds.cost, "{} for an answer at target", ours.cost);
-    assert!(ours.again <= bounds.again, "{} of 1,000 tokens again", ours.again);
-    assert!(ours.jain >= bounds.jain, "{} by Jain's index", ours.jain);
-    let bad = ours.bad * 100 / ours.good.max(1);
-    assert!(bad <= bounds.bad_hints, "{} bad hints, {} good ones", ours.bad, ours.good);
-    assert_eq!(ours.unhinted, 0, "every refusal tells when to come back");
+    assert!(measures.worst() >= bounds.worst_row, "{} % in the worst row", measures.worst());
+    assert!(measures.cost <= bounds.cost, "cost of {} per answer at target", measures.cost);
+    assert!(
+        measures.recomputed <= bounds.recomputed,
+        "{} of 1,000 tokens recomputed",
+        measures.recomputed
+    );
+    assert!(measures.jain >= bounds.jain, "Jain's index is {}", measures.jain);
+    let bad = measures.bad_hints * 100 / measures.good_hints.max(1);
+    assert!(
+        bad <= bounds.bad_hints,
+        "{} bad hints and {} good hints",
+        measures.bad_hints,
+        measures.good_hints
+    );
+    assert_eq!(measures.unhinted, 0, "some refusals have no retry hint");
 }
--- a/crates/verbenaslip-policy/tests/plan.rs
+++ b/crates/verbenaslip-policy/tests/plan.rs
@@ -6,7 +6,7 @@
 use verbenaslip_base::announce::Market;
 use verbenaslip_base::name::{Model, Upstream};
 use verbenaslip_policy::plan::{
-    Machine, MachineClass, MachineState, Offer, Order, Planner, Settings, View, Weights,
+    Machine, MachineClass, MachineState, ModelWeights, Offer, Order, Planner, Settings, View,
 };
 
 use crate::common::rng;
@@ -20,11 +20,11 @@
     planner: Planner,
     view: View,
     now: u64,
-    boot: BTreeMap<Upstream, u64>,
+    ready_at: BTreeMap<Upstream, u64>,
     orders: Vec<Order>,
-    refuse: fn(&Offer) -> bool,
+    is_refused: fn(&Offer) -> bool,
     granted: BTreeMap<u128, Upstream>,
-    deaf: bool,
+    drop_answers: bool,
     reserve: u32,
 }
 
@@ -35,17 +35,17 @@
             planner: Planner::new(settings()),
             view,
             now: 0,
-            boot: BTreeMap::new(),
+            ready_at: BTreeMap::new(),
             orders: Vec::new(),
-            refuse: |_| false,
+            is_refused: |_| false,
             granted: BTreeMap::new(),
-            deaf: false,
+            drop_answers: false,
             reserve: 0,
         }
     }
 
     /// Lets the planner learn some hours with a burst at their top.
-    fn teach(&mut self, hours: u64, reserve: u32) {
+    fn teach_peaks(&mut self, hours: u64, reserve: u32) {
         self.reserve = reserve;
         let model = Model::from("model");
         for hour in 0..hours {
@@ -57,7 +57,7 @@
         self.now = hours * 3_600;
     }
 
-    fn run(&mut self, seconds: u64) {
+    fn advance(&mut self, seconds: u64) {
         let end = self.now + seconds;
         while self.now < end {
             self.view.hour = self.now / 3_600;
@@ -65,16 +65,16 @@
             let model = Model::from("model");
             let work = if self.view.second < 120 { 600.0 } else { 100.0 };
             self.planner.record_work(self.view.hour, self.view.second, &model, work, self.reserve);
-            self.boot();
+            self.finish_boots();
             let orders = self.planner.tick(Duration::from_secs(self.now), &self.view);
-            orders.into_iter().for_each(|order| self.obey(order));
+            orders.into_iter().for_each(|order| self.execute(order));
             self.now += 10;
         }
     }
 
-    fn boot(&mut self) {
+    fn finish_boots(&mut self) {
         for machine in &mut self.view.machines {
-            if self.boot.get(&machine.name).is_some_and(|ready| *ready <= self.now)
+            if self.ready_at.get(&machine.name).is_some_and(|ready| *ready <= self.now)
                 && machine.state == MachineState::Starting
             {
                 machine.state = MachineState::Ready;
@@ -82,12 +82,12 @@
         }
     }
 
-    fn obey(&mut self, order: Order) {
+    fn execute(&mut self, order: Order) {
         self.orders.push(order.clone());
         match order {
             Order::Start { id: request, zone, class: machine, market, model } => {
                 let offer = Offer { zone: zone.clone(), class: machine.clone(), market, price: 0 };
-                if (self.refuse)(&offer) {
+                if (self.is_refused)(&offer) {
                     self.planner.record_refused(
                         Duration::from_secs(self.now),
                         request,
@@ -99,7 +99,7 @@
                     let name = Upstream::new(format!("m{}", self.granted.len()));
                     let state = MachineState::Starting;
                     let models = vec![model];
-                    self.boot.insert(name.clone(), self.now + 90);
+                    self.ready_at.insert(name.clone(), self.now + 90);
                     self.granted.insert(request, name.clone());
                     let running = 0;
                     self.view.machines.push(Machine {
@@ -112,7 +112,7 @@
                         running,
                     });
                 }
-                if !self.deaf {
+                if !self.drop_answers {
                     self.planner.record_started(request, &self.granted[&request]);
                 }
             }
@@ -142,15 +142,15 @@
         zones.values().sum::<u32>() - zones.values().max().copied().unwrap_or(0)
     }
 
-    fn starts(&self) -> usize {
+    fn start_count(&self) -> usize {
         self.orders.iter().filter(|order| matches!(order, Order::Start { .. })).count()
     }
 }
 
 fn settings() -> Settings {
     Settings {
-        sizes: vec![MachineClass { name: "large".into(), slots: SLOTS }],
-        weights: vec![Weights { model: "model".into(), bytes: 10_000_000_000 }],
+        machine_classes: vec![MachineClass { name: "large".into(), slots: SLOTS }],
+        models: vec![ModelWeights { model: "model".into(), bytes: 10_000_000_000 }],
         ..Settings::default()
     }
 }
@@ -170,87 +170,96 @@
 }
 
 /// The slots needed at the peak: 60 slot seconds a second at three quarters of the slots.
-const PEAK: u32 = 80;
+const PEAK_SLOTS: u32 = 80;
 
 #[test]
-fn machines_are_ready_before_the_hour_whichever_zone_goes() {
+fn machines_are_ready_before_the_peak_for_any_zone_loss() {
     // Symptom: the hour opens on too few machines. Sequence: two hours with a burst at their top
     // were seen; the third is near. Cause: starts ordered when the burst has come.
     let mut cloud = Cloud::new(offers());
-    cloud.teach(2, 0);
-    cloud.run(3_600);
-    assert!(cloud.surviving() >= PEAK, "{:?}", cloud.ready());
+    cloud.teach_peaks(2, 0);
+    cloud.advance(3_600);
+    assert!(cloud.surviving() >= PEAK_SLOTS, "{:?}", cloud.ready());
     let total: u32 = cloud.ready().values().sum();
-    assert!(total <= PEAK * 3 / 2 + 3 * SLOTS, "no more than needed: {:?}", cloud.ready());
+    assert!(
+        total <= PEAK_SLOTS * 3 / 2 + 3 * SLOTS,
+        "more machines than needed: {:?}",
+        cloud.ready()
+    );
 }
 
 #[test]
-fn a_dear_zone_is_left_out_when_two_are_cheaper() {
-    let mut cheap = offers();
-    cheap.iter_mut().filter(|o| o.zone.as_str() == "z2").for_each(|o| o.price *= 10);
-    let mut cloud = Cloud::new(cheap);
-    cloud.teach(2, 0);
-    cloud.run(3_600);
+fn an_expensive_zone_is_left_out_when_two_are_cheaper() {
+    let mut two_cheap_zones = offers();
+    two_cheap_zones.iter_mut().filter(|o| o.zone.as_str() == "z2").for_each(|o| o.price *= 10);
+    let mut cloud = Cloud::new(two_cheap_zones);
+    cloud.teach_peaks(2, 0);
+    cloud.advance(3_600);
     assert!(!cloud.ready().contains_key("z2"), "{:?}", cloud.ready());
-    assert!(cloud.surviving() >= PEAK, "{:?}", cloud.ready());
+    assert!(cloud.surviving() >= PEAK_SLOTS, "{:?}", cloud.ready());
 }
 
 #[test]
-fn the_rows_reserve_is_kept_on_demand() {
+fn the_reserve_runs_on_on_demand_machines() {
     let mut cloud = Cloud::new(offers());
-    cloud.teach(2, 40);
-    cloud.run(3_600);
+    cloud.teach_peaks(2, 40);
+    cloud.advance(3_600);
     let machines = &cloud.view.machines;
-    let kept = machines.iter().filter(|m| m.market == Market::OnDemand).count();
-    assert!(kept * 100 >= machines.len() * 30, "{kept} of {}", machines.len());
-    assert!(kept * 100 <= machines.len() * 60, "{kept} of {}", machines.len());
+    let on_demand = machines.iter().filter(|m| m.market == Market::OnDemand).count();
+    assert!(on_demand * 100 >= machines.len() * 30, "{on_demand} of {} machines", machines.len());
+    assert!(on_demand * 100 <= machines.len() * 60, "{on_demand} of {} machines", machines.len());
 }
 
 #[test]
-fn a_refused_start_tries_the_next_best() {
+fn a_refused_start_tries_the_next_best_offer() {
     // Symptom: starts are refused just when they are needed, and nothing else is tried. Sequence:
     // as named by each case. Cause: the same cheapest offer is asked for again and again.
     struct Case {
         name: &'static str,
-        refuse: fn(&Offer) -> bool,
+        is_refused: fn(&Offer) -> bool,
         zones: usize,
-        most_refused: usize,
+        max_refused: usize,
     }
     let cases = [
-        Case { name: "one zone", refuse: |o| o.zone.as_str() == "z0", zones: 2, most_refused: 60 },
+        Case {
+            name: "one zone",
+            is_refused: |o| o.zone.as_str() == "z0",
+            zones: 2,
+            max_refused: 60,
+        },
         Case {
             name: "a market",
-            refuse: |o| o.market == Market::Reclaimable,
+            is_refused: |o| o.market == Market::Reclaimable,
             zones: 3,
-            most_refused: 90,
+            max_refused: 90,
         },
         Case {
             name: "a zone and a market",
-            refuse: |o| o.zone.as_str() == "z0" || o.market == Market::Reclaimable,
+            is_refused: |o| o.zone.as_str() == "z0" || o.market == Market::Reclaimable,
             zones: 2,
-            most_refused: 90,
+            max_refused: 90,
         },
     ];
     for case in cases {
         let mut cloud = Cloud::new(offers());
-        cloud.refuse = case.refuse;
-        cloud.teach(2, 0);
-        cloud.run(3_600);
+        cloud.is_refused = case.is_refused;
+        cloud.teach_peaks(2, 0);
+        cloud.advance(3_600);
         assert_eq!(cloud.ready().len(), case.zones, "{}: {:?}", case.name, cloud.ready());
-        assert!(cloud.surviving() >= PEAK, "{}: {:?}", case.name, cloud.ready());
-        let refused = cloud.starts() - cloud.granted.len();
-        assert!(refused <= case.most_refused, "{}: {refused} refused", case.name);
+        assert!(cloud.surviving() >= PEAK_SLOTS, "{}: {:?}", case.name, cloud.ready());
+        let refused = cloud.start_count() - cloud.granted.len();
+        assert!(refused <= case.max_refused, "{}: {refused} starts refused", case.name);
     }
 }
 
 #[test]
-fn all_refused_is_no_storm() {
+fn refusals_of_all_offers_cause_no_retry_storm() {
     let mut cloud = Cloud::new(offers());
-    cloud.refuse = |_| true;
-    cloud.teach(2, 0);
-    cloud.run(3_600);
+    cloud.is_refused = |_| true;
+    cloud.teach_peaks(2, 0);
+    cloud.advance(3_600);
     // Six offers, each asked for at most some 15 times as its rest grows to ten minutes.
-    assert!(cloud.starts() <= 6 * 15, "{} starts asked for in an hour", cloud.starts());
+    assert!(cloud.start_count() <= 6 * 15, "{} starts requested in an hour", cloud.start_count());
 }
 
 #[test]
@@ -258,37 +267,37 @@
     // Symptom: twice the machines. Sequence: all answers of the cloud are lost for two minutes, and
     // then the leader changes within the hour. Cause: a repeated order that looks like a new one.
     let mut cloud = Cloud::new(offers());
-    cloud.teach(2, 0);
-    cloud.deaf = true;
-    cloud.run(120);
-    cloud.deaf = false;
+    cloud.teach_peaks(2, 0);
+    cloud.drop_answers = true;
+    cloud.advance(120);
+    cloud.drop_answers = false;
     let before = cloud.granted.len();
     let mut second = Cloud::new(offers());
-    second.teach(2, 0);
+    second.teach_peaks(2, 0);
     cloud.planner = second.planner;
     // The new leader does not see yet what was started.
     let machines = std::mem::take(&mut cloud.view.machines);
     let orders = cloud.planner.tick(Duration::from_secs(cloud.now), &cloud.view);
     assert!(!orders.is_empty());
     for order in orders {
-        cloud.obey(order);
+        cloud.execute(order);
     }
-    assert_eq!(cloud.granted.len(), before, "the same orders have the same identities");
+    assert_eq!(cloud.granted.len(), before, "a repeated order has the same identity");
     cloud.view.machines = machines;
-    cloud.run(600);
+    cloud.advance(600);
     let total: u32 = cloud.ready().values().sum();
-    assert!(total <= PEAK * 3 / 2 + 3 * SLOTS, "{:?}", cloud.ready());
+    assert!(total <= PEAK_SLOTS * 3 / 2 + 3 * SLOTS, "{:?}", cloud.ready());
 }
 
 #[test]
-fn what_is_too_many_is_drained_before_it_is_stopped() {
+fn surplus_machines_are_drained_before_they_are_stopped() {
     // Symptom: requests are cut off after the burst. Sequence: the burst is over, machines idle but
     // for a few long runs. Cause: a stop without a drain.
     let mut cloud = Cloud::new(offers());
-    cloud.teach(2, 0);
-    cloud.run(3_600 + 300);
+    cloud.teach_peaks(2, 0);
+    cloud.advance(3_600 + 300);
     cloud.orders.clear();
-    cloud.run(2_700);
+    cloud.advance(2_700);
     let mut drained = Vec::new();
     for order in &cloud.orders {
         match order {
@@ -297,17 +306,17 @@
             Order::Start { .. } | Order::Load { .. } => {}
         }
     }
-    assert!(!drained.is_empty(), "nothing was given back");
+    assert!(!drained.is_empty(), "no machine was drained");
     // A long run keeps its machine until it has ended or the drain has taken its time.
     let mut busy = Cloud::new(offers());
-    busy.teach(2, 0);
-    busy.run(3_900);
+    busy.teach_peaks(2, 0);
+    busy.advance(3_900);
     busy.view.machines.iter_mut().for_each(|machine| machine.running = 1);
     busy.orders.clear();
     let mut drains: BTreeMap<Upstream, u64> = BTreeMap::new();
     for _ in 0..200 {
         let seen = busy.orders.len();
-        busy.run(10);
+        busy.advance(10);
         for order in &busy.orders[seen..] {
             match order {
                 Order::Drain { name } => drop(drains.insert(name.clone(), busy.now)),
@@ -320,7 +329,7 @@
 }
 
 #[test]
-fn a_steady_load_neither_starts_nor_stops() {
+fn a_steady_load_starts_and_stops_no_machines() {
     let mut cloud = Cloud::new(offers());
     let model = Model::from("model");
     for hour in 0..3 {
@@ -335,9 +344,9 @@
             cloud.view.second = (cloud.now % 3_600) as u32;
             let work = 300.0 + f64::from(step * 10 % 70);
             cloud.planner.record_work(cloud.view.hour, cloud.view.second, &model, work, 0);
-            cloud.boot();
+            cloud.finish_boots();
             let orders = cloud.planner.tick(Duration::from_secs(cloud.now), &cloud.view);
-            orders.into_iter().for_each(|order| cloud.obey(order));
+            orders.into_iter().for_each(|order| cloud.execute(order));
             cloud.now += 10;
         }
     };
@@ -348,11 +357,11 @@
 }
 
 #[test]
-fn loads_stay_inside_the_weight_stores_rate() {
+fn model_loads_stay_within_the_weight_store_rate() {
     // Symptom: all machines load at once and none is ready in time. Sequence: twelve empty machines
     // are there when a model is needed. Cause: orders without regard to the store.
     let mut cloud = Cloud::new(offers());
-    cloud.teach(2, 0);
+    cloud.teach_peaks(2, 0);
     for number in 0..12 {
         cloud.view.machines.push(Machine {
             name: Upstream::new(format!("empty{number}")),
@@ -368,7 +377,7 @@
     let mut loads = Vec::new();
     for _ in 0..12 {
         let seen = cloud.orders.len();
-        cloud.run(10);
+        cloud.advance(10);
         let new = cloud.orders[seen..].iter().filter(|o| matches!(o, Order::Load { .. })).count();
         loads.push(new);
     }
--- a/crates/verbenaslip-policy/tests/retry.rs
+++ b/crates/verbenaslip-policy/tests/retry.rs
@@ -2,37 +2,43 @@
 
 use std::time::Duration;
 
-use verbenaslip_policy::retry::{Ask, Decision, Denial, FailureKind, Moved, Retries};
-use verbenaslip_policy::wave::Wave;
+use verbenaslip_policy::retry::{Backlog, Decision, Denial, FailureKind, RetryBudgets, RetryQuery};
+use verbenaslip_policy::zone_loss::ZoneLosses;
 
 use crate::common::{key, ms, rng};
 
 mod common;
 
-fn ask() -> Ask {
-    Ask {
+fn query() -> RetryQuery {
+    RetryQuery {
         key: key("a", "class"),
         upstream: "e0".into(),
         idempotent: true,
-        fate: FailureKind::Error,
+        failure: FailureKind::Error,
         runs: 1,
-        percent: 10,
-        wave: None,
+        retry_percent: 10,
+        zone_loss: None,
     }
 }
 
 #[test]
-fn work_that_may_have_run_is_not_run_again() {
+fn work_that_may_have_run_is_not_retried() {
     // Symptom: a charterer gets two claims. Sequence: a non-idempotent request's upstream is lost
     // after the request was sent. Cause: a retry that does not ask what it repeats.
     struct Case {
         name: &'static str,
         idempotent: bool,
-        fate: FailureKind,
-        wave: bool,
-        again: bool,
+        failure: FailureKind,
+        zone_loss: bool,
+        retried: bool,
     }
-    let case = |name, idempotent, fate, wave, again| Case { name, idempotent, fate, wave, again };
+    let case = |name, idempotent, failure, zone_loss, retried| Case {
+        name,
+        idempotent,
+        failure,
+        zone_loss,
+        retried,
+    };
     let cases = [
         case("idempotent and lost", true, FailureKind::Lost, false, true),
         case("idempotent and faulty", true, FailureKind::Error, false, true),
@@ -43,114 +49,148 @@
         case("lost in a wave", false, FailureKind::Lost, true, false),
     ];
     for case in cases {
-        let wave = case.wave.then_some(Moved { work: 1.0, room: 4 });
-        let ask = Ask { idempotent: case.idempotent, fate: case.fate, wave, ..ask() };
-        let verdict = Retries::default().ask(ms(0), &ask, &mut rng(1));
-        let again = matches!(verdict, Decision::RetryAfter(_));
-        assert_eq!(again, case.again, "{}: {verdict:?}", case.name);
-        if !case.again {
-            assert_eq!(verdict, Decision::Denied(Denial::MayHaveRun), "{}", case.name);
+        let zone_loss = case.zone_loss.then_some(Backlog { slot_seconds: 1.0, slots: 4 });
+        let query =
+            RetryQuery { idempotent: case.idempotent, failure: case.failure, zone_loss, ..query() };
+        let decision = RetryBudgets::default().decide(ms(0), &query, &mut rng(1));
+        let retried = matches!(decision, Decision::RetryAfter(_));
+        assert_eq!(retried, case.retried, "{}: {decision:?}", case.name);
+        if !case.retried {
+            assert_eq!(decision, Decision::Denied(Denial::MayHaveRun), "{}", case.name);
         }
     }
 }
 
 #[test]
-fn retries_stay_within_their_part_of_the_successes() {
+fn retries_stay_within_their_share_of_successes() {
     // Symptom: upstreams that fail under load get twice the load. Sequence: every run fails for a
     // minute after a thousand successes. Cause: retries that are not counted.
-    let (mut retries, mut rng) = (Retries::default(), rng(1));
+    let (mut retries, mut rng) = (RetryBudgets::default(), rng(1));
     for _ in 0..1_000 {
-        retries.succeeded(ms(0), &key("a", "class"), &"e0".into(), 10);
+        retries.record_success(ms(0), &key("a", "class"), &"e0".into(), 10);
     }
     let mut granted = 0;
     for second in 0..60 {
         for run in 0..100 {
             let now = ms(second * 1_000 + run * 10);
-            granted +=
-                u32::from(matches!(retries.ask(now, &ask(), &mut rng), Decision::RetryAfter(_)));
+            granted += u32::from(matches!(
+                retries.decide(now, &query(), &mut rng),
+                Decision::RetryAfter(_)
+            ));
         }
     }
     // At most 20 are saved up, and one comes in 10 s.
-    assert!((20..=27).contains(&granted), "{granted} of 6,000");
+    assert!((20..=27).contains(&granted), "{granted} of 6,000 retries granted");
 }
 
 #[test]
-fn a_quiet_team_may_retry_once() {
-    let (mut retries, mut rng) = (Retries::default(), rng(1));
-    assert!(matches!(retries.ask(ms(0), &ask(), &mut rng), Decision::RetryAfter(_)));
-    assert_eq!(retries.ask(ms(10), &ask(), &mut rng), Decision::Denied(Denial::Team));
+fn an_idle_team_may_retry_once() {
+    let (mut retries, mut rng) = (RetryBudgets::default(), rng(1));
+    assert!(matches!(retries.decide(ms(0), &query(), &mut rng), Decision::RetryAfter(_)));
+    assert_eq!(retries.decide(ms(10), &query(), &mut rng), Decision::Denied(Denial::Team));
     let later = Duration::from_secs(1_000);
-    assert!(matches!(retries.ask(later, &ask(), &mut rng), Decision::RetryAfter(_)));
-    assert_eq!(retries.ask(later, &ask(), &mut rng), Decision::Denied(Denial::Team));
+    assert!(matches!(retries.decide(later, &query(), &mut rng), Decision::RetryAfter(_)));
+    assert_eq!(retries.decide(later, &query(), &mut rng), Decision::Denied(Denial::Team));
 }
 
 #[test]
-fn one_failing_upstream_does_not_get_all_budgets() {
-    let (mut retries, mut rng) = (Retries::default(), rng(1));
+fn one_failing_upstream_does_not_use_up_all_budgets() {
+    let (mut retries, mut rng) = (RetryBudgets::default(), rng(1));
     let mut granted = 0;
     for team in 0..50 {
-        let ask = Ask { key: key(&format!("t{team}"), "class"), ..ask() };
-        granted += u32::from(matches!(retries.ask(ms(0), &ask, &mut rng), Decision::RetryAfter(_)));
+        let query = RetryQuery { key: key(&format!("t{team}"), "class"), ..query() };
+        granted +=
+            u32::from(matches!(retries.decide(ms(0), &query, &mut rng), Decision::RetryAfter(_)));
     }
-    assert_eq!(granted, 1, "the upstream's own budget bounds them");
+    assert_eq!(granted, 1, "the upstream's own budget limits the retries");
 }
 
 #[test]
-fn the_backoff_doubles_and_is_spread() {
+fn the_backoff_doubles_with_jitter() {
     let mut rng = rng(1);
     for runs in 1..12 {
-        let longest = ms(50 << (runs - 1)).min(ms(10_000));
+        let max_delay = ms(50 << (runs - 1)).min(ms(10_000));
         let delays: Vec<Duration> = (0..20)
-            .map(|_| match Retries::default().ask(ms(0), &Ask { runs, ..ask() }, &mut rng) {
-                Decision::RetryAfter(delay) => delay,
-                Decision::Denied(why) => panic!("{why:?}"),
+            .map(|_| {
+                match RetryBudgets::default().decide(
+                    ms(0),
+                    &RetryQuery { runs, ..query() },
+                    &mut rng,
+                ) {
+                    Decision::RetryAfter(delay) => delay,
+                    Decision::Denied(denial) => panic!("{denial:?}"),
+                }
             })
             .collect();
-        assert!(delays.iter().all(|d| *d >= longest / 2 && *d <= longest), "{runs}: {delays:?}");
-        assert!(delays.iter().any(|delay| *delay != delays[0]), "all alike");
+        assert!(
+            delays.iter().all(|d| *d >= max_delay / 2 && *d <= max_delay),
+            "{runs}: {delays:?}"
+        );
+        assert!(delays.iter().any(|delay| *delay != delays[0]), "all delays are equal");
     }
 }
 
 #[test]
-fn moved_work_is_spread_by_the_room_that_is_left() {
+fn moved_work_is_spread_by_the_remaining_slots() {
     // Symptom: a reclaimed zone's work arrives at the other zones at once and makes all late.
     // Sequence: a hundred runs of 4 s each are lost, 40 slots are left. Cause: an immediate retry.
     let mut rng = rng(1);
-    let wave = Some(Moved { work: 400.0, room: 80 });
+    let zone_loss = Some(Backlog { slot_seconds: 400.0, slots: 80 });
     let mut early = 0;
     for _ in 0..100 {
-        match Retries::default().ask(ms(0), &Ask { wave, ..ask() }, &mut rng) {
+        match RetryBudgets::default().decide(ms(0), &RetryQuery { zone_loss, ..query() }, &mut rng)
+        {
             Decision::RetryAfter(delay) => early += u32::from(delay < ms(500)),
-            Decision::Denied(why) => panic!("{why:?}"),
+            Decision::Denied(denial) => panic!("{denial:?}"),
         }
     }
-    assert!(early <= 25, "{early} of 100 come back in the first half second");
+    assert!(early <= 25, "{early} of 100 retries start in the first half second");
 }
 
 #[test]
-fn a_wave_is_told_from_single_losses() {
+fn a_zone_loss_is_distinguished_from_single_losses() {
     struct Case {
         name: &'static str,
         losses: &'static [(u64, &'static str)],
-        of: usize,
-        wave: bool,
+        zone_size: usize,
+        zone_loss: bool,
     }
     let cases = [
-        Case { name: "one of four", losses: &[(0, "a")], of: 4, wave: false },
-        Case { name: "one told twice", losses: &[(0, "a"), (1, "a")], of: 4, wave: false },
-        Case { name: "two of four at once", losses: &[(0, "a"), (1, "b")], of: 4, wave: true },
-        Case { name: "two of forty", losses: &[(0, "a"), (1, "b")], of: 40, wave: false },
-        Case { name: "two far apart", losses: &[(0, "a"), (11_000, "b")], of: 4, wave: false },
+        Case { name: "one of four", losses: &[(0, "a")], zone_size: 4, zone_loss: false },
+        Case {
+            name: "one reported twice",
+            losses: &[(0, "a"), (1, "a")],
+            zone_size: 4,
+            zone_loss: false,
+        },
+        Case {
+            name: "two of four at once",
+            losses: &[(0, "a"), (1, "b")],
+            zone_size: 4,
+            zone_loss: true,
+        },
+        Case {
+            name: "two of forty",
+            losses: &[(0, "a"), (1, "b")],
+            zone_size: 40,
+            zone_loss: false,
+        },
+        Case {
+            name: "two far apart",
+            losses: &[(0, "a"), (11_000, "b")],
+            zone_size: 4,
+            zone_loss: false,
+        },
     ];
     for case in cases {
-        let mut wave = Wave::default();
+        let mut zone_loss = ZoneLosses::default();
         let mut now = ms(0);
         for (at, upstream) in case.losses {
             now = ms(*at);
-            wave.lost(now, &"z0".into(), &(*upstream).into(), case.of);
+            zone_loss.record_loss(now, &"z0".into(), &(*upstream).into(), case.zone_size);
         }
-        assert_eq!(wave.on(now, &"z0".into()), case.wave, "{}", case.name);
-        assert!(!wave.on(now, &"z1".into()), "{}", case.name);
-        assert!(!wave.any(now + ms(11_000)), "{}: it ends", case.name);
+        assert_eq!(zone_loss.is_active(now, &"z0".into()), case.zone_loss, "{}", case.name);
+        assert!(!zone_loss.is_active(now, &"z1".into()), "{}", case.name);
+        assert!(!zone_loss.any_active(now + ms(11_000)), "{}: the zone loss ends", case.name);
     }
 }
--- a/crates/verbenaslip-policy/tests/route.rs
+++ b/crates/verbenaslip-policy/tests/route.rs
@@ -5,40 +5,43 @@
 use verbenaslip_base::announce::{Announcement, Load, Phase};
 use verbenaslip_base::head::Head;
 use verbenaslip_base::name::Upstream;
-use verbenaslip_policy::route::{Ask, Cache, CacheBatch, CacheEvent, Router};
+use verbenaslip_policy::route::{CacheBatch, CacheEvent, CacheIndex, RouteQuery, Router};
 
-use crate::common::{engine, head, ms, rng, terms};
+use crate::common::{engine, head, ms, params, rng};
 
 mod common;
 
-fn ask(head: Head) -> Ask {
-    Ask { head, terms: terms(|_| ()), arrived: ms(0), avoid: Vec::new() }
+fn query(head: Head) -> RouteQuery {
+    RouteQuery { head, params: params(|_| ()), arrived: ms(0), avoid: Vec::new() }
 }
 
 /// Returns a router that knows six engines in three zones.
 fn router() -> Router {
     let mut router = Router::new("z0".into());
     for number in 0..6 {
-        router.announce(ms(0), &engine(&format!("e{number}"), &format!("z{}", number % 3), 1));
+        router.handle_announcement(
+            ms(0),
+            &engine(&format!("e{number}"), &format!("z{}", number % 3), 1),
+        );
     }
     router
 }
 
 /// Counts where so many requests go, none of which ends.
-fn spread(router: &mut Router, now: u64, count: u128) -> BTreeMap<String, usize> {
+fn count_choices(router: &mut Router, now: u64, count: u128) -> BTreeMap<String, usize> {
     let mut rng = rng(3);
     let mut counts = BTreeMap::new();
     for id in 0..count {
         let head = head(id, "a");
-        let Some(choice) = router.choose(ms(now), &ask(head.clone()), &mut rng) else { break };
-        router.sent(ms(now), &head, &choice);
+        let Some(choice) = router.choose(ms(now), &query(head.clone()), &mut rng) else { break };
+        router.record_sent(ms(now), &head, &choice);
         *counts.entry(choice.upstream.to_string()).or_default() += 1;
     }
     counts
 }
 
 #[test]
-fn some_upstreams_get_no_new_work() {
+fn unusable_upstreams_get_no_new_work() {
     // Symptom: a request is sent to an upstream that is about to go or can't serve it. Sequence: as
     // named by each case, then fifty requests. Cause: a candidate list that looks at liveness only.
     type Edit = fn(&mut Announcement);
@@ -70,11 +73,11 @@
         let mut router = router();
         let mut announcement = engine("e5", "z2", 2);
         (case.edit)(&mut announcement);
-        router.announce(ms(50), &announcement);
+        router.handle_announcement(ms(50), &announcement);
         for number in 0..5 {
-            router.announce(ms(case.now), &engine(&format!("e{number}"), "z0", 9));
+            router.handle_announcement(ms(case.now), &engine(&format!("e{number}"), "z0", 9));
         }
-        let counts = spread(&mut router, case.now, 50);
+        let counts = count_choices(&mut router, case.now, 50);
         assert_eq!(counts.contains_key("e5"), case.gets_work, "{}: {counts:?}", case.name);
         assert_eq!(counts.values().sum::<usize>(), 50, "{}", case.name);
     }
@@ -98,8 +101,8 @@
         (restarted, true),
     ];
     for (announcement, usable) in steps {
-        router.announce(ms(10), &announcement);
-        let choice = router.choose(ms(20), &ask(head(1, "a")), &mut rng(1));
+        router.handle_announcement(ms(10), &announcement);
+        let choice = router.choose(ms(20), &query(head(1, "a")), &mut rng(1));
         assert_eq!(choice.is_some(), usable, "after {announcement:?}");
     }
 }
@@ -110,14 +113,14 @@
     for number in 0..6 {
         let mut leaving = engine(&format!("e{number}"), "z0", 2);
         leaving.phase = Phase::Leaving { notice: Some(10_000) };
-        router.announce(ms(10), &leaving);
+        router.handle_announcement(ms(10), &leaving);
     }
-    assert_eq!(router.choose(ms(20), &ask(head(1, "a")), &mut rng(1)), None);
+    assert_eq!(router.choose(ms(20), &query(head(1, "a")), &mut rng(1)), None);
     assert_eq!(router.pool(ms(20), &"model".into()).slots, 0);
 }
 
 #[test]
-fn an_old_load_report_is_corrected_by_what_was_sent_since() {
+fn a_stale_load_report_is_corrected_by_later_dispatches() {
     // Symptom: all requests of a second go to the upstream that was idle in the last report.
     // Sequence: one engine reports no load, the others half; 24 requests come before the next
     // report. Cause: the report is taken for the present.
@@ -125,9 +128,9 @@
     for number in 1..6 {
         let mut busy = engine(&format!("e{number}"), "z0", 2);
         busy.load = Load { running: 4, waiting: 0, memory: 0, age: 300 };
-        router.announce(ms(10), &busy);
+        router.handle_announcement(ms(10), &busy);
     }
-    let counts = spread(&mut router, 20, 24);
+    let counts = count_choices(&mut router, 20, 24);
     assert!(counts["e0"] <= 8, "{counts:?}");
     assert!(counts.len() >= 5, "{counts:?}");
 }
@@ -140,19 +143,19 @@
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
     for instance in 0..9 {
         let mut router = Router::new("z0".into());
-        router.instances(9);
+        router.set_instances(9);
         for number in 0..12 {
             let mut announcement = engine(&format!("e{number}"), "z0", 1);
             announcement.slots = 16;
             announcement.load.running = if number == 0 { 0 } else { 2 };
-            router.announce(ms(0), &announcement);
+            router.handle_announcement(ms(0), &announcement);
         }
         let mut rng = rng(instance);
         for id in 0..8 {
             let head = head(id, "a");
             let choice =
-                router.choose(ms(100), &ask(head.clone()), &mut rng).expect("all are ready");
-            router.sent(ms(100), &head, &choice);
+                router.choose(ms(100), &query(head.clone()), &mut rng).expect("all are ready");
+            router.record_sent(ms(100), &head, &choice);
             *counts.entry(choice.upstream.to_string()).or_default() += 1;
         }
     }
@@ -172,9 +175,9 @@
         for number in 0..12 {
             let mut announcement = engine(&format!("e{number}"), "z0", 1);
             announcement.price += number * 5_000;
-            router.announce(ms(0), &announcement);
+            router.handle_announcement(ms(0), &announcement);
         }
-        let choice = router.choose(ms(100), &ask(head(1, "a")), &mut rng(instance));
+        let choice = router.choose(ms(100), &query(head(1, "a")), &mut rng(instance));
         let name = choice.expect("all are ready").upstream.to_string();
         *counts.entry(name).or_default() += 1;
     }
@@ -182,24 +185,24 @@
 }
 
 #[test]
-fn a_cached_prefix_draws_its_thread() {
+fn requests_follow_their_cached_prefix() {
     let mut router = router();
     let mut thread = head(1, "a");
     thread.prompt = 4_000;
     thread.prefix = (1..250).collect();
-    let first = router.choose(ms(10), &ask(thread.clone()), &mut rng(1)).expect("all are ready");
-    router.sent(ms(10), &thread, &first);
-    router.first_token(ms(500), thread.request);
-    router.ended(ms(2_000), &"model".into(), thread.request, 60);
+    let first = router.choose(ms(10), &query(thread.clone()), &mut rng(1)).expect("all are ready");
+    router.record_sent(ms(10), &thread, &first);
+    router.record_first_token(ms(500), thread.request);
+    router.record_completion(ms(2_000), &"model".into(), thread.request, 60);
     for seed in 0..20 {
         thread.request.0 += 1;
-        let next = router.choose(ms(2_100), &ask(thread.clone()), &mut rng(seed));
+        let next = router.choose(ms(2_100), &query(thread.clone()), &mut rng(seed));
         assert_eq!(next.expect("all are ready").upstream, first.upstream);
     }
 }
 
 #[test]
-fn cache_events_with_gaps_lower_trust_by_what_was_lost() {
+fn gaps_in_cache_events_lower_the_confidence() {
     // Symptom: after a lost event everything cached is computed again, or what was evicted is
     // believed in for ever. Sequence: as named by each case. Cause: a gap taken for nothing, or for
     // the loss of all.
@@ -238,9 +241,9 @@
     ];
     let prefix: Vec<u64> = (1..=100).collect();
     for case in cases {
-        let mut cache = Cache::new(1_000);
-        case.batches.iter().for_each(|batch| cache.events(batch));
-        let tokens = cache.tokens(&prefix);
+        let mut cache = CacheIndex::new(1_000);
+        case.batches.iter().for_each(|batch| cache.apply(batch));
+        let tokens = cache.cached_tokens(&prefix);
         assert_eq!(tokens > 0.0, case.known, "{}: {tokens}", case.name);
         assert!(tokens <= 1_600.0, "{}: {tokens}", case.name);
     }
@@ -248,17 +251,17 @@
 
 #[test]
 fn the_cache_index_is_bounded() {
-    let mut cache = Cache::new(50);
+    let mut cache = CacheIndex::new(50);
     for thread in 0..100_u64 {
         let prefix: Vec<u64> = (0..20).map(|block| thread * 1_000 + block).collect();
-        cache.sent(&prefix);
+        cache.record_prompt(&prefix);
         assert!(cache.len() <= 50);
-        assert!(cache.tokens(&prefix) > 0.0, "the latest is kept");
+        assert!(cache.cached_tokens(&prefix) > 0.0, "the latest prefix is kept");
     }
 }
 
 #[test]
-fn a_zone_that_looks_down_is_doubted_before_it_is_emptied() {
+fn a_zone_that_looks_down_from_one_instance_keeps_getting_work() {
     // Symptom: a cut between one instance and a zone makes it send all work to the others, which
     // are crowded though the zone is idle. Sequence: all connections to a zone fail while its
     // engines still announce themselves. Cause: one observer's failures taken for the zone's.
@@ -266,78 +269,85 @@
     let fail = |router: &mut Router, name: &str, from: u128| {
         for id in from..from + 2 {
             let head = head(id, "a");
-            let choice = router.choose(ms(10), &ask(head.clone()), &mut rng(1));
+            let choice = router.choose(ms(10), &query(head.clone()), &mut rng(1));
             let mut choice = choice.expect("all are ready");
             choice.upstream = Upstream::from(name);
-            router.sent(ms(10), &head, &choice);
-            router.failed(ms(20), head.request);
+            router.record_sent(ms(10), &head, &choice);
+            router.record_failure(ms(20), head.request);
         }
     };
     fail(&mut router, "e0", 100);
-    let counts = spread(&mut router, 30, 20);
-    assert!(!counts.contains_key("e0"), "one alone is down: {counts:?}");
+    let counts = count_choices(&mut router, 30, 20);
+    assert!(!counts.contains_key("e0"), "a single failing upstream is down: {counts:?}");
     fail(&mut router, "e3", 200);
     for seed in 0..8 {
-        let mut ask = ask(head(1, "a"));
-        ask.avoid = ["e1", "e2", "e4", "e5"].map(Upstream::from).to_vec();
-        let choice = router.choose(ms(30), &ask, &mut rng(seed)).expect("the zone is doubted");
+        let mut query = query(head(1, "a"));
+        query.avoid = ["e1", "e2", "e4", "e5"].map(Upstream::from).to_vec();
+        let choice =
+            router.choose(ms(30), &query, &mut rng(seed)).expect("the zone still gets work");
         assert!(["e0", "e3"].contains(&choice.upstream.as_str()), "{choice:?}");
     }
 }
 
 #[test]
-fn one_that_failed_is_probed_after_its_rest() {
+fn a_failed_upstream_is_probed_after_its_cooldown() {
     let mut router = Router::new("z0".into());
     for (name, zone) in [("e0", "z0"), ("e1", "z1"), ("e2", "z0"), ("e3", "z0")] {
-        router.announce(ms(0), &engine(name, zone, 1));
+        router.handle_announcement(ms(0), &engine(name, zone, 1));
     }
     for id in 0..2 {
         let head = head(id, "a");
         let mut choice =
-            router.choose(ms(10), &ask(head.clone()), &mut rng(1)).expect("all are ready");
+            router.choose(ms(10), &query(head.clone()), &mut rng(1)).expect("all are ready");
         choice.upstream = "e0".into();
-        router.sent(ms(10), &head, &choice);
-        router.failed(ms(20), head.request);
+        router.record_sent(ms(10), &head, &choice);
+        router.record_failure(ms(20), head.request);
     }
-    let only = || {
-        let mut ask = ask(head(50, "a"));
-        ask.avoid = ["e1", "e2", "e3"].map(Upstream::from).to_vec();
-        ask
+    let probe_query = || {
+        let mut query = query(head(50, "a"));
+        query.avoid = ["e1", "e2", "e3"].map(Upstream::from).to_vec();
+        query
     };
     let chosen = |router: &Router, now| {
-        let choice = router.choose(ms(now), &only(), &mut rng(1)).expect("others are ready");
+        let choice = router.choose(ms(now), &probe_query(), &mut rng(1)).expect("others are ready");
         choice.upstream.to_string()
     };
-    assert_ne!(chosen(&router, 500), "e0", "it rests");
-    assert_eq!(chosen(&router, 1_100), "e0", "one run may probe it");
-    let probe = router.choose(ms(1_100), &only(), &mut rng(1)).expect("it may be probed");
-    router.sent(ms(1_100), &head(50, "a"), &probe);
+    assert_ne!(chosen(&router, 500), "e0", "the upstream is in its cooldown");
+    assert_eq!(chosen(&router, 1_100), "e0", "one run may probe the upstream");
+    let probe =
+        router.choose(ms(1_100), &probe_query(), &mut rng(1)).expect("the upstream may be probed");
+    router.record_sent(ms(1_100), &head(50, "a"), &probe);
     assert_ne!(chosen(&router, 1_200), "e0", "one probe at a time");
-    router.first_token(ms(1_300), head(50, "a").request);
-    assert_eq!(chosen(&router, 1_400), "e0", "it works again");
+    router.record_first_token(ms(1_300), head(50, "a").request);
+    assert_eq!(chosen(&router, 1_400), "e0", "the upstream works again");
 }
 
 #[test]
-fn a_slow_upstream_is_shed_and_comes_back() {
+fn a_slow_upstream_is_avoided_until_it_recovers() {
     // Symptom: one engine is ten times slower than its peers, and whoever gets it is late. Sequence:
     // it is the cheapest, slows down, is measured, and is fast again later. Cause: only failures count.
     let mut router = router();
     let mut id = 0;
-    let mut serve = |router: &mut Router, now: &mut u64, name: &str, slow: u64| {
+    let mut serve = |router: &mut Router, now: &mut u64, name: &str, slowdown: u64| {
         id += 1;
         let head = head(id, "a");
         let mut choice =
-            router.choose(ms(*now), &ask(head.clone()), &mut rng(1)).expect("some are ready");
+            router.choose(ms(*now), &query(head.clone()), &mut rng(1)).expect("some are ready");
         choice.upstream = name.into();
-        router.sent(ms(*now), &head, &choice);
-        router.first_token(ms(*now + 100 * slow), head.request);
-        router.ended(ms(*now + (100 + 50 * 25) * slow), &"model".into(), head.request, 51);
+        router.record_sent(ms(*now), &head, &choice);
+        router.record_first_token(ms(*now + 100 * slowdown), head.request);
+        router.record_completion(
+            ms(*now + (100 + 50 * 25) * slowdown),
+            &"model".into(),
+            head.request,
+            51,
+        );
         *now += 20;
         for number in 0..6 {
             let name = format!("e{number}");
             let mut announcement = engine(&name, &format!("z{}", number % 3), *now);
             announcement.price = if number == 0 { 1_000 } else { 1_000_000 };
-            router.announce(ms(*now), &announcement);
+            router.handle_announcement(ms(*now), &announcement);
         }
     };
     let mut now = 1_000;
@@ -345,20 +355,20 @@
         (1..6).for_each(|number| serve(&mut router, &mut now, &format!("e{number}"), 1));
         serve(&mut router, &mut now, "e0", 10);
     }
-    let shed = spread(&mut router, now, 30).get("e0").copied().unwrap_or(0);
-    assert!(shed <= 1, "{shed} of 30 at the slow one");
-    let mut probe = router.choose(ms(now), &ask(head(9_000, "a")), &mut rng(1));
+    let slow_choices = count_choices(&mut router, now, 30).get("e0").copied().unwrap_or(0);
+    assert!(slow_choices <= 1, "{slow_choices} of 30 requests went to the slow upstream");
+    let mut probe = router.choose(ms(now), &query(head(9_000, "a")), &mut rng(1));
     if let Some(choice) = probe.as_mut() {
         choice.upstream = "e0".into();
-        router.sent(ms(now), &head(9_000, "a"), choice);
+        router.record_sent(ms(now), &head(9_000, "a"), choice);
     }
     let candidates = router.pool(ms(now), &"model".into()).upstreams;
-    assert_eq!(candidates, 5, "it gets one run at a time");
-    router.withdrawn(ms(now), head(9_000, "a").request);
-    let mut router_again = router;
+    assert_eq!(candidates, 5, "the slow upstream gets one run at a time");
+    router.record_withdrawal(ms(now), head(9_000, "a").request);
+    let mut recovering = router;
     for _ in 0..40 {
-        serve(&mut router_again, &mut now, "e0", 1);
+        serve(&mut recovering, &mut now, "e0", 1);
     }
-    let back = router_again.pool(ms(now), &"model".into()).upstreams;
-    assert_eq!(back, 6, "it is a candidate again");
+    let candidates = recovering.pool(ms(now), &"model".into()).upstreams;
+    assert_eq!(candidates, 6, "the upstream is a candidate again");
 }
