--- a/crates/verbenaslip-policy/src/admit.rs
+++ b/crates/verbenaslip-policy/src/admit.rs
@@ -1,9 +1,10 @@
-//! Admission: which requests wait, which go next, which are refused at once.
+//! Admits requests: queues them, orders them and refuses those that cannot be served in time.
 //!
-//! A [`Queue`] holds the requests of one model. Rows are lanes: between priorities the higher one
-//! goes first, within a priority lanes share by weight, within a lane the earliest deadline goes
-//! first. A request that can't be whole before its deadline is refused when it comes, and one that
-//! becomes so while it waits is given up at once. [`Returns`] spreads when the refused come back.
+//! A [`Queue`] holds the queued requests of one model. Each row of the route table has a lane. A
+//! higher priority goes first, lanes of one priority share by weight, and within a lane the
+//! earliest deadline goes first. A request that cannot complete before its deadline is refused on
+//! arrival. A queued request that can no longer complete in time is refused at once. [`RetryHints`]
+//! spreads the times at which refused callers come back.
 
 mod lane;
 mod queue;
--- a/crates/verbenaslip-policy/src/admit/lane.rs
+++ b/crates/verbenaslip-policy/src/admit/lane.rs
@@ -1,4 +1,4 @@
-//! The waiting requests of one row.
+//! Holds the queued requests of one row.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,35 +8,36 @@
 use crate::admit::QueuedRequest;
 use crate::row::RowParams;
 
-/// Orders the requests of a lane: by deadline, then by arrival.
+/// Sorts the requests of a lane by deadline, then by arrival number.
 type Position = (Duration, u64);
 
-/// Holds one row's waiting requests by deadline, and how much service the row has had.
+/// Holds the queued requests of one row by deadline, and the service that the row has received.
 #[derive(Debug)]
 pub(crate) struct Lane {
-    /// The row's terms as of the last request offered.
+    /// The row's parameters as of the last offered request.
     pub(crate) params: RowParams,
-    /// Service received, divided by weight; the lane with the least goes next.
+    /// Slot seconds received, divided by the row's weight. The lane with the lowest value goes
+    /// next.
     pub(crate) weighted_service: f64,
-    /// Slot seconds of all waiting requests.
+    /// Slot seconds of all queued requests.
     pub(crate) queued_work: f64,
     entries: BTreeMap<Position, LaneEntry>,
     positions: BTreeMap<Request, Position>,
 }
 
-/// Holds a waiting request with its cost.
+/// Holds a queued request and its expected cost.
 #[derive(Debug)]
 pub(crate) struct LaneEntry {
-    /// The request.
+    /// The queued request.
     pub(crate) queued: QueuedRequest,
-    /// Slot seconds that it was expected to take when it was offered.
+    /// Slot seconds that the request was expected to take when it was offered.
     pub(crate) slot_seconds: f64,
-    /// Whether it may be dispatched.
+    /// Whether the request may be dispatched.
     pub(crate) ready: bool,
 }
 
 impl Lane {
-    /// Opens an empty lane that has had as much service as those that are busy.
+    /// Creates an empty lane that counts as having received the given service.
     pub(crate) fn new(params: RowParams, weighted_service: f64) -> Self {
         Self {
             params,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Adds a request; a second one with the same identity replaces the first.
+    /// Adds a request. A request with the same identity is replaced.
     pub(crate) fn add(&mut self, arrival: u64, entry: LaneEntry) {
         let request = entry.queued.head.request;
         self.remove(request);
@@ -57,7 +58,7 @@
         self.entries.insert(position, entry);
     }
 
-    /// Takes a request out.
+    /// Removes a request.
     pub(crate) fn remove(&mut self, request: Request) -> Option<LaneEntry> {
         let position = self.positions.remove(&request)?;
         let entry = self.entries.remove(&position)?;
@@ -69,7 +70,7 @@
         Some(entry)
     }
 
-    /// Allows a request to be dispatched; returns whether it waits here.
+    /// Marks a request as ready for dispatch and returns whether this lane holds it.
     pub(crate) fn mark_ready(&mut self, request: Request) -> bool {
         let Some(position) = self.positions.get(&request) else { return false };
         let Some(entry) = self.entries.get_mut(position) else { return false };
@@ -77,27 +78,27 @@
         true
     }
 
-    /// Returns the request with the earliest deadline that may be dispatched.
+    /// Returns the ready request with the earliest deadline.
     pub(crate) fn first_ready(&self) -> Option<&LaneEntry> {
         self.entries.values().find(|entry| entry.ready)
     }
 
-    /// Returns all waiting requests by deadline.
+    /// Returns all queued requests in the order of their deadlines.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &LaneEntry> {
         self.entries.values()
     }
 
-    /// Returns the slot seconds of the requests that are due before a time.
+    /// Returns the slot seconds of the requests that are due at or before `deadline`.
     pub(crate) fn work_due_before(&self, deadline: Duration) -> f64 {
         self.entries.range(..(deadline, u64::MAX)).map(|(_, entry)| entry.slot_seconds).sum()
     }
 
-    /// Returns how many wait.
+    /// Returns the number of queued requests.
     pub(crate) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Returns whether none waits.
+    /// Returns whether no request is queued.
     pub(crate) fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/verbenaslip-policy/src/admit/queue.rs
+++ b/crates/verbenaslip-policy/src/admit/queue.rs
@@ -1,4 +1,4 @@
-//! The requests of one model that wait for a slot.
+//! Queues the requests of one model until a slot is free.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,56 +17,61 @@
 use crate::pool::Pool;
 use crate::row::RowParams;
 
-/// The most requests that wait for one model at one instance; bounds memory.
+/// The maximum number of requests queued for one model at one instance; bounds memory.
 const MAX_QUEUED: usize = 8192;
-/// The part of the work of higher priorities that a waiting lower one gets in any case.
+/// The fraction of the work dispatched at a higher priority that each waiting lower priority is
+/// granted as credit, so that it is never starved.
 const LOWER_PRIORITY_FRACTION: f64 = 0.1;
-/// The part of the time to the deadline that predictions may fill; the rest is for their error.
+/// The fraction of the time to the deadline that a prediction may use. The rest allows for
+/// prediction errors.
 const DEADLINE_FRACTION: f64 = 0.9;
 
-/// The part of the slots that a priority is expected to get however much is above it.
+/// The minimum fraction of the slots that a priority is expected to get, regardless of the load of
+/// higher priorities.
 const MIN_SLOT_FRACTION: f64 = 0.1;
 
-/// Describes a request that is offered.
+/// Describes a request that is offered to a queue.
 #[data]
 pub struct QueuedRequest {
-    /// The request.
+    /// The head of the request.
     pub head: Head,
-    /// The row of the table that it falls under; its class may be the fallback.
+    /// The key of the route table row that applies to the request. Its class may be the fallback
+    /// class.
     pub key: Key,
-    /// When it arrived.
+    /// The time at which the request arrived.
     pub arrived: Duration,
-    /// The terms of its row.
+    /// The parameters of the row.
     pub params: RowParams,
-    /// Prompt tokens that some upstream is expected to have cached.
+    /// Prompt tokens that at least one upstream is expected to have cached.
     pub cached_tokens: u32,
-    /// Upstreams that it must not run on again.
+    /// Upstreams on which the request must not run again.
     pub avoid: Vec<Upstream>,
-    /// Whether it may have run already, so that it is never again refused as not run.
+    /// Whether the request may already have run. Such a request is never refused as not run.
     pub may_have_run: bool,
 }
 
-/// Decides what becomes of an offered request.
+/// Tells what happened to an offered request.
 #[data]
 pub enum Admission {
-    /// A slot is free and nobody waits: it goes as soon as it is ready.
+    /// A slot is free and no request is queued; the request is dispatched as soon as it is ready.
     Admitted,
-    /// It waits, presumably this long.
+    /// The request is queued and is expected to wait this long.
     Queued(Duration),
-    /// It was not run.
+    /// The request was refused and has not run.
     Refused(Refusal),
 }
 
-/// Tells of a request that was given up while it waited.
+/// Describes a queued request that was refused because it waited too long or could no longer meet
+/// its deadline.
 #[data]
 pub struct Expired {
-    /// The request.
+    /// The head of the request.
     pub head: Head,
-    /// What its caller gets, at once.
+    /// The refusal that the caller receives.
     pub refusal: Refusal,
 }
 
-/// Holds the waiting requests of one model.
+/// Holds the queued requests of one model.
 #[derive(Debug, Default)]
 pub struct Queue {
     lanes: BTreeMap<Key, Lane>,
@@ -80,9 +85,9 @@
 }
 
 impl Queue {
-    /// Takes in a request or refuses it at once.
+    /// Queues a request or refuses it.
     ///
-    /// A request that is taken in waits until [`Queue::ready`] allows its dispatch.
+    /// A queued request waits until [`Queue::mark_ready`] allows its dispatch.
     pub fn offer(
         &mut self,
         now: Duration,
@@ -109,15 +114,16 @@
         if idle { Admission::Admitted } else { Admission::Queued(to_duration(wait)) }
     }
 
-    /// Allows a waiting request to be dispatched, once it is journalled and claimed.
+    /// Allows the dispatch of a queued request after it has been journaled and claimed. Returns
+    /// whether the request is queued here.
     pub fn mark_ready(&mut self, request: Request) -> bool {
         let Some(key) = self.lane_keys.get(&request) else { return false };
         self.lanes.get_mut(key).is_some_and(|lane| lane.mark_ready(request))
     }
 
-    /// Returns the request that should go next and takes it out, if one may go.
+    /// Removes and returns the next request to dispatch, if one may run.
     ///
-    /// `may` says whether a row's limits allow one more run.
+    /// `is_allowed` tells whether the limits of a row allow one more run of the given request.
     pub fn next(
         &mut self,
         now: Duration,
@@ -138,14 +144,15 @@
         Some(entry.queued)
     }
 
-    /// Notes that a request that [`Queue::next`] gave runs no more.
+    /// Records that a request returned by [`Queue::next`] no longer runs.
     pub fn release(&mut self, queued: &QueuedRequest) {
         if let Some(running) = self.running_by_priority.get_mut(&queued.params.priority) {
             *running = running.saturating_sub(1);
         }
     }
 
-    /// Puts a request back that could not be sent after all; it is ready at once.
+    /// Queues a request again that could not be sent or has to run again. The request is ready at
+    /// once.
     pub fn requeue(&mut self, queued: QueuedRequest, pool: &Pool) {
         let cost = service_seconds(&queued, pool);
         let request = queued.head.request;
@@ -153,14 +160,15 @@
         self.mark_ready(request);
     }
 
-    /// Takes a request out, as when its caller has gone.
+    /// Removes a request, for example after its caller has disconnected.
     pub fn remove(&mut self, request: Request) -> Option<QueuedRequest> {
         let key = self.lane_keys.remove(&request)?;
         let entry = self.lanes.get_mut(&key)?.remove(request)?;
         Some(entry.queued)
     }
 
-    /// Gives up what can't be on time any more or has waited longer than its row allows.
+    /// Removes and returns the requests that can no longer meet their deadline or that waited
+    /// longer than their row allows.
     pub fn expire(&mut self, now: Duration, pool: &Pool, rng: &mut impl Rng) -> Vec<Expired> {
         let overdue: Vec<(Request, Reason)> = self
             .lanes
@@ -183,27 +191,27 @@
         expired
     }
 
-    /// Returns how many wait.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
         self.lane_keys.len()
     }
 
-    /// Returns whether none waits.
+    /// Returns whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.lane_keys.is_empty()
     }
 
-    /// Returns the slot seconds that wait.
+    /// Returns the slot seconds of all queued requests.
     pub fn work(&self) -> f64 {
         self.lanes.values().map(|lane| lane.queued_work).sum()
     }
 
-    /// Returns how many of a row wait.
+    /// Returns the number of queued requests of a row.
     pub fn len_of_row(&self, key: &Key) -> usize {
         self.lanes.get(key).map_or(0, Lane::len)
     }
 
-    /// Takes over the terms of an edited table for those who already wait.
+    /// Applies the parameters of a new route table to the requests that are already queued.
     pub fn update_params(&mut self, params: impl Fn(&Key) -> Option<RowParams>) {
         for (key, lane) in &mut self.lanes {
             if let Some(params) = params(key) {
@@ -219,7 +227,8 @@
         let min_service = self.min_service(queued.params.priority);
         let params = queued.params;
         let lane = self.lanes.entry(key.clone()).or_insert_with(|| Lane::new(params, min_service));
-        // A lane that was idle would otherwise hold a credit for all that time and take every slot.
+        // Otherwise a lane that was idle would have a service deficit for the whole idle time and
+        // would take every slot.
         if lane.is_empty() {
             lane.weighted_service = lane.weighted_service.max(min_service);
         }
@@ -229,7 +238,7 @@
         lane.add(self.last_arrival, LaneEntry { queued, slot_seconds: cost, ready: false });
     }
 
-    /// Returns the least service among busy lanes of a priority.
+    /// Returns the lowest weighted service of the busy lanes of a priority.
     fn min_service(&self, priority: u8) -> f64 {
         let busy = self.lanes.values().filter(|lane| !lane.is_empty());
         let services =
@@ -237,13 +246,13 @@
         services.fold(f64::INFINITY, f64::min).min(self.max_service(priority))
     }
 
-    /// Returns the most service among all lanes of a priority, zero without any.
+    /// Returns the highest weighted service of all lanes of a priority, or zero if there are none.
     fn max_service(&self, priority: u8) -> f64 {
         let same = self.lanes.values().filter(|lane| lane.params.priority == priority);
         same.map(|lane| lane.weighted_service).fold(0.0, f64::max)
     }
 
-    /// Chooses the lane that goes next.
+    /// Selects the lane whose first ready request is dispatched next.
     fn select_lane(
         &mut self,
         lowest: u8,
@@ -279,7 +288,7 @@
         best.remove(&chosen).map(|candidate| candidate.key)
     }
 
-    /// Owes each lower priority with work a part of what a higher one takes before it.
+    /// Grants each waiting lower priority credit for a fraction of the work dispatched before it.
     fn grant_credits(&mut self, chosen: u8, best: &BTreeMap<u8, LaneCandidate>) {
         let Some(cost) = best.get(&chosen).map(|candidate| candidate.slot_seconds) else { return };
         self.credits.insert(chosen, 0.0);
@@ -288,11 +297,12 @@
         }
     }
 
-    /// Returns the lowest priority that may take one of the free slots.
+    /// Returns the lowest priority that may use one of the free slots.
     ///
-    /// Long runs of a low priority could take every slot in a quiet second; short ones of a higher
-    /// priority that come then would find none for as long as those run. So what the higher
-    /// priorities need, by the work offered, and do not use at the moment stays free for them.
+    /// Long runs of a low priority could otherwise take every slot during a quiet second, and short
+    /// requests of a higher priority that arrive next would find no slot until those runs end.
+    /// Slots that higher priorities need according to their offered load, but do not use at the
+    /// moment, therefore stay free for them.
     fn lowest_allowed_priority(&mut self, now: Duration, pool: &Pool) -> u8 {
         let instances = f64::from(pool.slots) / pool.slot_share.max(0.25);
         let mut kept_free = 0.0;
@@ -316,8 +326,8 @@
         let own =
             self.lanes.get(key).map_or(0.0, |lane| lane.work_due_before(queued.head.deadline));
         let weight = f64::from(queued.params.weight.max(1));
-        // While this lane is served its own work ahead, each other lane has had at most its weight's
-        // part beside it, and no more than it has waiting.
+        // While this lane serves its own earlier work, each other lane of the priority receives at
+        // most service in proportion to its weight, and no more than it has queued.
         let others: f64 = self
             .lanes
             .iter()
@@ -333,14 +343,15 @@
         free_slot_delay + (ahead - free).max(0.0) / available
     }
 
-    /// Returns the slots of this instance's share that the work of higher priorities leaves.
+    /// Returns how many slots of this instance's share the load of higher priorities leaves.
     fn available_slots(&mut self, now: Duration, priority: u8, pool: &Pool) -> f64 {
         let higher = self.load_by_priority.range_mut(priority.saturating_add(1)..);
         let taken: f64 = higher.map(|(_, offered)| offered.rate(now)).sum();
         (pool.slot_share - taken).max(pool.slot_share * MIN_SLOT_FRACTION).max(0.25)
     }
 
-    /// Returns the seconds until a slot of this instance's share frees when all are taken.
+    /// Returns the expected seconds until a slot of this instance's share becomes free when all
+    /// slots are in use.
     fn seconds_until_free_slot(&self, queued: &QueuedRequest, pool: &Pool) -> f64 {
         hold_seconds(queued, pool) / (pool.slot_share.max(0.25) + 1.0)
     }
@@ -356,7 +367,7 @@
         let seconds_left =
             queued.head.deadline.saturating_sub(now).as_secs_f64() * DEADLINE_FRACTION;
         let max_wait = queued.params.max_wait.as_secs_f64();
-        // Even an idle engine would be late: coming back with the same deadline does not help.
+        // Even an idle engine would be too late, so a retry with the same deadline does not help.
         if cost > seconds_left {
             return Some(Refusal { reason: Reason::Deadline, retry: None });
         }
@@ -371,14 +382,15 @@
         Some(Refusal { reason, retry: Some(retry) })
     }
 
-    /// Returns a hint for when nothing is known of the time at which upstreams come.
+    /// Returns a retry hint for the case that no upstream exists and the time until one appears is
+    /// unknown.
     fn hint_without_upstreams(&mut self, now: Duration, rng: &mut impl Rng) -> Duration {
         const EXPECTED_SECONDS: f64 = 2.0;
         self.retry_hints.hint(now, EXPECTED_SECONDS, EXPECTED_SECONDS / 16.0, 1.0, rng)
     }
 }
 
-/// Holds the lane of a priority that would go next.
+/// Holds the lane that goes next within one priority.
 #[derive(Clone)]
 struct LaneCandidate {
     weighted_service: f64,
@@ -386,27 +398,28 @@
     key: Key,
 }
 
-/// Returns the seconds that a request takes from dispatch to its whole answer.
+/// Returns the predicted seconds from dispatch to the complete answer.
 fn service_seconds(queued: &QueuedRequest, pool: &Pool) -> f64 {
     let computed = queued.head.prompt.saturating_sub(queued.cached_tokens);
     pool.service_times.total_seconds(computed, max_output_tokens(queued), pool.mean_running)
 }
 
-/// Returns the seconds for which a running request is thought to hold its slot.
+/// Returns the predicted seconds for which a running request holds its slot.
 fn hold_seconds(queued: &QueuedRequest, pool: &Pool) -> f64 {
     service_seconds(queued, pool)
 }
 
-/// Returns the most tokens that a request's answer may have.
+/// Returns the maximum number of tokens of a request's answer.
 fn max_output_tokens(queued: &QueuedRequest) -> u32 {
     queued.head.output.min(queued.params.max_output_tokens)
 }
 
-/// Returns why a waiting request can't be served any more, if so.
+/// Returns the reason why a queued request can no longer be served, if there is one.
 fn expiry_reason(now: Duration, entry: &LaneEntry, pool: &Pool) -> Option<Reason> {
     let seconds_left = entry.queued.head.deadline.saturating_sub(now).as_secs_f64();
-    // An accepted request that was moved has waited before and holds tokens that an estimate does
-    // not count; giving it up by either would lose it although it could still be on time.
+    // An accepted request that was moved has already waited and already holds tokens that the
+    // estimate does not count. Both checks below could drop it although it can still complete in
+    // time.
     if entry.queued.may_have_run {
         return (seconds_left <= 0.0).then_some(Reason::Deadline);
     }
@@ -417,7 +430,7 @@
     (waited > entry.queued.params.max_wait).then_some(Reason::Overload)
 }
 
-/// Turns any number of seconds into a duration.
+/// Converts seconds to a duration; values that a duration cannot hold become the maximum.
 fn to_duration(value: f64) -> Duration {
     Duration::try_from_secs_f64(value).unwrap_or(Duration::MAX)
 }
--- a/crates/verbenaslip-policy/src/admit/retry_hint.rs
+++ b/crates/verbenaslip-policy/src/admit/retry_hint.rs
@@ -1,35 +1,38 @@
-//! When those who were refused should come back.
+//! Tells refused callers when to come back.
 
 use std::time::Duration;
 
 use rand::{Rng, RngExt};
 
-/// The soonest that anyone is asked back.
+/// The shortest retry hint.
 const MIN_HINT_SECONDS: f64 = 0.5;
-/// The latest that anyone is asked back.
+/// The longest retry hint, before jitter.
 const MAX_HINT_SECONDS: f64 = 600.0;
-/// The part by which a hint is drawn longer at random.
+/// The maximum fraction by which a hint is randomly extended.
 const HINT_JITTER: f64 = 0.25;
 
-/// Seconds over which offered work is remembered.
+/// Time constant with which the offered load decays.
 const LOAD_DECAY_SECONDS: f64 = 10.0;
-/// The part of the slots that is booked for those who come back in any case.
+/// The minimum fraction of the slots that is booked for returning callers.
 const MIN_RETURN_FRACTION: f64 = 0.5;
 
-/// Books the capacity to come for those who were refused, so that each finds room when it returns.
+/// Books future capacity for refused callers, so that each of them finds a free slot when it
+/// returns.
 ///
-/// With a fixed hint all refused return together and most are refused again. Here each refusal
-/// takes its own work out of the time to come, and the next one is asked back after it.
+/// With a fixed hint all refused callers would return at the same time, and most would be refused
+/// again. Instead, each refusal books the time for its own work, and the next refused caller is
+/// told to return after that.
 #[derive(Debug, Default)]
 pub struct RetryHints {
     booked_until: Duration,
 }
 
 impl RetryHints {
-    /// Returns how long the caller should stay away.
+    /// Returns how long the caller should wait before it retries.
     ///
-    /// `needed` is the seconds until the present backlog leaves room, `cost` the slot seconds that
-    /// the refused request will take, `share` the slots that serve this instance's callers.
+    /// `wait_seconds` is the time until the current backlog leaves room, `slot_seconds` the work of
+    /// the refused request, and `slots` the number of slots that serve returning callers of this
+    /// instance.
     pub fn hint(
         &mut self,
         now: Duration,
@@ -49,7 +52,7 @@
     }
 }
 
-/// Follows how much work a second is offered.
+/// Tracks the offered load, in slot seconds per second.
 #[derive(Debug, Default)]
 pub(crate) struct OfferedLoad {
     rate: f64,
@@ -63,16 +66,16 @@
         self.rate += work / LOAD_DECAY_SECONDS;
     }
 
-    /// Returns the slot seconds that are offered a second.
+    /// Returns the offered load in slot seconds per second.
     pub(crate) fn rate(&mut self, now: Duration) -> f64 {
         self.decay(now);
         self.rate
     }
 
-    /// Returns the slots that new arrivals leave to those who come back.
+    /// Returns the slots that new arrivals leave for returning callers.
     ///
-    /// Those who were refused return into a burst that is still on; if all slots were booked for
-    /// them, most would find the slots taken by new arrivals and be refused again.
+    /// Refused callers return while the burst still lasts. If all slots were booked for them, most
+    /// would find the slots taken by new arrivals and be refused again.
     pub(crate) fn spare_slots(&mut self, now: Duration, share: f64) -> f64 {
         self.decay(now);
         (share - self.rate).max(share * MIN_RETURN_FRACTION)
@@ -85,7 +88,8 @@
     }
 }
 
-/// Turns any number of seconds into a duration within bounds.
+/// Converts seconds to a duration. NaN becomes the shortest hint, and values are limited to twice
+/// the longest hint.
 fn to_duration(value: f64) -> Duration {
     if value.is_nan() {
         return Duration::from_secs_f64(MIN_HINT_SECONDS);
--- a/crates/verbenaslip-policy/src/dispatch.rs
+++ b/crates/verbenaslip-policy/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Admission, limits, retries and routing of one instance, put together.
+//! Combines admission, limits, retries and routing for one instance.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,18 +20,19 @@
 use crate::row::RowParams;
 use crate::zone_loss::ZoneLosses;
 
-/// Orders a run: this request, at this upstream.
+/// Describes a run of a request at an upstream.
 #[data(float)]
 pub struct Dispatch {
-    /// The request.
+    /// The head of the request.
     pub head: Head,
-    /// The upstream, and what is expected of it.
+    /// The chosen upstream and the predicted run.
     pub choice: Choice,
-    /// The priority given to the upstream; higher goes first.
+    /// The priority passed to the upstream. A higher value goes first.
     pub priority: i32,
 }
 
-/// Decides for one instance what waits, what runs where, and what is refused.
+/// Decides for one instance which requests wait, which run on which upstream, and which are
+/// refused.
 #[derive(Debug)]
 pub struct Dispatcher {
     limiter: Limiter,
@@ -45,7 +46,7 @@
     delayed: BTreeMap<(Duration, Request), QueuedRequest>,
 }
 
-/// Holds a request that runs.
+/// Holds a running request.
 #[derive(Debug)]
 struct Running {
     queued: QueuedRequest,
@@ -54,7 +55,8 @@
 }
 
 impl Dispatcher {
-    /// Starts an instance in a zone; `incarnation` rises at each of its starts.
+    /// Creates a dispatcher for an instance in a zone. `incarnation` must increase with each start
+    /// of the instance.
     pub fn new(
         now: Duration,
         own_name: Instance,
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Puts a table in force, also for what already waits and runs.
+    /// Sets the route table, also for queued and running requests.
     pub fn set_table(&mut self, now: Duration, table: &Table) {
         self.table = table.clone();
         let rows: Vec<(Key, RowParams)> =
@@ -86,28 +88,30 @@
         self.retry_hints.retain(|key, _| table.get(key).is_some());
     }
 
-    /// Takes over the instances that membership counts as alive, this one counted.
+    /// Sets the instances that membership counts as alive, including this one.
     pub fn set_members(&mut self, now: Duration, members: &[Instance]) {
         self.limiter.set_members(now, members);
         self.router.set_instances(members.len().max(1) as u32);
     }
 
-    /// Takes another instance's report of its part of the limits.
+    /// Handles another instance's report about its shares of the limits.
     pub fn handle_report(&mut self, now: Duration, from: &Instance, report: &Report) {
         self.limiter.handle_report(now, from, report);
     }
 
-    /// Returns the report to spread; called about once a second.
+    /// Updates the shares of the limits and returns the report for the other instances; called
+    /// about once per second.
     pub fn tick_limits(&mut self, now: Duration) -> Report {
         self.limiter.tick(now)
     }
 
-    /// Falls back to safe parts of the limits, as when others counted this instance as dead.
+    /// Falls back to the base shares of the limits, for example when other instances counted this
+    /// one as dead.
     pub fn reset_shares(&mut self, now: Duration) {
         self.limiter.reset_shares(now);
     }
 
-    /// Takes an announcement that was made at a time on this instance's clock.
+    /// Handles an announcement that was made at time `heard` on this instance's clock.
     pub fn handle_announcement(&mut self, heard: Duration, announcement: &Announcement) {
         let leaving = matches!(announcement.phase, Phase::Leaving { notice: Some(_) });
         self.router.handle_announcement(heard, announcement);
@@ -116,14 +120,14 @@
         }
     }
 
-    /// Takes cache events of an upstream.
+    /// Handles cache events of an upstream.
     pub fn handle_cache_events(&mut self, upstream: &Upstream, batch: &CacheBatch) {
         self.router.handle_cache_events(upstream, batch);
     }
 
-    /// Forgets an upstream that is gone and returns what ran there.
+    /// Removes a lost upstream and returns the requests that ran there.
     ///
-    /// Each of those requests is then to be told by [`Dispatcher::failed`].
+    /// The caller must then report each of these requests with [`Dispatcher::handle_failure`].
     pub fn remove_upstream(&mut self, now: Duration, upstream: &Upstream) -> Loss {
         if let Some(announcement) = self.router.announcement(upstream).cloned() {
             self.record_zone_loss(now, &announcement.zone, upstream);
@@ -132,9 +136,9 @@
         self.router.remove_upstream(upstream)
     }
 
-    /// Takes in a request, or refuses it at once.
+    /// Queues a request or refuses it.
     ///
-    /// One that is taken in runs after [`Dispatcher::ready`] was called for it.
+    /// A queued request runs after [`Dispatcher::mark_ready`] was called for it.
     pub fn offer(
         &mut self,
         now: Duration,
@@ -165,14 +169,15 @@
         queue.offer(now, queued, &pool, rng)
     }
 
-    /// Takes over a request that another instance, or an earlier run here, has begun.
+    /// Queues a request that another instance, or an earlier run at this instance, has started.
     ///
-    /// It was let in before, so it is not held against limits and deadlines again; it runs when a
-    /// slot is free.
+    /// The request was already admitted, so limits and deadlines are not checked for admission
+    /// again. It runs when a slot is free.
     pub fn adopt(&mut self, now: Duration, head: Head, arrived: Duration, avoid: &[Upstream]) {
         self.cancel(now, head.request);
         let row = self.table.row(&head.team, &head.class);
-        // The row may be gone by now; what was accepted under it is still answered.
+        // The row may no longer exist, but a request that was accepted under it must still be
+        // answered.
         let default_row = Row::new(head.team.clone(), head.class.clone());
         let row = row.unwrap_or(&default_row);
         let (key, params) = (row.key(), RowParams::from(row));
@@ -190,7 +195,8 @@
         self.queues.entry(queued.head.model.clone()).or_default().requeue(queued, &pool);
     }
 
-    /// Allows a request that was taken in to run: it is journalled, and claimed where it must be.
+    /// Allows the dispatch of a queued request after it was journaled and, if required, claimed.
+    /// Returns whether the request is queued here.
     pub fn mark_ready(&mut self, request: Request) -> bool {
         self.queues.values_mut().any(|queue| queue.mark_ready(request))
     }
@@ -209,7 +215,7 @@
         dispatches
     }
 
-    /// Gives up what waits in vain; their callers get the answers at once.
+    /// Removes and returns the queued requests that can no longer be served in time.
     pub fn expire(&mut self, now: Duration, rng: &mut impl Rng) -> Vec<Expired> {
         let mut expired = Vec::new();
         for (model, queue) in self.queues.iter_mut().filter(|(_, queue)| !queue.is_empty()) {
@@ -219,12 +225,12 @@
         expired
     }
 
-    /// Notes a request's first token.
+    /// Records the first token of a request.
     pub fn record_first_token(&mut self, now: Duration, request: Request) {
         self.router.record_first_token(now, request);
     }
 
-    /// Notes that a request's answer is whole, with so many tokens.
+    /// Records that the answer of a request is complete with `tokens` tokens.
     pub fn record_completion(&mut self, now: Duration, request: Request, tokens: u32) {
         let upstream = self.router.upstream_of(request).cloned();
         let Some(running) = self.running.remove(&request) else { return };
@@ -243,9 +249,9 @@
         }
     }
 
-    /// Notes that a request's run failed, and decides whether it runs again.
+    /// Records the failure of a run and decides whether the request runs again.
     ///
-    /// If so, [`Dispatcher::next`] gives the new run when its time has come.
+    /// If it does, [`Dispatcher::next_dispatches`] returns the new run after the delay.
     pub fn handle_failure(
         &mut self,
         now: Duration,
@@ -272,7 +278,8 @@
         decision
     }
 
-    /// Chooses where a running request could go on, as when its upstream is leaving.
+    /// Chooses another upstream on which a running request could continue, for example when its
+    /// upstream is leaving.
     pub fn choose_alternative(
         &self,
         now: Duration,
@@ -285,7 +292,7 @@
         self.router.choose(now, &query, rng)
     }
 
-    /// Notes that a running request was moved to another upstream.
+    /// Records that a running request was moved to another upstream.
     pub fn record_move(&mut self, now: Duration, request: Request, choice: &Choice) {
         let Some(running) = self.running.get_mut(&request) else { return };
         running.runs += 1;
@@ -293,7 +300,8 @@
         self.router.record_sent(now, &running.queued.head, choice);
     }
 
-    /// Forgets a request whose caller has gone; returns the upstream where it ran, if it did.
+    /// Removes a request, for example after its caller has disconnected, and returns the upstream
+    /// on which it ran, if any.
     pub fn cancel(&mut self, now: Duration, request: Request) -> Option<Upstream> {
         self.queues.values_mut().for_each(|queue| drop(queue.remove(request)));
         self.delayed.retain(|(_, delayed), _| *delayed != request);
@@ -305,22 +313,22 @@
         upstream
     }
 
-    /// Returns the router, for status and for the plan.
+    /// Returns the router, for the status and the capacity plan.
     pub fn router(&self) -> &Router {
         &self.router
     }
 
-    /// Returns the limiter, for status.
+    /// Returns the limiter, for the status.
     pub fn limiter(&self) -> &Limiter {
         &self.limiter
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of queued and delayed requests.
     pub fn waiting(&self) -> usize {
         self.queues.values().map(Queue::len).sum::<usize>() + self.delayed.len()
     }
 
-    /// Returns how many requests run.
+    /// Returns the number of running requests.
     pub fn running(&self) -> usize {
         self.running.len()
     }
@@ -344,7 +352,7 @@
             return None;
         };
         let estimated_tokens = estimate_tokens(&queued, &pool);
-        // The queue has just asked whether there is room, so taking it can't fail.
+        // The queue has just checked the limits, so this cannot fail.
         let _ = self.limiter.acquire(now, &queued.key, estimated_tokens);
         self.router.record_sent(now, &queued.head, &choice);
         let runs = queued.avoid.len() as u32 + 1;
@@ -359,7 +367,7 @@
         }
     }
 
-    /// Puts failed requests whose delay is over back into their queues.
+    /// Queues the failed requests whose retry delay has passed.
     fn requeue_delayed(&mut self, now: Duration) {
         while let Some(entry) = self.delayed.first_entry() {
             if entry.key().0 > now {
@@ -371,7 +379,7 @@
         }
     }
 
-    /// Refuses a request that its row's limits would keep waiting too long.
+    /// Refuses a request that would wait too long for the limits of its row.
     fn check_limits(
         &mut self,
         now: Duration,
@@ -418,10 +426,10 @@
         }
     }
 
-    /// Returns the work that waits before moved work, and the slots that will take it in.
+    /// Returns the backlog of a model and the slots that serve it.
     ///
-    /// Moved work goes back into its queue, which gives it only slots that are free, so a short
-    /// delay is enough; a longer one by what was lost made more of it late.
+    /// Moved work is queued again and only gets free slots, so a delay based on the backlog is
+    /// enough. A longer delay based on the lost work would make more of it late.
     fn backlog(&self, model: &Model, pool: &Pool) -> Backlog {
         Backlog { slot_seconds: self.queues.get(model).map_or(0.0, Queue::work), slots: pool.slots }
     }
@@ -431,7 +439,7 @@
     }
 }
 
-/// Returns what the router needs to know of a request.
+/// Returns the router's query for a request.
 fn route_query(queued: &QueuedRequest) -> RouteQuery {
     RouteQuery {
         head: queued.head.clone(),
--- a/crates/verbenaslip-policy/src/lib.rs
+++ b/crates/verbenaslip-policy/src/lib.rs
@@ -1,15 +1,17 @@
-//! Decisions under load: admission, limits, retries, routing, capacity.
+//! Decides under load about admission, limits, retries, routing and capacity.
 //!
-//! A request that arrives is held against its row's part of the limits ([`limit::Limiter`]) and
-//! offered to the queue of its model ([`admit::Queue`]), which refuses at once what can't be on
-//! time. When a slot is free the queue gives the next request, and [`route::Router`] chooses the
-//! upstream by cost, lateness and cached prefix. A run that failed asks [`retry::Retries`] whether
-//! it may run again; [`wave::Wave`] tells a reclaimed zone from single losses. [`plan::Planner`]
-//! decides, on the leader only, which machines to start and to give back before the hour.
-//! [`dispatch::Dispatcher`] puts all but the plan together for one instance.
+//! A new request is checked against this instance's share of its row's limits ([`limit::Limiter`])
+//! and offered to the queue of its model ([`admit::Queue`]). The queue refuses at once a request
+//! that cannot meet its deadline. When a slot is free, the queue returns the next request, and
+//! [`route::Router`] chooses the upstream by engine cost, lateness and cached prefix. After a
+//! failed run, [`retry::RetryBudgets`] decides whether the request may run again, and
+//! [`zone_loss::ZoneLosses`] distinguishes the loss of a whole zone from single losses.
+//! [`plan::Planner`] runs on the leader only and decides which machines to start before the peak of
+//! the hour and which to stop. [`dispatch::Dispatcher`] combines everything except the planner for
+//! one instance.
 //!
-//! Everything here is a deterministic state machine: the time and a seeded generator are handed
-//! in, nothing does input or output, and no input makes it panic.
+//! All types are deterministic state machines: the caller passes in the time and a seeded random
+//! generator, nothing performs input or output, and no input causes a panic.
 
 pub mod admit;
 pub mod dispatch;
--- a/crates/verbenaslip-policy/src/limit/limiter.rs
+++ b/crates/verbenaslip-policy/src/limit/limiter.rs
@@ -1,4 +1,4 @@
-//! The limits of all rows at one instance.
+//! Enforces the limits of all rows at one instance.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,36 +13,37 @@
 use crate::limit::share::{ANNOUNCE_DELAY, BASE_FRACTION, Share, ShareGoal};
 use crate::row::{self, RowParams};
 
-/// Seconds over which demand is remembered.
+/// Time constant with which the measured demand decays.
 const DEMAND_DECAY_SECONDS: f64 = 2.0;
 /// The demand below which a row counts as idle.
 const IDLE_DEMAND: f64 = 0.05;
-/// The most slots that are split into whole ones; its square must be below [`WHOLE`].
+/// The highest concurrency limit that is split into whole slots; its square must be below
+/// [`FULL_SHARE`].
 const MAX_WHOLE_SLOTS: u32 = 120;
-/// The longest time between two steps that is no freeze.
+/// The longest time without activity that does not count as a pause of the process.
 const MAX_ACTIVE_GAP: Duration = ANNOUNCE_DELAY;
 
-/// Tells why a request may not run now under its row's limits.
+/// Tells which limit of its row prevents a request from running now.
 #[data(copy)]
 pub struct Exceeded {
     /// The limit that is used up.
     pub limit: Limit,
-    /// How long until there is room, as far as is known.
+    /// The estimated time until the limit allows the request.
     pub retry_after: Duration,
 }
 
 /// Names a limit of a row.
 #[data(copy, ord, hash)]
 pub enum Limit {
-    /// Requests a second.
+    /// Requests per second.
     Rate,
-    /// Requests at once.
+    /// Requests that run at once.
     Concurrency,
-    /// Tokens a second.
+    /// Tokens per second.
     Tokens,
 }
 
-/// Keeps this instance's part of every row's limits.
+/// Holds this instance's shares of the limits of all rows.
 #[derive(Debug)]
 pub struct Limiter {
     own_name: Instance,
@@ -54,7 +55,7 @@
     last_activity: Duration,
 }
 
-/// Holds one row's state.
+/// Holds the state of one row's limits.
 #[derive(Debug)]
 struct RowState {
     row_hash: u32,
@@ -68,7 +69,8 @@
 }
 
 impl Limiter {
-    /// Starts without any part; it grows once the others have been heard for [`HOLD`].
+    /// Creates a limiter without any share. Shares grow after the other instances have been heard
+    /// for [`ANNOUNCE_DELAY`].
     pub fn new(now: Duration, own_name: Instance, incarnation: u64) -> Self {
         Self {
             own_name,
@@ -81,22 +83,23 @@
         }
     }
 
-    /// Takes over the instances that membership counts as alive, this one among them or not.
+    /// Sets the instances that membership counts as alive. The list may contain this instance.
     pub fn set_members(&mut self, now: Duration, members: &[Instance]) {
         self.peers.set_members(now, &self.own_name, members);
     }
 
-    /// Falls back to the even part, as when this instance learns that others counted it as dead.
+    /// Falls back to the base share, for example when this instance learns that others counted it
+    /// as dead.
     ///
-    /// With a cut in one direction this instance hears all others while they may have handed out
-    /// its part; only membership can tell.
+    /// With a network partition in one direction, this instance receives reports from all others
+    /// while they may have redistributed its shares. Only membership can detect this.
     pub fn reset_shares(&mut self, now: Duration) {
         self.restart_warm_up(now);
     }
 
-    /// Takes the rows of the table in force; rows that are gone lose their state.
+    /// Sets the rows of the current route table. Rows that are no longer listed lose their state.
     ///
-    /// Parts are relative to the limits, so an edit of a limit is in force at once everywhere.
+    /// Shares are relative to the limits, so a changed limit applies at once everywhere.
     pub fn set_rows<'a>(
         &mut self,
         now: Duration,
@@ -109,13 +112,14 @@
         }
     }
 
-    /// Takes another instance's report.
+    /// Handles the report of another instance.
     pub fn handle_report(&mut self, now: Duration, from: &Instance, report: &Report) {
         self.restart_after_pause(now);
         self.peers.handle_report(now, from, report);
     }
 
-    /// Moves the parts and returns the report to spread; called about once a second.
+    /// Updates the shares and returns the report for the other instances; called about once per
+    /// second.
     pub fn tick(&mut self, now: Duration) -> Report {
         self.restart_after_pause(now);
         self.peers.remove_departed(now);
@@ -123,7 +127,11 @@
         self.make_report()
     }
 
-    /// Returns whether a request may run now; takes nothing.
+    /// Checks whether a request may run now, without using up any limit.
+    ///
+    /// # Errors
+    ///
+    /// Returns the exceeded limit if the request may not run now.
     pub fn check(&mut self, now: Duration, key: &Key, tokens: u32) -> Result<(), Exceeded> {
         self.restart_after_pause(now);
         let base = self.base_share(now);
@@ -131,7 +139,11 @@
         row.check(now, base, tokens)
     }
 
-    /// Takes room for one request, whose tokens are as estimated, or refuses.
+    /// Counts one request with its estimated tokens against the limits of its row.
+    ///
+    /// # Errors
+    ///
+    /// Returns the exceeded limit if the request may not run now; nothing is counted then.
     pub fn acquire(&mut self, now: Duration, key: &Key, tokens: u32) -> Result<(), Exceeded> {
         self.check(now, key, tokens)?;
         let Some(row) = self.rows.get_mut(key) else { return Ok(()) };
@@ -141,21 +153,23 @@
         Ok(())
     }
 
-    /// Notes that a request was offered, which counts as demand.
+    /// Records an offered request as demand.
     pub fn record_demand(&mut self, now: Duration, key: &Key) {
         if let Some(row) = self.rows.get_mut(key) {
             row.record_demand(now);
         }
     }
 
-    /// Gives room back when a run ends; `unused` is what the estimate of its tokens was too high.
+    /// Releases the concurrency of an ended run and refunds `unused` tokens, the amount by which
+    /// the estimate was too high.
     pub fn release(&mut self, key: &Key, unused: i64) {
         let Some(row) = self.rows.get_mut(key) else { return };
         row.running = row.running.saturating_sub(1);
         row.token_bucket.take(-(unused as f64));
     }
 
-    /// Predicts how long until a request has room, when so many of its row wait before it.
+    /// Predicts the time until a request is within the limits when `ahead` requests of its row wait
+    /// before it.
     pub fn predict_wait(
         &mut self,
         now: Duration,
@@ -169,32 +183,36 @@
         row.predict_wait(now, base, ahead, tokens)
     }
 
-    /// Returns how many of a row may run at once here; none for a row that the table lacks.
+    /// Returns how many requests of a row may run at once at this instance, or `None` if the row
+    /// does not exist.
     pub fn concurrency(&self, now: Duration, key: &Key) -> Option<u32> {
         let base = self.base_share(now);
         Some(self.rows.get(key)?.concurrency(base))
     }
 
-    /// Returns the requests a second that a row may start here, if that is limited.
+    /// Returns how many requests per second a row may start at this instance, or `None` if the rate
+    /// is not limited or the row does not exist.
     pub fn rate(&self, now: Duration, key: &Key) -> Option<f64> {
         let base = self.base_share(now);
         let row = self.rows.get(key)?;
         Some(f64::from(row.params.rate?) * row.rate_share(base))
     }
 
-    /// Says whether this instance has its even part: the others have heard of it by now.
+    /// Returns whether this instance may use its base share, because the others must know about it
+    /// by now.
     pub fn has_base_share(&self, now: Duration) -> bool {
         now.saturating_sub(self.warm_up_start) >= ANNOUNCE_DELAY
     }
 
-    /// Returns how many of a row run here.
+    /// Returns the number of requests of a row that run at this instance.
     pub fn running(&self, key: &Key) -> u32 {
         self.rows.get(key).map_or(0, |row| row.running)
     }
 
-    /// Returns the even part of a limit that is this instance's own without asking anyone.
+    /// Returns the base share, which this instance may use without an announcement.
     fn base_share(&self, now: Duration) -> BaseShare {
-        // An instance that others have not yet heard of is not yet counted in their even parts.
+        // Instances that do not know this one yet do not count it when they compute their base
+        // shares.
         BaseShare {
             fraction: if self.has_base_share(now) {
                 BASE_FRACTION / self.peers.count() as f64
@@ -204,11 +222,12 @@
         }
     }
 
-    /// Falls back to the even part after a freeze.
+    /// Falls back to the base share after a pause of the process.
     ///
-    /// A frozen instance wakes with its old parts, while the others may have forgotten it and
-    /// handed them out; the sum of both would be a burst. It shows as a long time between steps,
-    /// and reports that waited in the socket look fresh, so it waits as long as a newcomer.
+    /// A paused instance resumes with its old shares, while the others may have removed it and
+    /// redistributed them; together these would exceed the limit. The pause is detected by the time
+    /// since the last activity. Reports that were waiting in the socket look recent, so this
+    /// instance waits as long as a new one.
     fn restart_after_pause(&mut self, now: Duration) {
         if now.saturating_sub(self.last_activity) > MAX_ACTIVE_GAP {
             self.restart_warm_up(now);
@@ -235,7 +254,8 @@
                 continue;
             }
             let mut goal = share_goal(&self.own_name, row, &self.peers);
-            // A raise is only safe when all were heard; giving up is safe at any time.
+            // A share may grow only when all instances were heard. Giving up a share is always
+            // safe.
             if !(warmed_up && hears_all) {
                 goal.target = goal.target.min(row.share.in_use);
             }
@@ -244,9 +264,9 @@
         self.drop_unreported_shares();
     }
 
-    /// Gives up the smallest parts of more rows than a report holds.
+    /// Gives up the shares of the rows with the lowest demand that do not fit into a report.
     ///
-    /// A part that is not reported would be handed out a second time.
+    /// A share that is not reported would be given to another instance as well.
     fn drop_unreported_shares(&mut self) {
         let order = |row: &RowState| {
             (ReportEntry::encode_demand(row.demand), to_report_units(row.share.announced))
@@ -273,7 +293,7 @@
     }
 }
 
-/// Holds the even part of a limit.
+/// Holds the base share of a limit.
 #[derive(Clone, Copy)]
 struct BaseShare {
     fraction: f64,
@@ -293,42 +313,45 @@
         }
     }
 
-    /// Returns this instance's part of a limit that can be cut as finely as one likes.
+    /// Returns this instance's share of a limit that can be divided arbitrarily, such as a rate.
     fn rate_share(&self, base: BaseShare) -> f64 {
         base.fraction + (1.0 - BASE_FRACTION) * self.share.in_use / (1.0 + self.rounding_slack())
     }
 
-    /// Returns what parts may add up to above 1, so that few slots can be split into whole ones.
+    /// Returns by how much the sum of shares may exceed 1, so that a small number of slots can be
+    /// split into whole slots.
     ///
-    /// A third of a limit of three must count as one in spite of the report's rounding. With a
-    /// limit of `l` the slots are rounded down to at most `l + l * l / WHOLE`, so below `l + 1`.
+    /// A third of a limit of three must count as one slot in spite of rounding in the report. For a
+    /// limit of `l`, the slots add up to at most `l + l * l / FULL_SHARE` before rounding down,
+    /// which is less than `l + 1`.
     fn rounding_slack(&self) -> f64 {
         let whole_slots =
             (self.params.concurrency <= MAX_WHOLE_SLOTS).then_some(self.params.concurrency);
         f64::from(whole_slots.unwrap_or(0)) / f64::from(FULL_SHARE)
     }
 
-    /// Returns how many may run at once.
+    /// Returns how many requests may run at once.
     fn concurrency(&self, base: BaseShare) -> u32 {
         const ROUNDING: f64 = 1e-6;
         let limit = f64::from(self.params.concurrency);
-        // An even part below one would be lost to rounding at every instance, so all is by demand.
+        // A base share of less than one slot would be rounded to zero at every instance, so all
+        // slots are distributed by demand.
         let share = if self.base_below_one(base) {
             self.share.in_use
         } else {
-            // Rounding down takes care of the slack, which so may stay; without it a lone instance
-            // would never reach a small limit.
+            // The result is rounded down, which removes the slack, so it is not divided out here.
+            // Otherwise a single instance would never reach a small limit.
             base.fraction + (1.0 - BASE_FRACTION) * self.share.in_use
         };
         (limit * share + ROUNDING) as u32
     }
 
-    /// Returns whether an even part of the concurrency would be less than one.
+    /// Returns whether the base share of the concurrency is less than one slot.
     fn base_below_one(&self, base: BaseShare) -> bool {
         f64::from(self.params.concurrency) * base.fraction < 1.0
     }
 
-    /// Returns the part that running requests keep from being given up.
+    /// Returns the share that running requests use, which cannot be given up.
     fn running_share(&self) -> f64 {
         f64::from(self.running) / f64::from(self.params.concurrency.max(1))
     }
@@ -359,7 +382,8 @@
         }
         if let Some(limit) = self.params.tokens_per_second {
             let rate = f64::from(limit) * share;
-            // A request larger than the bucket goes when it is full, and the rest is owed.
+            // A request larger than the bucket runs when the bucket is full, and the level becomes
+            // negative.
             require_no_wait(
                 Limit::Tokens,
                 self.token_bucket.seconds_until(f64::from(tokens).min(rate), rate),
@@ -411,7 +435,7 @@
     }
 }
 
-/// Returns where demand moves a row's part.
+/// Returns the share that a row should have according to demand, and the bounds for reaching it.
 fn share_goal(own_name: &Instance, row: &RowState, peers: &Peers) -> ShareGoal {
     let mut claims: Vec<Claim> = peers.entries(row.row_hash).map(Claim::from_entry).collect();
     let own_index = claims.len();
@@ -426,8 +450,9 @@
         others_shortfall: 0.0,
         minimum: row.running_share(),
     };
-    // While nobody asks, all keep what they had, so that the next hour starts like the last one; and
-    // nobody is left without, or a burst after a start would find most of the limit in no one's hands.
+    // Without demand all instances keep their shares, so that the next hour starts with the same
+    // distribution. Each instance holds at least an even share, because otherwise most of the limit
+    // would be unassigned when a burst follows a start.
     if total <= IDLE_DEMAND {
         let even_share = 1.0 / peers.count() as f64;
         return ShareGoal { target: row.share.in_use.max(even_share), ..unchanged };
@@ -437,7 +462,8 @@
     if (slots as usize) < contenders * 4 {
         assign_whole_slots(&mut claims, slots);
     } else {
-        // Less than a report can tell is nothing, or many idle instances would hold a lot together.
+        // A share below the resolution of a report is rounded to zero. Otherwise many idle
+        // instances would hold a considerable share together.
         let reportable =
             |share: f64| (share * f64::from(FULL_SHARE)).floor() / f64::from(FULL_SHARE);
         claims.iter_mut().for_each(|claim| claim.target = reportable(claim.demand / total));
@@ -448,7 +474,7 @@
     ShareGoal { target, others_shortfall, ..unchanged }
 }
 
-/// Holds one instance's demand for a row, and what it is given.
+/// Holds the demand of one instance for a row, its current share and its target share.
 struct Claim<'a> {
     name: &'a Instance,
     demand: f64,
@@ -462,17 +488,18 @@
         Self { name, demand: entry.decode_demand(), share, target: 0.0 }
     }
 
-    /// Returns the demand by which few slots are split.
+    /// Returns the weight by which a small number of slots is split.
     ///
-    /// Who holds one counts more: a slot that changed hands with each small change of demand would
-    /// be on its way most of the time.
+    /// The current holder of a share has a higher weight. Otherwise a slot would move with each
+    /// small change of demand and would be unusable during most of the moves.
     fn weight(&self) -> f64 {
         const HOLDER_WEIGHT: f64 = 8.0;
         if self.share > 0.0 { self.demand * HOLDER_WEIGHT } else { self.demand }
     }
 }
 
-/// Splits few slots into whole ones by demand, the largest remainders first, then by name.
+/// Splits a small number of slots into whole slots by demand, with the largest remainders first and
+/// ties broken by name.
 fn assign_whole_slots(claims: &mut [Claim], slots: u32) {
     let total: f64 = claims.iter().map(Claim::weight).sum();
     let slots = f64::from(slots.max(1));
@@ -490,17 +517,17 @@
     }
 }
 
-/// Puts a part on the scale of a report, rounded up so that it never hides what is held.
+/// Converts a share to report units, rounded up so that a report never understates the share.
 fn to_report_units(share: f64) -> u16 {
     (share.clamp(0.0, 1.0) * f64::from(FULL_SHARE)).ceil() as u16
 }
 
-/// Refuses when there is a time to wait.
+/// Returns an error if the wait is longer than zero.
 fn require_no_wait(limit: Limit, wait: f64) -> Result<(), Exceeded> {
     if wait <= 0.0 { Ok(()) } else { Err(Exceeded { limit, retry_after: to_duration(wait) }) }
 }
 
-/// Turns any number of seconds into a duration; endless means that a part has yet to come.
+/// Converts seconds to a duration; an infinite wait means that this instance has no share yet.
 fn to_duration(value: f64) -> Duration {
     Duration::try_from_secs_f64(value).unwrap_or(ANNOUNCE_DELAY * 2)
 }
--- a/crates/verbenaslip-policy/src/limit/peers.rs
+++ b/crates/verbenaslip-policy/src/limit/peers.rs
@@ -1,4 +1,4 @@
-//! What an instance knows of the others' reports.
+//! Tracks the reports of the other instances.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,12 +7,12 @@
 
 use crate::limit::report::{FULL_SHARE, Report, ReportEntry};
 
-/// The age from which another instance's last report counts as stale.
+/// The maximum age of an instance's last report; an older report counts as stale.
 pub const REPORT_MAX_AGE: Duration = Duration::from_millis(2500);
-/// How long a part stays kept free for an instance that is a member no more.
+/// How long the share of an instance that is no longer a member stays reserved.
 pub const DEPARTED_RETENTION: Duration = Duration::from_secs(60);
 
-/// The most instances known; bounds memory against wrong member lists.
+/// The maximum number of known instances; bounds memory if member lists are wrong.
 const MAX_PEERS: usize = 4096;
 
 /// Holds the newest report of each other instance.
@@ -21,7 +21,7 @@
     by_name: BTreeMap<Instance, Peer>,
 }
 
-/// Holds what is known of one other instance.
+/// Holds the state of one other instance.
 #[derive(Debug, Default)]
 struct Peer {
     report: Report,
@@ -30,7 +30,8 @@
 }
 
 impl Peers {
-    /// Takes over the list of members; who is missing is kept for a while as gone.
+    /// Sets the members. Known instances that are missing from the list are marked as departed and
+    /// kept for a while.
     pub(crate) fn set_members(&mut self, now: Duration, own_name: &Instance, members: &[Instance]) {
         for peer in members.iter().filter(|peer| *peer != own_name) {
             if self.by_name.len() < MAX_PEERS || self.by_name.contains_key(peer) {
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Takes a report unless an older or equal one of the same instance came before.
+    /// Stores a report, unless a newer or equal report of the same instance was already received.
     pub(crate) fn handle_report(&mut self, now: Duration, from: &Instance, report: &Report) {
         let Some(peer) = self.by_name.get_mut(from) else { return };
         let order = |report: &Report| (report.incarnation, report.sequence);
@@ -55,7 +56,8 @@
         peer.heard_at = Some(now);
     }
 
-    /// Forgets those who are gone for long, unless most are: then this side may be the one cut off.
+    /// Removes instances that departed long ago. Without recent reports from a majority nothing is
+    /// removed, because this instance may be the partitioned one.
     pub(crate) fn remove_departed(&mut self, now: Duration) {
         if !self.hears_majority(now) {
             return;
@@ -64,30 +66,30 @@
         self.by_name.retain(|_, peer| !peer.departed_at.is_some_and(is_expired));
     }
 
-    /// Returns the number of known instances, with this one.
+    /// Returns the number of known instances, including this one.
     pub(crate) fn count(&self) -> usize {
         self.by_name.len() + 1
     }
 
-    /// Returns whether fresh reports came from most known instances, this one counted.
+    /// Returns whether a majority of the known instances, including this one, sent recent reports.
     pub(crate) fn hears_majority(&self, now: Duration) -> bool {
         let fresh = self.by_name.values().filter(|peer| peer.is_fresh(now)).count();
         (fresh + 1) * 2 > self.count()
     }
 
-    /// Returns whether fresh reports came from all who are members.
+    /// Returns whether all members sent recent reports.
     pub(crate) fn hears_all_members(&self, now: Duration) -> bool {
         self.by_name.values().all(|peer| peer.departed_at.is_some() || peer.is_fresh(now))
     }
 
-    /// Returns what the others hold of a row's shared rest.
+    /// Returns the sum of the other instances' demand shares of a row.
     pub(crate) fn total_share(&self, row: u32) -> f64 {
         let shares =
             self.entries(row).map(|(_, entry)| f64::from(entry.share) / f64::from(FULL_SHARE));
         shares.sum()
     }
 
-    /// Returns the others' entries for a row.
+    /// Returns the other instances' report entries for a row.
     pub(crate) fn entries(&self, row: u32) -> impl Iterator<Item = (&Instance, &ReportEntry)> {
         self.by_name.iter().filter_map(move |(name, peer)| {
             Some((name, peer.report.entries.iter().find(|entry| entry.row == row)?))
@@ -96,7 +98,7 @@
 }
 
 impl Peer {
-    /// Returns whether its last report came a short while ago.
+    /// Returns whether the last report is recent.
     fn is_fresh(&self, now: Duration) -> bool {
         self.heard_at.is_some_and(|heard| now.saturating_sub(heard) <= REPORT_MAX_AGE)
     }
--- a/crates/verbenaslip-policy/src/limit/share.rs
+++ b/crates/verbenaslip-policy/src/limit/share.rs
@@ -1,27 +1,27 @@
-//! Which part of the shared rest an instance holds.
+//! Tracks which share of a row's limits an instance holds by demand.
 
 use std::time::Duration;
 
-/// The part of each limit that is split evenly between all known instances.
+/// The fraction of each limit that is split evenly between all known instances.
 pub const BASE_FRACTION: f64 = 0.25;
-/// How long a wanted part is announced before it is used.
+/// How long a wanted share is announced before it is used.
 pub const ANNOUNCE_DELAY: Duration = Duration::from_millis(2500);
 
-/// The smallest change of a part that is worth a move, relative to it.
+/// The smallest relative change of a share that is applied.
 const MIN_RELATIVE_CHANGE: f64 = 0.125;
 
-/// Holds one row's part at this instance: what is in use and what is wanted next.
+/// Holds this instance's share of one row: what is in use and what is announced.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct Share {
-    /// The part in use.
+    /// The share in use.
     pub(crate) in_use: f64,
-    /// The part announced; at least the part in use.
+    /// The announced share, which is never less than the share in use.
     pub(crate) announced: f64,
     announced_at: Duration,
 }
 
 impl Share {
-    /// Moves towards what demand gives it.
+    /// Moves the share towards its goal.
     pub(crate) fn update(&mut self, now: Duration, goal: &ShareGoal) {
         let available = (goal.total - goal.held_by_others).max(0.0);
         if self.announced > self.in_use {
@@ -32,7 +32,8 @@
             return;
         }
         if goal.target < self.in_use {
-            // What runs now can't be taken back, so it stays announced until it has ended.
+            // Running requests cannot be stopped, so their share stays announced until they have
+            // ended.
             self.in_use = goal.target.max(goal.minimum).min(self.in_use);
             self.announced = self.in_use;
             return;
@@ -44,43 +45,47 @@
         }
     }
 
-    /// Falls back to none, as when the others can't be heard.
+    /// Reduces the share to at most `minimum`, for example when the other instances cannot be
+    /// heard.
     pub(crate) fn reduce_to(&mut self, minimum: f64) {
         self.in_use = self.in_use.min(minimum);
         self.announced = self.in_use;
     }
 
-    /// Takes an announced part into use once all others must have heard of it.
+    /// Starts using an announced share once all other instances must have received the
+    /// announcement.
     fn activate(&mut self, now: Duration, available: f64) {
         if now.saturating_sub(self.announced_at) < ANNOUNCE_DELAY {
             return;
         }
-        // Two that announced at the same time see each other here, and both yield to what is left.
+        // Two instances that announced at the same time see each other's announcements here, and
+        // both are limited to the available share.
         self.in_use = self.announced.min(available).max(self.in_use);
         self.announced = self.in_use;
     }
 }
 
-/// Says where a part should move, and what bounds the move.
+/// Describes the share that an instance should reach and the bounds of the change.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ShareGoal {
-    /// The part that demand gives to this instance.
+    /// The share that this instance should have according to demand.
     pub(crate) target: f64,
-    /// What may be held in all: 1, and a little for the rounding of few whole slots.
+    /// The maximum sum of all shares: 1, plus slack for rounding when there are few whole slots.
     pub(crate) total: f64,
-    /// What all others hold.
+    /// The sum of the shares of all other instances.
     pub(crate) held_by_others: f64,
-    /// What all others lack beside their own targets.
+    /// The sum of what all other instances are missing to reach their targets.
     pub(crate) others_shortfall: f64,
-    /// What can't be given up, because it runs.
+    /// The share that cannot be given up, because running requests use it.
     pub(crate) minimum: f64,
 }
 
 impl ShareGoal {
-    /// Returns how much to announce above the part in use, out of what is left.
+    /// Returns how much to announce in addition to the share in use, limited by the available
+    /// share.
     ///
-    /// All who lack something see the same rest. If each announced it whole, each would find the
-    /// others' announcements when it looks again, and none would get anything.
+    /// All instances with a shortfall see the same available share. If each announced all of it,
+    /// each would find the others' announcements at its next check, and none would get anything.
     fn increase(&self, in_use: f64, available: f64) -> f64 {
         let shortfall = self.target - in_use;
         let total_shortfall = shortfall + self.others_shortfall;
--- a/crates/verbenaslip-policy/src/plan.rs
+++ b/crates/verbenaslip-policy/src/plan.rs
@@ -1,10 +1,11 @@
-//! Capacity ahead of the hour; only the leader runs it.
+//! Plans capacity ahead of the hourly peak; runs on the leader only.
 //!
-//! [`Forecast`] learns how much work each second of the hour brings. [`Planner`] turns it into
-//! machines: enough that any one availability zone may be lost, in the zones and markets that are
-//! cheapest today, with the rows' part kept on on-demand machines. Starts are early by the time to
-//! start and to load, refused ones try the next best offer, and loads stay inside the weight store's
-//! rate. What is no longer needed is drained first and stopped then.
+//! [`Forecast`] learns how much work each second of the hour brings. [`Planner`] converts it to
+//! machines: enough to survive the loss of any one availability zone, in the zones and markets with
+//! the lowest prices of the day, with the reserve of the rows on on-demand machines. Machines are
+//! ordered early enough to start and to load their model. After a refused start the next best offer
+//! is tried, and model loads stay within the rate of the weight store. Surplus machines are drained
+//! before they are stopped.
 
 mod forecast;
 mod mix;
--- a/crates/verbenaslip-policy/src/plan/forecast.rs
+++ b/crates/verbenaslip-policy/src/plan/forecast.rs
@@ -1,4 +1,4 @@
-//! What each second of the hour brings.
+//! Learns how much work each second of the hour brings.
 
 use std::collections::BTreeMap;
 
@@ -6,27 +6,25 @@
 
 /// Seconds in one step of the histogram.
 const STEP_SECONDS: u32 = 10;
-/// Steps in an hour.
 const STEPS_PER_HOUR: usize = 360;
-/// Seconds in an hour.
 const SECONDS_PER_HOUR: u32 = 3600;
-/// The part of the newest hour in the learned one.
+/// The weight of the newest hour in the learned profile.
 const NEW_HOUR_WEIGHT: f64 = 0.4;
-/// Steps over which work may be spread by waiting, so that a peak counts over that time.
+/// Steps over which work is averaged, because queueing can spread a peak over this time.
 const SMOOTHING_STEPS: usize = 2;
-/// The most models that are followed; bounds memory.
+/// The maximum number of models that are tracked; bounds memory.
 const MAX_MODELS: usize = 64;
 
-/// Learns the work that arrives at each part of the hour, for each model.
+/// Learns the work that arrives in each part of the hour for each model.
 ///
-/// Work is in slot seconds: one request that holds a slot for two seconds is two.
+/// Work is measured in slot seconds: a request that holds a slot for two seconds counts as two.
 #[derive(Debug, Default)]
 pub struct Forecast {
     hour: Option<u64>,
     models: BTreeMap<Model, HourProfile>,
 }
 
-/// Holds the learned hour and the running one of a model.
+/// Holds the learned profile of an hour and the current hour of one model.
 #[derive(Debug)]
 struct HourProfile {
     learned: Vec<f64>,
@@ -37,7 +35,8 @@
 }
 
 impl Forecast {
-    /// Adds work that arrived in a second of an hour, with its row's reserve in hundredths.
+    /// Adds work that arrived in a second of an hour. `reserve` is the percentage of its row that
+    /// is kept on on-demand machines.
     pub fn add(&mut self, hour: u64, second: u32, model: &Model, work: f64, reserve: u32) {
         self.start_hour(hour);
         if !work.is_finite() || work <= 0.0 {
@@ -54,7 +53,7 @@
         profile.reserved_work += work * f64::from(reserve.min(100)) / 100.0;
     }
 
-    /// Ends the running hour when another begins.
+    /// Finishes the current hour if `hour` is a different one.
     pub fn start_hour(&mut self, hour: u64) {
         let Some(previous) = self.hour.replace(hour) else { return };
         if previous != hour {
@@ -62,7 +61,8 @@
         }
     }
 
-    /// Returns the most work a second that is expected in a time from a second of the hour on.
+    /// Returns the highest expected work per second within `span` seconds after a second of the
+    /// hour.
     pub fn peak(&self, model: &Model, second: u32, span: u32) -> f64 {
         let Some(profile) = self.models.get(model) else { return 0.0 };
         let first = step_of(second);
@@ -71,12 +71,12 @@
         ahead.fold(0.0, f64::max)
     }
 
-    /// Returns the models with any work.
+    /// Returns the models that have received work.
     pub fn models(&self) -> impl Iterator<Item = &Model> {
         self.models.keys()
     }
 
-    /// Returns the part of a model's work whose rows want on-demand machines.
+    /// Returns the fraction of a model's work that is reserved for on-demand machines.
     pub fn reserve_fraction(&self, model: &Model) -> f64 {
         let Some(profile) = self.models.get(model) else { return 0.0 };
         if profile.total_work > 0.0 { profile.reserved_work / profile.total_work } else { 0.0 }
@@ -96,7 +96,7 @@
     }
 
     fn finish_hour(&mut self) {
-        // The first hours weigh as much as they are few, so that a start from nothing is quick.
+        // The first hours get a higher weight, so that an empty profile is learned quickly.
         let weight = NEW_HOUR_WEIGHT.max(1.0 / f64::from(self.hours_seen + 1));
         for (learned, current) in self.learned.iter_mut().zip(&mut self.current) {
             *learned += weight * (*current - *learned);
@@ -107,14 +107,14 @@
         self.reserved_work *= 1.0 - NEW_HOUR_WEIGHT;
     }
 
-    /// Returns the work a second expected around a step, smoothed over the steps before it.
+    /// Returns the expected work per second around a step, averaged over the steps before it.
     fn expected(&self, at: usize, now: usize) -> f64 {
         let mean_rate = |hour: &[f64]| -> f64 {
             let steps = (0..SMOOTHING_STEPS)
                 .map(|back| hour[(at + STEPS_PER_HOUR - back) % STEPS_PER_HOUR]);
             steps.sum::<f64>() / (SMOOTHING_STEPS as f64 * f64::from(STEP_SECONDS))
         };
-        // What has come in this very step of the running hour may be more than ever before.
+        // The work of the current hour may already exceed what was learned.
         let observed = if at <= now + 1 { mean_rate(&self.current) } else { 0.0 };
         mean_rate(&self.learned).max(observed)
     }
--- a/crates/verbenaslip-policy/src/plan/mix.rs
+++ b/crates/verbenaslip-policy/src/plan/mix.rs
@@ -1,4 +1,4 @@
-//! Which machines to add so that any one availability zone may be lost.
+//! Selects the machines to add so that any one availability zone may be lost.
 
 use std::collections::BTreeMap;
 
@@ -8,17 +8,17 @@
 
 use crate::plan::offer::Offer;
 
-/// Sums up the slots that are there or on their way.
+/// Sums up the slots that exist or are being started.
 #[data(default)]
 pub struct Capacity {
-    /// Slots in each zone.
+    /// The number of slots in each zone.
     pub slots_by_zone: BTreeMap<AvailabilityZone, u32>,
-    /// Slots on on-demand machines, of all.
+    /// The number of slots on on-demand machines.
     pub on_demand_slots: u32,
 }
 
 impl Capacity {
-    /// Adds slots.
+    /// Adds slots of a machine.
     pub fn add(&mut self, zone: &AvailabilityZone, market: Market, slots: u32) {
         *self.slots_by_zone.entry(zone.clone()).or_default() += slots;
         if market == Market::OnDemand {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Takes slots away.
+    /// Removes slots of a machine.
     pub fn remove(&mut self, zone: &AvailabilityZone, market: Market, slots: u32) {
         if let Some(held) = self.slots_by_zone.get_mut(zone) {
             *held = held.saturating_sub(slots);
@@ -36,39 +36,40 @@
         }
     }
 
-    /// Returns all slots.
+    /// Returns the number of slots in all zones.
     pub fn total_slots(&self) -> u32 {
         self.slots_by_zone.values().sum()
     }
 
-    /// Returns the slots that are left when the largest zone is lost.
+    /// Returns the slots that remain after the loss of the zone with the most slots.
     pub fn surviving_slots(&self) -> u32 {
         let zones = self.slots_by_zone.values().filter(|slots| **slots > 0).count();
         let largest = self.slots_by_zone.values().max().copied().unwrap_or(0);
-        // With one zone there is nothing that could survive, and adding to it would never end.
+        // With a single zone nothing survives its loss, however many machines are added to it.
         if zones <= 1 { 0 } else { self.total_slots() - largest }
     }
 }
 
-/// Wants capacity that meets a need whichever zone is lost.
+/// Describes capacity that meets a need even after the loss of any one zone.
 #[derive(Debug)]
 pub struct Mix<'a> {
-    /// The slots needed after the loss of a zone.
+    /// The number of slots needed after the loss of a zone.
     pub needed_slots: u32,
-    /// The part of the slots wanted on on-demand machines, up to 1.
+    /// The fraction of the slots wanted on on-demand machines, up to 1.
     pub reserve_fraction: f64,
-    /// The offers that may be tried, each with its slots.
+    /// The available offers, each with the slots of its machine.
     pub offers: Vec<(&'a Offer, u32)>,
 }
 
 impl Mix<'_> {
-    /// Returns the next machine to add, or none when the need is met or nothing helps.
+    /// Returns the next machine to add, or `None` if the need is met or no offer helps.
     pub fn next_machine(&self, capacity: &Capacity) -> Option<(&Offer, u32)> {
         if capacity.surviving_slots() >= self.needed_slots {
             return None;
         }
         let zones = self.cheapest_zones();
-        // A lone zone can't survive its own loss; it at least meets the need while it stands.
+        // Capacity in a single zone cannot survive its loss, but it meets the need as long as the
+        // zone is up. Without this check, machines would be added endlessly.
         if zones.len() < 2
             && capacity.total_slots() >= self.needed_slots.max(1)
             && capacity.surviving_slots() == 0
@@ -79,7 +80,7 @@
             |zone: &AvailabilityZone| capacity.slots_by_zone.get(zone).copied().unwrap_or(0);
         let largest = capacity.slots_by_zone.values().max().copied().unwrap_or(0);
         let zone = zones.iter().min_by_key(|zone| slots_in(zone))?;
-        // Where only the largest zone has offers left, more machines there would not help.
+        // If only the largest zone has offers, more machines there would not help.
         if zones.len() < 2 && slots_in(zone) >= largest && capacity.surviving_slots() > 0 {
             return None;
         }
@@ -90,10 +91,11 @@
         on_demand.or_else(|| self.cheapest_offer(zone, None))
     }
 
-    /// Returns the zones among which capacity is spread at the lowest cost.
+    /// Returns the zones over which capacity is spread at the lowest cost.
     ///
-    /// Spread over `k` zones each needs `need / (k - 1)`, so the cost is the sum of the zones' unit
-    /// prices over `k - 1`; a dear zone is left out when its price outweighs the better spread.
+    /// With `k` zones each zone needs `needed_slots / (k - 1)` slots, so the cost is the sum of the
+    /// zones' prices per slot divided by `k - 1`. An expensive zone is left out if its price
+    /// outweighs the benefit of the wider spread.
     fn cheapest_zones(&self) -> Vec<&AvailabilityZone> {
         let mut prices: Vec<(f64, &AvailabilityZone)> = Vec::new();
         for (offer, slots) in &self.offers {
--- a/crates/verbenaslip-policy/src/plan/offer.rs
+++ b/crates/verbenaslip-policy/src/plan/offer.rs
@@ -1,4 +1,4 @@
-//! What the cloud offers, and which of it was refused a short while ago.
+//! Tracks the cloud's offers and their recent refusals.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,28 +9,28 @@
 use verbenaslip_base::data;
 use verbenaslip_base::name::AvailabilityZone;
 
-/// How long an offer is left alone after its first refusal.
+/// The cooldown of an offer after its first refusal.
 const FIRST_COOLDOWN: Duration = Duration::from_secs(20);
-/// How long it is left alone at most.
+/// The longest cooldown of an offer, before jitter.
 const MAX_COOLDOWN: Duration = Duration::from_secs(600);
-/// What the losses of reclaimable machines add to their price.
+/// The factor by which reclaims increase the effective price of reclaimable machines.
 const RECLAIM_COST_FACTOR: f64 = 1.1;
 
-/// Offers a machine class in a zone and market at a price.
+/// Describes a machine class that the cloud offers in a zone and market at a price.
 #[data]
 pub struct Offer {
-    /// The zone.
+    /// The availability zone.
     pub zone: AvailabilityZone,
-    /// The machine class.
+    /// The cloud's name of the machine class.
     pub class: Arc<str>,
-    /// How it is paid for.
+    /// The market: reclaimable or on-demand.
     pub market: Market,
-    /// Price in millionths of the currency unit for an hour.
+    /// The price per hour, in millionths of the currency unit.
     pub price: u64,
 }
 
 impl Offer {
-    /// Returns what a slot costs, with what is lost through reclaims.
+    /// Returns the price per slot and hour, including the expected cost of reclaims.
     pub(crate) fn price_per_slot(&self, slots: u32) -> f64 {
         let factor = if self.market == Market::Reclaimable { RECLAIM_COST_FACTOR } else { 1.0 };
         self.price as f64 * factor / f64::from(slots.max(1))
@@ -41,17 +41,17 @@
     }
 }
 
-/// Identifies an offer whatever its price.
+/// Identifies an offer regardless of its price.
 type OfferKey = (AvailabilityZone, Arc<str>, Market);
 
-/// Remembers refusals, so that the next best offer is tried instead of the same one again.
+/// Tracks refused offers, so that the next best offer is tried instead of the same one.
 #[derive(Debug, Default)]
 pub struct OfferBackoff {
     refused: BTreeMap<OfferKey, (u32, Duration)>,
 }
 
 impl OfferBackoff {
-    /// Notes that a start was refused.
+    /// Records that a start was refused.
     pub fn record_refusal(&mut self, now: Duration, offer: &Offer, rng: &mut impl Rng) {
         let entry = self.refused.entry(offer.key()).or_default();
         entry.0 = entry.0.saturating_add(1);
@@ -59,7 +59,7 @@
         entry.1 = now.saturating_add(cooldown.mul_f64(rng.random_range(0.75..=1.25)));
     }
 
-    /// Notes that a start succeeded.
+    /// Records that a start was granted.
     pub fn record_grant(&mut self, offer: &Offer) {
         self.refused.remove(&offer.key());
     }
--- a/crates/verbenaslip-policy/src/plan/order.rs
+++ b/crates/verbenaslip-policy/src/plan/order.rs
@@ -1,4 +1,4 @@
-//! What the planner sees and what it orders.
+//! Defines the planner's view of the machines and its orders.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,85 +9,86 @@
 
 use crate::plan::Offer;
 
-/// Shows the planner the world as it is.
+/// Holds the state on which the planner decides.
 #[data]
 pub struct View {
-    /// Hours since some fixed time.
+    /// The hour, counted from a fixed point in time.
     pub hour: u64,
-    /// Seconds since the top of the hour.
+    /// Seconds since the start of the hour.
     pub second: u32,
-    /// The prices of the day.
+    /// The offers of the cloud at the current prices.
     pub offers: Vec<Offer>,
     /// All machines that serve models.
     pub machines: Vec<Machine>,
 }
 
-/// Describes a machine, as the cloud and its announcements tell.
+/// Describes a machine, as reported by the cloud and its announcements.
 #[data]
 pub struct Machine {
-    /// The name under which the cloud and the registry know it.
+    /// The name of the machine at the cloud and in the registry.
     pub name: Upstream,
-    /// Where it runs.
+    /// The availability zone.
     pub zone: AvailabilityZone,
-    /// Its class.
+    /// The cloud's name of the machine class.
     pub class: Arc<str>,
-    /// How it is paid for.
+    /// The market: reclaimable or on-demand.
     pub market: Market,
-    /// How far it is.
+    /// The state of the machine.
     pub state: MachineState,
-    /// The models that it has loaded, or is to load when it starts.
+    /// The models that the machine has loaded, or is ordered to load.
     pub models: Vec<Model>,
-    /// Requests that it runs.
+    /// The number of running requests.
     pub running: u32,
 }
 
-/// Says how far a machine is.
+/// Names the state of a machine.
 #[data(copy, ord, hash)]
 pub enum MachineState {
-    /// Ordered, booting or loading.
+    /// The machine is ordered, booting or loading.
     Starting,
-    /// Takes work.
+    /// The machine accepts work.
     Ready,
-    /// Takes no new work.
+    /// The machine accepts no new work.
     Leaving,
 }
 
-/// Orders a change of capacity.
+/// Describes an order that changes the capacity.
 #[data]
 pub enum Order {
-    /// Starts a machine; the same request is the same order, whoever repeats it.
+    /// Starts a machine. Orders with the same identity are the same order, regardless of which
+    /// leader sends them.
     Start {
         /// The identity of the order.
         id: u128,
-        /// Where.
+        /// The availability zone.
         zone: AvailabilityZone,
-        /// The machine class.
+        /// The cloud's name of the machine class.
         class: Arc<str>,
-        /// How it is paid for.
+        /// The market: reclaimable or on-demand.
         market: Market,
-        /// The model that it is to load.
+        /// The model that the machine loads.
         model: Model,
     },
-    /// Lets a machine take no new work and finish what it runs.
+    /// Drains a machine: it accepts no new work and finishes its running requests.
     Drain {
-        /// The machine.
+        /// The name of the machine.
         name: Upstream,
     },
-    /// Gives a drained machine back.
+    /// Stops a drained machine.
     Stop {
-        /// The machine.
+        /// The name of the machine.
         name: Upstream,
     },
-    /// Loads a model at a machine that runs already.
+    /// Loads a model on a running machine.
     Load {
-        /// The machine.
+        /// The name of the machine.
         upstream: Upstream,
-        /// The model.
+        /// The model to load.
         model: Model,
     },
 }
 
-/// Remembers a start whose machine is not yet in the list.
+/// Holds a start order whose machine is not listed yet.
 #[derive(Debug, Clone)]
 pub(crate) struct PendingStart {
     pub(crate) offer: Offer,
--- a/crates/verbenaslip-policy/src/plan/planner.rs
+++ b/crates/verbenaslip-policy/src/plan/planner.rs
@@ -1,4 +1,4 @@
-//! The plan: from a forecast to orders.
+//! Converts the forecast to capacity orders.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,16 +17,18 @@
 
 /// How long before it is needed a machine must be ready.
 const READY_MARGIN: Duration = Duration::from_secs(60);
-/// How far the plan looks before it gives a machine back.
+/// How many seconds of the forecast must be covered without a machine before the machine is
+/// drained.
 const SURPLUS_LOOKAHEAD_SECONDS: u32 = 900;
-/// Capacity above the need before a machine counts as too many.
+/// The factor by which the remaining capacity must exceed the need before a machine counts as
+/// surplus.
 const SURPLUS_FACTOR: f64 = 1.15;
-/// How long an order is waited for before it is repeated.
+/// How long the planner waits for an answer before it repeats an order.
 const REPEAT_AFTER: Duration = Duration::from_secs(5);
 /// How long a started machine may take to appear before it counts as lost.
 const LOST_AFTER: Duration = Duration::from_secs(600);
 
-/// Decides which machines to start and to give back.
+/// Decides which machines to start, load, drain and stop.
 #[derive(Debug)]
 pub struct Planner {
     settings: Settings,
@@ -42,7 +44,7 @@
 }
 
 impl Planner {
-    /// Starts with nothing learned.
+    /// Creates a planner without learned work.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -58,12 +60,14 @@
         }
     }
 
-    /// Learns of work; an instance that sees one of `n` arrivals tells `n` times its own work.
+    /// Records arrived work in slot seconds. An instance that sees one of `n` arrivals passes `n`
+    /// times its own work.
     pub fn record_work(&mut self, hour: u64, second: u32, model: &Model, work: f64, reserve: u32) {
         self.forecast.add(hour, second, model, work, reserve);
     }
 
-    /// Learns how many requests a machine class runs at once, from an engine that runs on one.
+    /// Sets the number of requests that a machine class runs at once, as announced by an engine on
+    /// such a machine.
     pub fn set_machine_class(&mut self, class: MachineClass) {
         match self.settings.machine_classes.iter_mut().find(|known| known.name == class.name) {
             Some(known) => *known = class,
@@ -71,25 +75,25 @@
         }
     }
 
-    /// Returns what was learned.
+    /// Returns the learned forecast.
     pub fn forecast(&self) -> &Forecast {
         &self.forecast
     }
 
-    /// Notes that a start was granted.
+    /// Records that a start was granted.
     pub fn record_started(&mut self, id: u128, name: &Upstream) {
         let Some(pending) = self.pending_starts.get_mut(&id) else { return };
         pending.name = Some(name.clone());
         self.offers.record_grant(&pending.offer);
     }
 
-    /// Notes that a start was refused; the next step tries the next best offer.
+    /// Records that a start was refused. The next tick tries the next best offer.
     pub fn record_refused(&mut self, now: Duration, id: u128, rng: &mut impl Rng) {
         let Some(pending) = self.pending_starts.remove(&id) else { return };
         self.offers.record_refusal(now, &pending.offer, rng);
     }
 
-    /// Decides; called every few seconds on the leader.
+    /// Returns the orders to carry out now; called every few seconds on the leader.
     pub fn tick(&mut self, now: Duration, view: &View) -> Vec<Order> {
         self.forecast.start_hour(view.hour);
         if view.hour != self.hour {
@@ -109,13 +113,13 @@
         orders
     }
 
-    /// Returns the slots needed for a model's expected work from now on.
+    /// Returns the slots needed for a model's expected work within `span` seconds.
     pub fn needed_slots(&self, view: &View, model: &Model, span: u32) -> u32 {
         let peak = self.forecast.peak(model, view.second, span);
         (peak / self.settings.target_utilization.clamp(0.1, 1.0)).ceil().min(1e6) as u32
     }
 
-    /// Drops what is done, lost or gone.
+    /// Drops pending starts, drains and loads that are finished or lost.
     fn drop_finished(&mut self, now: Duration, view: &View) {
         let listed = |name: &Upstream| view.machines.iter().any(|machine| machine.name == *name);
         self.pending_starts.retain(|_, pending| {
@@ -131,7 +135,7 @@
         });
     }
 
-    /// Repeats starts whose answer was lost, under the same identity.
+    /// Repeats starts that were not answered, with the same identity.
     fn repeat_unanswered_starts(&mut self, now: Duration) -> Vec<Order> {
         let mut orders = Vec::new();
         for (id, pending) in &mut self.pending_starts {
@@ -143,7 +147,7 @@
         orders
     }
 
-    /// Sums up a model's capacity, with what is on its way.
+    /// Returns the capacity of a model, including machines that are being started.
     fn capacity(&self, view: &View, model: &Model) -> Capacity {
         let mut capacity = Capacity::default();
         for machine in self.serving(view, model) {
@@ -169,7 +173,8 @@
         })
     }
 
-    /// Loads a model at machines without any, which is quicker and cheaper than a start.
+    /// Orders loads of a model on machines without a model, which is faster and cheaper than a
+    /// start.
     fn order_loads(
         &mut self,
         now: Duration,
@@ -190,8 +195,8 @@
             if capacity.surviving_slots() >= need {
                 return;
             }
-            // One that waits for the store counts as well: a machine started in its place would
-            // have to load from the same store, and later.
+            // A machine that waits for the weight store counts as well. A machine started instead
+            // would have to load from the same store, and later.
             capacity.add(&machine.zone, machine.market, self.settings.slots(&machine.class));
             if !self.weight_store.try_book(now, seconds) {
                 continue;
@@ -201,7 +206,7 @@
         }
     }
 
-    /// Starts what will be needed when a machine ordered now is ready.
+    /// Orders starts for the capacity that is needed by the time a machine ordered now is ready.
     fn order_starts(
         &mut self,
         now: Duration,
@@ -224,7 +229,8 @@
             if self.machine_count(view) >= self.settings.max_machines as usize {
                 return;
             }
-            // Loads queue at the store: the more machines start, the earlier they must.
+            // Loads queue at the weight store, so the more machines start, the earlier they must be
+            // ordered.
             self.weight_store.add_load(now, self.settings.load_seconds(model));
             lead = self.lead_seconds(now, model, 1);
             capacity.add(&offer.zone, offer.market, slots);
@@ -232,19 +238,19 @@
         }
     }
 
-    /// Returns how many machines there are or will be.
+    /// Returns the number of machines that exist or are being started.
     fn machine_count(&self, view: &View) -> usize {
         view.machines.len() + self.pending_starts.len()
     }
 
-    /// Returns the offers that may be tried now, each with its slots.
+    /// Returns the offers that may be tried now, each with the slots of its machine.
     fn available_offers<'a>(&self, now: Duration, view: &'a View) -> Vec<(&'a Offer, u32)> {
         let available = view.offers.iter().filter(|offer| self.offers.is_available(now, offer));
         let with_slots = available.map(|offer| (offer, self.settings.slots(&offer.class)));
         with_slots.filter(|(_, slots)| *slots > 0).collect()
     }
 
-    /// Returns the seconds until so many more machines with a model would be ready.
+    /// Returns the seconds until `count` more machines with a model would be ready.
     fn lead_seconds(&self, now: Duration, model: &Model, count: u32) -> u32 {
         let loads = self.settings.load_seconds(model) * f64::from(count)
             + self.weight_store.backlog_seconds(now);
@@ -270,7 +276,7 @@
         order
     }
 
-    /// Drains one machine that has been too many for a while.
+    /// Drains one machine that has been surplus for long enough.
     fn drain_surplus(
         &mut self,
         now: Duration,
@@ -293,7 +299,7 @@
         orders.push(Order::Drain { name });
     }
 
-    /// Returns the dearest machine without which the need is still met.
+    /// Returns the most expensive machine without which the need is still met.
     fn surplus_machine(
         &self,
         view: &View,
@@ -326,7 +332,7 @@
         Some(most_expensive.name.clone())
     }
 
-    /// Stops what has drained.
+    /// Stops the machines that have drained or whose drain timeout has passed.
     fn stop_drained(&mut self, now: Duration, view: &View, orders: &mut Vec<Order>) {
         for (name, since) in &self.draining {
             let machine = view.machines.iter().find(|machine| machine.name == *name);
@@ -340,8 +346,10 @@
     }
 }
 
-/// Names a start so that a new leader in the same hour, counting from the first again, repeats the
-/// same orders instead of starting the same machines twice.
+/// Returns the identity of a start order.
+///
+/// A new leader in the same hour numbers its starts from zero again, so it repeats the same
+/// identities instead of starting the same machines twice.
 fn start_id(hour: u64, ordinal: u32, parts: &[&str]) -> u128 {
     let (hour, ordinal) = (hour.to_le_bytes(), ordinal.to_le_bytes());
     let mut bytes: Vec<&[u8]> = vec![&hour, &ordinal];
--- a/crates/verbenaslip-policy/src/plan/settings.rs
+++ b/crates/verbenaslip-policy/src/plan/settings.rs
@@ -1,4 +1,4 @@
-//! What the plan is told by the settings.
+//! Defines the settings of the planner.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,24 +6,24 @@
 use verbenaslip_base::data;
 use verbenaslip_base::name::Model;
 
-/// Holds the plan's parameters.
+/// Holds the settings of the planner.
 #[data(float)]
 pub struct Settings {
     /// The machine classes that may be started.
     pub machine_classes: Vec<MachineClass>,
-    /// The models and how large they are.
+    /// The models and the sizes of their weights.
     pub models: Vec<ModelWeights>,
-    /// Bytes a second that the weight store gives to all.
+    /// The total rate of the weight store, in bytes per second.
     pub weight_store_rate: u64,
-    /// The time from an order to a started machine.
+    /// The time from an order until the machine has started.
     pub start_time: Duration,
-    /// The part of its slots that a machine is planned to use, up to 1.
+    /// The fraction of its slots that a machine is planned to use, up to 1.
     pub target_utilization: f64,
-    /// How long a machine must have been too many before it is given back.
+    /// How long a machine must be surplus before it is drained.
     pub surplus_hold: Duration,
     /// How long a machine may drain before it is stopped anyway.
     pub drain_timeout: Duration,
-    /// The most machines that are asked for in all.
+    /// The maximum number of machines.
     pub max_machines: u32,
 }
 
@@ -43,13 +43,13 @@
 }
 
 impl Settings {
-    /// Returns the slots of a machine class; zero for one that may not be started.
+    /// Returns the slots of a machine class; zero for an unknown class, which may not be started.
     pub(crate) fn slots(&self, class_name: &str) -> u32 {
         let class = self.machine_classes.iter().find(|class| &*class.name == class_name);
         class.map_or(0, |class| class.slots)
     }
 
-    /// Returns the seconds that the weight store needs for a model.
+    /// Returns the seconds that the weight store needs to deliver a model.
     pub(crate) fn load_seconds(&self, model: &Model) -> f64 {
         let weights = self.models.iter().find(|weights| weights.model == *model);
         weights.map_or(0.0, |weights| weights.bytes as f64 / self.weight_store_rate.max(1) as f64)
@@ -61,15 +61,15 @@
 pub struct MachineClass {
     /// The cloud's name of the class.
     pub name: Arc<str>,
-    /// How many requests an engine on it runs at once.
+    /// The number of requests that an engine on such a machine runs at once.
     pub slots: u32,
 }
 
-/// Describes a model's weights.
+/// Describes the weights of a model.
 #[data]
 pub struct ModelWeights {
     /// The model.
     pub model: Model,
-    /// How many bytes are loaded.
+    /// The number of bytes to load.
     pub bytes: u64,
 }
--- a/crates/verbenaslip-policy/src/pool.rs
+++ b/crates/verbenaslip-policy/src/pool.rs
@@ -1,22 +1,22 @@
-//! What upstreams of one model could take now, as one instance sees it.
+//! Summarizes the capacity of the upstreams of one model, as seen by one instance.
 
 use verbenaslip_base::data;
 
 use crate::service_time::ServiceTimes;
 
-/// Sums up the upstreams that offer one model and take new work.
+/// Sums up the upstreams that serve one model and accept new work.
 #[data(copy, float, default)]
 pub struct Pool {
-    /// Upstreams that take new work.
+    /// The number of upstreams that accept new work.
     pub upstreams: u32,
-    /// Requests that they run at once.
+    /// The number of requests that these upstreams run at once.
     pub slots: u32,
-    /// Slots free now, after correction for the age of the load reports.
+    /// The number of free slots, corrected for the age of the load reports.
     pub free_slots: u32,
-    /// Slots that this instance may expect to fill when all instances want them.
+    /// The number of slots that this instance can expect to use when all instances need slots.
     pub slot_share: f64,
-    /// Requests running on an upstream on average.
+    /// The average number of requests running on an upstream.
     pub mean_running: f64,
-    /// The live service times.
+    /// The measured service times of the model.
     pub service_times: ServiceTimes,
 }
--- a/crates/verbenaslip-policy/src/retry.rs
+++ b/crates/verbenaslip-policy/src/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: who may, when, and who must not.
+//! Decides whether and when failed runs are retried.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,85 +8,87 @@
 use verbenaslip_base::name::Upstream;
 use verbenaslip_table::Key;
 
-/// The most retries that a budget saves up.
+/// The maximum number of retries that a budget accumulates.
 const MAX_SAVED: f64 = 20.0;
-/// Seconds in which an idle budget earns one retry, so that a quiet team may retry at all.
+/// Seconds in which an idle budget earns one retry, so that a team with little traffic can retry at
+/// all.
 const EARN_INTERVAL_SECONDS: f64 = 10.0;
-/// Percent of an upstream's successes that others may retry on it.
+/// The number of retries per hundred successes that an upstream's own budget allows.
 const UPSTREAM_RETRY_PERCENT: u32 = 20;
-/// How often a request may lose its upstream before further runs are charged to a budget.
+/// The number of runs of a request up to which the loss of its upstream is not charged to a budget.
 const UNCHARGED_RUNS: u32 = 3;
-/// The first delay of the backoff.
+/// The first backoff delay.
 const FIRST_BACKOFF: Duration = Duration::from_millis(50);
-/// The longest delay of the backoff.
+/// The longest backoff delay.
 const MAX_BACKOFF: Duration = Duration::from_secs(10);
 /// The shortest time over which the work of a lost zone is spread.
 const MIN_SPREAD: Duration = Duration::from_millis(200);
 /// The longest time over which the work of a lost zone is spread.
 const MAX_SPREAD: Duration = Duration::from_secs(8);
 
-/// Asks whether a failed run may be followed by another.
+/// Describes a failed run for which a retry is requested.
 #[data(float)]
 pub struct RetryQuery {
-    /// The row that pays.
+    /// The row whose budget is charged.
     pub key: Key,
-    /// The upstream that failed.
+    /// The upstream on which the run failed.
     pub upstream: Upstream,
-    /// Whether a second run does no harm.
+    /// Whether a second run is harmless.
     pub idempotent: bool,
-    /// What became of the failed run.
+    /// The kind of failure.
     pub failure: FailureKind,
-    /// How many runs there were.
+    /// The number of runs so far.
     pub runs: u32,
-    /// The row's retries for a hundred successes.
+    /// The row's number of retries per hundred successes.
     pub retry_percent: u32,
-    /// The wave that took the upstream, if one did.
+    /// The backlog that moved work finds, if the upstream was lost in a zone loss.
     pub zone_loss: Option<Backlog>,
 }
 
-/// Says what became of a failed run, as far as it matters for another one.
+/// Classifies a failed run by whether another run is safe.
 #[data(copy, ord, hash)]
 pub enum FailureKind {
-    /// It surely did not run: its upstream could not be reached.
+    /// The upstream could not be reached, so the request did not run.
     Unreachable,
-    /// It surely did not run: its upstream refused it.
+    /// The upstream refused the request, so it did not run.
     Refused,
-    /// Its upstream was lost or went silent under it.
+    /// The upstream was lost or became silent during the run.
     Lost,
-    /// Its upstream answered with an error.
+    /// The upstream answered with an error.
     Error,
 }
 
-/// Describes what work that a wave has set free finds elsewhere.
+/// Describes the backlog that work moved from a lost zone finds at the remaining upstreams.
 #[data(copy, float)]
 pub struct Backlog {
-    /// Seconds of slot time that wait before it.
+    /// Slot seconds queued before the moved work.
     pub slot_seconds: f64,
-    /// Slots on the upstreams that are left.
+    /// Slots of the remaining upstreams.
     pub slots: u32,
 }
 
-/// Decides whether a failed run is followed by another.
+/// Tells whether a failed run is retried.
 #[data(copy)]
 pub enum Decision {
-    /// Runs again, this long from now.
+    /// The request runs again after this delay.
     RetryAfter(Duration),
-    /// Does not run again.
+    /// The request does not run again.
     Denied(Denial),
 }
 
-/// Names why a failed run is not followed by another.
+/// Names the reason why a failed run is not retried.
 #[data(copy, ord, hash)]
 pub enum Denial {
-    /// It may have run, and a second run would do harm.
+    /// The request may have run, and a second run would do harm.
     MayHaveRun,
-    /// The team has used its budget.
+    /// The budget of the team's row is used up.
     Team,
-    /// The upstream's budget is used: it is the upstream that fails, and retries would bury it.
+    /// The upstream's budget is used up. The upstream itself is failing, and retries would overload
+    /// it further.
     Upstream,
 }
 
-/// Keeps the budgets of teams' rows and of upstreams.
+/// Holds the retry budgets of rows and upstreams.
 #[derive(Debug, Default)]
 pub struct RetryBudgets {
     rows: BTreeMap<Key, Budget>,
@@ -94,28 +96,30 @@
 }
 
 impl RetryBudgets {
-    /// Earns from a success.
+    /// Records a success, which earns retries for the row and the upstream.
     pub fn record_success(&mut self, now: Duration, key: &Key, upstream: &Upstream, percent: u32) {
         self.rows.entry(key.clone()).or_insert_with(|| Budget::new(now)).earn(percent);
         let budget = self.upstreams.entry(upstream.clone()).or_insert_with(|| Budget::new(now));
         budget.earn(UPSTREAM_RETRY_PERCENT);
     }
 
-    /// Decides about another run and pays for it.
+    /// Decides whether a failed run is retried, and charges the budgets.
     pub fn decide(&mut self, now: Duration, query: &RetryQuery, rng: &mut impl Rng) -> Decision {
         if !query.idempotent
             && !matches!(query.failure, FailureKind::Unreachable | FailureKind::Refused)
         {
             return Decision::Denied(Denial::MayHaveRun);
         }
-        // A reclaim is nobody's fault, so moved work is not paid for; but all of it at once on the
-        // upstreams that are left would make them late as well, so it is spread by their room.
+        // A reclaim is no failure of the work, so moved work is not charged. If all of it ran at
+        // once, it would also delay the remaining upstreams, so it is spread over the time that
+        // their slots need for the backlog.
         if let Some(backlog) = query.zone_loss {
             return Decision::RetryAfter(spread(backlog, rng));
         }
-        // The first engines to die do so before anybody can call it a wave. Charged to a budget,
-        // the work that ran there would end as unknown although it could go on elsewhere; that it
-        // ran bounds how much there is, and the count of runs stops a request that kills engines.
+        // The first upstreams of a zone loss are lost before the zone loss is detected. If their
+        // work were charged to a budget, requests would end with an unknown outcome although they
+        // could run elsewhere. The amount of such work is limited by what was running, and the
+        // limit on runs stops a request that crashes upstreams.
         if matches!(query.failure, FailureKind::Unreachable | FailureKind::Lost)
             && query.runs <= UNCHARGED_RUNS
         {
@@ -135,18 +139,18 @@
         Decision::RetryAfter(backoff(query.runs, rng))
     }
 
-    /// Forgets an upstream that is gone.
+    /// Removes the budget of a lost upstream.
     pub fn remove_upstream(&mut self, upstream: &Upstream) {
         self.upstreams.remove(upstream);
     }
 
-    /// Keeps only the rows that the table still has.
+    /// Keeps only the budgets of rows for which `keep` returns true.
     pub fn retain_rows(&mut self, keep: impl Fn(&Key) -> bool) {
         self.rows.retain(|key, _| keep(key));
     }
 }
 
-/// Counts the retries that may still be paid for.
+/// Counts the available retries.
 #[derive(Debug)]
 struct Budget {
     saved: f64,
@@ -165,7 +169,7 @@
     fn can_spend(&mut self, now: Duration) -> bool {
         let elapsed = now.saturating_sub(self.updated).as_secs_f64();
         self.updated = self.updated.max(now);
-        // Time alone earns no more than one retry, so that a long idle time is no stock of retries.
+        // Time alone earns at most one retry, so that a long idle time does not accumulate retries.
         if self.saved < 1.0 {
             self.saved = (self.saved + elapsed / EARN_INTERVAL_SECONDS).min(1.0);
         }
@@ -177,14 +181,14 @@
     }
 }
 
-/// Draws a delay between half of and the whole doubled step.
+/// Returns a random delay between half and all of the exponential backoff.
 fn backoff(runs: u32, rng: &mut impl Rng) -> Duration {
     let doubled =
         FIRST_BACKOFF.saturating_mul(1 << runs.saturating_sub(1).min(16)).min(MAX_BACKOFF);
     doubled.mul_f64(rng.random_range(0.5..=1.0))
 }
 
-/// Draws a delay over the time that the room left needs to take in the moved work.
+/// Returns a random delay within the time that the remaining slots need for the backlog.
 fn spread(backlog: Backlog, rng: &mut impl Rng) -> Duration {
     let needed_seconds = backlog.slot_seconds.max(0.0) / f64::from(backlog.slots.max(1));
     let max_seconds = needed_seconds.clamp(MIN_SPREAD.as_secs_f64(), MAX_SPREAD.as_secs_f64());
--- a/crates/verbenaslip-policy/src/route.rs
+++ b/crates/verbenaslip-policy/src/route.rs
@@ -1,10 +1,10 @@
-//! The choice of an upstream for a request.
+//! Chooses an upstream for each request.
 //!
-//! A [`Router`] keeps for each upstream its newest announcement, what this instance has sent there
-//! since, how fast it was ([`Latency`]), and which prompt blocks it is thought to have cached
-//! ([`Cache`]). A score sums the price of the engine time, the price of being late, and the price
-//! of computing cached tokens again; the choice is drawn between two of the best, so that
-//! instances that see the same old reports do not all pick the same upstream.
+//! A [`Router`] tracks for each upstream its newest announcement, the requests that this instance
+//! has sent since, its measured speed ([`Latency`]), and the prompt blocks that it probably has
+//! cached ([`CacheIndex`]). A score adds up the price of the engine time, the price of lateness and
+//! the price of computing tokens that are not cached. The choice is made randomly among the best
+//! upstreams, so that instances that see the same load reports do not all choose the same upstream.
 
 mod cache;
 mod engine;
--- a/crates/verbenaslip-policy/src/route/cache.rs
+++ b/crates/verbenaslip-policy/src/route/cache.rs
@@ -1,25 +1,25 @@
-//! Which prompt blocks an upstream is thought to hold.
+//! Estimates which prompt blocks an upstream has cached.
 
 use std::collections::BTreeMap;
 
 use verbenaslip_base::data;
 
-/// Tokens in one block of a prompt: 64 bytes of text at 4 bytes a token.
+/// Tokens in one prompt block: 64 bytes of text at 4 bytes per token.
 pub(crate) const BLOCK_TOKENS: u32 = 16;
 
-/// How sure an own dispatch makes that its blocks are cached afterwards.
+/// The confidence that the blocks of a prompt sent by this instance are cached afterwards.
 const SENT_CONFIDENCE: f32 = 0.9;
-/// The part of lost events that are thought to be evictions.
+/// The fraction of lost events that are assumed to be evictions.
 const EVICTED_FRACTION: f32 = 0.5;
-/// The trust below which a block no longer counts.
+/// The confidence below which a block no longer counts as cached.
 const MIN_CONFIDENCE: f32 = 0.3;
-/// The fewest blocks against which lost events are weighed.
+/// The minimum number of blocks to which lost events are related.
 const MIN_LOSS_BASE: usize = 64;
 
-/// Carries cache events of an upstream, numbered without holes.
+/// Holds consecutively numbered cache events of an upstream.
 #[data]
 pub struct CacheBatch {
-    /// The number after the last of these events.
+    /// The sequence number that follows the last of these events.
     pub next_sequence: u64,
     /// Whether events before these were lost.
     pub gap: bool,
@@ -27,16 +27,16 @@
     pub events: Vec<CacheEvent>,
 }
 
-/// Tells of one block.
+/// Describes a change of one cached block.
 #[data(copy, ord, hash)]
 pub enum CacheEvent {
-    /// The block is cached now.
+    /// The block is now cached.
     Stored(u64),
-    /// The block is cached no more.
+    /// The block is no longer cached.
     Evicted(u64),
 }
 
-/// Remembers a bounded number of blocks, the latest used ones.
+/// Holds a bounded number of the most recently used blocks.
 #[derive(Debug)]
 pub struct CacheIndex {
     max_blocks: usize,
@@ -47,7 +47,7 @@
     next_sequence: u64,
 }
 
-/// Holds what is known of one block.
+/// Holds the state of one block.
 #[derive(Debug, Clone, Copy)]
 struct BlockState {
     last_used: u64,
@@ -56,7 +56,7 @@
 }
 
 impl CacheIndex {
-    /// Starts empty, for so many blocks at most.
+    /// Creates an empty index for at most `max_blocks` blocks.
     pub fn new(max_blocks: usize) -> Self {
         let (blocks, by_last_use) = (BTreeMap::new(), BTreeMap::new());
         Self {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Takes events; those that were taken before are taken again without harm.
+    /// Applies events. Applying the same events again is harmless.
     pub fn apply(&mut self, batch: &CacheBatch) {
         if batch.gap {
             let first = batch.next_sequence.saturating_sub(batch.events.len() as u64);
@@ -85,16 +85,17 @@
         }
     }
 
-    /// Notes that a prompt was sent there, so that its blocks will be cached.
+    /// Records that a prompt was sent to the upstream, so that its blocks will be cached.
     pub fn record_prompt(&mut self, prefix: &[u64]) {
-        // The last blocks are put first, so that the shared beginning is the last to be forgotten.
+        // The last blocks are inserted first, so that the shared beginning of prompts is evicted
+        // last.
         for block in prefix.iter().rev().take(self.max_blocks) {
             let confidence = self.confidence(*block).max(SENT_CONFIDENCE);
             self.insert(*block, confidence);
         }
     }
 
-    /// Forgets everything, as after a restart of the upstream.
+    /// Removes everything, for example after a restart of the upstream.
     pub fn clear(&mut self) {
         self.blocks.clear();
         self.by_last_use.clear();
@@ -102,10 +103,11 @@
         self.next_sequence = 0;
     }
 
-    /// Returns the tokens of a prompt that are expected to be cached.
+    /// Returns the expected number of cached tokens of a prompt.
     pub fn cached_tokens(&self, prefix: &[u64]) -> f64 {
-        // A block is only cached with all before it, so the known ones form a beginning whose end
-        // is found in few steps; a hole that a lost event has left may shorten it.
+        // A block is cached only together with all blocks before it, so the known blocks form a
+        // prefix and a binary search finds its end. A gap left by a lost event may shorten the
+        // result.
         let known_blocks =
             prefix.partition_point(|block| self.confidence(*block) >= MIN_CONFIDENCE);
         let Some(last) = known_blocks.checked_sub(1).and_then(|last| prefix.get(last)) else {
@@ -114,22 +116,22 @@
         known_blocks as f64 * f64::from(BLOCK_TOKENS) * f64::from(self.confidence(*last))
     }
 
-    /// Returns the sequence from which events are asked for next.
+    /// Returns the sequence number from which events are requested next.
     pub fn next_sequence(&self) -> u64 {
         self.next_sequence
     }
 
-    /// Returns how many blocks are remembered.
+    /// Returns the number of blocks in the index.
     pub fn len(&self) -> usize {
         self.blocks.len()
     }
 
-    /// Returns whether no block is remembered.
+    /// Returns whether the index is empty.
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
 
-    /// Changes the most blocks that are remembered.
+    /// Sets the maximum number of blocks.
     pub(crate) fn resize(&mut self, max_blocks: usize) {
         self.max_blocks = max_blocks.max(1);
         self.evict_oldest();
@@ -137,7 +139,8 @@
 
     fn confidence(&self, block: u64) -> f32 {
         let Some(state) = self.blocks.get(&block) else { return 0.0 };
-        // Each lost event may have evicted any of the blocks, so trust falls by their share of all.
+        // Each lost event may have evicted any block, so the confidence falls by the number of lost
+        // evictions divided by the number of blocks.
         let lost = self.lost_events.saturating_sub(state.lost_events) as f32 * EVICTED_FRACTION;
         state.confidence * (1.0 - lost / self.blocks.len().max(MIN_LOSS_BASE) as f32).max(0.0)
     }
--- a/crates/verbenaslip-policy/src/route/engine.rs
+++ b/crates/verbenaslip-policy/src/route/engine.rs
@@ -1,4 +1,4 @@
-//! One upstream as this instance knows it.
+//! Tracks the state of one upstream as seen by this instance.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -8,12 +8,13 @@
 
 use crate::route::{CacheIndex, Health, Latency};
 
-/// How long ended runs are remembered, to tell them from others' in an old load report.
+/// How long ended runs are kept, to separate them from the runs of other instances in a stale load
+/// report.
 const ENDED_RUN_RETENTION: Duration = Duration::from_secs(5);
-/// The most ended runs remembered.
+/// The maximum number of ended runs that are kept; bounds memory.
 const MAX_ENDED_RUNS: usize = 4096;
 
-/// Holds what is known of one upstream.
+/// Holds the state of one upstream.
 #[derive(Debug)]
 pub(crate) struct Engine {
     pub(crate) announcement: Announcement,
@@ -40,7 +41,7 @@
 }
 
 impl Engine {
-    /// Starts from a first announcement.
+    /// Creates the state from the first announcement.
     pub(crate) fn new(now: Duration, announcement: Announcement, max_blocks: usize) -> Self {
         Self {
             announcement,
@@ -53,21 +54,23 @@
         }
     }
 
-    /// Takes a newer announcement; an older one changes nothing, an equal one renews the load.
+    /// Handles an announcement. An older one has no effect, and an equal one renews the load.
     pub(crate) fn handle_announcement(&mut self, now: Duration, announcement: &Announcement) {
         let order = |a: &Announcement| (a.incarnation, a.sequence);
         if order(announcement) < order(&self.announcement) {
             return;
         }
-        // The registry vouches for an upstream without passing on each of its announcements, so
-        // the same one comes again and again; taken for silence, it would end all work there.
+        // The registry vouches for an upstream without forwarding each of its announcements, so the
+        // same announcement arrives repeatedly. If repeated announcements were ignored, the
+        // upstream would count as silent and lose all its work.
         if order(announcement) == order(&self.announcement) {
             self.announcement.load = announcement.load;
             self.heard_at = self.heard_at.max(now);
             return;
         }
         let restarted = announcement.incarnation > self.announcement.incarnation;
-        // Leaving is final for an incarnation; a reordered announcement must not revive it.
+        // Leaving is final for an incarnation, so a reordered announcement must not make the
+        // upstream usable again.
         if self.is_leaving() && !restarted {
             return;
         }
@@ -82,17 +85,17 @@
         self.heard_at = now;
     }
 
-    /// Returns whether it will take no new work in this incarnation.
+    /// Returns whether the upstream accepts no new work in this incarnation.
     pub(crate) fn is_leaving(&self) -> bool {
         matches!(self.announcement.phase, Phase::Leaving { .. })
     }
 
-    /// Returns how long ago it was heard.
+    /// Returns the time since the last announcement.
     pub(crate) fn silence(&self, now: Duration) -> Duration {
         now.saturating_sub(self.heard_at)
     }
 
-    /// Notes that a run of this instance ended.
+    /// Records the end of a run of this instance.
     pub(crate) fn end_run(&mut self, now: Duration, request: Request) -> Option<Run> {
         let run = self.runs.remove(&request)?;
         self.ended_runs.retain(|(_, end)| now.saturating_sub(*end) <= ENDED_RUN_RETENTION);
@@ -102,10 +105,11 @@
         Some(run)
     }
 
-    /// Estimates how many run or wait there now, by all of so many instances.
+    /// Estimates how many requests of all `instances` run or wait at the upstream now.
     ///
-    /// A load report is old when it comes. What this instance has sent and seen end since then is
-    /// known; the others, who see the same report, are expected to have done likewise.
+    /// A load report is already old when it arrives. This instance knows what it has sent and
+    /// completed since the report. The other instances see the same report and are expected to have
+    /// acted similarly.
     pub(crate) fn estimate_load(&self, instances: u32) -> f64 {
         let load = self.announcement.load;
         let measured = self.heard_at.saturating_sub(Duration::from_millis(u64::from(load.age)));
@@ -118,18 +122,18 @@
         now + (others_reported + change.max(-others_reported)).max(0.0)
     }
 
-    /// Estimates the prefill seconds of runs without a first token yet, of so many instances.
+    /// Estimates the prefill seconds of the runs of all `instances` that have no first token yet.
     pub(crate) fn pending_prefill_seconds(&self, now: Duration, instances: u32) -> f64 {
         let pending = self.runs.values().filter(|run| run.first_token_at.is_none());
         let total: f64 = pending.clone().map(|run| run.prefill_seconds).sum();
-        // The oldest is being computed, so time since it was sent has reduced what is left.
+        // The oldest run is being computed, so the time since it was sent is subtracted.
         let oldest = pending.map(|run| run.sent_at).min();
         let elapsed = oldest.map_or(0.0, |at| now.saturating_sub(at).as_secs_f64());
         let others = 1.0 + f64::from(instances.saturating_sub(1)) * PEER_CHANGE_FRACTION;
         (total - elapsed).max(0.0) * others
     }
 
-    /// Returns how many of this instance's runs were there at a time.
+    /// Returns how many runs of this instance were at the upstream at a time.
     fn running_at(&self, at: Duration) -> usize {
         let still_running = self.runs.values().filter(|run| run.sent_at <= at).count();
         let ended = self.ended_runs.iter().filter(|(from, to)| *from <= at && *to > at).count();
@@ -137,5 +141,5 @@
     }
 }
 
-/// The part of this instance's own change of load that each other instance is expected to have had.
+/// The fraction of this instance's own load change that is expected of each other instance.
 const PEER_CHANGE_FRACTION: f64 = 0.5;
--- a/crates/verbenaslip-policy/src/route/health.rs
+++ b/crates/verbenaslip-policy/src/route/health.rs
@@ -1,17 +1,17 @@
-//! Whether an upstream works, as this instance has seen it.
+//! Tracks whether an upstream works, as seen by this instance.
 
 use std::time::Duration;
 
 use verbenaslip_base::data;
 
-/// So many failures in a row make an upstream look down.
+/// The number of consecutive failures after which an upstream counts as down.
 const FAILURES_UNTIL_DOWN: u32 = 2;
-/// How long it is left alone first.
+/// The first cooldown of an upstream that is down.
 const FIRST_COOLDOWN: Duration = Duration::from_secs(1);
-/// How long it is left alone at most.
+/// The longest cooldown of an upstream that is down.
 const MAX_COOLDOWN: Duration = Duration::from_secs(30);
 
-/// Follows an upstream's failures and its way back.
+/// Tracks the failures and the recovery of an upstream.
 #[data(copy, default)]
 pub struct Health {
     consecutive_failures: u32,
@@ -20,12 +20,12 @@
 }
 
 impl Health {
-    /// Notes a run or a first token that went well.
+    /// Records a successful run or a first token.
     pub fn record_success(&mut self) {
         *self = Self::default();
     }
 
-    /// Notes a run that failed through the upstream.
+    /// Records a run that failed because of the upstream.
     pub fn record_failure(&mut self, now: Duration) {
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         self.probing = false;
@@ -37,17 +37,18 @@
         self.cooldown_end = Some(now.saturating_add(cooldown));
     }
 
-    /// Notes that a run was sent; after a rest it is the probe.
+    /// Records that a run was sent. After a cooldown this run is the probe.
     pub fn record_sent(&mut self) {
         self.probing = self.cooldown_end.is_some();
     }
 
-    /// Returns whether it looks down from here.
+    /// Returns whether the upstream counts as down at this instance.
     pub fn is_down(&self) -> bool {
         self.cooldown_end.is_some()
     }
 
-    /// Returns whether it may get work: it looks up, or its rest is over and one run may probe it.
+    /// Returns whether the upstream may get work: it is not down, or its cooldown is over and no
+    /// probe is running.
     pub fn accepts_work(&self, now: Duration) -> bool {
         match self.cooldown_end {
             None => true,
--- a/crates/verbenaslip-policy/src/route/router.rs
+++ b/crates/verbenaslip-policy/src/route/router.rs
@@ -1,4 +1,4 @@
-//! All upstreams that one instance knows, and the choice between them.
+//! Tracks all upstreams known to one instance and chooses between them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,59 +17,60 @@
 use crate::row::RowParams;
 use crate::service_time::ServiceTimes;
 
-/// The most cached blocks remembered over all upstreams; bounds memory.
+/// The maximum number of cached blocks tracked for all upstreams together; bounds memory.
 const MAX_BLOCKS: usize = 200_000;
-/// The most cached blocks remembered of one upstream.
+/// The maximum number of cached blocks tracked for one upstream.
 const MAX_BLOCKS_PER_UPSTREAM: usize = 8_192;
-/// The silence after which an upstream is doubtful and gets no new work.
+/// The time without an announcement after which an upstream gets no new work.
 const MAX_SILENCE: Duration = Duration::from_secs(4);
-/// Seconds that a hop to another availability zone adds.
+/// Seconds that a call to another availability zone adds.
 const CROSS_ZONE_SECONDS: f64 = 0.002;
-/// An upstream so many times slower than its peers is shed.
+/// The ratio to the median slowness of its peers above which an upstream is avoided.
 const OUTLIER_RATIO: f64 = 2.5;
-/// The comparisons needed before an upstream may be shed.
+/// The minimum number of latency samples before an upstream is avoided as slow.
 const MIN_OUTLIER_SAMPLES: u32 = 8;
-/// The part of an engine's slots that are taken as free no more, as its load is not known exactly.
+/// The fraction of an upstream's slots that is not assumed to be free, because its load is not
+/// known exactly.
 const UNCERTAIN_LOAD_FRACTION: f64 = 0.4;
-/// Candidates whose cost is within this factor of the best count as equally good.
+/// Candidates whose cost is within this factor of the lowest cost count as equally good.
 const NEAR_BEST_RATIO: f64 = 1.1;
 
-/// Asks for an upstream for a request.
+/// Describes a request for which an upstream is chosen.
 #[data]
 pub struct RouteQuery {
-    /// The request.
+    /// The head of the request.
     pub head: Head,
-    /// The terms of its row.
+    /// The parameters of the request's row.
     pub params: RowParams,
-    /// When it arrived.
+    /// The time at which the request arrived.
     pub arrived: Duration,
-    /// Upstreams that it must not run on, such as those that have just failed it.
+    /// Upstreams to avoid, such as those on which the request has failed.
     pub avoid: Vec<Upstream>,
 }
 
-/// Names the chosen upstream and what is expected of the run there.
+/// Describes the chosen upstream and the predicted run.
 #[data(float)]
 pub struct Choice {
-    /// The upstream.
+    /// The chosen upstream.
     pub upstream: Upstream,
-    /// Prompt tokens that are expected to be cached there.
+    /// Prompt tokens that the upstream is expected to have cached.
     pub cached_tokens: u32,
-    /// Expected seconds to the first token.
+    /// The predicted seconds to the first token.
     pub first_token_seconds: f64,
-    /// Expected seconds to the whole answer.
+    /// The predicted seconds to the complete answer.
     pub total_seconds: f64,
 }
 
-/// Tells what was running at an upstream that was lost.
+/// Describes the runs of this instance at a lost upstream.
 #[data(float)]
 pub struct Loss {
-    /// The requests of this instance.
+    /// The requests that this instance had sent there.
     pub requests: Vec<Request>,
-    /// Slot seconds that they still needed.
+    /// The predicted slot seconds of these requests.
     pub slot_seconds: f64,
 }
 
-/// Knows all upstreams and chooses between them.
+/// Tracks all upstreams and chooses between them.
 #[derive(Debug)]
 pub struct Router {
     zone: AvailabilityZone,
@@ -80,7 +81,7 @@
 }
 
 impl Router {
-    /// Starts without upstreams, for an instance in a zone.
+    /// Creates a router without upstreams for an instance in a zone.
     pub fn new(zone: AvailabilityZone) -> Self {
         Self {
             zone,
@@ -91,12 +92,12 @@
         }
     }
 
-    /// Takes over how many instances share the upstreams, this one counted.
+    /// Sets the number of instances that share the upstreams, including this one.
     pub fn set_instances(&mut self, instances: u32) {
         self.instances = instances.max(1);
     }
 
-    /// Takes an announcement; `heard` is when it was made, on this instance's clock.
+    /// Handles an announcement that was made at time `heard` on this instance's clock.
     pub fn handle_announcement(&mut self, heard: Duration, announcement: &Announcement) {
         let blocks = self.max_blocks_per_upstream();
         if let Some(engine) = self.engines.get_mut(&announcement.upstream) {
@@ -109,7 +110,7 @@
         self.engines.values_mut().for_each(|engine| engine.cache.resize(blocks));
     }
 
-    /// Forgets an upstream that is gone for good, and returns what ran there.
+    /// Removes a lost upstream and returns the runs of this instance there.
     pub fn remove_upstream(&mut self, upstream: &Upstream) -> Loss {
         let Some(engine) = self.engines.remove(upstream) else {
             return Loss { requests: Vec::new(), slot_seconds: 0.0 };
@@ -119,23 +120,23 @@
         Loss { slot_seconds: engine.runs.values().map(|run| run.expected_seconds).sum(), requests }
     }
 
-    /// Takes cache events of an upstream.
+    /// Handles cache events of an upstream.
     pub fn handle_cache_events(&mut self, upstream: &Upstream, batch: &CacheBatch) {
         if let Some(engine) = self.engines.get_mut(upstream) {
             engine.cache.apply(batch);
         }
     }
 
-    /// Returns what is known of an upstream's cache.
+    /// Returns the cache index of an upstream.
     pub fn cache(&self, upstream: &Upstream) -> Option<&CacheIndex> {
         Some(&self.engines.get(upstream)?.cache)
     }
 
-    /// Chooses an upstream, or none when no one takes new work for the model.
+    /// Chooses an upstream, or returns `None` if no upstream accepts new work for the model.
     pub fn choose(&self, now: Duration, query: &RouteQuery, rng: &mut impl Rng) -> Option<Choice> {
         let is_allowed = |engine: &&Engine| !query.avoid.contains(&engine.announcement.upstream);
         let candidates: Vec<&Engine> = self.candidates(now, &query.head.model).collect();
-        // One that has failed it before is still better than none.
+        // An upstream on which the request has failed is still better than none.
         let allowed: Vec<&Engine> = candidates.iter().copied().filter(is_allowed).collect();
         let eligible = if allowed.is_empty() { candidates } else { allowed };
         let mut scored: Vec<(f64, Choice)> =
@@ -144,13 +145,13 @@
         let best = scored.first()?.0;
         let near_best =
             scored.iter().take_while(|(cost, _)| *cost <= best * NEAR_BEST_RATIO).count();
-        // Two random ones among the near best, the better of the two: all instances see the same
-        // old reports, and if each took the single best they would all crowd onto it.
+        // Takes the better of two random upstreams among the near-best. All instances see the same
+        // old load reports, and if each chose the single best, they would all overload it.
         let (first, second) = (rng.random_range(0..near_best), rng.random_range(0..near_best));
         Some(scored.swap_remove(first.min(second)).1)
     }
 
-    /// Notes that a request was sent to an upstream.
+    /// Records that a request was sent to an upstream.
     pub fn record_sent(&mut self, now: Duration, head: &Head, choice: &Choice) {
         self.remove_run(head.request);
         let service_times = self.service_times(&head.model);
@@ -173,7 +174,7 @@
         self.upstreams_by_request.insert(head.request, choice.upstream.clone());
     }
 
-    /// Notes a request's first token.
+    /// Records the first token of a request.
     pub fn record_first_token(&mut self, now: Duration, request: Request) {
         let Some(engine) =
             self.upstreams_by_request.get(&request).and_then(|name| self.engines.get_mut(name))
@@ -188,7 +189,8 @@
         let took = now.saturating_sub(run.sent_at);
         engine.latency.record_first_token(took, run.expected_first_token_seconds);
         engine.health.record_success();
-        // A prefill behind others says little about the engine's own speed.
+        // The duration of a prefill that waited behind others says little about the speed of the
+        // engine.
         if run.only_prefill
             && let Some(model) = engine.announcement.models.first()
         {
@@ -197,7 +199,7 @@
         }
     }
 
-    /// Notes that a request's answer is whole, with so many tokens.
+    /// Records that the answer of a request is complete with `tokens` tokens.
     pub fn record_completion(
         &mut self,
         now: Duration,
@@ -227,7 +229,7 @@
         service_times.record_decode(running, interval);
     }
 
-    /// Notes that a request's run failed through its upstream.
+    /// Records a run that failed because of its upstream.
     pub fn record_failure(&mut self, now: Duration, request: Request) {
         let Some(engine) =
             self.upstreams_by_request.remove(&request).and_then(|name| self.engines.get_mut(&name))
@@ -238,7 +240,7 @@
         engine.health.record_failure(now);
     }
 
-    /// Notes that a run was cancelled or moved for reasons that say nothing of the upstream.
+    /// Records a run that was canceled or moved for reasons unrelated to the upstream.
     pub fn record_withdrawal(&mut self, now: Duration, request: Request) {
         let Some(engine) =
             self.upstreams_by_request.remove(&request).and_then(|name| self.engines.get_mut(&name))
@@ -248,7 +250,7 @@
         engine.end_run(now, request);
     }
 
-    /// Sums up what the upstreams of a model could take now.
+    /// Returns the current capacity of the upstreams of a model.
     pub fn pool(&self, now: Duration, model: &Model) -> Pool {
         let mut pool = Pool { service_times: self.service_times(model), ..Pool::default() };
         let mut running = 0.0;
@@ -265,18 +267,18 @@
         pool
     }
 
-    /// Returns the most prompt tokens that any candidate is expected to have cached.
+    /// Returns the highest number of prompt tokens that a candidate is expected to have cached.
     pub fn max_cached_tokens(&self, now: Duration, head: &Head) -> u32 {
         let tokens = self.candidates(now, &head.model).map(|e| e.cache.cached_tokens(&head.prefix));
         tokens.fold(0.0, f64::max).min(f64::from(head.prompt)) as u32
     }
 
-    /// Returns where a request runs.
+    /// Returns the upstream on which a request runs.
     pub fn upstream_of(&self, request: Request) -> Option<&Upstream> {
         self.upstreams_by_request.get(&request)
     }
 
-    /// Returns the models for which any upstream is known.
+    /// Returns the models for which an upstream is known.
     pub fn models(&self) -> Vec<Model> {
         let mut models: Vec<Model> =
             self.engines.values().flat_map(|engine| engine.announcement.models.clone()).collect();
@@ -290,12 +292,12 @@
         Some(&self.engines.get(upstream)?.announcement)
     }
 
-    /// Returns how many upstreams of a zone are known.
+    /// Returns the number of known upstreams in a zone.
     pub fn count_in_zone(&self, zone: &AvailabilityZone) -> usize {
         self.engines.values().filter(|engine| engine.announcement.zone == *zone).count()
     }
 
-    /// Returns the live service times of a model.
+    /// Returns the measured service times of a model.
     pub fn service_times(&self, model: &Model) -> ServiceTimes {
         self.service_times.get(model).copied().unwrap_or_default()
     }
@@ -312,7 +314,7 @@
         })
     }
 
-    /// Returns the ready upstreams with a model loaded.
+    /// Returns the ready upstreams that have loaded a model.
     fn ready_upstreams(&self, model: &Model) -> impl Iterator<Item = &Engine> {
         self.engines.values().filter(move |engine| {
             let ready = engine.announcement.phase == Phase::Ready;
@@ -320,10 +322,12 @@
         })
     }
 
-    /// Returns the zones of which most looks down from here though it announces itself.
+    /// Returns the zones in which most upstreams look down from this instance although they send
+    /// announcements.
     ///
-    /// If connections from here to a whole zone fail while its upstreams still reach the other
-    /// instances, the fault is more likely on this side; emptying the zone would crowd the others.
+    /// If connections from this instance to a whole zone fail while its upstreams still reach other
+    /// instances, the fault is probably on this side. Avoiding the zone would overload the other
+    /// zones.
     fn likely_partitioned_zones(&self, now: Duration, model: &Model) -> Vec<AvailabilityZone> {
         if !self.ready_upstreams(model).any(|engine| engine.health.is_down()) {
             return Vec::new();
@@ -391,7 +395,7 @@
         };
         let interval = service_times.inter_token_seconds(running);
         let prefill = service_times.prefill_seconds(computed);
-        // Beyond its slots each one more waits until one of the slots is free.
+        // Each request beyond the slots waits until a slot becomes free.
         let excess = (load + 1.0 - slots * (1.0 - UNCERTAIN_LOAD_FRACTION)).max(0.0);
         let wait = excess * service_times.hold_seconds() / slots;
         let pending_prefill = engine.pending_prefill_seconds(now, self.instances);
@@ -419,9 +423,10 @@
     }
 }
 
-/// Returns whether an upstream is so slow that it is shed, and not due for a probe.
+/// Returns whether an upstream is avoided because it is slow and already has a run.
 fn is_outlier(engine: &Engine, median: f64) -> bool {
     let is_slow = engine.latency.slowness() > OUTLIER_RATIO * median.max(1.0);
-    // One run at a time keeps measuring it, so that it comes back when it is fast again.
+    // One run at a time keeps measuring a slow upstream, so that it gets work again when it has
+    // recovered.
     is_slow && engine.latency.samples() >= MIN_OUTLIER_SAMPLES && !engine.runs.is_empty()
 }
--- a/crates/verbenaslip-policy/src/row.rs
+++ b/crates/verbenaslip-policy/src/row.rs
@@ -1,4 +1,4 @@
-//! What the policy needs to know of one row of the operators' table.
+//! Converts a row of the route table to the units used by the policy.
 
 use std::time::Duration;
 
@@ -6,34 +6,35 @@
 use verbenaslip_base::hash;
 use verbenaslip_table::{Key, Preference, Row};
 
-/// Holds a row's terms in the units that decisions use.
+/// Holds the parameters of a route table row.
 #[data(copy)]
 pub struct RowParams {
-    /// The row's part of the capacity, beside the weights of the other rows of its priority.
+    /// The row's weight; rows of one priority share the capacity in proportion to it.
     pub weight: u32,
-    /// Which rows go first: a higher one before a lower one, 0 to 9.
+    /// The priority from 0 to 9. Rows with a higher priority go first.
     pub priority: u8,
-    /// Requests a second; none is without limit.
+    /// The limit in requests per second; `None` is unlimited.
     pub rate: Option<u32>,
-    /// How many requests may come at once before the rate counts.
+    /// The number of requests that may arrive at once before the rate limit applies.
     pub burst: u32,
-    /// Requests that run at once.
+    /// The maximum number of requests that run at once.
     pub concurrency: u32,
-    /// Prompt and answer tokens a second; none is without limit.
+    /// The limit in prompt and answer tokens per second; `None` is unlimited.
     pub tokens_per_second: Option<u32>,
-    /// How long after arrival the whole answer is due when the caller did not say.
+    /// The time from arrival to the deadline of the complete answer, used when the caller gives
+    /// none.
     pub deadline: Duration,
-    /// How long after arrival the first token is due.
+    /// The time from arrival until the first token is due.
     pub first_token_deadline: Duration,
-    /// The most tokens an answer may have.
+    /// The maximum number of tokens of an answer.
     pub max_output_tokens: u32,
-    /// The longest that a request may wait here.
+    /// The maximum time that a request may be queued at this instance.
     pub max_wait: Duration,
-    /// Retries for a hundred successes.
+    /// The number of retries allowed per hundred successes.
     pub retry_percent: u32,
-    /// Part of the capacity that is kept on on-demand instances, in hundredths.
+    /// The percentage of the capacity that is kept on on-demand machines.
     pub reserve_percent: u32,
-    /// What to spare when both can't be had.
+    /// Whether low cost or low latency is preferred when both are not possible.
     pub prefer: Preference,
 }
 
@@ -57,7 +58,7 @@
     }
 }
 
-/// Returns a short name of a row that every instance computes alike.
+/// Returns a short hash of a row's key that is the same at every instance.
 pub(crate) fn row_hash(key: &Key) -> u32 {
     hash::narrow(&[key.team.as_str().as_bytes(), key.class.as_str().as_bytes()]) as u32
 }
--- a/crates/verbenaslip-policy/src/zone_loss.rs
+++ b/crates/verbenaslip-policy/src/zone_loss.rs
@@ -1,20 +1,20 @@
-//! Tells a wave of losses in one availability zone from single ones.
+//! Distinguishes the loss of an availability zone from losses of single upstreams.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
 use verbenaslip_base::name::{AvailabilityZone, Upstream};
 
-/// How far apart losses may be to count as one wave.
+/// The maximum time between losses that count as one zone loss.
 const LOSS_WINDOW: Duration = Duration::from_secs(10);
-/// How long after its last loss a wave is still on.
+/// How long a zone loss stays active after its last lost upstream.
 const ACTIVE_AFTER_LOSS: Duration = Duration::from_secs(10);
-/// The fewest losses that make a wave.
+/// The minimum number of lost upstreams that make a zone loss.
 const MIN_LOSSES: usize = 2;
-/// The most losses remembered per zone.
+/// The maximum number of losses remembered per zone; bounds memory.
 const MAX_LOSSES_PER_ZONE: usize = 4096;
 
-/// Remembers the recent losses of each availability zone.
+/// Tracks the recent losses of upstreams in each availability zone.
 #[derive(Debug, Default)]
 pub struct ZoneLosses {
     losses: BTreeMap<AvailabilityZone, VecDeque<Loss>>,
@@ -22,7 +22,11 @@
 }
 
 impl ZoneLosses {
-    /// Notes that an upstream was lost or told to leave, out of so many in its zone.
+    /// Records that an upstream was lost or told to leave. `zone_size` is the number of upstreams
+    /// known in its zone.
+    ///
+    /// A zone loss becomes active when at least half of the zone's upstreams were lost within the
+    /// window.
     pub fn record_loss(
         &mut self,
         now: Duration,
@@ -32,7 +36,8 @@
     ) {
         let losses = self.losses.entry(zone.clone()).or_default();
         losses.retain(|loss| now.saturating_sub(loss.at) <= LOSS_WINDOW);
-        // The same upstream is reported by its notice, its announcement and its connections.
+        // One loss is reported several times: by the reclaim notice, the announcement and the
+        // connections.
         if losses.iter().all(|loss| loss.upstream != *upstream)
             && losses.len() < MAX_LOSSES_PER_ZONE
         {
@@ -43,18 +48,18 @@
         }
     }
 
-    /// Returns whether a wave is taking a zone's upstreams.
+    /// Returns whether a zone loss is active in `zone`.
     pub fn is_active(&self, now: Duration, zone: &AvailabilityZone) -> bool {
         self.active_until.get(zone).is_some_and(|until| now < *until)
     }
 
-    /// Returns whether any zone has a wave.
+    /// Returns whether a zone loss is active in any zone.
     pub fn any_active(&self, now: Duration) -> bool {
         self.active_until.values().any(|until| now < *until)
     }
 }
 
-/// Remembers one loss.
+/// Holds the loss of one upstream.
 #[derive(Debug)]
 struct Loss {
     at: Duration,
