--- a/crates/verbenaslip-policy/benches/bench/engine.rs
+++ b/crates/verbenaslip-policy/benches/bench/engine.rs
@@ -1,4 +1,4 @@
-//! A discrete stand-in for an engine: slots, a batch, a prefix cache, late reports.
+//! Simulates an engine with slots, a batch, a prefix cache and delayed load reports.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -7,12 +7,12 @@
 use verbenaslip_base::attempt::Request;
 use verbenaslip_policy::route::CacheEvent;
 
-/// Tokens of a prompt that one iteration computes at most.
+/// The maximum number of prompt tokens computed in one iteration.
 const MAX_CHUNK_TOKENS: u32 = 2048;
-/// Tokens in a block.
+/// Tokens in one prompt block.
 const BLOCK_TOKENS: u32 = 16;
 
-/// One engine or plain service.
+/// A simulated engine or plain service.
 pub struct Engine {
     pub announcement: Announcement,
     pub alive: bool,
@@ -29,7 +29,7 @@
     order: u64,
 }
 
-/// How fast an engine is.
+/// The speed of an engine and the size of its cache.
 #[derive(Clone, Copy)]
 pub struct Speed {
     pub base_seconds: f64,
@@ -38,7 +38,7 @@
     pub cache_blocks: usize,
 }
 
-/// One run at an engine.
+/// A run of a request at an engine.
 #[derive(Clone)]
 pub struct Job {
     pub request: Request,
@@ -53,7 +53,7 @@
     order: u64,
 }
 
-/// Tells what an iteration brought.
+/// Describes the result of an iteration for one request: the request and its attempt.
 pub enum Progress {
     FirstToken(Request, u32),
     Completed(Request, u32),
@@ -92,7 +92,7 @@
         self.batch.is_empty() && self.waiting.is_empty()
     }
 
-    /// Fills free slots, highest priority first, and returns how long the next iteration takes.
+    /// Fills free slots in order of priority and returns the duration of the next iteration.
     pub fn begin_iteration(&mut self) -> Duration {
         self.waiting.sort_by_key(|job| (std::cmp::Reverse(job.priority), job.order));
         while self.batch.len() < self.announcement.slots as usize && !self.waiting.is_empty() {
@@ -114,7 +114,7 @@
         took
     }
 
-    /// Ends the iteration.
+    /// Ends the iteration and returns its results.
     pub fn end_iteration(&mut self) -> Vec<Progress> {
         let mut progress = Vec::new();
         let chunk_tokens = self.chunk_tokens();
@@ -145,7 +145,7 @@
         progress
     }
 
-    /// Returns the job whose prompt is computed whole at the end of this iteration.
+    /// Returns the job whose prefill ends with this iteration.
     pub fn finishing_prefill(&self) -> Option<&Job> {
         let job = self.batch.iter().find(|job| job.computed_tokens < job.tokens_to_compute)?;
         (job.tokens_to_compute - job.computed_tokens <= MAX_CHUNK_TOKENS).then_some(job)
@@ -174,7 +174,7 @@
     }
 }
 
-/// Keeps the blocks used last.
+/// Holds the least recently used (LRU) cache of prompt blocks.
 pub struct Lru {
     max_blocks: usize,
     last_use: BTreeMap<u64, u64>,
@@ -187,12 +187,13 @@
         Self { max_blocks, last_use: BTreeMap::new(), by_last_use: BTreeMap::new(), clock: 0 }
     }
 
-    /// Returns how many blocks from the start are held.
+    /// Returns the number of cached blocks at the start of `prefix`.
     pub fn cached_prefix_len(&self, prefix: &[u64]) -> usize {
         prefix.iter().take_while(|block| self.last_use.contains_key(block)).count()
     }
 
-    /// Stores blocks, the first ones as the last used, and returns what is new and what had to go.
+    /// Stores blocks so that the first ones count as most recently used, and returns the new and
+    /// the evicted blocks.
     fn store(&mut self, prefix: &[u64]) -> (Vec<u64>, Vec<u64>) {
         let (mut stored, mut evicted) = (Vec::new(), Vec::new());
         for block in prefix.iter().rev() {
@@ -212,5 +213,5 @@
     }
 }
 
-/// Cache events that were published and are still on their way.
+/// Published cache events that have not arrived yet.
 pub type PendingEvents = VecDeque<(Duration, verbenaslip_policy::route::CacheBatch)>;
--- a/crates/verbenaslip-policy/benches/bench/measure.rs
+++ b/crates/verbenaslip-policy/benches/bench/measure.rs
@@ -1,4 +1,4 @@
-//! What is counted when a run is over.
+//! Computes the measures of a finished run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,44 +6,47 @@
 use super::workload::{Caller, Workload};
 use super::world::Simulation;
 
-/// How a caller fared in the end.
+/// Describes the final outcome of a caller.
 #[derive(Clone, Copy, Debug)]
 pub enum Outcome {
-    /// The answer came whole.
+    /// The answer is complete.
     Completed { late: bool, slow: bool, took: Duration },
-    /// It was refused and did not come back in time.
+    /// The request was refused and not retried within the caller's timeout.
     Refused { hinted: bool },
-    /// The run was lost and not run again.
+    /// The run was lost and not retried.
     Lost,
 }
 
-/// Sums up one run.
+/// Holds the measures of one run.
 #[derive(Clone, Debug, Default)]
 pub struct Measures {
-    /// Share of callers with a whole answer on time, by team and class.
+    /// The share of callers with a complete answer on time, by team and class.
     pub rows: BTreeMap<(String, String), Share>,
-    /// Price of the machines for one answer at the latency target, in millionths: whole on time,
-    /// and its first token within the row's aim.
+    /// The price of the machines per answer at the latency target, in millionths of the currency
+    /// unit. An answer is at target if it is complete on time and its first token arrived within
+    /// the row's target.
     pub cost: f64,
-    /// Price of the machines' busy time for one answer at the latency target, in millionths.
+    /// The price of the machines' busy time per answer at the latency target, in millionths of the
+    /// currency unit.
     pub busy_cost: f64,
-    /// Prompt tokens computed again, for a thousand that had to be computed.
+    /// The number of prompt tokens computed again, per thousand that had to be computed.
     pub recomputed: f64,
-    /// Weighted fairness between teams in the two minutes after the top of the hour.
+    /// Jain's fairness index of the weighted shares of teams in the two minutes after the top of
+    /// the hour.
     pub jain: f64,
-    /// Callers who came back when told to and were then served on time.
+    /// The number of callers that followed a retry hint and were then served on time.
     pub good_hints: u32,
-    /// Callers who came back when told to and were refused again or late.
+    /// The number of callers that followed a retry hint and were refused again or served late.
     pub bad_hints: u32,
-    /// Callers who were refused and were not told when to come back.
+    /// The number of refusals without a retry hint among final outcomes.
     pub unhinted: u32,
-    /// Runs lost that may have run.
+    /// The number of lost runs that may have run and were not retried.
     pub lost: u32,
-    /// Callers that had neither an answer nor a refusal when the run ended.
+    /// The number of callers without an answer or a refusal when the run ended.
     pub unsettled: u32,
 }
 
-/// Counts callers and those served on time.
+/// Counts callers and the callers served on time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Share {
     pub total: u32,
@@ -54,7 +57,7 @@
 }
 
 impl Share {
-    /// Returns the share at the latency target, the first token counted.
+    /// Returns the percentage of answers that met the deadline and the target of the first token.
     pub fn target(&self) -> f64 {
         100.0 * f64::from(self.on_target) / f64::from(self.total.max(1))
     }
@@ -75,17 +78,17 @@
 }
 
 impl Measures {
-    /// Returns the share on time of all callers.
+    /// Returns the counts of all callers.
     pub fn total(&self) -> Share {
         self.sum(|_, _| true)
     }
 
-    /// Returns the share on time of one class.
+    /// Returns the counts of one class.
     pub fn class(&self, class: &str) -> Share {
         self.sum(|_, name| name == class)
     }
 
-    /// Returns the share on time of the worst row.
+    /// Returns the percentage on time of the worst row.
     pub fn worst(&self) -> f64 {
         self.rows.values().map(Share::percent).fold(100.0, f64::min)
     }
@@ -103,14 +106,14 @@
 }
 
 impl Workload {
-    /// Returns the milliseconds in which a caller's first token is aimed at.
+    /// Returns the target for a caller's first token, in milliseconds.
     pub fn first_token_ms(&self, caller: &Caller) -> u64 {
         let row = self.table.row(&caller.head.team, &caller.head.class);
         u64::from(row.map_or(1_400, |row| row.first_token_ms))
     }
 }
 
-/// Counts everything of a run.
+/// Computes the measures of a run.
 pub fn measure(simulation: &Simulation, workload: &Workload) -> Measures {
     let mut measures = Measures::default();
     for state in simulation.caller_states() {
@@ -135,7 +138,8 @@
     measures
 }
 
-/// Returns Jain's index of what each team got on time beside what its weight entitled it to.
+/// Returns Jain's index of the work of each team served on time relative to the work to which its
+/// weight entitles it.
 fn jain(simulation: &Simulation, workload: &Workload) -> f64 {
     let mut teams: BTreeMap<&str, TeamShare> = BTreeMap::new();
     for state in simulation.caller_states() {
@@ -166,7 +170,7 @@
     if squares == 0.0 { 0.0 } else { sum * sum / (ratios.len() as f64 * squares) }
 }
 
-/// Holds what a team's weight is, what it asked for and what it got on time.
+/// Holds a team's weight, its demand and its work served on time.
 #[derive(Default)]
 struct TeamShare {
     weight: f64,
@@ -174,7 +178,7 @@
     served: f64,
 }
 
-/// Shares a total by weight, none above its demand.
+/// Divides `total` by weight, without exceeding the demand of any team.
 fn share_by_weight(shares: &[TeamShare], total: f64) -> Vec<f64> {
     let mut assigned = vec![0.0; shares.len()];
     let mut remaining = total;
--- a/crates/verbenaslip-policy/benches/bench/mod.rs
+++ b/crates/verbenaslip-policy/benches/bench/mod.rs
@@ -1,4 +1,5 @@
-//! A deterministic bench of the decisions: fakes, workloads, baselines and counts.
+//! Simulates the policy's decisions deterministically, with fake engines, workloads, baselines and
+//! measures.
 
 #![allow(missing_docs, dead_code)]
 
@@ -14,10 +15,10 @@
 use workload::Workload;
 use world::Fault;
 
-/// The policies that are measured, by name.
+/// The names of the measured policies.
 pub const POLICIES: [&str; 4] = ["verbenaslip", "no admission", "least loaded", "round robin"];
 
-/// The policies that ours is held against in CI.
+/// The names of the policies with which the project's policy is compared in CI.
 pub const BASELINES: [&str; 3] = ["no admission", "least loaded", "round robin"];
 
 /// Returns a policy by name.
--- a/crates/verbenaslip-policy/benches/bench/policy.rs
+++ b/crates/verbenaslip-policy/benches/bench/policy.rs
@@ -1,4 +1,4 @@
-//! The policies that are measured: ours, and three baselines.
+//! Implements the measured policies: the project's own policy and the baselines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,16 +15,16 @@
 use verbenaslip_policy::route::CacheBatch;
 use verbenaslip_table::{Row, Table};
 
-/// Instances that decide.
+/// The number of instances that make decisions.
 pub const INSTANCES: usize = 6;
 
-/// Something that a policy does.
+/// An action that a policy requests.
 pub enum Action {
     Run { request: Request, upstream: Upstream, priority: i32 },
     Refuse { request: Request, retry: Option<Duration> },
 }
 
-/// Decides for all instances; each uses only what came to it.
+/// Decides for all instances. Each instance uses only the information that reached it.
 pub trait Policy {
     fn handle_announcement(&mut self, now: Duration, announcement: &Announcement);
     fn remove_upstream(&mut self, now: Duration, upstream: &Upstream);
@@ -32,7 +32,7 @@
     fn handle_arrival(&mut self, now: Duration, instance: usize, head: Head) -> Vec<Action>;
     fn handle_first_token(&mut self, now: Duration, instance: usize, request: Request);
     fn record_completion(&mut self, now: Duration, instance: usize, request: Request, tokens: u32);
-    /// Returns whether it will run the request again by itself.
+    /// Returns whether the policy will run the request again on its own.
     fn handle_failure(
         &mut self,
         now: Duration,
@@ -41,11 +41,11 @@
         at: &Upstream,
     ) -> bool;
     fn poll(&mut self, now: Duration, instance: usize) -> Vec<Action>;
-    /// Spreads the limit reports; called once a second.
+    /// Exchanges the limit reports between instances; called once per second.
     fn exchange_reports(&mut self, now: Duration);
 }
 
-/// The project's own policy.
+/// Runs the project's own dispatcher on each instance.
 pub struct ProjectPolicy {
     dispatchers: Vec<Dispatcher>,
     names: Vec<Instance>,
@@ -160,15 +160,15 @@
     }
 }
 
-/// Returns a table whose rows let everybody wait.
+/// Returns a table in which no row limits the waiting time in practice.
 fn without_deadlines(table: &Table) -> Table {
     const TEN_HOURS_MS: u32 = 36_000_000;
     let rows = table.rows().iter().cloned();
     let rows = rows.map(|row| Row { deadline_ms: TEN_HOURS_MS, max_wait_ms: TEN_HOURS_MS, ..row });
-    Table::new(rows).expect("the rows stay allowed")
+    Table::new(rows).expect("the changed rows are valid")
 }
 
-/// Sends everything at once, to the next upstream or to the least loaded one.
+/// Sends every request at once, either to the next upstream or to the least loaded one.
 pub struct Baseline {
     least_loaded: bool,
     announcements: BTreeMap<Upstream, Announcement>,
--- a/crates/verbenaslip-policy/benches/bench/speed.rs
+++ b/crates/verbenaslip-policy/benches/bench/speed.rs
@@ -1,4 +1,4 @@
-//! How long the decisions of one instance take, at several sizes.
+//! Measures how long the decisions of one instance take at several sizes.
 
 use std::time::{Duration, Instant};
 
@@ -13,12 +13,12 @@
 use verbenaslip_policy::row::RowParams;
 use verbenaslip_table::{Row, Table};
 
-/// Requests in one measurement.
+/// The number of requests in one measurement.
 const REQUESTS: u32 = 2_000;
-/// Measurements, of which the median counts.
+/// The number of measurements of which the median is reported.
 const ROUNDS: usize = 5;
 
-/// Prints the time of one request's decisions at several numbers of upstreams.
+/// Prints the time of the decisions for one request for several numbers of upstreams.
 pub fn requests() {
     println!("\nDecisions for one request (offer, choice, end), microseconds, median of {ROUNDS}");
     println!("| upstreams | median | least to most | beside 12 |\n|---|---|---|---|");
@@ -33,7 +33,7 @@
     }
 }
 
-/// Prints the time of one second's step of the limits at several numbers of instances.
+/// Prints the time of one limiter tick for several numbers of instances.
 pub fn limits() {
     println!("\nLimits of 20 rows: one second of reports heard and one step, microseconds");
     println!("| instances | median | least to most | beside 6 |\n|---|---|---|---|");
@@ -98,7 +98,7 @@
 
 fn table(rows: usize) -> Table {
     let rows = (0..rows).map(|index| Row::new(format!("t{index}").as_str(), "class"));
-    Table::new(rows).expect("the rows are allowed")
+    Table::new(rows).expect("the rows are valid")
 }
 
 fn head(id: u128, deadline: Duration) -> Head {
--- a/crates/verbenaslip-policy/benches/bench/workload.rs
+++ b/crates/verbenaslip-policy/benches/bench/workload.rs
@@ -1,4 +1,4 @@
-//! The two users' workloads, drawn from a seed.
+//! Generates the workloads of the two users from a seed.
 
 use std::time::Duration;
 
@@ -9,34 +9,34 @@
 use verbenaslip_base::head::Head;
 use verbenaslip_table::{Row, Table};
 
-/// Says how much of an hour is drawn.
+/// Describes which part of an hour is generated.
 #[derive(Clone, Copy)]
 pub struct Span {
     /// The top of the hour, in seconds from the start.
     pub top: f64,
-    /// How long arrivals come, in seconds.
+    /// The time during which requests arrive, in seconds.
     pub arrivals: f64,
 }
 
-/// The span of the printed figures.
+/// The time span of the printed figures.
 pub const LONG: Span = Span { top: 120.0, arrivals: 480.0 };
-/// The span of the regression bounds, which run without optimization as well.
+/// The time span of the regression tests, which also run without optimization.
 pub const SHORT: Span = Span { top: 30.0, arrivals: 130.0 };
 
-/// One request as its caller knows it.
+/// A request from the perspective of its caller.
 #[derive(Clone)]
 pub struct Caller {
     pub at: Duration,
     pub head: Head,
-    /// How long after it was sent the whole answer is due.
+    /// The time from sending the request to the deadline of the complete answer.
     pub time_limit: Duration,
-    /// Until when the caller comes back after refusals.
+    /// The time from the first attempt during which the caller retries after refusals.
     pub timeout: Duration,
-    /// Tokens that the answer will have.
+    /// The number of tokens of the answer.
     pub tokens: u32,
 }
 
-/// A user's table and requests.
+/// The route table and the requests of a user.
 pub struct Workload {
     pub name: &'static str,
     pub span: Span,
@@ -56,7 +56,7 @@
     service: bool,
 }
 
-/// Draws Kajlinjen's hour: few large drafting jobs with long dossiers, many small checks.
+/// Generates Kajlinjen's hour: a few large drafting jobs with long dossiers and many small checks.
 pub fn kajlinjen(seed: u64, span: Span) -> Workload {
     let classes = [
         Class {
@@ -132,7 +132,8 @@
     }
 }
 
-/// Draws the Office's hour: threads that are resent as they grow, lookups, confirmations.
+/// Generates the Office's hour: conversations that are resent as they grow, lookups and
+/// confirmations.
 pub fn office(seed: u64, span: Span) -> Workload {
     let classes = [
         Class {
@@ -214,10 +215,10 @@
             ..Row::new(*team, class.name)
         })
     });
-    Table::new(rows).expect("the bench's rows are allowed")
+    Table::new(rows).expect("the rows of the workload are valid")
 }
 
-/// Draws requests.
+/// Generates requests.
 struct Generator {
     rng: Pcg64Mcg,
     callers: Vec<Caller>,
@@ -231,7 +232,7 @@
         Self { rng: Pcg64Mcg::seed_from_u64(seed), callers: Vec::new(), span, model, next: 1 }
     }
 
-    /// Draws arrivals at a rate that rises fourfold at the top of the hour and falls again.
+    /// Generates arrivals at a rate that rises fourfold at the top of the hour and then decays.
     fn generate_arrivals(&mut self, rate: f64, mut add_callers: impl FnMut(&mut Self, f64)) {
         let mut at = 0.0;
         loop {
@@ -253,7 +254,7 @@
         self.extend(&[], tokens)
     }
 
-    /// Draws a text that begins like all others of a kind.
+    /// Generates a text with a beginning that all texts of a kind share.
     fn text_with_common_prefix(
         &mut self,
         kind: &str,
@@ -311,5 +312,5 @@
     }
 }
 
-/// By how much arrivals rise at the top of the hour.
+/// The factor by which the arrival rate rises at the top of the hour.
 const PEAK_FACTOR: f64 = 4.0;
--- a/crates/verbenaslip-policy/benches/bench/world.rs
+++ b/crates/verbenaslip-policy/benches/bench/world.rs
@@ -1,4 +1,4 @@
-//! Callers, instances and engines in one discrete time.
+//! Simulates callers, instances and engines with discrete events.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -15,29 +15,32 @@
 use super::policy::{Action, INSTANCES, Policy};
 use super::workload::{Caller, Workload};
 
-/// What happens besides the hourly wave.
+/// The fault that occurs in addition to the hourly peak.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     Calm,
-    /// All engines of the first zone are reclaimed at the top of the hour, new ones come late.
+    /// All engines of the first zone are reclaimed at the top of the hour, and replacements arrive
+    /// late.
     Reclaim,
 }
 
-/// Engines of the model, a third in each zone.
+/// The number of engines of the model, a third of them in each zone.
 const ENGINES: usize = 12;
-/// When the notice of a reclaim comes after the top of the hour, and how long it is.
+/// The time of the reclaim notice after the top of the hour, and the time from the notice to the
+/// loss, in seconds.
 const NOTICE_SECONDS: (f64, f64) = (3.0, 10.0);
-/// When replacements are ready, likewise; starts are refused until then.
+/// The time after the top of the hour at which replacements are ready, in seconds; starts are
+/// refused until then.
 const REPLACEMENT_SECONDS: f64 = 150.0;
-/// How long the run goes on after the last arrival.
+/// The time for which the run continues after the last arrival, in seconds.
 const TAIL_SECONDS: f64 = 220.0;
-/// Price of a reclaimable machine for an hour in each zone, in millionths.
+/// The price of a reclaimable machine per hour in each zone, in millionths of the currency unit.
 pub const HOURLY_PRICES: [u64; 3] = [900_000, 1_300_000, 1_050_000];
-/// How many times dearer an on-demand machine is.
+/// The ratio of the price of an on-demand machine to that of a reclaimable one.
 const ON_DEMAND_FACTOR: f64 = 2.2;
 
-/// Something that will happen.
+/// An event of the simulation.
 enum Event {
     Arrive(usize),
     Step(usize),
@@ -50,7 +53,7 @@
     Replace,
 }
 
-/// One caller's fate so far.
+/// The state of one caller.
 pub struct CallerState {
     pub caller: Caller,
     pub instance: usize,
@@ -63,7 +66,7 @@
     pub outcome: Option<Outcome>,
 }
 
-/// Holds everything while it runs.
+/// Holds the state of the simulation.
 pub struct Simulation<'a> {
     now: Duration,
     last_event: u64,
@@ -86,7 +89,7 @@
     pub(super) busy_price: f64,
 }
 
-/// Runs a workload under a policy and measures it.
+/// Runs a workload with a policy and returns its measures.
 pub fn run(workload: &Workload, policy: Box<dyn Policy>, fault: Fault) -> Measures {
     let mut simulation = Simulation::new(workload, policy, fault);
     simulation.run();
@@ -203,9 +206,9 @@
         }
     }
 
-    /// Adds the price of the machines that are there.
+    /// Adds the price of the running machines up to `until`.
     fn add_price(&mut self, until: Duration) {
-        // The same time for all, whenever the last answer comes.
+        // All policies pay for the same period, regardless of when the last answer arrives.
         let until = until.min(seconds(self.workload.span.arrivals + TAIL_SECONDS));
         let passed = until.saturating_sub(self.now).as_secs_f64();
         let alive = self.engines.iter().filter(|engine| engine.alive);
@@ -325,7 +328,7 @@
         self.start_iteration(engine);
     }
 
-    /// Counts the prompt tokens of jobs whose prefill ends with this iteration.
+    /// Counts the prompt tokens of the job whose prefill ends with this iteration.
     fn count(&mut self, engine: usize) {
         let Some(job) = self.engines[engine].finishing_prefill() else { return };
         let (request, computed) = (job.request, u64::from(job.tokens_to_compute));
@@ -393,7 +396,7 @@
         };
         self.pending_loads[index].push_back(load);
         if self.pending_loads[index].len() > 1 {
-            // A report is a sample taken 0.5 s before, and 0.2 s on its way.
+            // A report is a sample taken 0.5 s earlier, plus 0.2 s in transit.
             engine.reported_load = self.pending_loads[index].pop_front().unwrap_or_default();
         }
         engine.announcement.load = engine.reported_load;
@@ -404,7 +407,7 @@
         self.schedule(self.now + Duration::from_millis(500), Event::Report(index));
     }
 
-    /// Publishes cache events, 2 s late; one batch in twelve is lost.
+    /// Publishes cache events with a delay of 2 s; one batch in twelve is lost.
     fn publish(&mut self, index: usize) {
         let engine = &mut self.engines[index];
         if engine.events.is_empty() {
--- a/crates/verbenaslip-policy/benches/policy.rs
+++ b/crates/verbenaslip-policy/benches/policy.rs
@@ -1,4 +1,4 @@
-//! Prints the measures of the policy beside its baselines, and how long the decisions take.
+//! Prints the measures of the policy and its baselines, and the duration of its decisions.
 
 mod bench;
 
--- a/crates/verbenaslip-policy/tests/admit.rs
+++ b/crates/verbenaslip-policy/tests/admit.rs
@@ -1,4 +1,4 @@
-//! Who waits, who goes next, and who is refused at once.
+//! Tests which requests are queued, which go next and which are refused at once.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -28,9 +28,9 @@
 
 #[test]
 fn requests_that_cannot_meet_their_deadline_are_refused() {
-    // Symptom: callers wait until their deadline for an answer that could never come. Sequence: a
-    // request arrives whose service time alone, or with the backlog, exceeds what is left. Cause:
-    // admission without a prediction.
+    // Guards against callers that wait until their deadline for an answer that could not arrive in
+    // time. This happens when admission makes no prediction and a request arrives whose service
+    // time, alone or with the backlog, exceeds the remaining time.
     struct Case {
         name: &'static str,
         waiting: u128,
@@ -41,7 +41,7 @@
     let cases = [
         Case { name: "idle", waiting: 0, deadline: ms(30_000), refused: false, hint: false },
         Case {
-            name: "too short for anyone",
+            name: "deadline too short for any upstream",
             waiting: 0,
             deadline: ms(200),
             refused: true,
@@ -100,8 +100,9 @@
 
 #[test]
 fn higher_priorities_go_first_without_starving_lower_ones() {
-    // Symptom: bulk work never runs while small work comes without end. Sequence: 300 requests of
-    // priority 7 and ten of priority 2 wait. Cause: strict priority without a bound.
+    // Guards against bulk work that never runs while small requests keep arriving. This happens
+    // with a strict priority without a bound. Here 300 requests of priority 7 and ten of priority 2
+    // are queued.
     let (mut queue, mut rng) = (Queue::default(), rng(1));
     for (team, priority, first_id, count) in [("high", 7, 0, 300), ("low", 2, 1_000, 10)] {
         for id in 0..count {
@@ -129,9 +130,9 @@
 
 #[test]
 fn slots_stay_free_for_higher_priorities() {
-    // Symptom: small urgent requests find no slot while long drafts run. Sequence: urgent ones come
-    // steadily, then in a second without any the drafts ask for every free slot. Cause: priority
-    // that counts only when a slot is given.
+    // Guards against urgent small requests that find no slot while long drafts run. This happens
+    // when priority only counts at the moment a slot is assigned. Here urgent requests arrive
+    // steadily, and during a second without them the drafts ask for every free slot.
     let (mut queue, mut rng) = (Queue::default(), rng(1));
     let mut id = 0;
     for step in 0..200 {
@@ -163,8 +164,8 @@
 
 #[test]
 fn refused_callers_get_different_retry_hints() {
-    // Symptom: all who were refused return in the same second and are refused again. Sequence: 200
-    // requests come at once, most are refused. Cause: a fixed hint.
+    // Guards against refused callers that all return in the same second and are refused again. This
+    // happens with a fixed retry hint. Here 400 requests arrive at once and most are refused.
     let (mut queue, mut rng) = (Queue::default(), rng(1));
     let mut hints = Vec::new();
     for id in 0..400 {
@@ -178,16 +179,17 @@
     assert!(hints.len() >= 300, "only {} requests were refused", hints.len());
     let mut seconds: BTreeMap<u64, usize> = BTreeMap::new();
     hints.iter().for_each(|hint| *seconds.entry(*hint).or_default() += 1);
-    // Eight slots take some four of them a second.
+    // Eight slots serve about four of these requests per second.
     assert!(seconds.values().all(|count| *count <= 12), "{seconds:?}");
     assert!(hints.iter().all(|hint| *hint <= 600), "{seconds:?}");
 }
 
 #[test]
 fn requests_that_become_late_while_queued_are_refused() {
-    // Symptom: a caller waits until its deadline for a refusal. Sequence: a request waits, no slot
-    // comes free, and its service time no longer fits. Cause: a queue that only looks at the head
-    // when a slot is free. Holding an answer back so that nobody asks again is not accepted.
+    // Guards against a caller that waits until its deadline for a refusal. This happens when the
+    // queue only checks the first request, and only when a slot becomes free. Here a request is
+    // queued, no slot becomes free, and its service time no longer fits. Delaying the answer to
+    // keep callers from retrying is not acceptable.
     let (mut queue, mut rng) = (Queue::default(), rng(1));
     let mut late = queued(1, "a", params(|_| ()));
     late.head.deadline = ms(8_000);
@@ -218,9 +220,9 @@
 
 #[test]
 fn an_idle_lane_gains_no_credit() {
-    // Symptom: a team that was idle for an hour takes every slot for minutes. Sequence: two teams
-    // are served, one goes on alone for a hundred requests, then the other comes back. Cause: service
-    // counted since ever.
+    // Guards against a team that takes every slot for minutes after it was idle for an hour. This
+    // happens when service is counted from the beginning of time. Here two teams are served, one
+    // continues alone for a hundred requests, and then the other returns.
     let (mut queue, mut rng) = (Queue::default(), rng(1));
     let mut add = |queue: &mut Queue, team: &str, from: u128, count: u128| {
         for id in from..from + count {
--- a/crates/verbenaslip-policy/tests/common/mod.rs
+++ b/crates/verbenaslip-policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Values that the tests of several modules start from.
+//! Provides values shared by several test files.
 
 #![allow(dead_code)]
 
@@ -15,29 +15,29 @@
 use verbenaslip_policy::row::RowParams;
 use verbenaslip_table::{Key, Row};
 
-/// Returns a generator with a fixed seed.
+/// Returns a random generator with a fixed seed.
 pub fn rng(seed: u64) -> Pcg64Mcg {
     Pcg64Mcg::seed_from_u64(seed)
 }
 
-/// Returns a time in milliseconds.
+/// Returns a duration in milliseconds.
 pub fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// Returns a row's key.
+/// Returns the key of a row.
 pub fn key(team: &str, class: &str) -> Key {
     Key { team: team.into(), class: class.into() }
 }
 
-/// Returns the terms of a usual row, changed.
+/// Returns the parameters of a default row after `change`.
 pub fn params(change: impl FnOnce(&mut Row)) -> RowParams {
     let mut row = Row::new("team", "class");
     change(&mut row);
     RowParams::from(&row)
 }
 
-/// Returns a small request that is due 30 s from zero.
+/// Returns the head of a small request whose deadline is 30 s after time zero.
 pub fn head(id: u128, team: &str) -> Head {
     Head {
         request: Request(id),
@@ -54,7 +54,7 @@
     }
 }
 
-/// Returns an offered request.
+/// Returns a small request for a queue.
 pub fn queued(id: u128, team: &str, params: RowParams) -> QueuedRequest {
     QueuedRequest {
         head: head(id, team),
@@ -67,7 +67,7 @@
     }
 }
 
-/// Returns a pool with slots, of which some are free.
+/// Returns a pool with `slots` slots of which `free` are free.
 pub fn pool(slots: u32, free_slots: u32) -> Pool {
     let slot_share = f64::from(slots);
     Pool { upstreams: 1, slots, free_slots, slot_share, mean_running: 4.0, ..Pool::default() }
@@ -92,7 +92,7 @@
     }
 }
 
-/// Returns the names of so many instances.
+/// Returns `count` instance names.
 pub fn instances(count: usize) -> Vec<Instance> {
     (0..count).map(|index| Instance::new(format!("instance-{index:03}"))).collect()
 }
--- a/crates/verbenaslip-policy/tests/dispatch.rs
+++ b/crates/verbenaslip-policy/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! Admission, limits, retries and routing together.
+//! Tests admission, limits, retries and routing together.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 
 mod common;
 
-/// One instance alone, at a time at which it holds its limits.
+/// Runs the dispatcher of a single instance that already holds its limits.
 struct Harness {
     dispatcher: Dispatcher,
     rng: Pcg64Mcg,
@@ -34,7 +34,7 @@
         harness
     }
 
-    /// Lets seconds pass, with the limits stepped once in each.
+    /// Advances time in seconds and updates the limits once per second.
     fn advance(&mut self, seconds: u64) {
         for _ in 0..seconds {
             self.now += ms(1_000);
@@ -143,9 +143,9 @@
 
 #[test]
 fn a_changed_limit_applies_to_queued_requests() {
-    // Symptom: an operator lowers the concurrency in an overload and nothing changes. Sequence: 12
-    // requests wait, the row's concurrency is lowered to 4, then raised to 6. Cause: limits taken
-    // from the request instead of the table.
+    // Guards against a lowered concurrency limit that has no effect during an overload. This
+    // happens when limits are taken from the request instead of the route table. Here 12 requests
+    // are queued, the limit is lowered to 4 and raised to 6.
     let mut harness = Harness::new(|row| row.concurrency = 100);
     (1..=12).for_each(|id| {
         harness.offer(id);
@@ -161,10 +161,10 @@
 
 #[test]
 fn work_of_a_reclaimed_zone_moves_at_once_and_is_spread() {
-    // Symptom: at the top of the hour a zone is taken, and its requests are lost or flood the other
-    // zones. Sequence: 48 requests fill all slots, a zone's engines get their notice, new requests
-    // come, the engines die, later the others' requests end. Cause: held choices, retries that go
-    // straight to an upstream, budgets charged for reclaims.
+    // Guards against requests that are lost or flood the other zones when a zone is reclaimed at
+    // the top of the hour. Causes are stored choices, retries that bypass the queue, and retry
+    // budgets charged for reclaims. Here 48 requests fill all slots, the engines of a zone get a
+    // reclaim notice, new requests arrive, the engines are lost, and later the other requests end.
     let mut harness = Harness::new(|_| ());
     (1..=48).for_each(|id| {
         harness.offer(id);
@@ -244,7 +244,7 @@
     let cases = [
         Case { name: "waiting", runs: false, failed: false },
         Case { name: "running", runs: true, failed: false },
-        Case { name: "about to run again", runs: true, failed: true },
+        Case { name: "waiting for a retry", runs: true, failed: true },
     ];
     for case in cases {
         let mut harness = Harness::new(|_| ());
--- a/crates/verbenaslip-policy/tests/limit.rs
+++ b/crates/verbenaslip-policy/tests/limit.rs
@@ -1,4 +1,4 @@
-//! The limits that instances share without a call per request.
+//! Tests the limits that instances share without a call per request.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -15,20 +15,20 @@
 
 mod common;
 
-/// The row's limits in most cases.
+/// The limits of the row in most cases: requests at once, requests per second and burst.
 const CONCURRENCY: u32 = 240;
 const RATE: u32 = 200;
 const BURST: u32 = 40;
-/// How long each request runs.
+/// The time that each request runs.
 const RUN_TIME: Duration = Duration::from_millis(1_500);
 
-/// The longest delay of a report, in steps of 50 ms.
+/// The maximum delay of a report, in steps of 50 ms.
 const MAX_DELAY_STEPS: usize = 24;
 
-/// A report on its way: from, to, and what it says.
+/// A report in transit: the sender, the receiver and the report.
 type InFlightReport = (usize, usize, Rc<Report>);
 
-/// Steps many limiters through time, with reports that come late, twice and out of order.
+/// Simulates many limiters whose reports arrive late, twice and out of order.
 struct Fleet {
     now: Duration,
     names: Vec<Instance>,
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Lets time pass in steps of 50 ms; `demand` is the requests a second offered to each.
+    /// Advances time in steps of 50 ms. `demand` returns the requests per second offered to each
+    /// instance.
     fn run(&mut self, time: Duration, limit: u32, demand: impl Fn(usize) -> f64) {
         let end = self.now + time;
         while self.now < end {
@@ -89,7 +90,7 @@
         let arrived = self.in_flight.pop_front().unwrap_or_default();
         self.in_flight.push_back(Vec::new());
         for (from, to, report) in arrived {
-            // What comes for a frozen instance waits in its socket.
+            // Reports for a paused instance wait in its socket.
             if self.paused[to] {
                 self.in_flight[0].push((from, to, report));
                 continue;
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Checks after every step that the parts in use and what runs are within the limit.
+    /// Checks that the shares in use and the running requests are within the limit.
     fn check(&mut self, limit: u32) {
         let running = self.running.iter().map(|running| running.len() as u32).sum();
         self.max_running = self.max_running.max(running);
@@ -143,7 +144,7 @@
         );
     }
 
-    /// Checks that in no span of time more was admitted than the stated bound.
+    /// Checks that no period admitted more requests than the documented bound.
     fn check_rate(&self, rate: u32, burst: u32) {
         let members = self.names.len() as f64;
         let mut start = 0;
@@ -198,9 +199,10 @@
 
 /// Moves demand between instances and checks the bound after every step.
 fn check_moving_demand(count: usize, time: Duration) {
-    // Symptom: a team runs more than its row allows after its demand moved. Sequence: the balancer
-    // moves callers from some instances to others, several times, while reports come up to 1.2 s
-    // late, twice and out of order. Cause: new parts in use before old ones are known to be gone.
+    // Guards against a team that runs more requests than its row allows after its demand moved.
+    // This happens when new shares are used before the old ones are known to be given up. Here
+    // callers move between instances several times while reports arrive up to 1.2 s late, twice and
+    // out of order.
     let mut fleet = Fleet::new(count, &limited_params());
     let demand_each = 900.0 / count as f64;
     fleet.run(time, CONCURRENCY, |_| demand_each);
@@ -210,7 +212,8 @@
     fleet.run(ms(15_000), CONCURRENCY, |index| if index < 2 { 450.0 } else { 0.0 });
     fleet.check_rate(RATE, BURST);
     let served = fleet.admitted_in(before + ms(10_000), fleet.now);
-    // With all demand at two instances the rest of the limit must have followed it in 10 s.
+    // With all demand at two instances, the demand-based part of the limit must have moved to them
+    // within 10 s.
     let fastest = f64::from(RATE).min(f64::from(CONCURRENCY) / RUN_TIME.as_secs_f64());
     let min_served = fastest * 5.0 * (1.0 - BASE_FRACTION) * 0.9;
     assert!(
@@ -221,9 +224,9 @@
 
 #[test]
 fn partitioned_instances_use_only_their_base_share() {
-    // Symptom: with the network cut in two, both sides hand out the whole limit. Sequence: a third
-    // of the instances is cut off for long, all others count it as dead, then the cut heals.
-    // Cause: an isolated instance that believes its old part is still its own.
+    // Guards against both sides of a network partition using the whole limit. This happens when a
+    // partitioned instance assumes that it still holds its old share. Here a third of the instances
+    // is partitioned for a long time, the others count them as dead, and then the partition heals.
     for count in [6, 40] {
         let mut fleet = Fleet::new(count, &limited_params());
         let demand_each = 900.0 / count as f64;
@@ -231,7 +234,8 @@
         let minority = count / 3;
         (0..minority).for_each(|index| fleet.partitioned[index] = true);
         let others = fleet.names[minority..].to_vec();
-        // Until the cut-off parts are forgotten not even the stated excess is there.
+        // As long as the shares of the partitioned instances are reserved, the limit itself must
+        // hold.
         fleet.run(ms(5_000), CONCURRENCY, |_| demand_each);
         for index in minority..count {
             fleet.limiters[index].set_members(fleet.now, &others);
@@ -252,10 +256,10 @@
 
 #[test]
 fn a_paused_instance_causes_no_burst() {
-    // Symptom: an instance that was frozen floods the upstreams when it wakes. Sequence: it is
-    // frozen for two minutes while the others take over its part; it wakes, reads reports that
-    // waited in its socket, and its callers all ask at once. Cause: buckets that fill while it is
-    // away, and parts believed to be still held.
+    // Guards against an instance that floods the upstreams after a pause of its process. This
+    // happens when token buckets keep filling during the pause and old shares are still used. Here
+    // an instance is paused for two minutes while the others take over its share. It resumes, reads
+    // reports that waited in its socket, and all its callers send requests at once.
     let count = 6;
     let mut fleet = Fleet::new(count, &limited_params());
     fleet.run(ms(10_000), CONCURRENCY, |index| if index == 0 { 300.0 } else { 50.0 });
@@ -285,8 +289,9 @@
 
 #[test]
 fn a_changed_limit_applies_at_once() {
-    // Symptom: an edit that lowers a limit has no effect on parts already handed out. Sequence:
-    // all parts are held, the limit is halved, then raised. Cause: parts kept as absolute numbers.
+    // Guards against a lowered limit that has no effect on shares that are already held. This
+    // happens when shares are stored as absolute numbers. Here all shares are held, and the limit
+    // is lowered to a quarter and raised again.
     let mut fleet = Fleet::new(6, &limited_params());
     fleet.run(ms(10_000), CONCURRENCY, |_| 150.0);
     let lower = params(|row| {
@@ -297,7 +302,7 @@
     for limiter in &mut fleet.limiters {
         limiter.set_rows(fleet.now, [(&row_key(), &lower)].into_iter());
     }
-    // What ran at the edit ends within 1.5 s.
+    // Requests that run at the change end within 1.5 s.
     fleet.run(ms(1_550), CONCURRENCY, |_| 150.0);
     fleet.run(ms(5_000), CONCURRENCY / 4, |_| 150.0);
     for limiter in &mut fleet.limiters {
@@ -308,8 +313,8 @@
 
 #[test]
 fn a_small_limit_is_split_into_whole_slots() {
-    // Symptom: a row that may run three at once runs none. Sequence: 40 instances ask for it. Cause:
-    // parts of less than one at each of them.
+    // Guards against a row with a limit of three that runs no request because every instance holds
+    // a share of less than one. Here 40 instances have demand for the row.
     let small = params(|row| row.concurrency = 3);
     let mut fleet = Fleet::new(40, &small);
     fleet.run(ms(20_000), 3, |index| if index % 4 == 0 { 1.0 } else { 0.0 });
@@ -340,8 +345,8 @@
 
 #[test]
 fn rows_beyond_the_report_size_give_up_the_smallest_shares() {
-    // Symptom: the parts of rows that a report has no room for are handed out twice. Sequence: 30
-    // rows have demand at once. Cause: what is not reported counts as free.
+    // Guards against shares that are given out twice because their rows do not fit into a report
+    // and count as unassigned. Here 30 rows have demand at once.
     let names = instances(2);
     let mut limiter = Limiter::new(ms(0), names[0].clone(), 1);
     limiter.set_members(ms(0), &names);
@@ -364,7 +369,7 @@
     assert_eq!(above.count(), MAX_ENTRIES);
 }
 
-/// Returns a limiter of the first of some instances, settled alone with fresh reports of the others.
+/// Returns the limiter of the first instance after some seconds with fresh reports of the others.
 fn settled_limiter(names: &[Instance], entries: &[ReportEntry], seconds: u64) -> Limiter {
     let mut limiter = Limiter::new(ms(0), names[0].clone(), 1);
     limiter.set_members(ms(0), names);
@@ -388,9 +393,9 @@
 
 #[test]
 fn the_share_of_running_requests_is_kept() {
-    // Symptom: more runs than a row allows after demand moved. Sequence: one instance runs nearly all
-    // that is allowed, for long; then all demand is at the other. Cause: a part given up while
-    // requests run on it.
+    // Guards against more running requests than a row allows after demand moved. This happens when
+    // an instance gives up a share that running requests still use. Here one instance runs nearly
+    // all allowed requests, and then all demand moves to the other.
     let names = instances(2);
     let mut limiter = settled_limiter(&names, &[], 10);
     let full_concurrency = params(|row| row.concurrency = CONCURRENCY);
@@ -421,9 +426,9 @@
 
 #[test]
 fn a_minority_never_removes_the_majority() {
-    // Symptom: an instance cut off for an hour serves the whole limit beside the others. Sequence:
-    // it hears nobody, membership counts the others as dead, minutes pass. Cause: the survivors'
-    // rule, forgetting the dead, applied by the one who is cut off.
+    // Guards against an instance that uses the whole limit after an hour of network partition. This
+    // happens when a partitioned instance also removes the others as dead. Here an instance
+    // receives no reports, membership counts the others as dead, and minutes pass.
     let names = instances(6);
     let mut limiter = settled_limiter(&names, &[], 10);
     limiter.set_members(ms(11_000), &names[..1]);
--- a/crates/verbenaslip-policy/tests/measures.rs
+++ b/crates/verbenaslip-policy/tests/measures.rs
@@ -1,6 +1,7 @@
-//! Regression bounds on the measures of the policy; all counted, from fixed seeds.
+//! Checks regression bounds on the policy's measures, all counted with fixed seeds.
 //!
-//! The spans are shorter than those of the printed figures, so that they run without optimization.
+//! The time spans are shorter than those of the printed figures, so that the tests run without
+//! optimization.
 
 #[path = "../benches/bench/mod.rs"]
 mod bench;
@@ -9,10 +10,10 @@
 use bench::workload::{SHORT, Workload, kajlinjen, office};
 use bench::world::Fault;
 
-/// The seed of the workloads, another one than that of the printed figures.
+/// The seed of the workloads; it differs from the seed of the printed figures.
 const SEED: u64 = 2;
 
-/// What the policy must reach in one case, whatever the baselines do.
+/// Bounds that the policy must meet in one case, independent of the baselines.
 struct Bounds {
     on_time: f64,
     at_target: f64,
@@ -20,7 +21,7 @@
     cost: f64,
     recomputed: f64,
     jain: f64,
-    /// Bad hints for a hundred good ones.
+    /// The number of bad retry hints per hundred good ones.
     bad_hints: u32,
 }
 
--- a/crates/verbenaslip-policy/tests/plan.rs
+++ b/crates/verbenaslip-policy/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Capacity ahead of the hour, by price, whichever zone goes.
+//! Tests capacity planning before the hourly peak, by price and for the loss of any zone.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 
 const SLOTS: u32 = 16;
 
-/// A cloud that starts machines and may refuse some; time goes in steps of 10 s.
+/// Simulates a cloud that starts machines and may refuse starts; time advances in steps of 10 s.
 struct Cloud {
     planner: Planner,
     view: View,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Lets the planner learn some hours with a burst at their top.
+    /// Lets the planner learn some hours with a burst at the start of each hour.
     fn teach_peaks(&mut self, hours: u64, reserve: u32) {
         self.reserve = reserve;
         let model = Model::from("model");
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Returns the ready slots, by zone.
+    /// Returns the ready slots by zone.
     fn ready(&self) -> BTreeMap<String, u32> {
         let mut zones = BTreeMap::new();
         for machine in self.view.machines.iter().filter(|m| m.state == MachineState::Ready) {
@@ -159,7 +159,7 @@
     Offer { zone: zone.into(), class: "large".into(), market, price }
 }
 
-/// Returns three zones in which on-demand machines cost twice as much.
+/// Returns offers in three zones in which on-demand machines cost twice as much.
 fn offers() -> Vec<Offer> {
     let mut offers = Vec::new();
     for (zone, price) in [("z0", 900), ("z1", 1_000), ("z2", 1_100)] {
@@ -169,13 +169,14 @@
     offers
 }
 
-/// The slots needed at the peak: 60 slot seconds a second at three quarters of the slots.
+/// The slots needed at the peak: 60 slot seconds per second at a utilization of three quarters.
 const PEAK_SLOTS: u32 = 80;
 
 #[test]
 fn machines_are_ready_before_the_peak_for_any_zone_loss() {
-    // Symptom: the hour opens on too few machines. Sequence: two hours with a burst at their top
-    // were seen; the third is near. Cause: starts ordered when the burst has come.
+    // Guards against an hour that starts with too few machines. This happens when starts are
+    // ordered only after the burst has begun. Here two hours with a burst at their start were
+    // learned, and the third hour is near.
     let mut cloud = Cloud::new(offers());
     cloud.teach_peaks(2, 0);
     cloud.advance(3_600);
@@ -212,8 +213,8 @@
 
 #[test]
 fn a_refused_start_tries_the_next_best_offer() {
-    // Symptom: starts are refused just when they are needed, and nothing else is tried. Sequence:
-    // as named by each case. Cause: the same cheapest offer is asked for again and again.
+    // Guards against repeating the same cheapest offer after its refusal, at the time when machines
+    // are needed.
     struct Case {
         name: &'static str,
         is_refused: fn(&Offer) -> bool,
@@ -258,14 +259,16 @@
     cloud.is_refused = |_| true;
     cloud.teach_peaks(2, 0);
     cloud.advance(3_600);
-    // Six offers, each asked for at most some 15 times as its rest grows to ten minutes.
+    // Each of the six offers is requested at most about 15 times, as its cooldown grows to ten
+    // minutes.
     assert!(cloud.start_count() <= 6 * 15, "{} starts requested in an hour", cloud.start_count());
 }
 
 #[test]
 fn a_lost_answer_does_not_start_a_machine_twice() {
-    // Symptom: twice the machines. Sequence: all answers of the cloud are lost for two minutes, and
-    // then the leader changes within the hour. Cause: a repeated order that looks like a new one.
+    // Guards against starting twice the machines because a repeated order looks like a new one.
+    // Here all answers of the cloud are lost for two minutes, and then the leader changes within
+    // the hour.
     let mut cloud = Cloud::new(offers());
     cloud.teach_peaks(2, 0);
     cloud.drop_answers = true;
@@ -275,7 +278,7 @@
     let mut second = Cloud::new(offers());
     second.teach_peaks(2, 0);
     cloud.planner = second.planner;
-    // The new leader does not see yet what was started.
+    // The new leader does not see the started machines yet.
     let machines = std::mem::take(&mut cloud.view.machines);
     let orders = cloud.planner.tick(Duration::from_secs(cloud.now), &cloud.view);
     assert!(!orders.is_empty());
@@ -291,8 +294,8 @@
 
 #[test]
 fn surplus_machines_are_drained_before_they_are_stopped() {
-    // Symptom: requests are cut off after the burst. Sequence: the burst is over, machines idle but
-    // for a few long runs. Cause: a stop without a drain.
+    // Guards against requests that are interrupted after the burst because machines stop without
+    // draining. Here the burst is over and the machines are idle except for a few long runs.
     let mut cloud = Cloud::new(offers());
     cloud.teach_peaks(2, 0);
     cloud.advance(3_600 + 300);
@@ -307,7 +310,7 @@
         }
     }
     assert!(!drained.is_empty(), "no machine was drained");
-    // A long run keeps its machine until it has ended or the drain has taken its time.
+    // A machine with a long run is kept until the run has ended or the drain timeout has passed.
     let mut busy = Cloud::new(offers());
     busy.teach_peaks(2, 0);
     busy.advance(3_900);
@@ -358,8 +361,9 @@
 
 #[test]
 fn model_loads_stay_within_the_weight_store_rate() {
-    // Symptom: all machines load at once and none is ready in time. Sequence: twelve empty machines
-    // are there when a model is needed. Cause: orders without regard to the store.
+    // Guards against machines that all load at once, so that none is ready in time. This happens
+    // when loads are ordered regardless of the weight store's rate. Here twelve empty machines
+    // exist when a model is needed.
     let mut cloud = Cloud::new(offers());
     cloud.teach_peaks(2, 0);
     for number in 0..12 {
@@ -373,7 +377,7 @@
             running: 0,
         });
     }
-    // A load of 10 GB takes 5 s of the store's 2 GB a second.
+    // A load of 10 GB takes 5 s at the store's rate of 2 GB per second.
     let mut loads = Vec::new();
     for _ in 0..12 {
         let seen = cloud.orders.len();
--- a/crates/verbenaslip-policy/tests/retry.rs
+++ b/crates/verbenaslip-policy/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Who may run again, and when.
+//! Tests which failed runs are retried and when.
 
 use std::time::Duration;
 
@@ -23,8 +23,9 @@
 
 #[test]
 fn work_that_may_have_run_is_not_retried() {
-    // Symptom: a charterer gets two claims. Sequence: a non-idempotent request's upstream is lost
-    // after the request was sent. Cause: a retry that does not ask what it repeats.
+    // Guards against executing a request twice that is not idempotent, for example filing two
+    // claims for a charterer. This happens when a retry ignores what it repeats. Here the upstream
+    // is lost after the request was sent.
     struct Case {
         name: &'static str,
         idempotent: bool,
@@ -63,8 +64,8 @@
 
 #[test]
 fn retries_stay_within_their_share_of_successes() {
-    // Symptom: upstreams that fail under load get twice the load. Sequence: every run fails for a
-    // minute after a thousand successes. Cause: retries that are not counted.
+    // Guards against doubling the load on upstreams that fail under load, because retries are not
+    // counted. Here every run fails for a minute after a thousand successes.
     let (mut retries, mut rng) = (RetryBudgets::default(), rng(1));
     for _ in 0..1_000 {
         retries.record_success(ms(0), &key("a", "class"), &"e0".into(), 10);
@@ -79,7 +80,7 @@
             ));
         }
     }
-    // At most 20 are saved up, and one comes in 10 s.
+    // At most 20 retries are accumulated, and one more is earned every 10 s.
     assert!((20..=27).contains(&granted), "{granted} of 6,000 retries granted");
 }
 
@@ -132,8 +133,9 @@
 
 #[test]
 fn moved_work_is_spread_by_the_remaining_slots() {
-    // Symptom: a reclaimed zone's work arrives at the other zones at once and makes all late.
-    // Sequence: a hundred runs of 4 s each are lost, 40 slots are left. Cause: an immediate retry.
+    // Guards against work of a reclaimed zone that arrives at the other zones at once and delays
+    // all requests there. This happens with immediate retries. Here a hundred runs of 4 s each are
+    // lost, and 80 slots are left.
     let mut rng = rng(1);
     let zone_loss = Some(Backlog { slot_seconds: 400.0, slots: 80 });
     let mut early = 0;
--- a/crates/verbenaslip-policy/tests/route.rs
+++ b/crates/verbenaslip-policy/tests/route.rs
@@ -1,4 +1,4 @@
-//! Which upstream gets a request, and which never does.
+//! Tests which upstream gets a request.
 
 use std::collections::BTreeMap;
 
@@ -27,7 +27,7 @@
     router
 }
 
-/// Counts where so many requests go, none of which ends.
+/// Returns how many of `count` requests go to each upstream if none of them ends.
 fn count_choices(router: &mut Router, now: u64, count: u128) -> BTreeMap<String, usize> {
     let mut rng = rng(3);
     let mut counts = BTreeMap::new();
@@ -42,8 +42,9 @@
 
 #[test]
 fn unusable_upstreams_get_no_new_work() {
-    // Symptom: a request is sent to an upstream that is about to go or can't serve it. Sequence: as
-    // named by each case, then fifty requests. Cause: a candidate list that looks at liveness only.
+    // Guards against requests sent to an upstream that is leaving or cannot serve them. This
+    // happens when candidates are selected by liveness only. Each case is followed by fifty
+    // requests.
     type Edit = fn(&mut Announcement);
     struct Case {
         name: &'static str,
@@ -85,9 +86,10 @@
 
 #[test]
 fn leaving_is_final_for_an_incarnation() {
-    // Symptom: an upstream that has said it is leaving gets work again. Sequence: leaving, then an
-    // older announcement that was delayed, then one with a higher sequence from a confused relay,
-    // then a new start. Cause: the newest message wins, whatever was said before.
+    // Guards against new work for an upstream that announced that it is leaving. This happens when
+    // the newest message always wins. Here the upstream announces that it is leaving, an older
+    // announcement arrives late, a relay sends one with a higher sequence number by mistake, and
+    // then the upstream restarts.
     let mut router = Router::new("z0".into());
     let mut leaving = engine("e0", "z0", 5);
     leaving.phase = Phase::Leaving { notice: None };
@@ -121,9 +123,9 @@
 
 #[test]
 fn a_stale_load_report_is_corrected_by_later_dispatches() {
-    // Symptom: all requests of a second go to the upstream that was idle in the last report.
-    // Sequence: one engine reports no load, the others half; 24 requests come before the next
-    // report. Cause: the report is taken for the present.
+    // Guards against sending all requests of a second to the upstream that was idle in the last
+    // load report. This happens when a report is taken as the current state. Here one engine
+    // reports no load and the others half load, and 24 requests arrive before the next report.
     let mut router = router();
     for number in 1..6 {
         let mut busy = engine(&format!("e{number}"), "z0", 2);
@@ -137,9 +139,10 @@
 
 #[test]
 fn many_instances_do_not_herd() {
-    // Symptom: an upstream that was idle in a report is flooded a second later. Sequence: nine
-    // instances see the same reports, one engine idle, eleven with two running, and each sends eight
-    // requests. Cause: each picks the single best.
+    // Guards against a flood of requests to an upstream that was idle in a report. This happens
+    // when each instance picks the single best upstream. Here nine instances see the same reports,
+    // with one engine idle and eleven engines running two requests, and each instance sends eight
+    // requests.
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
     for instance in 0..9 {
         let mut router = Router::new("z0".into());
@@ -159,16 +162,16 @@
             *counts.entry(choice.upstream.to_string()).or_default() += 1;
         }
     }
-    // 72 requests over 12 engines are 6 each; none may get more than its free slots hold.
+    // 72 requests over 12 engines are 6 each; none may get more requests than its free slots hold.
     assert!(counts.values().all(|count| *count <= 14), "{counts:?}");
     assert!(counts.len() >= 10, "{counts:?}");
 }
 
 #[test]
 fn instances_spread_over_nearly_equal_upstreams() {
-    // Symptom: all instances send their next request to the same upstream. Sequence: sixty instances
-    // see the same reports, prices differ by half a percent from one to the next. Cause: the single
-    // best is the same for all.
+    // Guards against all instances sending their next request to the same upstream, because the
+    // single best upstream is the same for all. Here sixty instances see the same reports, and
+    // prices differ by half a percent from one upstream to the next.
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
     for instance in 0..60 {
         let mut router = Router::new("z0".into());
@@ -203,9 +206,9 @@
 
 #[test]
 fn gaps_in_cache_events_lower_the_confidence() {
-    // Symptom: after a lost event everything cached is computed again, or what was evicted is
-    // believed in for ever. Sequence: as named by each case. Cause: a gap taken for nothing, or for
-    // the loss of all.
+    // Guards against a gap in the cache events that is either ignored or treated as the loss of all
+    // events. In the first case evicted blocks count as cached forever, and in the second case
+    // everything cached is computed again.
     struct Case {
         name: &'static str,
         batches: Vec<CacheBatch>,
@@ -217,8 +220,12 @@
     let evicted: Vec<CacheEvent> = (1..=100).map(CacheEvent::Evicted).collect();
     let cases = [
         Case { name: "stored", batches: vec![all.clone()], known: true },
-        Case { name: "ten of them lost after", batches: vec![all.clone(), gap(110)], known: true },
-        Case { name: "two hundred lost", batches: vec![all.clone(), gap(300)], known: false },
+        Case { name: "gap of ten events", batches: vec![all.clone(), gap(110)], known: true },
+        Case {
+            name: "gap of two hundred events",
+            batches: vec![all.clone(), gap(300)],
+            known: false,
+        },
         Case {
             name: "evicted",
             batches: vec![
@@ -237,7 +244,7 @@
             ],
             known: true,
         },
-        Case { name: "numbers that fall", batches: vec![all, gap(3)], known: true },
+        Case { name: "falling sequence numbers", batches: vec![all, gap(3)], known: true },
     ];
     let prefix: Vec<u64> = (1..=100).collect();
     for case in cases {
@@ -262,9 +269,10 @@
 
 #[test]
 fn a_zone_that_looks_down_from_one_instance_keeps_getting_work() {
-    // Symptom: a cut between one instance and a zone makes it send all work to the others, which
-    // are crowded though the zone is idle. Sequence: all connections to a zone fail while its
-    // engines still announce themselves. Cause: one observer's failures taken for the zone's.
+    // Guards against an instance that sends all work to other zones because its network connection
+    // to one zone is partitioned. This happens when the failures seen by one instance are taken as
+    // failures of the zone. Here all connections to a zone fail while its engines still send
+    // announcements, and the other zones would be overloaded although the zone is idle.
     let mut router = router();
     let fail = |router: &mut Router, name: &str, from: u128| {
         for id in from..from + 2 {
@@ -324,8 +332,9 @@
 
 #[test]
 fn a_slow_upstream_is_avoided_until_it_recovers() {
-    // Symptom: one engine is ten times slower than its peers, and whoever gets it is late. Sequence:
-    // it is the cheapest, slows down, is measured, and is fast again later. Cause: only failures count.
+    // Guards against late answers from an engine that is ten times slower than its peers, which
+    // happens when only failures count. Here the engine is the cheapest, becomes slow, is measured,
+    // and later recovers.
     let mut router = router();
     let mut id = 0;
     let mut serve = |router: &mut Router, now: &mut u64, name: &str, slowdown: u64| {
