--- a/crates/verbenaslip-fleet/src/clock.rs
+++ b/crates/verbenaslip-fleet/src/clock.rs
@@ -9,26 +9,26 @@
 /// Returns the time of day from a steady clock and an agreed offset.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    offset: i64,
+    offset_ms: i64,
     agreed: bool,
 }
 
 impl Clock {
     /// Starts from this machine's own time of day, in Unix milliseconds.
-    pub fn new(now: Duration, unix: u64) -> Self {
-        Self { offset: offset_ms(now, unix), agreed: false }
+    pub fn new(now: Duration, unix_ms: u64) -> Self {
+        Self { offset_ms: offset_ms(now, unix_ms), agreed: false }
     }
 
     /// Follows this machine's time of day until the fleet has agreed on one.
-    pub fn follow_local(&mut self, now: Duration, unix: u64) {
+    pub fn follow_local(&mut self, now: Duration, unix_ms: u64) {
         if !self.agreed {
-            self.offset = offset_ms(now, unix);
+            self.offset_ms = offset_ms(now, unix_ms);
         }
     }
 
     /// Takes the time that the fleet agreed on.
-    pub fn set_agreed(&mut self, now: Duration, unix: u64) {
-        self.offset = offset_ms(now, unix);
+    pub fn set_agreed(&mut self, now: Duration, unix_ms: u64) {
+        self.offset_ms = offset_ms(now, unix_ms);
         self.agreed = true;
     }
 
@@ -39,13 +39,13 @@
 
     /// Returns the time of day in Unix milliseconds.
     pub fn unix_ms(&self, now: Duration) -> u64 {
-        unix_ms(now, self.offset)
+        unix_ms(now, self.offset_ms)
     }
 }
 
 /// Returns the time of day, in Unix milliseconds, from a steady clock and its offset.
-pub fn unix_ms(now: Duration, offset: i64) -> u64 {
-    u64::try_from(millis(now).saturating_add(offset)).unwrap_or(0)
+pub fn unix_ms(now: Duration, offset_ms: i64) -> u64 {
+    u64::try_from(millis(now).saturating_add(offset_ms)).unwrap_or(0)
 }
 
 /// Returns the median of what several clocks show, each as an offset to the same steady clock.
@@ -55,8 +55,8 @@
 }
 
 /// Returns the offset between a steady clock and a time of day, in milliseconds.
-pub fn offset_ms(now: Duration, unix: u64) -> i64 {
-    i64::try_from(unix).unwrap_or(i64::MAX).saturating_sub(millis(now))
+pub fn offset_ms(now: Duration, unix_ms: u64) -> i64 {
+    i64::try_from(unix_ms).unwrap_or(i64::MAX).saturating_sub(millis(now))
 }
 
 fn millis(now: Duration) -> i64 {
--- a/crates/verbenaslip-fleet/src/core.rs
+++ b/crates/verbenaslip-fleet/src/core.rs
@@ -1,14 +1,14 @@
 //! A core: a voter of the replicated log, and its leader for a time.
 
-mod begin;
-mod branch;
+mod aggregator;
 mod call;
-mod duties;
+mod event;
 mod io;
-mod lead;
+mod leader;
+mod leadership;
 mod limit;
 mod log;
-mod note;
+mod orders;
 mod quarantine;
 mod rollout;
 
@@ -23,11 +23,11 @@
 use verbenaslip_replica::setup::{Limits as LogLimits, Setup as LogSetup};
 
 use crate::clock;
-use crate::core::begin::Seeker;
-use crate::core::branch::Branch;
-use crate::core::call::Waiting;
+use crate::core::aggregator::Aggregator;
+use crate::core::call::PendingCall;
+pub use crate::core::event::Event;
 pub use crate::core::io::{Input, Output, Setup};
-pub use crate::core::note::Event;
+use crate::core::leadership::LeaderSeeker;
 use crate::departure::Departure;
 use crate::frame::Frame;
 use crate::hub::{Hub, Progress};
@@ -43,17 +43,17 @@
 
 /// The largest command: a route table of the largest body that an operator may send, with the
 /// document itself beside it.
-const COMMAND: usize = 12 << 20;
+const MAX_COMMAND_BYTES: usize = 12 << 20;
 
 /// Composes the decisions of a core.
 pub struct Core {
-    pub(crate) setup: Settings,
+    pub(crate) settings: Settings,
     pub(crate) now: Duration,
-    pub(crate) unix: u64,
+    pub(crate) unix_ms: u64,
     pub(crate) replica: Replica,
-    pub(crate) ledger: ReplicatedState,
-    pub(crate) applied: u64,
-    pub(crate) broken: bool,
+    pub(crate) replicated_state: ReplicatedState,
+    pub(crate) applied_index: u64,
+    pub(crate) state_unreadable: bool,
     pub(crate) registry: Registry,
     /// Upstreams that this core has answered by itself.
     pub(crate) voucher: Voucher,
@@ -61,159 +61,164 @@
     pub(crate) link: Link,
     pub(crate) dispatcher: Dispatcher,
     pub(crate) planners: BTreeMap<Arc<str>, Planner>,
-    pub(crate) waiting: BTreeMap<u64, Waiting>,
-    pub(crate) next: u64,
+    pub(crate) pending_calls: BTreeMap<u64, PendingCall>,
+    pub(crate) last_token: u64,
     /// Since when this core has led under a lease without a break.
-    pub(crate) reign: Option<Reign>,
+    pub(crate) leadership: Option<Leadership>,
     /// The term in which it led before, if what it led by is still here.
-    pub(crate) lapsed: Option<u64>,
-    pub(crate) changing: Option<u64>,
+    pub(crate) lapsed_term: Option<u64>,
+    pub(crate) voter_change: Option<u64>,
     /// Departures that are not proposed yet.
-    pub(crate) departing: Vec<Departure>,
+    pub(crate) unproposed_departures: Vec<Departure>,
     /// The proposal that holds the departures before them.
-    pub(crate) noting_departures: Option<u64>,
+    pub(crate) departures_proposal: Option<u64>,
     /// Upstreams that have come and may not be in the log yet.
-    pub(crate) joining: BTreeSet<Upstream>,
+    pub(crate) unproposed_joins: BTreeSet<Upstream>,
     /// The proposal that holds those before them.
-    pub(crate) noting_joins: Option<u64>,
-    pub(crate) closing: BTreeSet<u64>,
+    pub(crate) joins_proposal: Option<u64>,
+    pub(crate) closing_windows: BTreeSet<u64>,
     /// When this core proposed with how many upstreams a service began.
-    pub(crate) based: BTreeMap<Arc<str>, Duration>,
+    pub(crate) initial_count_proposed_at: BTreeMap<Arc<str>, Duration>,
     /// The sizes of services that this core has proposed while it leads.
-    pub(crate) sized: BTreeMap<Arc<str>, u32>,
-    pub(crate) absent: BTreeMap<Instance, Duration>,
+    pub(crate) proposed_counts: BTreeMap<Arc<str>, u32>,
+    pub(crate) absent_since: BTreeMap<Instance, Duration>,
     /// Instances that asked this core for the leader while it did not lead.
-    pub(crate) seekers: BTreeMap<SocketAddr, Seeker>,
-    pub(crate) out: Vec<Output>,
-    sweep: Duration,
+    pub(crate) leader_seekers: BTreeMap<SocketAddr, LeaderSeeker>,
+    pub(crate) outputs: Vec<Output>,
+    next_maintenance: Duration,
     /// When changes may be pushed next.
-    pub(crate) push_at: Duration,
+    pub(crate) next_push: Duration,
     /// What every instance that answers has, by what came last.
-    pub(crate) known_to_all: Progress,
+    pub(crate) acknowledged_by_all: Progress,
     /// How many entries there were under the leader before, where that is known.
-    pub(crate) expected: Option<usize>,
+    pub(crate) expected_entries: Option<usize>,
     /// Whether as many have reported.
-    pub(crate) gathered: bool,
+    pub(crate) all_reported: bool,
     /// When the route table in force was taken from the log.
-    pub(crate) adopted: Duration,
+    pub(crate) route_table_applied_at: Duration,
     /// What is on its way between the leader and the entries that report to this core.
-    pub(crate) branch: Branch,
+    pub(crate) aggregator: Aggregator,
     /// Whether this instance is about to stop.
     pub(crate) stopping: bool,
     /// Where cores are reached, as the leader tells all others.
-    pub(crate) known_cores: Vec<SocketAddr>,
+    pub(crate) core_addresses: Vec<SocketAddr>,
     /// Requests that end upstreams.
     pub(crate) quarantine: Quarantine,
     /// The change by which entries know of them.
     pub(crate) blocklist_change: u64,
     /// The proposal that holds them.
-    pub(crate) noting_quarantine: Option<u64>,
+    pub(crate) quarantine_proposal: Option<u64>,
     /// The last roll-out of each service, while this core leads.
     pub(crate) controllers: BTreeMap<Arc<str>, Controller>,
     /// What entries do about versions, and the change by which they know it.
-    pub(crate) plans: Arc<Plans>,
-    pub(crate) planned: u64,
+    pub(crate) rollout_plans: Arc<Plans>,
+    pub(crate) rollout_plans_change: u64,
     /// The limits that upstreams name, and the change by which entries know them.
     pub(crate) limits: Arc<Limits>,
     pub(crate) limits_change: u64,
     /// Verdicts that were proposed, by roll-out.
-    pub(crate) deciding: BTreeMap<u64, u64>,
+    pub(crate) verdict_proposals: BTreeMap<u64, u64>,
 }
 
 /// Holds what of the setup is needed after the start.
 pub(crate) struct Settings {
-    pub(crate) voters: usize,
-    pub(crate) duty: Option<order::Timing>,
-    pub(crate) rule: QuarantinePolicy,
-    pub(crate) secret: u128,
+    pub(crate) target_voter_count: usize,
+    pub(crate) order_timing: Option<order::Timing>,
+    pub(crate) quarantine_policy: QuarantinePolicy,
+    pub(crate) fingerprint_secret: u128,
 }
 
 /// Holds one time of leading.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Reign {
+pub(crate) struct Leadership {
     pub(crate) term: u64,
     pub(crate) since: Duration,
 }
 
 /// Time between two looks at what is due at the leader.
-const SWEEP: Duration = Duration::from_millis(100);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Core {
     /// Starts from what the folder holds; the first outputs come with the first step.
     pub fn new(setup: Setup, now: Duration) -> Self {
         let Setup {
-            local_peer: own,
+            local_peer,
             seeds,
             founders,
             recovered,
-            target_voter_count: voters,
-            announce_interval: announce,
+            target_voter_count,
+            announce_interval,
             ..
         } = setup;
         let Setup {
-            log_timing: timing,
-            order_timing: duty,
-            quarantine_policy: rule,
-            fingerprint_secret: secret,
+            log_timing,
+            order_timing,
+            quarantine_policy,
+            fingerprint_secret,
             seed,
-            unix_ms: unix,
+            unix_ms,
             ..
         } = setup;
         let founders = founders.iter().map(|address| name_of(*address)).collect();
-        let mut log = LogSetup::new(name_of(own.address), founders, seed);
-        log.timing = timing;
+        let mut log = LogSetup::new(name_of(local_peer.address), founders, seed);
+        log.timing = log_timing;
         log.limits = LogLimits {
-            max_command_bytes: COMMAND,
-            max_pending_bytes: 2 * COMMAND,
+            max_command_bytes: MAX_COMMAND_BYTES,
+            max_pending_bytes: 2 * MAX_COMMAND_BYTES,
             ..LogLimits::default()
         };
         Self {
-            setup: Settings { voters, duty, rule, secret },
+            settings: Settings {
+                target_voter_count,
+                order_timing,
+                quarantine_policy,
+                fingerprint_secret,
+            },
             now,
-            unix,
+            unix_ms,
             replica: Replica::open(log, recovered, now),
-            ledger: ReplicatedState::default(),
-            applied: 0,
-            broken: false,
-            registry: Registry::new(announce),
+            replicated_state: ReplicatedState::default(),
+            applied_index: 0,
+            state_unreadable: false,
+            registry: Registry::new(announce_interval),
             voucher: Voucher::default(),
             hub: Hub::default(),
-            link: Link::new(own, seeds, now, unix),
+            link: Link::new(local_peer, seeds, now, unix_ms),
             dispatcher: Dispatcher::default(),
             planners: BTreeMap::new(),
-            waiting: BTreeMap::new(),
-            next: 0,
-            reign: None,
-            lapsed: None,
-            changing: None,
-            departing: Vec::new(),
-            noting_departures: None,
-            joining: BTreeSet::new(),
-            noting_joins: None,
-            closing: BTreeSet::new(),
-            based: BTreeMap::new(),
-            sized: BTreeMap::new(),
-            absent: BTreeMap::new(),
-            seekers: BTreeMap::new(),
-            out: Vec::new(),
-            sweep: now,
-            push_at: now,
-            known_to_all: Progress::default(),
-            expected: None,
-            gathered: false,
-            adopted: now,
-            branch: Branch::default(),
+            pending_calls: BTreeMap::new(),
+            last_token: 0,
+            leadership: None,
+            lapsed_term: None,
+            voter_change: None,
+            unproposed_departures: Vec::new(),
+            departures_proposal: None,
+            unproposed_joins: BTreeSet::new(),
+            joins_proposal: None,
+            closing_windows: BTreeSet::new(),
+            initial_count_proposed_at: BTreeMap::new(),
+            proposed_counts: BTreeMap::new(),
+            absent_since: BTreeMap::new(),
+            leader_seekers: BTreeMap::new(),
+            outputs: Vec::new(),
+            next_maintenance: now,
+            next_push: now,
+            acknowledged_by_all: Progress::default(),
+            expected_entries: None,
+            all_reported: false,
+            route_table_applied_at: now,
+            aggregator: Aggregator::default(),
             stopping: false,
-            known_cores: Vec::new(),
+            core_addresses: Vec::new(),
             quarantine: Quarantine::default(),
             blocklist_change: 0,
-            noting_quarantine: None,
+            quarantine_proposal: None,
             controllers: BTreeMap::new(),
-            plans: Arc::default(),
-            planned: 0,
+            rollout_plans: Arc::default(),
+            rollout_plans_change: 0,
             limits: Arc::default(),
             limits_change: 0,
-            deciding: BTreeMap::new(),
+            verdict_proposals: BTreeMap::new(),
         }
     }
 
@@ -222,26 +227,31 @@
         self.now = self.now.max(now);
         // A machine that stood still has lost its lease meanwhile. A call or report that waited for it would
         // be answered by what was so before: one would notice a read older than an acknowledged edit.
-        self.follow_role();
-        self.take(input);
+        self.update_leadership();
+        self.handle_input(input);
         self.step_log(replica::Input::Tick);
-        self.follow_role();
-        if self.now >= self.sweep {
-            self.sweep = self.now + SWEEP;
-            self.sweep();
+        self.update_leadership();
+        if self.now >= self.next_maintenance {
+            self.next_maintenance = self.now + MAINTENANCE_INTERVAL;
+            self.maintain();
         }
         self.push_updates();
-        self.pass_on();
-        self.heartbeat();
-        out.append(&mut self.out);
+        self.flush_to_leader();
+        self.send_heartbeat();
+        out.append(&mut self.outputs);
     }
 
     /// Returns when the next tick is due.
     pub fn next_wakeup(&self) -> Duration {
-        let report = if self.is_leading() { Duration::MAX } else { self.link.next_wakeup() };
-        let idle = !self.is_leading() && self.waiting.is_empty() && self.hub.is_empty();
-        let sweep = if idle { Duration::MAX } else { self.sweep };
-        self.replica.next_tick().min(report).min(sweep).min(self.push_at).min(self.branch.wake())
+        let heartbeat = if self.is_leading() { Duration::MAX } else { self.link.next_wakeup() };
+        let idle = !self.is_leading() && self.pending_calls.is_empty() && self.hub.is_empty();
+        let maintenance = if idle { Duration::MAX } else { self.next_maintenance };
+        self.replica
+            .next_tick()
+            .min(heartbeat)
+            .min(maintenance)
+            .min(self.next_push)
+            .min(self.aggregator.next_wakeup())
     }
 
     /// Returns the log's replica, for its status.
@@ -251,63 +261,65 @@
 
     /// Tells whether this core leads under a lease.
     pub fn is_leading(&self) -> bool {
-        self.reign.is_some()
+        self.leadership.is_some()
     }
 
     /// Tells whether a stop may end: nothing is led or waited for here.
     pub fn is_idle(&self) -> bool {
-        !self.replica.is_leader() && self.waiting.is_empty()
+        !self.replica.is_leader() && self.pending_calls.is_empty()
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::Tick => {}
-            Input::WallClock(unix) => {
-                self.unix = unix;
-                self.link.clock_mut().follow_local(self.now, unix);
+            Input::WallClock(unix_ms) => {
+                self.unix_ms = unix_ms;
+                self.link.clock_mut().follow_local(self.now, unix_ms);
             }
-            Input::Frame(frame) => self.frame(*frame),
-            Input::Call { id, request: ask } => self.called(id, ask),
-            Input::Stored(mark) => self.step_log(replica::Input::Stored { sequence: mark }),
-            Input::OrderFinished { id, outcome } => self.ordered(id, outcome),
+            Input::Frame(frame) => self.handle_frame(*frame),
+            Input::Call { id, request } => self.handle_call(id, request),
+            Input::Stored(sequence) => self.step_log(replica::Input::Stored { sequence }),
+            Input::OrderFinished { id, outcome } => self.handle_order_outcome(id, outcome),
             Input::Seeds(seeds) => self.link.set_seeds(seeds),
-            Input::QuarantinePolicy(rule) => self.set_rule(rule),
-            Input::Stop => self.stop(),
+            Input::QuarantinePolicy(policy) => self.set_quarantine_policy(policy),
+            Input::Stop => self.handle_stop(),
         }
     }
 
-    fn frame(&mut self, frame: Frame) {
+    fn handle_frame(&mut self, frame: Frame) {
         match frame {
             Frame::Log { from, message } => {
                 if let Some(from) = address_of(&from).filter(|_| !self.is_leading()) {
-                    self.link.meet(from);
+                    self.link.learn_core(from);
                 }
                 self.step_log(replica::Input::Message { from, message: *message });
             }
-            Frame::Heartbeat(heartbeat) => self.take_heartbeat(*heartbeat),
-            Frame::Update(update) if !self.is_leading() => self.updated(*update),
-            Frame::Acknowledged { address, version: stamp, revision } => {
-                self.seen(address, stamp, revision)
+            Frame::Heartbeat(heartbeat) => self.handle_heartbeat(*heartbeat),
+            Frame::Update(update) if !self.is_leading() => self.handle_update(*update),
+            Frame::Acknowledged { address, version, revision } => {
+                self.handle_acknowledgement(address, version, revision)
             }
             Frame::NewLeader { leader } => self.link.handle_new_leader(self.now, leader),
             Frame::Redirect { from, leader, cores } => {
                 self.link.handle_redirect(self.now, from, leader, &cores);
             }
-            Frame::Request { from, token, request: ask } => self.requested(from, token, *ask),
-            Frame::Response { token, response: told } => self.answered_by_leader(token, told),
-            Frame::CrashReport(account) => self.accounted(&account),
-            Frame::RequestLoans { from, requests: loans } if self.is_leading() => {
-                self.lend(from, &loans)
+            Frame::Request { from, token, request } => {
+                self.handle_forwarded_call(from, token, *request)
             }
-            Frame::RequestLoans { from, requests: loans } => self.pass_loans(from, loans),
-            Frame::GrantLoans(lent) => self.pass_lent(lent),
-            Frame::EntryStopped { address } => self.ended(address),
+            Frame::Response { token, response } => self.handle_leader_response(token, response),
+            Frame::CrashReport(report) => self.handle_crash_report(&report),
+            Frame::RequestLoans { from, requests } if self.is_leading() => {
+                self.grant_loans(from, &requests)
+            }
+            Frame::RequestLoans { from, requests } => self.forward_loan_requests(from, requests),
+            Frame::GrantLoans(grants) => self.forward_loan_grants(grants),
+            Frame::EntryStopped { address } => self.handle_entry_stopped(address),
             Frame::Update(_) | Frame::CrashReportReceived { .. } | Frame::ReportTo { .. } => {}
         }
     }
 
     /// Reports to the leader, as every instance does.
-    fn heartbeat(&mut self) {
+    fn send_heartbeat(&mut self) {
         if self.is_leading() {
             return;
         }
@@ -318,15 +330,15 @@
             let voters = self.replica.voters().members();
             let voters: Vec<SocketAddr> =
                 voters.filter_map(|voter| address_of(&voter.instance)).collect();
-            voters.into_iter().for_each(|voter| self.link.meet(voter));
+            voters.into_iter().for_each(|voter| self.link.learn_core(voter));
         }
         if self.now < self.link.next_wakeup() {
             return;
         }
-        let report = self.report();
-        let clock = clock::offset_ms(self.now, self.unix);
-        let unix = clock::unix_ms(self.now, self.hub.time_offset_ms(self.now, clock));
-        if let Some((targets, heartbeat)) = self.link.heartbeat(self.now, unix, report) {
+        let report = self.build_report();
+        let local_offset_ms = clock::offset_ms(self.now, self.unix_ms);
+        let unix_ms = clock::unix_ms(self.now, self.hub.time_offset_ms(self.now, local_offset_ms));
+        if let Some((targets, heartbeat)) = self.link.next_heartbeat(self.now, unix_ms, report) {
             for to in targets {
                 self.send(to, Frame::Heartbeat(Box::new(heartbeat.clone())));
             }
@@ -334,43 +346,43 @@
     }
 
     /// Forgets an entry that has ended: acknowledgements would else wait for it.
-    fn ended(&mut self, entry: SocketAddr) {
+    fn handle_entry_stopped(&mut self, entry: SocketAddr) {
         self.hub.forget(entry);
         if self.is_leading() {
-            self.advance_spread();
+            self.advance_acknowledged_calls();
         } else {
-            self.confirm_soon();
+            self.schedule_acknowledgement();
         }
     }
 
     /// Hands over what this core does for others.
-    fn stop(&mut self) {
+    fn handle_stop(&mut self) {
         self.stopping = true;
         if !self.is_leading() {
-            self.send_away();
+            self.redirect_entries();
         }
         self.step_log(replica::Input::TransferLeadership);
     }
 
     pub(crate) fn send(&mut self, to: SocketAddr, frame: Frame) {
-        if to != self.link.own().address {
-            self.out.push(Output::Send { to, frame });
+        if to != self.link.local_peer().address {
+            self.outputs.push(Output::Send { to, frame });
         }
     }
 
-    pub(crate) fn note(&mut self, note: Event) {
-        self.out.push(Output::Event(note));
+    pub(crate) fn emit(&mut self, event: Event) {
+        self.outputs.push(Output::Event(event));
     }
 
-    pub(crate) fn token(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    pub(crate) fn next_token(&mut self) -> u64 {
+        self.last_token += 1;
+        self.last_token
     }
 
     /// Returns the agreed time of day.
-    pub(crate) fn agreed(&self) -> u64 {
-        let own = clock::offset_ms(self.now, self.unix);
-        clock::unix_ms(self.now, self.hub.time_offset_ms(self.now, own))
+    pub(crate) fn agreed_unix_ms(&self) -> u64 {
+        let local_offset_ms = clock::offset_ms(self.now, self.unix_ms);
+        clock::unix_ms(self.now, self.hub.time_offset_ms(self.now, local_offset_ms))
     }
 }
 
--- a/crates/verbenaslip-fleet/src/core/io.rs
+++ b/crates/verbenaslip-fleet/src/core/io.rs
@@ -6,7 +6,7 @@
 use verbenaslip_replica::setup::Timing as LogTiming;
 use verbenaslip_replica::storage::{Recovered, Write};
 
-use crate::core::note::Event;
+use crate::core::event::Event;
 use crate::frame::{Frame, Peer, Request, Response};
 use crate::order::{self, Order, Outcome};
 use crate::quarantine::QuarantinePolicy;
--- /dev/null
+++ b/crates/verbenaslip-fleet/src/core/leader.rs
@@ -0,0 +1,400 @@
+//! What a core does while it leads.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use verbenaslip_base::name::Instance;
+use verbenaslip_replica::config::Change;
+use verbenaslip_replica::voter::Voter;
+
+use crate::clock;
+use crate::core::{Core, Output, address_of};
+use crate::frame::{FleetStatus, Frame, Heartbeat};
+use crate::hub::{Hub, PendingPush, UpdateSource};
+use crate::limit::TimeSlot;
+use crate::parent::{self, MAX_DIRECT_ENTRIES};
+use crate::quota::LoanRequest;
+use crate::registry::{Change as RegistryChange, Record, Run, Status};
+use crate::replicated_state::Command;
+use crate::view::Version;
+use crate::voucher::RenewalMark;
+
+/// After this absence a voter is replaced by a core that has none. Killed machines are back within
+/// a few seconds; a replacement costs a copy of the log and is of use only for good.
+const VOTER_REPLACEMENT_DELAY: Duration = Duration::from_secs(6);
+
+/// How long a new leader waits before it takes the instances that have reported to it for all there
+/// are: they look for a new leader after three missed beats.
+pub(super) const REPORT_GATHERING_TIME: Duration = Duration::from_millis(700);
+
+/// Between two pushes of changes: short beside the time in which an upstream's leaving must be
+/// known, long beside the time that a push to all instances takes.
+const PUSH_INTERVAL: Duration = Duration::from_millis(40);
+
+/// The same for each instance of a large fleet, so that pushes take a third of a small core's time at most.
+const PUSH_INTERVAL_PER_INSTANCE: Duration = Duration::from_micros(400);
+
+/// How long an instance that has nothing yet waits for others like it: its callers wait as well.
+const NEW_SUBSCRIBER_PUSH_DELAY: Duration = Duration::from_millis(30);
+
+/// Upstreams that fall silent at the same moment and are told of by a line each: a core that is lost takes hundreds.
+const MAX_LISTED_SILENT: usize = 64;
+
+impl Core {
+    /// Returns when the instances that report to this leader are all there are.
+    pub(crate) fn gathering_ends_at(&self) -> Duration {
+        self.leadership.map_or(Duration::MAX, |leadership| leadership.since + REPORT_GATHERING_TIME)
+    }
+
+    /// Tells whether the instances that report to this leader are all there are.
+    pub(crate) fn has_gathered_reports(&self) -> bool {
+        self.all_reported || self.now >= self.gathering_ends_at()
+    }
+
+    /// Looks whether as many entries have reported as there were under the leader before.
+    fn check_gathered(&mut self) {
+        let Some(expected) = self.expected_entries.filter(|_| !self.has_gathered_reports()) else {
+            return;
+        };
+        self.all_reported = self.hub.reachable_entry_count(self.now) >= expected;
+    }
+
+    /// Has the upstreams committed that have come, one command at a time.
+    fn propose_joins(&mut self) {
+        if self.joins_proposal.is_some() || self.unproposed_joins.is_empty() {
+            return;
+        }
+        let announced = std::mem::take(&mut self.unproposed_joins);
+        let records = self.registry.records().filter(|record| {
+            let run = &record.announcement.run;
+            record.status == Status::Ready
+                && announced.contains(&run.upstream)
+                && !self.replicated_state.contains_run(run)
+        });
+        let records: Vec<Record> = records.cloned().collect();
+        if !records.is_empty() {
+            self.joins_proposal = Some(self.propose(&Command::AddUpstreams { records }));
+        }
+    }
+
+    /// Has the log forget runs that are lost.
+    ///
+    /// Noted as departures they would be refused, under the next leader, when they come back.
+    fn propose_lost(&mut self, lost: Vec<Run>) {
+        let runs: Vec<Run> =
+            lost.into_iter().filter(|run| self.replicated_state.contains_run(run)).collect();
+        if !runs.is_empty() {
+            self.propose(&Command::RemoveRuns { runs });
+        }
+    }
+
+    /// Takes an instance's report and answers it.
+    pub(crate) fn handle_heartbeat(&mut self, heartbeat: Heartbeat) {
+        let (to, own_address) = (heartbeat.peer.address, self.link.local_peer().address);
+        if heartbeat.parent.is_some_and(|parent| parent != own_address) {
+            return self.hub.forget(to);
+        }
+        let Some(leadership) = self.leadership else {
+            return self.handle_heartbeat_as_follower(heartbeat);
+        };
+        if self.redirect_to_parent(&heartbeat) {
+            return;
+        }
+        self.handle_renewal_marks(&heartbeat.marks);
+        self.handle_rollout_reports(&heartbeat);
+        self.handle_observed_limits(&heartbeat.limits);
+        heartbeat.departing.iter().for_each(|run| self.handle_reported_departure(run));
+        self.hub.handle_heartbeat(self.now, leadership.term, self.link.last_sequence(), heartbeat);
+        self.check_gathered();
+        self.advance_acknowledged_calls();
+        self.answer_heartbeat(to);
+        if self.hub.is_new(to, leadership.term) {
+            self.next_push = self.next_push.min(self.now + NEW_SUBSCRIBER_PUSH_DELAY);
+        } else if self.hub.is_behind(
+            to,
+            self.registry.last_change(),
+            self.replicated_state.revision(),
+        ) {
+            self.schedule_push();
+        }
+    }
+
+    /// Takes a report while this core does not lead.
+    fn handle_heartbeat_as_follower(&mut self, heartbeat: Heartbeat) {
+        if heartbeat.parent.is_some() && self.serves_entries() {
+            return self.handle_entry_heartbeat(heartbeat);
+        }
+        self.record_seeker(&heartbeat);
+        let redirect = self.redirect_frame();
+        self.send(heartbeat.peer.address, redirect);
+    }
+
+    /// Sends an entry to a core that hears it in this one's place; returns whether it is none of this one's.
+    ///
+    /// A leader that has just begun and hears no other core yet leaves the entries of a large fleet waiting a moment:
+    /// told everything here, hundreds of them would take all of its time.
+    fn redirect_to_parent(&mut self, heartbeat: &Heartbeat) -> bool {
+        let is_large_fleet =
+            self.hub.entry_count().max(self.expected_entries.unwrap_or(0)) > MAX_DIRECT_ENTRIES;
+        if heartbeat.peer.voter.is_some() || !is_large_fleet {
+            return false;
+        }
+        let to = heartbeat.peer.address;
+        let mut parent_cores = self.hub.parent_cores(self.now);
+        parent_cores.retain(|candidate| Some(candidate.address) != heartbeat.lost_parent);
+        let Some(core) = parent::choose(&parent_cores, to, &heartbeat.peer.zone) else {
+            return !self.has_gathered_reports();
+        };
+        self.hub.forget(to);
+        self.send(to, Frame::ReportTo { core });
+        true
+    }
+
+    /// Lends units of teams' limits.
+    pub(crate) fn grant_loans(&mut self, to: SocketAddr, requests: &[LoanRequest]) {
+        let grants = self.hub.grant_loans(requests);
+        self.send(to, Frame::GrantLoans(grants));
+    }
+
+    /// Takes a core's word of the upstreams that have called it.
+    fn handle_renewal_marks(&mut self, marks: &[RenewalMark]) {
+        for mark in marks {
+            if self.registry.vouch(self.now, mark) == RegistryChange::Updated {
+                self.schedule_push();
+                self.emit_upstream(&mark.run.upstream);
+            }
+        }
+    }
+
+    /// Takes the word of an instance that it has what somebody waits for.
+    pub(crate) fn handle_acknowledgement(
+        &mut self,
+        address: SocketAddr,
+        version: Version,
+        revision: u64,
+    ) {
+        let term =
+            self.leadership.map_or(self.link.view().version.term, |leadership| leadership.term);
+        if version.term == term {
+            self.hub.handle_acknowledgement(self.now, address, version.change, revision);
+        }
+        if self.is_leading() {
+            self.advance_acknowledged_calls();
+        } else {
+            self.schedule_acknowledgement();
+        }
+    }
+
+    /// Tells whoever lacks something, without waiting for its next report.
+    ///
+    /// Changes that come close together go out together. Where upstreams are replaced one after the
+    /// other, a message to every instance for each of them would take all of the leader's time.
+    pub(crate) fn push_updates(&mut self) {
+        if self.now < self.next_push {
+            return;
+        }
+        if !self.is_leading() {
+            return self.push_to_entries();
+        }
+        let lagging = self.hub.lagging_subscribers(
+            self.now,
+            self.registry.last_change(),
+            self.replicated_state.revision(),
+        );
+        if lagging.is_empty() {
+            self.next_push = Duration::MAX;
+            return;
+        }
+        self.next_push = self.now + self.push_interval();
+        self.push_to(&lagging);
+    }
+
+    /// Has what has changed told soon.
+    pub(crate) fn schedule_push(&mut self) {
+        self.next_push = self.next_push.min(self.now + self.push_interval());
+    }
+
+    /// Returns the time between two pushes.
+    pub(crate) fn push_interval(&self) -> Duration {
+        PUSH_INTERVAL
+            .max(PUSH_INTERVAL_PER_INSTANCE * u32::try_from(self.hub.len()).unwrap_or(u32::MAX))
+    }
+
+    /// Looks at what is due from time to time.
+    pub(crate) fn maintain(&mut self) {
+        if self.is_leading() {
+            self.acknowledged_by_all = self.hub.acknowledged_by_all(self.now);
+        }
+        self.advance_calls();
+        if self.leadership.is_none() {
+            return self.maintain_aggregator();
+        }
+        let route_table =
+            self.replicated_state.current_table().map(|current| current.table.clone());
+        self.hub.refresh(self.now, route_table.as_deref());
+        self.hub.update_time_offset(self.now, clock::offset_ms(self.now, self.unix_ms));
+        self.core_addresses = self.reachable_core_addresses();
+        let expirations = self.registry.tick(self.now);
+        self.propose_lost(expirations.lost);
+        self.propose_departures();
+        self.propose_joins();
+        if expirations.changed {
+            self.schedule_push();
+            expirations
+                .silent
+                .iter()
+                .take(MAX_LISTED_SILENT)
+                .for_each(|upstream| self.emit_upstream(upstream));
+        }
+        self.maintain_voters();
+        self.maintain_quarantine();
+        self.maintain_rollouts();
+        self.remove_expired_limits();
+        self.close_windows();
+        self.issue_orders();
+    }
+
+    /// Answers an instance's report.
+    fn answer_heartbeat(&mut self, to: SocketAddr) {
+        let fleet_status = self.fleet_status(to);
+        let update = self.with_leader_source(false, |hub, source| {
+            hub.heartbeat_answer(to, source, fleet_status)
+        });
+        if let Some(update) = update.flatten() {
+            self.send(to, Frame::Update(Box::new(update)));
+        }
+    }
+
+    /// Says how the fleet stands.
+    fn fleet_status(&self, to: SocketAddr) -> FleetStatus {
+        let is_core = self.hub.peer(to).is_some_and(|peer| peer.voter.is_some());
+        let slot_count = self.hub.slot_count().max(1);
+        FleetStatus {
+            cores: self.core_addresses.clone(),
+            parent_cores: if is_core { self.hub.parent_cores(self.now) } else { Vec::new() },
+            incarnation: self.link.local_peer().incarnation,
+            sequence: 0,
+            entry_count: u32::try_from(self.hub.entry_count()).unwrap_or(u32::MAX),
+            plans_change: self.rollout_plans_change,
+            plans_age: Some(Duration::ZERO),
+            time_slot: Some(TimeSlot { index: 0, count: slot_count }),
+            list_entries: self.needs_entry_list(),
+        }
+    }
+
+    /// Tells whether something is decided by which entries there are.
+    fn needs_entry_list(&self) -> bool {
+        !self.quarantine.blocklist().quarantined.is_empty() || self.has_rollouts()
+    }
+
+    /// Tells instances what they lack, between their reports.
+    fn push_to(&mut self, to: &[SocketAddr]) {
+        let now = self.now;
+        let pushes = self.with_leader_source(self.awaits_acknowledgements(), |hub, source| {
+            hub.push_updates(now, to, source)
+        });
+        for PendingPush { to, update } in pushes.unwrap_or_default() {
+            self.outputs.push(Output::Multicast { to, frame: Frame::Update(Box::new(update)) });
+        }
+    }
+
+    /// Has the hub tell from what is known here; none while this core does not lead.
+    fn with_leader_source<T>(
+        &mut self,
+        ack_requested: bool,
+        build: impl FnOnce(&mut Hub, &UpdateSource<'_>) -> T,
+    ) -> Option<T> {
+        let (term, unix_ms) = (self.leadership?.term, self.agreed_unix_ms());
+        let mut hub = std::mem::take(&mut self.hub);
+        let own_address = self.link.local_peer().address;
+        let source = UpdateSource {
+            from: own_address,
+            leader: own_address,
+            leader_contact_age: Duration::ZERO,
+            term,
+            records: &self.registry,
+            route_table: self.replicated_state.current_table().map(|current| &current.table),
+            blocklist: self.quarantine.blocklist(),
+            rollout_plans: &self.rollout_plans,
+            limits: &self.limits,
+            changes: self.change_numbers(),
+            ack_requested,
+            unix_ms,
+        };
+        let result = build(&mut hub, &source);
+        self.hub = hub;
+        Some(result)
+    }
+
+    /// Returns where cores are reached: the voters, and those that may become one.
+    pub(crate) fn reachable_core_addresses(&self) -> Vec<SocketAddr> {
+        let voters = self.replica.voters().members();
+        let mut cores: Vec<SocketAddr> =
+            voters.filter_map(|voter| address_of(&voter.instance)).collect();
+        cores.extend(self.hub.reachable_cores(self.now).map(|peer| peer.address));
+        cores.sort_unstable();
+        cores.dedup();
+        cores
+    }
+
+    /// Keeps as many voters as are wanted, on cores that answer.
+    ///
+    /// A core that is replaced by another machine leaves the log with one voter less. Unless the
+    /// new one takes its place, the next loss would stop all changes, which shows as edits that are
+    /// never acknowledged.
+    fn maintain_voters(&mut self) {
+        if self.voter_change.is_some() || self.replica.voters().is_joint() {
+            return;
+        }
+        let voters: Vec<Voter> = self.replica.voters().voters.clone();
+        if let Some(new) = self.find_wiped_voter(&voters) {
+            return self.change_voters(Change::Replace { old: new.instance.clone(), new });
+        }
+        let is_voter =
+            |voter: &Voter| voters.iter().any(|member| member.instance == voter.instance);
+        let spare = self.hub.reachable_cores(self.now).filter_map(|peer| peer.voter.clone());
+        let Some(spare) = spare.into_iter().find(|voter| !is_voter(voter)) else {
+            self.absent_since.clear();
+            return;
+        };
+        if voters.len() < self.settings.target_voter_count {
+            return self.change_voters(Change::Add(spare));
+        }
+        if let Some(old) = self.find_absent_voter(&voters) {
+            self.change_voters(Change::Replace { old, new: spare });
+        }
+    }
+
+    /// Finds a voter whose instance runs another folder than the one that votes: its disk was lost.
+    ///
+    /// The log tells of it as well, but once, and maybe before this leader's lease has begun. One
+    /// would notice it at the next lost disk: of three voters only one would be left.
+    fn find_wiped_voter(&self, voters: &[Voter]) -> Option<Voter> {
+        let reachable = self.hub.reachable_cores(self.now).filter_map(|peer| peer.voter.as_ref());
+        let is_replacement = |candidate: &&Voter| {
+            voters.iter().any(|voter| voter.instance == candidate.instance && voter != *candidate)
+        };
+        reachable.into_iter().find(is_replacement).cloned()
+    }
+
+    fn find_absent_voter(&mut self, voters: &[Voter]) -> Option<Instance> {
+        let own_instance = self.replica.voter().instance;
+        let reachable: Vec<SocketAddr> =
+            self.hub.reachable_cores(self.now).map(|peer| peer.address).collect();
+        let is_present = |instance: &Instance| {
+            address_of(instance).is_some_and(|address| reachable.contains(&address))
+        };
+        for voter in voters {
+            if voter.instance == own_instance || is_present(&voter.instance) {
+                self.absent_since.remove(&voter.instance);
+            } else {
+                self.absent_since.entry(voter.instance.clone()).or_insert(self.now);
+            }
+        }
+        let now = self.now;
+        let is_overdue = |since: &Duration| now.saturating_sub(*since) >= VOTER_REPLACEMENT_DELAY;
+        let found = self.absent_since.iter().find(|(_, since)| is_overdue(since));
+        let found = found.map(|(instance, _)| instance.clone());
+        found.filter(|instance| voters.iter().any(|voter| voter.instance == *instance))
+    }
+}
--- /dev/null
+++ b/crates/verbenaslip-fleet/src/core/leadership.rs
@@ -0,0 +1,216 @@
+//! How a core begins and ends to lead: what it knows at once, whom it tells, what it leaves behind.
+
+use std::time::Duration;
+
+use crate::core::{Core, Event, Leadership};
+use crate::departure::Departure;
+use crate::frame::{Frame, Heartbeat};
+use crate::history::History;
+use crate::hub::{ChangeNumbers, Progress};
+use crate::link::LeaderState;
+use crate::registry::{Propagation, Record, Status};
+use crate::view::Version;
+
+/// How long after its last question an instance still looks for a leader: two questions' time.
+const SEEKER_TIMEOUT: Duration = Duration::from_millis(1_600);
+
+/// Reports, five a second, up to which an entry has just started.
+const RECENT_START_REPORTS: u64 = 12;
+
+/// The most instances that are remembered; beyond that those are dropped that no longer ask.
+const MAX_SEEKERS: usize = 1_024;
+
+/// Holds an instance that looks for a leader.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct LeaderSeeker {
+    /// When it asked last.
+    last_asked: Duration,
+    /// Whether it forwards requests.
+    is_entry: bool,
+    /// Its reports since its start.
+    report_count: u64,
+}
+
+impl Core {
+    /// Begins or ends to lead as the lease says.
+    pub(crate) fn update_leadership(&mut self) {
+        let leased = self.replica.lease_until(self.now).is_some_and(|until| until > self.now);
+        let term = self.replica.term();
+        match self.leadership {
+            Some(leadership) if leased && leadership.term == term => {}
+            None if !leased => {}
+            _ if leased && self.may_resume(term) => self.resume_leadership(term),
+            _ if leased => self.start_leadership(term),
+            _ => self.end_leadership(),
+        }
+    }
+
+    /// Tells whether no other core can have led since this one did: it has the lease of the same term again.
+    fn may_resume(&self, term: u64) -> bool {
+        self.lapsed_term == Some(term) && self.link.view().version.term <= term
+    }
+
+    /// Goes on leading by what is known here since before the lease lapsed.
+    ///
+    /// A core with too much to do misses some rounds of the log. Begun anew, each time it would tell all
+    /// instances everything, and so have more to do: one would notice a leader that begins several times a
+    /// second under one term, and calls that nobody answers.
+    fn resume_leadership(&mut self, term: u64) {
+        self.lapsed_term = None;
+        // Instances that were turned away meanwhile report again before they count as all there are.
+        self.leadership = Some(Leadership { term, since: self.now });
+        (self.expected_entries, self.all_reported) = (None, false);
+        self.acknowledged_by_all = self.hub.acknowledged_by_all(self.now);
+        self.emit(Event::LeadershipResumed { term });
+        self.notify_seekers();
+        self.advance_calls();
+    }
+
+    fn start_leadership(&mut self, term: u64) {
+        self.leadership = Some(Leadership { term, since: self.now });
+        self.lapsed_term = None;
+        self.start_hub();
+        self.acknowledged_by_all = Progress::default();
+        self.route_table_applied_at = self.now;
+        self.core_addresses = self.reachable_core_addresses();
+        self.closing_windows.clear();
+        self.planners.clear();
+        self.initial_count_proposed_at.clear();
+        self.proposed_counts.clear();
+        self.absent_since.clear();
+        self.voter_change = None;
+        self.unproposed_departures.clear();
+        self.departures_proposal = None;
+        self.joins_proposal = None;
+        let previous = self.link.view().version;
+        let floor = self.link.history().map_or(previous.change, History::floor);
+        let propagation = Propagation { last_change: previous.change, oldest_change: floor };
+        let records = self.known_upstreams();
+        let known = self.link.view().upstreams.len();
+        self.unproposed_joins =
+            records.iter().map(|(_, it)| it.announcement.run.upstream.clone()).collect();
+        let removed = self.link.history().into_iter().flat_map(History::removed).cloned();
+        let removed: Vec<(u64, Record)> = removed.collect();
+        let mut departures = self.link.departures().clone();
+        for Departure { run, status } in self.replicated_state.departures() {
+            departures.record(self.now, &run, status);
+        }
+        let (upstreams, departure_count) = (records.len(), departures.len());
+        self.registry.restore(
+            self.now,
+            propagation,
+            removed.into_iter().chain(records),
+            departures,
+        );
+        self.hub.continue_from(previous);
+        self.expected_entries = self.link.recent_entry_count(self.now);
+        self.all_reported = false;
+        self.restore_quarantine();
+        self.restore_rollouts();
+        self.restore_limits();
+        self.emit(Event::LeadershipStarted {
+            term,
+            upstreams,
+            logged: upstreams - known,
+            departures: departure_count,
+            quarantined: self.quarantine.blocklist().quarantined.len(),
+        });
+        self.notify_seekers();
+        self.schedule_push();
+        self.advance_calls();
+    }
+
+    /// Lists the upstreams that this core knows of as a follower, or from the log where it doesn't.
+    ///
+    /// After a power loss of all, upstreams announce themselves to the new leader within a second or two.
+    /// Until then the few that came first would get the requests of all callers that have waited meanwhile:
+    /// one would notice half of them timed out at upstreams that were fine a moment before.
+    fn known_upstreams(&self) -> Vec<(u64, Record)> {
+        let view = &self.link.view().upstreams;
+        let newer = |it: &&Record| {
+            let known = view.get(&it.announcement.run.upstream);
+            known.is_none_or(|known| {
+                known.announcement.run.incarnation < it.announcement.run.incarnation
+            })
+        };
+        let history = self.link.history();
+        let change = |it: &Record| {
+            history.map_or(u64::MAX, |history| history.change(&it.announcement.run.upstream))
+        };
+        let known = view.values().map(|it| (change(it), it.clone()));
+        // No other instance is known to know of these.
+        let logged =
+            self.replicated_state.upstreams().filter(newer).map(|it| (u64::MAX, it.clone()));
+        known.chain(logged).collect()
+    }
+
+    /// Tells whoever has looked for a leader a moment ago that this core leads.
+    ///
+    /// After a power loss of all, entries ask every core from time to time. Until the next time they would
+    /// let all their callers wait, though there are routes to go by.
+    fn notify_seekers(&mut self) {
+        let leader = self.link.local_peer().address;
+        for seeker in std::mem::take(&mut self.leader_seekers).into_keys() {
+            self.send(seeker, Frame::NewLeader { leader });
+        }
+    }
+
+    /// Remembers an instance that asked for the leader while this core did not lead.
+    pub(crate) fn record_seeker(&mut self, heartbeat: &Heartbeat) {
+        if self.leader_seekers.len() >= MAX_SEEKERS {
+            self.drop_expired_seekers();
+        }
+        let (last_asked, is_entry) = (self.now, heartbeat.peer.voter.is_none());
+        self.leader_seekers.insert(
+            heartbeat.peer.address,
+            LeaderSeeker { last_asked, is_entry, report_count: heartbeat.sequence },
+        );
+    }
+
+    fn drop_expired_seekers(&mut self) {
+        self.leader_seekers
+            .retain(|_, seeker| self.now.saturating_sub(seeker.last_asked) <= SEEKER_TIMEOUT);
+    }
+
+    /// Prepares to grant the teams' limits from the first report on.
+    fn start_hub(&mut self) {
+        self.drop_expired_seekers();
+        let entries = self.leader_seekers.values().filter(|seeker| seeker.is_entry);
+        let expected = entries.clone().count();
+        let known = self.link.recent_entry_count(self.now).unwrap_or_default();
+        let all_recently_started =
+            entries.clone().all(|seeker| seeker.report_count <= RECENT_START_REPORTS);
+        // A few that have just started beside many that go on are no start of all.
+        let restarted = expected > known / 2 && all_recently_started;
+        self.hub.start_leading(self.now, expected, restarted);
+        let route_table =
+            self.replicated_state.current_table().map(|current| current.table.clone());
+        self.hub.refresh(self.now, route_table.as_deref());
+    }
+
+    /// Returns by which changes what is told whole is so.
+    pub(crate) fn change_numbers(&self) -> ChangeNumbers {
+        let (blocklist, plans) = (self.blocklist_change, self.rollout_plans_change);
+        ChangeNumbers { blocklist, plans, limits: self.limits_change }
+    }
+
+    /// Keeps what was led by for the time after.
+    fn end_leadership(&mut self) {
+        let Some(leadership) = self.leadership.take() else { return };
+        self.lapsed_term = Some(leadership.term);
+        self.emit(Event::LeaseLost { term: leadership.term });
+        let is_known = |record: &&Record| !matches!(record.status, Status::Gone | Status::Lost);
+        self.link.restore(LeaderState {
+            version: Version { term: leadership.term, change: self.registry.last_change() },
+            records: self.registry.records().filter(is_known).cloned().collect(),
+            history: self.registry.history(),
+            departures: self.registry.departures().clone(),
+            blocklist: self.quarantine.blocklist().clone(),
+            rollout_plans: self.rollout_plans.clone(),
+            limits: self.limits.clone(),
+            change_numbers: self.change_numbers(),
+        });
+        self.hub.release_subscribers();
+        self.advance_calls();
+    }
+}
--- a/crates/verbenaslip-fleet/src/core/limit.rs
+++ b/crates/verbenaslip-fleet/src/core/limit.rs
@@ -8,21 +8,21 @@
 
 impl Core {
     /// Begins with the limits that this core knew as a follower.
-    pub(crate) fn open_limits(&mut self) {
+    pub(crate) fn restore_limits(&mut self) {
         self.limits = self.link.view().limits.clone();
         self.limits_change = self.registry.last_change();
     }
 
     /// Takes the limits that an entry's answers have named, and has all others told.
-    pub(crate) fn take_limits(&mut self, sightings: &[Observation]) {
+    pub(crate) fn handle_observed_limits(&mut self, observations: &[Observation]) {
         let mut changed = false;
-        for sighting in sightings {
-            let Observation { run, limit } = sighting;
-            let there = self.registry.current_run(&run.upstream) == Some(run);
-            if there && limit.supersedes(self.limits.get(run)) {
+        for observation in observations {
+            let Observation { run, limit } = observation;
+            let is_current = self.registry.current_run(&run.upstream) == Some(run);
+            if is_current && limit.supersedes(self.limits.get(run)) {
                 Arc::make_mut(&mut self.limits).insert(run.clone(), *limit);
                 changed = true;
-                self.note(Event::LimitChanged(sighting.clone()));
+                self.emit(Event::LimitChanged(observation.clone()));
             }
         }
         if changed {
@@ -31,30 +31,31 @@
     }
 
     /// Counts the upstreams of a service that have been limited for a while.
-    pub(crate) fn limited(&self, service: &str) -> u32 {
-        let unix = self.agreed();
-        let settled = self.limits.iter().filter(|(_, limit)| limit::is_settled(limit, unix));
+    pub(crate) fn limited_upstreams(&self, service: &str) -> u32 {
+        let unix_ms = self.agreed_unix_ms();
+        let settled = self.limits.iter().filter(|(_, limit)| limit::is_settled(limit, unix_ms));
         let records = settled.filter_map(|(run, _)| self.registry.record(&run.upstream));
-        let ready =
-            |it: &Record| *it.announcement.service == *service && it.status == Status::Ready;
-        u32::try_from(records.filter(|it| ready(it)).count()).unwrap_or(u32::MAX)
+        let is_ready = |record: &Record| {
+            *record.announcement.service == *service && record.status == Status::Ready
+        };
+        u32::try_from(records.filter(|record| is_ready(record)).count()).unwrap_or(u32::MAX)
     }
 
     /// Forgets limits that have no meaning any more.
-    pub(crate) fn tend_limits(&mut self) {
-        let (unix, registry) = (self.agreed(), &self.registry);
-        let stays = |run: &Run, limit: &Limit| {
-            registry.current_run(&run.upstream) == Some(run) && limit::lasts(limit, unix)
+    pub(crate) fn remove_expired_limits(&mut self) {
+        let (unix_ms, registry) = (self.agreed_unix_ms(), &self.registry);
+        let is_needed = |run: &Run, limit: &Limit| {
+            registry.current_run(&run.upstream) == Some(run) && limit::is_retained(limit, unix_ms)
         };
-        if self.limits.iter().all(|(run, limit)| stays(run, limit)) {
+        if self.limits.iter().all(|(run, limit)| is_needed(run, limit)) {
             return;
         }
-        Arc::make_mut(&mut self.limits).retain(|run, limit| stays(run, limit));
+        Arc::make_mut(&mut self.limits).retain(|run, limit| is_needed(run, limit));
         self.publish_limits();
     }
 
     fn publish_limits(&mut self) {
         self.limits_change = self.registry.record_external_change();
-        self.push_soon();
+        self.schedule_push();
     }
 }
--- a/crates/verbenaslip-fleet/src/core/log.rs
+++ b/crates/verbenaslip-fleet/src/core/log.rs
@@ -17,35 +17,35 @@
     /// Gives the log an input, and does what it wants done.
     pub(crate) fn step_log(&mut self, input: replica::Input) {
         // A state that can't be read must not vote on: it would acknowledge what it can't apply.
-        if self.broken {
+        if self.state_unreadable {
             return;
         }
         let mut outputs = Vec::new();
         self.replica.step(self.now, input, &mut outputs);
         for output in outputs {
-            self.logged(output);
+            self.handle_log_output(output);
         }
     }
 
     /// Has a command committed; returns the token of its answer.
     pub(crate) fn propose(&mut self, command: &Command) -> u64 {
-        let token = self.token();
+        let token = self.next_token();
         self.step_log(replica::Input::Propose { token, command: command.encode() });
         token
     }
 
     /// Changes the voters, one change at a time.
-    pub(crate) fn change(&mut self, change: Change) {
-        if self.changing.is_some() {
+    pub(crate) fn change_voters(&mut self, change: Change) {
+        if self.voter_change.is_some() {
             return;
         }
-        let token = self.token();
-        self.changing = Some(token);
-        self.note(Event::VotersChanged { change: change.clone() });
+        let token = self.next_token();
+        self.voter_change = Some(token);
+        self.emit(Event::VotersChanged { change: change.clone() });
         self.step_log(replica::Input::ChangeVoters { token, change });
     }
 
-    fn logged(&mut self, output: LogOutput) {
+    fn handle_log_output(&mut self, output: LogOutput) {
         match output {
             LogOutput::Send { to, message } => {
                 let from = self.replica.voter().instance;
@@ -53,94 +53,97 @@
                     self.send(to, Frame::Log { from, message: Box::new(message) });
                 }
             }
-            LogOutput::Store { sequence: mark, write } => {
-                self.out.push(Output::Store { sequence: mark, write })
+            LogOutput::Store { sequence, write } => {
+                self.outputs.push(Output::Store { sequence, write })
             }
             LogOutput::Apply { position, command } => self.apply(position, &command),
-            LogOutput::Install(snapshot) => self.install(&snapshot),
-            LogOutput::Answer { token, answer } => self.proposed(token, &answer),
-            LogOutput::RoleChanged(role) => {
-                let (term, duty, leader) = (role.term, role.role, role.leader);
-                self.note(Event::Role { term, role: duty, leader });
+            LogOutput::Install(snapshot) => self.install_snapshot(&snapshot),
+            LogOutput::Answer { token, answer } => self.handle_log_answer(token, &answer),
+            LogOutput::RoleChanged(change) => {
+                let (term, role, leader) = (change.term, change.role, change.leader);
+                self.emit(Event::Role { term, role, leader });
             }
             LogOutput::RequestSnapshot { .. } => {
-                let (index, state) = (self.applied, Arc::from(self.ledger.snapshot()));
+                let (index, state) =
+                    (self.applied_index, Arc::from(self.replicated_state.snapshot()));
                 self.step_log(replica::Input::Snapshot { index, state });
             }
-            LogOutput::IdentityChanged(voter) => self.stranger(voter),
+            LogOutput::IdentityChanged(voter) => self.replace_wiped_voter(voter),
             LogOutput::ReadIndex { .. } | LogOutput::ReadRejected { .. } => {}
         }
     }
 
     fn apply(&mut self, position: Position, bytes: &[u8]) {
-        self.applied = position.index;
+        self.applied_index = position.index;
         match Command::decode(bytes) {
             Ok(command) => {
-                let before = self.ledger.revision();
+                let before = self.replicated_state.revision();
                 if let Command::CloseWindow(window) = &command {
-                    self.closing.remove(&window.number);
+                    self.closing_windows.remove(&window.number);
                 }
-                self.ledger.apply(command);
-                if self.ledger.revision() != before {
-                    self.note_sheet();
+                self.replicated_state.apply(command);
+                if self.replicated_state.revision() != before {
+                    self.emit_route_table();
                 }
             }
-            Err(error) => self.unreadable(&format!("entry {}: {error}", position.index)),
+            Err(error) => self.mark_unreadable(&format!("entry {}: {error}", position.index)),
         }
     }
 
-    fn install(&mut self, snapshot: &Snapshot) {
-        self.applied = snapshot.position.index;
+    fn install_snapshot(&mut self, snapshot: &Snapshot) {
+        self.applied_index = snapshot.position.index;
         match ReplicatedState::restore(&snapshot.state) {
-            Ok(ledger) => {
-                self.ledger = ledger;
-                self.note_sheet();
+            Ok(state) => {
+                self.replicated_state = state;
+                self.emit_route_table();
+            }
+            Err(error) => {
+                self.mark_unreadable(&format!("snapshot at {}: {error}", self.applied_index))
             }
-            Err(error) => self.unreadable(&format!("snapshot at {}: {error}", self.applied)),
         }
     }
 
-    fn proposed(&mut self, token: u64, answer: &Answer) {
-        if self.changing == Some(token) {
-            self.changing = None;
+    fn handle_log_answer(&mut self, token: u64, answer: &Answer) {
+        if self.voter_change == Some(token) {
+            self.voter_change = None;
             return;
         }
-        if self.noting_joins == Some(token) {
-            self.noting_joins = None;
+        if self.joins_proposal == Some(token) {
+            self.joins_proposal = None;
             return;
         }
-        if self.noting_quarantine == Some(token) {
-            self.noting_quarantine = None;
+        if self.quarantine_proposal == Some(token) {
+            self.quarantine_proposal = None;
             return;
         }
-        if self.deciding.values().any(|it| *it == token) {
-            return self.deciding.retain(|_, it| *it != token);
+        if self.verdict_proposals.values().any(|proposal| *proposal == token) {
+            return self.verdict_proposals.retain(|_, proposal| *proposal != token);
         }
-        if self.noting_departures == Some(token) {
-            self.noting_departures = None;
-            self.note_departures();
+        if self.departures_proposal == Some(token) {
+            self.departures_proposal = None;
+            self.propose_departures();
             return self.advance_calls();
         }
-        self.adopted(token, matches!(answer, Answer::Committed(_)));
+        self.handle_proposal_result(token, matches!(answer, Answer::Committed(_)));
     }
 
     /// Replaces a voter whose disk was lost: its instance already runs another folder.
-    fn stranger(&mut self, voter: Voter) {
+    fn replace_wiped_voter(&mut self, voter: Voter) {
         if self.is_leading() {
-            self.change(Change::Replace { old: voter.instance.clone(), new: voter });
+            self.change_voters(Change::Replace { old: voter.instance.clone(), new: voter });
         }
     }
 
-    fn note_sheet(&mut self) {
-        self.adopted = self.now;
-        let Some(edition) = self.ledger.current_table() else { return };
-        let (revision, routes) = (edition.table.revision, edition.table.routes.len());
-        self.note(Event::RouteTable { revision, routes });
-        self.push_soon();
+    fn emit_route_table(&mut self) {
+        self.route_table_applied_at = self.now;
+        let Some(current) = self.replicated_state.current_table() else { return };
+        let (revision, routes) = (current.table.revision, current.table.routes.len());
+        self.emit(Event::RouteTable { revision, routes });
+        self.schedule_push();
     }
 
-    fn unreadable(&mut self, what: &str) {
-        self.broken = true;
-        self.note(Event::UnreadableLog(what.into()));
+    fn mark_unreadable(&mut self, cause: &str) {
+        self.state_unreadable = true;
+        self.emit(Event::UnreadableLog(cause.into()));
     }
 }
--- a/crates/verbenaslip-fleet/src/delta_map.rs
+++ b/crates/verbenaslip-fleet/src/delta_map.rs
@@ -19,12 +19,12 @@
 
 impl<K: Ord + Clone, V: PartialEq + Clone> DeltaMap<K, V> {
     /// Takes a value for the report with this number.
-    pub(crate) fn insert(&mut self, number: u64, key: K, value: V) {
+    pub(crate) fn insert(&mut self, report: u64, key: K, value: V) {
         match self.values.get_mut(&key) {
-            Some(held) if held.0 == value => {}
-            Some(held) => *held = (value, number),
+            Some(current) if current.0 == value => {}
+            Some(current) => *current = (value, report),
             None => {
-                self.values.insert(key, (value, number));
+                self.values.insert(key, (value, report));
             }
         }
     }
@@ -40,13 +40,14 @@
     }
 
     /// Goes through the values that were told first after the report with this number.
-    pub(crate) fn changed_since(&self, number: u64) -> impl Iterator<Item = (&K, &V)> {
-        let newer = self.values.iter().filter(move |(_, (_, told))| *told > number);
-        newer.map(|(key, (value, _))| (key, value))
+    pub(crate) fn changed_since(&self, report: u64) -> impl Iterator<Item = (&K, &V)> {
+        let changed =
+            self.values.iter().filter(move |(_, (_, first_report))| *first_report > report);
+        changed.map(|(key, (value, _))| (key, value))
     }
 
     /// Drops the values whose keys are of no more interest.
-    pub(crate) fn retain(&mut self, stays: impl Fn(&K) -> bool) {
-        self.values.retain(|key, _| stays(key));
+    pub(crate) fn retain(&mut self, is_needed: impl Fn(&K) -> bool) {
+        self.values.retain(|key, _| is_needed(key));
     }
 }
--- a/crates/verbenaslip-fleet/src/entry.rs
+++ b/crates/verbenaslip-fleet/src/entry.rs
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub struct Entry {
     link: Link,
-    accounts: CrashReporter,
+    crash_reporter: CrashReporter,
 }
 
 /// Wants a frame sent.
@@ -28,8 +28,11 @@
 
 impl Entry {
     /// Starts without a view.
-    pub fn new(own: Peer, seeds: Vec<SocketAddr>, now: Duration, unix: u64) -> Self {
-        Self { link: Link::new(own, seeds, now, unix), accounts: CrashReporter::default() }
+    pub fn new(local_peer: Peer, seeds: Vec<SocketAddr>, now: Duration, unix_ms: u64) -> Self {
+        Self {
+            link: Link::new(local_peer, seeds, now, unix_ms),
+            crash_reporter: CrashReporter::default(),
+        }
     }
 
     /// Returns what is known of the fleet.
@@ -44,8 +47,8 @@
 
     /// Returns when [`heartbeat`](Self::heartbeat) or [`account`](Self::account) is due.
     pub fn next_wakeup(&self) -> Duration {
-        let account = self.accounts.next_due().unwrap_or(Duration::MAX);
-        self.link.next_wakeup().min(account)
+        let crash_report = self.crash_reporter.next_due().unwrap_or(Duration::MAX);
+        self.link.next_wakeup().min(crash_report)
     }
 
     /// Returns when [`heartbeat`](Self::heartbeat) is due.
@@ -60,31 +63,34 @@
         crashes: Vec<ObservedCrash>,
         answers: Vec<ObservedAnswer>,
     ) {
-        self.accounts.record(now, crashes, answers);
+        self.crash_reporter.record(now, crashes, answers);
     }
 
     /// Tells the leader of that if it is due.
     pub fn next_crash_report(&mut self, now: Duration) -> Option<Envelope> {
-        self.accounts.next_due().filter(|due| now >= *due)?;
+        self.crash_reporter.next_due().filter(|due| now >= *due)?;
         let Some(leader) = self.link.leader(now) else {
-            self.accounts.postpone(now);
+            self.crash_reporter.postpone(now);
             return None;
         };
-        let account = self.accounts.next_report(now, self.link.own().address)?;
-        Some(Envelope { to: vec![leader], frame: Frame::CrashReport(Box::new(account)) })
+        let report = self.crash_reporter.next_report(now, self.link.local_peer().address)?;
+        Some(Envelope { to: vec![leader], frame: Frame::CrashReport(Box::new(report)) })
     }
 
     /// Asks for units of teams' limits.
-    pub fn request_loans(&self, now: Duration, loans: Vec<LoanRequest>) -> Option<Envelope> {
-        let target = self.link.target(now).filter(|_| !loans.is_empty())?;
-        let from = self.link.own().address;
-        Some(Envelope { to: vec![target], frame: Frame::RequestLoans { from, requests: loans } })
+    pub fn request_loans(&self, now: Duration, requests: Vec<LoanRequest>) -> Option<Envelope> {
+        let target = self.link.reachable_target(now).filter(|_| !requests.is_empty())?;
+        let from = self.link.local_peer().address;
+        Some(Envelope { to: vec![target], frame: Frame::RequestLoans { from, requests } })
     }
 
     /// Says that this entry ends.
     pub fn stop_notice(&self, now: Duration) -> Option<Envelope> {
-        let address = self.link.own().address;
-        Some(Envelope { to: vec![self.link.target(now)?], frame: Frame::EntryStopped { address } })
+        let address = self.link.local_peer().address;
+        Some(Envelope {
+            to: vec![self.link.reachable_target(now)?],
+            frame: Frame::EntryStopped { address },
+        })
     }
 
     /// Takes other addresses to join through.
@@ -93,8 +99,13 @@
     }
 
     /// Reports if that is due; `unix` is what this machine's clock shows.
-    pub fn next_heartbeat(&mut self, now: Duration, unix: u64, report: Report) -> Option<Envelope> {
-        let (to, heartbeat) = self.link.heartbeat(now, unix, report)?;
+    pub fn next_heartbeat(
+        &mut self,
+        now: Duration,
+        unix_ms: u64,
+        report: Report,
+    ) -> Option<Envelope> {
+        let (to, heartbeat) = self.link.next_heartbeat(now, unix_ms, report)?;
         Some(Envelope { to, frame: Frame::Heartbeat(Box::new(heartbeat)) })
     }
 
@@ -103,13 +114,13 @@
         match frame {
             Frame::Update(update) => {
                 let from = update.from;
-                let seen =
+                let acknowledgement =
                     self.link.handle_update(now, *update).then(|| self.link.acknowledgement());
-                self.accounts.set_term(now, self.link.view().version.term);
-                Some(Envelope { to: vec![from], frame: seen? })
+                self.crash_reporter.set_term(now, self.link.view().version.term);
+                Some(Envelope { to: vec![from], frame: acknowledgement? })
             }
             Frame::CrashReportReceived { term, number } => {
-                self.accounts.confirm(term, number);
+                self.crash_reporter.confirm(term, number);
                 None
             }
             Frame::Redirect { from, leader, cores } => {
@@ -117,7 +128,7 @@
                 None
             }
             Frame::ReportTo { core } => {
-                self.link.report_to(now, core);
+                self.link.handle_report_to(now, core);
                 None
             }
             Frame::NewLeader { leader } => {
--- a/crates/verbenaslip-fleet/src/history.rs
+++ b/crates/verbenaslip-fleet/src/history.rs
@@ -10,7 +10,7 @@
 use crate::upstream::Record;
 
 /// The most upstreams that are remembered which have gone; beyond that instances that lack them are told everything.
-const REMOVED: usize = 4_096;
+const MAX_REMOVED: usize = 4_096;
 
 /// Remembers changes since the last whole list.
 #[derive(Clone, Debug, Default)]
@@ -18,7 +18,7 @@
     /// The change up to which everything was told at once, or is forgotten.
     floor: u64,
     /// The changes of upstreams that have changed since.
-    record_change: BTreeMap<Upstream, u64>,
+    changes: BTreeMap<Upstream, u64>,
     /// Upstreams that have gone since, and by which change.
     removed: BTreeMap<Upstream, (u64, Record)>,
 }
@@ -36,7 +36,7 @@
 
     /// Returns the change by which an upstream was told, or a later one.
     pub(crate) fn change(&self, upstream: &Upstream) -> u64 {
-        self.record_change.get(upstream).copied().unwrap_or(self.floor)
+        self.changes.get(upstream).copied().unwrap_or(self.floor)
     }
 
     /// Goes through the upstreams that have gone, with their changes.
@@ -45,17 +45,17 @@
     }
 
     /// Notes that an upstream was told of.
-    pub(crate) fn told(&mut self, upstream: &Upstream, change: u64) {
+    pub(crate) fn record_change(&mut self, upstream: &Upstream, change: u64) {
         self.removed.remove(upstream);
-        self.record_change.insert(upstream.clone(), change);
+        self.changes.insert(upstream.clone(), change);
     }
 
     /// Notes that an upstream has gone; `record` says how.
     pub(crate) fn record_removal(&mut self, change: u64, record: Record) {
         let upstream = record.announcement.run.upstream.clone();
-        self.record_change.remove(&upstream);
+        self.changes.remove(&upstream);
         self.removed.insert(upstream, (change, record));
-        if self.removed.len() > REMOVED {
+        if self.removed.len() > MAX_REMOVED {
             self.floor = self.floor.max(change);
             self.removed.clear();
         }
--- a/crates/verbenaslip-fleet/src/hub.rs
+++ b/crates/verbenaslip-fleet/src/hub.rs
@@ -3,9 +3,9 @@
 //! The leader hears the cores, and a core the entries that report to it; in a small fleet the leader hears all entries by
 //! itself.
 
+mod push;
 mod source;
 mod subscriber;
-mod tell;
 mod totals;
 
 use std::collections::BTreeMap;
@@ -17,9 +17,9 @@
 
 use crate::clock;
 use crate::frame::{Aggregate, Heartbeat, Peer, RelayedReport, Update};
-pub use crate::hub::source::{ChangeSource, Changes, UpdateSource};
+pub use crate::hub::source::{ChangeNumbers, ChangeSource, UpdateSource};
 use crate::hub::subscriber::Subscriber;
-use crate::hub::totals::Totals;
+use crate::hub::totals::EntryTotals;
 use crate::load::{LoadEstimator, WorkReport};
 use crate::parent::ParentCore;
 use crate::quota::{LoanGrant, LoanRequest, TeamBuckets};
@@ -35,39 +35,39 @@
 pub const SHARE_LEASE: Duration = Duration::from_secs(1);
 
 /// How long a new leader counts those entries as well that looked for a leader just before.
-const EXPECTED: Duration = Duration::from_secs(2);
+const EXPECTED_ENTRIES_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long a core has been heard before entries are sent to it: one that is heard now and then would have them go back
 /// and forth. Those that are heard at once when a leader begins have been there before.
-const STEADY: Duration = Duration::from_secs(2);
+const STABLE_CORE_TIME: Duration = Duration::from_secs(2);
 
 /// How long an instance that is silent is remembered: it may be cut off and still serve.
-const MEMORY: Duration = Duration::from_secs(30);
+const SUBSCRIBER_RETENTION: Duration = Duration::from_secs(30);
 
-/// The same as [`STEADY`] for a leader that has just begun.
-const AT_ONCE: Duration = Duration::from_millis(700);
+/// The same as [`STABLE_CORE_TIME`] for a leader that has just begun.
+const STARTUP_GRACE: Duration = Duration::from_millis(700);
 
 /// Keeps what each instance has that reports here.
 #[derive(Debug, Default)]
 pub struct Hub {
     subscribers: BTreeMap<SocketAddr, Subscriber>,
     usage: Collector,
-    quotas: TeamBuckets,
+    team_buckets: TeamBuckets,
     loads: LoadEstimator,
     /// Milliseconds of engine time that entries were asked for since this process started, by service.
     total_work: BTreeMap<Arc<str>, f64>,
     /// When this core began to lead.
-    opened: Duration,
+    leading_since: Duration,
     /// Entries that looked for a leader just before this one began to lead.
-    expected: usize,
-    totals: Totals,
+    expected_entries: usize,
+    entry_totals: EntryTotals,
     /// Places among the entries that are given.
     slot_count: u32,
     /// The last change of the leader before that is known here.
-    before: Version,
+    previous_version: Version,
     /// The median of all clocks when it was last made. Made for each report it would cost the square of the
     /// number of instances.
-    time: Option<i64>,
+    time_offset_ms: Option<i64>,
 }
 
 /// Holds an update for several instances.
@@ -114,108 +114,128 @@
 }
 
 impl Hub {
-    /// Begins to lead so many entries; `restarted` tells whether all of them have just started, as after a power loss of
+    /// Begins to lead so many entries; `all_restarted` tells whether all of them have just started, as after a power loss of
     /// all.
     ///
     /// Counts of usage stay, and entries that report here: they report only what has changed since they began to.
     pub fn start_leading(&mut self, now: Duration, expected: usize, restarted: bool) {
-        let Self { subscribers, usage, total_work: worked, .. } = std::mem::take(self);
-        let quotas = TeamBuckets::new(restarted);
-        let kept = Self { subscribers, usage, total_work: worked, ..Self::default() };
-        *self = Self { quotas, opened: now, expected, ..kept };
+        let Self { subscribers, usage, total_work, .. } = std::mem::take(self);
+        let team_buckets = TeamBuckets::new(restarted);
+        let retained = Self { subscribers, usage, total_work, ..Self::default() };
+        *self = Self { team_buckets, leading_since: now, expected_entries: expected, ..retained };
     }
 
     /// Ceases to lead, or to hear entries: whoever reports here goes on elsewhere.
     pub fn release_subscribers(&mut self) {
         self.subscribers.clear();
-        self.time = None;
+        self.time_offset_ms = None;
     }
 
     /// Goes on from the last change of the leader before: instances that have it, or an earlier one of that leader, are
     /// told what has changed since.
-    pub fn continue_from(&mut self, before: Version) {
-        self.before = before;
+    pub fn continue_from(&mut self, previous: Version) {
+        self.previous_version = previous;
         for subscriber in self.subscribers.values_mut() {
-            let sent = Version { term: subscriber.sent_term, change: subscriber.sent };
-            if sent.term != before.term || sent > before {
-                (subscriber.seen, subscriber.sent, subscriber.covered.change) = (0, 0, 0);
+            let sent = Version { term: subscriber.sent_term, change: subscriber.sent_change };
+            if sent.term != previous.term || sent > previous {
+                (
+                    subscriber.acknowledged_change,
+                    subscriber.sent_change,
+                    subscriber.progress.change,
+                ) = (0, 0, 0);
             }
         }
     }
 
     /// Takes a report; `last` is the number of this core's own last one.
-    pub fn handle_heartbeat(&mut self, now: Duration, term: u64, last: u64, heartbeat: Heartbeat) {
+    pub fn handle_heartbeat(
+        &mut self,
+        now: Duration,
+        term: u64,
+        last_sequence: u64,
+        heartbeat: Heartbeat,
+    ) {
         let Heartbeat {
             peer,
-            version: seen,
+            version,
             revision,
-            unix_ms: unix,
-            counted_until: counted,
+            unix_ms,
+            counted_until,
             counts,
-            sequence: number,
+            sequence,
             refunds,
-            engine_work: work,
+            engine_work,
             ..
         } = heartbeat;
         let origin = EntryRun { address: peer.address, incarnation: peer.incarnation };
-        self.usage.record(last + 1, origin, counts);
-        let goes_on = seen.term == self.before.term && seen <= self.before;
-        let seen = if seen.term == term || goes_on { seen } else { Version { term, change: 0 } };
-        let known = seen.change;
+        self.usage.record(last_sequence + 1, origin, counts);
+        let is_comparable =
+            version.term == self.previous_version.term && version <= self.previous_version;
+        let version = if version.term == term || is_comparable {
+            version
+        } else {
+            Version { term, change: 0 }
+        };
+        let change = version.change;
         let subscriber = self
             .subscribers
             .entry(peer.address)
-            .or_insert_with(|| Subscriber::open(peer.clone(), now));
+            .or_insert_with(|| Subscriber::new(peer.clone(), now));
         let restarted = subscriber.peer.incarnation != peer.incarnation;
         if restarted {
-            subscriber.sheet_sent = None;
-            subscriber.work.clear();
+            subscriber.route_table_sent = None;
+            subscriber.work_totals.clear();
         }
-        subscriber.confirm(now, known);
-        let patience = subscriber.patience();
-        if restarted || now.saturating_sub(subscriber.pushed) > patience {
-            (subscriber.sent, subscriber.sent_term) = (known, seen.term);
+        subscriber.acknowledge(now, change);
+        let resend_timeout = subscriber.resend_timeout();
+        if restarted || now.saturating_sub(subscriber.delivery_confirmed_at) > resend_timeout {
+            (subscriber.sent_change, subscriber.sent_term) = (change, version.term);
         }
-        if subscriber.sheet_sent.is_some_and(|(_, at)| now.saturating_sub(at) > patience) {
-            subscriber.sheet_sent = None;
+        if subscriber
+            .route_table_sent
+            .is_some_and(|(_, sent_at)| now.saturating_sub(sent_at) > resend_timeout)
+        {
+            subscriber.route_table_sent = None;
         }
-        subscriber.entries = u32::from(peer.voter.is_none());
-        subscriber.places = subscriber.entries;
-        subscriber.covered = Progress { change: known, revision };
-        subscriber.listed.clear();
+        subscriber.entry_count = u32::from(peer.voter.is_none());
+        subscriber.slot_count = subscriber.entry_count;
+        subscriber.progress = Progress { change, revision };
+        subscriber.entry_addresses.clear();
         subscriber.peer = peer;
-        subscriber.hear(now);
-        subscriber.seen = known;
-        if known > subscriber.sent {
-            (subscriber.sent, subscriber.sent_term) = (known, seen.term);
+        subscriber.mark_heard(now);
+        subscriber.acknowledged_change = change;
+        if change > subscriber.sent_change {
+            (subscriber.sent_change, subscriber.sent_term) = (change, version.term);
         }
         subscriber.revision = revision;
-        subscriber.offset = clock::offset_ms(now, unix);
-        subscriber.counted = counted;
-        subscriber.number = number;
-        refunds.iter().for_each(|refund| self.quotas.refund(refund));
-        for WorkReport { service, total_ms: total } in work {
+        subscriber.time_offset_ms = clock::offset_ms(now, unix_ms);
+        subscriber.counted_until = counted_until;
+        subscriber.last_sequence = sequence;
+        refunds.iter().for_each(|refund| self.team_buckets.refund(refund));
+        for WorkReport { service, total_ms } in engine_work {
             // The first report tells of all the time before.
-            let before = subscriber.work.insert(service.clone(), total).unwrap_or(total);
-            self.loads.add(now, &service, total - before);
-            *self.total_work.entry(service).or_default() += (total - before).max(0.0);
+            let before =
+                subscriber.work_totals.insert(service.clone(), total_ms).unwrap_or(total_ms);
+            self.loads.add(now, &service, total_ms - before);
+            *self.total_work.entry(service).or_default() += (total_ms - before).max(0.0);
         }
-        if let Some(below) = heartbeat.aggregate {
-            self.take_below(origin.address, last, below);
+        if let Some(aggregate) = heartbeat.aggregate {
+            self.handle_aggregate(origin.address, last_sequence, aggregate);
         }
     }
 
     /// Takes what the entries below a core have reported to it.
-    fn take_below(&mut self, core: SocketAddr, last: u64, below: Aggregate) {
-        for EntryCounts { entry: origin, counts } in below.counts {
-            self.usage.record(last + 1, origin, counts);
+    fn handle_aggregate(&mut self, core: SocketAddr, last_sequence: u64, aggregate: Aggregate) {
+        for EntryCounts { entry, counts } in aggregate.counts {
+            self.usage.record(last_sequence + 1, entry, counts);
         }
         let Some(subscriber) = self.subscribers.get_mut(&core) else { return };
-        let covered = Progress { change: below.acknowledged.change, revision: below.revision };
-        subscriber.covered = subscriber.covered.min(covered);
-        subscriber.entries = below.entry_count;
-        subscriber.places = below.slot_count;
-        subscriber.listed = below.entry_addresses;
+        let progress =
+            Progress { change: aggregate.acknowledged.change, revision: aggregate.revision };
+        subscriber.progress = subscriber.progress.min(progress);
+        subscriber.entry_count = aggregate.entry_count;
+        subscriber.slot_count = aggregate.slot_count;
+        subscriber.entry_addresses = aggregate.entry_addresses;
     }
 
     /// Forgets an instance that reports elsewhere.
@@ -240,8 +260,8 @@
 
     /// Returns to how many instances one tells a change at most: the leader, or a core to its entries.
     pub fn max_fan_out(&self) -> usize {
-        let below = self.subscribers.values().map(|it| it.entries as usize).max();
-        self.len().max(below.unwrap_or(0))
+        let largest_aggregate = self.subscribers.values().map(|it| it.entry_count as usize).max();
+        self.len().max(largest_aggregate.unwrap_or(0))
     }
 
     /// Returns how many engines of a service would be busy all the time; none before that is known.
@@ -258,120 +278,128 @@
         revision: u64,
     ) {
         let Some(subscriber) = self.subscribers.get_mut(&address) else { return };
-        subscriber.hear(now);
-        subscriber.confirm(now, change);
-        subscriber.seen = subscriber.seen.max(change);
+        subscriber.mark_heard(now);
+        subscriber.acknowledge(now, change);
+        subscriber.acknowledged_change = subscriber.acknowledged_change.max(change);
         subscriber.revision = subscriber.revision.max(revision);
-        let covered = &mut subscriber.covered;
-        covered.change = covered.change.max(change);
-        covered.revision = covered.revision.max(revision);
+        let progress = &mut subscriber.progress;
+        progress.change = progress.change.max(change);
+        progress.revision = progress.revision.max(revision);
     }
 
     /// Makes the sums anew, and lets the teams' limits fill up.
-    pub fn refresh(&mut self, now: Duration, sheet: Option<&RouteTable>) {
+    pub fn refresh(&mut self, now: Duration, route_table: Option<&RouteTable>) {
         self.loads.update(now);
-        let expects = now < self.opened + EXPECTED;
-        self.totals.take(
+        let expects_entries = now < self.leading_since + EXPECTED_ENTRIES_TIMEOUT;
+        self.entry_totals.update(
             now,
             self.reachable_entry_count(now),
-            if expects { self.expected } else { 0 },
+            if expects_entries { self.expected_entries } else { 0 },
         );
         self.assign_time_slots(now, 0);
-        let Some(sheet) = sheet else { return };
+        let Some(route_table) = route_table else { return };
         // An entry that is cut off may still spend an equal part of each limit.
-        let free = 1.0 - as_f64(self.totals.silent()) / as_f64(self.totals.all());
-        self.quotas.refill(now, sheet, free);
+        let available_share =
+            1.0 - as_f64(self.entry_totals.silent()) / as_f64(self.entry_totals.total());
+        self.team_buckets.refill(now, route_table, available_share);
     }
 
     /// Lends units of teams' limits.
-    pub fn grant_loans(&mut self, loans: &[LoanRequest]) -> Vec<LoanGrant> {
-        loans.iter().map(|loan| self.quotas.grant(loan)).collect()
+    pub fn grant_loans(&mut self, requests: &[LoanRequest]) -> Vec<LoanGrant> {
+        requests.iter().map(|request| self.team_buckets.grant(request)).collect()
     }
 
     /// Numbers the entries that may serve from a place on, so that each has its turn under an upstream's limit, and
     /// forgets whoever has been silent for long.
-    pub fn assign_time_slots(&mut self, now: Duration, first: u32) {
-        self.subscribers.retain(|_, it| it.is_heard(now, MEMORY));
-        let mut place = first;
+    pub fn assign_time_slots(&mut self, now: Duration, first_index: u32) {
+        self.subscribers.retain(|_, it| it.is_heard_within(now, SUBSCRIBER_RETENTION));
+        let mut next_index = first_index;
         for subscriber in self.subscribers.values_mut() {
-            subscriber.place = Some(place);
-            place += subscriber.places;
+            subscriber.slot_index = Some(next_index);
+            next_index += subscriber.slot_count;
         }
-        self.slot_count = place - first;
+        self.slot_count = next_index - first_index;
     }
 
     /// Returns how many places among the entries are given.
-    pub fn places(&self) -> u32 {
+    pub fn slot_count(&self) -> u32 {
         self.slot_count
     }
 
     /// Returns how many entries are heard.
     pub fn reachable_entry_count(&self, now: Duration) -> usize {
-        let heard = self.subscribers.values().filter(|it| it.is_heard(now, SHARE_LEASE));
-        heard.map(|it| it.entries as usize).sum()
+        let reachable = self.subscribers.values().filter(|it| it.is_heard_within(now, SHARE_LEASE));
+        reachable.map(|it| it.entry_count as usize).sum()
     }
 
     /// Returns how many entries there are, heard lately or expected.
     pub fn entry_count(&self) -> usize {
-        self.totals.all()
+        self.entry_totals.total()
     }
 
     /// Goes through the cores that are heard, other than the leader.
     pub fn reachable_cores(&self, now: Duration) -> impl Iterator<Item = &Peer> {
-        let live = self.subscribers.values().filter(move |it| it.is_heard(now, SILENCE_TIMEOUT));
-        live.map(|it| &it.peer).filter(|peer| peer.voter.is_some())
+        let reachable =
+            self.subscribers.values().filter(move |it| it.is_heard_within(now, SILENCE_TIMEOUT));
+        reachable.map(|it| &it.peer).filter(|peer| peer.voter.is_some())
     }
 
     /// Lists the cores that entries may report to.
     pub fn parent_cores(&self, now: Duration) -> Vec<ParentCore> {
-        let steady = |it: &&Subscriber| {
-            it.is_heard(now, SILENCE_TIMEOUT)
-                && (it.since <= self.opened + AT_ONCE || now.saturating_sub(it.since) >= STEADY)
+        let is_stable = |subscriber: &&Subscriber| {
+            subscriber.is_heard_within(now, SILENCE_TIMEOUT)
+                && (subscriber.heard_since <= self.leading_since + STARTUP_GRACE
+                    || now.saturating_sub(subscriber.heard_since) >= STABLE_CORE_TIME)
         };
-        let cores = self.subscribers.values().filter(|it| it.peer.voter.is_some());
-        let site = |it: &Peer| ParentCore { address: it.address, zone: it.zone.clone() };
-        cores.filter(steady).map(|it| site(&it.peer)).collect()
+        let cores = self.subscribers.values().filter(|subscriber| subscriber.peer.voter.is_some());
+        let parent_core =
+            |peer: &Peer| ParentCore { address: peer.address, zone: peer.zone.clone() };
+        cores.filter(is_stable).map(|subscriber| parent_core(&subscriber.peer)).collect()
     }
 
     /// Lists the entries that are heard, as far as it is known which these are.
     pub fn reachable_entries(&self, now: Duration) -> Vec<SocketAddr> {
-        let mut heard = Vec::new();
-        for subscriber in self.subscribers.values().filter(|it| it.is_heard(now, SILENCE_TIMEOUT)) {
+        let mut reachable = Vec::new();
+        for subscriber in
+            self.subscribers.values().filter(|it| it.is_heard_within(now, SILENCE_TIMEOUT))
+        {
             if subscriber.peer.voter.is_none() {
-                heard.push(subscriber.peer.address);
+                reachable.push(subscriber.peer.address);
             }
-            heard.extend(&subscriber.listed);
+            reachable.extend(&subscriber.entry_addresses);
         }
-        heard.sort_unstable();
-        heard.dedup();
-        heard
+        reachable.sort_unstable();
+        reachable.dedup();
+        reachable
     }
 
     /// Makes the median of all clocks anew.
-    pub fn update_time_offset(&mut self, now: Duration, own: i64) {
-        self.time = None;
-        self.time = Some(self.time_offset_ms(now, own));
+    pub fn update_time_offset(&mut self, now: Duration, own_offset_ms: i64) {
+        self.time_offset_ms = None;
+        self.time_offset_ms = Some(self.time_offset_ms(now, own_offset_ms));
     }
 
     /// Returns the agreed time of day less the steady clock: the median of all clocks.
-    pub fn time_offset_ms(&self, now: Duration, own: i64) -> i64 {
-        if let Some(time) = self.time {
-            return time;
+    pub fn time_offset_ms(&self, now: Duration, own_offset_ms: i64) -> i64 {
+        if let Some(offset_ms) = self.time_offset_ms {
+            return offset_ms;
         }
-        let live = self.subscribers.values().filter(|it| it.is_heard(now, SILENCE_TIMEOUT));
-        let offsets = live.map(|it| it.offset).chain([own]).collect();
-        clock::median(offsets).unwrap_or(own)
+        let reachable =
+            self.subscribers.values().filter(|it| it.is_heard_within(now, SILENCE_TIMEOUT));
+        let offsets = reachable.map(|it| it.time_offset_ms).chain([own_offset_ms]).collect();
+        clock::median(offsets).unwrap_or(own_offset_ms)
     }
 
     /// Tells whether the counts of every entry that may still report are complete up to a time.
-    pub fn counts_complete(&self, now: Duration, unix: u64) -> bool {
-        self.totals.silent() == 0 && self.counted_until(now).is_none_or(|counted| counted >= unix)
+    pub fn counts_complete(&self, now: Duration, unix_ms: u64) -> bool {
+        self.entry_totals.silent() == 0
+            && self.counted_until(now).is_none_or(|counted_until| counted_until >= unix_ms)
     }
 
     /// Returns up to when the counts of all are complete that report here; none if nobody does.
     pub fn counted_until(&self, now: Duration) -> Option<u64> {
-        let live = self.subscribers.values().filter(|it| it.is_heard(now, SHARE_LEASE));
-        live.map(|it| it.counted).min()
+        let reachable = self.subscribers.values().filter(|it| it.is_heard_within(now, SHARE_LEASE));
+        reachable.map(|it| it.counted_until).min()
     }
 
     /// Returns the counts of a window.
@@ -380,10 +408,10 @@
     }
 
     /// Lists the work that entries were asked for since this process started.
-    pub fn worked(&self) -> Vec<WorkReport> {
-        let worked = self.total_work.iter();
-        worked
-            .map(|(service, total)| WorkReport { service: service.clone(), total_ms: *total })
+    pub fn work_totals(&self) -> Vec<WorkReport> {
+        let totals = self.total_work.iter();
+        totals
+            .map(|(service, total_ms)| WorkReport { service: service.clone(), total_ms: *total_ms })
             .collect()
     }
 
@@ -392,7 +420,7 @@
         &self,
         now: Duration,
         since: u64,
-        covered: Version,
+        acknowledged: Version,
         revision: u64,
         rollouts: Vec<RelayedReport>,
     ) -> Aggregate {
@@ -400,7 +428,7 @@
             entry_count: u32::try_from(self.reachable_entry_count(now)).unwrap_or(u32::MAX),
             slot_count: self.slot_count,
             entry_addresses: Vec::new(),
-            acknowledged: covered,
+            acknowledged,
             revision,
             counts: self.usage.since(since),
             rollouts,
--- /dev/null
+++ b/crates/verbenaslip-fleet/src/hub/push.rs
@@ -0,0 +1,140 @@
+//! What instances lack, and who has what.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use crate::frame::{FleetStatus, Update};
+use crate::hub::source::Missing;
+use crate::hub::subscriber::Subscriber;
+use crate::hub::{
+    AckCounts, Hub, PendingPush, Progress, SHARE_LEASE, SILENCE_TIMEOUT, UpdateSource,
+};
+use crate::limit::TimeSlot;
+use crate::view::Version;
+
+impl Hub {
+    /// Lists the instances that are heard and have not been sent everything.
+    pub fn lagging_subscribers(
+        &self,
+        now: Duration,
+        change: u64,
+        revision: u64,
+    ) -> Vec<SocketAddr> {
+        let reachable = self.subscribers.values().filter(|it| it.is_heard_within(now, SHARE_LEASE));
+        let lagging = reachable.filter(|it| it.is_behind(change, revision));
+        lagging.map(|it| it.peer.address).collect()
+    }
+
+    /// Tells whether an instance has not been sent anything by the leader of a term.
+    pub fn is_new(&self, instance: SocketAddr, term: u64) -> bool {
+        let new = |it: &Subscriber| it.sent_change == 0 || it.sent_term != term;
+        self.subscribers.get(&instance).is_some_and(new)
+    }
+
+    /// Tells whether an instance has not been sent everything.
+    pub fn is_behind(&self, instance: SocketAddr, change: u64, revision: u64) -> bool {
+        self.subscribers.get(&instance).is_some_and(|it| it.is_behind(change, revision))
+    }
+
+    /// Makes the answer to an instance's report.
+    ///
+    /// It brings no upstreams and no route table: these come with the next push, made once for all that lack
+    /// the same. Made for each that asks, the list of 3,000 upstreams would take a new leader of 300 entries
+    /// seconds, and callers would wait for all that time.
+    pub fn heartbeat_answer(
+        &self,
+        to: SocketAddr,
+        source: &UpdateSource<'_>,
+        status: FleetStatus,
+    ) -> Option<Update> {
+        let subscriber = self.subscribers.get(&to)?;
+        let time_slot = status
+            .time_slot
+            .zip(subscriber.slot_index)
+            .map(|(slots, index)| TimeSlot { index, ..slots });
+        let status = FleetStatus { sequence: subscriber.last_sequence, time_slot, ..status };
+        Some(Update {
+            fleet_status: Some(status),
+            ..source.empty_update(subscriber.acknowledged_change)
+        })
+    }
+
+    /// Makes the update that instances lack, and counts them as sent.
+    ///
+    /// Most instances lack the same. Made and written for each of them, a push at a time when upstreams
+    /// come and go would take all of the leader's time: one would notice reports without an answer and
+    /// routes that come into force seconds late.
+    pub fn push_updates(
+        &mut self,
+        now: Duration,
+        to: &[SocketAddr],
+        source: &UpdateSource<'_>,
+    ) -> Vec<PendingPush> {
+        let mut groups: BTreeMap<Missing, Vec<SocketAddr>> = BTreeMap::new();
+        for to in to {
+            if let Some(missing) = self.find_missing(now, *to, source) {
+                groups.entry(missing).or_default().push(*to);
+            }
+        }
+        let groups = groups.into_iter();
+        groups
+            .map(|(missing, to)| PendingPush { to, update: source.build_update(&missing) })
+            .collect()
+    }
+
+    /// Finds what an instance lacks, and counts it as sent.
+    fn find_missing(
+        &mut self,
+        now: Duration,
+        to: SocketAddr,
+        source: &UpdateSource<'_>,
+    ) -> Option<Missing> {
+        let subscriber = self.subscribers.get_mut(&to)?;
+        let newest = source.version();
+        let sent = Version { term: subscriber.sent_term, change: subscriber.sent_change };
+        let is_covered = |version: &Version| {
+            version.change > 0 && source.records.has_changes_since(version.change)
+        };
+        let base = Some(sent).filter(is_covered);
+        // What was confirmed lately shows that the way works, however much is under way.
+        if base != Some(newest) && subscriber.acknowledged_change >= subscriber.sent_change {
+            subscriber.delivery_confirmed_at = now;
+            subscriber.full_list_pending = base.is_none();
+        }
+        (subscriber.sent_change, subscriber.sent_term) = (newest.change, newest.term);
+        let revision = source.revision();
+        let needs_route_table = subscriber.revision.max(subscriber.sent_revision()) < revision;
+        if needs_route_table {
+            subscriber.route_table_sent = Some((revision, now));
+        }
+        let progress = subscriber.progress;
+        let is_behind = progress.change < newest.change || progress.revision < revision;
+        Some(Missing {
+            base,
+            route_table: needs_route_table,
+            ack_requested: source.ack_requested && is_behind,
+        })
+    }
+
+    /// Counts who has a change.
+    pub fn ack_counts(&self, now: Duration, change: u64) -> AckCounts {
+        let reachable =
+            self.subscribers.values().filter(|it| it.is_heard_within(now, SILENCE_TIMEOUT));
+        let reachable: Vec<&Subscriber> = reachable.collect();
+        let acknowledged = reachable.iter().filter(|it| it.progress.change >= change).count();
+        AckCounts {
+            acknowledged,
+            reachable: reachable.len(),
+            silent: self.subscribers.len() - reachable.len(),
+        }
+    }
+
+    /// Returns what every instance that answers has.
+    pub fn acknowledged_by_all(&self, now: Duration) -> Progress {
+        let reachable =
+            self.subscribers.values().filter(|it| it.is_heard_within(now, SILENCE_TIMEOUT));
+        let progress = Progress { change: u64::MAX, revision: u64::MAX };
+        reachable.fold(progress, |progress, it| progress.min(it.progress))
+    }
+}
--- a/crates/verbenaslip-fleet/src/hub/source.rs
+++ b/crates/verbenaslip-fleet/src/hub/source.rs
@@ -64,7 +64,7 @@
     /// The limits that upstreams name.
     pub limits: &'a Arc<Limits>,
     /// By which changes these three are so.
-    pub changes: Changes,
+    pub changes: ChangeNumbers,
     /// Whether somebody waits for the word of all instances that they have the changes.
     pub ack_requested: bool,
     /// The agreed time of day, in Unix milliseconds.
@@ -73,7 +73,7 @@
 
 /// Says by which change something that is told whole was last told.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Changes {
+pub struct ChangeNumbers {
     /// The requests that are suspected or held back.
     pub blocklist: u64,
     /// Which versions of services get requests.
@@ -84,35 +84,35 @@
 
 /// Says what an instance lacks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Lack {
+pub(super) struct Missing {
     /// The change up to which it has the upstreams; none if it needs all of them.
     pub(super) base: Option<Version>,
     /// Whether it needs the route table.
-    pub(super) sheet: bool,
+    pub(super) route_table: bool,
     /// Whether its word is waited for.
-    pub(super) urgent: bool,
+    pub(super) ack_requested: bool,
 }
 
 impl UpdateSource<'_> {
     /// Returns the revision of the route table.
     pub(super) fn revision(&self) -> u64 {
-        self.route_table.map_or(0, |sheet| sheet.revision)
+        self.route_table.map_or(0, |route_table| route_table.revision)
     }
 
     /// Returns the last change.
-    pub(super) fn stamp(&self) -> Version {
+    pub(super) fn version(&self) -> Version {
         Version { term: self.term, change: self.records.last_change() }
     }
 
     /// Makes an update that tells nothing to an instance that has a change.
-    pub(super) fn nothing(&self, seen: u64) -> Update {
-        let stamp = Version { term: self.term, change: seen };
+    pub(super) fn empty_update(&self, change: u64) -> Update {
+        let version = Version { term: self.term, change };
         Update {
             from: self.from,
             leader: self.leader,
             leader_contact_age: self.leader_contact_age,
-            version: stamp,
-            base: Some(stamp),
+            version,
+            base: Some(version),
             records: Vec::new(),
             route_table: None,
             blocklist: None,
@@ -125,20 +125,20 @@
     }
 
     /// Makes the update for those that lack the same.
-    pub(super) fn update(&self, lack: &Lack) -> Update {
-        let base = lack.base.map(|base| base.change);
+    pub(super) fn build_update(&self, missing: &Missing) -> Update {
+        let base = missing.base.map(|base| base.change);
         let changed = base.and_then(|base| self.records.changes_since(base));
-        let lacks = |change: u64| base.is_none_or(|base| base < change);
+        let is_missing = |change: u64| base.is_none_or(|base| base < change);
         Update {
-            version: self.stamp(),
-            base: lack.base,
+            version: self.version(),
+            base: missing.base,
             records: changed.unwrap_or_else(|| self.records.all()),
-            route_table: self.route_table.filter(|_| lack.sheet).cloned(),
-            blocklist: lacks(self.changes.blocklist).then(|| self.blocklist.clone()),
-            rollout_plans: lacks(self.changes.plans).then(|| self.rollout_plans.clone()),
-            limits: lacks(self.changes.limits).then(|| self.limits.clone()),
-            ack_requested: lack.urgent,
-            ..self.nothing(0)
+            route_table: self.route_table.filter(|_| missing.route_table).cloned(),
+            blocklist: is_missing(self.changes.blocklist).then(|| self.blocklist.clone()),
+            rollout_plans: is_missing(self.changes.plans).then(|| self.rollout_plans.clone()),
+            limits: is_missing(self.changes.limits).then(|| self.limits.clone()),
+            ack_requested: missing.ack_requested,
+            ..self.empty_update(0)
         }
     }
 }
--- a/crates/verbenaslip-fleet/src/limit.rs
+++ b/crates/verbenaslip-fleet/src/limit.rs
@@ -11,10 +11,10 @@
 use crate::upstream::Run;
 
 /// Rates that differ by less than this part are the same: turns begin anew with each change.
-const SAME: f64 = 0.1;
+const RATE_TOLERANCE: f64 = 0.1;
 
 /// How long the end of a limit is remembered, in milliseconds, so that all entries learn of it.
-const MEMORY: u64 = 30_000;
+const ENDED_LIMIT_RETENTION_MS: u64 = 30_000;
 
 /// Holds what is known of the limit of one run.
 #[data(copy, float)]
@@ -56,21 +56,21 @@
 
     fn differs(&self, other: &Limit) -> bool {
         match (self.rate, other.rate) {
-            (Some(one), Some(other)) => (one - other).abs() > SAME * one.max(other),
+            (Some(one), Some(other)) => (one - other).abs() > RATE_TOLERANCE * one.max(other),
             (one, other) => one.is_some() != other.is_some(),
         }
     }
 }
 
 /// How long a limit has lasted that is planned with, in milliseconds: others are ordered for want of its upstream.
-const SETTLED: u64 = 1_000;
+const SETTLING_TIME_MS: u64 = 1_000;
 
 /// Tells whether an upstream has been limited for so long that it is planned with.
-pub(crate) fn is_settled(limit: &Limit, unix: u64) -> bool {
-    limit.rate.is_some() && unix.saturating_sub(limit.reported_at_ms) >= SETTLED
+pub(crate) fn is_settled(limit: &Limit, unix_ms: u64) -> bool {
+    limit.rate.is_some() && unix_ms.saturating_sub(limit.reported_at_ms) >= SETTLING_TIME_MS
 }
 
 /// Tells whether a limit is still worth remembering: one that is named, or ended a short while ago.
-pub(crate) fn lasts(limit: &Limit, unix: u64) -> bool {
-    limit.rate.is_some() || unix.saturating_sub(limit.reported_at_ms) <= MEMORY
+pub(crate) fn is_retained(limit: &Limit, unix_ms: u64) -> bool {
+    limit.rate.is_some() || unix_ms.saturating_sub(limit.reported_at_ms) <= ENDED_LIMIT_RETENTION_MS
 }
--- a/crates/verbenaslip-fleet/src/link/merge.rs
+++ b/crates/verbenaslip-fleet/src/link/merge.rs
@@ -13,54 +13,71 @@
     /// A leader that was elected a moment ago may know less than this instance: of a run that has said
     /// that it goes, or that an upstream has started again. Believed in that, it would turn requests to
     /// upstreams that no longer take any.
-    pub(super) fn merge(&mut self, now: Duration, whole: bool, change: u64, records: Vec<Record>) {
-        if !whole && records.is_empty() {
+    pub(super) fn merge_records(
+        &mut self,
+        now: Duration,
+        is_full_list: bool,
+        change: u64,
+        records: Vec<Record>,
+    ) {
+        if !is_full_list && records.is_empty() {
             return;
         }
         self.departures.remove_expired(now);
-        let mut before = BTreeMap::new();
-        if whole {
-            before = std::mem::take(Arc::make_mut(&mut self.view.upstreams));
+        let mut unlisted = BTreeMap::new();
+        if is_full_list {
+            unlisted = std::mem::take(Arc::make_mut(&mut self.view.upstreams));
         }
-        for told in records {
-            let upstream = told.announcement.run.upstream.clone();
+        for received in records {
+            let upstream = received.announcement.run.upstream.clone();
             let upstreams = Arc::make_mut(&mut self.view.upstreams);
-            let known = before.remove(&upstream).or_else(|| upstreams.remove(&upstream));
-            let then = known.as_ref().map(|it| it.status);
+            let known = unlisted.remove(&upstream).or_else(|| upstreams.remove(&upstream));
+            let previous_status = known.as_ref().map(|it| it.status);
             // One that is lost may come back.
-            let gone = Record { status: told.status.max(Status::Gone), ..told.clone() };
-            let held = self.weigh(now, known, told);
-            match (&mut self.history, &held) {
-                (Some(history), Some(_)) if !whole => history.told(&upstream, change),
-                (Some(history), None) => history.record_removal(change, gone),
+            let removed = Record { status: received.status.max(Status::Gone), ..received.clone() };
+            let chosen = self.choose_record(now, known, received);
+            match (&mut self.history, &chosen) {
+                (Some(history), Some(_)) if !is_full_list => {
+                    history.record_change(&upstream, change)
+                }
+                (Some(history), None) => history.record_removal(change, removed),
                 _ => {}
             }
-            self.transitions.record(&upstream, then, held.as_ref().map(|it| it.status));
-            if let Some(held) = held {
-                Arc::make_mut(&mut self.view.upstreams).insert(upstream, held);
+            self.transitions.record(
+                &upstream,
+                previous_status,
+                chosen.as_ref().map(|it| it.status),
+            );
+            if let Some(chosen) = chosen {
+                Arc::make_mut(&mut self.view.upstreams).insert(upstream, chosen);
             }
         }
-        for (upstream, known) in before {
+        for (upstream, known) in unlisted {
             self.transitions.record(&upstream, Some(known.status), None);
         }
     }
 
     /// Chooses between what is known of an upstream and a leader's word; none when it has gone.
-    fn weigh(&mut self, now: Duration, known: Option<Record>, mut told: Record) -> Option<Record> {
-        let run = &told.announcement.run;
-        if matches!(told.status, Status::Leaving | Status::Gone) {
-            self.departures.record(now, run, told.status);
+    fn choose_record(
+        &mut self,
+        now: Duration,
+        known: Option<Record>,
+        mut received: Record,
+    ) -> Option<Record> {
+        let run = &received.announcement.run;
+        if matches!(received.status, Status::Leaving | Status::Gone) {
+            self.departures.record(now, run, received.status);
         }
-        let newer = |it: &Record| it.announcement.run.incarnation > run.incarnation;
-        if known.as_ref().is_some_and(newer) {
+        let is_newer = |it: &Record| it.announcement.run.incarnation > run.incarnation;
+        if known.as_ref().is_some_and(is_newer) {
             return known;
         }
         match self.departures.status(run) {
             Some(Status::Gone) => None,
-            None if told.status == Status::Lost => None,
-            departed => {
-                told.status = departed.unwrap_or(told.status);
-                Some(told)
+            None if received.status == Status::Lost => None,
+            departure_status => {
+                received.status = departure_status.unwrap_or(received.status);
+                Some(received)
             }
         }
     }
--- a/crates/verbenaslip-fleet/src/link/parent.rs
+++ b/crates/verbenaslip-fleet/src/link/parent.rs
@@ -3,39 +3,40 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::link::{ALONE, Link, PATIENCE, SENT_AWAY, SETTLED};
+use crate::link::{LEADER_ONLY_TIME, LEADER_TIMEOUT, Link, MIN_PARENT_TIME, REDIRECT_DELAY};
 
 impl Link {
     /// Reports to a leader that is known from elsewhere, such as the log.
     pub fn set_leader(&mut self, leader: SocketAddr, now: Duration) {
         if self.target != Some(leader) {
             self.target = Some(leader);
-            self.is_parent = false;
-            self.since = now;
-            self.due = now;
+            self.target_is_parent = false;
+            self.last_contact = now;
+            self.next_report = now;
         }
     }
 
     /// Reports to a core from now on.
     ///
     /// Cores that know different ones to choose from would send an entry back and forth between them.
-    pub(crate) fn report_to(&mut self, now: Duration, core: SocketAddr) {
-        if self.is_parent && now.saturating_sub(self.moved) < SETTLED {
+    pub(crate) fn handle_report_to(&mut self, now: Duration, core: SocketAddr) {
+        if self.target_is_parent && now.saturating_sub(self.assigned_at) < MIN_PARENT_TIME {
             return;
         }
-        self.moved = now;
-        let before = self.target.replace(core).filter(|it| self.is_parent && *it != core);
-        self.farewell = before.or(self.farewell);
-        self.is_parent = true;
-        self.since = now;
-        self.due = now;
+        self.assigned_at = now;
+        let previous =
+            self.target.replace(core).filter(|previous| self.target_is_parent && *previous != core);
+        self.previous_parent = previous.or(self.previous_parent);
+        self.target_is_parent = true;
+        self.last_contact = now;
+        self.next_report = now;
     }
 
     /// Takes the word of a core that it leads since a moment ago; it may have been asked just before.
     pub fn handle_new_leader(&mut self, now: Duration, leader: SocketAddr) {
-        if self.target(now).is_none() || !self.is_parent {
+        if self.reachable_target(now).is_none() || !self.target_is_parent {
             self.set_leader(leader, now);
-            self.due = now;
+            self.next_report = now;
         }
     }
 
@@ -47,23 +48,25 @@
         leader: Option<SocketAddr>,
         cores: &[SocketAddr],
     ) {
-        cores.iter().for_each(|core| self.meet(*core));
-        if self.is_parent && self.target == Some(from) {
-            self.lose_parent(now);
-            self.due = now + SENT_AWAY;
+        cores.iter().for_each(|core| self.learn_core(*core));
+        if self.target_is_parent && self.target == Some(from) {
+            self.abandon_parent(now);
+            self.next_report = now + REDIRECT_DELAY;
         }
-        let own = self.local_peer.address;
-        if let Some(leader) = leader.filter(|leader| *leader != own && !self.is_parent) {
+        let own_address = self.local_peer.address;
+        if let Some(leader) =
+            leader.filter(|leader| *leader != own_address && !self.target_is_parent)
+        {
             self.set_leader(leader, now);
         }
     }
 
     /// Asks the leader for another core.
-    pub(super) fn lose_parent(&mut self, now: Duration) {
-        self.lost = self.target.map(|core| (core, now));
-        self.is_parent = false;
-        self.target = self.leading.filter(|leader| Some(*leader) != self.target);
-        self.since = (now + ALONE).saturating_sub(PATIENCE);
-        self.due = now;
+    pub(super) fn abandon_parent(&mut self, now: Duration) {
+        self.lost_parent = self.target.map(|core| (core, now));
+        self.target_is_parent = false;
+        self.target = self.last_leader.filter(|leader| Some(*leader) != self.target);
+        self.last_contact = (now + LEADER_ONLY_TIME).saturating_sub(LEADER_TIMEOUT);
+        self.next_report = now;
     }
 }
--- a/crates/verbenaslip-fleet/src/link/report.rs
+++ b/crates/verbenaslip-fleet/src/link/report.rs
@@ -6,16 +6,17 @@
 
 use crate::frame::Heartbeat;
 use crate::link::{
-    AVOIDED, HEARTBEAT_INTERVAL, Link, REPORTS, Report, Reported, SEARCH, SEARCH_MOST, Targets,
+    HEARTBEAT_INTERVAL, LOST_PARENT_AVOIDANCE, Link, MAX_SEARCH_INTERVAL, MAX_TRACKED_REPORTS,
+    MIN_SEARCH_INTERVAL, Report, SentReport, Targets,
 };
 use crate::usage::Count;
 
 impl Link {
     /// Returns up to which report whoever is reported to knows all; zero where that has answered none.
-    pub(crate) fn told(&mut self, now: Duration) -> u64 {
-        let targets = self.targets(now);
-        let known = self.answered.filter(|(by, ..)| targets == [*by]);
-        known.map_or(0, |(.., number)| number)
+    pub(crate) fn acknowledged_sequence(&mut self, now: Duration) -> u64 {
+        let targets = self.report_targets(now);
+        let answer = self.last_answer.filter(|(receiver, ..)| targets == [*receiver]);
+        answer.map_or(0, |(.., sequence)| sequence)
     }
 
     /// Makes the report that is due, with whom to tell: the leader, or every core while none
@@ -24,101 +25,100 @@
     /// Asked one after the other, the new leader would be found only after a timeout for each core
     /// that is not it. Meanwhile it would acknowledge that upstreams leave, and this instance would
     /// go on sending requests there.
-    pub fn heartbeat(
+    pub fn next_heartbeat(
         &mut self,
         now: Duration,
-        unix: u64,
+        unix_ms: u64,
         report: Report,
     ) -> Option<(Targets, Heartbeat)> {
-        if self.is_parent && self.quiet(now) {
-            self.lose_parent(now);
+        if self.target_is_parent && self.is_silent(now) {
+            self.abandon_parent(now);
         }
-        if now < self.due {
+        if now < self.next_report {
             return None;
         }
-        self.clock.follow_local(now, unix);
-        let told = self.told(now);
-        let mut targets = self.targets(now);
-        self.due = now + self.pause(targets.len());
-        let parent = self.target.filter(|_| self.is_parent);
-        targets.extend(self.farewell.take());
-        let Report {
-            counts,
-            refunds,
-            engine_work: work,
-            marks,
-            rollouts,
-            limits,
-            departing: leaving,
-            ..
-        } = report;
-        let Report { aggregate: below, counted_until: counted, .. } = report;
-        self.number += 1;
-        let counts = self.changed(told, counts);
-        self.reported.push_back(Reported { number: self.number, at: now, whole: told == 0 });
-        if self.reported.len() > REPORTS {
-            self.reported.pop_front();
+        self.clock.follow_local(now, unix_ms);
+        let acknowledged = self.acknowledged_sequence(now);
+        let mut targets = self.report_targets(now);
+        self.next_report = now + self.report_interval(targets.len());
+        let parent = self.target.filter(|_| self.target_is_parent);
+        targets.extend(self.previous_parent.take());
+        let Report { counts, refunds, engine_work, marks, rollouts, limits, departing, .. } =
+            report;
+        let Report { aggregate, counted_until, .. } = report;
+        self.last_sequence += 1;
+        let counts = self.changed_counts(acknowledged, counts);
+        self.sent_reports.push_back(SentReport {
+            sequence: self.last_sequence,
+            sent_at: now,
+            is_complete: acknowledged == 0,
+        });
+        if self.sent_reports.len() > MAX_TRACKED_REPORTS {
+            self.sent_reports.pop_front();
         }
         let heartbeat = Heartbeat {
             peer: self.local_peer.clone(),
             parent,
-            lost_parent: self.lost.map(|(core, _)| core),
+            lost_parent: self.lost_parent.map(|(core, _)| core),
             version: self.view.version,
             revision: self.view.revision(),
-            unix_ms: unix,
-            counted_until: counted.unwrap_or_else(|| self.clock.unix_ms(now)),
+            unix_ms,
+            counted_until: counted_until.unwrap_or_else(|| self.clock.unix_ms(now)),
             counts,
-            sequence: self.number,
+            sequence: self.last_sequence,
             refunds,
-            engine_work: work,
+            engine_work,
             marks,
             rollouts,
             limits,
-            departing: leaving,
-            aggregate: below,
+            departing,
+            aggregate,
         };
         (!targets.is_empty()).then_some((targets, heartbeat))
     }
 
     /// Returns the counts that were told first after a report.
-    fn changed(&mut self, told: u64, counts: Vec<Count>) -> Vec<Count> {
+    fn changed_counts(&mut self, acknowledged: u64, counts: Vec<Count>) -> Vec<Count> {
         let oldest = counts.iter().map(|count| count.window).min();
         self.counts.retain(|(window, _)| oldest.is_some_and(|oldest| *window >= oldest));
         for Count { window, team, requests } in counts {
-            self.counts.insert(self.number, (window, team), requests);
+            self.counts.insert(self.last_sequence, (window, team), requests);
         }
         let count = |((window, team), requests): (&(u64, Team), &u64)| Count {
             window: *window,
             team: team.clone(),
             requests: *requests,
         };
-        self.counts.changed_since(told).map(count).collect()
+        self.counts.changed_since(acknowledged).map(count).collect()
     }
 
     /// Returns the time until the next report, after one to so many cores.
-    fn pause(&mut self, targets: usize) -> Duration {
-        if targets <= 1 {
-            self.search = SEARCH;
+    fn report_interval(&mut self, receivers: usize) -> Duration {
+        if receivers <= 1 {
+            self.search_interval = MIN_SEARCH_INTERVAL;
             return HEARTBEAT_INTERVAL;
         }
-        let next = (self.search * 2).min(SEARCH_MOST);
-        std::mem::replace(&mut self.search, next)
+        let next = (self.search_interval * 2).min(MAX_SEARCH_INTERVAL);
+        std::mem::replace(&mut self.search_interval, next)
     }
 
     /// Returns whom to report to.
-    pub(super) fn targets(&mut self, now: Duration) -> Targets {
-        if self.lost.is_some_and(|(_, at)| now.saturating_sub(at) > AVOIDED) {
-            self.lost = None;
+    pub(super) fn report_targets(&mut self, now: Duration) -> Targets {
+        if self
+            .lost_parent
+            .is_some_and(|(_, lost_at)| now.saturating_sub(lost_at) > LOST_PARENT_AVOIDANCE)
+        {
+            self.lost_parent = None;
         }
-        if let Some(target) = self.target.filter(|_| !self.quiet(now)) {
+        if let Some(target) = self.target.filter(|_| !self.is_silent(now)) {
             return vec![target];
         }
-        let own = self.local_peer.address;
-        let mut known: Targets = self.cores();
-        known.extend(&self.seeds);
-        known.sort_unstable();
-        known.dedup();
-        known.retain(|address| *address != own);
-        known
+        let own_address = self.local_peer.address;
+        let mut targets: Targets = self.cores();
+        targets.extend(&self.seeds);
+        targets.sort_unstable();
+        targets.dedup();
+        targets.retain(|address| *address != own_address);
+        targets
     }
 }
--- a/crates/verbenaslip-fleet/src/parent.rs
+++ b/crates/verbenaslip-fleet/src/parent.rs
@@ -27,20 +27,20 @@
 ///
 /// By hash, so that an entry keeps its core, and the connection to it, for as long as the cores stay.
 pub fn choose(
-    sites: &[ParentCore],
-    entry: SocketAddr,
+    cores: &[ParentCore],
+    entry_key: SocketAddr,
     zone: &AvailabilityZone,
 ) -> Option<SocketAddr> {
-    let is_near = |site: &&ParentCore| site.zone == *zone;
-    let none_near = !sites.iter().any(|site| is_near(&site));
-    let entry = number(entry);
-    let weight = |site: &&ParentCore| hash::mix(number(site.address) ^ hash::mix(entry));
-    let near = sites.iter().filter(|site| none_near || is_near(site));
-    near.max_by_key(weight).map(|site| site.address)
+    let is_in_zone = |core: &&ParentCore| core.zone == *zone;
+    let none_in_zone = !cores.iter().any(|core| is_in_zone(&core));
+    let entry_key = address_key(entry_key);
+    let weight = |core: &&ParentCore| hash::mix(address_key(core.address) ^ hash::mix(entry_key));
+    let candidates = cores.iter().filter(|core| none_in_zone || is_in_zone(core));
+    candidates.max_by_key(weight).map(|core| core.address)
 }
 
 /// Returns a number that stands for an address.
-fn number(address: SocketAddr) -> u64 {
+fn address_key(address: SocketAddr) -> u64 {
     match address.ip() {
         IpAddr::V4(ip) => u64::from(ip.to_bits()) << 16 | u64::from(address.port()),
         IpAddr::V6(ip) => hash::narrow(&[&ip.octets(), &address.port().to_le_bytes()]),
--- a/crates/verbenaslip-fleet/src/quota.rs
+++ b/crates/verbenaslip-fleet/src/quota.rs
@@ -17,13 +17,13 @@
 
 /// The part of a bucket that a new leader begins with. It can't know what its predecessor's was, and
 /// the time without a leader was spent on equal parts of the limits.
-const BEGIN: f64 = 0.1;
+const INITIAL_FILL: f64 = 0.1;
 
 /// The same after all entries have restarted: nothing was spent meanwhile, and callers that waited arrive at once.
-const BEGIN_RESTARTED: f64 = 1.0;
+const INITIAL_FILL_AFTER_RESTART: f64 = 1.0;
 
 /// The part of a bucket that is kept for requests that are there, when units are lent ahead of others.
-const KEPT: f64 = 0.75;
+const PREFETCH_RESERVE: f64 = 0.75;
 
 /// Asks for units of a team's limit.
 #[data(float)]
@@ -61,34 +61,38 @@
 /// Keeps the bucket of each team.
 #[derive(Debug, Default)]
 pub struct TeamBuckets {
-    buckets: BTreeMap<Team, Bucket>,
-    restarted: bool,
+    buckets: BTreeMap<Team, TokenBucket>,
+    all_restarted: bool,
 }
 
 #[derive(Debug)]
-struct Bucket {
+struct TokenBucket {
     quota: Quota,
-    level: f64,
-    at: Duration,
+    tokens: f64,
+    refilled_at: Duration,
 }
 
 impl TeamBuckets {
-    /// Starts; `restarted` tells whether all entries have just started.
-    pub fn new(restarted: bool) -> Self {
-        Self { restarted, ..Self::default() }
+    /// Starts; `all_restarted` tells whether all entries have just started.
+    pub fn new(all_restarted: bool) -> Self {
+        Self { all_restarted, ..Self::default() }
     }
 
     /// Lets time pass; `free` is the part of the limits that no silent entry may be spending.
-    pub fn refill(&mut self, now: Duration, sheet: &RouteTable, free: f64) {
-        let begin = if self.restarted { BEGIN_RESTARTED } else { BEGIN };
-        let limited =
-            sheet.teams.iter().filter_map(|row| Some((&row.name, row.quota.filter(is_limit)?)));
-        let mut before = std::mem::take(&mut self.buckets);
+    pub fn refill(&mut self, now: Duration, route_table: &RouteTable, available_share: f64) {
+        let initial_fill =
+            if self.all_restarted { INITIAL_FILL_AFTER_RESTART } else { INITIAL_FILL };
+        let limited = route_table
+            .teams
+            .iter()
+            .filter_map(|team| Some((&team.name, team.quota.filter(is_limiting)?)));
+        let mut previous = std::mem::take(&mut self.buckets);
         for (team, quota) in limited {
-            let open = || Bucket { quota, level: quota.burst * begin, at: now };
-            let mut bucket = before.remove(team).unwrap_or_else(open);
+            let new_bucket =
+                || TokenBucket { quota, tokens: quota.burst * initial_fill, refilled_at: now };
+            let mut bucket = previous.remove(team).unwrap_or_else(new_bucket);
             bucket.quota = quota;
-            bucket.refill(now, free);
+            bucket.refill(now, available_share);
             self.buckets.insert(team.clone(), bucket);
         }
     }
@@ -96,39 +100,41 @@
     /// Lends what a request needs, unless the bucket is empty.
     ///
     /// A request may be larger than what is left; larger than the whole bucket, it would else never be admitted.
-    pub fn grant(&mut self, loan: &LoanRequest) -> LoanGrant {
-        let LoanRequest { id, required: need, prefetch: ahead, .. } = *loan;
-        let lent = |units| LoanGrant { id, units, empty_for: Duration::ZERO };
-        let Some(bucket) = self.buckets.get_mut(&loan.team) else { return lent(need + ahead) };
-        if bucket.level <= 0.0 {
-            let wait = -bucket.level / bucket.quota.rate;
-            let wait = Duration::try_from_secs_f64(wait).unwrap_or(Duration::MAX);
-            return LoanGrant { id, units: 0.0, empty_for: wait };
+    pub fn grant(&mut self, request: &LoanRequest) -> LoanGrant {
+        let LoanRequest { id, required, prefetch, .. } = *request;
+        let grant = |units| LoanGrant { id, units, empty_for: Duration::ZERO };
+        let Some(bucket) = self.buckets.get_mut(&request.team) else {
+            return grant(required + prefetch);
+        };
+        if bucket.tokens <= 0.0 {
+            let empty_for = -bucket.tokens / bucket.quota.rate;
+            let empty_for = Duration::try_from_secs_f64(empty_for).unwrap_or(Duration::MAX);
+            return LoanGrant { id, units: 0.0, empty_for };
         }
-        let spare = (bucket.level - need - bucket.quota.burst * KEPT).max(0.0);
-        let units = need + ahead.min(spare);
-        bucket.level -= units;
-        lent(units)
+        let spare = (bucket.tokens - required - bucket.quota.burst * PREFETCH_RESERVE).max(0.0);
+        let units = required + prefetch.min(spare);
+        bucket.tokens -= units;
+        grant(units)
     }
 
     /// Takes back what was lent and not used.
     pub fn refund(&mut self, refund: &Refund) {
         if let Some(bucket) = self.buckets.get_mut(&refund.team) {
-            bucket.level = (bucket.level + refund.units).min(bucket.quota.burst.max(1.0));
+            bucket.tokens = (bucket.tokens + refund.units).min(bucket.quota.burst.max(1.0));
         }
     }
 }
 
-impl Bucket {
+impl TokenBucket {
     fn refill(&mut self, now: Duration, free: f64) {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
+        let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
         let most = self.quota.burst.max(1.0);
-        self.level = (self.level + self.quota.rate * free * passed).min(most);
-        self.at = now;
+        self.tokens = (self.tokens + self.quota.rate * free * passed).min(most);
+        self.refilled_at = now;
     }
 }
 
 /// Tells whether a quota limits anything.
-fn is_limit(quota: &Quota) -> bool {
+fn is_limiting(quota: &Quota) -> bool {
     quota.rate > 0.0
 }
--- a/crates/verbenaslip-fleet/src/registry.rs
+++ b/crates/verbenaslip-fleet/src/registry.rs
@@ -133,7 +133,7 @@
                     history.record_removal(held.stamp, held.record.clone());
                 }
                 Status::Ready | Status::Silent | Status::Leaving => {
-                    history.told(&held.record.announcement.run.upstream, held.stamp);
+                    history.record_change(&held.record.announcement.run.upstream, held.stamp);
                 }
             }
         }
--- a/crates/verbenaslip-fleet/src/transition.rs
+++ b/crates/verbenaslip-fleet/src/transition.rs
@@ -6,7 +6,7 @@
 
 /// Changes that are listed by name, also for whoever never asks for them. A zone's upstreams that go
 /// together are more than that.
-const LISTED: usize = 32;
+const MAX_LISTED: usize = 32;
 
 /// Says how an upstream stands in an instance's view.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -31,14 +31,14 @@
     pub(crate) fn record(
         &mut self,
         upstream: &Upstream,
-        then: Option<Status>,
-        now: Option<Status>,
+        previous: Option<Status>,
+        current: Option<Status>,
     ) {
-        if then == now {
+        if previous == current {
             return;
         }
-        if self.changed.len() < LISTED {
-            self.changed.push(Transition { upstream: upstream.clone(), standing: now });
+        if self.changed.len() < MAX_LISTED {
+            self.changed.push(Transition { upstream: upstream.clone(), standing: current });
         } else {
             self.unlisted += 1;
         }
--- a/crates/verbenaslip-fleet/src/view.rs
+++ b/crates/verbenaslip-fleet/src/view.rs
@@ -90,11 +90,11 @@
     ///
     /// An older one never comes back in the life of a process: callers that have seen the effect of
     /// a revision would see it undone.
-    pub fn update_route_table(&mut self, sheet: &Arc<RouteTable>) -> bool {
-        let newer = self.routes.is_none() || sheet.revision > self.revision();
-        if newer {
-            self.routes = Some(Arc::new(Index::new(sheet.clone())));
+    pub fn update_route_table(&mut self, route_table: &Arc<RouteTable>) -> bool {
+        let is_newer = self.routes.is_none() || route_table.revision > self.revision();
+        if is_newer {
+            self.routes = Some(Arc::new(Index::new(route_table.clone())));
         }
-        newer
+        is_newer
     }
 }
--- a/crates/verbenaslip-fleet/tests/cluster.rs
+++ b/crates/verbenaslip-fleet/tests/cluster.rs
@@ -10,7 +10,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn adopt(revision: u64) -> Request {
+fn adopt_table(revision: u64) -> Request {
     Request::AdoptRouteTable(Box::new(route_table(revision)))
 }
 
@@ -19,12 +19,15 @@
 }
 
 #[test]
-fn three_seeds_found_one_log_and_serve_from_any_core() {
+fn three_seeds_form_one_log_and_serve_from_any_core() {
     let mut net = Network::new(3, 4);
     net.run(SECOND * 4);
     assert_eq!(net.leaders().len(), 1);
     for (core, revision) in [(0, 3), (1, 5), (2, 9)] {
-        assert_eq!(net.call(core, adopt(revision)), Some(Response::RouteTableAdopted { revision }));
+        assert_eq!(
+            net.call(core, adopt_table(revision)),
+            Some(Response::RouteTableAdopted { revision })
+        );
         assert_eq!(net.call((core + 1) % 3, Request::ReadRouteTable), Some(document(revision)));
     }
     net.run(SECOND / 2);
@@ -35,8 +38,8 @@
 fn an_older_or_equal_revision_is_acknowledged_and_changes_nothing() {
     let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
-    net.call(0, adopt(7));
-    assert_eq!(net.call(1, adopt(5)), Some(Response::RouteTableAdopted { revision: 7 }));
+    net.call(0, adopt_table(7));
+    assert_eq!(net.call(1, adopt_table(5)), Some(Response::RouteTableAdopted { revision: 7 }));
     let mut other = route_table(7);
     other.document = Arc::from(&b"other content under the same revision"[..]);
     assert_eq!(
@@ -47,28 +50,28 @@
 }
 
 #[test]
-fn what_was_acknowledged_survives_the_power_loss_of_all() {
+fn an_acknowledged_table_survives_a_power_loss_of_all_cores() {
     // Symptom: an acknowledged table is gone. Sequence: every core loses power the moment one of
     // them has acknowledged it. Cause: an acknowledgement before a quorum has synced it.
     let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
-    assert!(net.call(0, adopt(4)).is_some());
+    assert!(net.call(0, adopt_table(4)).is_some());
     (0..3).for_each(|core| net.restart(core));
     net.run(SECOND * 6);
     assert_eq!(net.call(1, Request::ReadRouteTable), Some(document(4)));
 }
 
 #[test]
-fn what_was_acknowledged_survives_lost_disks_while_all_others_lose_power() {
+fn an_acknowledged_table_survives_lost_disks_while_all_others_lose_power() {
     // Symptom: an acknowledged table is gone, or none is read back. Sequence: a table is acknowledged; as many
     // cores as may be lost at once come back with empty disks, and at the same moment every other core and every
     // entry loses power. Cause: an acknowledgement that only those disks hold.
-    for (cores, voters, lost) in [(3, 3, 1), (6, 5, 2)] {
+    for (cores, voters, lost_disks) in [(3, 3, 1), (6, 5, 2)] {
         for first in 0..cores {
             let mut net = Network::with_voters(cores, 4, voters);
             net.run(SECOND * 8);
-            assert!(net.call(first, adopt(4)).is_some());
-            let wiped: Vec<usize> = (first..first + lost).map(|core| core % cores).collect();
+            assert!(net.call(first, adopt_table(4)).is_some());
+            let wiped: Vec<usize> = (first..first + lost_disks).map(|core| core % cores).collect();
             for core in 0..cores {
                 if wiped.contains(&core) {
                     net.restart_with_empty_disk(core)
@@ -89,27 +92,27 @@
 }
 
 #[test]
-fn the_loss_of_the_leader_stops_nothing_for_long() {
+fn edits_continue_after_the_leader_is_lost() {
     let mut net = Network::new(3, 2);
     net.run(SECOND * 4);
-    net.call(0, adopt(4));
+    net.call(0, adopt_table(4));
     let leader = net.leaders()[0];
     net.stop(leader);
     net.run(SECOND * 4);
     let other = (leader + 1) % 3;
-    assert_eq!(net.call(other, adopt(6)), Some(Response::RouteTableAdopted { revision: 6 }));
+    assert_eq!(net.call(other, adopt_table(6)), Some(Response::RouteTableAdopted { revision: 6 }));
     net.run(SECOND / 2);
     assert!(net.entries().all(|view| view.revision() == 6));
 }
 
 #[test]
-fn a_lost_disk_is_replaced_and_a_second_loss_is_borne_afterwards() {
+fn a_lost_disk_is_replaced_and_a_second_loss_is_tolerated() {
     // Symptom: nothing is acknowledged any more, or something acknowledged is gone. Sequence: a
     // core's disk is lost and the core comes back empty; once it has caught up, another's is lost.
     // Cause: the empty folder counted as the old voter, or not counted at all.
     let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
-    net.call(0, adopt(4));
+    net.call(0, adopt_table(4));
     for core in [1, 2] {
         net.restart_with_empty_disk(core);
         net.run(SECOND * 6);
@@ -125,26 +128,26 @@
 }
 
 #[test]
-fn a_core_at_a_new_address_takes_the_place_of_a_lost_one() {
+fn a_core_at_a_new_address_replaces_a_lost_one() {
     let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
-    net.call(0, adopt(4));
+    net.call(0, adopt_table(4));
     net.stop(2);
     let new = net.add_core();
     net.run(SECOND * 12);
     // Without the replacement this would leave one voter of three.
     net.stop(1);
     net.run(SECOND * 4);
-    assert_eq!(net.call(new, adopt(8)), Some(Response::RouteTableAdopted { revision: 8 }));
+    assert_eq!(net.call(new, adopt_table(8)), Some(Response::RouteTableAdopted { revision: 8 }));
 }
 
 #[test]
-fn cores_that_lost_every_disk_never_found_a_second_log() {
+fn cores_with_empty_disks_never_form_a_second_log() {
     // Symptom: an older table, or none, is read as the newest. Sequence: two of three cores lose
     // their disks while the third is down. Cause: the empty ones found a log of their own.
     let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
-    net.call(0, adopt(4));
+    net.call(0, adopt_table(4));
     net.stop(0);
     net.restart_with_empty_disk(1);
     net.restart_with_empty_disk(2);
@@ -154,18 +157,18 @@
 }
 
 #[test]
-fn a_leader_that_is_cut_off_answers_no_read() {
+fn a_disconnected_leader_answers_no_read() {
     // Symptom: a read gives an older table than the newest acknowledged. Sequence: the leader is cut
     // off, another one is elected and takes a table, the old one is asked. Cause: a leader that
     // trusts its memory instead of its lease.
     let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
-    net.call(0, adopt(4));
+    net.call(0, adopt_table(4));
     let old = net.leaders()[0];
     net.disconnect_core(old);
     net.run(SECOND * 4);
     let other = (old + 1) % 3;
-    assert_eq!(net.call(other, adopt(6)), Some(Response::RouteTableAdopted { revision: 6 }));
+    assert_eq!(net.call(other, adopt_table(6)), Some(Response::RouteTableAdopted { revision: 6 }));
     assert_eq!(net.call(old, Request::ReadRouteTable), Some(Response::Unavailable));
     net.reconnect_core(old);
     net.run(SECOND * 3);
@@ -173,18 +176,18 @@
 }
 
 #[test]
-fn a_leader_that_wakes_looks_at_its_lease_before_it_answers() {
+fn a_resumed_leader_checks_its_lease_before_it_answers() {
     // Symptom: a read gives an older table than the newest acknowledged. Sequence: the leader's machine stands
     // still for seconds; another core is elected and takes a table; the old leader wakes, and the first thing
     // that it reads is a call. Cause: the call is answered before the end of the lease is noticed.
     let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
-    net.call(0, adopt(4));
+    net.call(0, adopt_table(4));
     let old = net.leaders()[0];
     net.pause(old);
     net.run(SECOND * 4);
     let other = (old + 1) % 3;
-    assert_eq!(net.call(other, adopt(6)), Some(Response::RouteTableAdopted { revision: 6 }));
+    assert_eq!(net.call(other, adopt_table(6)), Some(Response::RouteTableAdopted { revision: 6 }));
     let call = net.start_call(old, Request::ReadRouteTable);
     assert_ne!(net.take_response(call), Some(document(4)));
     net.resume(old);
@@ -193,13 +196,13 @@
 }
 
 #[test]
-fn an_entry_that_is_cut_off_keeps_what_it_has() {
+fn a_disconnected_entry_keeps_its_route_table() {
     let mut net = Network::new(3, 2);
     net.run(SECOND * 4);
-    net.call(0, adopt(4));
+    net.call(0, adopt_table(4));
     net.run(SECOND);
     net.disconnect_entry(0);
-    net.call(0, adopt(6));
+    net.call(0, adopt_table(6));
     net.run(SECOND * 5);
     assert_eq!(net.entry(0).revision(), 4);
     net.reconnect_entry(0);
@@ -208,18 +211,18 @@
 }
 
 #[test]
-fn leaving_is_acknowledged_when_every_entry_that_answers_knows_it() {
+fn a_departure_is_acknowledged_when_every_reachable_entry_knows_it() {
     // Symptom: a request reaches an upstream long after its leaving was acknowledged. Sequence: an
     // upstream says that it drains; the core acknowledges; an entry has not heard of it. Cause: an
     // acknowledgement that waits for nobody.
     let mut net = Network::new(3, 4);
     net.run(SECOND * 4);
-    net.call(0, adopt(4));
+    net.call(0, adopt_table(4));
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
     net.run(SECOND / 2);
     assert!(net.entries().all(|view| view.upstreams.len() == 1));
-    let told = net.call(1, Request::Announce(Box::new(announcement("u", 2, true))));
-    assert_eq!(told, Some(Response::Acknowledged));
+    let response = net.call(1, Request::Announce(Box::new(announcement("u", 2, true))));
+    assert_eq!(response, Some(Response::Acknowledged));
     let knows = |view: &verbenaslip_fleet::View| {
         let mut records = view.upstreams.values();
         records.all(|record| record.status != verbenaslip_fleet::registry::Status::Ready)
@@ -228,13 +231,13 @@
 }
 
 #[test]
-fn entries_find_a_new_leader_before_it_acknowledges_that_an_upstream_leaves() {
+fn entries_find_a_new_leader_before_it_acknowledges_a_departure() {
     // Symptom: a request reaches an upstream 2.7 s after its leaving was acknowledged. Sequence: all
     // cores restart, a new leader is elected, an upstream leaves, some entries still ask the other
     // cores one after the other. Cause: a leader that takes those who found it for all there are.
     let mut net = Network::new(5, 12);
     net.run(SECOND * 5);
-    net.call(0, adopt(4));
+    net.call(0, adopt_table(4));
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
     net.run(SECOND);
     (0..5).for_each(|core| net.restart(core));
@@ -242,8 +245,8 @@
         net.run(SECOND / 50);
     }
     let leader = net.leaders()[0];
-    let told = net.call(leader, Request::Announce(Box::new(announcement("u", 9, true))));
-    if told == Some(Response::Acknowledged) {
+    let response = net.call(leader, Request::Announce(Box::new(announcement("u", 9, true))));
+    if response == Some(Response::Acknowledged) {
         let ready = verbenaslip_fleet::registry::Status::Ready;
         let stale = net
             .entries()
@@ -253,24 +256,24 @@
 }
 
 #[test]
-fn the_time_of_day_is_that_of_most_machines() {
+fn the_agreed_time_is_the_median_of_all_clocks() {
     // Symptom: usage is counted into a wrong window. Sequence: the clocks of two machines jump by
     // hours, that of the leader among them. Cause: windows cut by the leader's own clock.
     let mut net = Network::new(3, 4);
     net.run(SECOND * 4);
-    net.call(0, adopt(4));
+    net.call(0, adopt_table(4));
     let leader = net.leaders()[0];
     net.set_clock_skew(leader, 7_200_000);
     net.run(SECOND * 2);
-    let truth = net.true_unix_ms();
+    let true_ms = net.true_unix_ms();
     for view in net.entries() {
-        let believed = i64::try_from(net.now().as_millis()).expect("small") + view.time_offset_ms;
-        assert!((believed - truth).abs() < 100, "{believed} for {truth}");
+        let agreed_ms = i64::try_from(net.now().as_millis()).expect("small") + view.time_offset_ms;
+        assert!((agreed_ms - true_ms).abs() < 100, "{agreed_ms} for {true_ms}");
     }
 }
 
 #[test]
-fn a_lost_disk_is_replaced_whatever_else_goes_on_at_that_moment() {
+fn a_lost_disk_is_replaced_even_during_an_election() {
     // Symptom: nothing is served after a power loss, and nothing can be read. Sequence: a core comes
     // back with an empty disk just as another one is elected; 20 s later the next disk is lost.
     // Cause: the new leader heard of the empty folder before its lease began and dropped the update, so
@@ -278,7 +281,7 @@
     for offset in (0..1_500).step_by(50) {
         let mut net = Network::new(3, 1);
         net.run(SECOND * 4);
-        net.call(0, adopt(4));
+        net.call(0, adopt_table(4));
         let leader = net.leaders()[0];
         let (wiped, third) = ((leader + 1) % 3, (leader + 2) % 3);
         net.restart(leader);
@@ -318,47 +321,47 @@
     assert_eq!(net.leaders().len(), 1);
     assert!(net.entries().all(|view| view.revision() == 5), "entries have the routes again");
     for core in 0..6 {
-        let told = net.call(core, Request::ReadRouteTable);
-        assert!(matches!(told, Some(Response::Document(_))), "core {core}: {told:?}");
+        let response = net.call(core, Request::ReadRouteTable);
+        assert!(matches!(response, Some(Response::Document(_))), "core {core}: {response:?}");
     }
 }
 
 /// What strikes the leader during an upstream's leaving.
 #[derive(Clone, Copy, Debug)]
-enum Strike {
-    Freeze,
-    Cut,
-    Kill,
+enum LeaderFault {
+    Pause,
+    Disconnect,
+    Stop,
 }
 
-fn strike(net: &mut Network, leader: usize, strike: Strike) {
-    match strike {
-        Strike::Freeze => net.pause(leader),
-        Strike::Cut => net.disconnect_core(leader),
-        Strike::Kill => net.stop(leader),
+fn apply_fault(net: &mut Network, leader: usize, fault: LeaderFault) {
+    match fault {
+        LeaderFault::Pause => net.pause(leader),
+        LeaderFault::Disconnect => net.disconnect_core(leader),
+        LeaderFault::Stop => net.stop(leader),
     }
 }
 
 /// Tells whether any entry would send work to an upstream.
 fn is_used(net: &Network, name: &str) -> bool {
-    let ready = |view: &verbenaslip_fleet::View| {
+    let is_usable = |view: &verbenaslip_fleet::View| {
         let record = view.upstreams.get(name);
-        record.is_some_and(|it| it.status != verbenaslip_fleet::registry::Status::Leaving)
+        record.is_some_and(|record| record.status != verbenaslip_fleet::registry::Status::Leaving)
     };
-    net.entries().any(ready)
+    net.entries().any(is_usable)
 }
 
 /// Tells whether every entry sends work to an upstream.
-fn is_ready(net: &Network, name: &str) -> bool {
-    let ready = |view: &verbenaslip_fleet::View| {
+fn is_ready_everywhere(net: &Network, name: &str) -> bool {
+    let is_ready = |view: &verbenaslip_fleet::View| {
         let record = view.upstreams.get(name);
-        record.is_some_and(|it| it.status == verbenaslip_fleet::registry::Status::Ready)
+        record.is_some_and(|record| record.status == verbenaslip_fleet::registry::Status::Ready)
     };
-    net.entries().all(ready)
+    net.entries().all(is_ready)
 }
 
 #[test]
-fn a_leaving_that_was_acknowledged_outlives_the_leader_at_every_step() {
+fn an_acknowledged_departure_survives_the_loss_of_the_leader_at_every_step() {
     // Symptom: requests reach an upstream 3.1 to 3.3 s after its leaving was acknowledged, from entries of
     // several zones. Sequence: it says to one core that it goes; the leader tells all and the core
     // acknowledges; the leader is lost within 0.2 s; another core is elected, and takes an announcement of
@@ -367,49 +370,55 @@
     // withdrawn without draining first, which followers kept; the new leader logged them as ready two
     // seconds after the old one had logged that they go. Leaders that remember departures log the same
     // announcements, for the same upstreams, as late.
-    for (strike_at, kind) in [Strike::Freeze, Strike::Cut, Strike::Kill]
+    for (fault_at_ms, fault) in [LeaderFault::Pause, LeaderFault::Disconnect, LeaderFault::Stop]
         .into_iter()
-        .flat_map(|kind| (0..60).step_by(3).map(move |ticks| (ticks * 5, kind)))
+        .flat_map(|fault| (0..60).step_by(3).map(move |ticks| (ticks * 5, fault)))
     {
-        for leaving in [withdraw("u"), Request::Announce(Box::new(announcement("u", 8, true)))] {
+        for departure in [withdraw("u"), Request::Announce(Box::new(announcement("u", 8, true)))] {
             let mut net = Network::new(3, 3);
             net.run(SECOND * 4);
-            net.call(0, adopt(4));
+            net.call(0, adopt_table(4));
             net.call(0, Request::Announce(Box::new(announcement("u", 7, false))));
             net.run(SECOND);
             let leader = net.leaders()[0];
             let (asked, other) = ((leader + 1) % 3, (leader + 2) % 3);
-            let mut call = net.start_call(asked, leaving.clone());
-            net.run(Duration::from_millis(strike_at));
-            strike(&mut net, leader, kind);
+            let mut call = net.start_call(asked, departure.clone());
+            net.run(Duration::from_millis(fault_at_ms));
+            apply_fault(&mut net, leader, fault);
             let mut acknowledged = net.take_response(call) == Some(Response::Acknowledged);
             // Its sender asks again until it is acknowledged, as an upstream does.
             for _ in 0..6 {
                 net.run(SECOND / 2);
                 acknowledged =
                     acknowledged || net.take_response(call) == Some(Response::Acknowledged);
-                let late = if acknowledged { 9 } else { 7 };
-                net.start_call(other, Request::Announce(Box::new(announcement("u", late, false))));
+                let sequence = if acknowledged { 9 } else { 7 };
+                net.start_call(
+                    other,
+                    Request::Announce(Box::new(announcement("u", sequence, false))),
+                );
                 if !acknowledged {
-                    call = net.start_call(asked, leaving.clone());
+                    call = net.start_call(asked, departure.clone());
                 }
                 net.run(SECOND / 2);
-                let used = is_used(&net, "u");
-                assert!(!(acknowledged && used), "{kind:?} after {strike_at} ms: {leaving:?}");
+                let still_used = is_used(&net, "u");
+                assert!(
+                    !(acknowledged && still_used),
+                    "{fault:?} after {fault_at_ms} ms: {departure:?}"
+                );
             }
-            assert!(acknowledged, "{kind:?} after {strike_at} ms: no acknowledgement");
+            assert!(acknowledged, "{fault:?} after {fault_at_ms} ms: no acknowledgement");
         }
     }
 }
 
 #[test]
-fn a_leaving_survives_the_power_loss_of_all_cores() {
+fn a_departure_survives_a_power_loss_of_all_cores() {
     // Symptom: requests reach an upstream that has gone. Sequence: its leaving is acknowledged, all cores
     // lose power, and the first announcement that the new leader gets was held up since before. Cause:
     // departures that only memory holds.
     let mut net = Network::new(3, 2);
     net.run(SECOND * 4);
-    net.call(0, adopt(4));
+    net.call(0, adopt_table(4));
     net.call(0, Request::Announce(Box::new(announcement("u", 7, false))));
     assert_eq!(net.call(1, withdraw("u")), Some(Response::Acknowledged));
     (0..3).for_each(|core| net.restart(core));
@@ -421,19 +430,19 @@
 }
 
 #[test]
-fn a_leaving_under_an_unknown_service_ends_no_upstream() {
+fn a_departure_under_an_unknown_service_ends_no_upstream() {
     // Symptom: an upstream that serves gets no work after the next election. Sequence: another writer says
     // under its name, and a service that no route table knows, that it goes. Cause: a word that the
     // registry passed over, noted in the log all the same.
     let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
-    net.call(0, adopt(4));
-    let foreign = verbenaslip_fleet::registry::Announcement {
+    net.call(0, adopt_table(4));
+    let unlisted = verbenaslip_fleet::registry::Announcement {
         service: "none".into(),
         ..announcement("u", 9, true)
     };
-    assert_eq!(net.call(0, Request::Announce(Box::new(foreign))), Some(Response::Acknowledged));
+    assert_eq!(net.call(0, Request::Announce(Box::new(unlisted))), Some(Response::Acknowledged));
     (0..3).for_each(|core| net.restart(core));
     net.restart_entry(0);
     net.run(SECOND * 3);
@@ -441,7 +450,7 @@
 }
 
 #[test]
-fn a_leaving_is_held_also_of_an_upstream_that_is_not_listed() {
+fn the_departure_of_an_unlisted_upstream_is_stored() {
     // Symptom: requests reach an upstream that was acknowledged to go. Sequence: an upstream has the address of
     // one that crashed a moment ago, and a service that no route table knows yet, so it is not listed; it says
     // that it drains, and that is acknowledged; when the one before is forgotten, a held-up "ready" of it comes.
@@ -449,9 +458,9 @@
     let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
-    net.call(0, adopt(4));
-    let told = net.call(0, Request::Announce(Box::new(announcement("v", 2, true))));
-    assert_eq!(told, Some(Response::Acknowledged));
+    net.call(0, adopt_table(4));
+    let response = net.call(0, Request::Announce(Box::new(announcement("v", 2, true))));
+    assert_eq!(response, Some(Response::Acknowledged));
     net.call(0, withdraw("u"));
     net.call(0, Request::Announce(Box::new(announcement("v", 1, false))));
     net.run(SECOND);
@@ -459,13 +468,13 @@
 }
 
 #[test]
-fn a_repeated_leaving_is_acknowledged_only_when_all_know_it() {
+fn a_repeated_departure_is_acknowledged_only_when_all_know_it() {
     // Symptom: a request reaches an upstream long after its leaving was acknowledged. Sequence: an entry
     // does not answer for a moment; the upstream, without an answer yet, says again that it goes, at the
     // same leader. Cause: a word that changes nothing any more acknowledged at once.
     let mut net = Network::new(3, 2);
     net.run(SECOND * 4);
-    net.call(0, adopt(4));
+    net.call(0, adopt_table(4));
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
     net.run(SECOND / 2);
     let leader = net.leaders()[0];
@@ -484,37 +493,42 @@
 }
 
 #[test]
-fn leader_entry_and_voter_agree_on_a_run_whatever_they_hear_first() {
+fn all_instances_agree_on_a_run_in_any_order_of_announcements() {
     // Symptom: an upstream that was restarted under its name gets no work at some entries, or its earlier
     // run does. Sequence: words of the two runs reach the cores in another order than they were said, and
     // leaders change in between. Cause: "leaving" and "gone" kept by name.
-    let say = |incarnation, sequence, draining| {
+    let announce = |incarnation, sequence, draining| {
         let it = announcement("u", sequence, draining);
         let it = verbenaslip_fleet::registry::Announcement { run: run("u", incarnation), ..it };
         Request::Announce(Box::new(it))
     };
     let gone =
         |incarnation| Request::Withdraw { upstream: "u".into(), incarnation: Some(incarnation) };
-    let words =
-        [say(10, 5, false), say(10, 6, true), gone(10), say(20, 1, false), say(20, 2, false)];
+    let announcements = [
+        announce(10, 5, false),
+        announce(10, 6, true),
+        gone(10),
+        announce(20, 1, false),
+        announce(20, 2, false),
+    ];
     // Every order of the five words.
     for order in 0..120_usize {
-        let mut left: Vec<usize> = (0..words.len()).collect();
-        let mut rest = order;
+        let mut remaining: Vec<usize> = (0..announcements.len()).collect();
+        let mut permutation = order;
         let mut net = Network::new(3, 2);
         net.run(SECOND * 4);
-        net.call(0, adopt(4));
-        for place in (1..=words.len()).rev() {
-            let word = &words[left.remove(rest % place)];
-            rest /= place;
-            if place == 3 && order % 2 == 0 {
+        net.call(0, adopt_table(4));
+        for remaining_count in (1..=announcements.len()).rev() {
+            let announcement = &announcements[remaining.remove(permutation % remaining_count)];
+            permutation /= remaining_count;
+            if remaining_count == 3 && order % 2 == 0 {
                 let leader = net.leaders()[0];
                 net.restart(leader);
                 net.run(SECOND * 2);
             }
-            net.call(order % 3, word.clone());
+            net.call(order % 3, announcement.clone());
         }
-        net.call((order + 1) % 3, say(20, 3, false));
+        net.call((order + 1) % 3, announce(20, 3, false));
         net.run(SECOND / 2);
         for view in net.entries() {
             let record = view.upstreams.get("u").expect("the second run serves");
@@ -526,13 +540,13 @@
 }
 
 #[test]
-fn entries_have_the_routes_as_soon_as_there_is_a_leader_after_a_power_loss() {
+fn entries_get_the_routes_from_a_new_leader_at_once_after_a_power_loss() {
     // Symptom: callers wait, and some are refused, for 0.2 s after there is a leader again. Sequence: all
     // lose power; entries ask the cores five times a second who leads; the answer changes just after they
     // have asked. Cause: a new leader that waits until it is asked again.
     let mut net = Network::new(3, 6);
     net.run(SECOND * 4);
-    net.call(0, adopt(4));
+    net.call(0, adopt_table(4));
     (0..3).for_each(|core| net.restart(core));
     (0..6).for_each(|entry| net.restart_entry(entry));
     while net.leaders().is_empty() {
@@ -549,7 +563,7 @@
     // leader that knows only who has announced itself since.
     let mut net = Network::new(3, 2);
     net.run(SECOND * 4);
-    net.call(0, adopt(4));
+    net.call(0, adopt_table(4));
     for name in ["u", "v", "w"] {
         let address = ([10, 9, 0, name.as_bytes()[0]], 80).into();
         let it =
@@ -571,7 +585,7 @@
 }
 
 #[test]
-fn a_new_leader_does_not_know_runs_whose_address_another_one_has() {
+fn a_new_leader_omits_runs_whose_address_was_reused() {
     // Symptom: 190 requests are turned away in the seconds after a power loss. Sequence: an upstream crashes
     // and starts again at its address under another name; later all lose power. Cause: the log held both,
     // and what is meant for the first is refused by the second.
@@ -592,47 +606,47 @@
 }
 
 #[test]
-fn an_upstream_that_fell_silent_for_good_is_forgotten_at_entries_as_well() {
+fn a_crashed_upstream_is_forgotten_at_entries() {
     // Symptom: entries try upstreams that crashed long ago, and hold more of them every day. Sequence: an
     // upstream crashes; the leader counts it as silent, and forgets it a minute later. Cause: what is
     // forgotten at the leader is told to nobody.
     let mut net = Network::new(3, 2);
     net.run(SECOND * 4);
-    net.call(0, adopt(4));
+    net.call(0, adopt_table(4));
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
     net.run(SECOND * 70);
     assert!(net.entries().all(|view| view.upstreams.is_empty()));
 }
 
 #[test]
-fn an_upstream_that_was_cut_off_for_long_serves_again_under_every_leader() {
+fn a_long_disconnected_upstream_serves_again_under_every_leader() {
     // Symptom: a healthy upstream gets no work for minutes after an election. Sequence: it is cut off for
     // longer than silent upstreams are remembered, comes back and serves; another core is elected. Cause: its
     // being forgotten kept in the log as if it had said that it goes, which nothing undoes.
     let mut net = Network::new(3, 2);
     net.run(SECOND * 4);
-    net.call(0, adopt(4));
+    net.call(0, adopt_table(4));
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
     net.run(SECOND * 70);
     for sequence in 2..6 {
         net.call(0, Request::Announce(Box::new(announcement("u", sequence, false))));
         net.run(SECOND);
     }
-    assert!(is_ready(&net, "u"));
+    assert!(is_ready_everywhere(&net, "u"));
     let leader = net.leaders()[0];
     net.restart(leader);
     for sequence in 6..10 {
         net.run(SECOND);
         net.call((leader + 1) % 3, Request::Announce(Box::new(announcement("u", sequence, false))));
     }
-    assert!(is_ready(&net, "u"));
+    assert!(is_ready_everywhere(&net, "u"));
 }
 
 #[test]
-fn an_upstream_that_fell_silent_for_good_is_not_remembered_for_ever() {
+fn a_crashed_upstream_is_removed_from_the_log() {
     let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
-    net.call(0, adopt(4));
+    net.call(0, adopt_table(4));
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
     net.run(SECOND * 70);
     (0..3).for_each(|core| net.restart(core));
@@ -646,15 +660,15 @@
     // Guards against a new leader that lets everybody wait for as long as entries may take, though all are there.
     let mut net = Network::with_voters(5, 25, 5);
     net.run(Duration::from_secs(5));
-    assert!(net.call(0, adopt(4)).is_some());
+    assert!(net.call(0, adopt_table(4)).is_some());
     net.run(Duration::from_secs(1));
     net.stop(net.leaders()[0]);
     while net.leaders().is_empty() {
         net.run(Duration::from_millis(5));
     }
-    let (leader, led) = (net.leaders()[0], net.now());
-    assert_eq!(net.call(leader, adopt(6)), Some(Response::RouteTableAdopted { revision: 6 }));
-    let waited = net.now() - led;
+    let (leader, elected_at) = (net.leaders()[0], net.now());
+    assert_eq!(net.call(leader, adopt_table(6)), Some(Response::RouteTableAdopted { revision: 6 }));
+    let waited = net.now() - elected_at;
     assert!(waited <= Duration::from_millis(300), "{waited:?}");
     assert!(net.entries().all(|view| view.revision() == 6), "it is in force everywhere");
 }
--- a/crates/verbenaslip-fleet/tests/disk.rs
+++ b/crates/verbenaslip-fleet/tests/disk.rs
@@ -10,7 +10,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 /// By then a caller has an answer, sure or not: it turns to another core.
-const ANSWERED: Duration = SECOND;
+const ANSWER_TIMEOUT: Duration = SECOND;
 
 fn fleet() -> (Network, usize) {
     let mut net = Network::new(3, 3);
@@ -23,14 +23,14 @@
 }
 
 fn is_used(net: &Network) -> bool {
-    let ready = |view: &verbenaslip_fleet::View| {
-        view.upstreams.get("u").is_some_and(|it| it.status != Status::Leaving)
+    let is_usable = |view: &verbenaslip_fleet::View| {
+        view.upstreams.get("u").is_some_and(|record| record.status != Status::Leaving)
     };
-    net.entries().any(ready)
+    net.entries().any(is_usable)
 }
 
 #[test]
-fn a_stalled_disk_of_one_core_holds_up_neither_an_edit_nor_a_leaving() {
+fn one_stalled_disk_delays_neither_edits_nor_departures() {
     // Symptom: an upstream that goes keeps getting work, and a caller near its deadline waits there. Sequence: a
     // disk stalls, that of the leader or of another core; an upstream says that it goes, to any core. Cause: an
     // acknowledgement that waits for the leader's own disk, or for all of them.
@@ -39,16 +39,20 @@
         net.stall_disk((leader + stalled) % 3);
         let began = net.now();
         assert_eq!(net.call((leader + asked) % 3, withdraw("u")), Some(Response::Acknowledged));
-        assert!(net.now() - began <= ANSWERED, "{stalled} {asked}: {:?}", net.now() - began);
+        assert!(net.now() - began <= ANSWER_TIMEOUT, "{stalled} {asked}: {:?}", net.now() - began);
         assert!(!is_used(&net), "{stalled} {asked}: acknowledged before all knew");
         let edit = Request::AdoptRouteTable(Box::new(route_table_with_service(6)));
-        let told = net.call((leader + asked) % 3, edit);
-        assert_eq!(told, Some(Response::RouteTableAdopted { revision: 6 }), "{stalled} {asked}");
+        let response = net.call((leader + asked) % 3, edit);
+        assert_eq!(
+            response,
+            Some(Response::RouteTableAdopted { revision: 6 }),
+            "{stalled} {asked}"
+        );
     }
 }
 
 #[test]
-fn with_most_disks_stalled_a_caller_is_told_so_and_nothing_is_promised() {
+fn with_most_disks_stalled_calls_are_unavailable() {
     // Symptom: a leaving is acknowledged, all lose power, and requests reach the upstream again. Sequence: two of
     // three disks stall; an upstream says that it goes; the leader tells all and answers. Cause: an
     // acknowledgement of what no log holds.
@@ -56,11 +60,12 @@
         let (mut net, leader) = fleet();
         let stalled = stalled.map(|core| (leader + core) % 3);
         stalled.into_iter().for_each(|core| net.stall_disk(core));
-        for ask in [withdraw("u"), Request::AdoptRouteTable(Box::new(route_table_with_service(8)))]
+        for request in
+            [withdraw("u"), Request::AdoptRouteTable(Box::new(route_table_with_service(8)))]
         {
             let began = net.now();
-            assert_eq!(net.call(leader, ask), Some(Response::Unavailable), "{stalled:?}");
-            assert!(net.now() - began <= ANSWERED, "{stalled:?}: {:?}", net.now() - began);
+            assert_eq!(net.call(leader, request), Some(Response::Unavailable), "{stalled:?}");
+            assert!(net.now() - began <= ANSWER_TIMEOUT, "{stalled:?}: {:?}", net.now() - began);
         }
         // What entries know of it does no harm, and a read needs no disk.
         assert!(!is_used(&net));
--- a/crates/verbenaslip-fleet/tests/entry.rs
+++ b/crates/verbenaslip-fleet/tests/entry.rs
@@ -21,22 +21,22 @@
 }
 
 fn entry() -> Entry {
-    let own = Peer {
+    let local_peer = Peer {
         address: ([10, 2, 0, 1], 7_000).into(),
         name: Instance::from("entry-1"),
         zone: AvailabilityZone::from("north"),
         incarnation: 1,
         voter: None,
     };
-    Entry::new(own, vec![SocketAddr::from(LEADER)], SECOND, unix(SECOND))
+    Entry::new(local_peer, vec![SocketAddr::from(LEADER)], SECOND, unix(SECOND))
 }
 
 /// Has an entry report at a time; returns the leader's answer, written at once.
-fn answer(entry: &mut Entry, now: Duration) -> Frame {
+fn heartbeat_answer(entry: &mut Entry, now: Duration) -> Frame {
     let envelope =
         entry.next_heartbeat(now, unix(now), Report::default()).expect("a report is due");
     let Frame::Heartbeat(heartbeat) = envelope.frame else { panic!("a report is a heartbeat") };
-    let round = FleetStatus {
+    let status = FleetStatus {
         cores: Vec::new(),
         parent_cores: Vec::new(),
         incarnation: 1,
@@ -47,32 +47,32 @@
         time_slot: None,
         list_entries: false,
     };
-    let Frame::Update(update) = nothing() else { panic!("an update") };
-    Frame::Update(Box::new(Update { fleet_status: Some(round), unix_ms: unix(now), ..*update }))
+    let Frame::Update(update) = empty_update() else { panic!("an update") };
+    Frame::Update(Box::new(Update { fleet_status: Some(status), unix_ms: unix(now), ..*update }))
 }
 
 #[test]
-fn an_answer_that_was_read_late_does_not_set_the_clock_back() {
+fn a_delayed_answer_does_not_set_the_clock_back() {
     // Symptom: requests are counted into the wrong window of usage. Sequence: an entry reports and its machine
     // stands still for 3 s; it wakes and reads the leader's answer, with the time of day of 3 s before. Cause:
     // the time told by a message taken for the time at which it is read.
     let mut entry = entry();
-    let prompt = answer(&mut entry, SECOND);
+    let prompt = heartbeat_answer(&mut entry, SECOND);
     entry.handle_frame(SECOND, prompt);
-    let late = answer(&mut entry, SECOND * 2);
-    entry.handle_frame(SECOND * 5, late);
+    let delayed = heartbeat_answer(&mut entry, SECOND * 2);
+    entry.handle_frame(SECOND * 5, delayed);
     assert_eq!(clock::unix_ms(SECOND * 5, entry.view().time_offset_ms), unix(SECOND * 5));
 }
 
 #[test]
-fn what_a_new_leader_tells_beyond_a_change_is_taken_by_those_at_just_that_change() {
+fn changes_relative_to_the_previous_leader_require_exactly_that_version() {
     // Guards against an entry that keeps an upstream which the new leader has never heard of.
     let mut entry = entry();
     let told = |term, change, base: Option<(u64, u64)>| {
         let base = base.map(|(term, change)| Version { term, change });
-        let stamp = Version { term, change };
-        let Frame::Update(update) = nothing() else { panic!("an update") };
-        Frame::Update(Box::new(Update { version: stamp, base, ..*update }))
+        let version = Version { term, change };
+        let Frame::Update(update) = empty_update() else { panic!("an update") };
+        Frame::Update(Box::new(Update { version, base, ..*update }))
     };
     entry.handle_frame(SECOND, told(1, 100, None));
     entry.handle_frame(SECOND, told(1, 103, Some((1, 100))));
@@ -85,7 +85,7 @@
 }
 
 /// Makes a leader's update that tells nothing.
-fn nothing() -> Frame {
+fn empty_update() -> Frame {
     Frame::Update(Box::new(Update {
         from: LEADER.into(),
         leader: LEADER.into(),
@@ -104,14 +104,16 @@
 }
 
 #[test]
-fn an_answer_that_comes_before_the_plans_confirms_none() {
+fn an_answer_before_the_plans_confirms_none() {
     // Guards against a request to a version that was rolled back, just after a standstill or from a new leader.
     let mut entry = entry();
-    let first = answer(&mut entry, SECOND);
+    let first = heartbeat_answer(&mut entry, SECOND);
     entry.handle_frame(SECOND, first);
     assert_eq!(entry.view().plans_confirmed_at, Some(SECOND));
     let mut answered = |now: Duration, term, plans| {
-        let Frame::Update(mut update) = answer(&mut entry, now) else { panic!("an update") };
+        let Frame::Update(mut update) = heartbeat_answer(&mut entry, now) else {
+            panic!("an update")
+        };
         update.version = Version { term, change: 1 };
         update.base = Some(update.version);
         update.fleet_status.as_mut().expect("an answer").plans_change = plans;
--- a/crates/verbenaslip-fleet/tests/history.rs
+++ b/crates/verbenaslip-fleet/tests/history.rs
@@ -25,8 +25,8 @@
     net: Network,
     random: Pcg64,
     /// The last announcement of each upstream that is there.
-    there: BTreeMap<usize, u64>,
-    next: usize,
+    running: BTreeMap<usize, u64>,
+    last_upstream: usize,
 }
 
 impl World {
@@ -36,54 +36,54 @@
     }
 
     fn announce_at(&mut self, upstream: usize, draining: bool, core: usize) {
-        let sequence = self.there.get(&upstream).map_or(1, |it| it + 1);
-        self.there.insert(upstream, sequence);
+        let sequence = self.running.get(&upstream).map_or(1, |it| it + 1);
+        self.running.insert(upstream, sequence);
         let [high, low] = u16::try_from(upstream).expect("few").to_be_bytes();
         let named = announcement(&name(upstream), sequence, draining);
-        let announced = Announcement { address: ([10, 9, high, low], 80).into(), ..named };
-        self.net.start_call(core, Request::Announce(Box::new(announced)));
+        let moved = Announcement { address: ([10, 9, high, low], 80).into(), ..named };
+        self.net.start_call(core, Request::Announce(Box::new(moved)));
     }
 
     fn announce_all(&mut self) {
-        let there: Vec<usize> = self.there.keys().copied().collect();
-        there.into_iter().for_each(|upstream| self.announce(upstream, false));
+        let running: Vec<usize> = self.running.keys().copied().collect();
+        running.into_iter().for_each(|upstream| self.announce(upstream, false));
     }
 
     /// Has some upstreams come and some go.
-    fn change(&mut self) {
+    fn change_upstreams(&mut self) {
         for _ in 0..self.random.random_range(0..4) {
-            self.next += 1;
-            self.announce(self.next, false);
+            self.last_upstream += 1;
+            self.announce(self.last_upstream, false);
         }
-        let there: Vec<usize> = self.there.keys().copied().collect();
-        for upstream in there {
+        let running: Vec<usize> = self.running.keys().copied().collect();
+        for upstream in running {
             match self.random.random_range(0..12) {
                 0 => {
-                    self.there.remove(&upstream);
-                    let withdrawn = net::withdraw(&name(upstream));
+                    self.running.remove(&upstream);
+                    let withdrawal = net::withdraw(&name(upstream));
                     let core = self.random.random_range(0..CORES);
-                    self.net.start_call(core, withdrawn);
+                    self.net.start_call(core, withdrawal);
                 }
                 // It ends without a word.
-                1 => drop(self.there.remove(&upstream)),
+                1 => drop(self.running.remove(&upstream)),
                 _ => {}
             }
         }
     }
 
     /// Has upstreams come of which entries hear, and no core but the leader does.
-    fn change_past_cores(&mut self, leader: usize) {
+    fn add_upstreams_unknown_to_cores(&mut self, leader: usize) {
         self.net.drop_updates(true);
         for _ in 0..3 {
-            self.next += 1;
-            self.announce_at(self.next, false, leader);
+            self.last_upstream += 1;
+            self.announce_at(self.last_upstream, false, leader);
         }
         self.net.run(Duration::from_millis(60));
         self.net.drop_updates(false);
     }
 
     /// Has the leader, another core or an entry be lost for a while.
-    fn harm(&mut self) {
+    fn cause_fault(&mut self) {
         let leaders = self.net.leaders();
         let leader = leaders.first().copied().unwrap_or(0);
         let core = self.random.random_range(0..CORES);
@@ -118,7 +118,7 @@
             }
             // So do all cores but that one, which entries hear.
             _ => {
-                self.change_past_cores(leader);
+                self.add_upstreams_unknown_to_cores(leader);
                 self.net.stop(leader);
                 self.run(SECOND * 2);
                 self.net.restart(leader);
@@ -127,9 +127,9 @@
     }
 
     fn run(&mut self, time: Duration) {
-        let until = self.net.now() + time;
-        while self.net.now() < until {
-            self.change();
+        let end = self.net.now() + time;
+        while self.net.now() < end {
+            self.change_upstreams();
             self.announce_all();
             self.net.run(Duration::from_millis(400));
         }
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn all_entries_know_the_same_upstreams_whoever_has_led() {
+fn all_entries_know_the_same_upstreams_after_leader_changes() {
     // Guards against an upstream that some entries keep, or never learn of, as leaders tell what has changed alone.
     let seeds = std::env::var("HISTORY_SEEDS").ok();
     let bounds = seeds.as_deref().and_then(|text| text.split_once(".."));
@@ -150,28 +150,28 @@
         let mut world = World {
             net: Network::with_voters(CORES, ENTRIES, CORES),
             random: Pcg64::seed_from_u64(seed),
-            there: BTreeMap::new(),
-            next: 0,
+            running: BTreeMap::new(),
+            last_upstream: 0,
         };
         world.net.run(SECOND * 4);
         world.net.call(0, Request::AdoptRouteTable(Box::new(route_table_with_service(1))));
         for _ in 0..STEPS {
             world.run(SECOND);
-            world.harm();
+            world.cause_fault();
         }
         // What has ended without a word is lost after a minute of silence.
         for _ in 0..56 {
             world.announce_all();
             world.net.run(Duration::from_millis(1_200));
         }
-        let there: BTreeSet<String> = world.there.keys().map(|it| name(*it)).collect();
+        let running: BTreeSet<String> = world.running.keys().map(|it| name(*it)).collect();
         for (entry, view) in world.net.entries().enumerate() {
             let ready = view.upstreams.values().filter(|it| it.status == Status::Ready);
             let ready: BTreeSet<String> =
                 ready.map(|it| it.announcement.run.upstream.as_str().to_owned()).collect();
-            assert_eq!(ready, there, "seed {seed}, entry {entry}: those that are ready");
+            assert_eq!(ready, running, "seed {seed}, entry {entry}: those that are ready");
             let known = view.upstreams.len();
-            assert_eq!(known, there.len(), "seed {seed}, entry {entry}: all that are known");
+            assert_eq!(known, running.len(), "seed {seed}, entry {entry}: all that are known");
         }
     }
 }
--- a/crates/verbenaslip-fleet/tests/hub.rs
+++ b/crates/verbenaslip-fleet/tests/hub.rs
@@ -8,7 +8,7 @@
 
 use verbenaslip_base::name::{AvailabilityZone, Instance};
 use verbenaslip_fleet::frame::{Heartbeat, Peer};
-use verbenaslip_fleet::hub::{Changes, Hub, UpdateSource};
+use verbenaslip_fleet::hub::{ChangeNumbers, Hub, UpdateSource};
 use verbenaslip_fleet::quota::LoanRequest;
 use verbenaslip_fleet::registry::{Announcement, Registry};
 use verbenaslip_fleet::replicated_state::{Command, ReplicatedState, RouteTableRevision};
@@ -55,19 +55,24 @@
 }
 
 #[test]
-fn a_change_is_told_to_all_that_lack_the_same_at_once() {
+fn instances_that_lack_the_same_changes_share_one_update() {
     // Symptom: with hundreds of entries, reports go unanswered and routes come into force seconds late
     // while upstreams start. Sequence: dozens of upstreams a second announce themselves; each push is
     // made and written for each entry. Cause: the same update made as often as there are entries.
     let now = Duration::from_secs(1);
     let (mut hub, mut registry) = (Hub::default(), Registry::new(Duration::from_millis(1_200)));
     registry.announce(now, announcement(1), true);
-    let first = registry.last_change();
+    let first_change = registry.last_change();
     let hosts = 1..=200;
     let all: Vec<SocketAddr> = hosts.clone().map(address).collect();
     for host in hosts {
         // One has nothing yet; the others have the first upstream.
-        hub.handle_heartbeat(now, TERM, 0, heartbeat(host, if host == 7 { 0 } else { first }));
+        hub.handle_heartbeat(
+            now,
+            TERM,
+            0,
+            heartbeat(host, if host == 7 { 0 } else { first_change }),
+        );
     }
     registry.announce(now, announcement(2), true);
     let registry = &registry;
@@ -81,7 +86,7 @@
         blocklist: &Arc::default(),
         rollout_plans: &Arc::default(),
         limits: &Arc::default(),
-        changes: Changes::default(),
+        changes: ChangeNumbers::default(),
         ack_requested: false,
         unix_ms: 0,
     };
@@ -93,7 +98,7 @@
 }
 
 #[test]
-fn limits_are_lent_from_the_first_request_after_a_power_loss_of_all() {
+fn loans_are_granted_from_the_first_request_after_a_power_loss() {
     // Guards against buckets that are opened with the first sweep of a new leader, and begin half empty.
     let now = Duration::from_secs(9);
     let team = TeamConfig {
@@ -102,15 +107,15 @@
         priority: None,
         quota: Some(Quota { rate: 900.0, burst: 900.0, default_tokens: None }),
     };
-    let sheet = Arc::new(RouteTable { revision: 1, teams: vec![team], ..RouteTable::default() });
-    let mut ledger = ReplicatedState::default();
+    let table = Arc::new(RouteTable { revision: 1, teams: vec![team], ..RouteTable::default() });
+    let mut state = ReplicatedState::default();
     let document = b"table 1"[..].into();
-    ledger.apply(Command::SetRouteTable(Box::new(RouteTableRevision { table: sheet, document })));
+    state.apply(Command::SetRouteTable(Box::new(RouteTableRevision { table, document })));
     let mut hub = Hub::default();
     hub.start_leading(now, 9, true);
-    hub.refresh(now, ledger.current_table().map(|edition| &*edition.table));
+    hub.refresh(now, state.current_table().map(|current| &*current.table));
     let loan = |id| LoanRequest { id, team: "red".into(), required: 100.0, prefetch: 0.0 };
-    let loans: Vec<LoanRequest> = (1..=9).map(loan).collect();
-    let lent: Vec<f64> = hub.grant_loans(&loans).iter().map(|it| it.units).collect();
-    assert_eq!(lent, [100.0; 9], "the whole bucket, from the first request on");
+    let requests: Vec<LoanRequest> = (1..=9).map(loan).collect();
+    let granted: Vec<f64> = hub.grant_loans(&requests).iter().map(|it| it.units).collect();
+    assert_eq!(granted, [100.0; 9], "the whole bucket, from the first request on");
 }
--- a/crates/verbenaslip-fleet/tests/leaving.rs
+++ b/crates/verbenaslip-fleet/tests/leaving.rs
@@ -18,7 +18,7 @@
     net.run(SECOND * 5);
     net.call(0, Request::AdoptRouteTable(Box::new(route_table_with_service(4))));
     announce(&mut net, announcement("u", 1, false));
-    assert_eq!(standings(&net), [Some(Status::Ready); ENTRIES]);
+    assert_eq!(statuses(&net), [Some(Status::Ready); ENTRIES]);
     net
 }
 
@@ -30,23 +30,23 @@
 }
 
 /// Returns how each entry takes the upstream to stand.
-fn standings(net: &Network) -> Vec<Option<Status>> {
+fn statuses(net: &Network) -> Vec<Option<Status>> {
     net.entries().map(|view| view.upstreams.get("u").map(|it| it.status)).collect()
 }
 
 #[test]
-fn what_one_entry_was_told_all_know_and_later_announcements_do_not_undo_it() {
+fn a_departure_observed_by_one_entry_reaches_all_and_is_final() {
     // Guards against an upstream that is taken for ready by all entries but the one that it has answered.
     let mut net = fleet();
     net.observe_departure(3, run("u", 0));
     net.run(SECOND);
-    assert_eq!(standings(&net), [Some(Status::Leaving); ENTRIES]);
+    assert_eq!(statuses(&net), [Some(Status::Leaving); ENTRIES]);
     announce(&mut net, announcement("u", 2, false));
-    assert_eq!(standings(&net), [Some(Status::Leaving); ENTRIES]);
+    assert_eq!(statuses(&net), [Some(Status::Leaving); ENTRIES]);
 }
 
 #[test]
-fn it_outlives_the_leader_that_was_told() {
+fn an_observed_departure_survives_the_loss_of_the_leader() {
     // Guards against a departure that only the lost leader knew.
     let mut net = fleet();
     net.observe_departure(3, run("u", 0));
@@ -55,17 +55,17 @@
     net.stop(leader);
     net.run(SECOND * 5);
     announce(&mut net, announcement("u", 2, false));
-    assert_eq!(standings(&net), [Some(Status::Leaving); ENTRIES]);
+    assert_eq!(statuses(&net), [Some(Status::Leaving); ENTRIES]);
 }
 
 #[test]
-fn the_word_of_an_earlier_run_takes_out_no_later_one() {
+fn the_departure_of_an_earlier_run_does_not_end_a_later_one() {
     // Guards against a delayed answer by which the run that follows under the same name is lost.
     let mut net = fleet();
-    let mut reborn = announcement("u", 1, false);
-    reborn.run = run("u", 7);
-    announce(&mut net, reborn);
+    let mut next_run = announcement("u", 1, false);
+    next_run.run = run("u", 7);
+    announce(&mut net, next_run);
     net.observe_departure(3, run("u", 0));
     net.run(SECOND);
-    assert_eq!(standings(&net), [Some(Status::Ready); ENTRIES]);
+    assert_eq!(statuses(&net), [Some(Status::Ready); ENTRIES]);
 }
--- a/crates/verbenaslip-fleet/tests/levels.rs
+++ b/crates/verbenaslip-fleet/tests/levels.rs
@@ -36,11 +36,11 @@
 }
 
 /// Returns the bytes of the leader and of the busiest other core, a second.
-fn bytes(net: &mut Network, mut play: impl FnMut(&mut Network)) -> (usize, usize) {
+fn bytes_per_second(net: &mut Network, mut act: impl FnMut(&mut Network)) -> (usize, usize) {
     net.count_traffic();
     let begin = net.now();
     while net.now() - begin < SECOND * 2 {
-        play(net);
+        act(net);
         net.run(SECOND / 10);
     }
     let leader = net.leaders()[0];
@@ -50,10 +50,10 @@
 }
 
 #[test]
-fn an_idle_fleet_costs_its_leader_as_much_however_many_entries_there_are() {
+fn idle_traffic_of_the_leader_does_not_depend_on_the_entry_count() {
     // Guards against a leader that has no time left for the log in a fleet of a thousand entries.
     let [small, large] = [250, 1_000].map(|entries| {
-        let (leader, busiest) = bytes(&mut fleet(entries), |_| {});
+        let (leader, busiest) = bytes_per_second(&mut fleet(entries), |_| {});
         println!("{entries} entries: {leader} bytes a second at the leader, {busiest} at a core");
         assert!(busiest <= 300_000, "{busiest} bytes at a core of {entries} entries");
         leader
@@ -62,12 +62,12 @@
 }
 
 #[test]
-fn the_same_requests_cost_the_leader_as_much_however_many_entries_take_them() {
+fn request_traffic_of_the_leader_does_not_depend_on_the_entry_count() {
     // Guards against counts of usage that are told again with every report.
     let [small, large] = [250, 1_000].map(|entries| {
         let mut net = fleet(entries);
         let mut rng = Pcg64::seed_from_u64(5);
-        let (leader, busiest) = bytes(&mut net, |net| {
+        let (leader, busiest) = bytes_per_second(&mut net, |net| {
             for _ in 0..100 {
                 let team = format!("team-{}", rng.random_range(0..333));
                 net.begin_request(rng.random_range(0..entries), &team);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn an_edit_and_a_leaving_are_known_to_all_of_a_thousand_entries_when_acknowledged() {
+fn an_acknowledged_edit_and_departure_are_known_to_a_thousand_entries() {
     // Guards against acknowledgements that come before the last of two steps on the way to an entry.
     let mut net = fleet(1_000);
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
@@ -92,8 +92,8 @@
     assert!(net.entries().all(|view| !view.upstreams.contains_key("u")));
     assert!(took <= SECOND / 2, "a leaving took {took:?}");
     let began = net.now();
-    let told = net.call(2, Request::AdoptRouteTable(Box::new(route_table_with_service(2))));
-    assert_eq!(told, Some(Response::RouteTableAdopted { revision: 2 }));
+    let response = net.call(2, Request::AdoptRouteTable(Box::new(route_table_with_service(2))));
+    assert_eq!(response, Some(Response::RouteTableAdopted { revision: 2 }));
     let took = net.now() - began;
     assert!(net.entries().all(|view| view.revision() == 2));
     assert!(took <= SECOND, "an edit took {took:?}");
@@ -110,9 +110,9 @@
         let (began, ask) =
             (net.now(), || Request::AdoptRouteTable(Box::new(route_table_with_service(2))));
         let core = (leader + 2) % CORES;
-        let mut told = None;
-        while told != Some(Response::RouteTableAdopted { revision: 2 }) {
-            told = net.call(core, ask());
+        let mut response = None;
+        while response != Some(Response::RouteTableAdopted { revision: 2 }) {
+            response = net.call(core, ask());
             assert!(net.now() - began <= SECOND * 5, "not acknowledged after 5 s");
         }
         let took = net.now() - began;
@@ -123,18 +123,18 @@
 }
 
 #[test]
-fn every_request_is_counted_once_while_cores_are_lost_and_entries_go_to_others() {
+fn every_request_is_counted_once_while_entries_change_parent_cores() {
     // Guards against counts that are lost or doubled on their way by two cores.
     for seed in 0..6 {
         let mut net = fleet(60);
         let mut rng = Pcg64::seed_from_u64(seed);
-        let mut truth: BTreeMap<u64, u64> = BTreeMap::new();
+        let mut expected: BTreeMap<u64, u64> = BTreeMap::new();
         net.take_events();
         let mut lost: Option<usize> = None;
         for step in 0..120 {
             for _ in 0..20 {
                 let window = net.begin_request(rng.random_range(0..60), "red");
-                *truth.entry(window).or_default() += 1;
+                *expected.entry(window).or_default() += 1;
             }
             net.run(SECOND / 10);
             match (lost, step % 30) {
@@ -157,13 +157,13 @@
         }
         net.run(SECOND * 12);
         let mut closed = BTreeMap::new();
-        for (_, note) in net.take_events() {
-            if let Event::WindowClosed { window, requests } = note {
+        for (_, event) in net.take_events() {
+            if let Event::WindowClosed { window, requests } = event {
                 closed.insert(window, requests);
             }
         }
-        let first = truth.keys().next().copied().unwrap_or_default();
-        for (window, requests) in truth {
+        let first = expected.keys().next().copied().unwrap_or_default();
+        for (window, requests) in expected {
             let counted = closed.get(&window).copied().unwrap_or_default();
             // The first window has begun before the play.
             assert!(
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_limit_that_an_entry_has_learnt_is_known_to_the_entries_of_all_cores() {
+fn a_limit_observed_by_one_entry_reaches_the_entries_of_all_cores() {
     // Guards against sightings that a core keeps to itself, and turns that two entries take at once.
     let mut net = fleet(60);
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
@@ -183,17 +183,17 @@
     net.observe_limit(7, run("u", 0), Some(2.0));
     net.run(SECOND);
     assert!(net.entries().all(|view| view.limits.contains_key(&run("u", 0))));
-    let mut turns: Vec<(u32, u32)> = net
+    let mut slots: Vec<(u32, u32)> = net
         .entries()
-        .filter_map(|view| view.time_slot.map(|turn| (turn.index, turn.count)))
+        .filter_map(|view| view.time_slot.map(|slot| (slot.index, slot.count)))
         .collect();
-    turns.sort_unstable();
-    let all: Vec<(u32, u32)> = (0..60).map(|place| (place, 60)).collect();
-    assert_eq!(turns, all, "each entry has a turn of its own");
+    slots.sort_unstable();
+    let all: Vec<(u32, u32)> = (0..60).map(|index| (index, 60)).collect();
+    assert_eq!(slots, all, "each entry has a turn of its own");
 }
 
 #[test]
-fn entries_go_back_to_a_core_that_has_come_back() {
+fn entries_return_to_a_restarted_core() {
     // Guards against a core that has the entries of two for ever, once the other one was lost.
     let mut net = fleet(200);
     let leader = net.leaders()[0];
--- a/crates/verbenaslip-fleet/tests/limit.rs
+++ b/crates/verbenaslip-fleet/tests/limit.rs
@@ -36,23 +36,23 @@
 }
 
 #[test]
-fn what_one_entry_learns_all_entries_know_and_each_has_a_turn_of_its_own() {
+fn an_observed_limit_reaches_all_entries_and_each_has_its_own_time_slot() {
     // Guards against a limit that only those keep to whom the upstream has answered.
     let mut net = fleet();
     net.observe_limit(3, run("u", 0), Some(2.0));
     net.run(SECOND);
     assert_eq!(rates(&net), [Some(2.0); ENTRIES]);
-    let of = u32::try_from(ENTRIES).expect("few");
-    let turns: Vec<TimeSlot> = net.entries().filter_map(|view| view.time_slot).collect();
-    assert!(turns.iter().all(|turn| turn.count == of), "{turns:?}");
-    let places: BTreeSet<u32> = turns.iter().map(|turn| turn.index).collect();
-    assert_eq!(places, (0..of).collect::<BTreeSet<_>>());
-    let shared = |(_, note): &(usize, Event)| matches!(note, Event::LimitChanged(_));
-    assert_eq!(net.take_events().iter().filter(|it| shared(it)).count(), 1, "logged once");
+    let count = u32::try_from(ENTRIES).expect("few");
+    let slots: Vec<TimeSlot> = net.entries().filter_map(|view| view.time_slot).collect();
+    assert!(slots.iter().all(|slot| slot.count == count), "{slots:?}");
+    let indexes: BTreeSet<u32> = slots.iter().map(|slot| slot.index).collect();
+    assert_eq!(indexes, (0..count).collect::<BTreeSet<_>>());
+    let is_limit_change = |(_, event): &(usize, Event)| matches!(event, Event::LimitChanged(_));
+    assert_eq!(net.take_events().iter().filter(|it| is_limit_change(it)).count(), 1, "logged once");
 }
 
 #[test]
-fn a_limit_outlives_the_leader_and_its_end_reaches_all() {
+fn a_limit_survives_the_loss_of_the_leader_and_its_end_reaches_all() {
     // Guards against entries that go on at full rate, or for ever at a low one, once the leader is lost.
     let mut net = fleet();
     net.observe_limit(3, run("u", 0), Some(2.0));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn entries_tell_cores_that_have_lost_everything() {
+fn entries_report_limits_again_to_restarted_cores() {
     // Guards against a limit that is forgotten by all when the cores start again.
     let mut net = fleet();
     net.observe_limit(3, run("u", 0), Some(2.0));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn values_that_differ_little_are_not_told_and_ended_runs_are_forgotten() {
+fn similar_rates_are_not_published_and_ended_runs_are_forgotten() {
     // Guards against an update to all entries with every answer, and against limits that pile up.
     let mut net = fleet();
     net.observe_limit(3, run("u", 0), Some(2.0));
@@ -108,9 +108,9 @@
 }
 
 #[test]
-fn the_newest_word_holds_whichever_way_it_comes() {
+fn the_newest_limit_wins_in_any_order() {
     // Guards against a late report that brings back a limit which has ended.
-    let limit = |rate, at| Limit { rate, reported_at_ms: at };
+    let limit = |rate, reported_at_ms| Limit { rate, reported_at_ms };
     let ended = limit(None, 20);
     assert!(limit(Some(1.0), 10).supersedes(None));
     assert!(!limit(Some(1.0), 10).supersedes(Some(&ended)));
