--- a/crates/verbenaslip-fleet/tests/net/mod.rs
+++ b/crates/verbenaslip-fleet/tests/net/mod.rs
@@ -28,13 +28,13 @@
 /// The true time of day at the start, in Unix milliseconds.
 const EPOCH: u64 = 1_800_000_000_000;
 /// Ticks that a frame travels.
-const WAY: u64 = 1;
+const FRAME_DELAY_TICKS: u64 = 1;
 /// How long a call may take.
-const PATIENCE: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 pub fn route_table(revision: u64) -> RouteTableRevision {
-    let sheet = Arc::new(RouteTable { revision, ..RouteTable::default() });
-    RouteTableRevision { table: sheet, document: format!("table {revision}").into_bytes().into() }
+    let table = Arc::new(RouteTable { revision, ..RouteTable::default() });
+    RouteTableRevision { table, document: format!("table {revision}").into_bytes().into() }
 }
 
 /// Makes a table that knows the service of [`announcement`].
@@ -46,8 +46,8 @@
         engine: None,
         scaling: None,
     };
-    let sheet = RouteTable { revision, services: vec![service], ..RouteTable::default() };
-    RouteTableRevision { table: Arc::new(sheet), ..route_table(revision) }
+    let table = RouteTable { revision, services: vec![service], ..RouteTable::default() };
+    RouteTableRevision { table: Arc::new(table), ..route_table(revision) }
 }
 
 pub fn announcement(name: &str, sequence: u64, draining: bool) -> Announcement {
@@ -81,9 +81,9 @@
 struct Machine {
     core: Option<Core>,
     disk: Recovered,
-    pending: Vec<(u64, Write)>,
-    skew: i64,
-    starts: u64,
+    pending_writes: Vec<(u64, Write)>,
+    clock_skew_ms: i64,
+    start_count: u64,
 }
 
 /// Runs cores and entries against each other.
@@ -92,28 +92,28 @@
     ticks: u64,
     cores: Vec<Machine>,
     entries: Vec<Entry>,
-    mail: VecDeque<(u64, SocketAddr, Frame)>,
-    cut: BTreeSet<SocketAddr>,
+    frames_in_transit: VecDeque<(u64, SocketAddr, Frame)>,
+    disconnected: BTreeSet<SocketAddr>,
     /// Cores that stand still; what is sent to them waits.
-    frozen: BTreeSet<SocketAddr>,
+    paused_cores: BTreeSet<SocketAddr>,
     /// Entries that send and get nothing.
-    deaf: BTreeSet<SocketAddr>,
+    unreachable_entries: BTreeSet<SocketAddr>,
     /// Whether updates to cores are lost.
-    loses_updates: bool,
+    drops_updates: bool,
     /// Cores whose disks answer nothing.
-    stalled: BTreeSet<usize>,
+    stalled_disks: BTreeSet<usize>,
     replies: BTreeMap<u64, Response>,
-    calls: u64,
-    identities: u128,
+    last_call: u64,
+    last_identity: u128,
     voters: usize,
     /// The limits that each entry has learnt by itself.
-    limits: BTreeMap<usize, Limits>,
+    observed_limits: BTreeMap<usize, Limits>,
     /// Upstreams that have said to an entry that they go.
-    leaving: BTreeMap<usize, Vec<Run>>,
+    observed_departures: BTreeMap<usize, Vec<Run>>,
     /// What cores told for the log.
-    notes: Vec<(usize, Event)>,
+    events: Vec<(usize, Event)>,
     /// The windows of usage that the leader closes; none are counted without.
-    duty: Option<order::Timing>,
+    order_timing: Option<order::Timing>,
     /// Requests that began at each entry, by window and team.
     counts: BTreeMap<usize, Counts>,
     /// What each core has sent and got, while that is counted.
@@ -157,77 +157,83 @@
         cores: usize,
         entries: usize,
         voters: usize,
-        duty: Option<order::Timing>,
+        order_timing: Option<order::Timing>,
     ) -> Self {
-        let mut net = Self {
+        let mut network = Self {
             voters,
             now: Duration::from_secs(1),
             ticks: 0,
             cores: Vec::new(),
             entries: Vec::new(),
-            mail: VecDeque::new(),
-            cut: BTreeSet::new(),
-            frozen: BTreeSet::new(),
-            deaf: BTreeSet::new(),
-            loses_updates: false,
-            stalled: BTreeSet::new(),
+            frames_in_transit: VecDeque::new(),
+            disconnected: BTreeSet::new(),
+            paused_cores: BTreeSet::new(),
+            unreachable_entries: BTreeSet::new(),
+            drops_updates: false,
+            stalled_disks: BTreeSet::new(),
             replies: BTreeMap::new(),
-            calls: 0,
-            identities: 0,
-            limits: BTreeMap::new(),
-            leaving: BTreeMap::new(),
-            notes: Vec::new(),
-            duty,
+            last_call: 0,
+            last_identity: 0,
+            observed_limits: BTreeMap::new(),
+            observed_departures: BTreeMap::new(),
+            events: Vec::new(),
+            order_timing,
             counts: BTreeMap::new(),
             traffic: None,
         };
         for index in 0..cores {
-            net.add(index < 3);
+            network.start_new_core(index < 3);
         }
         for index in 0..entries {
             let own = peer(entry_address(index), 1, None);
-            net.entries.push(Entry::new(own, seeds(), net.now, EPOCH));
+            network.entries.push(Entry::new(own, seeds(), network.now, EPOCH));
         }
-        net
+        network
     }
 
     /// Adds a core at a new address, with an empty disk, and returns its index.
     pub fn add_core(&mut self) -> usize {
-        self.add(false)
+        self.start_new_core(false)
     }
 
-    fn add(&mut self, founds: bool) -> usize {
+    fn start_new_core(&mut self, is_founder: bool) -> usize {
         let disk = self.empty_disk();
-        self.cores.push(Machine { core: None, disk, pending: vec![], skew: 0, starts: 0 });
+        self.cores.push(Machine {
+            core: None,
+            disk,
+            pending_writes: vec![],
+            clock_skew_ms: 0,
+            start_count: 0,
+        });
         let index = self.cores.len() - 1;
-        self.start(index, founds);
+        self.start_core(index, is_founder);
         index
     }
 
     fn empty_disk(&mut self) -> Recovered {
-        self.identities += 1;
-        Recovered::empty(Identity(self.identities))
+        self.last_identity += 1;
+        Recovered::empty(Identity(self.last_identity))
     }
 
-    fn start(&mut self, index: usize, founds: bool) {
+    fn start_core(&mut self, index: usize, is_founder: bool) {
         let address = core_address(index);
         let machine = &mut self.cores[index];
-        machine.pending.clear();
-        machine.starts += 1;
+        machine.pending_writes.clear();
+        machine.start_count += 1;
         let identity = machine.disk.identity;
         let voter = Voter { instance: name_of(address), identity };
         let setup = Setup {
-            local_peer: peer(address, machine.starts, Some(voter)),
+            local_peer: peer(address, machine.start_count, Some(voter)),
             quarantine_policy: QuarantinePolicy::default(),
             fingerprint_secret: 7,
             seeds: seeds(),
-            founders: if founds { seeds() } else { vec![] },
+            founders: if is_founder { seeds() } else { vec![] },
             recovered: machine.disk.clone(),
             target_voter_count: self.voters,
             announce_interval: Duration::from_millis(1_200),
             log_timing: Timing::default(),
-            order_timing: self.duty,
-            seed: index as u64 * 100 + machine.starts,
+            order_timing: self.order_timing,
+            seed: index as u64 * 100 + machine.start_count,
             unix_ms: EPOCH,
         };
         machine.core = Some(Core::new(setup, self.now));
@@ -241,7 +247,7 @@
     pub fn restart(&mut self, core: usize) {
         self.stop(core);
         self.resume(core);
-        self.start(core, false);
+        self.start_core(core, false);
     }
 
     /// Takes a core's disk and starts it with an empty one.
@@ -249,63 +255,63 @@
         self.stop(core);
         self.resume(core);
         self.cores[core].disk = self.empty_disk();
-        self.start(core, false);
+        self.start_core(core, false);
     }
 
     pub fn disconnect_core(&mut self, core: usize) {
-        self.cut.insert(core_address(core));
+        self.disconnected.insert(core_address(core));
     }
 
     /// Lets a core stand still, as a machine that is suspended: its clock goes on.
     pub fn pause(&mut self, core: usize) {
-        self.frozen.insert(core_address(core));
+        self.paused_cores.insert(core_address(core));
     }
 
     pub fn resume(&mut self, core: usize) {
-        self.frozen.remove(&core_address(core));
+        self.paused_cores.remove(&core_address(core));
     }
 
     /// Has cores get none of the leader's updates, or all of them again.
-    pub fn drop_updates(&mut self, lose: bool) {
-        self.loses_updates = lose;
+    pub fn drop_updates(&mut self, drop: bool) {
+        self.drops_updates = drop;
     }
 
     /// Has a core's disk answer nothing; its process goes on.
     pub fn stall_disk(&mut self, core: usize) {
-        self.stalled.insert(core);
+        self.stalled_disks.insert(core);
     }
 
     /// Has a core's disk answer again.
     pub fn resume_disk(&mut self, core: usize) {
-        self.stalled.remove(&core);
+        self.stalled_disks.remove(&core);
     }
 
     pub fn reconnect_core(&mut self, core: usize) {
-        self.cut.remove(&core_address(core));
+        self.disconnected.remove(&core_address(core));
     }
 
     /// Starts an entry again, which remembers nothing.
     pub fn restart_entry(&mut self, index: usize) {
         let incarnation = u64::try_from(self.now.as_millis()).expect("small");
-        let own = peer(entry_address(index), incarnation, None);
-        self.entries[index] = Entry::new(own, seeds(), self.now, EPOCH);
+        let local_peer = peer(entry_address(index), incarnation, None);
+        self.entries[index] = Entry::new(local_peer, seeds(), self.now, EPOCH);
     }
 
     pub fn disconnect_entry(&mut self, entry: usize) {
-        self.cut.insert(entry_address(entry));
+        self.disconnected.insert(entry_address(entry));
     }
 
     /// Has an entry's reports come through, and nothing reach it.
     pub fn drop_frames_to_entry(&mut self, entry: usize) {
-        self.deaf.insert(entry_address(entry));
+        self.unreachable_entries.insert(entry_address(entry));
     }
 
     pub fn reconnect_entry(&mut self, entry: usize) {
-        self.cut.remove(&entry_address(entry));
+        self.disconnected.remove(&entry_address(entry));
     }
 
-    pub fn set_clock_skew(&mut self, core: usize, millis: i64) {
-        self.cores[core].skew = millis;
+    pub fn set_clock_skew(&mut self, core: usize, skew_ms: i64) {
+        self.cores[core].clock_skew_ms = skew_ms;
     }
 
     pub fn now(&self) -> Duration {
@@ -318,8 +324,8 @@
     }
 
     pub fn leaders(&self) -> Vec<usize> {
-        let leads = |machine: &Machine| machine.core.as_ref().is_some_and(Core::is_leading);
-        (0..self.cores.len()).filter(|index| leads(&self.cores[*index])).collect()
+        let is_leading = |machine: &Machine| machine.core.as_ref().is_some_and(Core::is_leading);
+        (0..self.cores.len()).filter(|index| is_leading(&self.cores[*index])).collect()
     }
 
     pub fn entry(&self, index: usize) -> &View {
@@ -333,26 +339,29 @@
     /// Has an entry learn by an answer that a run limits its requests, or does so no more.
     pub fn observe_limit(&mut self, entry: usize, run: Run, rate: Option<f64>) {
         let at = u64::try_from(self.true_unix_ms()).expect("positive");
-        self.limits.entry(entry).or_default().insert(run, Limit { rate, reported_at_ms: at });
+        self.observed_limits
+            .entry(entry)
+            .or_default()
+            .insert(run, Limit { rate, reported_at_ms: at });
     }
 
     /// Has an upstream say to an entry in an answer that it goes.
     pub fn observe_departure(&mut self, entry: usize, run: Run) {
-        self.leaving.entry(entry).or_default().push(run);
+        self.observed_departures.entry(entry).or_default().push(run);
     }
 
     /// Has a request of a team begin at an entry; returns the window that it is counted in.
     pub fn begin_request(&mut self, entry: usize, team: &str) -> u64 {
-        let length = self.duty.expect("usage is counted").window_length;
-        let time = self.entries[entry].view().time_offset_ms;
-        let unix = verbenaslip_fleet::clock::unix_ms(self.now, time);
-        let window = window_at(unix, length);
+        let length = self.order_timing.expect("usage is counted").window_length;
+        let time_offset_ms = self.entries[entry].view().time_offset_ms;
+        let unix_ms = verbenaslip_fleet::clock::unix_ms(self.now, time_offset_ms);
+        let window = window_at(unix_ms, length);
         let counts = self.counts.entry(entry).or_default();
         *counts.entry((window, Team::from(team))).or_default() += 1;
         window
     }
 
-    fn counted(&self, entry: usize) -> Vec<Count> {
+    fn usage_counts(&self, entry: usize) -> Vec<Count> {
         let counts = self.counts.get(&entry).into_iter().flatten();
         let count = |((window, team), requests): (&(u64, Team), &u64)| Count {
             window: *window,
@@ -362,45 +371,45 @@
         counts.map(count).collect()
     }
 
-    fn unshared_departures(&self, entry: usize) -> Vec<Run> {
+    fn unreported_departures(&self, entry: usize) -> Vec<Run> {
         let upstreams = &self.entries[entry].view().upstreams;
         let ready = |run: &&Run| {
             let record = upstreams.get(&run.upstream);
-            record.is_some_and(|it| it.status == Status::Ready)
+            record.is_some_and(|record| record.status == Status::Ready)
         };
-        self.leaving.get(&entry).into_iter().flatten().filter(ready).cloned().collect()
+        self.observed_departures.get(&entry).into_iter().flatten().filter(ready).cloned().collect()
     }
 
     /// Lists what an entry has learnt and its leader is not known to know.
-    fn unshared(&self, entry: usize) -> Vec<Observation> {
+    fn unreported_limits(&self, entry: usize) -> Vec<Observation> {
         let known = &self.entries[entry].view().limits;
-        let learnt = self.limits.get(&entry).into_iter().flatten();
-        let news = learnt.filter(|(run, limit)| limit.supersedes(known.get(run)));
-        news.map(|(run, limit)| Observation { run: run.clone(), limit: *limit }).collect()
+        let observed = self.observed_limits.get(&entry).into_iter().flatten();
+        let unreported = observed.filter(|(run, limit)| limit.supersedes(known.get(run)));
+        unreported.map(|(run, limit)| Observation { run: run.clone(), limit: *limit }).collect()
     }
 
     /// Calls a core and returns its answer.
-    pub fn call(&mut self, core: usize, ask: Request) -> Option<Response> {
-        self.calls += 1;
-        let id = self.calls;
-        self.step(core, Input::Call { id, request: ask });
-        let until = self.now + PATIENCE;
-        while self.now < until && !self.replies.contains_key(&id) {
+    pub fn call(&mut self, core: usize, request: Request) -> Option<Response> {
+        self.last_call += 1;
+        let id = self.last_call;
+        self.step_core(core, Input::Call { id, request });
+        let deadline = self.now + CALL_TIMEOUT;
+        while self.now < deadline && !self.replies.contains_key(&id) {
             self.tick();
         }
         self.replies.remove(&id)
     }
 
     /// Calls a core without waiting for the answer; returns the name of the call.
-    pub fn start_call(&mut self, core: usize, ask: Request) -> u64 {
-        self.calls += 1;
-        self.step(core, Input::Call { id: self.calls, request: ask });
-        self.calls
+    pub fn start_call(&mut self, core: usize, request: Request) -> u64 {
+        self.last_call += 1;
+        self.step_core(core, Input::Call { id: self.last_call, request });
+        self.last_call
     }
 
     /// Takes what cores have told for the log, each with its core.
     pub fn take_events(&mut self) -> Vec<(usize, Event)> {
-        std::mem::take(&mut self.notes)
+        std::mem::take(&mut self.events)
     }
 
     pub fn entry_mut(&mut self, index: usize) -> &mut Entry {
@@ -423,7 +432,7 @@
         counted.copied().unwrap_or_default()
     }
 
-    fn count(&mut self, core: SocketAddr, frame: &Frame, sent: usize) {
+    fn count_frame(&mut self, core: SocketAddr, frame: &Frame, sent: usize) {
         let Some(traffic) = &mut self.traffic else { return };
         let bytes = postcard::to_stdvec(frame).expect("it encodes").len();
         let counted = traffic.entry(core).or_default();
@@ -443,104 +452,114 @@
         self.now += TICK;
         self.ticks += 1;
         for index in 0..self.cores.len() {
-            if self.frozen.contains(&core_address(index)) {
+            if self.paused_cores.contains(&core_address(index)) {
                 continue;
             }
-            let skewed = self.true_unix_ms() + self.cores[index].skew;
-            self.step(index, Input::WallClock(u64::try_from(skewed).expect("positive")));
-            self.sync(index);
+            let skewed_ms = self.true_unix_ms() + self.cores[index].clock_skew_ms;
+            self.step_core(index, Input::WallClock(u64::try_from(skewed_ms).expect("positive")));
+            self.complete_writes(index);
         }
-        let truth = u64::try_from(self.true_unix_ms()).expect("positive");
+        let unix_ms = u64::try_from(self.true_unix_ms()).expect("positive");
         for index in 0..self.entries.len() {
-            let leaving = self.unshared_departures(index);
-            let (limits, counts) = (self.unshared(index), self.counted(index));
-            let report = Report { limits, departing: leaving, counts, ..Report::default() };
-            let envelope = self.entries[index].next_heartbeat(self.now, truth, report);
-            self.post(entry_address(index), envelope);
+            let departing = self.unreported_departures(index);
+            let (limits, counts) = (self.unreported_limits(index), self.usage_counts(index));
+            let report = Report { limits, departing, counts, ..Report::default() };
+            let envelope = self.entries[index].next_heartbeat(self.now, unix_ms, report);
+            self.send_envelope(entry_address(index), envelope);
             let envelope = self.entries[index].next_crash_report(self.now);
-            self.post(entry_address(index), envelope);
+            self.send_envelope(entry_address(index), envelope);
         }
-        let mut held = VecDeque::new();
-        while self.mail.front().is_some_and(|(due, ..)| *due <= self.ticks) {
-            let Some((due, to, frame)) = self.mail.pop_front() else { return };
-            if self.frozen.contains(&to) {
-                held.push_back((due, to, frame));
+        let mut remaining = VecDeque::new();
+        while self.frames_in_transit.front().is_some_and(|(due, ..)| *due <= self.ticks) {
+            let Some((due, to, frame)) = self.frames_in_transit.pop_front() else { return };
+            if self.paused_cores.contains(&to) {
+                remaining.push_back((due, to, frame));
             } else {
                 self.deliver(to, frame);
             }
         }
-        held.append(&mut self.mail);
-        self.mail = held;
+        remaining.append(&mut self.frames_in_transit);
+        self.frames_in_transit = remaining;
     }
 
     fn deliver(&mut self, to: SocketAddr, frame: Frame) {
-        if self.cut.contains(&to) || self.deaf.contains(&to) {
+        if self.disconnected.contains(&to) || self.unreachable_entries.contains(&to) {
             return;
         }
         if let Some(index) = (0..self.cores.len()).find(|it| core_address(*it) == to) {
-            if self.loses_updates && matches!(frame, Frame::Update(_)) {
+            if self.drops_updates && matches!(frame, Frame::Update(_)) {
                 return;
             }
-            self.count(to, &frame, 0);
-            return self.step(index, Input::Frame(Box::new(frame)));
+            self.count_frame(to, &frame, 0);
+            return self.step_core(index, Input::Frame(Box::new(frame)));
         }
         if let Some(index) = (0..self.entries.len()).find(|it| entry_address(*it) == to) {
             let envelope = self.entries[index].handle_frame(self.now, frame);
-            self.post(to, envelope);
+            self.send_envelope(to, envelope);
         }
     }
 
-    fn post(&mut self, from: SocketAddr, envelope: Option<verbenaslip_fleet::entry::Envelope>) {
+    fn send_envelope(
+        &mut self,
+        from: SocketAddr,
+        envelope: Option<verbenaslip_fleet::entry::Envelope>,
+    ) {
         let Some(envelope) = envelope else { return };
-        if self.cut.contains(&from) {
+        if self.disconnected.contains(&from) {
             return;
         }
         for to in envelope.to {
-            self.mail.push_back((self.ticks + WAY, to, envelope.frame.clone()));
+            self.frames_in_transit.push_back((
+                self.ticks + FRAME_DELAY_TICKS,
+                to,
+                envelope.frame.clone(),
+            ));
         }
     }
 
-    fn step(&mut self, index: usize, input: Input) {
+    fn step_core(&mut self, index: usize, input: Input) {
         let from = core_address(index);
         let Some(core) = &mut self.cores[index].core else { return };
         let mut outputs = Vec::new();
         core.step(self.now, input, &mut outputs);
         for output in outputs {
             match output {
-                Output::Send { .. } if self.cut.contains(&from) => {}
+                Output::Send { .. } if self.disconnected.contains(&from) => {}
                 Output::Send { to, frame } => {
-                    self.count(from, &frame, 1);
-                    self.mail.push_back((self.ticks + WAY, to, frame));
+                    self.count_frame(from, &frame, 1);
+                    self.frames_in_transit.push_back((self.ticks + FRAME_DELAY_TICKS, to, frame));
                 }
-                Output::Multicast { .. } if self.cut.contains(&from) => {}
+                Output::Multicast { .. } if self.disconnected.contains(&from) => {}
                 Output::Multicast { to, frame } => {
-                    self.count(from, &frame, to.len());
-                    let mail = to.into_iter().map(|to| (self.ticks + WAY, to, frame.clone()));
-                    self.mail.extend(mail);
+                    self.count_frame(from, &frame, to.len());
+                    let frames = to
+                        .into_iter()
+                        .map(|to| (self.ticks + FRAME_DELAY_TICKS, to, frame.clone()));
+                    self.frames_in_transit.extend(frames);
                 }
-                Output::Store { sequence: mark, write } => {
-                    self.cores[index].pending.push((mark, write))
+                Output::Store { sequence, write } => {
+                    self.cores[index].pending_writes.push((sequence, write))
                 }
-                Output::Reply { id, response: told } => {
-                    self.replies.insert(id, told);
+                Output::Reply { id, response } => {
+                    self.replies.insert(id, response);
                 }
                 Output::Order(_) => {}
-                Output::Event(note) => self.notes.push((index, note)),
+                Output::Event(event) => self.events.push((index, event)),
             }
         }
     }
 
     /// Syncs what waits for the disk; it takes one tick.
-    fn sync(&mut self, index: usize) {
-        if self.stalled.contains(&index) {
+    fn complete_writes(&mut self, index: usize) {
+        if self.stalled_disks.contains(&index) {
             return;
         }
-        let writes = std::mem::take(&mut self.cores[index].pending);
-        let Some(mark) = writes.last().map(|(mark, _)| *mark) else { return };
+        let writes = std::mem::take(&mut self.cores[index].pending_writes);
+        let Some(sequence) = writes.last().map(|(sequence, _)| *sequence) else { return };
         for (_, write) in writes {
-            store(&mut self.cores[index].disk, write);
+            apply_write(&mut self.cores[index].disk, write);
         }
-        self.step(index, Input::Stored(mark));
+        self.step_core(index, Input::Stored(sequence));
     }
 }
 
@@ -553,15 +572,15 @@
     Peer { address, name, zone: AvailabilityZone::from("north"), incarnation, voter }
 }
 
-fn store(disk: &mut Recovered, write: Write) {
-    let after = |entry: &LogEntry, index: u64| entry.position.index >= index;
+fn apply_write(disk: &mut Recovered, write: Write) {
+    let is_at_or_after = |entry: &LogEntry, index: u64| entry.position.index >= index;
     match write {
-        Write::HardState(hard) => disk.hard_state = hard,
+        Write::HardState(state) => disk.hard_state = state,
         Write::Append(entries) => disk.entries.extend(entries),
-        Write::Truncate { from } => disk.entries.retain(|entry| !after(entry, from)),
+        Write::Truncate { from } => disk.entries.retain(|entry| !is_at_or_after(entry, from)),
         Write::Compact { snapshot, first } => {
             disk.snapshot = Some(snapshot);
-            disk.entries.retain(|entry| after(entry, first));
+            disk.entries.retain(|entry| is_at_or_after(entry, first));
         }
         Write::Install(snapshot) => {
             disk.snapshot = Some(snapshot);
--- a/crates/verbenaslip-fleet/tests/notes.rs
+++ b/crates/verbenaslip-fleet/tests/notes.rs
@@ -24,24 +24,22 @@
 }
 
 #[test]
-fn an_acknowledged_leaving_says_who_knew_it() {
+fn a_departure_event_counts_the_instances_that_knew_it() {
     let mut net = fleet();
     assert_eq!(net.call(0, withdraw("u")), Some(Response::Acknowledged));
-    let notes = net.take_events();
-    let told = notes.iter().find_map(|(_, note)| match note {
-        Event::DepartureAcknowledged { departure, acks: spread, .. } => {
-            Some((departure.clone(), *spread))
-        }
+    let events = net.take_events();
+    let found = events.iter().find_map(|(_, event)| match event {
+        Event::DepartureAcknowledged { departure, acks, .. } => Some((departure.clone(), *acks)),
         _ => None,
     });
-    let (departure, spread) = told.expect("a line about it");
+    let (departure, acks) = found.expect("a line about it");
     assert_eq!((departure.run, departure.status), (run("u", 0), Status::Gone));
     // Two entries and two followers.
-    assert_eq!((spread.acknowledged, spread.reachable, spread.silent), (4, 4, 0));
+    assert_eq!((acks.acknowledged, acks.reachable, acks.silent), (4, 4, 0));
 }
 
 #[test]
-fn a_new_leader_says_what_it_knows_and_what_it_passes_over() {
+fn a_new_leader_reports_its_state_and_ignored_announcements() {
     let mut net = fleet();
     net.call(0, withdraw("u"));
     let old = net.leaders()[0];
@@ -49,18 +47,19 @@
     net.run(SECOND * 3);
     let new = *net.leaders().iter().find(|core| **core != old).expect("another one leads");
     net.call(new, Request::Announce(Box::new(announcement("u", 9, false))));
-    let notes = net.take_events();
-    let began = notes.iter().any(|(core, note)| {
-        *core == new && matches!(note, Event::LeadershipStarted { departures: 1, upstreams: 0, .. })
+    let events = net.take_events();
+    let has_started = events.iter().any(|(core, event)| {
+        *core == new
+            && matches!(event, Event::LeadershipStarted { departures: 1, upstreams: 0, .. })
     });
-    assert!(began, "{notes:?}");
-    let late = notes.iter().find_map(|(core, note)| match note {
-        Event::StaleAnnouncement(late) if *core == new => Some(late.clone()),
+    assert!(has_started, "{events:?}");
+    let stale = events.iter().find_map(|(core, event)| match event {
+        Event::StaleAnnouncement(stale) if *core == new => Some(stale.clone()),
         _ => None,
     });
-    let late = late.expect("a line about it");
-    assert_eq!((late.run, late.sequence), (run("u", 0), 9));
-    assert!(matches!(late.departed, Some((Status::Gone, age)) if age > SECOND));
+    let stale = stale.expect("a line about it");
+    assert_eq!((stale.run, stale.sequence), (run("u", 0), 9));
+    assert!(matches!(stale.departed, Some((Status::Gone, age)) if age > SECOND));
 }
 
 fn transitions(net: &mut Network) -> Vec<Transition> {
@@ -72,7 +71,7 @@
 }
 
 #[test]
-fn an_entry_says_which_upstreams_it_believes_something_else_of() {
+fn an_entry_lists_upstreams_whose_status_changed() {
     let mut net = fleet();
     assert_eq!(transitions(&mut net), [transition(Some(Status::Ready))]);
     net.call(0, Request::Announce(Box::new(announcement("u", 8, true))));
--- a/crates/verbenaslip-fleet/tests/scale.rs
+++ b/crates/verbenaslip-fleet/tests/scale.rs
@@ -12,12 +12,12 @@
 const ENTRIES: usize = 300;
 const UPSTREAMS: usize = 3_000;
 /// Time between two announcements of an upstream.
-const ROUND: Duration = Duration::from_millis(1_200);
+const ANNOUNCEMENT_INTERVAL: Duration = Duration::from_millis(1_200);
 /// The least bytes of one upstream in a list.
-const RECORD: usize = 40;
+const MIN_RECORD_BYTES: usize = 40;
 const TICK: Duration = Duration::from_millis(5);
 
-fn announced(upstream: usize, sequence: u64) -> Request {
+fn announce_request(upstream: usize, sequence: u64) -> Request {
     let [high, low] = u16::try_from(upstream).expect("few").to_be_bytes();
     let address = ([10, 9, high, low], 80).into();
     let named = announcement(&format!("i-{upstream:010x}"), sequence, false);
@@ -26,13 +26,13 @@
 
 /// Has every upstream announce itself once, at the core that it always calls.
 fn announce_all(net: &mut Network, sequence: u64) {
-    let until = net.now() + ROUND;
+    let end = net.now() + ANNOUNCEMENT_INTERVAL;
     let mut next = 0;
     while next < UPSTREAMS {
-        let left = (until - net.now()).as_micros() / TICK.as_micros();
+        let left = (end - net.now()).as_micros() / TICK.as_micros();
         let batch = (UPSTREAMS - next).div_ceil(usize::try_from(left.max(1)).expect("few"));
         for upstream in next..next + batch {
-            net.start_call(upstream % CORES, announced(upstream, sequence));
+            net.start_call(upstream % CORES, announce_request(upstream, sequence));
         }
         next += batch;
         net.run(TICK);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_leader_hears_of_upstreams_that_nothing_changes_about_from_the_cores_alone() {
+fn unchanged_announcements_do_not_reach_the_leader() {
     // Symptom: with 300 entries and 3,000 upstreams the leader has no time left; no edit is taken and no
     // leaving acknowledged. Sequence: every upstream announces itself each 1.2 s. Cause: each announcement is
     // passed on to the leader and answered by it, though nothing in it is new.
@@ -64,7 +64,7 @@
 }
 
 /// Starts a fleet in which every entry knows all upstreams.
-fn known_to_all() -> Network {
+fn fleet_with_upstreams() -> Network {
     let mut net = Network::with_voters(CORES, ENTRIES, 5);
     net.run(Duration::from_secs(4));
     net.call(0, Request::AdoptRouteTable(Box::new(route_table_with_service(1))));
@@ -76,9 +76,9 @@
 }
 
 #[test]
-fn a_change_of_the_leader_tells_instances_what_they_lack_alone() {
+fn a_new_leader_sends_instances_only_missing_changes() {
     // Guards against a new leader that sends every instance the whole list, and is late for that with all else.
-    let mut net = known_to_all();
+    let mut net = fleet_with_upstreams();
     let leader = net.leaders()[0];
     net.stop(leader);
     net.count_traffic();
@@ -86,29 +86,29 @@
     let traffic: Vec<Traffic> = (0..CORES).map(|core| net.traffic(core)).collect();
     let bytes: usize = traffic.iter().map(|it| it.bytes).sum();
     println!("4 s after the leader is lost: {bytes} bytes, {traffic:?}");
-    let lists = ENTRIES * UPSTREAMS * RECORD;
+    let lists = ENTRIES * UPSTREAMS * MIN_RECORD_BYTES;
     assert!(bytes <= lists / 10, "{bytes} bytes, and whole lists for all are {lists}");
     assert!(net.entries().all(|view| view.upstreams.len() == UPSTREAMS));
 }
 
 #[test]
-fn entries_that_have_started_again_are_told_by_other_cores_than_the_leader() {
+fn restarted_entries_get_the_full_list_from_other_cores() {
     // Guards against a leader that takes a restart of entries for a loss on the way, and tells them all by itself.
-    let mut net = known_to_all();
+    let mut net = fleet_with_upstreams();
     net.count_traffic();
     (0..ENTRIES / 2).for_each(|entry| net.restart_entry(entry));
     net.run(Duration::from_secs(3));
     let bytes = net.traffic(net.leaders()[0]).bytes;
-    let lists = ENTRIES / 2 * UPSTREAMS * RECORD;
+    let lists = ENTRIES / 2 * UPSTREAMS * MIN_RECORD_BYTES;
     println!("a leader after half of the entries have started again: {bytes} bytes");
     assert!(bytes <= lists / 10, "{bytes} bytes, and whole lists for them are {lists}");
     assert!(net.entries().all(|view| view.upstreams.len() == UPSTREAMS));
 }
 
 #[test]
-fn after_a_start_of_all_no_core_tells_all_entries_everything() {
+fn after_a_full_restart_no_core_serves_all_entries() {
     // Guards against the core that happens to report first to a new leader, and passes all lists on.
-    let mut net = known_to_all();
+    let mut net = fleet_with_upstreams();
     (0..CORES).for_each(|core| net.restart(core));
     (0..ENTRIES).for_each(|entry| net.restart_entry(entry));
     net.count_traffic();
