--- a/crates/verbenaslip-fleet/src/core.rs
+++ b/crates/verbenaslip-fleet/src/core.rs
@@ -1,4 +1,4 @@
-//! A core: a voter of the replicated log, and its leader for a time.
+//! State machine of a core: a voter of the replicated log, which may also be its leader.
 
 mod aggregator;
 mod call;
@@ -41,11 +41,11 @@
 use crate::rollout::{Controller, Plans};
 use crate::voucher::Voucher;
 
-/// The largest command: a route table of the largest body that an operator may send, with the
-/// document itself beside it.
+/// Maximum size of a log command: an operator's largest route table together with its original
+/// document.
 const MAX_COMMAND_BYTES: usize = 12 << 20;
 
-/// Composes the decisions of a core.
+/// Runs all decisions of a core.
 pub struct Core {
     pub(crate) settings: Settings,
     pub(crate) now: Duration,
@@ -55,7 +55,7 @@
     pub(crate) applied_index: u64,
     pub(crate) state_unreadable: bool,
     pub(crate) registry: Registry,
-    /// Upstreams that this core has answered by itself.
+    /// Upstreams whose renewals this core has answered itself.
     pub(crate) voucher: Voucher,
     pub(crate) hub: Hub,
     pub(crate) link: Link,
@@ -63,64 +63,67 @@
     pub(crate) planners: BTreeMap<Arc<str>, Planner>,
     pub(crate) pending_calls: BTreeMap<u64, PendingCall>,
     pub(crate) last_token: u64,
-    /// Since when this core has led under a lease without a break.
+    /// Present while this core leads under an uninterrupted lease.
     pub(crate) leadership: Option<Leadership>,
-    /// The term in which it led before, if what it led by is still here.
+    /// Term in which this core last led, while the state of that leadership is still usable.
     pub(crate) lapsed_term: Option<u64>,
+    /// Token of the uncommitted change of the voters.
     pub(crate) voter_change: Option<u64>,
-    /// Departures that are not proposed yet.
+    /// Departures that have not been proposed to the log yet.
     pub(crate) unproposed_departures: Vec<Departure>,
-    /// The proposal that holds the departures before them.
+    /// Token of the uncommitted proposal that contains earlier departures.
     pub(crate) departures_proposal: Option<u64>,
-    /// Upstreams that have come and may not be in the log yet.
+    /// Announced upstreams that may not be in the log yet.
     pub(crate) unproposed_joins: BTreeSet<Upstream>,
-    /// The proposal that holds those before them.
+    /// Token of the uncommitted proposal that contains earlier joins.
     pub(crate) joins_proposal: Option<u64>,
     pub(crate) closing_windows: BTreeSet<u64>,
-    /// When this core proposed with how many upstreams a service began.
+    /// When this core last proposed the initial upstream count of each service.
     pub(crate) initial_count_proposed_at: BTreeMap<Arc<str>, Duration>,
-    /// The sizes of services that this core has proposed while it leads.
+    /// Planned upstream counts that this core has proposed while leading, by service.
     pub(crate) proposed_counts: BTreeMap<Arc<str>, u32>,
+    /// Voters that are not reachable, and since when.
     pub(crate) absent_since: BTreeMap<Instance, Duration>,
-    /// Instances that asked this core for the leader while it did not lead.
+    /// Instances that looked for the leader at this core while it was not leading.
     pub(crate) leader_seekers: BTreeMap<SocketAddr, LeaderSeeker>,
     pub(crate) outputs: Vec<Output>,
     next_maintenance: Duration,
-    /// When changes may be pushed next.
+    /// Earliest time of the next push of changes.
     pub(crate) next_push: Duration,
-    /// What every instance that answers has, by what came last.
+    /// Progress that all reachable subscribers had acknowledged at the last check.
     pub(crate) acknowledged_by_all: Progress,
-    /// How many entries there were under the leader before, where that is known.
+    /// Number of entries under the previous leader, if known.
     pub(crate) expected_entries: Option<usize>,
-    /// Whether as many have reported.
+    /// Whether at least `expected_entries` entries have reported.
     pub(crate) all_reported: bool,
-    /// When the route table in force was taken from the log.
+    /// When the current route table was applied from the log.
     pub(crate) route_table_applied_at: Duration,
-    /// What is on its way between the leader and the entries that report to this core.
+    /// Messages in transit between the leader and the entries that report to this core.
     pub(crate) aggregator: Aggregator,
-    /// Whether this instance is about to stop.
+    /// Whether this instance is shutting down.
     pub(crate) stopping: bool,
-    /// Where cores are reached, as the leader tells all others.
+    /// Addresses of the cores, as the leader sends them to other instances.
     pub(crate) core_addresses: Vec<SocketAddr>,
-    /// Requests that end upstreams.
+    /// Detects poison requests and holds the blocklist.
     pub(crate) quarantine: Quarantine,
-    /// The change by which entries know of them.
+    /// Change with which the blocklist was last published.
     pub(crate) blocklist_change: u64,
-    /// The proposal that holds them.
+    /// Token of the uncommitted proposal that contains the quarantine's persisted state.
     pub(crate) quarantine_proposal: Option<u64>,
-    /// The last roll-out of each service, while this core leads.
+    /// Controller of the latest rollout of each service, while this core leads.
     pub(crate) controllers: BTreeMap<Arc<str>, Controller>,
-    /// What entries do about versions, and the change by which they know it.
+    /// Instructions to entries about service versions, and the change with which they were
+    /// published.
     pub(crate) rollout_plans: Arc<Plans>,
     pub(crate) rollout_plans_change: u64,
-    /// The limits that upstreams name, and the change by which entries know them.
+    /// Rate limits requested by upstreams, and the change with which they were published.
     pub(crate) limits: Arc<Limits>,
     pub(crate) limits_change: u64,
-    /// Verdicts that were proposed, by roll-out.
+    /// Tokens of proposed rollout verdicts, by rollout.
     pub(crate) verdict_proposals: BTreeMap<u64, u64>,
 }
 
-/// Holds what of the setup is needed after the start.
+/// Holds the parts of the setup that are needed after the start.
 pub(crate) struct Settings {
     pub(crate) target_voter_count: usize,
     pub(crate) order_timing: Option<order::Timing>,
@@ -128,18 +131,19 @@
     pub(crate) fingerprint_secret: u128,
 }
 
-/// Holds one time of leading.
+/// Describes one period in which this core leads.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Leadership {
     pub(crate) term: u64,
     pub(crate) since: Duration,
 }
 
-/// Time between two looks at what is due at the leader.
+/// Interval between maintenance passes.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Core {
-    /// Starts from what the folder holds; the first outputs come with the first step.
+    /// Starts from the recovered data directory. The first outputs come with the first call of
+    /// [`step`](Self::step).
     pub fn new(setup: Setup, now: Duration) -> Self {
         let Setup {
             local_peer,
@@ -222,11 +226,13 @@
         }
     }
 
-    /// Takes an input at a time on the local clock, and adds what is to be done to `out`.
+    /// Handles one input and appends the resulting outputs to `out`; `now` is the time on the local
+    /// steady clock.
     pub fn step(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
-        // A machine that stood still has lost its lease meanwhile. A call or report that waited for it would
-        // be answered by what was so before: one would notice a read older than an acknowledged edit.
+        // A paused process may have lost its lease in the meantime. Without this check a call or
+        // heartbeat that waited for it would be answered from outdated state: a read could return
+        // an older route table than one already acknowledged.
         self.update_leadership();
         self.handle_input(input);
         self.step_log(replica::Input::Tick);
@@ -241,7 +247,7 @@
         out.append(&mut self.outputs);
     }
 
-    /// Returns when the next tick is due.
+    /// Returns when [`step`](Self::step) must be called with [`Input::Tick`] at the latest.
     pub fn next_wakeup(&self) -> Duration {
         let heartbeat = if self.is_leading() { Duration::MAX } else { self.link.next_wakeup() };
         let idle = !self.is_leading() && self.pending_calls.is_empty() && self.hub.is_empty();
@@ -254,17 +260,17 @@
             .min(self.aggregator.next_wakeup())
     }
 
-    /// Returns the log's replica, for its status.
+    /// Returns the log replica, for status output.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// Tells whether this core leads under a lease.
+    /// Returns whether this core is the leader and holds the lease.
     pub fn is_leading(&self) -> bool {
         self.leadership.is_some()
     }
 
-    /// Tells whether a stop may end: nothing is led or waited for here.
+    /// Returns whether the process may exit: the core is not the leader and no call is pending.
     pub fn is_idle(&self) -> bool {
         !self.replica.is_leader() && self.pending_calls.is_empty()
     }
@@ -318,7 +324,7 @@
         }
     }
 
-    /// Reports to the leader, as every instance does.
+    /// Sends the heartbeat that every instance sends to the leader.
     fn send_heartbeat(&mut self) {
         if self.is_leading() {
             return;
@@ -345,7 +351,7 @@
         }
     }
 
-    /// Forgets an entry that has ended: acknowledgements would else wait for it.
+    /// Forgets an entry that has stopped, so that acknowledgements no longer wait for it.
     fn handle_entry_stopped(&mut self, entry: SocketAddr) {
         self.hub.forget(entry);
         if self.is_leading() {
@@ -355,7 +361,7 @@
         }
     }
 
-    /// Hands over what this core does for others.
+    /// Hands leadership and entries over to other cores before shutdown.
     fn handle_stop(&mut self) {
         self.stopping = true;
         if !self.is_leading() {
@@ -379,19 +385,19 @@
         self.last_token
     }
 
-    /// Returns the agreed time of day.
+    /// Returns the agreed time of day in Unix milliseconds.
     pub(crate) fn agreed_unix_ms(&self) -> u64 {
         let local_offset_ms = clock::offset_ms(self.now, self.unix_ms);
         clock::unix_ms(self.now, self.hub.time_offset_ms(self.now, local_offset_ms))
     }
 }
 
-/// Names a core by its address, so that a seed's address is all that founding needs.
+/// Names a core by its address, so that the seed addresses are enough to form the log.
 pub fn name_of(address: SocketAddr) -> Instance {
     Instance::new(address.to_string())
 }
 
-/// Returns the address of a core from its name.
+/// Returns the address of a core from its name, or `None` if the name is not an address.
 pub fn address_of(name: &Instance) -> Option<SocketAddr> {
     name.as_str().parse().ok()
 }
--- a/crates/verbenaslip-fleet/src/core/aggregator.rs
+++ b/crates/verbenaslip-fleet/src/core/aggregator.rs
@@ -1,7 +1,7 @@
-//! How a core that does not lead serves the entries that report to it.
+//! A core that does not lead, as the parent core of entries.
 //!
-//! It tells them what it hears from the leader, and passes on what they report: all of it in one report of its own, so
-//! that the leader has as much to do however many entries there are.
+//! The core forwards the leader's updates to its entries and sends their reports as one aggregate
+//! in its own heartbeat, so that the leader's load does not depend on the number of entries.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -23,38 +23,40 @@
 use crate::usage::EntryRun;
 use crate::view::{Version, View};
 
-/// How long after the leader was heard a core still serves its entries: longer than it takes to elect another one, and
-/// shorter than the time after which a core that is cut off must not be followed any more.
+/// How long a core still serves its entries after it last heard the leader. Longer than an election
+/// takes, and shorter than the time after which entries must stop following a core that is cut off.
 const MAX_LEADER_SILENCE: Duration = Duration::from_millis(1_500);
 
-/// How long what entries ask for or confirm is gathered: most of what belongs together comes within a few milliseconds.
+/// How long loan requests and acknowledgements are batched; related ones usually arrive within a
+/// few milliseconds.
 const BATCHING_DELAY: Duration = Duration::from_millis(5);
 
-/// How long the answer to a loan that was passed on is awaited; an entry waits for less.
+/// How long the core waits for the answer to a forwarded loan request; entries wait for a shorter
+/// time.
 const LOAN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Keeps what is on its way between the leader and the entries below a core.
+/// Collects messages in transit between the leader and the entries of a parent core.
 #[derive(Debug, Default)]
 pub(crate) struct Aggregator {
-    /// Limits that entries have learnt from upstreams.
+    /// Rate limits that entries have observed at upstreams.
     limits: BTreeMap<Run, Limit>,
-    /// Upstreams that have said to an entry that they go.
+    /// Runs that have announced their departure in an answer to an entry.
     departing: BTreeSet<Run>,
     refunds: BTreeMap<Team, f64>,
     rollout_reports: BTreeMap<SocketAddr, RelayedReport>,
-    /// Loans that are passed on with the next message to the leader.
+    /// Loan requests that the next message to the leader will contain.
     queued_loan_requests: Vec<LoanRequest>,
-    /// Loans that were passed on, by the name that they have here.
+    /// Forwarded loan requests, by the identifier under which this core forwarded them.
     pending_loans: BTreeMap<u64, PendingLoan>,
-    /// What the leader waits for until all entries have it.
+    /// Progress that the leader waits for all entries to acknowledge.
     awaited_progress: Progress,
-    /// What it was told of that.
+    /// Progress last acknowledged to the leader.
     acknowledged_progress: Progress,
-    /// When it is told next.
+    /// When the queued messages are sent to the leader.
     next_flush: Option<Duration>,
 }
 
-/// Remembers whose a loan is.
+/// Records which entry sent a forwarded loan request.
 #[derive(Debug)]
 struct PendingLoan {
     entry: SocketAddr,
@@ -62,7 +64,7 @@
     requested_at: Duration,
 }
 
-/// Holds the upstreams as a core was told of them.
+/// Presents this core's view of the upstreams as a source of changes.
 struct FollowerRecords<'a> {
     view: &'a View,
     history: &'a History,
@@ -91,7 +93,7 @@
 }
 
 impl Aggregator {
-    /// Returns when something is due.
+    /// Returns when queued messages are due, or [`Duration::MAX`] if there are none.
     pub(crate) fn next_wakeup(&self) -> Duration {
         self.next_flush.unwrap_or(Duration::MAX)
     }
@@ -100,7 +102,7 @@
         self.next_flush.get_or_insert(now + BATCHING_DELAY);
     }
 
-    /// Takes from an entry's report what is passed on.
+    /// Collects the parts of an entry's heartbeat that this core forwards to the leader.
     fn add_report(&mut self, heartbeat: &mut Heartbeat) {
         for Observation { run, limit } in std::mem::take(&mut heartbeat.limits) {
             let known = self.limits.entry(run).or_insert(limit);
@@ -123,7 +125,7 @@
 }
 
 impl Core {
-    /// Takes the report of an entry that reports to this core, and answers it.
+    /// Handles the heartbeat of an entry that reports to this core, and answers it.
     pub(crate) fn handle_entry_heartbeat(&mut self, mut heartbeat: Heartbeat) {
         let to = heartbeat.peer.address;
         let term = self.link.view().version.term;
@@ -147,7 +149,8 @@
         }
     }
 
-    /// Tells whether this core serves entries that report to it.
+    /// Returns whether this core serves entries: it has recently heard the leader, does not lead
+    /// itself and is not shutting down.
     pub(crate) fn serves_entries(&self) -> bool {
         let heard = self.link.view().leader_heard_at;
         let is_connected =
@@ -155,7 +158,7 @@
         is_connected && !self.is_leading() && !self.stopping
     }
 
-    /// Takes an update of the leader.
+    /// Handles an update from the leader.
     pub(crate) fn handle_update(&mut self, update: Update) {
         let (previous, is_full_list, ack_requested) =
             (self.link.view().version, update.base.is_none(), update.ack_requested);
@@ -163,7 +166,8 @@
         let version = self.link.view().version;
         if version.term != previous.term {
             self.hub.continue_from(if is_full_list { Version::default() } else { previous });
-            // Another leader counts changes in its own way.
+            // Changes are numbered per leader, so progress under the previous leader is not
+            // comparable.
             (self.aggregator.awaited_progress, self.aggregator.acknowledged_progress) =
                 (Progress::default(), Progress::default());
         }
@@ -178,7 +182,7 @@
         }
     }
 
-    /// Tells entries what they lack, between their reports.
+    /// Sends entries the changes they lack, without waiting for their heartbeats.
     pub(crate) fn push_to_entries(&mut self) {
         let version = self.link.view().version;
         let lagging =
@@ -196,29 +200,31 @@
         }
     }
 
-    /// Returns the revision of the newest route table that is in force.
+    /// Returns the revision of the newest known route table, or zero if there is none.
     pub(crate) fn newest_revision(&self) -> u64 {
         self.newest_route_table().map_or(0, |route_table| route_table.revision)
     }
 
-    /// Returns the newest route table: the leader may tell of it before the log does, or after.
+    /// Returns the newest known route table, which may have arrived first from the leader's update
+    /// or from the log.
     pub(crate) fn newest_route_table(&self) -> Option<Arc<RouteTable>> {
         let received = self.link.view().routes.as_ref().map(|routes| routes.route_table().clone());
         let committed = self.replicated_state.current_table().map(|current| current.table.clone());
         received.into_iter().chain(committed).max_by_key(|route_table| route_table.revision)
     }
 
-    /// Returns what this core has itself.
+    /// Returns the progress of this core itself.
     fn own_progress(&self) -> Progress {
         Progress { change: self.link.view().version.change, revision: self.newest_revision() }
     }
 
-    /// Returns what this core and all entries have that report to it and answer.
+    /// Returns the progress that this core and all reachable entries below it have.
     fn aggregate_progress(&self) -> Progress {
         self.own_progress().min(self.hub.acknowledged_by_all(self.now))
     }
 
-    /// Has the leader told soon that all entries have what it waits for, if they do.
+    /// Schedules an acknowledgement to the leader if the leader waits for progress that has not
+    /// been acknowledged yet.
     pub(crate) fn schedule_acknowledgement(&mut self) {
         if self.aggregator.awaited_progress.exceeds(&self.aggregator.acknowledged_progress)
             && !self.is_leading()
@@ -227,7 +233,8 @@
         }
     }
 
-    /// Looks whether entries have fallen silent, and numbers the others.
+    /// Reassigns time slots to the reachable entries, checks pending acknowledgements and drops
+    /// expired loans.
     pub(crate) fn maintain_aggregator(&mut self) {
         let first = self.link.view().time_slot.map_or(0, |slot| slot.index);
         self.hub.assign_time_slots(self.now, first);
@@ -238,13 +245,14 @@
             .retain(|_, loan| now.saturating_sub(loan.requested_at) <= LOAN_TIMEOUT);
     }
 
-    /// Passes on what was gathered.
+    /// Sends the batched loan requests and acknowledgements to the leader.
     pub(crate) fn flush_to_leader(&mut self) {
         if self.now < self.aggregator.next_wakeup() {
             return;
         }
         self.aggregator.next_flush = None;
-        // Passed on later, they would be lent when nobody waits any more.
+        // Without a known leader the requests are dropped: loans granted later would find nobody
+        // waiting.
         let requests = std::mem::take(&mut self.aggregator.queued_loan_requests);
         let Some(leader) = self.known_leader() else { return };
         let from = self.link.local_peer().address;
@@ -265,7 +273,7 @@
         }
     }
 
-    /// Passes on what entries ask for of teams' limits.
+    /// Forwards the loan requests of an entry to the leader.
     pub(crate) fn forward_loan_requests(&mut self, entry: SocketAddr, requests: Vec<LoanRequest>) {
         for LoanRequest { id, team, required, prefetch } in requests {
             let token = self.next_token();
@@ -282,7 +290,7 @@
         self.aggregator.schedule_flush(self.now);
     }
 
-    /// Passes on what the leader has lent to entries.
+    /// Forwards the leader's loan grants to the entries that requested them.
     pub(crate) fn forward_loan_grants(&mut self, grants: Vec<LoanGrant>) {
         let mut by_entry: BTreeMap<SocketAddr, Vec<LoanGrant>> = BTreeMap::new();
         for grant in grants {
@@ -297,7 +305,7 @@
         }
     }
 
-    /// Makes this core's report to the leader.
+    /// Builds this core's report to the leader.
     pub(crate) fn build_report(&mut self) -> Report {
         let acknowledged = self.link.acknowledged_sequence(self.now);
         let marks = self.voucher.take_marks(self.now);
@@ -324,12 +332,12 @@
         }
     }
 
-    /// Returns the leader as this core knows it.
+    /// Returns the leader as known from the log or, failing that, from recent contact.
     pub(crate) fn known_leader(&self) -> Option<SocketAddr> {
         self.replica.leader().and_then(address_of).or_else(|| self.link.leader(self.now))
     }
 
-    /// Sends the entries that report here to the leader, which sends them to other cores.
+    /// Redirects all entries that report here to the leader, which assigns them to other cores.
     pub(crate) fn redirect_entries(&mut self) {
         let frame = self.redirect_frame();
         let entries = self.hub.reachable_entries(self.now);
@@ -337,13 +345,14 @@
         self.hub.release_subscribers();
     }
 
-    /// Says who is reported to instead of this core.
+    /// Builds the frame that redirects an instance from this core to the leader.
     pub(crate) fn redirect_frame(&self) -> Frame {
         let (from, cores) = (self.link.local_peer().address, self.link.cores());
         Frame::Redirect { from, leader: self.known_leader(), cores }
     }
 
-    /// Has the hub tell from what this core was told; none where it knows of no change that others are known since.
+    /// Calls `build` with the hub and this core's view as the source of updates; returns `None`
+    /// without a change history.
     fn with_follower_source<T>(
         &mut self,
         build: impl FnOnce(&mut Hub, &UpdateSource<'_>, FleetStatus) -> Option<T>,
@@ -373,7 +382,7 @@
         build(hub, &source, status)
     }
 
-    /// Says how the fleet stands, as this core was told.
+    /// Builds the fleet status for entries from what the leader has sent.
     fn follower_fleet_status(&self) -> FleetStatus {
         let view = self.link.view();
         let time_slot = view.time_slot.map(|slot| TimeSlot { index: 0, ..slot });
--- a/crates/verbenaslip-fleet/src/core/call.rs
+++ b/crates/verbenaslip-fleet/src/core/call.rs
@@ -1,4 +1,4 @@
-//! Calls from outside, answered by the leader whatever core they reach.
+//! Calls from operators and upstreams, which the leader answers whichever core receives them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,57 +14,57 @@
 use crate::view::Version;
 use crate::voucher;
 
-/// How long a call waits for an answer that is sure; its sender turns to another core after 1 s.
+/// How long a call waits for a definite answer; callers turn to another core after 1 s.
 const CALL_TIMEOUT: Duration = Duration::from_millis(850);
 
-/// How long a call that was passed on waits for the leader before it is passed on again.
+/// How long a forwarded call waits for the leader's answer before it is forwarded again.
 const FORWARD_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long an upstream's leaving waits for every instance to know it. Whoever has not confirmed by
-/// then has lost its connection, and gets the change as the first thing on the next one.
+/// How long a departure waits for all instances to acknowledge it. An instance that has not
+/// acknowledged by then has lost its connection, and receives the change first on its next one.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How long an instance that answers and does not take the route table holds up its acknowledgement. Its sender
-/// calls again meanwhile; after this one waits only as for an instance that is lost.
+/// How long a reachable instance without the new route table delays the acknowledgement of an edit.
+/// The caller repeats its call meanwhile; afterward such an instance is treated as lost.
 const ROUTE_TABLE_PROPAGATION_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Holds one call that is not answered yet.
+/// Holds a call that has not been answered yet.
 #[derive(Debug)]
 pub(crate) struct PendingCall {
     caller: Caller,
     request: Request,
     deadline: Duration,
     stage: Stage,
-    /// What must be committed before the answer.
+    /// Departure that must be committed before the answer.
     departure: Option<Departure>,
 }
 
-/// Says where an answer goes.
+/// Identifies who receives the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Caller {
-    /// To a call at this core.
+    /// A call received by this core.
     Local(u64),
-    /// To another core.
+    /// A call forwarded by another core.
     Remote { address: SocketAddr, token: u64 },
 }
 
-/// Says what a call waits for.
+/// Describes what a call waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// A leader.
+    /// A known leader.
     AwaitingLeader,
-    /// The leader's answer.
+    /// The answer of the leader to which the call was forwarded.
     Forwarded { retry_at: Duration },
-    /// The log.
+    /// The commit of a proposal.
     AwaitingCommit { token: u64 },
-    /// Every instance that answers.
+    /// The acknowledgement of a change by all reachable instances.
     AwaitingPropagation { change: u64, deadline: Duration },
-    /// Every instance that answers, to have the route table that the log holds.
+    /// The acknowledgement of the committed route table by all reachable instances.
     AwaitingRouteTable,
 }
 
 impl Core {
-    /// Takes a call at this core.
+    /// Handles a call received by this core.
     pub(crate) fn handle_call(&mut self, id: u64, request: Request) {
         if let Request::Announce(announcement) = &request
             && self.vouches(announcement)
@@ -80,11 +80,12 @@
         self.add_call(Caller::Local(id), request);
     }
 
-    /// Tells whether this core answers an announcement by itself: nothing in it is new, and the leader is going
-    /// to hear that the upstream is there.
+    /// Returns whether this core may answer an announcement itself: the announcement contains
+    /// nothing new, and the next heartbeat will vouch for the upstream at the leader.
     ///
-    /// A core that is cut off from the leader turns its callers away instead. Answered there, an upstream would
-    /// go on calling, while the leader takes it for silent.
+    /// A core that is cut off from the leader does not answer, so that its callers turn to another
+    /// core. Otherwise an upstream would keep calling this core while the leader considers it
+    /// silent.
     fn vouches(&self, announcement: &Announcement) -> bool {
         let known = self.link.view().upstreams.get(&announcement.run.upstream);
         !self.is_leading()
@@ -92,7 +93,7 @@
             && voucher::is_unchanged_renewal(known, self.link.departures(), announcement)
     }
 
-    /// Takes a call that another core passes on.
+    /// Handles a call forwarded by another core.
     pub(crate) fn handle_forwarded_call(
         &mut self,
         address: SocketAddr,
@@ -100,11 +101,11 @@
         request: Request,
     ) {
         let caller = Caller::Remote { address, token };
-        // Passed on again, since the answer takes its time.
+        // The other core forwards a call again when the answer takes long.
         if self.pending_calls.values().any(|call| call.caller == caller) {
             return;
         }
-        // Passed on further it could go round between cores that each believe in another leader.
+        // Forwarding again could loop between cores that each consider another one the leader.
         if self.is_leading() {
             self.add_call(caller, request);
         } else {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Takes the leader's answer to a call that was passed on.
+    /// Handles the leader's answer to a forwarded call.
     pub(crate) fn handle_leader_response(&mut self, token: u64, response: Response) {
         let is_forwarded = |call: &PendingCall| matches!(call.stage, Stage::Forwarded { .. });
         if !self.pending_calls.get(&token).is_some_and(is_forwarded) {
@@ -124,7 +125,8 @@
         }
     }
 
-    /// Takes the log's answer to a route table.
+    /// Continues the call that waits for a proposal; `committed` tells whether the log has
+    /// committed it.
     pub(crate) fn handle_proposal_result(&mut self, token: u64, committed: bool) {
         let awaits_proposal = |stage: Stage| stage == Stage::AwaitingCommit { token };
         let Some(key) = self.find_call(awaits_proposal) else { return };
@@ -134,13 +136,13 @@
                 _ => self.await_route_table(key),
             }
         } else {
-            // Whether it is committed is not known; given again it changes nothing that it has not
-            // changed already.
+            // The outcome of the proposal is unknown. Proposing it again is safe, since applying it
+            // twice has no further effect.
             self.set_stage(key, Stage::AwaitingLeader);
         }
     }
 
-    /// Tells whether a call waits until every instance knows something.
+    /// Returns whether a call waits for acknowledgements of all instances.
     pub(crate) fn awaits_acknowledgements(&self) -> bool {
         let awaits = |stage: Stage| {
             matches!(stage, Stage::AwaitingPropagation { .. } | Stage::AwaitingRouteTable)
@@ -148,7 +150,7 @@
         self.pending_calls.values().any(|call| awaits(call.stage))
     }
 
-    /// Goes on with the calls that wait.
+    /// Continues all pending calls.
     pub(crate) fn advance_calls(&mut self) {
         let keys: Vec<u64> = self.pending_calls.keys().copied().collect();
         for key in keys {
@@ -156,11 +158,12 @@
         }
     }
 
-    /// Goes on with the calls that wait until every instance knows something, if more is known to all.
+    /// Continues the pending calls if the progress acknowledged by all instances has grown.
     ///
-    /// Each instance confirms each push, and reports four times a second. If all calls were looked at each time,
-    /// those of hundreds of upstreams that go together would take a leader of 300 entries all of its time: one
-    /// would notice leavings that are acknowledged seconds late, though all knew of them.
+    /// Each instance acknowledges each push and sends four heartbeats a second. Checking all calls
+    /// each time would take all of a leader's time with 300 entries when hundreds of upstreams
+    /// leave together, and delay the acknowledgement of departures by seconds although all
+    /// instances know them.
     pub(crate) fn advance_acknowledged_calls(&mut self) {
         let progress = self.hub.acknowledged_by_all(self.now);
         let previous = std::mem::replace(&mut self.acknowledged_by_all, progress);
@@ -169,17 +172,19 @@
         }
     }
 
-    /// Waits until the route table that the log holds is in force at every instance that answers.
+    /// Waits until the committed route table is in force at all reachable instances.
     ///
-    /// An edit is acknowledged as in force. With hundreds of entries and much else to tell, some would get it
-    /// seconds after the log has it: one would notice callers refused on a route that was acknowledged.
+    /// The answer promises that an edit is in force. In a fleet of hundreds of entries with many
+    /// other changes, some would receive the table seconds after the commit and refuse callers on a
+    /// route that was already acknowledged.
     fn await_route_table(&mut self, key: u64) {
         self.set_stage(key, Stage::AwaitingRouteTable);
         self.schedule_push();
         self.advance_call(key);
     }
 
-    /// Tells whether the newest route table is in force, or has been held up by somebody for long enough.
+    /// Returns whether the newest route table is in force at all reachable instances, or
+    /// [`ROUTE_TABLE_PROPAGATION_TIMEOUT`] has passed.
     fn is_route_table_in_force(&self) -> bool {
         let is_acknowledged = self.has_gathered_reports()
             && self.acknowledged_by_all.revision >= self.replicated_state.revision();
@@ -277,9 +282,10 @@
         }
     }
 
-    /// Waits until every instance that answers has the plan of a roll-out.
+    /// Waits until all reachable instances have the plan of a rollout.
     ///
-    /// An entry that hears of a candidate's upstreams before would send them requests as to any other.
+    /// An entry that learned of the candidate's upstreams before the plan would send them requests
+    /// like any other upstream.
     fn await_rollout_plan(&mut self, key: u64) {
         let change = self.announce_plans();
         let deadline = (self.now + PROPAGATION_TIMEOUT).max(self.gathering_ends_at());
@@ -287,7 +293,7 @@
         self.advance_call(key);
     }
 
-    /// Begins a roll-out, or answers for one that the log holds.
+    /// Starts a rollout, or answers for one that is already in the log.
     fn start_rollout(&mut self, key: u64, order: Order) {
         let Some(current) = self.replicated_state.current_table() else {
             return self.finish_call(key, Response::Unavailable);
@@ -310,7 +316,7 @@
         let run = announcement.run.clone();
         let (is_departing, sequence) = (announcement.draining, announcement.sequence);
         let table = self.replicated_state.current_table().map(|current| &current.table);
-        // Before the first route table every service may be one of those that it names.
+        // Before the first route table, any service may turn out to be listed.
         let is_listed = table.is_none_or(|table| table.service(&announcement.service).is_some());
         match self.registry.announce(self.now, announcement, is_listed) {
             Change::Unchanged => {
@@ -319,8 +325,8 @@
             }
             Change::UnknownService => {
                 self.emit(Event::UnknownService(run.clone()));
-                // Another writer's word, also that the upstream goes, says nothing of the one that serves
-                // under its name.
+                // A different sender uses the name of a known upstream. Its announcement, even of a
+                // departure, says nothing about the registered run.
                 if self.registry.current_run(&run.upstream).is_some() {
                     return self.finish_call(key, Response::Acknowledged);
                 }
@@ -349,12 +355,12 @@
         self.record_departure(key, Departure { run, status: Status::Gone });
     }
 
-    /// Waits until every instance knows that an upstream leaves, and whoever may lead next.
+    /// Waits until the departure of a run is committed and acknowledged by all reachable instances.
     ///
-    /// Its sender stops to serve some time after the answer. An instance that did not know would go
-    /// on sending requests there, and so would all of them on the word of a leader that had not heard
-    /// of it and hears a late announcement; both show as requests lost at upstreams that left in good
-    /// order. What the log holds every later leader has.
+    /// The upstream stops serving shortly after the answer. An instance without the departure would
+    /// continue to send requests to it, and a leader without it would accept a delayed announcement
+    /// and make all instances do so; both lose requests at an upstream that left correctly. Every
+    /// later leader has what the log holds.
     fn record_departure(&mut self, key: u64, departure: Departure) {
         self.registry.depart(self.now, &departure);
         let is_committed = self.replicated_state.has_departed(&departure.run, departure.status);
@@ -372,10 +378,10 @@
         self.advance_call(key);
     }
 
-    /// Takes an entry's word that an upstream has said in an answer that it goes.
+    /// Handles an entry's report that an upstream has announced its departure in an answer.
     ///
-    /// Its announcements may not come through, or say nothing of it. Known to the entries alone that it has answered,
-    /// it would go on getting requests from all others.
+    /// The upstream's announcements may be lost or may not mention the departure. Without this
+    /// report, only entries that received such an answer would stop sending requests to it.
     pub(crate) fn handle_reported_departure(&mut self, run: &Run) {
         let departure = Departure { run: run.clone(), status: Status::Leaving };
         let is_current = self.registry.current_run(&run.upstream) == Some(run);
@@ -388,8 +394,8 @@
         self.schedule_push();
     }
 
-    /// Has the departures committed that have come in, one command at a time: where a whole
-    /// availability zone leaves at once, the second command holds all that came during the first.
+    /// Proposes the collected departures, one command at a time. When a whole availability zone
+    /// leaves at once, the second command contains all departures that arrived during the first.
     pub(crate) fn propose_departures(&mut self) {
         if self.departures_proposal.is_some() || self.unproposed_departures.is_empty() {
             return;
@@ -400,7 +406,7 @@
         self.departures_proposal = Some(token);
     }
 
-    /// Tells whether the log holds the departure that a call waits for.
+    /// Returns whether the log holds the departure that a call waits for.
     fn is_departure_committed(&self, key: u64) -> bool {
         let departure = self.pending_calls.get(&key).and_then(|call| call.departure.as_ref());
         departure.is_none_or(|departure| {
@@ -408,7 +414,8 @@
         })
     }
 
-    /// Tells who knew of a leaving when it was acknowledged.
+    /// Emits an event with the number of instances that knew of a departure when it was
+    /// acknowledged.
     fn emit_departure_acknowledged(&mut self, key: u64, change: u64) {
         let Some(PendingCall { departure: Some(departure), deadline, .. }) =
             self.pending_calls.get(&key)
@@ -417,7 +424,8 @@
         };
         let departure = departure.clone();
         let waited = CALL_TIMEOUT.saturating_sub(deadline.saturating_sub(self.now));
-        // An upstream that drains says so again with each announcement; all know it already.
+        // A draining upstream repeats its departure in each announcement; such repetitions do not
+        // wait.
         if waited.is_zero() {
             return;
         }
@@ -427,7 +435,7 @@
     }
 
     fn forward_call(&mut self, key: u64) {
-        // A core that is no voter yet hears of the leader only as an entry does.
+        // A core that is not a voter yet knows the leader only from its link, as an entry does.
         let leader = self.replica.leader().and_then(address_of);
         let leader = leader.or_else(|| self.link.leader(self.now));
         let own_address = self.link.local_peer().address;
@@ -436,7 +444,8 @@
         let Some(call) = self.pending_calls.get_mut(&key) else { return };
         call.stage = Stage::Forwarded { retry_at };
         let request = Box::new(call.request.clone());
-        // It keeps its name each time it is passed on: the answer to an earlier time answers it as well.
+        // The token stays the same on each attempt, so the answer to an earlier attempt also
+        // counts.
         self.send(leader, Frame::Request { from: own_address, token: key, request });
     }
 
@@ -493,7 +502,7 @@
     }
 }
 
-/// Returns the departure that an announcement tells of, if it does.
+/// Returns the departure that an announcement contains, if any.
 fn announced_departure(request: &Request) -> Option<Departure> {
     let Request::Announce(announcement) = request else { return None };
     let departure = || Departure { run: announcement.run.clone(), status: Status::Leaving };
--- a/crates/verbenaslip-fleet/src/core/event.rs
+++ b/crates/verbenaslip-fleet/src/core/event.rs
@@ -1,4 +1,4 @@
-//! Decisions of a core, and changes of what it knows, for its log.
+//! Decisions and state changes of a core, for the event log.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,120 +16,121 @@
 use crate::upstream::Run;
 use crate::view::Version;
 
-/// A decision, or a change of what is known.
+/// Describes a decision or state change.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The role in the log.
+    /// The role in the replicated log has changed.
     Role {
-        /// The term.
+        /// Term of the log.
         term: u64,
-        /// What this core is.
+        /// Role of this core.
         role: output::ReplicaRole,
-        /// The leader, where known.
+        /// The leader, if known.
         leader: Option<Instance>,
     },
-    /// A route table is in force.
+    /// A route table was applied.
     RouteTable {
-        /// Its revision.
+        /// Revision of the table.
         revision: u64,
-        /// Its routes.
+        /// Number of routes.
         routes: usize,
     },
-    /// An upstream's standing has changed.
+    /// The status of an upstream has changed.
     Upstream {
-        /// What is known of it.
+        /// Record of the upstream.
         record: Box<crate::registry::Record>,
     },
-    /// An upstream said that it goes.
+    /// An upstream's departure was requested by a withdrawal.
     UpstreamWithdrawn(Run),
-    /// An announcement was passed over, since what is known is newer.
+    /// A stale announcement was ignored.
     StaleAnnouncement(StaleAnnouncement),
-    /// That an upstream goes was acknowledged.
+    /// A departure was acknowledged.
     DepartureAcknowledged {
-        /// The run, and how it goes.
+        /// The run and its new status.
         departure: Departure,
-        /// How long its caller has waited.
+        /// How long the caller has waited.
         waited: Duration,
-        /// The change by which instances know it.
+        /// Version of the view that contains the departure.
         version: Version,
-        /// Who knew it by then.
+        /// How many instances had the departure by then.
         acks: AckCounts,
     },
-    /// This core begins to lead.
+    /// This core has started to lead.
     LeadershipStarted {
-        /// The term.
+        /// Term of the leadership.
         term: u64,
-        /// The upstreams that it knows.
+        /// Number of known upstreams.
         upstreams: usize,
-        /// Those of them that only the log holds.
+        /// Number of those that are known from the log only.
         logged: usize,
-        /// The runs that it knows to go or have gone.
+        /// Number of runs that are known to be leaving or gone.
         departures: usize,
-        /// The requests that it holds back.
+        /// Number of quarantined requests.
         quarantined: usize,
     },
-    /// This core no longer holds the lease by which it led.
+    /// This core has lost the lease under which it led.
     LeaseLost {
-        /// The term.
+        /// Term of the leadership.
         term: u64,
     },
-    /// This core has the lease of the same term again, and goes on.
+    /// This core has regained the lease of the same term and continues to lead.
     LeadershipResumed {
-        /// The term.
+        /// Term of the leadership.
         term: u64,
     },
-    /// An announcement names a service that no route table knows, and would displace an upstream.
+    /// An announcement of a service that is not in the route table would have displaced an
+    /// upstream.
     UnknownService(Run),
-    /// The voters are changed.
+    /// A change of the voters was proposed.
     VotersChanged {
         /// The change.
         change: verbenaslip_replica::config::Change,
     },
-    /// Something was decided of a request that ends upstreams.
+    /// The quarantine has made a decision about a poison request.
     QuarantineDecided(Finding),
-    /// What the candidate of a roll-out gets has changed.
+    /// The traffic stage of a rollout has changed.
     RolloutStage {
-        /// The roll-out.
+        /// The rollout.
         rollout: Box<Rollout>,
-        /// What it gets.
+        /// The new stage.
         stage: Stage,
-        /// Requests that were sent since the order, and those of them to the candidate.
+        /// Requests sent since the order, in total and to the candidate version.
         exposure: (u64, u64),
     },
-    /// A roll-out was decided here; the log takes the first verdict.
+    /// This leader has decided a rollout; the log accepts the first verdict.
     RolloutDecided {
-        /// The roll-out.
+        /// The rollout.
         rollout: Box<Rollout>,
-        /// How it ends, and why.
+        /// The verdict and its reason.
         verdict: Box<Verdict>,
-        /// Requests that were sent since the order, and those of them to the candidate.
+        /// Requests sent since the order, in total and to the candidate version.
         exposure: (u64, u64),
     },
-    /// An upstream names another limit than before, or none any more.
+    /// An upstream has requested another rate limit, or none any more.
     LimitChanged(Observation),
-    /// A window of usage was closed.
+    /// A usage window was closed.
     WindowClosed {
-        /// Its number.
+        /// Number of the window.
         window: u64,
-        /// Requests in it.
+        /// Number of requests in the window.
         requests: u64,
     },
-    /// Other counts of a service's upstreams are ordered.
+    /// The capacity plan has ordered a different number of upstreams.
     ScalingPlanned {
         /// The service.
         service: Arc<str>,
-        /// With how many upstreams it began.
+        /// Initial number of upstreams.
         initial_count: u32,
-        /// How many would be busy all the time with what callers ask for, where that is known.
+        /// Number of upstreams that the load would keep permanently busy, if known.
         busy_upstreams: Option<f64>,
-        /// How many there are.
+        /// Current number of upstreams.
         upstreams: u32,
     },
-    /// A call could not be answered for sure in time.
+    /// A call got no definite answer in time.
     CallTimedOut {
-        /// What was asked.
+        /// Kind of the call.
         call: &'static str,
     },
-    /// The log holds what this version can't read.
+    /// The log contains data that this version can't read.
     UnreadableLog(String),
 }
--- a/crates/verbenaslip-fleet/src/core/io.rs
+++ b/crates/verbenaslip-fleet/src/core/io.rs
@@ -1,4 +1,4 @@
-//! What a core takes, and what it wants done.
+//! Inputs and outputs of a core.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,100 +11,101 @@
 use crate::order::{self, Order, Outcome};
 use crate::quarantine::QuarantinePolicy;
 
-/// Sets a core up.
+/// Configures a core.
 pub struct Setup {
-    /// This instance; its voter is that of the folder.
+    /// Identity of this instance; its voter is the one in the data directory.
     pub local_peer: Peer,
-    /// Addresses of some cores to join through.
+    /// Addresses of cores through which the instance joins the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// The cores that form the log at the very first start of all; empty at any other.
+    /// Cores that form the log at the first start of the fleet; empty at any later start.
     pub founders: Vec<SocketAddr>,
-    /// What the data folder holds.
+    /// Contents recovered from the data directory.
     pub recovered: Recovered,
-    /// How many voters are wanted: twice the disks that may be lost at once, and one.
+    /// Wanted number of voters: twice the number of disks that may be lost at once, plus one.
     pub target_voter_count: usize,
-    /// Time between two announcements of an upstream.
+    /// Interval between two announcements of an upstream.
     pub announce_interval: Duration,
-    /// The times of the log.
+    /// Timing of the replicated log.
     pub log_timing: LogTiming,
-    /// The times of orders to the cloud; none when there is none.
+    /// Timing of orders to the cloud; `None` without a cloud.
     pub order_timing: Option<order::Timing>,
-    /// When requests are held back that end upstreams.
+    /// When a poison request is quarantined.
     pub quarantine_policy: QuarantinePolicy,
-    /// By what fingerprints of requests are made that nobody can foresee, if this core is the first to lead.
+    /// Secret that makes request fingerprints unpredictable; used if this core is the first to
+    /// lead.
     pub fingerprint_secret: u128,
-    /// Seeds every random choice.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// What this machine's clock shows, in Unix milliseconds.
+    /// The machine's clock, in Unix milliseconds.
     pub unix_ms: u64,
 }
 
-/// Tells a core what happened.
+/// Describes what has happened.
 #[derive(Debug)]
 pub enum Input {
-    /// Only time has passed.
+    /// Time has passed.
     Tick,
-    /// The machine's clock shows this, in Unix milliseconds.
+    /// The machine's clock, in Unix milliseconds.
     WallClock(u64),
-    /// A frame has come.
+    /// A frame has arrived.
     Frame(Box<Frame>),
-    /// Somebody outside asks for something; answered once, with the same identity.
+    /// An operator or upstream has sent a call; it is answered once, with the same identifier.
     Call {
-        /// Names the call in its answer.
+        /// Identifies the call in its answer.
         id: u64,
-        /// What is asked.
+        /// The call.
         request: Request,
     },
-    /// All writes up to a mark are durable.
+    /// All writes up to this sequence number are durable.
     Stored(u64),
     /// The cloud has answered an order.
     OrderFinished {
-        /// The order.
+        /// Identifier of the order.
         id: u64,
-        /// What became of it.
+        /// Outcome of the order.
         outcome: Outcome,
     },
-    /// The settings name other addresses to join through.
+    /// The settings contain new seed addresses.
     Seeds(Vec<SocketAddr>),
-    /// The settings say something else of requests that end upstreams.
+    /// The settings contain a new quarantine policy.
     QuarantinePolicy(QuarantinePolicy),
-    /// This instance is about to stop.
+    /// The instance is shutting down.
     Stop,
 }
 
-/// Wants something done; outputs are taken in order.
+/// Describes an action for the driver; outputs must be carried out in order.
 #[derive(Debug)]
 pub enum Output {
-    /// Sends a frame.
+    /// Sends a frame to one instance.
     Send {
-        /// Where to.
+        /// Receiver of the frame.
         to: SocketAddr,
-        /// What it says.
+        /// The frame.
         frame: Frame,
     },
     /// Sends the same frame to several instances.
     Multicast {
-        /// Where to.
+        /// Receivers of the frame.
         to: Vec<SocketAddr>,
-        /// What it says.
+        /// The frame.
         frame: Frame,
     },
-    /// Writes and syncs; the mark comes back as [`Input::Stored`].
+    /// Writes and syncs; the sequence number is returned in [`Input::Stored`].
     Store {
-        /// Rises with each write.
+        /// Sequence number, which rises with each write.
         sequence: u64,
-        /// What to write.
+        /// The write.
         write: Write,
     },
     /// Answers a call.
     Reply {
-        /// The call.
+        /// Identifier of the call.
         id: u64,
         /// The answer.
         response: Response,
     },
-    /// Gives the cloud an order.
+    /// Gives an order to the cloud.
     Order(Order),
-    /// Tells what this instance now believes, for the logs.
+    /// Reports a decision or change for the event log.
     Event(Event),
 }
--- a/crates/verbenaslip-fleet/src/core/leader.rs
+++ b/crates/verbenaslip-fleet/src/core/leader.rs
@@ -1,4 +1,4 @@
-//! What a core does while it leads.
+//! Work of a core while it leads.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,39 +19,42 @@
 use crate::view::Version;
 use crate::voucher::RenewalMark;
 
-/// After this absence a voter is replaced by a core that has none. Killed machines are back within
-/// a few seconds; a replacement costs a copy of the log and is of use only for good.
+/// Absence after which a voter is replaced by a core that is not a voter. Killed machines return
+/// within a few seconds, and a replacement costs a copy of the log, so it must be worth it.
 const VOTER_REPLACEMENT_DELAY: Duration = Duration::from_secs(6);
 
-/// How long a new leader waits before it takes the instances that have reported to it for all there
-/// are: they look for a new leader after three missed beats.
+/// How long a new leader waits before it considers its subscribers complete; instances look for a
+/// new leader after three missed heartbeats.
 pub(super) const REPORT_GATHERING_TIME: Duration = Duration::from_millis(700);
 
-/// Between two pushes of changes: short beside the time in which an upstream's leaving must be
-/// known, long beside the time that a push to all instances takes.
+/// Minimum time between pushes of changes: short compared to the time within which departures must
+/// be acknowledged, and long compared to the time that a push to all instances takes.
 const PUSH_INTERVAL: Duration = Duration::from_millis(40);
 
-/// The same for each instance of a large fleet, so that pushes take a third of a small core's time at most.
+/// Additional lower bound per instance, so that pushes in a large fleet take at most a third of the
+/// time of a small core.
 const PUSH_INTERVAL_PER_INSTANCE: Duration = Duration::from_micros(400);
 
-/// How long an instance that has nothing yet waits for others like it: its callers wait as well.
+/// How long the first push to a new subscriber waits for other new ones; short, since callers wait
+/// as well.
 const NEW_SUBSCRIBER_PUSH_DELAY: Duration = Duration::from_millis(30);
 
-/// Upstreams that fall silent at the same moment and are told of by a line each: a core that is lost takes hundreds.
+/// Maximum number of upstreams that fall silent together and get an event each; the loss of a core
+/// affects hundreds.
 const MAX_LISTED_SILENT: usize = 64;
 
 impl Core {
-    /// Returns when the instances that report to this leader are all there are.
+    /// Returns when the leader considers its subscribers complete, at the latest.
     pub(crate) fn gathering_ends_at(&self) -> Duration {
         self.leadership.map_or(Duration::MAX, |leadership| leadership.since + REPORT_GATHERING_TIME)
     }
 
-    /// Tells whether the instances that report to this leader are all there are.
+    /// Returns whether the leader considers its subscribers complete.
     pub(crate) fn has_gathered_reports(&self) -> bool {
         self.all_reported || self.now >= self.gathering_ends_at()
     }
 
-    /// Looks whether as many entries have reported as there were under the leader before.
+    /// Checks whether as many entries have reported as there were under the previous leader.
     fn check_gathered(&mut self) {
         let Some(expected) = self.expected_entries.filter(|_| !self.has_gathered_reports()) else {
             return;
@@ -59,7 +62,7 @@
         self.all_reported = self.hub.reachable_entry_count(self.now) >= expected;
     }
 
-    /// Has the upstreams committed that have come, one command at a time.
+    /// Proposes the newly announced upstreams, one command at a time.
     fn propose_joins(&mut self) {
         if self.joins_proposal.is_some() || self.unproposed_joins.is_empty() {
             return;
@@ -77,9 +80,10 @@
         }
     }
 
-    /// Has the log forget runs that are lost.
+    /// Proposes that the log forget lost runs.
     ///
-    /// Noted as departures they would be refused, under the next leader, when they come back.
+    /// A departure would be wrong here, since the next leader would refuse these runs when they
+    /// come back.
     fn propose_lost(&mut self, lost: Vec<Run>) {
         let runs: Vec<Run> =
             lost.into_iter().filter(|run| self.replicated_state.contains_run(run)).collect();
@@ -88,7 +92,7 @@
         }
     }
 
-    /// Takes an instance's report and answers it.
+    /// Handles the heartbeat of an instance and answers it.
     pub(crate) fn handle_heartbeat(&mut self, heartbeat: Heartbeat) {
         let (to, own_address) = (heartbeat.peer.address, self.link.local_peer().address);
         if heartbeat.parent.is_some_and(|parent| parent != own_address) {
@@ -119,7 +123,7 @@
         }
     }
 
-    /// Takes a report while this core does not lead.
+    /// Handles a heartbeat while this core does not lead.
     fn handle_heartbeat_as_follower(&mut self, heartbeat: Heartbeat) {
         if heartbeat.parent.is_some() && self.serves_entries() {
             return self.handle_entry_heartbeat(heartbeat);
@@ -129,10 +133,11 @@
         self.send(heartbeat.peer.address, redirect);
     }
 
-    /// Sends an entry to a core that hears it in this one's place; returns whether it is none of this one's.
+    /// Assigns a parent core to an entry; returns whether this leader must not serve the entry
+    /// itself.
     ///
-    /// A leader that has just begun and hears no other core yet leaves the entries of a large fleet waiting a moment:
-    /// told everything here, hundreds of them would take all of its time.
+    /// In a large fleet, a new leader that has heard no other core yet leaves entries waiting for a
+    /// moment. Serving hundreds of them itself would take all of its time.
     fn redirect_to_parent(&mut self, heartbeat: &Heartbeat) -> bool {
         let is_large_fleet =
             self.hub.entry_count().max(self.expected_entries.unwrap_or(0)) > MAX_DIRECT_ENTRIES;
@@ -150,13 +155,13 @@
         true
     }
 
-    /// Lends units of teams' limits.
+    /// Grants loans on the teams' rate limits.
     pub(crate) fn grant_loans(&mut self, to: SocketAddr, requests: &[LoanRequest]) {
         let grants = self.hub.grant_loans(requests);
         self.send(to, Frame::GrantLoans(grants));
     }
 
-    /// Takes a core's word of the upstreams that have called it.
+    /// Handles the renewal marks of a core that vouches for upstreams.
     fn handle_renewal_marks(&mut self, marks: &[RenewalMark]) {
         for mark in marks {
             if self.registry.vouch(self.now, mark) == RegistryChange::Updated {
@@ -166,7 +171,7 @@
         }
     }
 
-    /// Takes the word of an instance that it has what somebody waits for.
+    /// Handles an instance's acknowledgement of an update.
     pub(crate) fn handle_acknowledgement(
         &mut self,
         address: SocketAddr,
@@ -185,10 +190,11 @@
         }
     }
 
-    /// Tells whoever lacks something, without waiting for its next report.
+    /// Pushes changes to the instances that lack them, without waiting for their heartbeats.
     ///
-    /// Changes that come close together go out together. Where upstreams are replaced one after the
-    /// other, a message to every instance for each of them would take all of the leader's time.
+    /// Changes that occur shortly after one another are sent together. During the replacement of
+    /// many upstreams, a message to every instance for each change would take all of the leader's
+    /// time.
     pub(crate) fn push_updates(&mut self) {
         if self.now < self.next_push {
             return;
@@ -209,7 +215,7 @@
         self.push_to(&lagging);
     }
 
-    /// Has what has changed told soon.
+    /// Schedules a push of changes.
     pub(crate) fn schedule_push(&mut self) {
         self.next_push = self.next_push.min(self.now + self.push_interval());
     }
@@ -220,7 +226,7 @@
             .max(PUSH_INTERVAL_PER_INSTANCE * u32::try_from(self.hub.len()).unwrap_or(u32::MAX))
     }
 
-    /// Looks at what is due from time to time.
+    /// Does the regular maintenance work of a leader or a parent core.
     pub(crate) fn maintain(&mut self) {
         if self.is_leading() {
             self.acknowledged_by_all = self.hub.acknowledged_by_all(self.now);
@@ -254,7 +260,7 @@
         self.issue_orders();
     }
 
-    /// Answers an instance's report.
+    /// Answers the heartbeat of an instance.
     fn answer_heartbeat(&mut self, to: SocketAddr) {
         let fleet_status = self.fleet_status(to);
         let update = self.with_leader_source(false, |hub, source| {
@@ -265,7 +271,7 @@
         }
     }
 
-    /// Says how the fleet stands.
+    /// Builds the fleet status for an instance.
     fn fleet_status(&self, to: SocketAddr) -> FleetStatus {
         let is_core = self.hub.peer(to).is_some_and(|peer| peer.voter.is_some());
         let slot_count = self.hub.slot_count().max(1);
@@ -282,12 +288,12 @@
         }
     }
 
-    /// Tells whether something is decided by which entries there are.
+    /// Returns whether a decision depends on the list of all entries.
     fn needs_entry_list(&self) -> bool {
         !self.quarantine.blocklist().quarantined.is_empty() || self.has_rollouts()
     }
 
-    /// Tells instances what they lack, between their reports.
+    /// Sends instances the changes that they lack.
     fn push_to(&mut self, to: &[SocketAddr]) {
         let now = self.now;
         let pushes = self.with_leader_source(self.awaits_acknowledgements(), |hub, source| {
@@ -298,7 +304,8 @@
         }
     }
 
-    /// Has the hub tell from what is known here; none while this core does not lead.
+    /// Calls `build` with the hub and the leader's state as the source of updates; returns `None`
+    /// while this core does not lead.
     fn with_leader_source<T>(
         &mut self,
         ack_requested: bool,
@@ -326,7 +333,7 @@
         Some(result)
     }
 
-    /// Returns where cores are reached: the voters, and those that may become one.
+    /// Returns the addresses of the voters and of the cores that may become voters.
     pub(crate) fn reachable_core_addresses(&self) -> Vec<SocketAddr> {
         let voters = self.replica.voters().members();
         let mut cores: Vec<SocketAddr> =
@@ -337,11 +344,10 @@
         cores
     }
 
-    /// Keeps as many voters as are wanted, on cores that answer.
+    /// Keeps the wanted number of voters, on cores that are reachable.
     ///
-    /// A core that is replaced by another machine leaves the log with one voter less. Unless the
-    /// new one takes its place, the next loss would stop all changes, which shows as edits that are
-    /// never acknowledged.
+    /// When another machine replaces a core, the log has one reachable voter less. Unless the new
+    /// core becomes a voter, the next loss stops all changes, and edits are never acknowledged.
     fn maintain_voters(&mut self) {
         if self.voter_change.is_some() || self.replica.voters().is_joint() {
             return;
@@ -365,10 +371,10 @@
         }
     }
 
-    /// Finds a voter whose instance runs another folder than the one that votes: its disk was lost.
+    /// Finds a voter whose instance now has a different data directory, so its disk was lost.
     ///
-    /// The log tells of it as well, but once, and maybe before this leader's lease has begun. One
-    /// would notice it at the next lost disk: of three voters only one would be left.
+    /// The log reports this as well, but only once, and possibly before the leader's lease has
+    /// begun. If it were missed, the next lost disk would leave one of three voters.
     fn find_wiped_voter(&self, voters: &[Voter]) -> Option<Voter> {
         let reachable = self.hub.reachable_cores(self.now).filter_map(|peer| peer.voter.as_ref());
         let is_replacement = |candidate: &&Voter| {
--- a/crates/verbenaslip-fleet/src/core/leadership.rs
+++ b/crates/verbenaslip-fleet/src/core/leadership.rs
@@ -1,4 +1,5 @@
-//! How a core begins and ends to lead: what it knows at once, whom it tells, what it leaves behind.
+//! Start and end of a leadership: restored state, notified instances, and the state that is kept
+//! afterward.
 
 use std::time::Duration;
 
@@ -11,28 +12,29 @@
 use crate::registry::{Propagation, Record, Status};
 use crate::view::Version;
 
-/// How long after its last question an instance still looks for a leader: two questions' time.
+/// How long an instance counts as looking for a leader after its last attempt; covers two attempts.
 const SEEKER_TIMEOUT: Duration = Duration::from_millis(1_600);
 
-/// Reports, five a second, up to which an entry has just started.
+/// Entries with at most this many heartbeats, sent five times a second, count as just started.
 const RECENT_START_REPORTS: u64 = 12;
 
-/// The most instances that are remembered; beyond that those are dropped that no longer ask.
+/// Maximum number of remembered instances that look for a leader; above it, expired ones are
+/// dropped.
 const MAX_SEEKERS: usize = 1_024;
 
-/// Holds an instance that looks for a leader.
+/// Records an instance that looks for a leader.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LeaderSeeker {
-    /// When it asked last.
+    /// When the instance last sent a heartbeat here.
     last_asked: Duration,
-    /// Whether it forwards requests.
+    /// Whether the instance is an entry.
     is_entry: bool,
-    /// Its reports since its start.
+    /// Heartbeats sent since the instance started.
     report_count: u64,
 }
 
 impl Core {
-    /// Begins or ends to lead as the lease says.
+    /// Starts or ends the leadership of this core according to the lease.
     pub(crate) fn update_leadership(&mut self) {
         let leased = self.replica.lease_until(self.now).is_some_and(|until| until > self.now);
         let term = self.replica.term();
@@ -45,19 +47,21 @@
         }
     }
 
-    /// Tells whether no other core can have led since this one did: it has the lease of the same term again.
+    /// Returns whether this core holds the lease of the same term again, so that no other core can
+    /// have led in between.
     fn may_resume(&self, term: u64) -> bool {
         self.lapsed_term == Some(term) && self.link.view().version.term <= term
     }
 
-    /// Goes on leading by what is known here since before the lease lapsed.
+    /// Resumes leadership with the state from before the lease lapsed.
     ///
-    /// A core with too much to do misses some rounds of the log. Begun anew, each time it would tell all
-    /// instances everything, and so have more to do: one would notice a leader that begins several times a
-    /// second under one term, and calls that nobody answers.
+    /// An overloaded core misses some rounds of the log. A full restart of the leadership would
+    /// send everything to all instances again and add to the load, so that the core would restart
+    /// its leadership several times a second in one term and leave calls unanswered.
     fn resume_leadership(&mut self, term: u64) {
         self.lapsed_term = None;
-        // Instances that were turned away meanwhile report again before they count as all there are.
+        // Instances that were redirected in the meantime must report again before the leader counts
+        // the reports as complete.
         self.leadership = Some(Leadership { term, since: self.now });
         (self.expected_entries, self.all_reported) = (None, false);
         self.acknowledged_by_all = self.hub.acknowledged_by_all(self.now);
@@ -120,11 +124,13 @@
         self.advance_calls();
     }
 
-    /// Lists the upstreams that this core knows of as a follower, or from the log where it doesn't.
+    /// Returns the known upstreams, from this core's view as a follower or else from the log, each
+    /// with the change that announced it.
     ///
-    /// After a power loss of all, upstreams announce themselves to the new leader within a second or two.
-    /// Until then the few that came first would get the requests of all callers that have waited meanwhile:
-    /// one would notice half of them timed out at upstreams that were fine a moment before.
+    /// After a power loss of the whole fleet, upstreams need a second or two to announce themselves
+    /// again. Without the records from the log, the first few would receive the requests of all
+    /// callers that waited meanwhile, and half of these requests would time out at healthy
+    /// upstreams.
     fn known_upstreams(&self) -> Vec<(u64, Record)> {
         let view = &self.link.view().upstreams;
         let newer = |it: &&Record| {
@@ -138,16 +144,17 @@
             history.map_or(u64::MAX, |history| history.change(&it.announcement.run.upstream))
         };
         let known = view.values().map(|it| (change(it), it.clone()));
-        // No other instance is known to know of these.
+        // No other instance is known to have these records.
         let logged =
             self.replicated_state.upstreams().filter(newer).map(|it| (u64::MAX, it.clone()));
         known.chain(logged).collect()
     }
 
-    /// Tells whoever has looked for a leader a moment ago that this core leads.
+    /// Notifies the instances that recently looked for a leader that this core leads.
     ///
-    /// After a power loss of all, entries ask every core from time to time. Until the next time they would
-    /// let all their callers wait, though there are routes to go by.
+    /// After a power loss of the whole fleet, entries ask every core at intervals. Until their next
+    /// attempt, entries without this notice would keep callers waiting although a route table is
+    /// available.
     fn notify_seekers(&mut self) {
         let leader = self.link.local_peer().address;
         for seeker in std::mem::take(&mut self.leader_seekers).into_keys() {
@@ -155,7 +162,7 @@
         }
     }
 
-    /// Remembers an instance that asked for the leader while this core did not lead.
+    /// Records an instance that asked for the leader while this core was not leading.
     pub(crate) fn record_seeker(&mut self, heartbeat: &Heartbeat) {
         if self.leader_seekers.len() >= MAX_SEEKERS {
             self.drop_expired_seekers();
@@ -172,7 +179,7 @@
             .retain(|_, seeker| self.now.saturating_sub(seeker.last_asked) <= SEEKER_TIMEOUT);
     }
 
-    /// Prepares to grant the teams' limits from the first report on.
+    /// Prepares the hub to grant loans from the first heartbeat on.
     fn start_hub(&mut self) {
         self.drop_expired_seekers();
         let entries = self.leader_seekers.values().filter(|seeker| seeker.is_entry);
@@ -180,7 +187,7 @@
         let known = self.link.recent_entry_count(self.now).unwrap_or_default();
         let all_recently_started =
             entries.clone().all(|seeker| seeker.report_count <= RECENT_START_REPORTS);
-        // A few that have just started beside many that go on are no start of all.
+        // A few just-started entries beside many running ones are not a restart of the fleet.
         let restarted = expected > known / 2 && all_recently_started;
         self.hub.start_leading(self.now, expected, restarted);
         let route_table =
@@ -188,13 +195,13 @@
         self.hub.refresh(self.now, route_table.as_deref());
     }
 
-    /// Returns by which changes what is told whole is so.
+    /// Returns with which changes the blocklist, rollout plans and limits were published.
     pub(crate) fn change_numbers(&self) -> ChangeNumbers {
         let (blocklist, plans) = (self.blocklist_change, self.rollout_plans_change);
         ChangeNumbers { blocklist, plans, limits: self.limits_change }
     }
 
-    /// Keeps what was led by for the time after.
+    /// Ends the leadership and hands its state to the link, which continues from it.
     fn end_leadership(&mut self) {
         let Some(leadership) = self.leadership.take() else { return };
         self.lapsed_term = Some(leadership.term);
--- a/crates/verbenaslip-fleet/src/core/limit.rs
+++ b/crates/verbenaslip-fleet/src/core/limit.rs
@@ -1,4 +1,4 @@
-//! What a core does about the limits that upstreams name, while it leads.
+//! Handling of upstreams' rate limits at the leader.
 
 use std::sync::Arc;
 
@@ -7,13 +7,13 @@
 use crate::upstream::{Record, Run, Status};
 
 impl Core {
-    /// Begins with the limits that this core knew as a follower.
+    /// Restores the limits that this core knew as a follower.
     pub(crate) fn restore_limits(&mut self) {
         self.limits = self.link.view().limits.clone();
         self.limits_change = self.registry.last_change();
     }
 
-    /// Takes the limits that an entry's answers have named, and has all others told.
+    /// Handles the rate limits that an entry has observed, and publishes those that changed.
     pub(crate) fn handle_observed_limits(&mut self, observations: &[Observation]) {
         let mut changed = false;
         for observation in observations {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Counts the upstreams of a service that have been limited for a while.
+    /// Returns the number of ready upstreams of a service that have been limited for a while.
     pub(crate) fn limited_upstreams(&self, service: &str) -> u32 {
         let unix_ms = self.agreed_unix_ms();
         let settled = self.limits.iter().filter(|(_, limit)| limit::is_settled(limit, unix_ms));
@@ -41,7 +41,7 @@
         u32::try_from(records.filter(|record| is_ready(record)).count()).unwrap_or(u32::MAX)
     }
 
-    /// Forgets limits that have no meaning any more.
+    /// Removes limits that are no longer needed.
     pub(crate) fn remove_expired_limits(&mut self) {
         let (unix_ms, registry) = (self.agreed_unix_ms(), &self.registry);
         let is_needed = |run: &Run, limit: &Limit| {
--- a/crates/verbenaslip-fleet/src/core/log.rs
+++ b/crates/verbenaslip-fleet/src/core/log.rs
@@ -1,4 +1,4 @@
-//! The replicated log within a core.
+//! The replicated log of a core.
 
 use std::sync::Arc;
 
@@ -14,9 +14,10 @@
 use crate::replicated_state::{Command, ReplicatedState};
 
 impl Core {
-    /// Gives the log an input, and does what it wants done.
+    /// Passes an input to the log and handles its outputs.
     pub(crate) fn step_log(&mut self, input: replica::Input) {
-        // A state that can't be read must not vote on: it would acknowledge what it can't apply.
+        // A core whose state is unreadable must not vote, since it would acknowledge commands that
+        // it can't apply.
         if self.state_unreadable {
             return;
         }
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Has a command committed; returns the token of its answer.
+    /// Proposes a command; returns the token of the answer.
     pub(crate) fn propose(&mut self, command: &Command) -> u64 {
         let token = self.next_token();
         self.step_log(replica::Input::Propose { token, command: command.encode() });
@@ -86,7 +87,7 @@
                     self.emit_route_table();
                 }
             }
-            Err(error) => self.mark_unreadable(&format!("entry {}: {error}", position.index)),
+            Err(error) => self.mark_unreadable(&format!("log entry {}: {error}", position.index)),
         }
     }
 
@@ -97,9 +98,8 @@
                 self.replicated_state = state;
                 self.emit_route_table();
             }
-            Err(error) => {
-                self.mark_unreadable(&format!("snapshot at {}: {error}", self.applied_index))
-            }
+            Err(error) => self
+                .mark_unreadable(&format!("snapshot at log index {}: {error}", self.applied_index)),
         }
     }
 
@@ -127,7 +127,7 @@
         self.handle_proposal_result(token, matches!(answer, Answer::Committed(_)));
     }
 
-    /// Replaces a voter whose disk was lost: its instance already runs another folder.
+    /// Replaces a voter whose disk was lost: its instance runs with a new data directory.
     fn replace_wiped_voter(&mut self, voter: Voter) {
         if self.is_leading() {
             self.change_voters(Change::Replace { old: voter.instance.clone(), new: voter });
--- a/crates/verbenaslip-fleet/src/core/orders.rs
+++ b/crates/verbenaslip-fleet/src/core/orders.rs
@@ -1,4 +1,4 @@
-//! What a leader does for the cloud: usage that is reported, and upstreams that are ordered.
+//! The leader's work for the cloud: usage reports and capacity orders.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,24 +10,25 @@
 use crate::replicated_state::{Command, Window};
 use crate::usage::window_end;
 
-/// Sizes of a service that differ by less than this part of them are the same.
+/// A planned count is proposed again only if it changes by more than this part of the smaller
+/// count: a quarter.
 const COUNT_TOLERANCE_DIVISOR: u32 = 4;
 
-/// How long counts of an entry are awaited after the end of a window by the clock alone: reports
-/// come four times a second.
+/// Time after the end of a usage window up to which all counts must be complete before the window
+/// is closed, in milliseconds; covers the interval of reports, which come four times a second.
 const COUNT_DELAY_MS: u64 = 300;
 
-/// How long the log has to commit with how many upstreams a service began.
+/// Time after which an initial count that is still not committed is proposed again.
 const PROPOSAL_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
 impl Core {
-    /// Closes the windows of usage whose counts are complete.
+    /// Closes the usage windows whose counts are complete.
     pub(super) fn close_windows(&mut self) {
         let (Some(timing), Some(leadership)) = (self.settings.order_timing, self.leadership) else {
             return;
         };
-        // The entries report to a new leader within a few beats; a window closed before that would
-        // lack their counts. Waiting longer would miss windows where leaders change often.
+        // Entries report to a new leader within a few heartbeats, and a window closed earlier would
+        // lack their counts. Waiting longer would miss windows when leaders change often.
         if self.now.saturating_sub(leadership.since) < REPORT_GATHERING_TIME * 2 {
             return;
         }
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Gives the cloud the orders that are due.
+    /// Issues the orders to the cloud that are due.
     pub(super) fn issue_orders(&mut self) {
         let (Some(timing), Some(leadership)) = (self.settings.order_timing, self.leadership) else {
             return;
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Takes what became of an order to the cloud.
+    /// Handles the outcome of an order to the cloud.
     pub(crate) fn handle_order_outcome(&mut self, id: u64, outcome: Outcome) {
         let now = self.now;
         let planned =
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Plans how many upstreams run where.
+    /// Plans the number of upstreams per service and zone; returns the resulting orders.
     fn plan_capacity(&mut self) -> Vec<(u64, Scale)> {
         let Some(current) = self.replicated_state.current_table().cloned() else {
             return Vec::new();
@@ -150,9 +151,10 @@
         orders
     }
 
-    /// Has it noted with how many upstreams a service is planned, if that has changed by much.
+    /// Proposes the planned number of upstreams of a service, if it has changed considerably.
     ///
-    /// The next leader does not know the load for some seconds, and would order as many as the fleet began with.
+    /// The next leader does not know the load for some seconds, and would otherwise order the
+    /// initial number of upstreams.
     fn propose_planned_count(&mut self, service: Arc<str>, upstreams: u32) {
         let previous = self
             .proposed_counts
@@ -168,12 +170,12 @@
         }
     }
 
-    /// Has it noted with how many upstreams a service began.
+    /// Proposes the initial number of upstreams of a service.
     ///
-    /// Later there may be more or fewer of them, and a leader that took what it found for what the
-    /// operators had wanted would make more of them at every change of the leader.
+    /// The number of upstreams changes later. A leader that took the current number as the one that
+    /// operators had set up would raise it at every change of the leader.
     fn propose_initial_count(&mut self, service: &Arc<str>, upstreams: u32) {
-        // Proposed again after a while if the log has lost it.
+        // The log may have lost the proposal, so it is repeated after a while.
         let is_recent = |proposed_at: &Duration| {
             self.now.saturating_sub(*proposed_at) < PROPOSAL_RETRY_INTERVAL
         };
--- a/crates/verbenaslip-fleet/src/core/quarantine.rs
+++ b/crates/verbenaslip-fleet/src/core/quarantine.rs
@@ -1,4 +1,4 @@
-//! What a core does about requests that end upstreams, while it leads.
+//! Quarantine of poison requests at the leader.
 
 use std::time::Duration;
 
@@ -9,7 +9,8 @@
 use crate::replicated_state::Command;
 
 impl Core {
-    /// Begins with the requests that the log holds, and those that this core knew as a follower.
+    /// Restores the quarantine from the log and from the blocklist that this core knew as a
+    /// follower.
     pub(crate) fn restore_quarantine(&mut self) {
         let (policy, persisted) =
             (self.settings.quarantine_policy.clone(), self.replicated_state.quarantine());
@@ -18,7 +19,7 @@
         self.quarantine_proposal = None;
     }
 
-    /// Takes an entry's account, and says that it is here.
+    /// Handles an entry's crash report and confirms that it was received.
     pub(crate) fn handle_crash_report(&mut self, report: &CrashReport) {
         let Some(leadership) = self.leadership else { return };
         let unix_ms = self.agreed_unix_ms();
@@ -37,13 +38,14 @@
         self.publish_findings();
     }
 
-    /// Tells whether an upstream ended as it had said before: no request need have ended it.
+    /// Returns whether a run ended after it had announced its departure, so that no request needs
+    /// to have caused the end.
     fn was_announced(&self, crash: &Crash) -> bool {
         let announced_ago = self.registry.departures().age(self.now, &crash.run);
         announced_ago.is_some_and(|elapsed| elapsed > Duration::from_millis(crash.ended_ms_ago))
     }
 
-    /// Takes what the settings say of requests that end upstreams.
+    /// Applies a new quarantine policy from the settings.
     pub(crate) fn set_quarantine_policy(&mut self, policy: QuarantinePolicy) {
         self.settings.quarantine_policy = policy.clone();
         self.quarantine.set_policy(policy);
@@ -52,7 +54,7 @@
         }
     }
 
-    /// Decides what is due of such requests, and has the log hold it.
+    /// Advances the quarantine and proposes its state to the log.
     pub(crate) fn maintain_quarantine(&mut self) {
         let (now, unix_ms) = (self.now, self.agreed_unix_ms());
         let entries = self.hub.reachable_entries(now);
@@ -62,10 +64,11 @@
         self.propose_quarantine();
     }
 
-    /// Has all instances told of what was decided.
+    /// Publishes the quarantine's decisions to all instances.
     ///
-    /// What is held back goes out at once: each moment later another upstream may end. All else waits for the next
-    /// push, since a wave of crashes makes dozens of suspects, and clears them, within a moment.
+    /// Newly quarantined requests are pushed at once, since every delay may crash another upstream.
+    /// Other changes wait for the next scheduled push, because a wave of crashes produces and
+    /// clears dozens of suspects within a moment.
     fn publish_findings(&mut self) {
         let (findings, changed) = self.quarantine.take_findings();
         let urgent = findings.iter().any(|finding| matches!(finding, Finding::Quarantined { .. }));
@@ -82,10 +85,10 @@
         self.propose_quarantine();
     }
 
-    /// Has it committed which requests are held back.
+    /// Proposes the quarantine's persisted state, if it has changed.
     ///
-    /// Known to the leader and the entries alone, it would be lost when all of them lose power, and three more
-    /// upstreams would end before it is known again.
+    /// If only the leader and the entries knew it, a power loss of all of them would erase it, and
+    /// three more upstreams would crash before the request was identified again.
     fn propose_quarantine(&mut self) {
         let persisted = self.quarantine.persisted(self.settings.fingerprint_secret);
         if self.quarantine_proposal.is_none() && persisted != *self.replicated_state.quarantine() {
--- a/crates/verbenaslip-fleet/src/core/rollout.rs
+++ b/crates/verbenaslip-fleet/src/core/rollout.rs
@@ -1,4 +1,4 @@
-//! What a core does about roll-outs while it leads.
+//! Handling of rollouts at the leader.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::usage::EntryRun;
 
 impl Core {
-    /// Begins with the roll-outs that the log holds.
+    /// Restores the rollouts that the log holds.
     pub(crate) fn restore_rollouts(&mut self) {
         self.controllers.clear();
         self.verdict_proposals.clear();
@@ -19,14 +19,15 @@
         self.publish_plans();
     }
 
-    /// Has entries told of the roll-outs that the log holds; returns the change by which they know them.
+    /// Publishes the rollout plans from the log; returns the change with which they were last
+    /// published.
     pub(crate) fn announce_plans(&mut self) -> u64 {
         self.update_controllers();
         self.publish_plans();
         self.rollout_plans_change
     }
 
-    /// Takes what an entry reports of versions.
+    /// Handles an instance's reports about service versions.
     pub(crate) fn handle_rollout_reports(&mut self, heartbeat: &Heartbeat) {
         let (entry, incarnation) = (heartbeat.peer.address, heartbeat.peer.incarnation);
         let own = heartbeat
@@ -50,12 +51,12 @@
         }
     }
 
-    /// Tells whether a roll-out is under way.
+    /// Returns whether a rollout is in progress.
     pub(crate) fn has_rollouts(&self) -> bool {
         self.controllers.values().any(|controller| controller.rollout().state == State::Serving)
     }
 
-    /// Decides what is due of roll-outs, and has entries told.
+    /// Advances all rollouts and publishes the resulting plans.
     pub(crate) fn maintain_rollouts(&mut self) {
         self.update_controllers();
         let (now, unix_ms) = (self.now, self.agreed_unix_ms());
@@ -71,10 +72,11 @@
         self.publish_plans();
     }
 
-    /// Goes through the upstreams of a service that its plan counts: those of the version that serves.
+    /// Returns the upstreams of a service that the capacity plan counts: those of the version that
+    /// serves.
     ///
-    /// A candidate's upstreams stand beside those that serve. Counted with them, they would be taken for too many,
-    /// and the stable ones be given up.
+    /// The candidate's upstreams run in addition to these. If they were counted, the plan would see
+    /// too many upstreams and give up stable ones.
     pub(crate) fn planned_upstreams<'a>(
         &'a self,
         service: &'a str,
@@ -89,7 +91,7 @@
         })
     }
 
-    /// Has a controller for each roll-out that the log holds.
+    /// Creates or updates the controller of each rollout in the log.
     fn update_controllers(&mut self) {
         let rollouts = self.replicated_state.rollouts();
         for rollout in rollouts.iter() {
@@ -111,7 +113,7 @@
         let rollout = self.replicated_state.rollouts().get(service);
         let candidate = rollout.map(|rollout| &rollout.order.version);
         let entries = self.hub.reachable_entries(self.now);
-        // Cores list their entries from the first report on that is asked for it.
+        // Cores list their entries from the first heartbeat after the leader asks for the list.
         let all_listed = entries.len() >= self.hub.reachable_entry_count(self.now);
         let mut fleet = Fleet {
             entries,
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Has the log hold a verdict, again until it does.
+    /// Proposes a verdict to the log until it is committed.
     fn propose_verdict(&mut self, service: &str) {
         let Some(controller) = self.controllers.get(service) else { return };
         let &Rollout { id, state, .. } = controller.rollout();
@@ -156,7 +158,7 @@
         }
         let unix = self.agreed_unix_ms();
         let token = self.propose(&Command::DecideRollout { id, state: verdict, unix });
-        // Answered at once if there is only one voter.
+        // With a single voter the proposal is committed at once.
         if self
             .replicated_state
             .rollouts()
@@ -167,9 +169,10 @@
         }
     }
 
-    /// Has entries told what they do about versions, if that has changed.
+    /// Publishes the rollout plans to the entries, if they have changed.
     ///
-    /// At once where a candidate gets less: each moment later callers get more bad answers.
+    /// A plan that ends a candidate's traffic is pushed at once, since each delay gives callers
+    /// more bad answers.
     fn publish_plans(&mut self) {
         let plans = self
             .controllers
--- a/crates/verbenaslip-fleet/src/entry.rs
+++ b/crates/verbenaslip-fleet/src/entry.rs
@@ -1,4 +1,4 @@
-//! An entry: an instance that forwards requests and holds no state of its own.
+//! State machine of an entry: an instance that forwards requests and stores nothing durably.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,24 +10,24 @@
 use crate::transition::Transitions;
 use crate::view::View;
 
-/// Keeps an entry's view of the fleet.
+/// Maintains an entry's view of the fleet.
 #[derive(Debug)]
 pub struct Entry {
     link: Link,
     crash_reporter: CrashReporter,
 }
 
-/// Wants a frame sent.
+/// Holds a frame to be sent.
 #[derive(Debug)]
 pub struct Envelope {
-    /// To whom.
+    /// Receivers of the frame.
     pub to: Targets,
-    /// What it says.
+    /// The frame.
     pub frame: Frame,
 }
 
 impl Entry {
-    /// Starts without a view.
+    /// Creates an entry without a view; `unix_ms` is the machine's clock in Unix milliseconds.
     pub fn new(local_peer: Peer, seeds: Vec<SocketAddr>, now: Duration, unix_ms: u64) -> Self {
         Self {
             link: Link::new(local_peer, seeds, now, unix_ms),
@@ -35,28 +35,29 @@
         }
     }
 
-    /// Returns what is known of the fleet.
+    /// Returns the current view of the fleet.
     pub fn view(&self) -> &View {
         self.link.view()
     }
 
-    /// Takes what has changed of the upstreams since it was last asked for, for the log.
+    /// Takes the status changes of upstreams since the last call, for the event log.
     pub fn take_transitions(&mut self) -> Transitions {
         self.link.take_transitions()
     }
 
-    /// Returns when [`heartbeat`](Self::heartbeat) or [`account`](Self::account) is due.
+    /// Returns when [`next_heartbeat`](Self::next_heartbeat) or
+    /// [`next_crash_report`](Self::next_crash_report) is due.
     pub fn next_wakeup(&self) -> Duration {
         let crash_report = self.crash_reporter.next_due().unwrap_or(Duration::MAX);
         self.link.next_wakeup().min(crash_report)
     }
 
-    /// Returns when [`heartbeat`](Self::heartbeat) is due.
+    /// Returns when [`next_heartbeat`](Self::next_heartbeat) is due.
     pub fn next_heartbeat_at(&self) -> Duration {
         self.link.next_wakeup()
     }
 
-    /// Takes under which requests upstreams ended, and answers to requests that are suspected.
+    /// Records the requests during which upstreams crashed, and the answers to suspected requests.
     pub fn record_outcomes(
         &mut self,
         now: Duration,
@@ -66,7 +67,7 @@
         self.crash_reporter.record(now, crashes, answers);
     }
 
-    /// Tells the leader of that if it is due.
+    /// Builds the next crash report for the leader, if it is due.
     pub fn next_crash_report(&mut self, now: Duration) -> Option<Envelope> {
         self.crash_reporter.next_due().filter(|due| now >= *due)?;
         let Some(leader) = self.link.leader(now) else {
@@ -77,14 +78,15 @@
         Some(Envelope { to: vec![leader], frame: Frame::CrashReport(Box::new(report)) })
     }
 
-    /// Asks for units of teams' limits.
+    /// Builds a request for loans on teams' rate limits; returns `None` without requests or a
+    /// reachable target.
     pub fn request_loans(&self, now: Duration, requests: Vec<LoanRequest>) -> Option<Envelope> {
         let target = self.link.reachable_target(now).filter(|_| !requests.is_empty())?;
         let from = self.link.local_peer().address;
         Some(Envelope { to: vec![target], frame: Frame::RequestLoans { from, requests } })
     }
 
-    /// Says that this entry ends.
+    /// Builds the notice that this entry stops.
     pub fn stop_notice(&self, now: Duration) -> Option<Envelope> {
         let address = self.link.local_peer().address;
         Some(Envelope {
@@ -93,12 +95,13 @@
         })
     }
 
-    /// Takes other addresses to join through.
+    /// Replaces the seed addresses.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.link.set_seeds(seeds);
     }
 
-    /// Reports if that is due; `unix` is what this machine's clock shows.
+    /// Builds the next heartbeat, if it is due; `unix_ms` is the machine's clock in Unix
+    /// milliseconds.
     pub fn next_heartbeat(
         &mut self,
         now: Duration,
@@ -109,7 +112,7 @@
         Some(Envelope { to, frame: Frame::Heartbeat(Box::new(heartbeat)) })
     }
 
-    /// Takes a frame; returns what is to be sent at once.
+    /// Handles a frame; returns the frame to be sent in response, if any.
     pub fn handle_frame(&mut self, now: Duration, frame: Frame) -> Option<Envelope> {
         match frame {
             Frame::Update(update) => {
--- a/crates/verbenaslip-fleet/src/frame.rs
+++ b/crates/verbenaslip-fleet/src/frame.rs
@@ -1,4 +1,4 @@
-//! What the instances of a fleet say to each other.
+//! Messages between the instances of a fleet.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,83 +24,85 @@
 use crate::view::Version;
 use crate::voucher::RenewalMark;
 
-/// Says something to another instance; any frame may be lost, late, doubled or overtaken.
+/// Carries one message to another instance; any frame may be lost, delayed, duplicated or
+/// reordered.
 #[data(float)]
 pub enum Frame {
-    /// Between cores, about the replicated log.
+    /// A message of the replicated log between cores.
     Log {
-        /// The sender.
+        /// Sender of the message.
         from: Instance,
-        /// What it says.
+        /// The message.
         message: Box<Message>,
     },
-    /// An instance reports to the leader, or an entry to its core, and tells what it has.
+    /// The report of an instance to the leader, or of an entry to its parent core.
     Heartbeat(Box<Heartbeat>),
-    /// The leader or a core answers with what the instance lacks.
+    /// The answer of the leader or a parent core, or a push of changes.
     Update(Box<Update>),
-    /// An entry is to report to this core.
+    /// Assigns a parent core to an entry.
     ReportTo {
-        /// The core.
+        /// The parent core.
         core: SocketAddr,
     },
-    /// An instance confirms an update that somebody waits for; a core, that all entries below it have it as well.
+    /// Acknowledges an update that requested it; a parent core also acknowledges for all its
+    /// entries.
     Acknowledged {
-        /// The instance.
+        /// The acknowledging instance.
         address: SocketAddr,
-        /// How new its list of upstreams is now.
+        /// Version of its view.
         version: Version,
-        /// The revision of its route table.
+        /// Revision of its route table.
         revision: u64,
     },
-    /// The receiver of a heartbeat hears no reports: it does not lead, or has lost the leader.
+    /// Refuses heartbeats: the sender does not lead, or has lost contact with the leader.
     Redirect {
-        /// The receiver.
+        /// The core that refuses heartbeats.
         from: SocketAddr,
-        /// Who leads, where known.
+        /// The leader, if known.
         leader: Option<SocketAddr>,
-        /// The cores that the receiver knows.
+        /// Cores known to the sender.
         cores: Vec<SocketAddr>,
     },
-    /// The sender leads now; it was asked for the leader a moment ago.
+    /// Notifies an instance that recently looked for the leader of the new one.
     NewLeader {
-        /// Its address.
+        /// Address of the leader.
         leader: SocketAddr,
     },
-    /// A core passes a call on to the leader.
+    /// Forwards a call from a core to the leader.
     Request {
-        /// Where the answer goes.
+        /// Receiver of the answer.
         from: SocketAddr,
-        /// Comes back in the answer.
+        /// Identifies the call in the answer.
         token: u64,
-        /// What is asked.
+        /// The call.
         request: Box<Request>,
     },
-    /// Answers a call that was passed on.
+    /// Answers a forwarded call.
     Response {
-        /// The token it came with.
+        /// Token of the forwarded call.
         token: u64,
         /// The answer.
         response: Response,
     },
-    /// An entry tells the leader under which requests upstreams ended.
+    /// Reports the requests during which upstreams crashed, from an entry to the leader.
     CrashReport(Box<CrashReport>),
-    /// The leader has an account.
+    /// Confirms that the leader has received a crash report.
     CrashReportReceived {
-        /// Its term.
+        /// Term of the leader.
         term: u64,
-        /// The number of the account.
+        /// Number of the crash report.
         number: u64,
     },
-    /// An instance asks for units of teams' limits.
+    /// Requests loans on teams' rate limits.
     RequestLoans {
-        /// Where the answer goes.
+        /// Receiver of the answer.
         from: SocketAddr,
-        /// What it asks for.
+        /// The requested loans.
         requests: Vec<LoanRequest>,
     },
-    /// Answers what an instance has asked for.
+    /// Answers requests for loans.
     GrantLoans(Vec<LoanGrant>),
-    /// An entry has ended as planned, and is not waited for.
+    /// Announces that an entry has stopped as planned, so that nothing waits for it.
     EntryStopped {
         /// The entry.
         address: SocketAddr,
@@ -108,7 +110,7 @@
 }
 
 impl Frame {
-    /// Returns the name of its kind, for logs.
+    /// Returns the name of the frame's kind, for logs.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Log { .. } => "log",
@@ -129,187 +131,188 @@
     }
 }
 
-/// Names an instance to the leader.
+/// Identifies an instance to the leader.
 #[data]
 pub struct Peer {
-    /// Where other instances reach it.
+    /// Address at which other instances reach it.
     pub address: SocketAddr,
     /// Its name, for logs.
     pub name: Instance,
-    /// Where it runs.
+    /// Its availability zone.
     pub zone: AvailabilityZone,
-    /// Rises with each start.
+    /// Number of its process lifetime, which rises with each start.
     pub incarnation: u64,
-    /// Its folder, when it is a core.
+    /// The voter of its data directory, if it is a core.
     pub voter: Option<Voter>,
 }
 
-/// Reports to the leader, or to the core that an entry was told to report to.
+/// Reports an instance's state to the leader, or to the parent core that was assigned to an entry.
 #[data(float)]
 pub struct Heartbeat {
-    /// Who reports.
+    /// The reporting instance.
     pub peer: Peer,
-    /// The core that this entry reports to; none as long as it was told of none.
+    /// Parent core of this entry, or `None` while it has none.
     pub parent: Option<SocketAddr>,
-    /// The core that it has reported to, and that has ceased to answer a moment ago.
+    /// Parent core that recently stopped answering.
     pub lost_parent: Option<SocketAddr>,
-    /// How new its list of upstreams is.
+    /// Version of its view.
     pub version: Version,
-    /// The revision of its route table; zero without one.
+    /// Revision of its route table; zero without one.
     pub revision: u64,
-    /// What its machine's clock shows, in Unix milliseconds.
+    /// Its machine's clock, in Unix milliseconds.
     pub unix_ms: u64,
-    /// Up to when its counts are complete, in milliseconds of the agreed time of day.
+    /// Agreed time up to which its counts are complete, in Unix milliseconds.
     pub counted_until: u64,
-    /// Requests that began lately, by window and team: whole counts, so that a report that is lost
-    /// or doubled does no harm.
+    /// Recent request counts by usage window and team. The counts are totals, so a lost or
+    /// duplicated heartbeat does no harm.
     pub counts: Vec<Count>,
-    /// Counts the reports of this life of the instance.
+    /// Number of the heartbeat since the instance started.
     pub sequence: u64,
-    /// Units of teams' limits that were lent and not used.
+    /// Granted units of teams' rate limits that were not used.
     pub refunds: Vec<Refund>,
-    /// What engines are asked for.
+    /// Engine work that requests have required, by service.
     pub engine_work: Vec<WorkReport>,
-    /// Upstreams that have announced themselves at this core, and say nothing new.
+    /// Upstreams that have renewed their announcement at this core without changes.
     pub marks: Vec<RenewalMark>,
-    /// What requests met at the versions of services that are rolled out.
+    /// Results of requests by version, for services with a rollout.
     pub rollouts: Vec<Report>,
-    /// Limits that upstreams have named or ended, as far as the leader is not known to know them.
+    /// Rate limits that upstreams have requested or ended and that the leader may not know.
     pub limits: Vec<Observation>,
-    /// Upstreams that have said in an answer that they go.
+    /// Runs that have announced their departure in an answer.
     pub departing: Vec<Run>,
-    /// What the entries that report to this core have reported to it.
+    /// Reports of the entries below this core.
     pub aggregate: Option<Aggregate>,
 }
 
-/// Sums up what the entries that report to a core have reported to it.
+/// Summarizes the reports of a parent core's entries.
 #[data(default)]
 pub struct Aggregate {
-    /// How many there are.
+    /// Number of entries.
     pub entry_count: u32,
-    /// How many have been heard lately: each of them has its turn under an upstream's limit.
+    /// Number of recently heard entries; each needs a time slot under an upstream's rate limit.
     pub slot_count: u32,
-    /// Which ones are heard, as long as the leader asks for that.
+    /// Addresses of the reachable entries, while the leader asks for them.
     pub entry_addresses: Vec<SocketAddr>,
-    /// The change of the list of upstreams up to which this core and all of them have it.
+    /// Version of the upstreams that this core and all these entries have.
     pub acknowledged: Version,
-    /// The revision of the route table that this core and all of them have.
+    /// Revision of the route table that this core and all these entries have.
     pub revision: u64,
-    /// Requests that began lately, by entry: what the leader may not know yet.
+    /// Recent request counts by entry that the leader may not have.
     pub counts: Vec<EntryCounts>,
-    /// What requests met at the versions of services that are rolled out.
+    /// Results of requests by version, for services with a rollout.
     pub rollouts: Vec<RelayedReport>,
 }
 
-/// Passes on what an entry reports of roll-outs.
+/// Forwards an entry's report about rollouts.
 #[data]
 pub struct RelayedReport {
-    /// The entry.
+    /// The reporting entry.
     pub origin: EntryRun,
-    /// The number of its report.
+    /// Sequence number of its heartbeat.
     pub sequence: u64,
-    /// What it reports.
+    /// The reports.
     pub reports: Vec<Report>,
 }
 
-/// Tells an instance what it lacks.
+/// Brings an instance's view up to date.
 #[data(float)]
 pub struct Update {
-    /// The leader, or the core that an entry reports to.
+    /// The leader, or a parent core.
     pub from: SocketAddr,
     /// The leader.
     pub leader: SocketAddr,
-    /// How long ago the sender has heard the leader.
+    /// Time since the sender last heard the leader.
     pub leader_contact_age: Duration,
-    /// The change up to which this tells everything.
+    /// Version of the view after this update.
     pub version: Version,
-    /// The change after which the records begin, by this leader or the one before; none when they are all there are.
+    /// Version that the records are relative to, of this leader or the previous one; `None` if the
+    /// update holds all records.
     pub base: Option<Version>,
-    /// Upstreams that changed.
+    /// Changed upstreams.
     pub records: Vec<Record>,
-    /// The route table, if the instance has an older one.
+    /// Route table, if the instance has an older one.
     pub route_table: Option<Arc<RouteTable>>,
-    /// The requests that are suspected or held back, if that has changed.
+    /// Suspected and quarantined requests, if changed.
     pub blocklist: Option<Arc<Blocklist>>,
-    /// Which versions of services get requests, if that has changed.
+    /// Which versions of services get requests, if changed.
     pub rollout_plans: Option<Arc<Plans>>,
-    /// The limits that upstreams name, if that has changed.
+    /// Rate limits requested by upstreams, if changed.
     pub limits: Option<Arc<Limits>>,
-    /// What is told only in answer to a report.
+    /// State of the fleet; present only in the answer to a heartbeat.
     pub fleet_status: Option<FleetStatus>,
-    /// The agreed time of day, in Unix milliseconds.
+    /// Agreed time of day, in Unix milliseconds.
     pub unix_ms: u64,
-    /// Whether somebody waits until this instance says that it has this.
+    /// Whether the sender waits for an acknowledgement of this update.
     pub ack_requested: bool,
 }
 
-/// Tells an instance how the fleet stands, in answer to its report.
+/// Describes the state of the fleet in the answer to a heartbeat.
 #[data(float)]
 pub struct FleetStatus {
-    /// The cores.
+    /// Addresses of the cores.
     pub cores: Vec<SocketAddr>,
-    /// For a core: those that entries may report to.
+    /// For a core: the cores that entries may report to.
     pub parent_cores: Vec<ParentCore>,
-    /// The incarnation of the sender, which remembers what it was reported for as long.
+    /// Incarnation of the sender. The sender forgets earlier reports when it restarts.
     pub incarnation: u64,
-    /// The number of the report that is answered.
+    /// Sequence number of the answered heartbeat.
     pub sequence: u64,
-    /// How many entries there are.
+    /// Number of entries.
     pub entry_count: u32,
-    /// The change by which the newest plans of roll-outs are known.
+    /// Change with which the newest rollout plans were published.
     pub plans_change: u64,
-    /// How long ago that was so for sure; none where it is not known.
+    /// Time since these plans were certainly the newest, or `None` if unknown.
     pub plans_age: Option<Duration>,
-    /// Which requests under an upstream's limit the instance may send, or the first of the entries below a core; none
-    /// where it is not known.
+    /// Time slot under upstreams' rate limits that belongs to the instance, or to the first entry
+    /// below a core; `None` if unknown.
     pub time_slot: Option<TimeSlot>,
-    /// For a core: whether the leader wants to know which entries report to it.
+    /// For a core: whether the leader asks for the list of its entries.
     pub list_entries: bool,
 }
 
-/// Asks the leader for something.
+/// Describes a call to the leader.
 #[data(float)]
 pub enum Request {
-    /// Put a route table in force.
+    /// Puts a route table in force.
     AdoptRouteTable(Box<RouteTableRevision>),
-    /// Read the newest route table, as the operator wrote it.
+    /// Reads the newest route table as the operator wrote it.
     ReadRouteTable,
-    /// Take an upstream's announcement.
+    /// Announces an upstream or renews its announcement.
     Announce(Box<Announcement>),
-    /// Take an upstream's word that it goes.
+    /// Announces that an upstream departs.
     Withdraw {
         /// The upstream.
         upstream: Upstream,
-        /// When the run started that goes, in Unix milliseconds; none where it doesn't say, and whichever
-        /// run is known is meant.
+        /// Start time of the departing run, in Unix milliseconds; `None` stands for the run that is
+        /// known.
         incarnation: Option<u64>,
     },
-    /// Move a service's traffic to another version.
+    /// Moves a service's traffic to another version.
     StartRollout(Order),
-    /// Say how far the last roll-out of a service is.
+    /// Reads the progress of a service's latest rollout.
     ReadRollout(Arc<str>),
 }
 
 /// Answers a call.
 #[data]
 pub enum Response {
-    /// A route table of this or a higher revision is in force and stays.
+    /// A route table of this or a higher revision is in force and will remain so.
     RouteTableAdopted {
         /// The revision in force.
         revision: u64,
     },
-    /// The newest route table.
+    /// The newest route table as the operator wrote it.
     Document(Arc<[u8]>),
     /// There is no route table yet.
     NoRouteTable,
-    /// The announcement is known wherever it must be.
+    /// The announcement has reached every instance that must know it.
     Acknowledged,
-    /// How far the last roll-out of a service is; none where there was none.
+    /// The latest rollout of the service, or `None` without one.
     Rollout(Option<Rollout>),
     /// The service is being moved to this other version.
     Conflict(Arc<str>),
-    /// The route table has no such service.
+    /// The route table does not contain the service.
     UnknownService(Arc<str>),
-    /// Nothing can be said for sure at this moment; ask again, or another core.
+    /// No definite answer is possible now; the caller should try again or use another core.
     Unavailable,
 }
--- a/crates/verbenaslip-fleet/src/history.rs
+++ b/crates/verbenaslip-fleet/src/history.rs
@@ -1,7 +1,8 @@
-//! By which change an instance was told of each upstream.
+//! Change number with which an instance learned of each upstream.
 //!
-//! A core that begins to lead can so tell every other instance just what that lacks. Told the whole list, 300
-//! entries with 3,000 upstreams would take forty megabytes at a moment when callers wait for the new leader.
+//! With it, a core that becomes the leader can send every other instance just the changes it lacks.
+//! Full lists of 3,000 upstreams for 300 entries would take forty megabytes while callers wait for
+//! the new leader.
 
 use std::collections::BTreeMap;
 
@@ -9,48 +10,49 @@
 
 use crate::upstream::Record;
 
-/// The most upstreams that are remembered which have gone; beyond that instances that lack them are told everything.
+/// Maximum number of remembered removed upstreams; above it, instances that lack the removals
+/// receive the full list.
 const MAX_REMOVED: usize = 4_096;
 
-/// Remembers changes since the last whole list.
+/// Records changes since the last full list.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct History {
-    /// The change up to which everything was told at once, or is forgotten.
+    /// Change of the last full list, or the last forgotten change if that is later.
     floor: u64,
-    /// The changes of upstreams that have changed since.
+    /// Last change of each upstream that has changed since.
     changes: BTreeMap<Upstream, u64>,
-    /// Upstreams that have gone since, and by which change.
+    /// Upstreams that were removed since, with the change that removed them.
     removed: BTreeMap<Upstream, (u64, Record)>,
 }
 
 impl History {
-    /// Starts from a whole list.
+    /// Creates a history that starts from a full list.
     pub(crate) fn new(change: u64) -> Self {
         Self { floor: change, ..Self::default() }
     }
 
-    /// Returns the change since which all others are known.
+    /// Returns the change since which all later changes are known.
     pub(crate) fn floor(&self) -> u64 {
         self.floor
     }
 
-    /// Returns the change by which an upstream was told, or a later one.
+    /// Returns the last change of an upstream; not lower than its real one.
     pub(crate) fn change(&self, upstream: &Upstream) -> u64 {
         self.changes.get(upstream).copied().unwrap_or(self.floor)
     }
 
-    /// Goes through the upstreams that have gone, with their changes.
+    /// Returns the removed upstreams with their changes.
     pub(crate) fn removed(&self) -> impl Iterator<Item = &(u64, Record)> {
         self.removed.values()
     }
 
-    /// Notes that an upstream was told of.
+    /// Records that an upstream changed.
     pub(crate) fn record_change(&mut self, upstream: &Upstream, change: u64) {
         self.removed.remove(upstream);
         self.changes.insert(upstream.clone(), change);
     }
 
-    /// Notes that an upstream has gone; `record` says how.
+    /// Records that an upstream was removed; `record` holds its last status.
     pub(crate) fn record_removal(&mut self, change: u64, record: Record) {
         let upstream = record.announcement.run.upstream.clone();
         self.changes.remove(&upstream);
--- a/crates/verbenaslip-fleet/src/hub.rs
+++ b/crates/verbenaslip-fleet/src/hub.rs
@@ -1,7 +1,7 @@
-//! What an instance knows of those that report to it, and tells them.
+//! Tracks the instances that report to this one, and builds their updates.
 //!
-//! The leader hears the cores, and a core the entries that report to it; in a small fleet the leader hears all entries by
-//! itself.
+//! The leader serves the cores, and each core serves its entries. In a small fleet the leader also
+//! serves all entries directly.
 
 mod push;
 mod source;
@@ -27,97 +27,101 @@
 use crate::usage::{Collector, EntryCounts, EntryRun};
 use crate::view::Version;
 
-/// After this silence an instance is not waited for: three beats.
+/// Silence after which acknowledgements no longer wait for an instance; three heartbeats.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// After this silence an entry falls back to an equal part of each limit by itself, and the leader keeps that part
-/// for it.
+/// Silence after which an entry falls back to an equal share of each rate limit, and the leader
+/// reserves that share for it.
 pub const SHARE_LEASE: Duration = Duration::from_secs(1);
 
-/// How long a new leader counts those entries as well that looked for a leader just before.
+/// How long a new leader also counts the entries that looked for a leader just before.
 const EXPECTED_ENTRIES_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a core has been heard before entries are sent to it: one that is heard now and then would have them go back
-/// and forth. Those that are heard at once when a leader begins have been there before.
+/// How long a core must have been reachable before entries are assigned to it. Entries of a core
+/// with an unstable connection would move back and forth. Cores that report at once to a new
+/// leader, within [`STARTUP_GRACE`], were reachable before.
 const STABLE_CORE_TIME: Duration = Duration::from_secs(2);
 
-/// How long an instance that is silent is remembered: it may be cut off and still serve.
+/// How long a silent instance is remembered, since it may be cut off and still serving.
 const SUBSCRIBER_RETENTION: Duration = Duration::from_secs(30);
 
-/// The same as [`STABLE_CORE_TIME`] for a leader that has just begun.
+/// Time after the start of a leadership within which cores are accepted without
+/// [`STABLE_CORE_TIME`].
 const STARTUP_GRACE: Duration = Duration::from_millis(700);
 
-/// Keeps what each instance has that reports here.
+/// Tracks what each reporting instance has received, acknowledged and reported.
 #[derive(Debug, Default)]
 pub struct Hub {
     subscribers: BTreeMap<SocketAddr, Subscriber>,
     usage: Collector,
     team_buckets: TeamBuckets,
     loads: LoadEstimator,
-    /// Milliseconds of engine time that entries were asked for since this process started, by service.
+    /// Milliseconds of engine time that requests have required since this process started, by
+    /// service.
     total_work: BTreeMap<Arc<str>, f64>,
-    /// When this core began to lead.
+    /// When this core started to lead.
     leading_since: Duration,
-    /// Entries that looked for a leader just before this one began to lead.
+    /// Number of entries that looked for a leader just before this leadership started.
     expected_entries: usize,
     entry_totals: EntryTotals,
-    /// Places among the entries that are given.
+    /// Number of assigned time slots.
     slot_count: u32,
-    /// The last change of the leader before that is known here.
+    /// Version of the previous leader's last change that is known here.
     previous_version: Version,
-    /// The median of all clocks when it was last made. Made for each report it would cost the square of the
-    /// number of instances.
+    /// Median of all clock offsets in milliseconds, as last calculated. Calculating it per
+    /// heartbeat would cost the square of the number of instances.
     time_offset_ms: Option<i64>,
 }
 
 /// Holds an update for several instances.
 #[derive(Clone, Debug)]
 pub struct PendingPush {
-    /// Where it goes.
+    /// Receivers of the update.
     pub to: Vec<SocketAddr>,
-    /// What it says.
+    /// The update.
     pub update: Update,
 }
 
-/// Counts the instances that have a change.
+/// Counts which instances have acknowledged a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AckCounts {
-    /// Those that are heard and have confirmed it.
+    /// Reachable instances that have acknowledged the change.
     pub acknowledged: usize,
-    /// Those that are heard.
+    /// All reachable instances.
     pub reachable: usize,
-    /// Those that are not, and are not waited for.
+    /// Unreachable instances, for which nothing waits.
     pub silent: usize,
 }
 
-/// Says what every instance that answers has.
+/// Describes the newest state that an instance, or every instance of a group, has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// The newest change of the list of upstreams.
+    /// Number of the last change in the list of upstreams.
     pub change: u64,
-    /// The newest route table.
+    /// Revision of the route table.
     pub revision: u64,
 }
 
 impl Progress {
-    /// Returns what both have.
+    /// Returns the progress that both have reached.
     #[must_use]
     pub fn min(self, other: Self) -> Self {
         let (change, revision) = (self.change.min(other.change), self.revision.min(other.revision));
         Self { change, revision }
     }
 
-    /// Tells whether this has anything that the other has not.
+    /// Returns whether `self` is ahead of `other` in any part.
     pub fn exceeds(&self, other: &Self) -> bool {
         self.change > other.change || self.revision > other.revision
     }
 }
 
 impl Hub {
-    /// Begins to lead so many entries; `all_restarted` tells whether all of them have just started, as after a power loss of
-    /// all.
+    /// Starts a leadership with `expected` entries; `restarted` tells whether all of them have just
+    /// started, as after a power loss of the whole fleet.
     ///
-    /// Counts of usage stay, and entries that report here: they report only what has changed since they began to.
+    /// Usage counts and subscribers are kept, since subscribers report only what has changed since
+    /// their earlier reports.
     pub fn start_leading(&mut self, now: Duration, expected: usize, restarted: bool) {
         let Self { subscribers, usage, total_work, .. } = std::mem::take(self);
         let team_buckets = TeamBuckets::new(restarted);
@@ -125,14 +129,14 @@
         *self = Self { team_buckets, leading_since: now, expected_entries: expected, ..retained };
     }
 
-    /// Ceases to lead, or to hear entries: whoever reports here goes on elsewhere.
+    /// Forgets all subscribers when this core stops serving them; they report elsewhere.
     pub fn release_subscribers(&mut self) {
         self.subscribers.clear();
         self.time_offset_ms = None;
     }
 
-    /// Goes on from the last change of the leader before: instances that have it, or an earlier one of that leader, are
-    /// told what has changed since.
+    /// Continues from the version `previous` of the previous leader, so that instances with this or
+    /// an earlier version of that leader receive only later changes.
     pub fn continue_from(&mut self, previous: Version) {
         self.previous_version = previous;
         for subscriber in self.subscribers.values_mut() {
@@ -147,7 +151,8 @@
         }
     }
 
-    /// Takes a report; `last` is the number of this core's own last one.
+    /// Handles a heartbeat; `last_sequence` is the sequence number of this core's own last
+    /// heartbeat.
     pub fn handle_heartbeat(
         &mut self,
         now: Duration,
@@ -213,7 +218,8 @@
         subscriber.last_sequence = sequence;
         refunds.iter().for_each(|refund| self.team_buckets.refund(refund));
         for WorkReport { service, total_ms } in engine_work {
-            // The first report tells of all the time before.
+            // The first report contains the total since the instance started, so it serves only as
+            // the baseline.
             let before =
                 subscriber.work_totals.insert(service.clone(), total_ms).unwrap_or(total_ms);
             self.loads.add(now, &service, total_ms - before);
@@ -224,7 +230,7 @@
         }
     }
 
-    /// Takes what the entries below a core have reported to it.
+    /// Handles the aggregate of a core's entries.
     fn handle_aggregate(&mut self, core: SocketAddr, last_sequence: u64, aggregate: Aggregate) {
         for EntryCounts { entry, counts } in aggregate.counts {
             self.usage.record(last_sequence + 1, entry, counts);
@@ -243,33 +249,35 @@
         self.subscribers.remove(&instance);
     }
 
-    /// Returns an instance that reports here.
+    /// Returns the identity of a subscriber.
     pub fn peer(&self, instance: SocketAddr) -> Option<&Peer> {
         self.subscribers.get(&instance).map(|it| &it.peer)
     }
 
-    /// Returns how many instances have reported.
+    /// Returns the number of subscribers.
     pub fn len(&self) -> usize {
         self.subscribers.len()
     }
 
-    /// Tells whether none has.
+    /// Returns whether there are no subscribers.
     pub fn is_empty(&self) -> bool {
         self.subscribers.is_empty()
     }
 
-    /// Returns to how many instances one tells a change at most: the leader, or a core to its entries.
+    /// Returns the largest number of instances that the leader or any single core must update.
     pub fn max_fan_out(&self) -> usize {
         let largest_aggregate = self.subscribers.values().map(|it| it.entry_count as usize).max();
         self.len().max(largest_aggregate.unwrap_or(0))
     }
 
-    /// Returns how many engines of a service would be busy all the time; none before that is known.
+    /// Returns how many engines of a service the reported load would keep permanently busy, or
+    /// `None` until that is known.
     pub fn busy_engines(&self, now: Duration, service: &str) -> Option<f64> {
         self.loads.busy_engines(now, service)
     }
 
-    /// Takes the word of an instance that it has taken a change of this term, and all that report to it.
+    /// Handles the acknowledgement of a change in this term by an instance and all instances that
+    /// report to it.
     pub fn handle_acknowledgement(
         &mut self,
         now: Duration,
@@ -287,7 +295,7 @@
         progress.revision = progress.revision.max(revision);
     }
 
-    /// Makes the sums anew, and lets the teams' limits fill up.
+    /// Updates the totals and refills the teams' token buckets.
     pub fn refresh(&mut self, now: Duration, route_table: Option<&RouteTable>) {
         self.loads.update(now);
         let expects_entries = now < self.leading_since + EXPECTED_ENTRIES_TIMEOUT;
@@ -298,19 +306,19 @@
         );
         self.assign_time_slots(now, 0);
         let Some(route_table) = route_table else { return };
-        // An entry that is cut off may still spend an equal part of each limit.
+        // An entry that is cut off may still spend an equal share of each limit.
         let available_share =
             1.0 - as_f64(self.entry_totals.silent()) / as_f64(self.entry_totals.total());
         self.team_buckets.refill(now, route_table, available_share);
     }
 
-    /// Lends units of teams' limits.
+    /// Grants loans on the teams' rate limits.
     pub fn grant_loans(&mut self, requests: &[LoanRequest]) -> Vec<LoanGrant> {
         requests.iter().map(|request| self.team_buckets.grant(request)).collect()
     }
 
-    /// Numbers the entries that may serve from a place on, so that each has its turn under an upstream's limit, and
-    /// forgets whoever has been silent for long.
+    /// Assigns time slots under upstreams' rate limits to the entries, starting at `first_index`,
+    /// and forgets instances that have been silent for long.
     pub fn assign_time_slots(&mut self, now: Duration, first_index: u32) {
         self.subscribers.retain(|_, it| it.is_heard_within(now, SUBSCRIBER_RETENTION));
         let mut next_index = first_index;
@@ -321,30 +329,30 @@
         self.slot_count = next_index - first_index;
     }
 
-    /// Returns how many places among the entries are given.
+    /// Returns the number of assigned time slots.
     pub fn slot_count(&self) -> u32 {
         self.slot_count
     }
 
-    /// Returns how many entries are heard.
+    /// Returns the number of reachable entries.
     pub fn reachable_entry_count(&self, now: Duration) -> usize {
         let reachable = self.subscribers.values().filter(|it| it.is_heard_within(now, SHARE_LEASE));
         reachable.map(|it| it.entry_count as usize).sum()
     }
 
-    /// Returns how many entries there are, heard lately or expected.
+    /// Returns the number of entries that were recently reachable or are expected, at least 1.
     pub fn entry_count(&self) -> usize {
         self.entry_totals.total()
     }
 
-    /// Goes through the cores that are heard, other than the leader.
+    /// Returns the reachable cores other than this one.
     pub fn reachable_cores(&self, now: Duration) -> impl Iterator<Item = &Peer> {
         let reachable =
             self.subscribers.values().filter(move |it| it.is_heard_within(now, SILENCE_TIMEOUT));
         reachable.map(|it| &it.peer).filter(|peer| peer.voter.is_some())
     }
 
-    /// Lists the cores that entries may report to.
+    /// Returns the cores that entries may report to.
     pub fn parent_cores(&self, now: Duration) -> Vec<ParentCore> {
         let is_stable = |subscriber: &&Subscriber| {
             subscriber.is_heard_within(now, SILENCE_TIMEOUT)
@@ -357,7 +365,7 @@
         cores.filter(is_stable).map(|subscriber| parent_core(&subscriber.peer)).collect()
     }
 
-    /// Lists the entries that are heard, as far as it is known which these are.
+    /// Returns the reachable entries, as far as their addresses are known.
     pub fn reachable_entries(&self, now: Duration) -> Vec<SocketAddr> {
         let mut reachable = Vec::new();
         for subscriber in
@@ -373,13 +381,15 @@
         reachable
     }
 
-    /// Makes the median of all clocks anew.
+    /// Recalculates the median of all clock offsets; `own_offset_ms` is this instance's offset in
+    /// milliseconds.
     pub fn update_time_offset(&mut self, now: Duration, own_offset_ms: i64) {
         self.time_offset_ms = None;
         self.time_offset_ms = Some(self.time_offset_ms(now, own_offset_ms));
     }
 
-    /// Returns the agreed time of day less the steady clock: the median of all clocks.
+    /// Returns the offset of the agreed time of day from the local steady clock, in milliseconds.
+    /// The agreed time is the median of all clocks.
     pub fn time_offset_ms(&self, now: Duration, own_offset_ms: i64) -> i64 {
         if let Some(offset_ms) = self.time_offset_ms {
             return offset_ms;
@@ -390,24 +400,26 @@
         clock::median(offsets).unwrap_or(own_offset_ms)
     }
 
-    /// Tells whether the counts of every entry that may still report are complete up to a time.
+    /// Returns whether the usage counts of all entries that may still report are complete up to
+    /// `unix_ms`, in Unix milliseconds.
     pub fn counts_complete(&self, now: Duration, unix_ms: u64) -> bool {
         self.entry_totals.silent() == 0
             && self.counted_until(now).is_none_or(|counted_until| counted_until >= unix_ms)
     }
 
-    /// Returns up to when the counts of all are complete that report here; none if nobody does.
+    /// Returns the time up to which the usage counts of all reachable subscribers are complete, in
+    /// Unix milliseconds, or `None` without subscribers.
     pub fn counted_until(&self, now: Duration) -> Option<u64> {
         let reachable = self.subscribers.values().filter(|it| it.is_heard_within(now, SHARE_LEASE));
         reachable.map(|it| it.counted_until).min()
     }
 
-    /// Returns the counts of a window.
+    /// Returns the request counts of a usage window by team.
     pub fn window_counts(&self, window: u64) -> BTreeMap<Team, u64> {
         self.usage.totals(window)
     }
 
-    /// Lists the work that entries were asked for since this process started.
+    /// Returns the engine work of all entries since this process started, by service.
     pub fn work_totals(&self) -> Vec<WorkReport> {
         let totals = self.total_work.iter();
         totals
@@ -415,7 +427,8 @@
             .collect()
     }
 
-    /// Sums up what the entries that report here have reported since this core's report with a number.
+    /// Builds the aggregate of the entries that report here; counts are limited to those not
+    /// contained up to this core's heartbeat `since`.
     pub fn aggregate(
         &self,
         now: Duration,
@@ -436,7 +449,7 @@
     }
 }
 
-/// Counts of instances are far below the precision of a float.
+/// Converts a number of instances, which is far below the precision of a float.
 fn as_f64(count: usize) -> f64 {
     u32::try_from(count).map_or(f64::MAX, f64::from)
 }
--- a/crates/verbenaslip-fleet/src/hub/push.rs
+++ b/crates/verbenaslip-fleet/src/hub/push.rs
@@ -1,4 +1,4 @@
-//! What instances lack, and who has what.
+//! Selection of the changes that instances lack, and of what they have acknowledged.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 use crate::view::Version;
 
 impl Hub {
-    /// Lists the instances that are heard and have not been sent everything.
+    /// Returns the reachable instances that have not been sent everything.
     pub fn lagging_subscribers(
         &self,
         now: Duration,
@@ -26,22 +26,22 @@
         lagging.map(|it| it.peer.address).collect()
     }
 
-    /// Tells whether an instance has not been sent anything by the leader of a term.
+    /// Returns whether an instance has not been sent anything by the leader of `term`.
     pub fn is_new(&self, instance: SocketAddr, term: u64) -> bool {
         let new = |it: &Subscriber| it.sent_change == 0 || it.sent_term != term;
         self.subscribers.get(&instance).is_some_and(new)
     }
 
-    /// Tells whether an instance has not been sent everything.
+    /// Returns whether an instance has not been sent everything.
     pub fn is_behind(&self, instance: SocketAddr, change: u64, revision: u64) -> bool {
         self.subscribers.get(&instance).is_some_and(|it| it.is_behind(change, revision))
     }
 
-    /// Makes the answer to an instance's report.
+    /// Builds the answer to an instance's heartbeat.
     ///
-    /// It brings no upstreams and no route table: these come with the next push, made once for all that lack
-    /// the same. Made for each that asks, the list of 3,000 upstreams would take a new leader of 300 entries
-    /// seconds, and callers would wait for all that time.
+    /// The answer contains no upstreams and no route table. These follow with the next push, which
+    /// is built once for all instances that lack the same. Building the list of 3,000 upstreams for
+    /// each of 300 entries would take a new leader seconds while callers wait.
     pub fn heartbeat_answer(
         &self,
         to: SocketAddr,
@@ -60,11 +60,11 @@
         })
     }
 
-    /// Makes the update that instances lack, and counts them as sent.
+    /// Builds the updates that instances lack, and records them as sent.
     ///
-    /// Most instances lack the same. Made and written for each of them, a push at a time when upstreams
-    /// come and go would take all of the leader's time: one would notice reports without an answer and
-    /// routes that come into force seconds late.
+    /// Most instances lack the same changes. Building and encoding each update separately would
+    /// take all of the leader's time while upstreams come and go: heartbeats would remain
+    /// unanswered and routes would come into force seconds late.
     pub fn push_updates(
         &mut self,
         now: Duration,
@@ -83,7 +83,7 @@
             .collect()
     }
 
-    /// Finds what an instance lacks, and counts it as sent.
+    /// Finds what an instance lacks, and records it as sent.
     fn find_missing(
         &mut self,
         now: Duration,
@@ -97,7 +97,7 @@
             version.change > 0 && source.records.has_changes_since(version.change)
         };
         let base = Some(sent).filter(is_covered);
-        // What was confirmed lately shows that the way works, however much is under way.
+        // A recent acknowledgement shows that delivery works, whatever else is in transit.
         if base != Some(newest) && subscriber.acknowledged_change >= subscriber.sent_change {
             subscriber.delivery_confirmed_at = now;
             subscriber.full_list_pending = base.is_none();
@@ -117,7 +117,7 @@
         })
     }
 
-    /// Counts who has a change.
+    /// Counts the instances that have acknowledged a change.
     pub fn ack_counts(&self, now: Duration, change: u64) -> AckCounts {
         let reachable =
             self.subscribers.values().filter(|it| it.is_heard_within(now, SILENCE_TIMEOUT));
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Returns what every instance that answers has.
+    /// Returns the progress that all reachable instances have acknowledged.
     pub fn acknowledged_by_all(&self, now: Duration) -> Progress {
         let reachable =
             self.subscribers.values().filter(|it| it.is_heard_within(now, SILENCE_TIMEOUT));
--- a/crates/verbenaslip-fleet/src/hub/source.rs
+++ b/crates/verbenaslip-fleet/src/hub/source.rs
@@ -1,4 +1,4 @@
-//! What a leader or a core tells from.
+//! Source of the updates that a leader or a core sends.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,15 +13,17 @@
 use crate::upstream::Record;
 use crate::view::Version;
 
-/// Knows the upstreams and by which change each has changed: the leader's registry, or what a core was told.
+/// Provides the upstreams and the change number of each: the leader's registry, or the view of a
+/// core.
 pub trait ChangeSource {
     /// Returns the number of the last change.
     fn last_change(&self) -> u64;
-    /// Tells whether what changed after a change is still known.
+    /// Returns whether everything that changed after `change` is still known.
     fn has_changes_since(&self, change: u64) -> bool;
-    /// Returns what changed after a change; none when it is so old that everything must be told.
+    /// Returns the records that changed after `change`, or `None` if `change` is too old and the
+    /// full list is needed.
     fn changes_since(&self, change: u64) -> Option<Vec<Record>>;
-    /// Returns all of them.
+    /// Returns all records.
     fn all(&self) -> Vec<Record>;
 }
 
@@ -43,68 +45,68 @@
     }
 }
 
-/// Holds what is told to other instances.
+/// Holds the state from which updates are built.
 pub struct UpdateSource<'a> {
-    /// Who tells.
+    /// Sender of the update.
     pub from: SocketAddr,
-    /// The leader.
+    /// Address of the leader.
     pub leader: SocketAddr,
-    /// How long ago the leader was heard.
+    /// Time since the leader was last heard.
     pub leader_contact_age: Duration,
-    /// The leader's term.
+    /// Term of the leader.
     pub term: u64,
-    /// The upstreams.
+    /// Upstream records.
     pub records: &'a dyn ChangeSource,
-    /// The route table.
+    /// Current route table.
     pub route_table: Option<&'a Arc<RouteTable>>,
-    /// The requests that are suspected or held back.
+    /// Suspected and quarantined requests.
     pub blocklist: &'a Arc<Blocklist>,
     /// Which versions of services get requests.
     pub rollout_plans: &'a Arc<Plans>,
-    /// The limits that upstreams name.
+    /// Rate limits requested by upstreams.
     pub limits: &'a Arc<Limits>,
-    /// By which changes these three are so.
+    /// Change with which each of these three was last published.
     pub changes: ChangeNumbers,
-    /// Whether somebody waits for the word of all instances that they have the changes.
+    /// Whether a call waits until all instances have acknowledged the changes.
     pub ack_requested: bool,
-    /// The agreed time of day, in Unix milliseconds.
+    /// Agreed time of day, in Unix milliseconds.
     pub unix_ms: u64,
 }
 
-/// Says by which change something that is told whole was last told.
+/// Holds the change with which each part that is always sent whole was last published.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ChangeNumbers {
-    /// The requests that are suspected or held back.
+    /// Suspected and quarantined requests.
     pub blocklist: u64,
     /// Which versions of services get requests.
     pub plans: u64,
-    /// The limits that upstreams name.
+    /// Rate limits requested by upstreams.
     pub limits: u64,
 }
 
-/// Says what an instance lacks.
+/// Describes what an instance lacks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Missing {
-    /// The change up to which it has the upstreams; none if it needs all of them.
+    /// Version of the upstreams that the instance has, or `None` if it needs all of them.
     pub(super) base: Option<Version>,
     /// Whether it needs the route table.
     pub(super) route_table: bool,
-    /// Whether its word is waited for.
+    /// Whether a call waits for its acknowledgement.
     pub(super) ack_requested: bool,
 }
 
 impl UpdateSource<'_> {
-    /// Returns the revision of the route table.
+    /// Returns the revision of the route table, or zero without one.
     pub(super) fn revision(&self) -> u64 {
         self.route_table.map_or(0, |route_table| route_table.revision)
     }
 
-    /// Returns the last change.
+    /// Returns the version of the last change.
     pub(super) fn version(&self) -> Version {
         Version { term: self.term, change: self.records.last_change() }
     }
 
-    /// Makes an update that tells nothing to an instance that has a change.
+    /// Builds an update without content for an instance that has seen `change`.
     pub(super) fn empty_update(&self, change: u64) -> Update {
         let version = Version { term: self.term, change };
         Update {
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Makes the update for those that lack the same.
+    /// Builds the update for all instances that lack the same parts.
     pub(super) fn build_update(&self, missing: &Missing) -> Update {
         let base = missing.base.map(|base| base.change);
         let changed = base.and_then(|base| self.records.changes_since(base));
--- a/crates/verbenaslip-fleet/src/hub/subscriber.rs
+++ b/crates/verbenaslip-fleet/src/hub/subscriber.rs
@@ -1,4 +1,4 @@
-//! What the leader keeps of one instance.
+//! State of one instance that reports to a leader or core.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,54 +8,57 @@
 use crate::frame::Peer;
 use crate::hub::{Progress, SILENCE_TIMEOUT};
 
-/// What was sent and not confirmed for this long is sent again. With the time until the next report it comes before a
-/// leaving is acknowledged without that instance, after 600 ms.
+/// Time after which an unacknowledged update is sent again. Together with the time until the next
+/// heartbeat it is shorter than the 600 ms after which a departure is acknowledged without the
+/// instance.
 const RESEND_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The same for a whole list: 3,000 upstreams take some 150 kB, an eighth of a second at 10 Mbit/s, and a core sends
-/// them to 60 entries at once.
+/// Time after which an unacknowledged full list is sent again. A list of 3,000 upstreams takes about
+/// 150 kB, an eighth of a second at 10 Mbit/s, and a core sends it to 60 entries at once.
 const FULL_LIST_RESEND_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Keeps what one instance has and reports.
+/// Tracks what one instance has received, acknowledged and reported.
 #[derive(Debug)]
 pub(super) struct Subscriber {
     pub(super) peer: Peer,
     pub(super) last_heard: Duration,
-    /// Since when it has been heard without a long silence.
+    /// Start of the current period in which the instance has been reachable.
     pub(super) heard_since: Duration,
-    /// The newest change that it has confirmed.
+    /// Newest change that the instance has acknowledged.
     pub(super) acknowledged_change: u64,
-    /// What it has, and every entry that reports to it.
+    /// Progress of the instance and all entries that report to it.
     pub(super) progress: Progress,
-    /// The newest change sent to it.
+    /// Newest change sent to the instance.
     pub(super) sent_change: u64,
-    /// The term of the leader who made that change.
+    /// Term of the leader that made the sent change.
     pub(super) sent_term: u64,
-    /// When the way to it was last known to work: it confirmed something, or was sent the first thing that it
-    /// has not confirmed.
+    /// When delivery was last known to work: the instance acknowledged something, or the oldest
+    /// unacknowledged update was sent.
     pub(super) delivery_confirmed_at: Duration,
-    /// Whether the whole list is on its way.
+    /// Whether the full list has been sent and not acknowledged.
     pub(super) full_list_pending: bool,
+    /// Revision of the route table that the instance has.
     pub(super) revision: u64,
+    /// Revision of the last sent route table and the time when it was sent, while it may still arrive.
     pub(super) route_table_sent: Option<(u64, Duration)>,
     pub(super) time_offset_ms: i64,
     pub(super) counted_until: u64,
-    /// Its place among the entries, or that of the first entry below it.
+    /// Time slot of the entry, or the first one of the entries below a core.
     pub(super) slot_index: Option<u32>,
-    /// How many entries it stands for: itself, or those that report to it.
+    /// Number of entries that the instance stands for: itself, or the entries that report to it.
     pub(super) entry_count: u32,
-    /// How many places among the entries it takes.
+    /// Number of time slots that the instance needs.
     pub(super) slot_count: u32,
-    /// The entries that report to it, where it was asked for them.
+    /// Entries that report to the instance, if it was asked for them.
     pub(super) entry_addresses: Vec<SocketAddr>,
-    /// The number of its last report.
+    /// Sequence number of its last heartbeat.
     pub(super) last_sequence: u64,
-    /// The work that it had been asked for when it last reported.
+    /// Engine work in total at its last heartbeat, by service.
     pub(super) work_totals: BTreeMap<Arc<str>, f64>,
 }
 
 impl Subscriber {
-    /// Takes an instance that reports for the first time.
+    /// Creates the state of an instance that reports for the first time.
     pub(super) fn new(peer: Peer, now: Duration) -> Self {
         Self {
             peer,
@@ -88,7 +91,7 @@
         self.sent_change < change || self.revision.max(self.sent_revision()) < revision
     }
 
-    /// Notes what it says that it has.
+    /// Records which change the instance has acknowledged.
     pub(super) fn acknowledge(&mut self, now: Duration, change: u64) {
         if change > self.acknowledged_change {
             self.delivery_confirmed_at = now;
@@ -96,7 +99,7 @@
         }
     }
 
-    /// Notes that it was heard.
+    /// Records that the instance was heard.
     pub(super) fn mark_heard(&mut self, now: Duration) {
         if !self.is_heard_within(now, SILENCE_TIMEOUT) {
             self.heard_since = now;
@@ -104,12 +107,12 @@
         self.last_heard = now;
     }
 
-    /// Returns after how long what was sent and not confirmed is sent again.
+    /// Returns the time after which an unacknowledged update is sent again.
     pub(super) fn resend_timeout(&self) -> Duration {
         if self.full_list_pending { FULL_LIST_RESEND_TIMEOUT } else { RESEND_TIMEOUT }
     }
 
-    /// Returns the revision of the route table that was sent last and may still come.
+    /// Returns the revision of the route table that was sent and may still arrive.
     pub(super) fn sent_revision(&self) -> u64 {
         self.route_table_sent.map_or(0, |(sent, _)| sent)
     }
--- a/crates/verbenaslip-fleet/src/hub/totals.rs
+++ b/crates/verbenaslip-fleet/src/hub/totals.rs
@@ -1,22 +1,24 @@
-//! How many entries there are.
+//! Number of entries in the fleet.
 
 use std::time::Duration;
 
-/// How long entries that are silent are counted: they may be cut off and still serve.
+/// How long silent entries are counted, since they may be cut off and still serving.
 const SILENT_ENTRY_RETENTION: Duration = Duration::from_secs(30);
 
-/// Counts the entries that are heard, and those that were heard lately.
+/// Counts the entries that are or recently were reachable.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct EntryTotals {
     reachable: usize,
-    /// The most that were heard at once lately. One that reports to another core than before counts once.
+    /// Most entries that were recently reachable at once. An entry that moves to another core is
+    /// counted once.
     peak: usize,
-    /// When there were so many.
+    /// When that number was reached.
     peak_at: Duration,
 }
 
 impl EntryTotals {
-    /// Takes how many are heard, and how many are expected beside them.
+    /// Records the number of reachable entries; entries not heard yet are included through
+    /// `expected`.
     pub(super) fn update(&mut self, now: Duration, reachable: usize, expected: usize) {
         self.reachable = reachable;
         let entries = reachable.max(expected);
@@ -25,12 +27,12 @@
         }
     }
 
-    /// Returns how many serve or may serve.
+    /// Returns how many entries serve or may serve, at least 1.
     pub(super) fn total(&self) -> usize {
         self.peak.max(1)
     }
 
-    /// Returns how many of them are not heard.
+    /// Returns how many of these entries are not reachable.
     pub(super) fn silent(&self) -> usize {
         self.peak - self.reachable.min(self.peak)
     }
--- a/crates/verbenaslip-fleet/src/lib.rs
+++ b/crates/verbenaslip-fleet/src/lib.rs
@@ -1,34 +1,39 @@
-//! Control of a fleet of forwarding entries, as pure state machines.
+//! Control plane of a fleet of request forwarders, written as pure state machines.
 //!
-//! A few instances with a data folder, the *cores*, keep the route table in a replicated log; all
-//! other instances, the *entries*, forward requests and hold what they need in memory. Nothing here
-//! opens a socket, reads a clock or touches a file: [`Core`] and [`Entry`] take the time and one
-//! input and put out what is to be done.
+//! A few instances with a data directory, the *cores*, keep the route table in a replicated log.
+//! All other instances, the *entries*, forward requests and keep their state in memory. The crate
+//! opens no socket, reads no clock and touches no file: [`Core`] and [`Entry`] take the current
+//! time and one input, and return the outputs that the driver must carry out.
 //!
-//! The parts follow each other like this:
+//! The modules build on each other in this order:
 //!
-//! 1. [`sheet`] is the route table: routes, services, teams, limits of callers. [`index`] finds the
-//!    route of a request and the team of a key in it.
-//! 2. [`ledger`] is what the log holds: the newest route table with the operator's own document,
-//!    and the closed windows of usage.
-//! 3. [`registry`] holds the upstreams ([`upstream`]) that announce themselves, at the leader of the log;
-//!    [`departure`] remembers at every instance which runs of them have said that they go. A core
-//!    answers by itself what says nothing new, and vouches for its sender as [`voucher`] says.
-//! 4. [`link`] keeps an instance in touch with the leader, or an entry with the core that [`parent`] names: a
-//!    [`frame::Heartbeat`] four times a second, answered by a [`frame::Update`]; changes are pushed at once. What an
-//!    instance has learnt by them is listed for its log in [`transition`], and a core keeps by which change in `history`.
-//! 5. [`hub`] is the other side of that, at the leader and at the cores: who is there, what each has, and the time of
-//!    day as the median of all clocks. [`quota`] lends the teams' limits to the entries, and [`limit`] has them share the
-//!    limits that upstreams name.
-//! 6. [`usage`] counts the requests that began in each window, and [`duty`] gives the cloud the
-//!    orders that only one instance may give; [`plan`] says how many upstreams these ask for, by the
-//!    [`load`] that the entries report.
-//! 7. [`fingerprint`] stands for what a request asks for. Entries tell the leader, in an [`account`], of upstreams that
-//!    ended while they ran requests; [`quarantine`] finds the requests that end them, which no entry sends on.
-//! 8. [`rollout`] moves the traffic of a service to another version, and back if that one is worse.
-//! 9. [`core`] composes a core and [`entry`] an entry.
+//! 1. [`route_table`] defines routes, services, teams and their limits. [`index`] finds the route
+//!    of a request and the team of an API key.
+//! 2. [`replicated_state`] is the state machine that the log drives: the current route table with
+//!    the operator's document, and the closed usage windows.
+//! 3. [`registry`] holds the announced upstreams ([`upstream`]) at the leader. [`departure`]
+//!    remembers at every instance which runs have announced their departure. A core answers
+//!    unchanged announcements itself and vouches for their senders, as [`voucher`] describes.
+//! 4. [`link`] connects an instance to the leader, or an entry to the parent core that [`parent`]
+//!    chooses. It sends a [`frame::Heartbeat`] four times a second and receives a
+//!    [`frame::Update`]; changes are also pushed immediately. [`transition`] lists the resulting
+//!    status changes for the event log, and `history` records with which change a core learned of
+//!    each upstream.
+//! 5. [`hub`] is the other side of `link`, at the leader and at the cores: it tracks what each
+//!    subscriber has acknowledged, and takes the median of all clocks as the time of day.
+//!    [`quota`] grants loans on the teams' rate limits, and [`limit`] shares the rate limits that
+//!    upstreams request.
+//! 6. [`usage`] counts requests per window. [`order`] issues the orders that only one instance may
+//!    give to the cloud. [`plan`] calculates how many upstreams to order from the [`load`] that
+//!    entries report.
+//! 7. [`fingerprint`] identifies the content of a request. Entries send a [`crash_report`] to the
+//!    leader when upstreams crash during requests. [`quarantine`] finds the poison requests, which
+//!    entries then no longer forward.
+//! 8. [`rollout`] moves the traffic of a service to a new version, and back if that version is
+//!    worse.
+//! 9. [`core`] and [`entry`] compose these parts.
 //!
-//! Messages may be lost, late, doubled or overtaken; every one of them can be sent again.
+//! Messages may be lost, delayed, duplicated or reordered; each of them can be sent again.
 
 pub mod clock;
 pub mod core;
--- a/crates/verbenaslip-fleet/src/limit.rs
+++ b/crates/verbenaslip-fleet/src/limit.rs
@@ -1,8 +1,9 @@
-//! Limits on the rate of requests that upstreams name, over all entries together.
+//! Request rate limits that upstreams ask for, shared by all entries.
 //!
-//! An upstream in need tells whoever it answers how many requests a second it takes from all entries. The
-//! entry passes that on to the leader, which tells all others. Each entry then sends in its own [`Turn`], so
-//! that the sum is right without a word for each request, also while there is no leader.
+//! An overloaded upstream states in its answers how many requests a second it accepts from all
+//! entries. The entry reports this to the leader, which informs the other entries. Each entry then
+//! sends only in its own [`TimeSlot`], so the total is right without coordination per request, even
+//! without a leader.
 
 use std::collections::BTreeMap;
 
@@ -10,44 +11,46 @@
 
 use crate::upstream::Run;
 
-/// Rates that differ by less than this part are the same: turns begin anew with each change.
+/// Relative difference below which two rates count as equal, since each change restarts the time
+/// slots.
 const RATE_TOLERANCE: f64 = 0.1;
 
 /// How long the end of a limit is remembered, in milliseconds, so that all entries learn of it.
 const ENDED_LIMIT_RETENTION_MS: u64 = 30_000;
 
-/// Holds what is known of the limit of one run.
+/// Describes the rate limit of one run.
 #[data(copy, float)]
 pub struct Limit {
-    /// Requests a second from all entries together; none once the run names no limit any more.
+    /// Requests per second from all entries together; `None` once the run no longer asks for a
+    /// limit.
     pub rate: Option<f64>,
-    /// When the answer came that says so, in milliseconds of the agreed time of day.
+    /// Agreed time of the answer that stated this, in Unix milliseconds.
     pub reported_at_ms: u64,
 }
 
-/// Tells the leader of a limit that an answer has named, or of its end.
+/// Reports to the leader that an upstream's answer stated a rate limit or its end.
 #[data(float)]
 pub struct Observation {
-    /// The run that has answered.
+    /// The run that answered.
     pub run: Run,
-    /// What it said.
+    /// The stated limit.
     pub limit: Limit,
 }
 
-/// Holds the limits of all runs that have named one lately.
+/// Rate limits of all runs that have recently asked for one.
 pub type Limits = BTreeMap<Run, Limit>;
 
-/// Says which requests under a limit are an entry's to send: every `of`th.
+/// Assigns to an entry every `count`th request under a rate limit.
 #[data(copy)]
 pub struct TimeSlot {
-    /// Its place among the entries, from zero.
+    /// Index of the entry, starting at zero.
     pub index: u32,
-    /// How many entries there are.
+    /// Number of entries.
     pub count: u32,
 }
 
 impl Limit {
-    /// Tells whether this is newer than what is known, and says something else.
+    /// Returns whether this limit is newer than `known` and differs from it.
     pub fn supersedes(&self, known: Option<&Limit>) -> bool {
         known.map_or(self.rate.is_some(), |known| {
             self.reported_at_ms > known.reported_at_ms && self.differs(known)
@@ -62,15 +65,16 @@
     }
 }
 
-/// How long a limit has lasted that is planned with, in milliseconds: others are ordered for want of its upstream.
+/// Time in milliseconds after which the capacity plan orders replacements for a limited upstream.
 const SETTLING_TIME_MS: u64 = 1_000;
 
-/// Tells whether an upstream has been limited for so long that it is planned with.
+/// Returns whether an upstream has been limited long enough for the capacity plan; `unix_ms` is the
+/// agreed time.
 pub(crate) fn is_settled(limit: &Limit, unix_ms: u64) -> bool {
     limit.rate.is_some() && unix_ms.saturating_sub(limit.reported_at_ms) >= SETTLING_TIME_MS
 }
 
-/// Tells whether a limit is still worth remembering: one that is named, or ended a short while ago.
+/// Returns whether a limit must still be kept: it is active, or ended a short while ago.
 pub(crate) fn is_retained(limit: &Limit, unix_ms: u64) -> bool {
     limit.rate.is_some() || unix_ms.saturating_sub(limit.reported_at_ms) <= ENDED_LIMIT_RETENTION_MS
 }
--- a/crates/verbenaslip-fleet/src/link.rs
+++ b/crates/verbenaslip-fleet/src/link.rs
@@ -1,4 +1,5 @@
-//! Keeps an instance in touch with the leader and its view of the fleet up to date.
+//! Connection of an instance to the leader or its parent core, and the view of the fleet that it
+//! keeps current.
 
 mod merge;
 mod parent;
@@ -31,154 +32,161 @@
 use crate::view::{Version, View};
 use crate::voucher::RenewalMark;
 
-/// Time between two reports: a quarter of the time in which a limit's part must move between
-/// entries, and 4 datagrams' worth of bytes a second.
+/// Interval between heartbeats: a quarter of the time within which unused shares of a rate limit
+/// must move between entries, at a cost of 4 datagrams a second.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// After this silence of the leader every core is asked: three beats.
+/// Silence of the leader after which the instance asks every core; three heartbeats.
 const LEADER_TIMEOUT: Duration = Duration::from_millis(750);
 
-/// After this silence of the core that an entry reports to the leader is asked for another one: a missed beat, and time
-/// for the answer. Meanwhile the leader goes on without this entry, which would not know of upstreams that leave.
+/// Silence of the parent core after which an entry asks the leader for another one: one missed
+/// heartbeat, and time for the answer. The leader stops waiting for a silent entry, which then does
+/// not learn of departures.
 const PARENT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long the leader is asked alone for another core, when the one that an entry reports to has fallen silent.
+/// How long only the leader is asked for a new parent core before all cores are asked.
 const LEADER_ONLY_TIME: Duration = Duration::from_millis(300);
 
-/// How long an entry reports to a core at least before it is sent to another one.
+/// Minimum time for which an entry reports to a core before it may be reassigned.
 const MIN_PARENT_TIME: Duration = Duration::from_secs(1);
 
-/// How long after it was sent away by a core an entry asks the leader for another one.
+/// Delay before an entry that a core has redirected asks the leader for another one.
 const REDIRECT_DELAY: Duration = Duration::from_millis(50);
 
-/// How long a core that has fallen silent is passed over.
+/// How long a core that has fallen silent is not chosen again.
 const LOST_PARENT_AVOIDANCE: Duration = Duration::from_secs(3);
 
-/// How long after a leader was heard its count of entries holds for the next one: an election that has to be held again.
+/// How long the last leader's entry count remains valid for the next leader; covers a repeated
+/// election.
 const ENTRY_COUNT_VALIDITY: Duration = Duration::from_secs(3);
 
-/// How long after a report its answer still tells the time of day: within a tenth of the shortest window of
-/// usage, and a hundred times the way to the leader and back.
+/// Maximum delay of an answer that may set the clock: within a tenth of the shortest usage window,
+/// and a hundred times the round trip to the leader.
 const MAX_CLOCK_ANSWER_AGE: Duration = Duration::from_millis(500);
 
-/// Time between the first two reports to every core while none answers.
+/// Initial interval between heartbeats to all cores while no leader answers.
 const MIN_SEARCH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The longest time between two of them; each takes twice as long as the one before. A new leader tells whoever
-/// has asked it lately; asked by 300 entries five times a second, five cores would read and answer 7,500 reports
-/// a second while they elect it.
+/// Maximum interval between heartbeats to all cores; the interval doubles with each attempt. A new
+/// leader notifies the instances that have recently asked for it. If 300 entries asked five times a
+/// second, five cores would read and answer 7,500 heartbeats a second during the election.
 const MAX_SEARCH_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Reports whose answers may still come.
+/// Maximum number of remembered heartbeats whose answers may still arrive.
 const MAX_TRACKED_REPORTS: usize = 16;
 
-/// The most cores that are remembered from others' words until the leader's own list comes.
+/// Maximum number of cores that are remembered from other instances until the leader sends its
+/// list.
 const MAX_LEARNED_CORES: usize = 32;
 
-/// Names the cores that get a report.
+/// Addresses of the instances that receive a message.
 pub type Targets = Vec<SocketAddr>;
 
-/// What an entry reports besides what it has.
+/// Contains what an instance reports in a heartbeat, in addition to the state of its view.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// Requests that began, by window and team.
+    /// Requests that began, by usage window and team.
     pub counts: Vec<Count>,
-    /// Units of teams' limits that were lent and not used.
+    /// Granted units of teams' rate limits that were not used.
     pub refunds: Vec<Refund>,
-    /// What engines were asked for, by service.
+    /// Engine work that requests have required, by service.
     pub engine_work: Vec<WorkReport>,
-    /// Upstreams that a core vouches for.
+    /// Upstreams for which a core vouches.
     pub marks: Vec<RenewalMark>,
-    /// What requests met at the versions of services that are rolled out.
+    /// Results of requests by version, for services with a rollout.
     pub rollouts: Vec<RolloutReport>,
-    /// Limits that upstreams have named or ended, and the leader may not know.
+    /// Rate limits that upstreams have requested or ended and that the leader may not know.
     pub limits: Vec<Observation>,
-    /// Upstreams that have said in an answer that they go, and the leader may not know.
+    /// Runs that have announced their departure in an answer and that the leader may not know to
+    /// depart.
     pub departing: Vec<Run>,
-    /// At a core: what the entries below it have reported.
+    /// At a core: the reports of the entries below it.
     pub aggregate: Option<Aggregate>,
-    /// Up to when these have counted, where there are any.
+    /// Time up to which the counts of those entries are complete, in Unix milliseconds; `None`
+    /// without entries.
     pub counted_until: Option<u64>,
 }
 
-/// Holds what a core knew when it ceased to lead.
+/// Holds the state of a core when it stopped leading.
 #[derive(Debug)]
 pub(crate) struct LeaderState {
-    /// Its last change.
+    /// Version of the last change.
     pub(crate) version: Version,
-    /// The upstreams that are there.
+    /// Known upstreams, without those that are gone or lost.
     pub(crate) records: Vec<Record>,
-    /// By which changes upstreams were told.
+    /// Change number of each upstream.
     pub(crate) history: History,
-    /// Runs that go or have gone.
+    /// Runs that are leaving or gone.
     pub(crate) departures: Departures,
-    /// The requests that are suspected or held back.
+    /// Suspected and quarantined requests.
     pub(crate) blocklist: Arc<Blocklist>,
     /// Which versions of services get requests.
     pub(crate) rollout_plans: Arc<Plans>,
-    /// The limits that upstreams name.
+    /// Rate limits requested by upstreams.
     pub(crate) limits: Arc<Limits>,
-    /// By which changes these three are so.
+    /// Change with which each of these three was last published.
     pub(crate) change_numbers: hub::ChangeNumbers,
 }
 
-/// Remembers when a report was sent.
+/// Remembers when a heartbeat was sent.
 #[derive(Clone, Copy, Debug)]
 struct SentReport {
     sequence: u64,
     sent_at: Duration,
-    /// Whether it told everything.
+    /// Whether the heartbeat contained all counts instead of only the changed ones.
     is_complete: bool,
 }
 
-/// Reports to the leader and takes its updates.
+/// Sends heartbeats to the leader or parent core, and applies its updates.
 #[derive(Debug)]
 pub struct Link {
     local_peer: Peer,
     seeds: Vec<SocketAddr>,
-    /// Cores that others know of.
+    /// Cores learned from other instances.
     learned_cores: Vec<SocketAddr>,
     view: View,
-    /// Runs that go, whoever leads.
+    /// Runs that are leaving or gone, remembered across leaders.
     departures: Departures,
-    /// By which change upstreams were told; entries don't need it.
+    /// Change number of each upstream; only cores need it.
     history: Option<History>,
-    /// What has changed since it was last asked for.
+    /// Status changes since they were last taken.
     transitions: Transitions,
     clock: Clock,
-    /// Whom this instance reports to.
+    /// Instance to which heartbeats are sent.
     target: Option<SocketAddr>,
-    /// Whether that is a core that it was told to report to.
+    /// Whether the target is an assigned parent core.
     target_is_parent: bool,
-    /// The core that it has reported to before, to be told that it does so no more.
+    /// Previous parent core, which is still to be told that this entry reports elsewhere.
     previous_parent: Option<SocketAddr>,
-    /// When it was told to report there.
+    /// When the parent core was assigned.
     assigned_at: Duration,
-    /// The core that it has reported to and that has fallen silent, and when.
+    /// Parent core that has fallen silent, and when that was noticed.
     lost_parent: Option<(SocketAddr, Duration)>,
-    /// The leader, as it was heard last.
+    /// Address of the last known leader.
     last_leader: Option<SocketAddr>,
+    /// When the target was last heard, or was chosen.
     last_contact: Duration,
     next_report: Duration,
-    /// The time from the next report to every core until the one after it.
+    /// Interval after the next heartbeat that goes to all cores.
     search_interval: Duration,
     last_sequence: u64,
-    /// When the last reports were sent.
+    /// The last heartbeats, oldest first.
     sent_reports: VecDeque<SentReport>,
-    /// Requests that began, with the report that told of them first.
+    /// Requests that began, with the heartbeat that first contained each count.
     counts: DeltaMap<(u64, Team), u64>,
-    /// The last report that was answered, by whom and by which incarnation of it.
+    /// Sender of the last answer, its incarnation, and the sequence number up to which it has all
+    /// counts.
     last_answer: Option<(SocketAddr, u64, u64)>,
-    /// Cores that entries may report to, as a core is told.
+    /// Parent cores that entries may use; only cores receive them.
     parent_cores: Vec<ParentCore>,
-    /// Whether the leader asks a core for its entries.
+    /// Whether the leader asks this core for the list of its entries.
     entry_list_requested: bool,
-    /// By which changes the list of requests, the plans and the limits were told.
+    /// Change with which the blocklist, rollout plans and limits were each last received.
     change_numbers: hub::ChangeNumbers,
 }
 
 impl Link {
-    /// Starts without a view.
+    /// Creates a link without a view; `unix_ms` is the machine's clock in Unix milliseconds.
     pub fn new(local_peer: Peer, seeds: Vec<SocketAddr>, now: Duration, unix_ms: u64) -> Self {
         let clock = Clock::new(now, unix_ms);
         let view = View { own_address: Some(local_peer.address), ..View::default() };
@@ -211,27 +219,27 @@
         }
     }
 
-    /// Returns what is known of the fleet.
+    /// Returns the current view of the fleet.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// Returns the departures that this instance has heard of.
+    /// Returns the departures that this instance knows.
     pub(crate) fn departures(&self) -> &Departures {
         &self.departures
     }
 
-    /// Takes what has changed of the upstreams since it was last asked for, for the log.
+    /// Takes the status changes of upstreams since the last call, for the event log.
     pub fn take_transitions(&mut self) -> Transitions {
         std::mem::take(&mut self.transitions)
     }
 
-    /// Returns by which changes upstreams were told.
+    /// Returns the change number of each upstream, at cores only.
     pub(crate) fn history(&self) -> Option<&History> {
         self.history.as_ref()
     }
 
-    /// Takes over what this instance knew while it led.
+    /// Restores the state of this core's own leadership.
     pub(crate) fn restore(&mut self, state: LeaderState) {
         let LeaderState { version, records, history, departures, .. } = state;
         let LeaderState { blocklist, rollout_plans, limits, change_numbers, .. } = state;
@@ -243,7 +251,7 @@
         self.history = Some(history);
     }
 
-    /// Returns this instance as the leader knows it.
+    /// Returns the identity of this instance.
     pub fn local_peer(&self) -> &Peer {
         &self.local_peer
     }
@@ -252,7 +260,7 @@
         &mut self.clock
     }
 
-    /// Returns when the next report is due.
+    /// Returns when the next heartbeat is due.
     pub fn next_wakeup(&self) -> Duration {
         if self.target_is_parent {
             self.next_report.min(self.last_contact + self.silence_timeout())
@@ -261,16 +269,16 @@
         }
     }
 
-    /// Takes other addresses to join through.
+    /// Replaces the seed addresses.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
     }
 
-    /// Takes the address of a core that may know the leader.
+    /// Adds the address of a core that may know the leader.
     ///
-    /// All seeds may be cores that don't: two that have lost their disks, and one that was replaced as a
-    /// voter while it was away. Asked for nobody else, an instance that starts then finds no leader
-    /// although there is one, and neither do the seeds.
+    /// All seeds may be cores that do not know it: two may have lost their disks, and one may have
+    /// been replaced as a voter while it was unreachable. An instance that starts then and asks
+    /// only the seeds would not find the existing leader, and neither would the seeds.
     pub(crate) fn learn_core(&mut self, core: SocketAddr) {
         let known = core == self.local_peer.address || self.learned_cores.contains(&core);
         if !known && self.learned_cores.len() < MAX_LEARNED_CORES {
@@ -278,7 +286,7 @@
         }
     }
 
-    /// Lists the cores that this instance knows.
+    /// Returns the known cores.
     pub(crate) fn cores(&self) -> Vec<SocketAddr> {
         let mut cores: Vec<SocketAddr> =
             self.view.cores.iter().chain(&self.learned_cores).copied().collect();
@@ -287,28 +295,28 @@
         cores
     }
 
-    /// Returns the leader, if it was heard lately.
+    /// Returns the leader, if it was recently heard.
     pub fn leader(&self, now: Duration) -> Option<SocketAddr> {
         let leader = if self.target_is_parent { self.last_leader } else { self.target };
         leader.filter(|_| self.view.leader_heard_at.is_some() && !self.is_silent(now))
     }
 
-    /// Returns whom this instance reports to, if that was heard lately.
+    /// Returns the instance to which heartbeats are sent, if it was recently heard.
     pub(crate) fn reachable_target(&self, now: Duration) -> Option<SocketAddr> {
         self.target.filter(|_| self.view.leader_heard_at.is_some() && !self.is_silent(now))
     }
 
-    /// Returns the number of the last report.
+    /// Returns the sequence number of the last heartbeat.
     pub(crate) fn last_sequence(&self) -> u64 {
         self.last_sequence
     }
 
-    /// Returns the leader as it was heard last.
+    /// Returns the last known leader.
     pub(crate) fn last_leader(&self) -> Option<SocketAddr> {
         self.last_leader
     }
 
-    /// Returns the agreed time of day.
+    /// Returns the agreed time of day in Unix milliseconds.
     pub(crate) fn agreed_unix_ms(&self, now: Duration) -> u64 {
         self.clock.unix_ms(now)
     }
@@ -318,36 +326,36 @@
         &self.parent_cores
     }
 
-    /// Tells whether the leader asks for the entries that report here.
+    /// Returns whether the leader asks for the list of entries that report here.
     pub(crate) fn entry_list_requested(&self) -> bool {
         self.entry_list_requested
     }
 
-    /// Returns by which changes what is told whole was told last.
+    /// Returns with which changes the blocklist, rollout plans and limits were last received.
     pub(crate) fn change_numbers(&self) -> hub::ChangeNumbers {
         self.change_numbers
     }
 
-    /// Returns how many entries there were when the leader was last heard, if that was lately.
+    /// Returns the number of entries when the leader was last heard, if that was recent.
     pub(crate) fn recent_entry_count(&self, now: Duration) -> Option<usize> {
         let heard_at = self.view.leader_heard_at?;
         let is_recent = now.saturating_sub(heard_at) <= ENTRY_COUNT_VALIDITY;
         is_recent.then(|| usize::try_from(self.view.entry_count).unwrap_or(usize::MAX))
     }
 
-    /// Tells whether the view is as fresh as a leader's updates make it.
+    /// Returns whether the leader was heard within [`LEADER_TIMEOUT`].
     pub(crate) fn is_connected(&self, now: Duration) -> bool {
         self.view.leader_heard_at.is_some_and(|heard| now.saturating_sub(heard) <= LEADER_TIMEOUT)
     }
 
-    /// Says how new the list of upstreams is here.
+    /// Builds the acknowledgement of the current view.
     pub fn acknowledgement(&self) -> Frame {
         let (address, version, revision) =
             (self.local_peer.address, self.view.version, self.view.revision());
         Frame::Acknowledged { address, version, revision }
     }
 
-    /// Returns when a report was sent, if it is one of the last.
+    /// Returns when a heartbeat was sent, if it is one of the last.
     fn report_sent_at(&self, sequence: u64) -> Option<Duration> {
         self.sent_reports.iter().find(|it| it.sequence == sequence).map(|it| it.sent_at)
     }
--- a/crates/verbenaslip-fleet/src/link/merge.rs
+++ b/crates/verbenaslip-fleet/src/link/merge.rs
@@ -1,4 +1,4 @@
-//! What an instance makes of a leader's word of upstreams.
+//! Merging of the leader's upstream records into the view.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,11 +8,11 @@
 use crate::registry::{Record, Status};
 
 impl Link {
-    /// Takes a leader's word of upstreams, as far as nothing newer is known of their runs.
+    /// Applies the leader's records, except where this instance knows newer facts about a run.
     ///
-    /// A leader that was elected a moment ago may know less than this instance: of a run that has said
-    /// that it goes, or that an upstream has started again. Believed in that, it would turn requests to
-    /// upstreams that no longer take any.
+    /// A newly elected leader may know less than this instance, such as that a run has announced
+    /// its departure or that the upstream has restarted. Following it blindly would send requests
+    /// to upstreams that no longer accept any.
     pub(super) fn merge_records(
         &mut self,
         now: Duration,
@@ -33,7 +33,7 @@
             let upstreams = Arc::make_mut(&mut self.view.upstreams);
             let known = unlisted.remove(&upstream).or_else(|| upstreams.remove(&upstream));
             let previous_status = known.as_ref().map(|it| it.status);
-            // One that is lost may come back.
+            // A lost run may come back, so it is recorded as gone instead.
             let removed = Record { status: received.status.max(Status::Gone), ..received.clone() };
             let chosen = self.choose_record(now, known, received);
             match (&mut self.history, &chosen) {
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Chooses between what is known of an upstream and a leader's word; none when it has gone.
+    /// Chooses between the known record of an upstream and the leader's; returns `None` if the
+    /// upstream is gone.
     fn choose_record(
         &mut self,
         now: Duration,
--- a/crates/verbenaslip-fleet/src/link/parent.rs
+++ b/crates/verbenaslip-fleet/src/link/parent.rs
@@ -1,4 +1,4 @@
-//! Whom an instance reports to, and when it looks for another.
+//! Choice of the instance that heartbeats go to.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use crate::link::{LEADER_ONLY_TIME, LEADER_TIMEOUT, Link, MIN_PARENT_TIME, REDIRECT_DELAY};
 
 impl Link {
-    /// Reports to a leader that is known from elsewhere, such as the log.
+    /// Sends heartbeats to a leader that is known from elsewhere, such as the log.
     pub fn set_leader(&mut self, leader: SocketAddr, now: Duration) {
         if self.target != Some(leader) {
             self.target = Some(leader);
@@ -16,9 +16,10 @@
         }
     }
 
-    /// Reports to a core from now on.
+    /// Starts to report to an assigned parent core.
     ///
-    /// Cores that know different ones to choose from would send an entry back and forth between them.
+    /// Assignments within [`MIN_PARENT_TIME`] of the last one are ignored. Otherwise cores with
+    /// different lists of parent cores could send an entry back and forth.
     pub(crate) fn handle_report_to(&mut self, now: Duration, core: SocketAddr) {
         if self.target_is_parent && now.saturating_sub(self.assigned_at) < MIN_PARENT_TIME {
             return;
@@ -32,7 +33,8 @@
         self.next_report = now;
     }
 
-    /// Takes the word of a core that it leads since a moment ago; it may have been asked just before.
+    /// Handles a new leader's notice, which may answer a question that this instance asked just
+    /// before.
     pub fn handle_new_leader(&mut self, now: Duration, leader: SocketAddr) {
         if self.reachable_target(now).is_none() || !self.target_is_parent {
             self.set_leader(leader, now);
@@ -40,7 +42,7 @@
         }
     }
 
-    /// Takes the word of a core that it does not lead, and hears no reports.
+    /// Handles a redirect from a core that does not accept heartbeats.
     pub fn handle_redirect(
         &mut self,
         now: Duration,
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Asks the leader for another core.
+    /// Abandons the parent core and asks the leader for another one.
     pub(super) fn abandon_parent(&mut self, now: Duration) {
         self.lost_parent = self.target.map(|core| (core, now));
         self.target_is_parent = false;
--- a/crates/verbenaslip-fleet/src/link/report.rs
+++ b/crates/verbenaslip-fleet/src/link/report.rs
@@ -1,4 +1,4 @@
-//! What an instance reports, and to whom.
+//! Content and receivers of heartbeats.
 
 use std::time::Duration;
 
@@ -12,19 +12,20 @@
 use crate::usage::Count;
 
 impl Link {
-    /// Returns up to which report whoever is reported to knows all; zero where that has answered none.
+    /// Returns the sequence number of the heartbeat up to which the receiver has all counts; zero
+    /// if it has answered none.
     pub(crate) fn acknowledged_sequence(&mut self, now: Duration) -> u64 {
         let targets = self.report_targets(now);
         let answer = self.last_answer.filter(|(receiver, ..)| targets == [*receiver]);
         answer.map_or(0, |(.., sequence)| sequence)
     }
 
-    /// Makes the report that is due, with whom to tell: the leader, or every core while none
+    /// Builds the heartbeat if it is due, with its receivers: the leader, or all cores while none
     /// answers.
     ///
-    /// Asked one after the other, the new leader would be found only after a timeout for each core
-    /// that is not it. Meanwhile it would acknowledge that upstreams leave, and this instance would
-    /// go on sending requests there.
+    /// Asking the cores one after another would find a new leader only after a timeout for each
+    /// other core. Meanwhile the leader would acknowledge departures while this instance continues
+    /// to send requests to those upstreams.
     pub fn next_heartbeat(
         &mut self,
         now: Duration,
@@ -77,7 +78,7 @@
         (!targets.is_empty()).then_some((targets, heartbeat))
     }
 
-    /// Returns the counts that were told first after a report.
+    /// Returns the counts that changed after the acknowledged heartbeat.
     fn changed_counts(&mut self, acknowledged: u64, counts: Vec<Count>) -> Vec<Count> {
         let oldest = counts.iter().map(|count| count.window).min();
         self.counts.retain(|(window, _)| oldest.is_some_and(|oldest| *window >= oldest));
@@ -92,7 +93,7 @@
         self.counts.changed_since(acknowledged).map(count).collect()
     }
 
-    /// Returns the time until the next report, after one to so many cores.
+    /// Returns the time until the next heartbeat, given the number of receivers of this one.
     fn report_interval(&mut self, receivers: usize) -> Duration {
         if receivers <= 1 {
             self.search_interval = MIN_SEARCH_INTERVAL;
@@ -102,7 +103,7 @@
         std::mem::replace(&mut self.search_interval, next)
     }
 
-    /// Returns whom to report to.
+    /// Returns the receivers of the next heartbeat.
     pub(super) fn report_targets(&mut self, now: Duration) -> Targets {
         if self
             .lost_parent
--- a/crates/verbenaslip-fleet/src/link/update.rs
+++ b/crates/verbenaslip-fleet/src/link/update.rs
@@ -1,4 +1,4 @@
-//! What an instance takes from the updates that it is told.
+//! Handling of updates from the leader or a parent core.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use crate::view::Version;
 
 impl Link {
-    /// Takes a leader's update; returns whether its sender waits to hear that they are here.
+    /// Applies an update; returns whether the sender waits for an acknowledgement.
     pub fn handle_update(&mut self, now: Duration, update: Update) -> bool {
         let Update {
             from,
@@ -27,11 +27,11 @@
             ..
         } = update;
         let Update { rollout_plans, limits, fleet_status, unix_ms, ack_requested, .. } = update;
-        // A leader that was cut off and does not know it yet says what is no longer so.
+        // A leader that was cut off and does not know it yet sends outdated facts.
         if version.term < self.view.version.term {
             return false;
         }
-        // A core that entries don't report to any more says nothing of the one that they do report to.
+        // An update from a former parent core says nothing about the current one.
         if self.target == Some(from) || !self.target_is_parent {
             self.last_contact = now;
             self.target = Some(from);
@@ -52,7 +52,8 @@
             Some(base) if base.term == version.term => {
                 current.term == version.term && current >= base
             }
-            // Of the leader before, only what the new one knows that this instance has is gone on from.
+            // Changes relative to the previous leader apply only if this instance has exactly the
+            // version that the new leader continues from.
             Some(base) => current == base,
         };
         if is_applicable && version >= current {
@@ -69,7 +70,7 @@
         ack_requested
     }
 
-    /// Takes what is told whole, as far as it is told.
+    /// Replaces those of the blocklist, rollout plans and limits that the update contains.
     fn update_sections(
         &mut self,
         change: u64,
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Takes the answer to a report.
+    /// Handles the fleet status in the answer to a heartbeat.
     fn handle_fleet_status(&mut self, from: SocketAddr, term: u64, status: FleetStatus) {
         self.confirm_plans(&status, term);
         let previous = self.last_answer.filter(|it| (it.0, it.1) == (from, status.incarnation));
@@ -106,10 +107,11 @@
         (self.parent_cores, self.entry_list_requested) = (status.parent_cores, status.list_entries);
     }
 
-    /// Takes the time of day that a leader told in answer to a report that was sent at a time.
+    /// Sets the clock from an answer, if the answer came promptly after the heartbeat that was sent
+    /// at `sent_at`.
     ///
-    /// What a machine that stood still finds in its connections tells a time that has passed; taken for the
-    /// present one, requests would be counted into earlier windows of usage.
+    /// A paused process finds answers in its connections that contain a past time. Using them would
+    /// count requests into earlier usage windows.
     fn update_clock(&mut self, now: Duration, sent_at: Option<Duration>, unix_ms: u64) {
         let is_prompt =
             sent_at.is_some_and(|sent_at| now.saturating_sub(sent_at) <= MAX_CLOCK_ANSWER_AGE);
@@ -119,10 +121,11 @@
         }
     }
 
-    /// Takes up to which change the leader's plans go, as it answers a report.
+    /// Records how recently the rollout plans in this view were confirmed as the newest.
     ///
-    /// An answer may come before the plans themselves: just after a machine stood still, or from a new leader. Taken
-    /// for a sign that those known here hold, requests would go to a version that has been rolled back.
+    /// The answer to a heartbeat may arrive before the plans themselves, such as after a pause of
+    /// the process or from a new leader. Taking it as a confirmation of older plans would send
+    /// requests to a version that has been rolled back.
     fn confirm_plans(&mut self, status: &FleetStatus, term: u64) {
         let newest = Version { term, change: status.plans_change };
         let Some((sent_at, age)) = self.report_sent_at(status.sequence).zip(status.plans_age)
--- a/crates/verbenaslip-fleet/src/parent.rs
+++ b/crates/verbenaslip-fleet/src/parent.rs
@@ -1,8 +1,8 @@
-//! Which core an entry reports to.
+//! Choice of the core that an entry reports to.
 //!
-//! In a fleet of hundreds, a leader that heard and told each entry by itself would have time for nothing else. So
-//! entries report to a core in their own availability zone, which tells them what it hears from the leader and passes on
-//! what they report, merged into one report of its own.
+//! In a fleet of hundreds, a leader that served each entry directly would have no time left for
+//! other work. Entries therefore report to a parent core in their availability zone, which forwards
+//! the leader's updates and merges their reports into its own.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -10,22 +10,24 @@
 use verbenaslip_base::hash;
 use verbenaslip_base::name::AvailabilityZone;
 
-/// Up to so many entries the leader hears by itself: the way by another core takes some milliseconds more, and
-/// saves a leader of so few nothing to speak of.
+/// Maximum number of entries that the leader serves directly. A parent core adds some milliseconds
+/// of delay, and saves a leader of so few entries little work.
 pub const MAX_DIRECT_ENTRIES: usize = 12;
 
-/// Names a core that entries may report to.
+/// Describes a core that entries may report to.
 #[data]
 pub struct ParentCore {
-    /// Where it is reached.
+    /// Its address.
     pub address: SocketAddr,
-    /// Where it runs.
+    /// Its availability zone.
     pub zone: AvailabilityZone,
 }
 
-/// Chooses the core for an entry: one in its own availability zone, where there is one, since bytes between zones cost.
+/// Chooses the parent core of an entry; prefers its own availability zone, since traffic between
+/// zones is charged.
 ///
-/// By hash, so that an entry keeps its core, and the connection to it, for as long as the cores stay.
+/// The choice is a hash, so an entry keeps its parent core and the connection to it as long as the
+/// set of cores does not change.
 pub fn choose(
     cores: &[ParentCore],
     entry_key: SocketAddr,
@@ -39,7 +41,7 @@
     candidates.max_by_key(weight).map(|core| core.address)
 }
 
-/// Returns a number that stands for an address.
+/// Returns a number that identifies an address.
 fn address_key(address: SocketAddr) -> u64 {
     match address.ip() {
         IpAddr::V4(ip) => u64::from(ip.to_bits()) << 16 | u64::from(address.port()),
--- a/crates/verbenaslip-fleet/src/quota.rs
+++ b/crates/verbenaslip-fleet/src/quota.rs
@@ -1,11 +1,12 @@
-//! What teams may still ask for, over all entries together.
+//! Rate limits of teams, shared by all entries.
 //!
-//! The leader keeps one bucket for each team and lends from it. What is lent leaves the bucket at once, so
-//! whatever becomes of the entries, together they spend no more than it held. An entry that has nothing left
-//! of a team's limit asks before it admits a request, and is refused only if the bucket is empty.
+//! The leader keeps one token bucket per team and grants loans from it. Granted tokens leave the
+//! bucket at once, so the entries together never spend more than the bucket held, whatever happens
+//! to them. An entry without tokens requests a loan before it admits a request, and the request is
+//! refused only if the bucket is empty.
 //!
-//! Buckets that are split between entries would each run dry by chance, the more entries the sooner, while
-//! the team as a whole is far within its limit.
+//! Buckets split between entries would run dry by chance, more often the more entries there are,
+//! while the team as a whole is far within its limit.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,50 +16,53 @@
 
 use crate::route_table::{Quota, RouteTable};
 
-/// The part of a bucket that a new leader begins with. It can't know what its predecessor's was, and
-/// the time without a leader was spent on equal parts of the limits.
+/// Fraction of the burst with which a bucket starts under a new leader. The new leader does not
+/// know the previous level, and during the time without a leader entries spent equal shares of the
+/// limits.
 const INITIAL_FILL: f64 = 0.1;
 
-/// The same after all entries have restarted: nothing was spent meanwhile, and callers that waited arrive at once.
+/// Fraction of the burst with which a bucket starts after a restart of all entries: nothing was
+/// spent meanwhile, and waiting callers arrive at once.
 const INITIAL_FILL_AFTER_RESTART: f64 = 1.0;
 
-/// The part of a bucket that is kept for requests that are there, when units are lent ahead of others.
+/// Fraction of the burst that prefetched tokens may not use, kept for requests that are already
+/// waiting.
 const PREFETCH_RESERVE: f64 = 0.75;
 
-/// Asks for units of a team's limit.
+/// Requests tokens from a team's rate limit.
 #[data(float)]
 pub struct LoanRequest {
-    /// Comes back in the answer.
+    /// Identifies the request in the answer.
     pub id: u64,
     /// The team.
     pub team: Team,
-    /// Units that a request waits for.
+    /// Tokens that a request waits for.
     pub required: f64,
-    /// Units beyond that for the requests that are likely to follow.
+    /// Additional tokens for requests that are likely to follow.
     pub prefetch: f64,
 }
 
 /// Answers a [`LoanRequest`].
 #[data(float)]
 pub struct LoanGrant {
-    /// The loan.
+    /// Identifier of the request.
     pub id: u64,
-    /// Units that may be admitted: none, or all that is needed and more.
+    /// Granted tokens: zero, or at least the required ones.
     pub units: f64,
-    /// Without any: how long the bucket stays empty.
+    /// How long the bucket will remain empty, if nothing was granted.
     pub empty_for: Duration,
 }
 
-/// Gives back units that were lent and not used.
+/// Returns tokens that were granted and not used.
 #[data(float)]
 pub struct Refund {
     /// The team.
     pub team: Team,
-    /// The units.
+    /// The tokens.
     pub units: f64,
 }
 
-/// Keeps the bucket of each team.
+/// Keeps the token bucket of each team.
 #[derive(Debug, Default)]
 pub struct TeamBuckets {
     buckets: BTreeMap<Team, TokenBucket>,
@@ -73,12 +77,14 @@
 }
 
 impl TeamBuckets {
-    /// Starts; `all_restarted` tells whether all entries have just started.
+    /// Creates buckets that fill on first use; `all_restarted` tells whether all entries have just
+    /// started.
     pub fn new(all_restarted: bool) -> Self {
         Self { all_restarted, ..Self::default() }
     }
 
-    /// Lets time pass; `free` is the part of the limits that no silent entry may be spending.
+    /// Refills the buckets up to `now`; `available_share` is the fraction of the limits that no
+    /// silent entry may be spending.
     pub fn refill(&mut self, now: Duration, route_table: &RouteTable, available_share: f64) {
         let initial_fill =
             if self.all_restarted { INITIAL_FILL_AFTER_RESTART } else { INITIAL_FILL };
@@ -97,9 +103,10 @@
         }
     }
 
-    /// Lends what a request needs, unless the bucket is empty.
+    /// Grants the tokens that a request needs, unless the bucket is empty.
     ///
-    /// A request may be larger than what is left; larger than the whole bucket, it would else never be admitted.
+    /// A request may take more than the remaining tokens and leave the bucket negative. Otherwise a
+    /// request larger than the whole bucket could never be admitted.
     pub fn grant(&mut self, request: &LoanRequest) -> LoanGrant {
         let LoanRequest { id, required, prefetch, .. } = *request;
         let grant = |units| LoanGrant { id, units, empty_for: Duration::ZERO };
@@ -117,7 +124,7 @@
         grant(units)
     }
 
-    /// Takes back what was lent and not used.
+    /// Returns unused tokens to the bucket.
     pub fn refund(&mut self, refund: &Refund) {
         if let Some(bucket) = self.buckets.get_mut(&refund.team) {
             bucket.tokens = (bucket.tokens + refund.units).min(bucket.quota.burst.max(1.0));
@@ -134,7 +141,7 @@
     }
 }
 
-/// Tells whether a quota limits anything.
+/// Returns whether a quota limits anything.
 fn is_limiting(quota: &Quota) -> bool {
     quota.rate > 0.0
 }
--- a/crates/verbenaslip-fleet/src/transition.rs
+++ b/crates/verbenaslip-fleet/src/transition.rs
@@ -1,33 +1,33 @@
-//! What an instance has come to believe of upstreams, for its log.
+//! Status changes of upstreams in an instance's view, for the event log.
 
 use verbenaslip_base::name::Upstream;
 
 use crate::registry::Status;
 
-/// Changes that are listed by name, also for whoever never asks for them. A zone's upstreams that go
-/// together are more than that.
+/// Maximum number of changes that are listed individually, so that memory remains bounded if nobody
+/// takes them. The upstreams of a whole zone that leave together exceed it.
 const MAX_LISTED: usize = 32;
 
-/// Says how an upstream stands in an instance's view.
+/// Describes the new status of an upstream in an instance's view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transition {
     /// The upstream.
     pub upstream: Upstream,
-    /// How it stands; none for one that has gone.
+    /// Its status, or `None` if it was removed.
     pub standing: Option<Status>,
 }
 
-/// Lists upstreams of which an instance believes something else than before.
+/// Lists the upstreams whose status has changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Transitions {
-    /// How they stand now.
+    /// The new statuses.
     pub changed: Vec<Transition>,
-    /// How many more there are.
+    /// Number of further changes that are not listed.
     pub unlisted: usize,
 }
 
 impl Transitions {
-    /// Takes how an upstream stood and stands.
+    /// Records the previous and current status of an upstream, if they differ.
     pub(crate) fn record(
         &mut self,
         upstream: &Upstream,
