--- a/crates/verbenaslip-fleet/src/view.rs
+++ b/crates/verbenaslip-fleet/src/view.rs
@@ -1,4 +1,4 @@
-//! What an instance knows of the fleet.
+//! An instance's view of the fleet.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,43 +15,43 @@
 use crate::rollout::Plans;
 use crate::route_table::RouteTable;
 
-/// Orders what leaders say: a higher term first, then a later change.
+/// Orders the states that leaders publish: by term, then by change.
 #[data(copy, ord, default, hash)]
 pub struct Version {
-    /// The term of the leader.
+    /// Term of the leader.
     pub term: u64,
-    /// The number of its last change.
+    /// Number of its last change.
     pub change: u64,
 }
 
-/// Holds what an instance knows.
+/// Holds what an instance knows about the fleet.
 #[derive(Clone, Debug)]
 pub struct View {
-    /// How new the list of upstreams is.
+    /// Version of the list of upstreams.
     pub version: Version,
-    /// The route table in force here.
+    /// Route table in force at this instance.
     pub routes: Option<Arc<Index>>,
-    /// The upstreams.
+    /// Known upstreams.
     pub upstreams: Arc<BTreeMap<Upstream, Record>>,
-    /// The requests that are suspected or held back.
+    /// Suspected and quarantined requests.
     pub blocklist: Arc<Blocklist>,
     /// Which versions of services get requests.
     pub rollout_plans: Arc<Plans>,
-    /// The limits that upstreams name.
+    /// Rate limits requested by upstreams.
     pub limits: Arc<Limits>,
-    /// Which requests under such a limit this instance may send; none as long as that is not known.
+    /// Time slot of this instance under such limits, or `None` while unknown.
     pub time_slot: Option<TimeSlot>,
-    /// Where this instance is reached by others.
+    /// Address at which other instances reach this one.
     pub own_address: Option<SocketAddr>,
-    /// Where the cores are reached.
+    /// Addresses of the cores.
     pub cores: Vec<SocketAddr>,
-    /// When the last report was sent whose answer says that the plans here are the newest.
+    /// When the last heartbeat was sent whose answer confirmed that `rollout_plans` are the newest.
     pub plans_confirmed_at: Option<Duration>,
-    /// How many entries there are.
+    /// Number of entries.
     pub entry_count: u32,
     /// When the leader was last heard.
     pub leader_heard_at: Option<Duration>,
-    /// The agreed time of day less the steady clock, in milliseconds.
+    /// Offset of the agreed time of day from the local steady clock, in milliseconds.
     pub time_offset_ms: i64,
 }
 
@@ -76,20 +76,20 @@
 }
 
 impl View {
-    /// Returns what is known of a run; none where its upstream is not known, or as another run.
+    /// Returns the record of a run, or `None` if the upstream is unknown or known with another run.
     pub fn record(&self, run: &Run) -> Option<&Record> {
         self.upstreams.get(&run.upstream).filter(|record| record.announcement.run == *run)
     }
 
-    /// Returns the revision of the route table; zero without one.
+    /// Returns the revision of the route table, or zero without one.
     pub fn revision(&self) -> u64 {
         self.routes.as_ref().map_or(0, |routes| routes.route_table().revision)
     }
 
-    /// Takes a route table if it is newer than the one in force.
+    /// Adopts a route table if it is newer than the one in force; returns whether it did.
     ///
-    /// An older one never comes back in the life of a process: callers that have seen the effect of
-    /// a revision would see it undone.
+    /// An older one is never adopted during the life of a process: callers that have seen the
+    /// effect of a revision would see it undone.
     pub fn update_route_table(&mut self, route_table: &Arc<RouteTable>) -> bool {
         let is_newer = self.routes.is_none() || route_table.revision > self.revision();
         if is_newer {
