--- a/crates/verbenaslip-fleet/tests/cluster.rs
+++ b/crates/verbenaslip-fleet/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! Cores and entries stepped by hand through losses, cuts and lost disks.
+//! Step-by-step tests of cores and entries through restarts, network partitions and lost disks.
 
 mod net;
 
@@ -51,8 +51,8 @@
 
 #[test]
 fn an_acknowledged_table_survives_a_power_loss_of_all_cores() {
-    // Symptom: an acknowledged table is gone. Sequence: every core loses power the moment one of
-    // them has acknowledged it. Cause: an acknowledgement before a quorum has synced it.
+    // Guards against acknowledging a route table before a quorum has synced it: the table would be
+    // lost if every core loses power right after the acknowledgement.
     let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
     assert!(net.call(0, adopt_table(4)).is_some());
@@ -63,9 +63,9 @@
 
 #[test]
 fn an_acknowledged_table_survives_lost_disks_while_all_others_lose_power() {
-    // Symptom: an acknowledged table is gone, or none is read back. Sequence: a table is acknowledged; as many
-    // cores as may be lost at once come back with empty disks, and at the same moment every other core and every
-    // entry loses power. Cause: an acknowledgement that only those disks hold.
+    // Guards against acknowledging a route table that only the lost disks hold. As many cores as
+    // may be lost at once come back with empty disks, while all other cores and all entries lose
+    // power.
     for (cores, voters, lost_disks) in [(3, 3, 1), (6, 5, 2)] {
         for first in 0..cores {
             let mut net = Network::with_voters(cores, 4, voters);
@@ -107,9 +107,8 @@
 
 #[test]
 fn a_lost_disk_is_replaced_and_a_second_loss_is_tolerated() {
-    // Symptom: nothing is acknowledged any more, or something acknowledged is gone. Sequence: a
-    // core's disk is lost and the core comes back empty; once it has caught up, another's is lost.
-    // Cause: the empty folder counted as the old voter, or not counted at all.
+    // Guards against counting an empty data directory as the old voter, or not replacing it at all:
+    // the loss of a second disk would then stop acknowledgements or lose an acknowledged table.
     let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
     net.call(0, adopt_table(4));
@@ -119,7 +118,7 @@
         assert_eq!(
             net.call(0, Request::ReadRouteTable),
             Some(document(4)),
-            "after losing disk {core}"
+            "after core {core} lost its disk"
         );
     }
     net.stop(0);
@@ -135,7 +134,7 @@
     net.stop(2);
     let new = net.add_core();
     net.run(SECOND * 12);
-    // Without the replacement this would leave one voter of three.
+    // Without the replacement, one of three voters would be left.
     net.stop(1);
     net.run(SECOND * 4);
     assert_eq!(net.call(new, adopt_table(8)), Some(Response::RouteTableAdopted { revision: 8 }));
@@ -143,8 +142,8 @@
 
 #[test]
 fn cores_with_empty_disks_never_form_a_second_log() {
-    // Symptom: an older table, or none, is read as the newest. Sequence: two of three cores lose
-    // their disks while the third is down. Cause: the empty ones found a log of their own.
+    // Guards against cores with empty disks that form a log of their own, with an older table or
+    // none: two of three cores lose their disks while the third is down.
     let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
     net.call(0, adopt_table(4));
@@ -158,9 +157,8 @@
 
 #[test]
 fn a_disconnected_leader_answers_no_read() {
-    // Symptom: a read gives an older table than the newest acknowledged. Sequence: the leader is cut
-    // off, another one is elected and takes a table, the old one is asked. Cause: a leader that
-    // trusts its memory instead of its lease.
+    // Guards against a leader that serves reads from memory without a lease: it is cut off, another
+    // leader accepts a table, and the old one would return the older table.
     let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
     net.call(0, adopt_table(4));
@@ -177,9 +175,9 @@
 
 #[test]
 fn a_resumed_leader_checks_its_lease_before_it_answers() {
-    // Symptom: a read gives an older table than the newest acknowledged. Sequence: the leader's machine stands
-    // still for seconds; another core is elected and takes a table; the old leader wakes, and the first thing
-    // that it reads is a call. Cause: the call is answered before the end of the lease is noticed.
+    // Guards against a call that is answered before the end of the lease is noticed: the leader is
+    // paused for seconds, another leader accepts a table, and the first input of the old leader is
+    // a read.
     let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
     net.call(0, adopt_table(4));
@@ -212,9 +210,8 @@
 
 #[test]
 fn a_departure_is_acknowledged_when_every_reachable_entry_knows_it() {
-    // Symptom: a request reaches an upstream long after its leaving was acknowledged. Sequence: an
-    // upstream says that it drains; the core acknowledges; an entry has not heard of it. Cause: an
-    // acknowledgement that waits for nobody.
+    // Guards against acknowledging a departure before all reachable entries know it, so that a
+    // request reaches the upstream much later.
     let mut net = Network::new(3, 4);
     net.run(SECOND * 4);
     net.call(0, adopt_table(4));
@@ -227,14 +224,14 @@
         let mut records = view.upstreams.values();
         records.all(|record| record.status != verbenaslip_fleet::registry::Status::Ready)
     };
-    assert!(net.entries().all(knows), "acknowledged before all knew");
+    assert!(net.entries().all(knows), "acknowledged before all entries knew the departure");
 }
 
 #[test]
 fn entries_find_a_new_leader_before_it_acknowledges_a_departure() {
-    // Symptom: a request reaches an upstream 2.7 s after its leaving was acknowledged. Sequence: all
-    // cores restart, a new leader is elected, an upstream leaves, some entries still ask the other
-    // cores one after the other. Cause: a leader that takes those who found it for all there are.
+    // Guards against a new leader that takes the entries that have found it for all entries. After
+    // a restart of all cores, entries that asked the cores one after another sent requests to an
+    // upstream 2.7 s after its departure was acknowledged.
     let mut net = Network::new(5, 12);
     net.run(SECOND * 5);
     net.call(0, adopt_table(4));
@@ -257,8 +254,8 @@
 
 #[test]
 fn the_agreed_time_is_the_median_of_all_clocks() {
-    // Symptom: usage is counted into a wrong window. Sequence: the clocks of two machines jump by
-    // hours, that of the leader among them. Cause: windows cut by the leader's own clock.
+    // Guards against usage windows that follow the leader's own clock: the clocks of two machines,
+    // the leader's among them, jump by hours.
     let mut net = Network::new(3, 4);
     net.run(SECOND * 4);
     net.call(0, adopt_table(4));
@@ -267,17 +264,21 @@
     net.run(SECOND * 2);
     let true_ms = net.true_unix_ms();
     for view in net.entries() {
-        let agreed_ms = i64::try_from(net.now().as_millis()).expect("small") + view.time_offset_ms;
-        assert!((agreed_ms - true_ms).abs() < 100, "{agreed_ms} for {true_ms}");
+        let agreed_ms =
+            i64::try_from(net.now().as_millis()).expect("time fits in i64") + view.time_offset_ms;
+        assert!(
+            (agreed_ms - true_ms).abs() < 100,
+            "agreed time is {agreed_ms}, true time is {true_ms}"
+        );
     }
 }
 
 #[test]
 fn a_lost_disk_is_replaced_even_during_an_election() {
-    // Symptom: nothing is served after a power loss, and nothing can be read. Sequence: a core comes
-    // back with an empty disk just as another one is elected; 20 s later the next disk is lost.
-    // Cause: the new leader heard of the empty folder before its lease began and dropped the update, so
-    // two of three voters had lost their disks.
+    // Guards against a lost disk that is not replaced: a core comes back with an empty disk just as
+    // a new leader is elected, and 20 s later the next disk is lost. The new leader must not miss
+    // the empty data directory because it heard of it before its lease began, since then two of
+    // three voters would have lost their disks.
     for offset in (0..1_500).step_by(50) {
         let mut net = Network::new(3, 1);
         net.run(SECOND * 4);
@@ -293,17 +294,17 @@
         assert_eq!(
             net.call(leader, Request::ReadRouteTable),
             Some(document(4)),
-            "offset {offset} ms"
+            "disk wiped {offset} ms after the restart"
         );
     }
 }
 
 #[test]
 fn a_leader_is_found_although_no_seed_knows_one() {
-    // Symptom: after a power loss of all nothing is served any more, though a majority of the voters is
-    // well. Sequence: a seed is away and replaced as a voter; later all lose power, and the two other seeds
-    // their disks. Entries and emptied cores ask the seeds, and none of them knows the leader. Cause: the
-    // leader's messages to the emptied voters, and what the replaced one knows of the others, unused.
+    // Guards against instances that find no leader although most voters are available. One seed was
+    // replaced as a voter while it was cut off, and the two other seeds lose their disks in a power
+    // loss of all cores. The leader's log messages to the emptied voters, and the cores that the
+    // replaced seed knows, lead to the leader.
     let mut net = Network::with_voters(6, 2, 5);
     net.run(Duration::from_secs(4));
     assert!(matches!(
@@ -319,14 +320,14 @@
     (0..2).for_each(|entry| net.restart_entry(entry));
     net.run(Duration::from_secs(8));
     assert_eq!(net.leaders().len(), 1);
-    assert!(net.entries().all(|view| view.revision() == 5), "entries have the routes again");
+    assert!(net.entries().all(|view| view.revision() == 5), "an entry lacks the route table");
     for core in 0..6 {
         let response = net.call(core, Request::ReadRouteTable);
         assert!(matches!(response, Some(Response::Document(_))), "core {core}: {response:?}");
     }
 }
 
-/// What strikes the leader during an upstream's leaving.
+/// Fault of the leader during an upstream's departure.
 #[derive(Clone, Copy, Debug)]
 enum LeaderFault {
     Pause,
@@ -342,7 +343,7 @@
     }
 }
 
-/// Tells whether any entry would send work to an upstream.
+/// Returns whether any entry would send requests to an upstream.
 fn is_used(net: &Network, name: &str) -> bool {
     let is_usable = |view: &verbenaslip_fleet::View| {
         let record = view.upstreams.get(name);
@@ -351,7 +352,7 @@
     net.entries().any(is_usable)
 }
 
-/// Tells whether every entry sends work to an upstream.
+/// Returns whether every entry would send requests to an upstream.
 fn is_ready_everywhere(net: &Network, name: &str) -> bool {
     let is_ready = |view: &verbenaslip_fleet::View| {
         let record = view.upstreams.get(name);
@@ -362,14 +363,11 @@
 
 #[test]
 fn an_acknowledged_departure_survives_the_loss_of_the_leader_at_every_step() {
-    // Symptom: requests reach an upstream 3.1 to 3.3 s after its leaving was acknowledged, from entries of
-    // several zones. Sequence: it says to one core that it goes; the leader tells all and the core
-    // acknowledges; the leader is lost within 0.2 s; another core is elected, and takes an announcement of
-    // the same run that was held up. Cause: a follower forgot upstreams that had gone, so the new leader took
-    // the run for a new one. Evidence: of the upstreams that left together only those came back that had
-    // withdrawn without draining first, which followers kept; the new leader logged them as ready two
-    // seconds after the old one had logged that they go. Leaders that remember departures log the same
-    // announcements, for the same upstreams, as late.
+    // Guards against a follower that forgets departures: the leader is lost within 0.2 s after a
+    // departure was acknowledged, and the new leader takes a delayed announcement of the same run
+    // for a new one. Entries of several zones then sent requests to the upstream 3.1 to 3.3 s after
+    // the acknowledgement. Upstreams that had drained first were not affected, since followers kept
+    // their status.
     for (fault_at_ms, fault) in [LeaderFault::Pause, LeaderFault::Disconnect, LeaderFault::Stop]
         .into_iter()
         .flat_map(|fault| (0..60).step_by(3).map(move |ticks| (ticks * 5, fault)))
@@ -386,7 +384,7 @@
             net.run(Duration::from_millis(fault_at_ms));
             apply_fault(&mut net, leader, fault);
             let mut acknowledged = net.take_response(call) == Some(Response::Acknowledged);
-            // Its sender asks again until it is acknowledged, as an upstream does.
+            // Like an upstream, the sender repeats its call until it is acknowledged.
             for _ in 0..6 {
                 net.run(SECOND / 2);
                 acknowledged =
@@ -413,9 +411,8 @@
 
 #[test]
 fn a_departure_survives_a_power_loss_of_all_cores() {
-    // Symptom: requests reach an upstream that has gone. Sequence: its leaving is acknowledged, all cores
-    // lose power, and the first announcement that the new leader gets was held up since before. Cause:
-    // departures that only memory holds.
+    // Guards against departures that only memory holds: all cores lose power after the
+    // acknowledgement, and the first announcement at the new leader is a delayed one.
     let mut net = Network::new(3, 2);
     net.run(SECOND * 4);
     net.call(0, adopt_table(4));
@@ -431,9 +428,9 @@
 
 #[test]
 fn a_departure_under_an_unknown_service_ends_no_upstream() {
-    // Symptom: an upstream that serves gets no work after the next election. Sequence: another writer says
-    // under its name, and a service that no route table knows, that it goes. Cause: a word that the
-    // registry passed over, noted in the log all the same.
+    // Guards against committing a departure that the registry ignored: another sender announces the
+    // departure of a serving upstream under a service that no route table contains, and the
+    // upstream would get no requests after the next election.
     let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
@@ -451,10 +448,10 @@
 
 #[test]
 fn the_departure_of_an_unlisted_upstream_is_stored() {
-    // Symptom: requests reach an upstream that was acknowledged to go. Sequence: an upstream has the address of
-    // one that crashed a moment ago, and a service that no route table knows yet, so it is not listed; it says
-    // that it drains, and that is acknowledged; when the one before is forgotten, a held-up "ready" of it comes.
-    // Cause: an acknowledgement of what nobody holds.
+    // Guards against acknowledging a departure that nobody stores. An upstream with the address of
+    // a recently crashed one and an unknown service is not listed, and its departure is
+    // acknowledged. When the crashed upstream is forgotten, a delayed ready announcement must not
+    // list it.
     let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
@@ -469,9 +466,8 @@
 
 #[test]
 fn a_repeated_departure_is_acknowledged_only_when_all_know_it() {
-    // Symptom: a request reaches an upstream long after its leaving was acknowledged. Sequence: an entry
-    // does not answer for a moment; the upstream, without an answer yet, says again that it goes, at the
-    // same leader. Cause: a word that changes nothing any more acknowledged at once.
+    // Guards against acknowledging a repeated departure at once because it changes nothing, while
+    // an entry that was reachable a moment ago does not know it.
     let mut net = Network::new(3, 2);
     net.run(SECOND * 4);
     net.call(0, adopt_table(4));
@@ -486,7 +482,7 @@
     assert_eq!(
         net.take_response(second),
         None,
-        "one entry that answered a moment ago does not know it"
+        "acknowledged although a recently reachable entry does not know it"
     );
     net.run(SECOND);
     assert_eq!(net.take_response(second), Some(Response::Acknowledged));
@@ -494,9 +490,8 @@
 
 #[test]
 fn all_instances_agree_on_a_run_in_any_order_of_announcements() {
-    // Symptom: an upstream that was restarted under its name gets no work at some entries, or its earlier
-    // run does. Sequence: words of the two runs reach the cores in another order than they were said, and
-    // leaders change in between. Cause: "leaving" and "gone" kept by name.
+    // Guards against status that is kept by upstream name instead of by run: after a restart under
+    // the same name, announcements of both runs arrive in any order while leaders change.
     let announce = |incarnation, sequence, draining| {
         let it = announcement("u", sequence, draining);
         let it = verbenaslip_fleet::registry::Announcement { run: run("u", incarnation), ..it };
@@ -511,7 +506,7 @@
         announce(20, 1, false),
         announce(20, 2, false),
     ];
-    // Every order of the five words.
+    // Plays every order of the five announcements.
     for order in 0..120_usize {
         let mut remaining: Vec<usize> = (0..announcements.len()).collect();
         let mut permutation = order;
@@ -531,7 +526,7 @@
         net.call((order + 1) % 3, announce(20, 3, false));
         net.run(SECOND / 2);
         for view in net.entries() {
-            let record = view.upstreams.get("u").expect("the second run serves");
+            let record = view.upstreams.get("u").expect("the second run is listed");
             assert_eq!(record.announcement.run, run("u", 20), "order {order}");
             let ready = verbenaslip_fleet::registry::Status::Ready;
             assert_eq!(record.status, ready, "order {order}");
@@ -541,9 +536,8 @@
 
 #[test]
 fn entries_get_the_routes_from_a_new_leader_at_once_after_a_power_loss() {
-    // Symptom: callers wait, and some are refused, for 0.2 s after there is a leader again. Sequence: all
-    // lose power; entries ask the cores five times a second who leads; the answer changes just after they
-    // have asked. Cause: a new leader that waits until it is asked again.
+    // Guards against a new leader that waits until entries ask again, which takes 0.2 s at five
+    // attempts a second; callers wait meanwhile and some are refused.
     let mut net = Network::new(3, 6);
     net.run(SECOND * 4);
     net.call(0, adopt_table(4));
@@ -558,9 +552,9 @@
 
 #[test]
 fn a_new_leader_knows_the_upstreams_after_a_power_loss_of_all() {
-    // Symptom: half of the callers that waited for a power loss to end are timed out. Sequence: all lose
-    // power; the first upstreams to announce themselves get the requests of all who waited. Cause: a
-    // leader that knows only who has announced itself since.
+    // Guards against a leader that knows only the upstreams that have announced themselves since a
+    // power loss of all instances: the first of them would receive the requests of all waiting
+    // callers, and half of these would time out.
     let mut net = Network::new(3, 2);
     net.run(SECOND * 4);
     net.call(0, adopt_table(4));
@@ -586,9 +580,9 @@
 
 #[test]
 fn a_new_leader_omits_runs_whose_address_was_reused() {
-    // Symptom: 190 requests are turned away in the seconds after a power loss. Sequence: an upstream crashes
-    // and starts again at its address under another name; later all lose power. Cause: the log held both,
-    // and what is meant for the first is refused by the second.
+    // Guards against a log that holds two runs with the same address: an upstream crashes and
+    // restarts at its address under another name, and after a power loss the new run refused 190
+    // requests that were meant for the old one.
     let mut net = Network::new(3, 1);
     net.run(SECOND * 4);
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
@@ -607,9 +601,8 @@
 
 #[test]
 fn a_crashed_upstream_is_forgotten_at_entries() {
-    // Symptom: entries try upstreams that crashed long ago, and hold more of them every day. Sequence: an
-    // upstream crashes; the leader counts it as silent, and forgets it a minute later. Cause: what is
-    // forgotten at the leader is told to nobody.
+    // Guards against a leader that forgets a crashed upstream after a minute without telling the
+    // entries, which would keep it and try it forever.
     let mut net = Network::new(3, 2);
     net.run(SECOND * 4);
     net.call(0, adopt_table(4));
@@ -620,9 +613,9 @@
 
 #[test]
 fn a_long_disconnected_upstream_serves_again_under_every_leader() {
-    // Symptom: a healthy upstream gets no work for minutes after an election. Sequence: it is cut off for
-    // longer than silent upstreams are remembered, comes back and serves; another core is elected. Cause: its
-    // being forgotten kept in the log as if it had said that it goes, which nothing undoes.
+    // Guards against recording a forgotten upstream in the log as departed, which nothing can undo:
+    // an upstream that was cut off for longer than silent ones are remembered would get no requests
+    // for minutes after the next election.
     let mut net = Network::new(3, 2);
     net.run(SECOND * 4);
     net.call(0, adopt_table(4));
@@ -657,7 +650,8 @@
 
 #[test]
 fn an_edit_after_the_leader_was_lost_waits_only_until_all_entries_have_reported() {
-    // Guards against a new leader that lets everybody wait for as long as entries may take, though all are there.
+    // Guards against a new leader that delays calls for the full gathering time although all
+    // entries have reported.
     let mut net = Network::with_voters(5, 25, 5);
     net.run(Duration::from_secs(5));
     assert!(net.call(0, adopt_table(4)).is_some());
@@ -670,5 +664,8 @@
     assert_eq!(net.call(leader, adopt_table(6)), Some(Response::RouteTableAdopted { revision: 6 }));
     let waited = net.now() - elected_at;
     assert!(waited <= Duration::from_millis(300), "{waited:?}");
-    assert!(net.entries().all(|view| view.revision() == 6), "it is in force everywhere");
+    assert!(
+        net.entries().all(|view| view.revision() == 6),
+        "acknowledged before it was in force at all entries"
+    );
 }
--- a/crates/verbenaslip-fleet/tests/disk.rs
+++ b/crates/verbenaslip-fleet/tests/disk.rs
@@ -1,4 +1,4 @@
-//! Disks that answer nothing while edits are taken and upstreams go.
+//! Stalled disks during edits and departures.
 
 mod net;
 
@@ -9,7 +9,7 @@
 use verbenaslip_fleet::registry::Status;
 
 const SECOND: Duration = Duration::from_secs(1);
-/// By then a caller has an answer, sure or not: it turns to another core.
+/// A caller has its answer by then, definite or not; later it turns to another core.
 const ANSWER_TIMEOUT: Duration = SECOND;
 
 fn fleet() -> (Network, usize) {
@@ -31,16 +31,19 @@
 
 #[test]
 fn one_stalled_disk_delays_neither_edits_nor_departures() {
-    // Symptom: an upstream that goes keeps getting work, and a caller near its deadline waits there. Sequence: a
-    // disk stalls, that of the leader or of another core; an upstream says that it goes, to any core. Cause: an
-    // acknowledgement that waits for the leader's own disk, or for all of them.
+    // Guards against an acknowledgement that waits for the leader's own disk, or for all disks,
+    // while one of them stalls: the departing upstream would keep getting requests, and callers
+    // would wait.
     for (stalled, asked) in (0..3).flat_map(|stalled| (0..3).map(move |asked| (stalled, asked))) {
         let (mut net, leader) = fleet();
         net.stall_disk((leader + stalled) % 3);
         let began = net.now();
         assert_eq!(net.call((leader + asked) % 3, withdraw("u")), Some(Response::Acknowledged));
         assert!(net.now() - began <= ANSWER_TIMEOUT, "{stalled} {asked}: {:?}", net.now() - began);
-        assert!(!is_used(&net), "{stalled} {asked}: acknowledged before all knew");
+        assert!(
+            !is_used(&net),
+            "{stalled} {asked}: acknowledged before all entries knew the departure"
+        );
         let edit = Request::AdoptRouteTable(Box::new(route_table_with_service(6)));
         let response = net.call((leader + asked) % 3, edit);
         assert_eq!(
@@ -53,9 +56,8 @@
 
 #[test]
 fn with_most_disks_stalled_calls_are_unavailable() {
-    // Symptom: a leaving is acknowledged, all lose power, and requests reach the upstream again. Sequence: two of
-    // three disks stall; an upstream says that it goes; the leader tells all and answers. Cause: an
-    // acknowledgement of what no log holds.
+    // Guards against acknowledging a departure that no log holds: two of three disks stall, and
+    // after a power loss requests would reach the upstream again.
     for stalled in [[0, 1], [1, 2]] {
         let (mut net, leader) = fleet();
         let stalled = stalled.map(|core| (leader + core) % 3);
@@ -67,7 +69,7 @@
             assert_eq!(net.call(leader, request), Some(Response::Unavailable), "{stalled:?}");
             assert!(net.now() - began <= ANSWER_TIMEOUT, "{stalled:?}: {:?}", net.now() - began);
         }
-        // What entries know of it does no harm, and a read needs no disk.
+        // Entries may already know the departure, and a read needs no disk.
         assert!(!is_used(&net));
         assert_eq!(
             net.call(leader, Request::ReadRouteTable),
@@ -78,7 +80,7 @@
         assert_eq!(
             net.call(leader, withdraw("u")),
             Some(Response::Acknowledged),
-            "once they answer again"
+            "must be acknowledged once the disks work again"
         );
     }
 }
--- a/crates/verbenaslip-fleet/tests/entry.rs
+++ b/crates/verbenaslip-fleet/tests/entry.rs
@@ -1,4 +1,4 @@
-//! What an entry does with updates that come late.
+//! Handling of delayed updates by an entry.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,11 +13,11 @@
 
 const LEADER: ([u8; 4], u16) = ([10, 1, 0, 1], 7_000);
 
-/// The time of day at the start of the steady clock, in Unix milliseconds.
+/// Time of day at the start of the steady clock, in Unix milliseconds.
 const EPOCH: u64 = 1_800_000_000_000;
 
 fn unix(now: Duration) -> u64 {
-    EPOCH + u64::try_from(now.as_millis()).expect("small")
+    EPOCH + u64::try_from(now.as_millis()).expect("time fits in u64")
 }
 
 fn entry() -> Entry {
@@ -31,11 +31,11 @@
     Entry::new(local_peer, vec![SocketAddr::from(LEADER)], SECOND, unix(SECOND))
 }
 
-/// Has an entry report at a time; returns the leader's answer, written at once.
+/// Makes an entry send a heartbeat at `now`; returns the answer that the leader writes at once.
 fn heartbeat_answer(entry: &mut Entry, now: Duration) -> Frame {
     let envelope =
-        entry.next_heartbeat(now, unix(now), Report::default()).expect("a report is due");
-    let Frame::Heartbeat(heartbeat) = envelope.frame else { panic!("a report is a heartbeat") };
+        entry.next_heartbeat(now, unix(now), Report::default()).expect("a heartbeat is due");
+    let Frame::Heartbeat(heartbeat) = envelope.frame else { panic!("expected a heartbeat") };
     let status = FleetStatus {
         cores: Vec::new(),
         parent_cores: Vec::new(),
@@ -47,15 +47,14 @@
         time_slot: None,
         list_entries: false,
     };
-    let Frame::Update(update) = empty_update() else { panic!("an update") };
+    let Frame::Update(update) = empty_update() else { panic!("expected an update") };
     Frame::Update(Box::new(Update { fleet_status: Some(status), unix_ms: unix(now), ..*update }))
 }
 
 #[test]
 fn a_delayed_answer_does_not_set_the_clock_back() {
-    // Symptom: requests are counted into the wrong window of usage. Sequence: an entry reports and its machine
-    // stands still for 3 s; it wakes and reads the leader's answer, with the time of day of 3 s before. Cause:
-    // the time told by a message taken for the time at which it is read.
+    // Guards against a delayed answer that sets the clock back: an entry sends a heartbeat, its
+    // process is paused for 3 s, and it then reads the answer with the time of day from 3 s before.
     let mut entry = entry();
     let prompt = heartbeat_answer(&mut entry, SECOND);
     entry.handle_frame(SECOND, prompt);
@@ -66,25 +65,25 @@
 
 #[test]
 fn changes_relative_to_the_previous_leader_require_exactly_that_version() {
-    // Guards against an entry that keeps an upstream which the new leader has never heard of.
+    // Guards against an entry that keeps an upstream which the new leader does not know.
     let mut entry = entry();
-    let told = |term, change, base: Option<(u64, u64)>| {
+    let update_frame = |term, change, base: Option<(u64, u64)>| {
         let base = base.map(|(term, change)| Version { term, change });
         let version = Version { term, change };
-        let Frame::Update(update) = empty_update() else { panic!("an update") };
+        let Frame::Update(update) = empty_update() else { panic!("expected an update") };
         Frame::Update(Box::new(Update { version, base, ..*update }))
     };
-    entry.handle_frame(SECOND, told(1, 100, None));
-    entry.handle_frame(SECOND, told(1, 103, Some((1, 100))));
-    entry.handle_frame(SECOND, told(2, 104, Some((1, 100))));
+    entry.handle_frame(SECOND, update_frame(1, 100, None));
+    entry.handle_frame(SECOND, update_frame(1, 103, Some((1, 100))));
+    entry.handle_frame(SECOND, update_frame(2, 104, Some((1, 100))));
     assert_eq!(entry.view().version, Version { term: 1, change: 103 });
-    entry.handle_frame(SECOND, told(2, 105, Some((1, 103))));
+    entry.handle_frame(SECOND, update_frame(2, 105, Some((1, 103))));
     assert_eq!(entry.view().version, Version { term: 2, change: 105 });
-    entry.handle_frame(SECOND, told(2, 107, Some((2, 104))));
+    entry.handle_frame(SECOND, update_frame(2, 107, Some((2, 104))));
     assert_eq!(entry.view().version, Version { term: 2, change: 107 });
 }
 
-/// Makes a leader's update that tells nothing.
+/// Creates a leader's update without content.
 fn empty_update() -> Frame {
     Frame::Update(Box::new(Update {
         from: LEADER.into(),
@@ -105,22 +104,31 @@
 
 #[test]
 fn an_answer_before_the_plans_confirms_none() {
-    // Guards against a request to a version that was rolled back, just after a standstill or from a new leader.
+    // Guards against requests to a version that was rolled back, after a pause of the process or
+    // with a new leader.
     let mut entry = entry();
     let first = heartbeat_answer(&mut entry, SECOND);
     entry.handle_frame(SECOND, first);
     assert_eq!(entry.view().plans_confirmed_at, Some(SECOND));
     let mut answered = |now: Duration, term, plans| {
         let Frame::Update(mut update) = heartbeat_answer(&mut entry, now) else {
-            panic!("an update")
+            panic!("expected an update")
         };
         update.version = Version { term, change: 1 };
         update.base = Some(update.version);
-        update.fleet_status.as_mut().expect("an answer").plans_change = plans;
+        update.fleet_status.as_mut().expect("the update answers a heartbeat").plans_change = plans;
         entry.handle_frame(now, Frame::Update(update));
         entry.view().plans_confirmed_at
     };
-    assert_eq!(answered(SECOND * 2, 3, 2), Some(SECOND), "the same leader has newer ones");
-    assert_eq!(answered(SECOND * 3, 4, 0), Some(SECOND), "a new leader's are not here yet");
+    assert_eq!(
+        answered(SECOND * 2, 3, 2),
+        Some(SECOND),
+        "confirmed although the same leader has newer plans"
+    );
+    assert_eq!(
+        answered(SECOND * 3, 4, 0),
+        Some(SECOND),
+        "confirmed before the new leader's plans arrived"
+    );
     assert_eq!(answered(SECOND * 4, 3, 1), Some(SECOND * 4));
 }
--- a/crates/verbenaslip-fleet/tests/history.rs
+++ b/crates/verbenaslip-fleet/tests/history.rs
@@ -1,4 +1,4 @@
-//! What instances know of upstreams once leaders have followed each other while upstreams come and go.
+//! Views of upstreams after several changes of the leader while upstreams come and go.
 
 mod net;
 
@@ -14,17 +14,17 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const CORES: usize = 5;
-/// More than a dozen, so that updates go by way of other cores.
+/// More than 12, so that updates go through parent cores.
 const ENTRIES: usize = 16;
 const STEPS: usize = 14;
-/// Seeds that CI plays; others are played by hand: `HISTORY_SEEDS=0..400`.
+/// Seeds that CI runs; run others with `HISTORY_SEEDS=0..400`.
 const SEEDS: Range<u64> = 0..12;
 
-/// Plays upstreams that announce themselves, and go with or without a word.
+/// Simulates upstreams that announce themselves, and that depart or crash.
 struct World {
     net: Network,
     random: Pcg64,
-    /// The last announcement of each upstream that is there.
+    /// Last announcement sequence of each running upstream.
     running: BTreeMap<usize, u64>,
     last_upstream: usize,
 }
@@ -38,7 +38,8 @@
     fn announce_at(&mut self, upstream: usize, draining: bool, core: usize) {
         let sequence = self.running.get(&upstream).map_or(1, |it| it + 1);
         self.running.insert(upstream, sequence);
-        let [high, low] = u16::try_from(upstream).expect("few").to_be_bytes();
+        let [high, low] =
+            u16::try_from(upstream).expect("upstream index fits in u16").to_be_bytes();
         let named = announcement(&name(upstream), sequence, draining);
         let moved = Announcement { address: ([10, 9, high, low], 80).into(), ..named };
         self.net.start_call(core, Request::Announce(Box::new(moved)));
@@ -49,7 +50,7 @@
         running.into_iter().for_each(|upstream| self.announce(upstream, false));
     }
 
-    /// Has some upstreams come and some go.
+    /// Starts some upstreams and ends others.
     fn change_upstreams(&mut self) {
         for _ in 0..self.random.random_range(0..4) {
             self.last_upstream += 1;
@@ -64,14 +65,14 @@
                     let core = self.random.random_range(0..CORES);
                     self.net.start_call(core, withdrawal);
                 }
-                // It ends without a word.
+                // The upstream crashes without an announcement.
                 1 => drop(self.running.remove(&upstream)),
                 _ => {}
             }
         }
     }
 
-    /// Has upstreams come of which entries hear, and no core but the leader does.
+    /// Adds upstreams that the leader and entries know, but no other core.
     fn add_upstreams_unknown_to_cores(&mut self, leader: usize) {
         self.net.drop_updates(true);
         for _ in 0..3 {
@@ -82,7 +83,7 @@
         self.net.drop_updates(false);
     }
 
-    /// Has the leader, another core or an entry be lost for a while.
+    /// Causes a temporary fault of the leader, another core or entries.
     fn cause_fault(&mut self) {
         let leaders = self.net.leaders();
         let leader = leaders.first().copied().unwrap_or(0);
@@ -108,7 +109,7 @@
                 self.net.reconnect_entry(entry);
             }
             5 => self.net.restart_entry(entries[0]),
-            // Some entries lack the last changes of a leader that is lost.
+            // Some entries lack the last changes of the lost leader.
             6 | 7 => {
                 entries.iter().for_each(|entry| self.net.disconnect_entry(*entry));
                 self.run(SECOND);
@@ -116,7 +117,7 @@
                 self.run(SECOND);
                 entries.iter().for_each(|entry| self.net.reconnect_entry(*entry));
             }
-            // So do all cores but that one, which entries hear.
+            // All cores except the lost leader lack its last changes, which entries have.
             _ => {
                 self.add_upstreams_unknown_to_cores(leader);
                 self.net.stop(leader);
@@ -142,7 +143,8 @@
 
 #[test]
 fn all_entries_know_the_same_upstreams_after_leader_changes() {
-    // Guards against an upstream that some entries keep, or never learn of, as leaders tell what has changed alone.
+    // Guards against an upstream that some entries keep or never learn of, since leaders send only
+    // changes.
     let seeds = std::env::var("HISTORY_SEEDS").ok();
     let bounds = seeds.as_deref().and_then(|text| text.split_once(".."));
     let parse = |text: &str| text.parse::<u64>().expect("a number");
@@ -159,7 +161,7 @@
             world.run(SECOND);
             world.cause_fault();
         }
-        // What has ended without a word is lost after a minute of silence.
+        // A crashed upstream counts as lost after a minute of silence.
         for _ in 0..56 {
             world.announce_all();
             world.net.run(Duration::from_millis(1_200));
@@ -169,9 +171,13 @@
             let ready = view.upstreams.values().filter(|it| it.status == Status::Ready);
             let ready: BTreeSet<String> =
                 ready.map(|it| it.announcement.run.upstream.as_str().to_owned()).collect();
-            assert_eq!(ready, running, "seed {seed}, entry {entry}: those that are ready");
+            assert_eq!(ready, running, "seed {seed}, entry {entry}: ready upstreams");
             let known = view.upstreams.len();
-            assert_eq!(known, running.len(), "seed {seed}, entry {entry}: all that are known");
+            assert_eq!(
+                known,
+                running.len(),
+                "seed {seed}, entry {entry}: number of known upstreams"
+            );
         }
     }
 }
--- a/crates/verbenaslip-fleet/tests/hub.rs
+++ b/crates/verbenaslip-fleet/tests/hub.rs
@@ -1,4 +1,4 @@
-//! What the leader tells all others, and how often it is made.
+//! Building of updates and loan grants in the hub.
 
 mod net;
 
@@ -56,9 +56,9 @@
 
 #[test]
 fn instances_that_lack_the_same_changes_share_one_update() {
-    // Symptom: with hundreds of entries, reports go unanswered and routes come into force seconds late
-    // while upstreams start. Sequence: dozens of upstreams a second announce themselves; each push is
-    // made and written for each entry. Cause: the same update made as often as there are entries.
+    // Guards against building and encoding the same update once per entry: with hundreds of entries
+    // and dozens of new upstreams a second, heartbeats remained unanswered and routes came into
+    // force seconds late.
     let now = Duration::from_secs(1);
     let (mut hub, mut registry) = (Hub::default(), Registry::new(Duration::from_millis(1_200)));
     registry.announce(now, announcement(1), true);
@@ -66,7 +66,7 @@
     let hosts = 1..=200;
     let all: Vec<SocketAddr> = hosts.clone().map(address).collect();
     for host in hosts {
-        // One has nothing yet; the others have the first upstream.
+        // One instance has no upstreams yet; the others have the first one.
         hub.handle_heartbeat(
             now,
             TERM,
@@ -93,13 +93,18 @@
     let pushes = hub.push_updates(now, &all, &source);
     let sizes: Vec<(usize, usize)> =
         pushes.iter().map(|push| (push.to.len(), push.update.records.len())).collect();
-    assert_eq!(sizes, [(1, 2), (199, 1)], "all upstreams to one, the new one to the others");
+    assert_eq!(
+        sizes,
+        [(1, 2), (199, 1)],
+        "expected all upstreams for one instance and the new one for the others"
+    );
     assert!(hub.lagging_subscribers(now, registry.last_change(), 0).is_empty());
 }
 
 #[test]
 fn loans_are_granted_from_the_first_request_after_a_power_loss() {
-    // Guards against buckets that are opened with the first sweep of a new leader, and begin half empty.
+    // Guards against buckets that are created only in the first maintenance pass of a new leader,
+    // or start half empty.
     let now = Duration::from_secs(9);
     let team = TeamConfig {
         name: "red".into(),
@@ -117,5 +122,5 @@
     let loan = |id| LoanRequest { id, team: "red".into(), required: 100.0, prefetch: 0.0 };
     let requests: Vec<LoanRequest> = (1..=9).map(loan).collect();
     let granted: Vec<f64> = hub.grant_loans(&requests).iter().map(|it| it.units).collect();
-    assert_eq!(granted, [100.0; 9], "the whole bucket, from the first request on");
+    assert_eq!(granted, [100.0; 9], "the whole bucket must be available from the first request on");
 }
--- a/crates/verbenaslip-fleet/tests/leaving.rs
+++ b/crates/verbenaslip-fleet/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Upstreams that say that they go in an answer to an entry, and to no core.
+//! Upstreams that announce their departure only in an answer to an entry.
 
 mod net;
 
@@ -12,7 +12,7 @@
 
 const ENTRIES: usize = 12;
 
-/// Starts five cores, with one upstream that every entry knows.
+/// Starts five cores and one upstream that every entry knows.
 fn fleet() -> Network {
     let mut net = Network::with_voters(5, ENTRIES, 5);
     net.run(SECOND * 5);
@@ -29,14 +29,15 @@
     net.run(SECOND);
 }
 
-/// Returns how each entry takes the upstream to stand.
+/// Returns the status of the upstream at each entry.
 fn statuses(net: &Network) -> Vec<Option<Status>> {
     net.entries().map(|view| view.upstreams.get("u").map(|it| it.status)).collect()
 }
 
 #[test]
 fn a_departure_observed_by_one_entry_reaches_all_and_is_final() {
-    // Guards against an upstream that is taken for ready by all entries but the one that it has answered.
+    // Guards against an upstream that all entries consider ready except the one that received the
+    // answer.
     let mut net = fleet();
     net.observe_departure(3, run("u", 0));
     net.run(SECOND);
@@ -60,7 +61,7 @@
 
 #[test]
 fn the_departure_of_an_earlier_run_does_not_end_a_later_one() {
-    // Guards against a delayed answer by which the run that follows under the same name is lost.
+    // Guards against a delayed answer that ends the next run under the same name.
     let mut net = fleet();
     let mut next_run = announcement("u", 1, false);
     next_run.run = run("u", 7);
--- a/crates/verbenaslip-fleet/tests/levels.rs
+++ b/crates/verbenaslip-fleet/tests/levels.rs
@@ -1,4 +1,4 @@
-//! Entries that report to cores near them: what that costs, and what holds while cores are lost.
+//! Entries that report to parent cores: traffic, and behavior while cores are lost.
 
 mod net;
 
@@ -16,7 +16,7 @@
 const CORES: usize = 9;
 const LOSSES: usize = 2;
 
-/// A window of usage that is shorter than any customer's, so that many of them end in a play.
+/// Usage window shorter than in production, so that many of them end during a test.
 const TIMING: order::Timing = order::Timing {
     window_length: Duration::from_secs(2),
     count_timeout: Duration::from_secs(6),
@@ -35,7 +35,7 @@
     net
 }
 
-/// Returns the bytes of the leader and of the busiest other core, a second.
+/// Returns the bytes per second of the leader and of the busiest other core.
 fn bytes_per_second(net: &mut Network, mut act: impl FnMut(&mut Network)) -> (usize, usize) {
     net.count_traffic();
     let begin = net.now();
@@ -51,19 +51,19 @@
 
 #[test]
 fn idle_traffic_of_the_leader_does_not_depend_on_the_entry_count() {
-    // Guards against a leader that has no time left for the log in a fleet of a thousand entries.
+    // Guards against a leader without time for the log in a fleet of a thousand entries.
     let [small, large] = [250, 1_000].map(|entries| {
         let (leader, busiest) = bytes_per_second(&mut fleet(entries), |_| {});
-        println!("{entries} entries: {leader} bytes a second at the leader, {busiest} at a core");
-        assert!(busiest <= 300_000, "{busiest} bytes at a core of {entries} entries");
+        println!("{entries} entries: {leader} bytes/s at the leader, {busiest} at a core");
+        assert!(busiest <= 300_000, "{busiest} bytes/s at a core of {entries} entries");
         leader
     });
-    assert!(large * 10 <= small * 11, "{large} bytes at 1,000 entries, {small} at 250");
+    assert!(large * 10 <= small * 11, "{large} bytes/s with 1,000 entries, {small} with 250");
 }
 
 #[test]
 fn request_traffic_of_the_leader_does_not_depend_on_the_entry_count() {
-    // Guards against counts of usage that are told again with every report.
+    // Guards against usage counts that every heartbeat repeats.
     let [small, large] = [250, 1_000].map(|entries| {
         let mut net = fleet(entries);
         let mut rng = Pcg64::seed_from_u64(5);
@@ -73,16 +73,16 @@
                 net.begin_request(rng.random_range(0..entries), &team);
             }
         });
-        println!("{entries} entries, 1,000 requests a second: {leader} bytes a second, {busiest}");
-        assert!(leader <= 1_000_000, "{leader} bytes at the leader of {entries} entries");
+        println!("{entries} entries, 1,000 requests/s: {leader} bytes/s, {busiest} at a core");
+        assert!(leader <= 1_000_000, "{leader} bytes/s at the leader of {entries} entries");
         leader
     });
-    assert!(large * 10 <= small * 11, "{large} bytes at 1,000 entries, {small} at 250");
+    assert!(large * 10 <= small * 11, "{large} bytes/s with 1,000 entries, {small} with 250");
 }
 
 #[test]
 fn an_acknowledged_edit_and_departure_are_known_to_a_thousand_entries() {
-    // Guards against acknowledgements that come before the last of two steps on the way to an entry.
+    // Guards against acknowledgements that do not wait for the second of two hops to an entry.
     let mut net = fleet(1_000);
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
     net.run(SECOND);
@@ -90,18 +90,19 @@
     assert_eq!(net.call(1, withdraw("u")), Some(Response::Acknowledged));
     let took = net.now() - began;
     assert!(net.entries().all(|view| !view.upstreams.contains_key("u")));
-    assert!(took <= SECOND / 2, "a leaving took {took:?}");
+    assert!(took <= SECOND / 2, "the departure took {took:?}");
     let began = net.now();
     let response = net.call(2, Request::AdoptRouteTable(Box::new(route_table_with_service(2))));
     assert_eq!(response, Some(Response::RouteTableAdopted { revision: 2 }));
     let took = net.now() - began;
     assert!(net.entries().all(|view| view.revision() == 2));
-    assert!(took <= SECOND, "an edit took {took:?}");
+    assert!(took <= SECOND, "the edit took {took:?}");
 }
 
 #[test]
 fn an_edit_after_a_core_was_killed_is_acknowledged_when_all_entries_have_it() {
-    // Guards against a leader that waits for the entries of a lost core longer than they take to find another.
+    // Guards against a leader that waits for the entries of a lost core longer than they need to
+    // find another parent core.
     for is_leader in [false, true] {
         let mut net = fleet(200);
         let leader = net.leaders()[0];
@@ -116,15 +117,18 @@
             assert!(net.now() - began <= SECOND * 5, "not acknowledged after 5 s");
         }
         let took = net.now() - began;
-        println!("a core killed, leader: {is_leader}: {took:?}");
-        assert!(is_leader || took <= SECOND, "a follower was killed: {took:?}");
-        assert!(net.entries().all(|view| view.revision() == 2), "it is in force everywhere");
+        println!("core killed, is leader: {is_leader}, acknowledged after {took:?}");
+        assert!(is_leader || took <= SECOND, "acknowledged {took:?} after a follower was killed");
+        assert!(
+            net.entries().all(|view| view.revision() == 2),
+            "acknowledged before it was in force at all entries"
+        );
     }
 }
 
 #[test]
 fn every_request_is_counted_once_while_entries_change_parent_cores() {
-    // Guards against counts that are lost or doubled on their way by two cores.
+    // Guards against counts that are lost or counted twice on their way through two cores.
     for seed in 0..6 {
         let mut net = fleet(60);
         let mut rng = Pcg64::seed_from_u64(seed);
@@ -165,10 +169,10 @@
         let first = expected.keys().next().copied().unwrap_or_default();
         for (window, requests) in expected {
             let counted = closed.get(&window).copied().unwrap_or_default();
-            // The first window has begun before the play.
+            // The first window began before the simulation.
             assert!(
                 window == first || counted == requests,
-                "seed {seed}: {counted} of {requests} in {window}"
+                "seed {seed}: counted {counted} of {requests} requests in window {window}"
             );
         }
     }
@@ -176,7 +180,8 @@
 
 #[test]
 fn a_limit_observed_by_one_entry_reaches_the_entries_of_all_cores() {
-    // Guards against sightings that a core keeps to itself, and turns that two entries take at once.
+    // Guards against a parent core that does not forward observed limits, and against time slots
+    // that two entries share.
     let mut net = fleet(60);
     net.call(0, Request::Announce(Box::new(announcement("u", 1, false))));
     net.run(SECOND);
@@ -189,12 +194,13 @@
         .collect();
     slots.sort_unstable();
     let all: Vec<(u32, u32)> = (0..60).map(|index| (index, 60)).collect();
-    assert_eq!(slots, all, "each entry has a turn of its own");
+    assert_eq!(slots, all, "each entry must have its own time slot");
 }
 
 #[test]
 fn entries_return_to_a_restarted_core() {
-    // Guards against a core that has the entries of two for ever, once the other one was lost.
+    // Guards against a parent core that keeps the entries of a lost core after that core has
+    // returned.
     let mut net = fleet(200);
     let leader = net.leaders()[0];
     let core = (leader + 1) % CORES;
--- a/crates/verbenaslip-fleet/tests/limit.rs
+++ b/crates/verbenaslip-fleet/tests/limit.rs
@@ -1,4 +1,4 @@
-//! How entries share the limits that upstreams name, while instances are lost.
+//! Sharing of upstreams' rate limits between entries while instances are lost.
 
 mod net;
 
@@ -14,7 +14,7 @@
 
 const ENTRIES: usize = 12;
 
-/// Starts five cores, with one upstream that every entry knows.
+/// Starts five cores and one upstream that every entry knows.
 fn fleet() -> Network {
     let mut net = Network::with_voters(5, ENTRIES, 5);
     net.run(SECOND * 5);
@@ -30,30 +30,35 @@
     assert_eq!(net.call(core, Request::Announce(announcement)), Some(Response::Acknowledged));
 }
 
-/// Returns the limit that each entry knows.
+/// Returns the rate limit that each entry knows.
 fn rates(net: &Network) -> Vec<Option<f64>> {
     net.entries().map(|view| view.limits.get(&run("u", 0)).and_then(|it| it.rate)).collect()
 }
 
 #[test]
 fn an_observed_limit_reaches_all_entries_and_each_has_its_own_time_slot() {
-    // Guards against a limit that only those keep to whom the upstream has answered.
+    // Guards against a limit that only the entries with an answer of the upstream observe.
     let mut net = fleet();
     net.observe_limit(3, run("u", 0), Some(2.0));
     net.run(SECOND);
     assert_eq!(rates(&net), [Some(2.0); ENTRIES]);
-    let count = u32::try_from(ENTRIES).expect("few");
+    let count = u32::try_from(ENTRIES).expect("entry count fits in u32");
     let slots: Vec<TimeSlot> = net.entries().filter_map(|view| view.time_slot).collect();
     assert!(slots.iter().all(|slot| slot.count == count), "{slots:?}");
     let indexes: BTreeSet<u32> = slots.iter().map(|slot| slot.index).collect();
     assert_eq!(indexes, (0..count).collect::<BTreeSet<_>>());
     let is_limit_change = |(_, event): &(usize, Event)| matches!(event, Event::LimitChanged(_));
-    assert_eq!(net.take_events().iter().filter(|it| is_limit_change(it)).count(), 1, "logged once");
+    assert_eq!(
+        net.take_events().iter().filter(|it| is_limit_change(it)).count(),
+        1,
+        "the change must be emitted once"
+    );
 }
 
 #[test]
 fn a_limit_survives_the_loss_of_the_leader_and_its_end_reaches_all() {
-    // Guards against entries that go on at full rate, or for ever at a low one, once the leader is lost.
+    // Guards against entries that return to the full rate, or keep the low one forever, once the
+    // leader is lost.
     let mut net = fleet();
     net.observe_limit(3, run("u", 0), Some(2.0));
     net.run(SECOND);
@@ -65,13 +70,13 @@
     net.observe_limit(7, run("u", 0), None);
     net.run(SECOND);
     assert_eq!(rates(&net), [None; ENTRIES]);
-    // The entry that had named the limit knows better by now.
+    // The entry that had observed the limit has learned of its end.
     assert_eq!(net.entry(3).limits.get(&run("u", 0)).map(|it| it.rate), Some(None));
 }
 
 #[test]
 fn entries_report_limits_again_to_restarted_cores() {
-    // Guards against a limit that is forgotten by all when the cores start again.
+    // Guards against a limit that is forgotten when all cores restart.
     let mut net = fleet();
     net.observe_limit(3, run("u", 0), Some(2.0));
     net.run(SECOND);
@@ -86,7 +91,8 @@
 
 #[test]
 fn similar_rates_are_not_published_and_ended_runs_are_forgotten() {
-    // Guards against an update to all entries with every answer, and against limits that pile up.
+    // Guards against an update to all entries after each answer, and against limits that
+    // accumulate.
     let mut net = fleet();
     net.observe_limit(3, run("u", 0), Some(2.0));
     net.run(SECOND);
@@ -109,12 +115,12 @@
 
 #[test]
 fn the_newest_limit_wins_in_any_order() {
-    // Guards against a late report that brings back a limit which has ended.
+    // Guards against a delayed report that restores a limit which has ended.
     let limit = |rate, reported_at_ms| Limit { rate, reported_at_ms };
     let ended = limit(None, 20);
     assert!(limit(Some(1.0), 10).supersedes(None));
     assert!(!limit(Some(1.0), 10).supersedes(Some(&ended)));
-    assert!(!ended.supersedes(None), "nothing has ended that was not known");
+    assert!(!ended.supersedes(None), "an unknown limit can't end");
     assert!(limit(Some(1.0), 30).supersedes(Some(&ended)));
     assert!(!limit(Some(1.05), 30).supersedes(Some(&limit(Some(1.0), 20))));
 }
--- a/crates/verbenaslip-fleet/tests/net/mod.rs
+++ b/crates/verbenaslip-fleet/tests/net/mod.rs
@@ -1,6 +1,6 @@
-//! A network of cores and entries in virtual time, with disks that can be lost.
+//! Simulated network of cores and entries in virtual time, with disks that can fail.
 
-#![allow(dead_code)] // Each test file uses its own part.
+#![allow(dead_code)] // Each test target uses a different part of this module.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -25,9 +25,9 @@
 use verbenaslip_replica::voter::{Identity, Voter};
 
 const TICK: Duration = Duration::from_millis(5);
-/// The true time of day at the start, in Unix milliseconds.
+/// True time of day at the start, in Unix milliseconds.
 const EPOCH: u64 = 1_800_000_000_000;
-/// Ticks that a frame travels.
+/// Travel time of a frame, in ticks.
 const FRAME_DELAY_TICKS: u64 = 1;
 /// How long a call may take.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
@@ -37,7 +37,7 @@
     RouteTableRevision { table, document: format!("table {revision}").into_bytes().into() }
 }
 
-/// Makes a table that knows the service of [`announcement`].
+/// Creates a route table with the service of [`announcement`].
 pub fn route_table_with_service(revision: u64) -> RouteTableRevision {
     let service = Service {
         name: "pool".into(),
@@ -74,10 +74,10 @@
     Request::Withdraw { upstream: Upstream::from(name), incarnation: None }
 }
 
-/// Counts requests by window and team.
+/// Request counts by window and team.
 type Counts = BTreeMap<(u64, Team), u64>;
 
-/// Holds one core: the process, if it runs, and the disk.
+/// Holds one core: its process, if it runs, and its disk.
 struct Machine {
     core: Option<Core>,
     disk: Recovered,
@@ -94,33 +94,33 @@
     entries: Vec<Entry>,
     frames_in_transit: VecDeque<(u64, SocketAddr, Frame)>,
     disconnected: BTreeSet<SocketAddr>,
-    /// Cores that stand still; what is sent to them waits.
+    /// Paused cores; frames sent to them are held.
     paused_cores: BTreeSet<SocketAddr>,
-    /// Entries that send and get nothing.
+    /// Entries that receive no frames; their own frames are still delivered.
     unreachable_entries: BTreeSet<SocketAddr>,
-    /// Whether updates to cores are lost.
+    /// Whether updates to cores are dropped.
     drops_updates: bool,
-    /// Cores whose disks answer nothing.
+    /// Cores whose disks do not complete writes.
     stalled_disks: BTreeSet<usize>,
     replies: BTreeMap<u64, Response>,
     last_call: u64,
     last_identity: u128,
     voters: usize,
-    /// The limits that each entry has learnt by itself.
+    /// Rate limits that each entry has observed itself.
     observed_limits: BTreeMap<usize, Limits>,
-    /// Upstreams that have said to an entry that they go.
+    /// Runs that have announced their departure in an answer to an entry.
     observed_departures: BTreeMap<usize, Vec<Run>>,
-    /// What cores told for the log.
+    /// Events emitted by the cores.
     events: Vec<(usize, Event)>,
-    /// The windows of usage that the leader closes; none are counted without.
+    /// Timing of usage windows at the leader; without it, no windows are closed.
     order_timing: Option<order::Timing>,
     /// Requests that began at each entry, by window and team.
     counts: BTreeMap<usize, Counts>,
-    /// What each core has sent and got, while that is counted.
+    /// Traffic of each core, while it is counted.
     traffic: Option<BTreeMap<SocketAddr, Traffic>>,
 }
 
-/// Counts the frames that a core sends and gets, and their bytes.
+/// Counts the frames that a core sends and receives, and their bytes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
     pub sent: usize,
@@ -137,22 +137,22 @@
 }
 
 fn address(network: u8, index: usize) -> SocketAddr {
-    let [high, low] = u16::try_from(index).expect("few").to_be_bytes();
+    let [high, low] = u16::try_from(index).expect("index fits in u16").to_be_bytes();
     ([10, network, high, low], 7_000).into()
 }
 
 impl Network {
-    /// Starts all for the first time; the first three cores are the seeds.
+    /// Starts all instances for the first time; the first three cores are the seeds.
     pub fn new(cores: usize, entries: usize) -> Self {
         Self::with_voters(cores, entries, 3)
     }
 
-    /// Starts all for the first time, with so many voters as soon as there are cores for them.
+    /// Starts all instances for the first time, with `voters` voters once there are enough cores.
     pub fn with_voters(cores: usize, entries: usize, voters: usize) -> Self {
         Self::with_usage(cores, entries, voters, None)
     }
 
-    /// The same, with a leader that closes windows of usage.
+    /// Starts all instances for the first time, with a leader that closes usage windows.
     pub fn with_usage(
         cores: usize,
         entries: usize,
@@ -191,7 +191,7 @@
         network
     }
 
-    /// Adds a core at a new address, with an empty disk, and returns its index.
+    /// Adds a core at a new address with an empty disk; returns its index.
     pub fn add_core(&mut self) -> usize {
         self.start_new_core(false)
     }
@@ -243,14 +243,14 @@
         self.cores[core].core = None;
     }
 
-    /// Takes power from a core and gives it back: only what was synced is there.
+    /// Simulates a power loss and restart of a core: only synced data remains.
     pub fn restart(&mut self, core: usize) {
         self.stop(core);
         self.resume(core);
         self.start_core(core, false);
     }
 
-    /// Takes a core's disk and starts it with an empty one.
+    /// Replaces a core's disk with an empty one and restarts the core.
     pub fn restart_with_empty_disk(&mut self, core: usize) {
         self.stop(core);
         self.resume(core);
@@ -262,7 +262,7 @@
         self.disconnected.insert(core_address(core));
     }
 
-    /// Lets a core stand still, as a machine that is suspended: its clock goes on.
+    /// Pauses a core's process, as a suspended machine would; its clock continues.
     pub fn pause(&mut self, core: usize) {
         self.paused_cores.insert(core_address(core));
     }
@@ -271,17 +271,17 @@
         self.paused_cores.remove(&core_address(core));
     }
 
-    /// Has cores get none of the leader's updates, or all of them again.
+    /// Starts or stops dropping the leader's updates to cores.
     pub fn drop_updates(&mut self, drop: bool) {
         self.drops_updates = drop;
     }
 
-    /// Has a core's disk answer nothing; its process goes on.
+    /// Stalls a core's disk; its process continues.
     pub fn stall_disk(&mut self, core: usize) {
         self.stalled_disks.insert(core);
     }
 
-    /// Has a core's disk answer again.
+    /// Lets a core's disk complete writes again.
     pub fn resume_disk(&mut self, core: usize) {
         self.stalled_disks.remove(&core);
     }
@@ -290,9 +290,9 @@
         self.disconnected.remove(&core_address(core));
     }
 
-    /// Starts an entry again, which remembers nothing.
+    /// Restarts an entry, which loses its memory.
     pub fn restart_entry(&mut self, index: usize) {
-        let incarnation = u64::try_from(self.now.as_millis()).expect("small");
+        let incarnation = u64::try_from(self.now.as_millis()).expect("time fits in u64");
         let local_peer = peer(entry_address(index), incarnation, None);
         self.entries[index] = Entry::new(local_peer, seeds(), self.now, EPOCH);
     }
@@ -301,7 +301,7 @@
         self.disconnected.insert(entry_address(entry));
     }
 
-    /// Has an entry's reports come through, and nothing reach it.
+    /// Drops all frames to an entry, while its own frames are still delivered.
     pub fn drop_frames_to_entry(&mut self, entry: usize) {
         self.unreachable_entries.insert(entry_address(entry));
     }
@@ -320,7 +320,8 @@
 
     /// Returns the true time of day in Unix milliseconds.
     pub fn true_unix_ms(&self) -> i64 {
-        i64::try_from(EPOCH + u64::try_from(self.now.as_millis()).expect("small")).expect("small")
+        i64::try_from(EPOCH + u64::try_from(self.now.as_millis()).expect("time fits in u64"))
+            .expect("time fits in i64")
     }
 
     pub fn leaders(&self) -> Vec<usize> {
@@ -336,23 +337,23 @@
         self.entries.iter().map(Entry::view)
     }
 
-    /// Has an entry learn by an answer that a run limits its requests, or does so no more.
+    /// Makes an entry observe a rate limit of a run, or its end.
     pub fn observe_limit(&mut self, entry: usize, run: Run, rate: Option<f64>) {
-        let at = u64::try_from(self.true_unix_ms()).expect("positive");
+        let at = u64::try_from(self.true_unix_ms()).expect("time is positive");
         self.observed_limits
             .entry(entry)
             .or_default()
             .insert(run, Limit { rate, reported_at_ms: at });
     }
 
-    /// Has an upstream say to an entry in an answer that it goes.
+    /// Makes a run announce its departure in an answer to an entry.
     pub fn observe_departure(&mut self, entry: usize, run: Run) {
         self.observed_departures.entry(entry).or_default().push(run);
     }
 
-    /// Has a request of a team begin at an entry; returns the window that it is counted in.
+    /// Begins a request of a team at an entry; returns the window in which it is counted.
     pub fn begin_request(&mut self, entry: usize, team: &str) -> u64 {
-        let length = self.order_timing.expect("usage is counted").window_length;
+        let length = self.order_timing.expect("usage windows are configured").window_length;
         let time_offset_ms = self.entries[entry].view().time_offset_ms;
         let unix_ms = verbenaslip_fleet::clock::unix_ms(self.now, time_offset_ms);
         let window = window_at(unix_ms, length);
@@ -380,7 +381,7 @@
         self.observed_departures.get(&entry).into_iter().flatten().filter(ready).cloned().collect()
     }
 
-    /// Lists what an entry has learnt and its leader is not known to know.
+    /// Returns the limits that an entry has observed and that its view does not contain yet.
     fn unreported_limits(&self, entry: usize) -> Vec<Observation> {
         let known = &self.entries[entry].view().limits;
         let observed = self.observed_limits.get(&entry).into_iter().flatten();
@@ -400,14 +401,14 @@
         self.replies.remove(&id)
     }
 
-    /// Calls a core without waiting for the answer; returns the name of the call.
+    /// Calls a core without waiting for the answer; returns the identifier of the call.
     pub fn start_call(&mut self, core: usize, request: Request) -> u64 {
         self.last_call += 1;
         self.step_core(core, Input::Call { id: self.last_call, request });
         self.last_call
     }
 
-    /// Takes what cores have told for the log, each with its core.
+    /// Takes the emitted events, each with the index of its core.
     pub fn take_events(&mut self) -> Vec<(usize, Event)> {
         std::mem::take(&mut self.events)
     }
@@ -416,17 +417,17 @@
         &mut self.entries[index]
     }
 
-    /// Takes the answer to a call, if it has come.
+    /// Takes the answer to a call, if it has arrived.
     pub fn take_response(&mut self, call: u64) -> Option<Response> {
         self.replies.remove(&call)
     }
 
-    /// Counts anew what each core sends and gets.
+    /// Starts to count the traffic of each core from zero.
     pub fn count_traffic(&mut self) {
         self.traffic = Some(BTreeMap::new());
     }
 
-    /// Returns what a core has sent and got since [`count_traffic`](Self::count_traffic).
+    /// Returns the traffic of a core since [`count_traffic`](Self::count_traffic).
     pub fn traffic(&self, core: usize) -> Traffic {
         let counted = self.traffic.as_ref().and_then(|it| it.get(&core_address(core)));
         counted.copied().unwrap_or_default()
@@ -434,7 +435,7 @@
 
     fn count_frame(&mut self, core: SocketAddr, frame: &Frame, sent: usize) {
         let Some(traffic) = &mut self.traffic else { return };
-        let bytes = postcard::to_stdvec(frame).expect("it encodes").len();
+        let bytes = postcard::to_stdvec(frame).expect("frames are encodable").len();
         let counted = traffic.entry(core).or_default();
         counted.sent += sent;
         counted.received += usize::from(sent == 0);
@@ -456,10 +457,13 @@
                 continue;
             }
             let skewed_ms = self.true_unix_ms() + self.cores[index].clock_skew_ms;
-            self.step_core(index, Input::WallClock(u64::try_from(skewed_ms).expect("positive")));
+            self.step_core(
+                index,
+                Input::WallClock(u64::try_from(skewed_ms).expect("time is positive")),
+            );
             self.complete_writes(index);
         }
-        let unix_ms = u64::try_from(self.true_unix_ms()).expect("positive");
+        let unix_ms = u64::try_from(self.true_unix_ms()).expect("time is positive");
         for index in 0..self.entries.len() {
             let departing = self.unreported_departures(index);
             let (limits, counts) = (self.unreported_limits(index), self.usage_counts(index));
@@ -549,7 +553,7 @@
         }
     }
 
-    /// Syncs what waits for the disk; it takes one tick.
+    /// Completes the writes that wait for the disk; a write takes one tick.
     fn complete_writes(&mut self, index: usize) {
         if self.stalled_disks.contains(&index) {
             return;
--- a/crates/verbenaslip-fleet/tests/notes.rs
+++ b/crates/verbenaslip-fleet/tests/notes.rs
@@ -1,4 +1,4 @@
-//! What the logs say of an upstream's leaving, by which its way can be followed afterwards.
+//! Events with which an upstream's departure can be traced.
 
 mod net;
 
@@ -12,7 +12,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Starts a fleet that knows an upstream.
+/// Starts a fleet that knows one upstream.
 fn fleet() -> Network {
     let mut net = Network::new(3, 2);
     net.run(SECOND * 4);
@@ -32,9 +32,9 @@
         Event::DepartureAcknowledged { departure, acks, .. } => Some((departure.clone(), *acks)),
         _ => None,
     });
-    let (departure, acks) = found.expect("a line about it");
+    let (departure, acks) = found.expect("an event about the departure");
     assert_eq!((departure.run, departure.status), (run("u", 0), Status::Gone));
-    // Two entries and two followers.
+    // The subscribers are two entries and two followers.
     assert_eq!((acks.acknowledged, acks.reachable, acks.silent), (4, 4, 0));
 }
 
@@ -45,7 +45,7 @@
     let old = net.leaders()[0];
     net.disconnect_core(old);
     net.run(SECOND * 3);
-    let new = *net.leaders().iter().find(|core| **core != old).expect("another one leads");
+    let new = *net.leaders().iter().find(|core| **core != old).expect("another core leads");
     net.call(new, Request::Announce(Box::new(announcement("u", 9, false))));
     let events = net.take_events();
     let has_started = events.iter().any(|(core, event)| {
@@ -57,7 +57,7 @@
         Event::StaleAnnouncement(stale) if *core == new => Some(stale.clone()),
         _ => None,
     });
-    let stale = stale.expect("a line about it");
+    let stale = stale.expect("an event about the stale announcement");
     assert_eq!((stale.run, stale.sequence), (run("u", 0), 9));
     assert!(matches!(stale.departed, Some((Status::Gone, age)) if age > SECOND));
 }
--- a/crates/verbenaslip-fleet/tests/random.rs
+++ b/crates/verbenaslip-fleet/tests/random.rs
@@ -1,7 +1,7 @@
-//! Cores under random faults from fixed seeds, never more disks lost at once than are tolerated, while
-//! upstreams come and leave and their words are held up on the way.
+//! Random faults of cores from fixed seeds, with at most the tolerated number of lost disks, while
+//! upstreams come and go and their announcements are delayed.
 //!
-//! CI plays a few seeds; many more are played by hand:
+//! CI runs a few seeds; run more with:
 //!
 //!     RANDOM_SEEDS=0..2000 cargo test --release -p verbenaslip-fleet --test random
 
@@ -17,20 +17,22 @@
 use verbenaslip_fleet::registry::{Announcement, Run, Status};
 
 const STEPS: usize = 40;
-/// How long an upstream still serves after its leaving was acknowledged.
+/// How long an upstream still serves after its departure was acknowledged.
 const SERVING_TIME: Duration = Duration::from_secs(2);
-/// Upstreams that come and leave.
+/// Number of upstreams that come and go.
 const UPSTREAMS: usize = 4;
-/// A core counts as lost for this long after it was back. A disk is lost only while fewer cores are lost
-/// than may be at once; all may lose power at any moment.
+/// How long a core still counts as lost after it has returned. A disk is lost only while fewer
+/// cores count as lost than are tolerated; all cores may lose power at any time.
 const RECOVERY_TIME: Duration = Duration::from_secs(6);
 
-/// Seeds that failed once, each with its cause.
+/// Seeds that once found a fault, each with its cause.
 const REGRESSIONS: [u64; 6] = [
-    // All seeds of six cores knew no leader: two were emptied, one had been replaced while it was cut off.
+    // No seed core of six cores knew a leader: two had lost their disks, and one had been replaced
+    // as a voter while cut off.
     435,
-    // A run went of which the leader knew only an earlier one, and told the end of that.
-    1_144, // An announcement was held up for longer than departures were remembered.
+    // A run departed while the leader knew only an earlier run, and the leader published the end of
+    // that one.
+    1_144, // An announcement was delayed for longer than departures were remembered.
     2_016, 2_424, 2_517, 2_567,
 ];
 
@@ -49,15 +51,15 @@
     assert!(failures.is_empty(), "{failures:#?}");
 }
 
-/// Says how many cores there are, and how many may be lost at once.
+/// Describes the number of cores, the tolerated losses and the kinds of faults.
 #[derive(Clone, Copy, Debug)]
 struct Shape {
     cores: usize,
     losses: usize,
-    /// Whether cores stand still as well, upstreams drain before they go, each run has a name of its own, and the
-    /// route table knows their service.
+    /// Whether cores are also paused, upstreams drain before they depart, each run has its own
+    /// name, and the route table contains their service.
     with_pauses: bool,
-    /// More than a dozen get their updates by way of other cores.
+    /// Number of entries; with more than 12, updates go through parent cores.
     entries: usize,
 }
 
@@ -72,41 +74,43 @@
     shape: Shape,
     net: Network,
     rng: Pcg64,
-    cut: Option<usize>,
-    /// Decides who stands still, apart from all else, so that other shapes play as they ever did.
+    /// The core that is cut off from the network.
+    disconnected: Option<usize>,
+    /// Generator for pauses. It is separate so that runs without pauses draw the same random
+    /// numbers.
     pause_rng: Pcg64,
-    /// The core that stands still.
+    /// The paused core.
     paused: Option<usize>,
-    /// When each core was last disturbed.
+    /// When each core last had a fault.
     last_fault: Vec<Duration>,
-    /// The cores whose lost disks have not been made up for.
+    /// Cores whose lost disks have not been replaced in the log yet.
     wiped: BTreeSet<usize>,
-    /// Since when they have had the time for it without a disturbance. No log can make up for one while
-    /// a majority is away, and one more lost then is one too many.
+    /// Start of the undisturbed time for these replacements. The log can't replace a voter while a
+    /// majority is unavailable, and another lost disk would then exceed the tolerated number.
     undisturbed_since: Duration,
     revision: u64,
     acknowledged: u64,
     upstreams: [UpstreamState; UPSTREAMS],
 }
 
-/// Holds the newest run of one upstream, as the upstream itself knows it.
+/// Holds the newest run of an upstream, as the upstream itself knows it.
 #[derive(Clone, Copy, Debug, Default)]
 struct UpstreamState {
     incarnation: u64,
     sequence: u64,
-    /// Whether it has said that it goes, as its last word.
+    /// Whether the run has announced its departure.
     departing: bool,
-    /// When that was acknowledged.
+    /// When that departure was acknowledged.
     acknowledged: Option<Duration>,
 }
 
-/// Plays one seed.
+/// Runs one seed.
 fn run_seed(seed: u64, shape: Shape) -> Result<(), String> {
     let mut world = World {
         shape,
         net: Network::with_voters(shape.cores, shape.entries, shape.losses * 2 + 1),
         rng: Pcg64::seed_from_u64(seed),
-        cut: None,
+        disconnected: None,
         pause_rng: Pcg64::seed_from_u64(!seed),
         paused: None,
         last_fault: vec![Duration::ZERO; shape.cores],
@@ -127,22 +131,25 @@
         (0..UPSTREAMS).for_each(|upstream| world.announce_or_depart(upstream));
         world.check_departures().map_err(|it| format!("seed {seed}, step {step}: {it}"))?;
         world.check_read().map_err(|it| format!("seed {seed}, step {step}: {it}"))?;
-        // One that stands still acts on nothing, and looks at its lease when it wakes.
+        // A paused core does nothing, and checks its lease when it resumes.
         let leaders = world.net.leaders();
         if leaders.iter().filter(|core| world.paused != Some(**core)).count() > 1 {
             return Err(format!("seed {seed}, step {step}: two leaders"));
         }
     }
     world.resume_core().map_err(|it| format!("seed {seed}, at the end: {it}"))?;
-    world.heal();
+    world.reconnect();
     world.net.run(Duration::from_secs(12));
     let response = world.net.call(0, Request::ReadRouteTable);
     let Some(Response::Document(document)) = &response else {
-        return Err(format!("seed {seed}: not read at the end: {response:?}"));
+        return Err(format!("seed {seed}: final read failed: {response:?}"));
     };
     let read = revision(document);
     if read < world.acknowledged {
-        return Err(format!("seed {seed}: {read} at the end, {} acknowledged", world.acknowledged));
+        return Err(format!(
+            "seed {seed}: final read returned revision {read}, {} was acknowledged",
+            world.acknowledged
+        ));
     }
     Ok(())
 }
@@ -156,26 +163,26 @@
             1 => (0..cores).for_each(|core| self.restart(core)),
             2 if self.may_lose_disk(core) => self.wipe(core),
             3 if self.lost_cores().is_empty() => {
-                // All lose power, and as many as may be lost their disks as well.
+                // All cores lose power, and the tolerated number of them also lose their disks.
                 let wiped: Vec<usize> =
                     (0..self.shape.losses).map(|next| (core + next) % cores).collect();
                 (0..cores).filter(|it| !wiped.contains(it)).for_each(|it| self.restart(it));
                 wiped.into_iter().for_each(|it| self.wipe(it));
             }
             4 => {
-                self.heal();
+                self.reconnect();
                 self.record_fault(core);
                 self.net.disconnect_core(core);
-                self.cut = Some(core);
+                self.disconnected = Some(core);
             }
-            _ => self.heal(),
+            _ => self.reconnect(),
         }
         if self.rng.random_bool(0.1) {
             self.net.restart_entry(0);
         }
     }
 
-    /// Lets a core stand still until the next step.
+    /// Pauses a random core until the next step.
     fn pause_core(&mut self) {
         if self.shape.with_pauses && self.pause_rng.random_bool(0.4) {
             let core = self.pause_rng.random_range(0..self.shape.cores);
@@ -185,7 +192,7 @@
         }
     }
 
-    /// Wakes the core that stands still; what it reads first is a call that has waited for it.
+    /// Resumes the paused core, whose first input is a call that was waiting.
     fn resume_core(&mut self) -> Result<(), String> {
         let Some(core) = self.paused.take() else { return Ok(()) };
         let before = self.acknowledged;
@@ -197,12 +204,14 @@
         };
         let read = revision(&document);
         if read < before {
-            return Err(format!("core {core} wakes and reads {read}, {before} was acknowledged"));
+            return Err(format!(
+                "resumed core {core} reads revision {read}, {before} was acknowledged"
+            ));
         }
         Ok(())
     }
 
-    /// Returns a core that may be called: this one, or the next if it stands still.
+    /// Returns a core that can be called: this one, or the next one if it is paused.
     fn running_core(&self, core: usize) -> usize {
         if self.paused == Some(core) { (core + 1) % self.shape.cores } else { core }
     }
@@ -222,34 +231,36 @@
     fn record_fault(&mut self, core: usize) {
         let now = self.net.now();
         self.last_fault[core] = now;
-        // A core that stood still, or was cut off, may have kept the others from it all the while.
+        // A paused or disconnected core may have prevented the other cores from replacing the disk
+        // all the time.
         let is_delayed = self.shape.with_pauses && !self.wiped.is_empty();
         if is_delayed || now.saturating_sub(self.undisturbed_since) <= RECOVERY_TIME {
             self.undisturbed_since = now;
         }
     }
 
-    /// Lists the cores that count as lost.
+    /// Returns the cores that count as lost.
     fn lost_cores(&mut self) -> BTreeSet<usize> {
         let now = self.net.now();
         let is_recent = |at: Duration| now.saturating_sub(at) <= RECOVERY_TIME;
-        let is_absent = self.shape.with_pauses && (self.cut.is_some() || self.paused.is_some());
+        let is_absent =
+            self.shape.with_pauses && (self.disconnected.is_some() || self.paused.is_some());
         if !is_recent(self.undisturbed_since) && !is_absent {
             self.wiped.clear();
         }
         let recently_failed = (0..self.shape.cores).filter(|it| is_recent(self.last_fault[*it]));
-        let is_absent = self.cut.into_iter().chain(self.paused);
-        recently_failed.chain(self.wiped.iter().copied()).chain(is_absent).collect()
+        let absent = self.disconnected.into_iter().chain(self.paused);
+        recently_failed.chain(self.wiped.iter().copied()).chain(absent).collect()
     }
 
     fn may_lose_disk(&mut self, core: usize) -> bool {
         let mut lost_cores = self.lost_cores();
         lost_cores.remove(&core);
-        lost_cores.len() < self.shape.losses && self.cut.is_none()
+        lost_cores.len() < self.shape.losses && self.disconnected.is_none()
     }
 
-    fn heal(&mut self) {
-        if let Some(core) = self.cut.take() {
+    fn reconnect(&mut self) {
+        if let Some(core) = self.disconnected.take() {
             self.record_fault(core);
             self.net.reconnect_core(core);
         }
@@ -266,7 +277,7 @@
         }
     }
 
-    /// Has one upstream say something, and an earlier word of it come late.
+    /// Lets one upstream announce something, and then a delayed earlier announcement arrive.
     fn announce_or_depart(&mut self, upstream: usize) {
         let core = self.rng.random_range(0..self.shape.cores);
         let core = self.running_core(core);
@@ -284,7 +295,7 @@
             self.upstreams[upstream].sequence += 1;
             self.announce(upstream, core, self.upstreams[upstream]);
         }
-        // Held up since before: what the run of before said last, as if nothing had come since.
+        // The delayed announcement is the next one of the run that was current before this step.
         let delayed = UpstreamState { sequence: before.sequence + 1, ..before };
         let other = self.running_core((core + 1) % self.shape.cores);
         self.announce(upstream, other, delayed);
@@ -302,7 +313,8 @@
     fn announcement(&self, upstream: usize, state: UpstreamState, draining: bool) -> Announcement {
         let run = self.run(upstream, state.incarnation);
         Announcement {
-            address: ([10, 9, 0, 1], u16::try_from(upstream).expect("few")).into(),
+            address: ([10, 9, 0, 1], u16::try_from(upstream).expect("upstream index fits in u16"))
+                .into(),
             ..Announcement { run, ..announcement("", state.sequence, draining) }
         }
     }
@@ -329,7 +341,7 @@
         }
     }
 
-    /// Looks for an entry that would send work to a run whose leaving was acknowledged.
+    /// Checks that no entry would send requests to a run whose departure was acknowledged.
     fn check_departures(&self) -> Result<(), String> {
         let now = self.net.now();
         for (index, state) in self.upstreams.iter().enumerate() {
@@ -344,7 +356,9 @@
                 })
             });
             if must_be_unused && used {
-                return Err(format!("u{index} is used at {now:?} after {state:?}"));
+                return Err(format!(
+                    "upstream u{index} is still used at {now:?} after its departure: {state:?}"
+                ));
             }
         }
         Ok(())
@@ -360,13 +374,13 @@
         };
         let read = revision(&document);
         if read < before {
-            return Err(format!("core {core} reads {read}, {before} was acknowledged"));
+            return Err(format!("core {core} reads revision {read}, {before} was acknowledged"));
         }
         Ok(())
     }
 }
 
 fn revision(document: &[u8]) -> u64 {
-    let text = std::str::from_utf8(document).expect("text");
+    let text = std::str::from_utf8(document).expect("the document is UTF-8");
     text.trim_start_matches("table ").parse().expect("a number")
 }
