--- a/crates/verbenaslip-fleet/src/entry.rs
+++ b/crates/verbenaslip-fleet/src/entry.rs
@@ -1,4 +1,4 @@
-//! An entry: an instance that forwards requests and holds no state of its own.
+//! State machine of an entry: an instance that forwards requests and stores nothing durably.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,106 +10,120 @@
 use crate::transition::Transitions;
 use crate::view::View;
 
-/// Keeps an entry's view of the fleet.
+/// Maintains an entry's view of the fleet.
 #[derive(Debug)]
 pub struct Entry {
     link: Link,
-    accounts: CrashReporter,
+    crash_reporter: CrashReporter,
 }
 
-/// Wants a frame sent.
+/// Holds a frame to be sent.
 #[derive(Debug)]
 pub struct Envelope {
-    /// To whom.
+    /// Receivers of the frame.
     pub to: Targets,
-    /// What it says.
+    /// The frame.
     pub frame: Frame,
 }
 
 impl Entry {
-    /// Starts without a view.
-    pub fn new(own: Peer, seeds: Vec<SocketAddr>, now: Duration, unix: u64) -> Self {
-        Self { link: Link::new(own, seeds, now, unix), accounts: CrashReporter::default() }
+    /// Creates an entry without a view; `unix_ms` is the machine's clock in Unix milliseconds.
+    pub fn new(local_peer: Peer, seeds: Vec<SocketAddr>, now: Duration, unix_ms: u64) -> Self {
+        Self {
+            link: Link::new(local_peer, seeds, now, unix_ms),
+            crash_reporter: CrashReporter::default(),
+        }
     }
 
-    /// Returns what is known of the fleet.
+    /// Returns the current view of the fleet.
     pub fn view(&self) -> &View {
         self.link.view()
     }
 
-    /// Takes what has changed of the upstreams since it was last asked for, for the log.
+    /// Takes the status changes of upstreams since the last call, for the event log.
     pub fn take_transitions(&mut self) -> Transitions {
         self.link.take_transitions()
     }
 
-    /// Returns when [`heartbeat`](Self::heartbeat) or [`account`](Self::account) is due.
+    /// Returns when [`next_heartbeat`](Self::next_heartbeat) or
+    /// [`next_crash_report`](Self::next_crash_report) is due.
     pub fn next_wakeup(&self) -> Duration {
-        let account = self.accounts.next_due().unwrap_or(Duration::MAX);
-        self.link.next_wakeup().min(account)
+        let crash_report = self.crash_reporter.next_due().unwrap_or(Duration::MAX);
+        self.link.next_wakeup().min(crash_report)
     }
 
-    /// Returns when [`heartbeat`](Self::heartbeat) is due.
+    /// Returns when [`next_heartbeat`](Self::next_heartbeat) is due.
     pub fn next_heartbeat_at(&self) -> Duration {
         self.link.next_wakeup()
     }
 
-    /// Takes under which requests upstreams ended, and answers to requests that are suspected.
+    /// Records the requests during which upstreams crashed, and the answers to suspected requests.
     pub fn record_outcomes(
         &mut self,
         now: Duration,
         crashes: Vec<ObservedCrash>,
         answers: Vec<ObservedAnswer>,
     ) {
-        self.accounts.record(now, crashes, answers);
+        self.crash_reporter.record(now, crashes, answers);
     }
 
-    /// Tells the leader of that if it is due.
+    /// Builds the next crash report for the leader, if it is due.
     pub fn next_crash_report(&mut self, now: Duration) -> Option<Envelope> {
-        self.accounts.next_due().filter(|due| now >= *due)?;
+        self.crash_reporter.next_due().filter(|due| now >= *due)?;
         let Some(leader) = self.link.leader(now) else {
-            self.accounts.postpone(now);
+            self.crash_reporter.postpone(now);
             return None;
         };
-        let account = self.accounts.next_report(now, self.link.own().address)?;
-        Some(Envelope { to: vec![leader], frame: Frame::CrashReport(Box::new(account)) })
+        let report = self.crash_reporter.next_report(now, self.link.local_peer().address)?;
+        Some(Envelope { to: vec![leader], frame: Frame::CrashReport(Box::new(report)) })
     }
 
-    /// Asks for units of teams' limits.
-    pub fn request_loans(&self, now: Duration, loans: Vec<LoanRequest>) -> Option<Envelope> {
-        let target = self.link.target(now).filter(|_| !loans.is_empty())?;
-        let from = self.link.own().address;
-        Some(Envelope { to: vec![target], frame: Frame::RequestLoans { from, requests: loans } })
+    /// Builds a request for loans on teams' rate limits; returns `None` without requests or a
+    /// reachable target.
+    pub fn request_loans(&self, now: Duration, requests: Vec<LoanRequest>) -> Option<Envelope> {
+        let target = self.link.reachable_target(now).filter(|_| !requests.is_empty())?;
+        let from = self.link.local_peer().address;
+        Some(Envelope { to: vec![target], frame: Frame::RequestLoans { from, requests } })
     }
 
-    /// Says that this entry ends.
+    /// Builds the notice that this entry stops.
     pub fn stop_notice(&self, now: Duration) -> Option<Envelope> {
-        let address = self.link.own().address;
-        Some(Envelope { to: vec![self.link.target(now)?], frame: Frame::EntryStopped { address } })
+        let address = self.link.local_peer().address;
+        Some(Envelope {
+            to: vec![self.link.reachable_target(now)?],
+            frame: Frame::EntryStopped { address },
+        })
     }
 
-    /// Takes other addresses to join through.
+    /// Replaces the seed addresses.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.link.set_seeds(seeds);
     }
 
-    /// Reports if that is due; `unix` is what this machine's clock shows.
-    pub fn next_heartbeat(&mut self, now: Duration, unix: u64, report: Report) -> Option<Envelope> {
-        let (to, heartbeat) = self.link.heartbeat(now, unix, report)?;
+    /// Builds the next heartbeat, if it is due; `unix_ms` is the machine's clock in Unix
+    /// milliseconds.
+    pub fn next_heartbeat(
+        &mut self,
+        now: Duration,
+        unix_ms: u64,
+        report: Report,
+    ) -> Option<Envelope> {
+        let (to, heartbeat) = self.link.next_heartbeat(now, unix_ms, report)?;
         Some(Envelope { to, frame: Frame::Heartbeat(Box::new(heartbeat)) })
     }
 
-    /// Takes a frame; returns what is to be sent at once.
+    /// Handles a frame; returns the frame to be sent in response, if any.
     pub fn handle_frame(&mut self, now: Duration, frame: Frame) -> Option<Envelope> {
         match frame {
             Frame::Update(update) => {
                 let from = update.from;
-                let seen =
+                let acknowledgement =
                     self.link.handle_update(now, *update).then(|| self.link.acknowledgement());
-                self.accounts.set_term(now, self.link.view().version.term);
-                Some(Envelope { to: vec![from], frame: seen? })
+                self.crash_reporter.set_term(now, self.link.view().version.term);
+                Some(Envelope { to: vec![from], frame: acknowledgement? })
             }
             Frame::CrashReportReceived { term, number } => {
-                self.accounts.confirm(term, number);
+                self.crash_reporter.confirm(term, number);
                 None
             }
             Frame::Redirect { from, leader, cores } => {
@@ -117,7 +131,7 @@
                 None
             }
             Frame::ReportTo { core } => {
-                self.link.report_to(now, core);
+                self.link.handle_report_to(now, core);
                 None
             }
             Frame::NewLeader { leader } => {
--- a/crates/verbenaslip-fleet/src/hub/subscriber.rs
+++ b/crates/verbenaslip-fleet/src/hub/subscriber.rs
@@ -1,4 +1,4 @@
-//! What the leader keeps of one instance.
+//! State of one instance that reports to a leader or core.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,109 +8,112 @@
 use crate::frame::Peer;
 use crate::hub::{Progress, SILENCE_TIMEOUT};
 
-/// What was sent and not confirmed for this long is sent again. With the time until the next report it comes before a
-/// leaving is acknowledged without that instance, after 600 ms.
-const RESEND: Duration = Duration::from_millis(300);
+/// Time after which an unacknowledged update is sent again. Together with the time until the next
+/// heartbeat it is shorter than the 600 ms after which a departure is acknowledged without the
+/// instance.
+const RESEND_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The same for a whole list: 3,000 upstreams take some 150 kB, an eighth of a second at 10 Mbit/s, and a core sends
-/// them to 60 entries at once.
-const RESEND_WHOLE: Duration = Duration::from_millis(1_500);
+/// Time after which an unacknowledged full list is sent again. A list of 3,000 upstreams takes about
+/// 150 kB, an eighth of a second at 10 Mbit/s, and a core sends it to 60 entries at once.
+const FULL_LIST_RESEND_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Keeps what one instance has and reports.
+/// Tracks what one instance has received, acknowledged and reported.
 #[derive(Debug)]
 pub(super) struct Subscriber {
     pub(super) peer: Peer,
-    pub(super) heard: Duration,
-    /// Since when it has been heard without a long silence.
-    pub(super) since: Duration,
-    /// The newest change that it has confirmed.
-    pub(super) seen: u64,
-    /// What it has, and every entry that reports to it.
-    pub(super) covered: Progress,
-    /// The newest change sent to it.
-    pub(super) sent: u64,
-    /// The term of the leader who made that change.
+    pub(super) last_heard: Duration,
+    /// Start of the current period in which the instance has been reachable.
+    pub(super) heard_since: Duration,
+    /// Newest change that the instance has acknowledged.
+    pub(super) acknowledged_change: u64,
+    /// Progress of the instance and all entries that report to it.
+    pub(super) progress: Progress,
+    /// Newest change sent to the instance.
+    pub(super) sent_change: u64,
+    /// Term of the leader that made the sent change.
     pub(super) sent_term: u64,
-    /// When the way to it was last known to work: it confirmed something, or was sent the first thing that it
-    /// has not confirmed.
-    pub(super) pushed: Duration,
-    /// Whether the whole list is on its way.
-    pub(super) whole: bool,
+    /// When delivery was last known to work: the instance acknowledged something, or the oldest
+    /// unacknowledged update was sent.
+    pub(super) delivery_confirmed_at: Duration,
+    /// Whether the full list has been sent and not acknowledged.
+    pub(super) full_list_pending: bool,
+    /// Revision of the route table that the instance has.
     pub(super) revision: u64,
-    pub(super) sheet_sent: Option<(u64, Duration)>,
-    pub(super) offset: i64,
-    pub(super) counted: u64,
-    /// Its place among the entries, or that of the first entry below it.
-    pub(super) place: Option<u32>,
-    /// How many entries it stands for: itself, or those that report to it.
-    pub(super) entries: u32,
-    /// How many places among the entries it takes.
-    pub(super) places: u32,
-    /// The entries that report to it, where it was asked for them.
-    pub(super) listed: Vec<SocketAddr>,
-    /// The number of its last report.
-    pub(super) number: u64,
-    /// The work that it had been asked for when it last reported.
-    pub(super) work: BTreeMap<Arc<str>, f64>,
+    /// Revision of the last sent route table and the time when it was sent, while it may still arrive.
+    pub(super) route_table_sent: Option<(u64, Duration)>,
+    pub(super) time_offset_ms: i64,
+    pub(super) counted_until: u64,
+    /// Time slot of the entry, or the first one of the entries below a core.
+    pub(super) slot_index: Option<u32>,
+    /// Number of entries that the instance stands for: itself, or the entries that report to it.
+    pub(super) entry_count: u32,
+    /// Number of time slots that the instance needs.
+    pub(super) slot_count: u32,
+    /// Entries that report to the instance, if it was asked for them.
+    pub(super) entry_addresses: Vec<SocketAddr>,
+    /// Sequence number of its last heartbeat.
+    pub(super) last_sequence: u64,
+    /// Engine work in total at its last heartbeat, by service.
+    pub(super) work_totals: BTreeMap<Arc<str>, f64>,
 }
 
 impl Subscriber {
-    /// Takes an instance that reports for the first time.
-    pub(super) fn open(peer: Peer, now: Duration) -> Self {
+    /// Creates the state of an instance that reports for the first time.
+    pub(super) fn new(peer: Peer, now: Duration) -> Self {
         Self {
             peer,
-            heard: now,
-            since: now,
-            seen: 0,
-            covered: Progress::default(),
-            sent: 0,
+            last_heard: now,
+            heard_since: now,
+            acknowledged_change: 0,
+            progress: Progress::default(),
+            sent_change: 0,
             sent_term: 0,
-            pushed: Duration::ZERO,
-            whole: false,
+            delivery_confirmed_at: Duration::ZERO,
+            full_list_pending: false,
             revision: 0,
-            sheet_sent: None,
-            offset: 0,
-            counted: 0,
-            place: None,
-            entries: 0,
-            places: 0,
-            listed: Vec::new(),
-            number: 0,
-            work: BTreeMap::new(),
+            route_table_sent: None,
+            time_offset_ms: 0,
+            counted_until: 0,
+            slot_index: None,
+            entry_count: 0,
+            slot_count: 0,
+            entry_addresses: Vec::new(),
+            last_sequence: 0,
+            work_totals: BTreeMap::new(),
         }
     }
 
-    pub(super) fn is_heard(&self, now: Duration, silence: Duration) -> bool {
-        now.saturating_sub(self.heard) <= silence
+    pub(super) fn is_heard_within(&self, now: Duration, silence: Duration) -> bool {
+        now.saturating_sub(self.last_heard) <= silence
     }
 
     pub(super) fn is_behind(&self, change: u64, revision: u64) -> bool {
-        self.sent < change || self.revision.max(self.revision_sent()) < revision
+        self.sent_change < change || self.revision.max(self.sent_revision()) < revision
     }
 
-    /// Notes what it says that it has.
-    pub(super) fn confirm(&mut self, now: Duration, change: u64) {
-        if change > self.seen {
-            self.pushed = now;
-            self.whole = false;
+    /// Records which change the instance has acknowledged.
+    pub(super) fn acknowledge(&mut self, now: Duration, change: u64) {
+        if change > self.acknowledged_change {
+            self.delivery_confirmed_at = now;
+            self.full_list_pending = false;
         }
     }
 
-    /// Notes that it was heard.
-    pub(super) fn hear(&mut self, now: Duration) {
-        if !self.is_heard(now, SILENCE_TIMEOUT) {
-            self.since = now;
+    /// Records that the instance was heard.
+    pub(super) fn mark_heard(&mut self, now: Duration) {
+        if !self.is_heard_within(now, SILENCE_TIMEOUT) {
+            self.heard_since = now;
         }
-        self.heard = now;
+        self.last_heard = now;
     }
 
-    /// Returns after how long what was sent and not confirmed is sent again.
-    pub(super) fn patience(&self) -> Duration {
-        if self.whole { RESEND_WHOLE } else { RESEND }
+    /// Returns the time after which an unacknowledged update is sent again.
+    pub(super) fn resend_timeout(&self) -> Duration {
+        if self.full_list_pending { FULL_LIST_RESEND_TIMEOUT } else { RESEND_TIMEOUT }
     }
 
-    /// Returns the revision of the route table that was sent last and may still come.
-    pub(super) fn revision_sent(&self) -> u64 {
-        self.sheet_sent.map_or(0, |(sent, _)| sent)
+    /// Returns the revision of the route table that was sent and may still arrive.
+    pub(super) fn sent_revision(&self) -> u64 {
+        self.route_table_sent.map_or(0, |(sent, _)| sent)
     }
 }
