--- a/crates/verbenaslip-fleet/src/crash_report.rs
+++ b/crates/verbenaslip-fleet/src/crash_report.rs
@@ -11,21 +11,21 @@
 use crate::registry::Run;
 
 /// How long what happens together is gathered. An upstream that ends breaks off many requests at once.
-const GATHER: Duration = Duration::from_millis(20);
+const BATCH_DELAY: Duration = Duration::from_millis(20);
 
 /// After how long what the leader has not confirmed is told again.
-const AGAIN: Duration = Duration::from_millis(250);
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
 /// How long it is remembered, to tell a later leader: as long as it takes to elect one, many times over, and to
 /// see a request come again that does so every few seconds.
-const MEMORY: Duration = Duration::from_secs(60);
+const RETENTION: Duration = Duration::from_secs(60);
 
 /// The most that is remembered of each kind; an entry has some 50 requests at the upstreams that a lost
 /// availability zone takes.
-const REMEMBERED: usize = 256;
+const MAX_KEPT: usize = 256;
 
 /// The most that one account tells of each kind: under 2 kB.
-const TOLD: usize = 32;
+const MAX_PER_REPORT: usize = 32;
 
 /// Tells the leader what requests met.
 #[data]
@@ -71,16 +71,16 @@
     term: u64,
     number: u64,
     due: Option<Duration>,
-    crashes: VecDeque<Item<ObservedCrash>>,
-    answers: VecDeque<Item<ObservedAnswer>>,
+    crashes: VecDeque<Kept<ObservedCrash>>,
+    answers: VecDeque<Kept<ObservedAnswer>>,
 }
 
 #[derive(Debug)]
-struct Item<T> {
-    what: T,
-    at: Duration,
+struct Kept<T> {
+    observation: T,
+    recorded_at: Duration,
     /// The account that told it last; zero before the first.
-    told: u64,
+    last_report: u64,
     /// Whether the leader of this term has confirmed it.
     confirmed: bool,
 }
@@ -96,9 +96,9 @@
         if crashes.is_empty() && answers.is_empty() {
             return;
         }
-        put(&mut self.crashes, now, crashes);
-        put(&mut self.answers, now, answers);
-        self.soon(now + GATHER);
+        append(&mut self.crashes, now, crashes);
+        append(&mut self.answers, now, answers);
+        self.schedule(now + BATCH_DELAY);
     }
 
     /// Begins anew with a leader of a later term.
@@ -111,7 +111,7 @@
         let answers = self.answers.iter_mut().map(|it| &mut it.confirmed);
         crashes.chain(answers).for_each(|confirmed| *confirmed = false);
         if !self.crashes.is_empty() || !self.answers.is_empty() {
-            self.soon(now);
+            self.schedule(now);
         }
     }
 
@@ -133,63 +133,70 @@
     pub fn next_report(&mut self, now: Duration, from: SocketAddr) -> Option<CrashReport> {
         self.due.filter(|due| now >= *due)?;
         self.due = None;
-        forget(&mut self.crashes, now);
-        forget(&mut self.answers, now);
+        remove_expired(&mut self.crashes, now);
+        remove_expired(&mut self.answers, now);
         self.number += 1;
         let millis = |at: Duration| u64::try_from(now.saturating_sub(at).as_millis());
         let ago = |at: Duration| millis(at).unwrap_or(u64::MAX);
-        let crash = |met: &ObservedCrash| Crash {
-            fingerprint: met.fingerprint,
-            run: met.run.clone(),
-            sent_ms_ago: ago(met.sent),
-            ended_ms_ago: ago(met.ended),
+        let crash = |observed: &ObservedCrash| Crash {
+            fingerprint: observed.fingerprint,
+            run: observed.run.clone(),
+            sent_ms_ago: ago(observed.sent),
+            ended_ms_ago: ago(observed.ended),
         };
         let answer =
             |it: &ObservedAnswer| Answer { fingerprint: it.fingerprint, ms_ago: ago(it.at) };
-        let crashes: Vec<Crash> = tell(&mut self.crashes, self.number).map(crash).collect();
-        let answers: Vec<Answer> = tell(&mut self.answers, self.number).map(answer).collect();
+        let crashes: Vec<Crash> =
+            mark_reported(&mut self.crashes, self.number).map(crash).collect();
+        let answers: Vec<Answer> =
+            mark_reported(&mut self.answers, self.number).map(answer).collect();
         if crashes.is_empty() && answers.is_empty() {
             return None;
         }
         // Response again unless it is confirmed, and the rest with it.
-        self.due = Some(now + AGAIN);
+        self.due = Some(now + RETRY_INTERVAL);
         Some(CrashReport { from, number: self.number, crashes, answers })
     }
 
     /// Puts off what is due, since no leader is known.
     pub fn postpone(&mut self, now: Duration) {
-        self.due = Some(now + GATHER);
+        self.due = Some(now + BATCH_DELAY);
     }
 
-    fn soon(&mut self, at: Duration) {
+    fn schedule(&mut self, at: Duration) {
         self.due = Some(self.due.map_or(at, |due| due.min(at)));
     }
 }
 
-fn put<T>(items: &mut VecDeque<Item<T>>, at: Duration, new: Vec<T>) {
-    let new = new.into_iter().map(|what| Item { what, at, told: 0, confirmed: false });
+fn append<T>(items: &mut VecDeque<Kept<T>>, recorded_at: Duration, new: Vec<T>) {
+    let new = new.into_iter().map(|observation| Kept {
+        observation,
+        recorded_at,
+        last_report: 0,
+        confirmed: false,
+    });
     items.extend(new);
-    while items.len() > REMEMBERED {
+    while items.len() > MAX_KEPT {
         items.pop_front();
     }
 }
 
-fn confirm<T>(items: &mut VecDeque<Item<T>>, number: u64) {
-    for item in items.iter_mut().filter(|item| item.told == number) {
+fn confirm<T>(items: &mut VecDeque<Kept<T>>, number: u64) {
+    for item in items.iter_mut().filter(|item| item.last_report == number) {
         item.confirmed = true;
     }
 }
 
-fn forget<T>(items: &mut VecDeque<Item<T>>, now: Duration) {
-    while items.front().is_some_and(|it| now.saturating_sub(it.at) > MEMORY) {
+fn remove_expired<T>(items: &mut VecDeque<Kept<T>>, now: Duration) {
+    while items.front().is_some_and(|it| now.saturating_sub(it.recorded_at) > RETENTION) {
         items.pop_front();
     }
 }
 
 /// Goes through what an account tells, the oldest first.
-fn tell<T>(items: &mut VecDeque<Item<T>>, number: u64) -> impl Iterator<Item = &T> {
-    items.iter_mut().filter(|it| !it.confirmed).take(TOLD).map(move |it| {
-        it.told = number;
-        &it.what
+fn mark_reported<T>(items: &mut VecDeque<Kept<T>>, number: u64) -> impl Iterator<Item = &T> {
+    items.iter_mut().filter(|it| !it.confirmed).take(MAX_PER_REPORT).map(move |it| {
+        it.last_report = number;
+        &it.observation
     })
 }
--- a/crates/verbenaslip-fleet/src/departure.rs
+++ b/crates/verbenaslip-fleet/src/departure.rs
@@ -30,64 +30,64 @@
 /// may have been elected that never heard the departure itself.
 #[derive(Clone, Debug, Default)]
 pub struct Departures {
-    last: BTreeMap<Upstream, Entry>,
+    departures: BTreeMap<Upstream, LastDeparture>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Entry {
+struct LastDeparture {
     incarnation: u64,
-    standing: Status,
-    heard: Duration,
+    status: Status,
+    recorded_at: Duration,
 }
 
 impl Departures {
     /// Takes a departure; returns whether it says more than was known.
-    pub fn record(&mut self, now: Duration, run: &Run, standing: Status) -> bool {
+    pub fn record(&mut self, now: Duration, run: &Run, status: Status) -> bool {
         let known = self.status(run);
-        if known.is_some_and(|known| known >= standing) {
+        if known.is_some_and(|known| known >= status) {
             return false;
         }
-        let held = Entry { incarnation: run.incarnation, standing, heard: now };
-        self.last.insert(run.upstream.clone(), held);
+        let last = LastDeparture { incarnation: run.incarnation, status, recorded_at: now };
+        self.departures.insert(run.upstream.clone(), last);
         true
     }
 
     /// Returns how a run stands that goes or has gone; none for any other run.
     pub fn status(&self, run: &Run) -> Option<Status> {
-        let held = self.last.get(&run.upstream)?;
-        match run.incarnation.cmp(&held.incarnation) {
+        let last = self.departures.get(&run.upstream)?;
+        match run.incarnation.cmp(&last.incarnation) {
             Ordering::Less => Some(Status::Gone),
-            Ordering::Equal => Some(held.standing),
+            Ordering::Equal => Some(last.status),
             Ordering::Greater => None,
         }
     }
 
     /// Returns how long ago a run was last heard to go.
     pub fn age(&self, now: Duration, run: &Run) -> Option<Duration> {
-        let held = self.last.get(&run.upstream)?;
-        (run.incarnation <= held.incarnation).then(|| now.saturating_sub(held.heard))
+        let last = self.departures.get(&run.upstream)?;
+        (run.incarnation <= last.incarnation).then(|| now.saturating_sub(last.recorded_at))
     }
 
     /// Returns how many are remembered.
     pub fn len(&self) -> usize {
-        self.last.len()
+        self.departures.len()
     }
 
     /// Tells whether none is remembered.
     pub fn is_empty(&self) -> bool {
-        self.last.is_empty()
+        self.departures.is_empty()
     }
 
     /// Takes all that another one remembers.
     pub fn merge(&mut self, now: Duration, other: &Self) {
-        for (upstream, held) in &other.last {
-            let run = Run { upstream: upstream.clone(), incarnation: held.incarnation };
-            self.record(now, &run, held.standing);
+        for (upstream, last) in &other.departures {
+            let run = Run { upstream: upstream.clone(), incarnation: last.incarnation };
+            self.record(now, &run, last.status);
         }
     }
 
     /// Forgets what is so old that no announcement of it can still be on its way.
     pub fn remove_expired(&mut self, now: Duration) {
-        self.last.retain(|_, held| now.saturating_sub(held.heard) <= RETENTION);
+        self.departures.retain(|_, last| now.saturating_sub(last.recorded_at) <= RETENTION);
     }
 }
--- a/crates/verbenaslip-fleet/src/index.rs
+++ b/crates/verbenaslip-fleet/src/index.rs
@@ -12,7 +12,7 @@
 type Urgency = (u8, u8);
 
 /// The ranks that upstreams know.
-const RANKS: usize = 10;
+const RANK_COUNT: usize = 10;
 
 /// Holds a route table ready for lookups.
 #[derive(Debug)]
@@ -27,13 +27,13 @@
     /// Prepares a route table.
     pub fn new(sheet: Arc<RouteTable>) -> Self {
         let mut hosts: HashMap<String, Prefixes> = HashMap::new();
-        for (place, route) in sheet.routes.iter().enumerate() {
+        for (position, route) in sheet.routes.iter().enumerate() {
             let prefixes = hosts.entry(route.host.to_ascii_lowercase()).or_default();
-            prefixes.insert(route.prefix.clone(), place);
+            prefixes.insert(route.prefix.clone(), position);
         }
         let mut keys = HashMap::new();
-        for (place, team) in sheet.teams.iter().enumerate() {
-            keys.extend(team.keys.iter().map(|key| (key.clone(), place)));
+        for (position, team) in sheet.teams.iter().enumerate() {
+            keys.extend(team.keys.iter().map(|key| (key.clone(), position)));
         }
         let urgencies = urgencies(&sheet);
         Self { sheet, hosts, keys, urgencies }
@@ -52,9 +52,9 @@
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let prefixes = self.hosts.get(&name.to_ascii_lowercase())?;
         let path = target.split_once('?').map_or(target, |(path, _)| path);
-        let ends = path.char_indices().rev().filter(|(_, envelope)| *envelope == '/');
-        let mut candidates = ends.filter_map(|(end, _)| prefixes.get(&path[..=end]));
-        candidates.next().and_then(|place| self.sheet.routes.get(*place))
+        let slashes = path.char_indices().rev().filter(|(_, character)| *character == '/');
+        let mut candidates = slashes.filter_map(|(slash, _)| prefixes.get(&path[..=slash]));
+        candidates.next().and_then(|position| self.sheet.routes.get(*position))
     }
 
     /// Returns the rank of a request of a team on a route; zero is the most urgent.
@@ -64,15 +64,15 @@
     /// fill the queues in which the most urgent ones are too late.
     pub fn rank(&self, route: &Route, team: Option<&TeamConfig>) -> u8 {
         let urgency = urgency(route.priority, team.and_then(|team| team.priority));
-        let place = self.urgencies.partition_point(|it| *it < urgency);
+        let position = self.urgencies.partition_point(|it| *it < urgency);
         let levels = self.urgencies.len();
-        let rank = if levels > RANKS { place * RANKS / levels } else { place };
-        u8::try_from(rank.min(RANKS - 1)).unwrap_or(u8::MAX)
+        let rank = if levels > RANK_COUNT { position * RANK_COUNT / levels } else { position };
+        u8::try_from(rank.min(RANK_COUNT - 1)).unwrap_or(u8::MAX)
     }
 
     /// Returns the team that a key belongs to.
     pub fn team(&self, key: &str) -> Option<&TeamConfig> {
-        self.keys.get(key).and_then(|place| self.sheet.teams.get(*place))
+        self.keys.get(key).and_then(|position| self.sheet.teams.get(*position))
     }
 }
 
--- a/crates/verbenaslip-fleet/src/load.rs
+++ b/crates/verbenaslip-fleet/src/load.rs
@@ -17,66 +17,72 @@
 
 /// The time constant of the mean that follows a rise: a burst must show within the time that an
 /// ordered engine takes to start.
-const RISE: Duration = Duration::from_millis(1_500);
+const RISE_TIME_CONSTANT: Duration = Duration::from_millis(1_500);
 
 /// The time constant of the mean that a fall is judged by: waves of callers last tens of seconds, and
 /// an engine that is given up too early costs more than it saves.
-const FALL: Duration = Duration::from_secs(6);
+const FALL_TIME_CONSTANT: Duration = Duration::from_secs(6);
 
 /// How long the work must have been watched before it says anything.
-const WATCH: Duration = Duration::from_secs(2);
+const MIN_OBSERVATION: Duration = Duration::from_secs(2);
 
 /// Follows the work that all entries are asked for.
 #[derive(Debug, Default)]
 pub struct LoadEstimator {
-    loads: BTreeMap<Arc<str>, Load>,
+    loads: BTreeMap<Arc<str>, ServiceLoad>,
 }
 
 #[derive(Debug)]
-struct Load {
+struct ServiceLoad {
     /// Milliseconds of engine time asked for since `at`.
-    fresh: f64,
-    rising: f64,
-    falling: f64,
-    since: Duration,
-    at: Duration,
+    pending_ms: f64,
+    fast_average: f64,
+    slow_average: f64,
+    first_report: Duration,
+    updated: Duration,
 }
 
 impl LoadEstimator {
     /// Takes the work that was asked for since the last report of an entry.
     pub fn add(&mut self, now: Duration, service: &Arc<str>, millis: f64) {
-        let open = || Load { fresh: 0.0, rising: 0.0, falling: 0.0, since: now, at: now };
-        self.loads.entry(service.clone()).or_insert_with(open).fresh += millis.max(0.0);
+        let new_load = || ServiceLoad {
+            pending_ms: 0.0,
+            fast_average: 0.0,
+            slow_average: 0.0,
+            first_report: now,
+            updated: now,
+        };
+        self.loads.entry(service.clone()).or_insert_with(new_load).pending_ms += millis.max(0.0);
     }
 
     /// Lets time pass.
     pub fn update(&mut self, now: Duration) {
-        self.loads.values_mut().for_each(|load| load.refresh(now));
+        self.loads.values_mut().for_each(|load| load.update(now));
     }
 
     /// Returns how many engines would be busy all the time; none before that is known.
     pub fn busy_engines(&self, now: Duration, service: &str) -> Option<f64> {
         let load = self.loads.get(service)?;
-        let known = now.saturating_sub(load.since) >= WATCH;
-        known.then_some(load.rising.max(load.falling))
+        let is_known = now.saturating_sub(load.first_report) >= MIN_OBSERVATION;
+        is_known.then_some(load.fast_average.max(load.slow_average))
     }
 }
 
-impl Load {
-    fn refresh(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        if passed <= 0.0 {
+impl ServiceLoad {
+    fn update(&mut self, now: Duration) {
+        let elapsed = now.saturating_sub(self.updated).as_secs_f64();
+        if elapsed <= 0.0 {
             return;
         }
-        let rate = std::mem::take(&mut self.fresh) / 1_000.0 / passed;
+        let rate = std::mem::take(&mut self.pending_ms) / 1_000.0 / elapsed;
         let weight = |constant: Duration| {
             // At first the mean is that of all that was seen.
-            let age = now.saturating_sub(self.since).min(constant).as_secs_f64();
-            1.0 - (-passed / age.max(passed)).exp()
+            let age = now.saturating_sub(self.first_report).min(constant).as_secs_f64();
+            1.0 - (-elapsed / age.max(elapsed)).exp()
         };
-        let (rise, fall) = (weight(RISE), weight(FALL));
-        self.rising += (rate - self.rising) * rise;
-        self.falling += (rate - self.falling) * fall;
-        self.at = now;
+        let (fast_weight, slow_weight) = (weight(RISE_TIME_CONSTANT), weight(FALL_TIME_CONSTANT));
+        self.fast_average += (rate - self.fast_average) * fast_weight;
+        self.slow_average += (rate - self.slow_average) * slow_weight;
+        self.updated = now;
     }
 }
--- a/crates/verbenaslip-fleet/src/order.rs
+++ b/crates/verbenaslip-fleet/src/order.rs
@@ -15,7 +15,7 @@
 use crate::usage::window_end;
 
 /// How long an order that was not acknowledged waits until it is given again.
-const AGAIN: Duration = Duration::from_millis(1_500);
+const RETRY_INTERVAL: Duration = Duration::from_millis(1_500);
 
 /// Gives the cloud one order.
 #[data]
@@ -81,53 +81,53 @@
 /// Keeps which windows have been reported.
 #[derive(Debug, Default)]
 pub struct Dispatcher {
-    reported: BTreeMap<u64, Report>,
-    next: u64,
+    reports: BTreeMap<u64, Report>,
+    last_id: u64,
 }
 
 #[derive(Debug)]
 enum Report {
-    Sent { id: u64, again: Duration },
+    Sent { id: u64, retry_at: Duration },
     Done,
 }
 
 impl Dispatcher {
     /// Returns the windows whose counts are due to be closed.
     pub fn windows_to_close(
-        ledger: &ReplicatedState,
+        state: &ReplicatedState,
         timing: &Timing,
         unix: u64,
     ) -> impl Iterator<Item = u64> {
         let current = crate::usage::window_at(unix, timing.window_length);
-        let oldest = windows_within(timing);
+        let oldest = reportable_windows(timing);
         let range = current.saturating_sub(oldest)..current;
-        range.filter(|window| !ledger.is_closed(*window))
+        range.filter(|window| !state.is_closed(*window))
     }
 
     /// Returns the closed windows to report now, each with the name of its order.
     pub fn usage_orders(
         &mut self,
         now: Duration,
-        ledger: &ReplicatedState,
+        state: &ReplicatedState,
         timing: &Timing,
         unix: u64,
     ) -> Vec<(u64, Window)> {
         let mut orders = Vec::new();
-        let late = u64::try_from(timing.report_deadline.as_millis()).unwrap_or(u64::MAX);
-        for window in ledger.windows() {
+        let deadline = u64::try_from(timing.report_deadline.as_millis()).unwrap_or(u64::MAX);
+        for window in state.windows() {
             let end = window_end(window.number, timing.window_length);
-            let known = self.reported.get(&window.number);
-            let due = match known {
+            let known = self.reports.get(&window.number);
+            let is_due = match known {
                 None => true,
-                Some(Report::Sent { again, .. }) => *again <= now,
+                Some(Report::Sent { retry_at, .. }) => *retry_at <= now,
                 Some(Report::Done) => false,
             };
-            if !due || unix > end.saturating_add(late) {
+            if !is_due || unix > end.saturating_add(deadline) {
                 continue;
             }
             let id = self.next_id();
-            let sent = Report::Sent { id, again: now + AGAIN };
-            self.reported.insert(window.number, sent);
+            let sent = Report::Sent { id, retry_at: now + RETRY_INTERVAL };
+            self.reports.insert(window.number, sent);
             orders.push((id, window.clone()));
         }
         orders
@@ -135,14 +135,14 @@
 
     /// Draws the name of an order.
     pub fn next_id(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+        self.last_id += 1;
+        self.last_id
     }
 
     /// Takes what became of an order.
     pub fn handle_outcome(&mut self, order: u64, outcome: Outcome) {
         let done = matches!(outcome, Outcome::Done);
-        for report in self.reported.values_mut() {
+        for report in self.reports.values_mut() {
             if done && matches!(report, Report::Sent { id, .. } if *id == order) {
                 *report = Report::Done;
             }
@@ -150,7 +150,7 @@
     }
 }
 
-fn windows_within(timing: &Timing) -> u64 {
+fn reportable_windows(timing: &Timing) -> u64 {
     let window = timing.window_length.as_millis().max(1);
     u64::try_from(timing.report_deadline.as_millis() / window).unwrap_or(1).max(1)
 }
--- a/crates/verbenaslip-fleet/src/plan/warmup.rs
+++ b/crates/verbenaslip-fleet/src/plan/discovery.rs
@@ -7,34 +7,34 @@
 /// A leader that was elected a moment ago, above all after a restart, learns of the upstreams as they
 /// announce themselves. A count ordered by what it has heard of so far would have the others stopped.
 #[derive(Debug)]
-pub struct Warmup {
+pub struct Discovery {
     /// The time between two announcements of an upstream.
     period: Duration,
     total: u32,
-    since: Option<Duration>,
+    last_new: Option<Duration>,
     complete: bool,
 }
 
 /// How long no upstream may have appeared, as a multiple of the time between two announcements of one.
-const STEADY: f64 = 4.0 / 3.0;
+const STABLE_PERIODS: f64 = 4.0 / 3.0;
 
-impl Warmup {
+impl Discovery {
     /// Starts without any upstream; each one announces itself once per `period`.
-    pub fn open(period: Duration) -> Self {
-        Self { period, total: 0, since: None, complete: false }
+    pub fn new(period: Duration) -> Self {
+        Self { period, total: 0, last_new: None, complete: false }
     }
 
     /// Takes how many there are; returns whether these are all.
-    pub fn take(&mut self, now: Duration, total: u32) -> bool {
-        if total > self.total || self.since.is_none() {
-            self.since = Some(now);
+    pub fn update(&mut self, now: Duration, total: u32) -> bool {
+        if total > self.total || self.last_new.is_none() {
+            self.last_new = Some(now);
         }
         self.total = total;
         // Once all were known, a new one has just come and is not one that had been overlooked. Waited for each
         // time, ordered ones that come one by one would keep the next zone's loss from being made up for.
-        let steady = self.period.mul_f64(STEADY);
-        self.complete |=
-            total > 0 && self.since.is_some_and(|since| now.saturating_sub(since) >= steady);
+        let stable_time = self.period.mul_f64(STABLE_PERIODS);
+        self.complete |= total > 0
+            && self.last_new.is_some_and(|last_new| now.saturating_sub(last_new) >= stable_time);
         self.complete
     }
 }
--- a/crates/verbenaslip-fleet/src/plan/pace.rs
+++ b/crates/verbenaslip-fleet/src/plan/pace.rs
@@ -3,46 +3,46 @@
 use std::time::Duration;
 
 /// Upstreams that are ordered or given up in a second, at most.
-const MOST: f64 = 400.0;
+const MAX_RATE: f64 = 400.0;
 
 /// The least of them, however large the fleet.
-const LEAST: f64 = 100.0;
+const MIN_RATE: f64 = 100.0;
 
 /// Upstreams that change in a second, times the instances that are told of each: a leader that is told more loses
 /// its lease.
-const TELLINGS: f64 = 45_000.0;
+const MAX_NOTIFICATIONS_PER_SECOND: f64 = 45_000.0;
 
 /// The least part of what a second allows that is ordered at a time, where more is wanted.
-const PART: f64 = 0.5;
+const MIN_STEP_SHARE: f64 = 0.5;
 
 /// Keeps how much may change at once.
 #[derive(Debug)]
 pub(crate) struct Pace {
     /// What may change in a second.
     rate: f64,
-    left: f64,
-    at: Duration,
+    tokens: f64,
+    refilled_at: Duration,
 }
 
 impl Default for Pace {
     fn default() -> Self {
-        Self { rate: MOST, left: MOST, at: Duration::ZERO }
+        Self { rate: MAX_RATE, tokens: MAX_RATE, refilled_at: Duration::ZERO }
     }
 }
 
 impl Pace {
     /// Takes how many instances are told of each change.
-    pub(crate) fn spread(&mut self, instances: usize) {
+    pub(crate) fn set_instances(&mut self, instances: usize) {
         let instances = u32::try_from(instances.max(1)).map_or(f64::MAX, f64::from);
-        self.rate = (TELLINGS / instances).clamp(LEAST, MOST);
-        self.left = self.left.min(self.rate);
+        self.rate = (MAX_NOTIFICATIONS_PER_SECOND / instances).clamp(MIN_RATE, MAX_RATE);
+        self.tokens = self.tokens.min(self.rate);
     }
 
     /// Lets time pass.
     pub(crate) fn refill(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.left = (self.left + passed * self.rate).min(self.rate);
-        self.at = now;
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.tokens = (self.tokens + elapsed * self.rate).min(self.rate);
+        self.refilled_at = now;
     }
 
     /// Returns how many may change in a time.
@@ -52,20 +52,20 @@
 
     /// Returns how far a count goes now on its way from one number to another.
     pub(crate) fn step(&mut self, from: u32, to: u32) -> u32 {
-        let whole = from.abs_diff(to);
-        let part = if f64::from(whole) <= self.left {
-            whole
-        } else if self.left < self.rate * PART {
+        let distance = from.abs_diff(to);
+        let step_size = if f64::from(distance) <= self.tokens {
+            distance
+        } else if self.tokens < self.rate * MIN_STEP_SHARE {
             return from;
         } else {
-            floor(self.left)
+            floor(self.tokens)
         };
-        self.left -= f64::from(part);
-        if to > from { from + part } else { from - part }
+        self.tokens -= f64::from(step_size);
+        if to > from { from + step_size } else { from - step_size }
     }
 }
 
-#[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // It is at most the pace.
-fn floor(left: f64) -> u32 {
-    left as u32
+#[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // Small and not negative.
+fn floor(value: f64) -> u32 {
+    value as u32
 }
--- a/crates/verbenaslip-fleet/src/quarantine.rs
+++ b/crates/verbenaslip-fleet/src/quarantine.rs
@@ -28,33 +28,33 @@
 
 /// How long a chain of enough ends waits for the word of an answer: as long as an update takes to all entries, 120 ms to
 /// 300 of them, and a popular request to be answered once more. Meanwhile a bad one may end two more upstreams.
-const SETTLE: Duration = Duration::from_millis(400);
+const CONFIRMATION_TIME: Duration = Duration::from_millis(400);
 
 /// How long a request is suspected after the last end. One that comes again after longer begins a new chain.
-const MEMORY: Duration = Duration::from_secs(600);
+const SUSPICION_TIME: Duration = Duration::from_secs(600);
 
 /// How long entries watch for answers to a request that ends no further upstream.
-const WATCH: Duration = Duration::from_secs(30);
+const WATCH_TIME: Duration = Duration::from_secs(30);
 
 /// The most requests that are suspected; a third of 3,000 upstreams that end at once had some 16,000 under way,
 /// most of which are never sent again.
-const SUSPECTS: usize = 4_096;
+const MAX_SUSPECTS: usize = 4_096;
 
 /// The most requests that entries watch, and that are held back: each change is told whole, 5 kB of each.
-const LISTED: usize = 256;
+const MAX_LISTED: usize = 256;
 
 /// Ends of a chain that are remembered: as many as are needed, and those that another request explains.
-const STEPS: usize = 8;
+const MAX_CRASHES: usize = 8;
 
 /// How many upstreams a request may end that is let through again. After these it is held back until an operator
 /// lifts that.
-const TRIES: u8 = 3;
+const MAX_TRIALS: u8 = 3;
 
 /// How many times as long as before a request is held back that has ended another upstream.
-const LONGER: u64 = 6;
+const BACKOFF_FACTOR: u64 = 6;
 
 /// How long an entry has to let a request through before another one is to.
-const TRIAL: Duration = Duration::from_secs(30);
+const TRIAL_TIME: Duration = Duration::from_secs(30);
 
 impl Default for QuarantinePolicy {
     fn default() -> Self {
@@ -71,13 +71,13 @@
 /// Finds requests that end upstreams, at the leader.
 #[derive(Debug, Default)]
 pub struct Quarantine {
-    rule: QuarantinePolicy,
+    policy: QuarantinePolicy,
     key: Option<u128>,
     suspects: BTreeMap<Fingerprint, Suspect>,
     /// The suspects in the order in which they came.
-    order: VecDeque<Fingerprint>,
+    insertion_order: VecDeque<Fingerprint>,
     watched: BTreeSet<Fingerprint>,
-    held: BTreeMap<Fingerprint, Block>,
+    quarantined: BTreeMap<Fingerprint, Block>,
     /// Since when an entry may let a request through.
     trials: BTreeMap<Fingerprint, Duration>,
     /// Upstreams that a request ended which is held back, the last ones.
@@ -89,66 +89,69 @@
 /// Holds what is known of a request that may end upstreams.
 #[derive(Debug, Default)]
 struct Suspect {
-    steps: Vec<Step>,
+    crashes: Vec<SuspectCrash>,
     /// Since when entries watch for answers to it.
-    watched: Option<Duration>,
+    watched_since: Option<Duration>,
     /// When it was answered last.
-    answered: Option<Duration>,
+    answered_at: Option<Duration>,
 }
 
 /// Holds an upstream that ended under a request.
 #[derive(Clone, Debug)]
-struct Step {
+struct SuspectCrash {
     run: Run,
-    sent: Duration,
-    ended: Duration,
+    sent_at: Duration,
+    ended_at: Duration,
     /// Whether another request is known to have ended it.
     explained: bool,
 }
 
 impl Suspect {
     /// Returns the upstreams that ended one after the other, since it was answered last.
-    fn chain(&self) -> Vec<&Step> {
-        let mut chain: Vec<&Step> = Vec::new();
-        for step in &self.steps {
-            let cleared = step.explained || self.answered.is_some_and(|it| step.ended <= it);
-            let after = chain.last().is_none_or(|last| step.sent >= last.ended);
-            if !cleared && after {
-                chain.push(step);
+    fn chain(&self) -> Vec<&SuspectCrash> {
+        let mut chain: Vec<&SuspectCrash> = Vec::new();
+        for crash in &self.crashes {
+            let cleared =
+                crash.explained || self.answered_at.is_some_and(|it| crash.ended_at <= it);
+            let is_later = chain.last().is_none_or(|last| crash.sent_at >= last.ended_at);
+            if !cleared && is_later {
+                chain.push(crash);
             }
         }
         chain
     }
 
     fn runs(&self) -> Vec<Run> {
-        self.chain().into_iter().map(|step| step.run.clone()).collect()
+        self.chain().into_iter().map(|crash| crash.run.clone()).collect()
     }
 
-    fn take(&mut self, step: Step) {
-        if self.steps.iter().any(|it| it.run == step.run) {
+    fn add_crash(&mut self, crash: SuspectCrash) {
+        if self.crashes.iter().any(|it| it.run == crash.run) {
             return;
         }
         // Entries tell in any order, above all to a new leader.
-        let place = self.steps.partition_point(|it| it.ended <= step.ended);
-        self.steps.insert(place, step);
-        if self.steps.len() > STEPS {
-            self.steps.remove(0);
+        let position = self.crashes.partition_point(|it| it.ended_at <= crash.ended_at);
+        self.crashes.insert(position, crash);
+        if self.crashes.len() > MAX_CRASHES {
+            self.crashes.remove(0);
         }
     }
 
-    fn last(&self) -> Option<Duration> {
-        self.steps.last().map(|it| it.ended)
+    fn last_crash(&self) -> Option<Duration> {
+        self.crashes.last().map(|it| it.ended_at)
     }
 }
 
 impl Quarantine {
     /// Starts with what the log and this core hold. What is only suspected the entries tell again.
-    pub fn new(rule: QuarantinePolicy, kept: &PersistedState, known: &Blocklist) -> Self {
-        let mut quarantine = Self { rule, key: kept.key, ..Self::default() };
-        for (fingerprint, held) in known.quarantined.iter().chain(&kept.quarantined) {
-            quarantine.held.insert(*fingerprint, Block { trial_entry: None, ..held.clone() });
+    pub fn new(policy: QuarantinePolicy, persisted: &PersistedState, known: &Blocklist) -> Self {
+        let mut quarantine = Self { policy, key: persisted.key, ..Self::default() };
+        for (fingerprint, block) in known.quarantined.iter().chain(&persisted.quarantined) {
+            quarantine
+                .quarantined
+                .insert(*fingerprint, Block { trial_entry: None, ..block.clone() });
         }
-        quarantine.overrule();
+        quarantine.apply_policy();
         quarantine.publish();
         quarantine.findings.clear();
         quarantine
@@ -161,9 +164,13 @@
 
     /// Returns what is to outlive this leader.
     pub fn persisted(&self, key: u128) -> PersistedState {
-        let bare = |held: &Block| Block { trial_entry: None, ..held.clone() };
-        let held = self.held.iter().map(|(fingerprint, held)| (*fingerprint, bare(held))).collect();
-        PersistedState { key: Some(self.key.unwrap_or(key)), quarantined: held }
+        let without_trial = |block: &Block| Block { trial_entry: None, ..block.clone() };
+        let block = self
+            .quarantined
+            .iter()
+            .map(|(fingerprint, block)| (*fingerprint, without_trial(block)))
+            .collect();
+        PersistedState { key: Some(self.key.unwrap_or(key)), quarantined: block }
     }
 
     /// Takes the key once the log holds it.
@@ -172,22 +179,27 @@
     }
 
     /// Takes an operator's other wishes.
-    pub fn set_policy(&mut self, rule: QuarantinePolicy) {
-        self.rule = rule;
-        self.overrule();
+    pub fn set_policy(&mut self, policy: QuarantinePolicy) {
+        self.policy = policy;
+        self.apply_policy();
     }
 
     /// Takes an entry's word that an upstream ended while it ran a request; `unix` is the agreed time of day.
     pub fn handle_crash(&mut self, now: Duration, unix: u64, crash: &Crash) {
         let Crash { fingerprint, run, sent_ms_ago: sent, ended_ms_ago: ended } = crash;
-        if self.held.contains_key(fingerprint) {
-            self.ended_again(unix.saturating_sub(*sent), unix, *fingerprint, run);
+        if self.quarantined.contains_key(fingerprint) {
+            self.handle_repeated_crash(unix.saturating_sub(*sent), unix, *fingerprint, run);
         }
         let ago = |millis: u64| now.saturating_sub(Duration::from_millis(millis));
         let explained = self.explained.contains(run);
-        let step = Step { run: run.clone(), sent: ago(*sent), ended: ago(*ended), explained };
-        self.suspect(*fingerprint).take(step);
-        self.weigh(now, unix, *fingerprint);
+        let suspect_crash = SuspectCrash {
+            run: run.clone(),
+            sent_at: ago(*sent),
+            ended_at: ago(*ended),
+            explained,
+        };
+        self.suspect(*fingerprint).add_crash(suspect_crash);
+        self.evaluate(now, unix, *fingerprint);
     }
 
     /// Takes an entry's word that a request was answered; `unix` is the agreed time of day.
@@ -195,11 +207,12 @@
     /// An answer from before it ended one upstream after the other says nothing about that.
     pub fn handle_answer(&mut self, now: Duration, unix: u64, answer: &Answer) {
         let at = now.saturating_sub(Duration::from_millis(answer.ms_ago));
-        let held = self.held.get(&answer.fingerprint);
-        let mut cleared = held.is_some_and(|held| unix.saturating_sub(answer.ms_ago) > held.since);
+        let block = self.quarantined.get(&answer.fingerprint);
+        let mut cleared =
+            block.is_some_and(|block| unix.saturating_sub(answer.ms_ago) > block.since);
         if let Some(suspect) = self.suspects.get_mut(&answer.fingerprint) {
-            suspect.answered = suspect.answered.max(Some(at));
-            cleared = cleared || (!suspect.steps.is_empty() && suspect.chain().is_empty());
+            suspect.answered_at = suspect.answered_at.max(Some(at));
+            cleared = cleared || (!suspect.crashes.is_empty() && suspect.chain().is_empty());
         }
         if cleared {
             self.release(answer.fingerprint, Cause::Answered);
@@ -209,21 +222,21 @@
     /// Decides what is due by now; `entries` are those that may let a request through.
     pub fn tick(&mut self, now: Duration, unix: u64, entries: &[SocketAddr]) {
         for fingerprint in self.watched.clone() {
-            self.weigh(now, unix, fingerprint);
-            let last = self.suspects.get(&fingerprint).and_then(Suspect::last);
-            let idle = last.is_none_or(|last| now.saturating_sub(last) > WATCH);
-            let since = self.suspects.get(&fingerprint).and_then(|it| it.watched);
-            if idle && since.is_none_or(|since| now.saturating_sub(since) > WATCH) {
+            self.evaluate(now, unix, fingerprint);
+            let last = self.suspects.get(&fingerprint).and_then(Suspect::last_crash);
+            let is_idle = last.is_none_or(|last| now.saturating_sub(last) > WATCH_TIME);
+            let since = self.suspects.get(&fingerprint).and_then(|it| it.watched_since);
+            if is_idle && since.is_none_or(|since| now.saturating_sub(since) > WATCH_TIME) {
                 self.unwatch(fingerprint);
             }
         }
-        while let Some(fingerprint) = self.order.front().copied() {
-            let last = self.suspects.get(&fingerprint).and_then(Suspect::last);
-            let fresh = last.is_some_and(|last| now.saturating_sub(last) <= MEMORY);
-            if fresh || self.watched.contains(&fingerprint) {
+        while let Some(fingerprint) = self.insertion_order.front().copied() {
+            let last = self.suspects.get(&fingerprint).and_then(Suspect::last_crash);
+            let is_fresh = last.is_some_and(|last| now.saturating_sub(last) <= SUSPICION_TIME);
+            if is_fresh || self.watched.contains(&fingerprint) {
                 break;
             }
-            self.order.pop_front();
+            self.insertion_order.pop_front();
             self.suspects.remove(&fingerprint);
         }
         self.offer_trials(now, unix, entries);
@@ -241,13 +254,13 @@
     /// break off once pushes nothing out that is close to being found, and nothing that was found.
     fn suspect(&mut self, fingerprint: Fingerprint) -> &mut Suspect {
         if !self.suspects.contains_key(&fingerprint) {
-            self.order.push_back(fingerprint);
-            let mut looks = self.order.len();
-            while self.suspects.len() >= SUSPECTS && looks > 0 {
-                looks -= 1;
-                let Some(oldest) = self.order.pop_front() else { break };
+            self.insertion_order.push_back(fingerprint);
+            let mut remaining = self.insertion_order.len();
+            while self.suspects.len() >= MAX_SUSPECTS && remaining > 0 {
+                remaining -= 1;
+                let Some(oldest) = self.insertion_order.pop_front() else { break };
                 if self.watched.contains(&oldest) || oldest == fingerprint {
-                    self.order.push_back(oldest);
+                    self.insertion_order.push_back(oldest);
                 } else {
                     self.suspects.remove(&oldest);
                 }
@@ -257,33 +270,37 @@
     }
 
     /// Decides of a request by the upstreams that ended under it.
-    fn weigh(&mut self, now: Duration, unix: u64, fingerprint: Fingerprint) {
-        if self.held.contains_key(&fingerprint) || self.rule.lifted.contains(&fingerprint) {
+    fn evaluate(&mut self, now: Duration, unix: u64, fingerprint: Fingerprint) {
+        if self.quarantined.contains_key(&fingerprint) || self.policy.lifted.contains(&fingerprint)
+        {
             return;
         }
         let Some(suspect) = self.suspects.get(&fingerprint) else { return };
-        let (runs, watched) = (suspect.runs(), suspect.watched);
-        let wanted = usize::try_from(self.rule.crash_threshold).unwrap_or(usize::MAX).max(1);
-        if runs.len() + 1 < wanted {
+        let (runs, watched_since) = (suspect.runs(), suspect.watched_since);
+        let threshold = usize::try_from(self.policy.crash_threshold).unwrap_or(usize::MAX).max(1);
+        if runs.len() + 1 < threshold {
             return;
         }
-        let Some(since) = watched else { return self.watch(now, fingerprint, runs, wanted) };
-        if runs.len() >= wanted && now.saturating_sub(since) >= SETTLE {
-            self.hold(unix, fingerprint, runs);
+        let Some(since) = watched_since else {
+            return self.watch(now, fingerprint, runs, threshold);
+        };
+        if runs.len() >= threshold && now.saturating_sub(since) >= CONFIRMATION_TIME {
+            self.quarantine_request(unix, fingerprint, runs);
         }
     }
 
     /// Has entries watch for answers to a request, if there is room or it is all but found.
-    fn watch(&mut self, now: Duration, fingerprint: Fingerprint, runs: Vec<Run>, wanted: usize) {
-        if self.watched.len() >= LISTED {
-            let least = |it: &&Fingerprint| self.suspects.get(it).map_or(0, |it| it.chain().len());
-            let Some(other) = self.watched.iter().min_by_key(least).copied() else { return };
-            if runs.len() < wanted || least(&&other) >= wanted {
+    fn watch(&mut self, now: Duration, fingerprint: Fingerprint, runs: Vec<Run>, threshold: usize) {
+        if self.watched.len() >= MAX_LISTED {
+            let chain_length =
+                |it: &&Fingerprint| self.suspects.get(it).map_or(0, |it| it.chain().len());
+            let Some(other) = self.watched.iter().min_by_key(chain_length).copied() else { return };
+            if runs.len() < threshold || chain_length(&&other) >= threshold {
                 return;
             }
             self.unwatch(other);
         }
-        self.suspect(fingerprint).watched = Some(now);
+        self.suspect(fingerprint).watched_since = Some(now);
         self.watched.insert(fingerprint);
         self.findings.push(Finding::Suspected { fingerprint, runs });
     }
@@ -291,57 +308,58 @@
     fn unwatch(&mut self, fingerprint: Fingerprint) {
         self.watched.remove(&fingerprint);
         if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
-            suspect.watched = None;
+            suspect.watched_since = None;
         }
     }
 
     /// Holds a request back. What else ran on the upstreams that it ended is innocent of that.
-    fn hold(&mut self, unix: u64, fingerprint: Fingerprint, runs: Vec<Run>) {
+    fn quarantine_request(&mut self, unix: u64, fingerprint: Fingerprint, runs: Vec<Run>) {
         self.unwatch(fingerprint);
-        if self.held.len() >= LISTED {
-            let first = self.held.iter().min_by_key(|(_, held)| held.until);
-            let Some((first, _)) = first.map(|(fingerprint, held)| (*fingerprint, held.until))
+        if self.quarantined.len() >= MAX_LISTED {
+            let first = self.quarantined.iter().min_by_key(|(_, block)| block.until);
+            let Some((first, _)) = first.map(|(fingerprint, block)| (*fingerprint, block.until))
             else {
                 return;
             };
-            self.held.remove(&first);
+            self.quarantined.remove(&first);
         }
-        let hold = u64::try_from(self.rule.hold_time.as_millis()).unwrap_or(u64::MAX);
-        let until = unix.saturating_add(hold);
-        let held = Block { since: unix, until, failed_trials: 0, trial_entry: None };
-        self.held.insert(fingerprint, held.clone());
-        self.findings.push(Finding::Quarantined { fingerprint, runs, held });
+        let hold_ms = u64::try_from(self.policy.hold_time.as_millis()).unwrap_or(u64::MAX);
+        let until = unix.saturating_add(hold_ms);
+        let block = Block { since: unix, until, failed_trials: 0, trial_entry: None };
+        self.quarantined.insert(fingerprint, block.clone());
+        self.findings.push(Finding::Quarantined { fingerprint, runs, held: block });
         let Some(suspect) = self.suspects.get(&fingerprint) else { return };
-        let ended: Vec<Run> = suspect.steps.iter().map(|it| it.run.clone()).collect();
-        for run in &ended {
-            self.explain(fingerprint, run);
+        let crashed_runs: Vec<Run> = suspect.crashes.iter().map(|it| it.run.clone()).collect();
+        for run in &crashed_runs {
+            self.record_explained_crash(fingerprint, run);
         }
         // One that was found before, but by these upstreams alone, only happened to run on them.
-        let within = |it: &Suspect| {
-            !it.steps.is_empty() && it.steps.iter().all(|step| ended.contains(&step.run))
+        let is_innocent = |it: &Suspect| {
+            !it.crashes.is_empty()
+                && it.crashes.iter().all(|crash| crashed_runs.contains(&crash.run))
         };
-        let others = self.held.keys().filter(|other| **other != fingerprint);
+        let others = self.quarantined.keys().filter(|other| **other != fingerprint);
         let innocent: Vec<Fingerprint> =
-            others.filter(|it| self.suspects.get(it).is_some_and(within)).copied().collect();
+            others.filter(|it| self.suspects.get(it).is_some_and(is_innocent)).copied().collect();
         for other in innocent {
             self.release(other, Cause::Explained);
         }
     }
 
     /// Notes that a request which is held back ended an upstream.
-    fn explain(&mut self, culprit: Fingerprint, run: &Run) {
+    fn record_explained_crash(&mut self, culprit: Fingerprint, run: &Run) {
         if !self.explained.contains(run) {
             self.explained.push_back(run.clone());
-            if self.explained.len() > LISTED {
+            if self.explained.len() > MAX_LISTED {
                 self.explained.pop_front();
             }
         }
         let mut cleared = Vec::new();
         for (fingerprint, suspect) in &mut self.suspects {
-            let step = suspect.steps.iter_mut().find(|step| step.run == *run);
-            if let Some(step) = step.filter(|_| *fingerprint != culprit) {
-                step.explained = true;
-                if suspect.watched.is_some() && suspect.chain().is_empty() {
+            let crash = suspect.crashes.iter_mut().find(|crash| crash.run == *run);
+            if let Some(crash) = crash.filter(|_| *fingerprint != culprit) {
+                crash.explained = true;
+                if suspect.watched_since.is_some() && suspect.chain().is_empty() {
                     cleared.push(*fingerprint);
                 }
             }
@@ -354,32 +372,37 @@
 
     /// Takes the end of another upstream under a request that is held back: one that was on its way when it was
     /// found, or one that was let through again.
-    fn ended_again(&mut self, sent: u64, unix: u64, fingerprint: Fingerprint, run: &Run) {
-        self.explain(fingerprint, run);
-        let Some(held) = self.held.get_mut(&fingerprint) else { return };
-        if sent < held.until {
+    fn handle_repeated_crash(&mut self, sent: u64, unix: u64, fingerprint: Fingerprint, run: &Run) {
+        self.record_explained_crash(fingerprint, run);
+        let Some(block) = self.quarantined.get_mut(&fingerprint) else { return };
+        if sent < block.until {
             return;
         }
-        held.failed_trials = held.failed_trials.saturating_add(1);
-        (held.since, held.trial_entry) = (unix, None);
-        let hold = u64::try_from(self.rule.hold_time.as_millis()).unwrap_or(u64::MAX);
-        let longer = hold.saturating_mul(LONGER.saturating_pow(held.failed_trials.into()));
-        held.until =
-            if held.failed_trials >= TRIES { u64::MAX } else { unix.saturating_add(longer) };
-        let (held, runs) = (held.clone(), vec![run.clone()]);
+        block.failed_trials = block.failed_trials.saturating_add(1);
+        (block.since, block.trial_entry) = (unix, None);
+        let hold_ms = u64::try_from(self.policy.hold_time.as_millis()).unwrap_or(u64::MAX);
+        let extended_ms =
+            hold_ms.saturating_mul(BACKOFF_FACTOR.saturating_pow(block.failed_trials.into()));
+        block.until = if block.failed_trials >= MAX_TRIALS {
+            u64::MAX
+        } else {
+            unix.saturating_add(extended_ms)
+        };
+        let (block, runs) = (block.clone(), vec![run.clone()]);
         self.trials.remove(&fingerprint);
-        self.findings.push(Finding::Quarantined { fingerprint, runs, held });
+        self.findings.push(Finding::Quarantined { fingerprint, runs, held: block });
     }
 
     /// Lets a request be sent again.
     fn release(&mut self, fingerprint: Fingerprint, cause: Cause) {
-        if self.rule.forbidden.contains(&fingerprint) {
+        if self.policy.forbidden.contains(&fingerprint) {
             return;
         }
-        let was = self.held.remove(&fingerprint).is_some() || self.watched.contains(&fingerprint);
+        let was_listed =
+            self.quarantined.remove(&fingerprint).is_some() || self.watched.contains(&fingerprint);
         self.trials.remove(&fingerprint);
         self.unwatch(fingerprint);
-        if was {
+        if was_listed {
             self.findings.push(Finding::Cleared { fingerprint, cause });
         }
     }
@@ -391,45 +414,46 @@
         if entries.is_empty() {
             return;
         }
-        for (fingerprint, held) in &mut self.held {
-            if unix < held.until || self.rule.forbidden.contains(fingerprint) {
+        for (fingerprint, block) in &mut self.quarantined {
+            if unix < block.until || self.policy.forbidden.contains(fingerprint) {
                 continue;
             }
             let since = self.trials.get(fingerprint).copied();
-            if since.is_some_and(|since| now.saturating_sub(since) <= TRIAL) {
+            if since.is_some_and(|since| now.saturating_sub(since) <= TRIAL_TIME) {
                 continue;
             }
             let last =
-                held.trial_entry.and_then(|it| entries.iter().position(|entry| *entry == it));
+                block.trial_entry.and_then(|it| entries.iter().position(|entry| *entry == it));
             let entry = entries[last.map_or(0, |last| last + 1) % entries.len()];
-            held.trial_entry = Some(entry);
+            block.trial_entry = Some(entry);
             self.trials.insert(*fingerprint, now);
             self.findings.push(Finding::TrialOffered { fingerprint: *fingerprint, entry });
         }
     }
 
     /// Does what operators have said of single requests.
-    fn overrule(&mut self) {
-        for fingerprint in self.rule.lifted.clone() {
+    fn apply_policy(&mut self) {
+        for fingerprint in self.policy.lifted.clone() {
             self.release(fingerprint, Cause::Lifted);
         }
         // One that an operator forbade, and forbids no more.
-        let free = |fingerprint: &Fingerprint, held: &Block| {
-            held.until == u64::MAX
-                && held.failed_trials < TRIES
-                && !self.rule.forbidden.contains(fingerprint)
+        let is_freed = |fingerprint: &Fingerprint, block: &Block| {
+            block.until == u64::MAX
+                && block.failed_trials < MAX_TRIALS
+                && !self.policy.forbidden.contains(fingerprint)
         };
-        let freed = self.held.iter().filter(|(fingerprint, held)| free(fingerprint, held));
+        let freed =
+            self.quarantined.iter().filter(|(fingerprint, block)| is_freed(fingerprint, block));
         for fingerprint in freed.map(|(fingerprint, _)| *fingerprint).collect::<Vec<_>>() {
             self.release(fingerprint, Cause::Lifted);
         }
-        for fingerprint in &self.rule.forbidden {
-            let held = Block { since: 0, until: u64::MAX, failed_trials: 0, trial_entry: None };
-            if self.held.insert(*fingerprint, held.clone()).as_ref() != Some(&held) {
+        for fingerprint in &self.policy.forbidden {
+            let block = Block { since: 0, until: u64::MAX, failed_trials: 0, trial_entry: None };
+            if self.quarantined.insert(*fingerprint, block.clone()).as_ref() != Some(&block) {
                 self.findings.push(Finding::Quarantined {
                     fingerprint: *fingerprint,
                     runs: Vec::new(),
-                    held,
+                    held: block,
                 });
             }
         }
@@ -437,13 +461,13 @@
 
     /// Makes what entries go by anew; returns whether that is something else now.
     fn publish(&mut self) -> bool {
-        let same = self.blocklist.key == self.key
+        let is_unchanged = self.blocklist.key == self.key
             && self.blocklist.watched == self.watched
-            && self.blocklist.quarantined == self.held;
-        if !same {
-            let (watched, held) = (self.watched.clone(), self.held.clone());
-            self.blocklist = Arc::new(Blocklist { key: self.key, watched, quarantined: held });
+            && self.blocklist.quarantined == self.quarantined;
+        if !is_unchanged {
+            let (watched, block) = (self.watched.clone(), self.quarantined.clone());
+            self.blocklist = Arc::new(Blocklist { key: self.key, watched, quarantined: block });
         }
-        !same
+        !is_unchanged
     }
 }
--- a/crates/verbenaslip-fleet/src/registry.rs
+++ b/crates/verbenaslip-fleet/src/registry.rs
@@ -9,38 +9,38 @@
 
 use crate::departure::{Departure, Departures};
 use crate::history::History;
-use crate::upstream::differs;
+use crate::upstream::differs_for_others;
 pub use crate::upstream::{Announcement, Record, Run, Status};
 use crate::voucher::RenewalMark;
 
 /// After this silence an upstream counts as lost. As long again its record is kept, as that of one that is
 /// gone, so that instances that were away are told of its end and not of all upstreams anew.
-const MEMORY: Duration = Duration::from_secs(60);
+const LOST_AFTER: Duration = Duration::from_secs(60);
 
 /// How many announcements an upstream may miss before it counts as silent.
-const MISSED: u32 = 4;
+const MAX_MISSED_ANNOUNCEMENTS: u32 = 4;
 
 /// Up to this sequence number an unknown upstream is taken for one that has just started; above it,
 /// at an address that is in use, for one whose announcement was held up for long.
-const YOUNG: u64 = 4;
+const MAX_FIRST_SEQUENCE: u64 = 4;
 
 /// Holds the upstreams.
 #[derive(Debug)]
 pub struct Registry {
-    period: Duration,
-    records: BTreeMap<Upstream, Entry>,
+    announcement_period: Duration,
+    records: BTreeMap<Upstream, TrackedUpstream>,
     /// The upstream that was last known at each address.
     addresses: BTreeMap<SocketAddr, Upstream>,
     departures: Departures,
-    stamp: u64,
-    purged: u64,
+    last_change: u64,
+    forgotten_change: u64,
 }
 
 #[derive(Debug)]
-struct Entry {
+struct TrackedUpstream {
     record: Record,
-    stamp: u64,
-    heard: Duration,
+    change: u64,
+    last_heard: Duration,
 }
 
 /// Says up to where the leader before had told, as its successor knows.
@@ -95,7 +95,14 @@
     pub fn new(period: Duration) -> Self {
         let departures = Departures::default();
         let (records, addresses) = (BTreeMap::new(), BTreeMap::new());
-        Self { period, records, addresses, departures, stamp: 0, purged: 0 }
+        Self {
+            announcement_period: period,
+            records,
+            addresses,
+            departures,
+            last_change: 0,
+            forgotten_change: 0,
+        }
     }
 
     /// Starts from what an earlier leader had told, and from all departures that are remembered here.
@@ -105,35 +112,36 @@
     pub fn restore(
         &mut self,
         now: Duration,
-        told: Propagation,
+        propagated: Propagation,
         records: impl Iterator<Item = (u64, Record)>,
         departures: Departures,
     ) {
         self.records.clear();
         self.addresses.clear();
         self.departures = departures;
-        self.stamp = told.last_change + 1;
-        self.purged = told.oldest_change;
-        for (change, mut record) in records {
-            let standing = record.status;
+        self.last_change = propagated.last_change + 1;
+        self.forgotten_change = propagated.oldest_change;
+        for (known_change, mut record) in records {
+            let status = record.status;
             let run = &record.announcement.run;
-            record.status = self.departures.status(run).unwrap_or(standing);
-            let changed = record.status != standing;
-            let stamp = if changed { self.stamp } else { change.min(self.stamp) };
-            self.hold(now, stamp, record);
+            record.status = self.departures.status(run).unwrap_or(status);
+            let changed = record.status != status;
+            let change =
+                if changed { self.last_change } else { known_change.min(self.last_change) };
+            self.insert_record(now, change, record);
         }
     }
 
     /// Returns by which change each upstream has changed, for the time after this leader.
     pub(crate) fn history(&self) -> History {
-        let mut history = History::new(self.purged);
-        for held in self.records.values() {
-            match held.record.status {
+        let mut history = History::new(self.forgotten_change);
+        for tracked in self.records.values() {
+            match tracked.record.status {
                 Status::Gone | Status::Lost => {
-                    history.record_removal(held.stamp, held.record.clone());
+                    history.record_removal(tracked.change, tracked.record.clone());
                 }
                 Status::Ready | Status::Silent | Status::Leaving => {
-                    history.told(&held.record.announcement.run.upstream, held.stamp);
+                    history.told(&tracked.record.announcement.run.upstream, tracked.change);
                 }
             }
         }
@@ -141,16 +149,16 @@
     }
 
     /// Holds a record that has changed by the change with this number.
-    fn hold(&mut self, now: Duration, stamp: u64, record: Record) {
+    fn insert_record(&mut self, now: Duration, change: u64, record: Record) {
         let Announcement { run, address, .. } = &record.announcement;
         let upstream = run.upstream.clone();
         self.addresses.insert(*address, upstream.clone());
-        self.records.insert(upstream, Entry { stamp, heard: now, record });
+        self.records.insert(upstream, TrackedUpstream { change, last_heard: now, record });
     }
 
     /// Returns the time between two announcements of an upstream.
     pub fn announcement_period(&self) -> Duration {
-        self.period
+        self.announcement_period
     }
 
     /// Returns the departures that are remembered.
@@ -160,22 +168,22 @@
 
     /// Returns the run that an upstream's name stands for now.
     pub fn current_run(&self, upstream: &Upstream) -> Option<&Run> {
-        self.records.get(upstream).map(|held| &held.record.announcement.run)
+        self.records.get(upstream).map(|tracked| &tracked.record.announcement.run)
     }
 
     /// Returns what is known of an upstream.
     pub fn record(&self, upstream: &Upstream) -> Option<&Record> {
-        self.records.get(upstream).map(|held| &held.record)
+        self.records.get(upstream).map(|tracked| &tracked.record)
     }
 
     /// Returns the number of the last change.
     pub fn last_change(&self) -> u64 {
-        self.stamp
+        self.last_change
     }
 
     /// Goes through the upstreams.
     pub fn records(&self) -> impl Iterator<Item = &Record> {
-        self.records.values().map(|held| &held.record)
+        self.records.values().map(|tracked| &tracked.record)
     }
 
     /// Goes through the upstreams of a service.
@@ -184,17 +192,17 @@
     }
 
     /// Tells whether what changed after a stamp is still known.
-    pub fn has_changes_since(&self, stamp: u64) -> bool {
-        stamp >= self.purged
+    pub fn has_changes_since(&self, change: u64) -> bool {
+        change >= self.forgotten_change
     }
 
     /// Returns what changed after a stamp; none when it is so old that everything must be told.
-    pub fn changes_since(&self, stamp: u64) -> Option<Vec<Record>> {
-        if !self.has_changes_since(stamp) {
+    pub fn changes_since(&self, change: u64) -> Option<Vec<Record>> {
+        if !self.has_changes_since(change) {
             return None;
         }
-        let newer = self.records.values().filter(|held| held.stamp > stamp);
-        Some(newer.map(|held| held.record.clone()).collect())
+        let newer = self.records.values().filter(|tracked| tracked.change > change);
+        Some(newer.map(|tracked| tracked.record.clone()).collect())
     }
 
     /// Takes an announcement; `served` tells whether the route table knows its service.
@@ -204,15 +212,15 @@
         if departed == Some(Status::Gone) {
             return Change::Unchanged;
         }
-        let Some(held) = self.records.get(&run.upstream) else {
-            return self.welcome(now, announcement, served);
+        let Some(tracked) = self.records.get(&run.upstream) else {
+            return self.register(now, announcement, served);
         };
-        let known = &held.record.announcement;
+        let known = &tracked.record.announcement;
         if !served && known.service != announcement.service {
             return Change::UnknownService;
         }
         match known.run.incarnation.cmp(&run.incarnation) {
-            Ordering::Less => self.welcome(now, announcement, served),
+            Ordering::Less => self.register(now, announcement, served),
             Ordering::Equal if known.sequence < announcement.sequence => {
                 self.renew(now, announcement)
             }
@@ -229,27 +237,29 @@
     /// The core may know less than this leader: that the run goes, or that another one has its name. So a mark
     /// renews what is held, and makes nothing ready but a run that was only silent.
     pub fn vouch(&mut self, now: Duration, mark: &RenewalMark) -> Change {
-        let Some(held) = self.records.get_mut(&mark.run.upstream) else { return Change::Unchanged };
-        let known = &mut held.record.announcement;
-        let stays = matches!(held.record.status, Status::Ready | Status::Silent);
+        let Some(tracked) = self.records.get_mut(&mark.run.upstream) else {
+            return Change::Unchanged;
+        };
+        let known = &mut tracked.record.announcement;
+        let stays = matches!(tracked.record.status, Status::Ready | Status::Silent);
         if !stays || known.run != mark.run || known.sequence >= mark.sequence {
             return Change::Unchanged;
         }
         known.sequence = mark.sequence;
-        held.heard = now;
-        if held.record.status == Status::Ready {
+        tracked.last_heard = now;
+        if tracked.record.status == Status::Ready {
             return Change::Unchanged;
         }
-        held.record.status = Status::Ready;
-        self.stamp += 1;
-        held.stamp = self.stamp;
+        tracked.record.status = Status::Ready;
+        self.last_change += 1;
+        tracked.change = self.last_change;
         Change::Updated
     }
 
     /// Counts a change of something else that is told with the upstreams; returns its number.
     pub fn record_external_change(&mut self) -> u64 {
-        self.stamp += 1;
-        self.stamp
+        self.last_change += 1;
+        self.last_change
     }
 
     /// Tells why an announcement was not taken; none for the one that is held now.
@@ -259,11 +269,11 @@
         run: &Run,
         sequence: u64,
     ) -> Option<StaleAnnouncement> {
-        let held = self.records.get(&run.upstream).map(|held| &held.record.announcement);
-        if held.is_some_and(|it| it.run == *run && it.sequence == sequence) {
+        let tracked = self.records.get(&run.upstream).map(|tracked| &tracked.record.announcement);
+        if tracked.is_some_and(|it| it.run == *run && it.sequence == sequence) {
             return None;
         }
-        let known = held.map(|it| (it.run.incarnation, it.sequence));
+        let known = tracked.map(|it| (it.run.incarnation, it.sequence));
         let departed = self.departures.status(run).zip(self.departures.age(now, run));
         Some(StaleAnnouncement { run: run.clone(), sequence, known, departed })
     }
@@ -271,26 +281,27 @@
     /// Takes a later announcement of a run that is known.
     fn renew(&mut self, now: Duration, announcement: Announcement) -> Change {
         let departed = self.departures.status(&announcement.run);
-        let Some(held) = self.records.get_mut(&announcement.run.upstream) else {
+        let Some(tracked) = self.records.get_mut(&announcement.run.upstream) else {
             return Change::Unchanged;
         };
-        held.heard = now;
-        let before = held.record.status;
-        let standing = standing(&announcement, departed.unwrap_or(before));
-        let changed = differs(&held.record.announcement, &announcement) || standing != before;
-        if held.record.announcement.address != announcement.address {
+        tracked.last_heard = now;
+        let before = tracked.record.status;
+        let status = status_after_announcement(&announcement, departed.unwrap_or(before));
+        let changed =
+            differs_for_others(&tracked.record.announcement, &announcement) || status != before;
+        if tracked.record.announcement.address != announcement.address {
             self.addresses.insert(announcement.address, announcement.run.upstream.clone());
         }
-        held.record.announcement = announcement;
-        held.record.status = standing;
+        tracked.record.announcement = announcement;
+        tracked.record.status = status;
         if changed {
-            self.stamp += 1;
-            held.stamp = self.stamp;
+            self.last_change += 1;
+            tracked.change = self.last_change;
         }
-        if standing == Status::Leaving {
-            self.departures.record(now, &held.record.announcement.run, standing);
+        if status == Status::Leaving {
+            self.departures.record(now, &tracked.record.announcement.run, status);
         }
-        match (standing == Status::Leaving && before != standing, changed) {
+        match (status == Status::Leaving && before != status, changed) {
             (true, _) => Change::Leaving,
             (false, true) => Change::Updated,
             (false, false) => Change::Unchanged,
@@ -302,18 +313,18 @@
     /// A run says it once and for all, so neither a later number nor a missing record speaks against it. Passed
     /// over here, it would be acknowledged by the log, which holds it, while entries go on sending requests.
     pub fn depart(&mut self, now: Duration, departure: &Departure) -> Change {
-        let Departure { run, status: standing } = departure;
-        if !self.departures.record(now, run, *standing) {
+        let Departure { run, status } = departure;
+        if !self.departures.record(now, run, *status) {
             return Change::Unchanged;
         }
-        let Some(held) = self.records.get_mut(&run.upstream) else { return Change::Leaving };
-        if held.record.announcement.run.incarnation <= run.incarnation {
+        let Some(tracked) = self.records.get_mut(&run.upstream) else { return Change::Leaving };
+        if tracked.record.announcement.run.incarnation <= run.incarnation {
             // This leader may have heard of an earlier run only. Response as that one's end, the word would
             // leave the run that goes in use at entries that know it from an earlier leader.
-            held.record.announcement.run = run.clone();
-            held.record.status = *standing;
-            self.stamp += 1;
-            held.stamp = self.stamp;
+            tracked.record.announcement.run = run.clone();
+            tracked.record.status = *status;
+            self.last_change += 1;
+            tracked.change = self.last_change;
         }
         Change::Leaving
     }
@@ -325,39 +336,47 @@
 
     /// Counts upstreams as silent that have missed announcements, later as lost, and forgets those long gone.
     pub fn tick(&mut self, now: Duration) -> Expirations {
-        let mut lapse = Expirations::default();
-        for held in self.records.values_mut() {
-            let silence = now.saturating_sub(held.heard);
-            let Some(standing) = after(held.record.status, silence, self.period * MISSED) else {
+        let mut expirations = Expirations::default();
+        for tracked in self.records.values_mut() {
+            let silence = now.saturating_sub(tracked.last_heard);
+            let Some(status) = status_after_silence(
+                tracked.record.status,
+                silence,
+                self.announcement_period * MAX_MISSED_ANNOUNCEMENTS,
+            ) else {
                 continue;
             };
-            held.record.status = standing;
-            self.stamp += 1;
-            held.stamp = self.stamp;
-            lapse.changed = true;
-            let run = &held.record.announcement.run;
-            match standing {
-                Status::Silent => lapse.silent.push(run.upstream.clone()),
-                Status::Lost => lapse.lost.push(run.clone()),
+            tracked.record.status = status;
+            self.last_change += 1;
+            tracked.change = self.last_change;
+            expirations.changed = true;
+            let run = &tracked.record.announcement.run;
+            match status {
+                Status::Silent => expirations.silent.push(run.upstream.clone()),
+                Status::Lost => expirations.lost.push(run.clone()),
                 Status::Ready | Status::Leaving | Status::Gone => {}
             }
         }
         self.departures.remove_expired(now);
-        self.forget(now);
-        lapse
+        self.remove_expired(now);
+        expirations
     }
 
     /// Forgets upstreams that are gone or lost once every instance has been told.
-    fn forget(&mut self, now: Duration) {
-        let forgotten = |held: &Entry| {
-            matches!(held.record.status, Status::Gone | Status::Lost)
-                && now.saturating_sub(held.heard) >= MEMORY * 2
+    fn remove_expired(&mut self, now: Duration) {
+        let is_expired = |tracked: &TrackedUpstream| {
+            matches!(tracked.record.status, Status::Gone | Status::Lost)
+                && now.saturating_sub(tracked.last_heard) >= LOST_AFTER * 2
         };
-        let last =
-            self.records.values().filter(|held| forgotten(held)).map(|held| held.stamp).max();
-        if let Some(last) = last {
-            self.purged = self.purged.max(last);
-            self.records.retain(|_, held| !forgotten(held));
+        let last_removed = self
+            .records
+            .values()
+            .filter(|tracked| is_expired(tracked))
+            .map(|tracked| tracked.change)
+            .max();
+        if let Some(last_removed) = last_removed {
+            self.forgotten_change = self.forgotten_change.max(last_removed);
+            self.records.retain(|_, tracked| !is_expired(tracked));
             self.addresses.retain(|_, upstream| self.records.contains_key(upstream));
         }
     }
@@ -369,41 +388,42 @@
     /// after its sender has ended and another run has registered at the address: taken for a new run, it
     /// would turn requests to an upstream that no longer exists. It shows by an earlier start or, where
     /// upstreams don't say when they started, by a high sequence number.
-    fn welcome(&mut self, now: Duration, announcement: Announcement, served: bool) -> Change {
+    fn register(&mut self, now: Duration, announcement: Announcement, served: bool) -> Change {
         let Announcement { run, address, sequence, .. } = &announcement;
-        let at_address = |held: &&mut Entry| {
-            let other = &held.record.announcement;
+        let is_active_at_address = |tracked: &&mut TrackedUpstream| {
+            let other = &tracked.record.announcement;
             other.address == *address
                 && other.run.upstream != run.upstream
-                && !matches!(held.record.status, Status::Gone | Status::Lost)
+                && !matches!(tracked.record.status, Status::Gone | Status::Lost)
         };
         let other = self.addresses.get(address).and_then(|other| self.records.get_mut(other));
-        if let Some(old) = other.filter(at_address) {
-            let before = old.record.announcement.run.incarnation;
-            let late = if before > 0 && run.incarnation > 0 {
+        if let Some(replaced) = other.filter(is_active_at_address) {
+            let before = replaced.record.announcement.run.incarnation;
+            let is_stale = if before > 0 && run.incarnation > 0 {
                 run.incarnation < before
             } else {
-                now.saturating_sub(old.heard) <= self.period * 2 && *sequence > YOUNG
+                now.saturating_sub(replaced.last_heard) <= self.announcement_period * 2
+                    && *sequence > MAX_FIRST_SEQUENCE
             };
             if !served {
                 return Change::UnknownService;
             }
-            if late {
+            if is_stale {
                 return Change::Unchanged;
             }
-            old.record.status = Status::Gone;
-            self.stamp += 1;
-            old.stamp = self.stamp;
-            self.departures.record(now, &old.record.announcement.run, Status::Gone);
+            replaced.record.status = Status::Gone;
+            self.last_change += 1;
+            replaced.change = self.last_change;
+            self.departures.record(now, &replaced.record.announcement.run, Status::Gone);
         }
-        self.stamp += 1;
+        self.last_change += 1;
         let departed = self.departures.status(run);
-        let standing = standing(&announcement, departed.unwrap_or(Status::Ready));
-        if standing == Status::Leaving {
-            self.departures.record(now, run, standing);
+        let status = status_after_announcement(&announcement, departed.unwrap_or(Status::Ready));
+        if status == Status::Leaving {
+            self.departures.record(now, run, status);
         }
-        self.hold(now, self.stamp, Record { announcement, status: standing });
-        if standing == Status::Leaving { Change::Leaving } else { Change::Updated }
+        self.insert_record(now, self.last_change, Record { announcement, status });
+        if status == Status::Leaving { Change::Leaving } else { Change::Updated }
     }
 }
 
@@ -412,16 +432,20 @@
 ///
 /// Entries hold what the leader told them last. An upstream that was only forgotten at the leader would stay in
 /// use at all of them, as the last resort, for as long as they run.
-fn after(standing: Status, silence: Duration, patience: Duration) -> Option<Status> {
-    match standing {
-        Status::Ready if silence > patience => Some(Status::Silent),
-        Status::Silent if silence > MEMORY => Some(Status::Lost),
-        Status::Leaving if silence > MEMORY => Some(Status::Gone),
+fn status_after_silence(
+    status: Status,
+    silence: Duration,
+    max_silence: Duration,
+) -> Option<Status> {
+    match status {
+        Status::Ready if silence > max_silence => Some(Status::Silent),
+        Status::Silent if silence > LOST_AFTER => Some(Status::Lost),
+        Status::Leaving if silence > LOST_AFTER => Some(Status::Gone),
         _ => None,
     }
 }
 
 /// Returns the standing after an announcement; leaving is final for a run.
-fn standing(announcement: &Announcement, before: Status) -> Status {
+fn status_after_announcement(announcement: &Announcement, before: Status) -> Status {
     if announcement.draining || before == Status::Leaving { Status::Leaving } else { Status::Ready }
 }
--- a/crates/verbenaslip-fleet/src/replicated_state.rs
+++ b/crates/verbenaslip-fleet/src/replicated_state.rs
@@ -17,7 +17,7 @@
 
 /// Closed windows that are kept; at 5 s a window more than a minute, far beyond the time in which a
 /// report may still be sent.
-const WINDOWS: usize = 16;
+const MAX_CLOSED_WINDOWS: usize = 16;
 
 /// Changes the ledger.
 #[data(float)]
@@ -98,16 +98,16 @@
 /// Holds the replicated state.
 #[data(float, default)]
 pub struct ReplicatedState {
-    edition: Option<Arc<RouteTableRevision>>,
+    current_table: Option<Arc<RouteTableRevision>>,
     windows: BTreeMap<u64, Window>,
-    bases: BTreeMap<Arc<str>, u32>,
-    sizes: BTreeMap<Arc<str>, u32>,
+    initial_counts: BTreeMap<Arc<str>, u32>,
+    planned_counts: BTreeMap<Arc<str>, u32>,
     /// Kept apart in a snapshot, since those of earlier versions end before it.
     #[serde(skip)]
-    departed: BTreeMap<Upstream, Departed>,
+    departures: BTreeMap<Upstream, LoggedDeparture>,
     /// Upstreams that have come and not gone; kept apart as well.
     #[serde(skip)]
-    joined: BTreeMap<Upstream, Record>,
+    upstreams: BTreeMap<Upstream, Record>,
     /// The requests that are held back; kept apart as well.
     #[serde(skip)]
     quarantine: PersistedState,
@@ -118,9 +118,9 @@
 
 /// Holds the last departure of an upstream.
 #[data(copy)]
-struct Departed {
+struct LoggedDeparture {
     incarnation: u64,
-    standing: Status,
+    status: Status,
     /// When it was noted, in Unix milliseconds of the agreed time of day.
     unix: u64,
 }
@@ -137,12 +137,12 @@
 impl ReplicatedState {
     /// Returns the newest route table.
     pub fn current_table(&self) -> Option<&Arc<RouteTableRevision>> {
-        self.edition.as_ref()
+        self.current_table.as_ref()
     }
 
     /// Returns the revision of the newest route table; zero without one.
     pub fn revision(&self) -> u64 {
-        self.edition.as_ref().map_or(0, |edition| edition.table.revision)
+        self.current_table.as_ref().map_or(0, |revision| revision.table.revision)
     }
 
     /// Returns the closed windows.
@@ -157,37 +157,37 @@
 
     /// Returns with how many upstreams a service began, once that is noted.
     pub fn initial_count(&self, service: &str) -> Option<u32> {
-        self.bases.get(service).copied()
+        self.initial_counts.get(service).copied()
     }
 
     /// Returns with how many upstreams a service was planned last, once that was by its load.
     pub fn planned_count(&self, service: &str) -> Option<u32> {
-        self.sizes.get(service).copied()
+        self.planned_counts.get(service).copied()
     }
 
     /// Goes through the departures that are remembered.
     pub fn departures(&self) -> impl Iterator<Item = Departure> {
-        self.departed.iter().map(|(upstream, departed)| {
+        self.departures.iter().map(|(upstream, departed)| {
             let run = Run { upstream: upstream.clone(), incarnation: departed.incarnation };
-            Departure { run, status: departed.standing }
+            Departure { run, status: departed.status }
         })
     }
 
     /// Goes through the upstreams that have come and not gone.
     pub fn upstreams(&self) -> impl Iterator<Item = &Record> {
-        self.joined.values()
+        self.upstreams.values()
     }
 
     /// Tells whether the log holds that a run has come.
     pub fn contains_run(&self, run: &Run) -> bool {
-        self.joined.get(&run.upstream).is_some_and(|it| it.announcement.run == *run)
+        self.upstreams.get(&run.upstream).is_some_and(|it| it.announcement.run == *run)
     }
 
     /// Tells whether the log holds that a run goes, and as surely.
-    pub fn has_departed(&self, run: &Run, standing: Status) -> bool {
-        self.departed.get(&run.upstream).is_some_and(|it| {
+    pub fn has_departed(&self, run: &Run, status: Status) -> bool {
+        self.departures.get(&run.upstream).is_some_and(|it| {
             it.incarnation > run.incarnation
-                || (it.incarnation == run.incarnation && it.standing >= standing)
+                || (it.incarnation == run.incarnation && it.status >= status)
         })
     }
 
@@ -207,35 +207,35 @@
     /// overtaken by a newer one, is accepted without ever bringing an older table back.
     pub fn apply(&mut self, command: Command) {
         match command {
-            Command::SetRouteTable(edition) => {
-                let first = self.edition.is_none();
-                if first || edition.table.revision > self.revision() {
-                    self.edition = Some(Arc::from(edition));
+            Command::SetRouteTable(revision) => {
+                let is_first = self.current_table.is_none();
+                if is_first || revision.table.revision > self.revision() {
+                    self.current_table = Some(Arc::from(revision));
                 }
             }
             Command::SetInitialCount { service, upstreams } => {
-                self.bases.entry(service).or_insert(upstreams);
+                self.initial_counts.entry(service).or_insert(upstreams);
             }
             Command::SetPlannedCount { service, upstreams } => {
-                self.sizes.insert(service, upstreams);
+                self.planned_counts.insert(service, upstreams);
             }
             Command::CloseWindow(window) => {
                 // A window that two leaders close in turn would be reported with two counts; the
                 // first closing stays.
                 self.windows.entry(window.number).or_insert(window);
-                while self.windows.len() > WINDOWS {
+                while self.windows.len() > MAX_CLOSED_WINDOWS {
                     self.windows.pop_first();
                 }
             }
-            Command::AddDepartures { departures, unix } => self.depart(departures, unix),
-            Command::AddUpstreams { records } => self.join(records),
+            Command::AddDepartures { departures, unix } => self.add_departures(departures, unix),
+            Command::AddUpstreams { records } => self.add_upstreams(records),
             Command::RemoveRuns { runs } => {
-                self.joined.retain(|_, it| !runs.contains(&it.announcement.run));
+                self.upstreams.retain(|_, it| !runs.contains(&it.announcement.run));
             }
-            Command::SetQuarantine(kept) => {
+            Command::SetQuarantine(persisted) => {
                 // Prints are worth nothing under another key than the one by which they were made.
-                let key = self.quarantine.key.or(kept.key);
-                self.quarantine = PersistedState { key, ..kept };
+                let key = self.quarantine.key.or(persisted.key);
+                self.quarantine = PersistedState { key, ..persisted };
             }
             Command::StartRollout { order, unix } => self.rollouts.start(order, unix),
             Command::DecideRollout { id, state, unix } => self.rollouts.decide(id, state, unix),
@@ -246,39 +246,39 @@
     ///
     /// Whoever had the address of one of them has ended, without a word if it crashed. Remembered beside
     /// it, a new leader would have requests sent to a run that no longer exists.
-    fn join(&mut self, records: Vec<Record>) {
+    fn add_upstreams(&mut self, records: Vec<Record>) {
         let addresses: BTreeSet<SocketAddr> =
             records.iter().map(|it| it.announcement.address).collect();
-        self.joined.retain(|_, it| !addresses.contains(&it.announcement.address));
+        self.upstreams.retain(|_, it| !addresses.contains(&it.announcement.address));
         for record in records {
             let run = &record.announcement.run;
             if !self.has_departed(run, Status::Leaving) {
-                self.joined.insert(run.upstream.clone(), record);
+                self.upstreams.insert(run.upstream.clone(), record);
             }
         }
     }
 
     /// Notes departures, and forgets those that are older than any announcement on its way.
-    fn depart(&mut self, departures: Vec<Departure>, unix: u64) {
-        for Departure { run, status: standing } in departures {
-            if !self.has_departed(&run, standing) {
-                let departed = Departed { incarnation: run.incarnation, standing, unix };
-                let gone = |it: &Record| it.announcement.run.incarnation <= run.incarnation;
-                if self.joined.get(&run.upstream).is_some_and(gone) {
-                    self.joined.remove(&run.upstream);
+    fn add_departures(&mut self, departures: Vec<Departure>, unix: u64) {
+        for Departure { run, status } in departures {
+            if !self.has_departed(&run, status) {
+                let departed = LoggedDeparture { incarnation: run.incarnation, status, unix };
+                let is_covered = |it: &Record| it.announcement.run.incarnation <= run.incarnation;
+                if self.upstreams.get(&run.upstream).is_some_and(is_covered) {
+                    self.upstreams.remove(&run.upstream);
                 }
-                self.departed.insert(run.upstream, departed);
+                self.departures.insert(run.upstream, departed);
             }
         }
-        let memory = u64::try_from(RETENTION.as_millis()).unwrap_or(u64::MAX);
-        self.departed.retain(|_, it| unix.saturating_sub(it.unix) <= memory);
+        let retention = u64::try_from(RETENTION.as_millis()).unwrap_or(u64::MAX);
+        self.departures.retain(|_, it| unix.saturating_sub(it.unix) <= retention);
     }
 
     /// Writes the whole state.
     pub fn snapshot(&self) -> Vec<u8> {
         // Encoding to memory fails for no value of these types.
-        let state = (self, &self.departed, &self.joined, &self.quarantine, &self.rollouts);
-        postcard::to_stdvec(&state).unwrap_or_default()
+        let parts = (self, &self.departures, &self.upstreams, &self.quarantine, &self.rollouts);
+        postcard::to_stdvec(&parts).unwrap_or_default()
     }
 
     /// Reads what [`snapshot`](Self::snapshot) wrote.
@@ -287,15 +287,15 @@
     ///
     /// Returns an error for bytes that are no ledger.
     pub fn restore(bytes: &[u8]) -> Result<Self, Error> {
-        let (mut ledger, rest) =
+        let (mut state, rest) =
             postcard::take_from_bytes::<Self>(bytes).map_err(|_| Error::Unreadable)?;
         // Snapshots of earlier versions end before some of these.
-        let ((departed, joined), rest) = part(rest)?;
-        let (quarantine, rest) = part(rest)?;
-        let (rollouts, _) = part(rest)?;
-        (ledger.departed, ledger.joined) = (departed, joined);
-        (ledger.quarantine, ledger.rollouts) = (quarantine, rollouts);
-        Ok(ledger)
+        let ((departures, upstreams), rest) = decode_part(rest)?;
+        let (quarantine, rest) = decode_part(rest)?;
+        let (rollouts, _) = decode_part(rest)?;
+        (state.departures, state.upstreams) = (departures, upstreams);
+        (state.quarantine, state.rollouts) = (quarantine, rollouts);
+        Ok(state)
     }
 }
 
@@ -317,10 +317,10 @@
 }
 
 /// Holds a part of a snapshot and the bytes after it.
-type Part<'a, T> = Result<(T, &'a [u8]), Error>;
+type DecodedPart<'a, T> = Result<(T, &'a [u8]), Error>;
 
 /// Reads the next part of a snapshot; where it ends before that, the part is empty.
-fn part<T: DeserializeOwned + Default>(bytes: &[u8]) -> Part<'_, T> {
+fn decode_part<T: DeserializeOwned + Default>(bytes: &[u8]) -> DecodedPart<'_, T> {
     if bytes.is_empty() {
         return Ok((T::default(), bytes));
     }
--- a/crates/verbenaslip-fleet/src/rollout.rs
+++ b/crates/verbenaslip-fleet/src/rollout.rs
@@ -23,7 +23,7 @@
 pub use crate::rollout::controller::Controller;
 
 /// How long after a verdict an equal order counts as the decided one sent again; operators resend for a few seconds.
-const RESEND: Duration = Duration::from_secs(10);
+const RESEND_WINDOW: Duration = Duration::from_secs(10);
 
 /// Orders a service's traffic to be moved to a version.
 #[data]
@@ -105,11 +105,13 @@
     /// Says what becomes of an order that arrives at a time.
     pub fn admission(&self, order: &Order, unix: u64) -> Admission {
         let Some(last) = self.services.get(&order.service) else { return Admission::New };
-        let same = last.order.version == order.version;
-        match (last.decided, same) {
+        let is_same_version = last.order.version == order.version;
+        match (last.decided, is_same_version) {
             (None, true) => Admission::Known,
             (None, false) => Admission::Conflict(last.order.version.clone()),
-            (Some(at), true) if unix.saturating_sub(at) <= millis(RESEND) => Admission::Known,
+            (Some(at), true) if unix.saturating_sub(at) <= millis(RESEND_WINDOW) => {
+                Admission::Known
+            }
             (Some(_), true) if last.state == State::Completed => Admission::Known,
             (Some(_), _) => Admission::New,
         }
@@ -190,8 +192,8 @@
     /// Returns the cohort of an upstream that runs a version.
     pub fn cohort(&self, upstream: &Upstream, version: &str) -> Cohort {
         let candidate = *self.version == *version;
-        let ended = candidate && self.state == State::RolledBack;
-        if ended || self.rejected.contains(version) {
+        let is_rolled_back = candidate && self.state == State::RolledBack;
+        if is_rolled_back || self.rejected.contains(version) {
             return Cohort::Rejected;
         }
         match &self.canaries {
--- a/crates/verbenaslip-fleet/src/rollout/report.rs
+++ b/crates/verbenaslip-fleet/src/rollout/report.rs
@@ -11,10 +11,10 @@
 pub const BUCKET_COUNT: usize = 24;
 
 /// The upper bound of the first bucket, in milliseconds.
-const FIRST: f64 = 2.0;
+const FIRST_BOUND_MS: f64 = 2.0;
 
 /// The ratio of the bounds of two neighbouring buckets.
-const RATIO: f64 = 1.5;
+const BOUND_RATIO: f64 = 1.5;
 
 /// Names the upstreams whose answers are counted together.
 #[data(copy, ord)]
@@ -63,7 +63,7 @@
 /// Adds up the reports of all entries.
 #[derive(Debug, Default)]
 pub struct Totals {
-    entries: BTreeMap<SocketAddr, Last>,
+    entries: BTreeMap<SocketAddr, LastReport>,
     sums: BTreeMap<Key, Counts>,
     /// What came since it was last asked for.
     fresh: BTreeMap<Key, Counts>,
@@ -71,7 +71,7 @@
 
 /// Holds the last report of one entry.
 #[derive(Debug)]
-struct Last {
+struct LastReport {
     incarnation: u64,
     number: u64,
     report: Report,
@@ -97,7 +97,7 @@
             self.sums.entry(key.clone()).or_default().add(&delta);
             self.fresh.entry(key.clone()).or_default().add(&delta);
         }
-        self.entries.insert(entry, Last { incarnation, number, report: report.clone() });
+        self.entries.insert(entry, LastReport { incarnation, number, report: report.clone() });
     }
 
     /// Takes what came since this was last called.
@@ -125,11 +125,11 @@
 
     /// Returns how many requests these entries have at the stable version, if all follow a step of the plan.
     pub fn stable_active(&self, entries: &[SocketAddr], step: u32) -> Option<u32> {
-        let follows = |it: &SocketAddr| {
+        let requests_if_current = |it: &SocketAddr| {
             let last = self.entries.get(it)?;
             (last.report.step >= step).then_some(last.report.stable_active)
         };
-        entries.iter().map(follows).sum()
+        entries.iter().map(requests_if_current).sum()
     }
 }
 
@@ -162,15 +162,15 @@
     }
 
     /// Counts a latency.
-    pub fn record_latency(&mut self, took: Duration) {
+    pub fn record_latency(&mut self, latency: Duration) {
         self.latencies.resize(BUCKET_COUNT, 0);
-        self.latencies[bucket_index(took)] += 1;
+        self.latencies[bucket_index(latency)] += 1;
     }
 
     /// Returns the median latency in milliseconds, if there are so many samples.
-    pub fn median(&self, least: u64) -> Option<f64> {
+    pub fn median(&self, min_samples: u64) -> Option<f64> {
         let total: u64 = self.latencies.iter().sum();
-        if total < least.max(1) {
+        if total < min_samples.max(1) {
             return None;
         }
         let mut sum = 0;
@@ -178,17 +178,19 @@
             sum += count;
             sum * 2 >= total
         };
-        self.latencies.iter().position(half).map(bound)
+        self.latencies.iter().position(half).map(upper_bound_ms)
     }
 }
 
 /// Returns the bucket of a latency.
-pub fn bucket_index(took: Duration) -> usize {
-    let millis = took.as_secs_f64() * 1_000.0;
-    (0..BUCKET_COUNT - 1).find(|bucket| millis <= bound(*bucket)).unwrap_or(BUCKET_COUNT - 1)
+pub fn bucket_index(latency: Duration) -> usize {
+    let millis = latency.as_secs_f64() * 1_000.0;
+    (0..BUCKET_COUNT - 1)
+        .find(|bucket| millis <= upper_bound_ms(*bucket))
+        .unwrap_or(BUCKET_COUNT - 1)
 }
 
 /// Returns the upper bound of a bucket in milliseconds.
-fn bound(bucket: usize) -> f64 {
-    FIRST * RATIO.powi(i32::try_from(bucket).unwrap_or(i32::MAX))
+fn upper_bound_ms(bucket: usize) -> f64 {
+    FIRST_BOUND_MS * BOUND_RATIO.powi(i32::try_from(bucket).unwrap_or(i32::MAX))
 }
--- a/crates/verbenaslip-fleet/src/rollout/verdict.rs
+++ b/crates/verbenaslip-fleet/src/rollout/verdict.rs
@@ -9,7 +9,7 @@
 use crate::rollout::{State, as_f64};
 
 /// The part of the stable upstreams that the candidate must have to take over.
-const CAPACITY: f64 = 0.6;
+const MIN_CAPACITY_SHARE: f64 = 0.6;
 
 /// Says what candidates get.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -66,8 +66,8 @@
 
 impl Fleet {
     /// Tells whether the candidate has enough upstreams to take over.
-    pub(crate) fn carries(&self) -> bool {
-        let needed = as_f64(self.stable as u64) * CAPACITY;
+    pub(crate) fn has_capacity(&self) -> bool {
+        let needed = as_f64(self.stable as u64) * MIN_CAPACITY_SHARE;
         as_f64(self.candidates.len() as u64) >= needed.max(1.0)
     }
 }
--- a/crates/verbenaslip-fleet/src/route_table.rs
+++ b/crates/verbenaslip-fleet/src/route_table.rs
@@ -196,15 +196,15 @@
     /// Returns the first problem.
     pub fn validate(&self) -> Result<(), ValidationError> {
         let services: BTreeSet<&str> = self.services.iter().map(|it| &*it.name).collect();
-        let mut places = BTreeMap::new();
+        let mut locations = BTreeMap::new();
         for route in &self.routes {
-            route.check(&services)?;
-            let place = (route.host.to_ascii_lowercase(), route.prefix.clone());
-            if let Some(other) = places.insert(place, route.name.clone()) {
+            route.validate(&services)?;
+            let location = (route.host.to_ascii_lowercase(), route.prefix.clone());
+            if let Some(other) = locations.insert(location, route.name.clone()) {
                 return Err(ValidationError::DuplicateRoute(other, route.name.clone()));
             }
         }
-        self.check_keys()
+        self.validate_keys()
     }
 
     /// Finds a service.
@@ -212,7 +212,7 @@
         self.services.iter().find(|service| &*service.name == name)
     }
 
-    fn check_keys(&self) -> Result<(), ValidationError> {
+    fn validate_keys(&self) -> Result<(), ValidationError> {
         let mut owners: BTreeMap<&str, &Team> = BTreeMap::new();
         for team in &self.teams {
             for key in &team.keys {
@@ -227,7 +227,7 @@
 }
 
 impl Route {
-    fn check(&self, services: &BTreeSet<&str>) -> Result<(), ValidationError> {
+    fn validate(&self, services: &BTreeSet<&str>) -> Result<(), ValidationError> {
         if self.timeout.is_zero() {
             return Err(ValidationError::ZeroTimeout(self.name.clone()));
         }
--- a/crates/verbenaslip-fleet/src/upstream.rs
+++ b/crates/verbenaslip-fleet/src/upstream.rs
@@ -74,10 +74,10 @@
 }
 
 /// Tells whether an announcement says something that others must know.
-pub(crate) fn differs(old: &Announcement, new: &Announcement) -> bool {
-    let key = |it: &Announcement| {
-        let load = (it.slots, it.draining, it.warmup_left.is_zero(), it.reclaimable);
-        (it.address, it.service.clone(), it.version.clone(), load)
+pub(crate) fn differs_for_others(old: &Announcement, new: &Announcement) -> bool {
+    let relevant_parts = |it: &Announcement| {
+        let state = (it.slots, it.draining, it.warmup_left.is_zero(), it.reclaimable);
+        (it.address, it.service.clone(), it.version.clone(), state)
     };
-    key(old) != key(new) || old.leaves_in.is_some() != new.leaves_in.is_some()
+    relevant_parts(old) != relevant_parts(new) || old.leaves_in.is_some() != new.leaves_in.is_some()
 }
--- a/crates/verbenaslip-fleet/src/usage.rs
+++ b/crates/verbenaslip-fleet/src/usage.rs
@@ -11,10 +11,10 @@
 
 /// Windows that an entry keeps and tells again, so that a leader elected a moment ago hears of the
 /// windows that its predecessor had not closed.
-const KEPT: usize = 4;
+const MAX_ENTRY_WINDOWS: usize = 4;
 
 /// Windows that a core keeps; more than any report may still be due for.
-const HELD: usize = 12;
+const MAX_CORE_WINDOWS: usize = 12;
 
 /// Counts the requests of a team that began in a window.
 #[data]
@@ -52,7 +52,7 @@
                 counts.insert(team.clone(), 1);
             }
         }
-        while self.windows.len() > KEPT {
+        while self.windows.len() > MAX_ENTRY_WINDOWS {
             self.windows.pop_first();
         }
     }
@@ -94,27 +94,24 @@
     /// Takes an entry's counts, which are told on with the report of a number.
     ///
     /// What came by way of another core may be older; counts of one life only rise.
-    pub fn record(&mut self, number: u64, origin: EntryRun, counts: Vec<Count>) {
+    pub fn record(&mut self, number: u64, entry: EntryRun, counts: Vec<Count>) {
         for Count { window, team, requests } in counts {
-            let key = (window, origin, team);
+            let key = (window, entry, team);
             if self.counts.get(&key).is_none_or(|known| *known < requests) {
                 self.counts.insert(number, key, requests);
             }
-            self.hold(window);
+            self.add_window(window);
         }
     }
 
     /// Lists what was not told yet with the report of a number, by entry.
     pub fn since(&self, number: u64) -> Vec<EntryCounts> {
-        let mut by_origin: BTreeMap<EntryRun, Vec<Count>> = BTreeMap::new();
-        for ((window, origin, team), requests) in self.counts.changed_since(number) {
+        let mut by_entry: BTreeMap<EntryRun, Vec<Count>> = BTreeMap::new();
+        for ((window, entry, team), requests) in self.counts.changed_since(number) {
             let count = Count { window: *window, team: team.clone(), requests: *requests };
-            by_origin.entry(*origin).or_default().push(count);
+            by_entry.entry(*entry).or_default().push(count);
         }
-        by_origin
-            .into_iter()
-            .map(|(origin, counts)| EntryCounts { entry: origin, counts })
-            .collect()
+        by_entry.into_iter().map(|(entry, counts)| EntryCounts { entry, counts }).collect()
     }
 
     /// Returns the sum of all entries in a window.
@@ -129,8 +126,8 @@
     }
 
     /// Holds a window, and drops the oldest one beyond those that are held.
-    fn hold(&mut self, window: u64) {
-        if !self.windows.insert(window) || self.windows.len() <= HELD {
+    fn add_window(&mut self, window: u64) {
+        if !self.windows.insert(window) || self.windows.len() <= MAX_CORE_WINDOWS {
             return;
         }
         if let Some(dropped) = self.windows.pop_first() {
--- a/crates/verbenaslip-fleet/src/voucher.rs
+++ b/crates/verbenaslip-fleet/src/voucher.rs
@@ -19,18 +19,18 @@
 use verbenaslip_base::name::Upstream;
 
 use crate::departure::{Departure, Departures};
-use crate::upstream::{Announcement, Record, Run, Status, differs};
+use crate::upstream::{Announcement, Record, Run, Status, differs_for_others};
 
 /// Marks that are older than this are dropped: a core that stood still would tell the leader that upstreams
 /// are there which have ended meanwhile. Marks usually leave with the next report, within 250 ms.
-const FRESH: Duration = Duration::from_secs(1);
+const MAX_MARK_AGE: Duration = Duration::from_secs(1);
 
 /// How long a core repeats the acknowledgement of a leaving. The leader hears of the upstream again well within
 /// the minute after which it counts one that goes and is silent as gone.
-const REPEATED: Duration = Duration::from_secs(10);
+const ACKNOWLEDGMENT_LIFETIME: Duration = Duration::from_secs(10);
 
 /// Acknowledgements that are remembered before old ones are looked for.
-const MANY: usize = 1_024;
+const PRUNE_THRESHOLD: usize = 1_024;
 
 /// Says that a run has announced itself, and nothing about it has changed.
 #[data]
@@ -44,35 +44,40 @@
 /// Keeps the marks that the leader has not been told yet.
 #[derive(Debug, Default)]
 pub(crate) struct Voucher {
-    heard: BTreeMap<Upstream, Heard>,
+    pending: BTreeMap<Upstream, ReceivedAnnouncement>,
     /// Departures that were acknowledged here, and when.
     acknowledged: BTreeMap<Upstream, (Departure, Duration)>,
 }
 
 #[derive(Debug)]
-struct Heard {
+struct ReceivedAnnouncement {
     incarnation: u64,
     sequence: u64,
-    at: Duration,
+    received_at: Duration,
 }
 
 impl Voucher {
     /// Notes that a run was heard.
     pub(crate) fn record(&mut self, now: Duration, announcement: &Announcement) {
         let Run { upstream, incarnation } = &announcement.run;
-        let heard = Heard { incarnation: *incarnation, sequence: announcement.sequence, at: now };
-        match self.heard.get_mut(upstream) {
-            Some(held) => *held = heard,
+        let received = ReceivedAnnouncement {
+            incarnation: *incarnation,
+            sequence: announcement.sequence,
+            received_at: now,
+        };
+        match self.pending.get_mut(upstream) {
+            Some(last) => *last = received,
             None => {
-                self.heard.insert(upstream.clone(), heard);
+                self.pending.insert(upstream.clone(), received);
             }
         }
     }
 
     /// Remembers that a departure was acknowledged here.
     pub(crate) fn acknowledge(&mut self, now: Duration, departure: Departure) {
-        if self.acknowledged.len() >= MANY {
-            self.acknowledged.retain(|_, (_, at)| now.saturating_sub(*at) <= REPEATED);
+        if self.acknowledged.len() >= PRUNE_THRESHOLD {
+            self.acknowledged
+                .retain(|_, (_, at)| now.saturating_sub(*at) <= ACKNOWLEDGMENT_LIFETIME);
         }
         self.acknowledged.insert(departure.run.upstream.clone(), (departure, now));
     }
@@ -83,15 +88,15 @@
         known.is_some_and(|(known, at)| {
             known.run == departure.run
                 && known.status >= departure.status
-                && now.saturating_sub(*at) <= REPEATED
+                && now.saturating_sub(*at) <= ACKNOWLEDGMENT_LIFETIME
         })
     }
 
     /// Takes the marks for the leader.
     pub(crate) fn take_marks(&mut self, now: Duration) -> Vec<RenewalMark> {
-        let heard = std::mem::take(&mut self.heard).into_iter();
-        let fresh = heard.filter(|(_, it)| now.saturating_sub(it.at) <= FRESH);
-        let mark = |(upstream, it): (Upstream, Heard)| {
+        let pending = std::mem::take(&mut self.pending).into_iter();
+        let fresh = pending.filter(|(_, it)| now.saturating_sub(it.received_at) <= MAX_MARK_AGE);
+        let mark = |(upstream, it): (Upstream, ReceivedAnnouncement)| {
             let run = Run { upstream, incarnation: it.incarnation };
             RenewalMark { run, sequence: it.sequence }
         };
@@ -112,7 +117,7 @@
             && known.announcement.run == announcement.run
             && known.announcement.sequence < announcement.sequence
             && !announcement.draining
-            && !differs(&known.announcement, announcement)
+            && !differs_for_others(&known.announcement, announcement)
             && departures.status(&announcement.run).is_none()
     })
 }
--- a/crates/verbenaslip-fleet/tests/plan.rs
+++ b/crates/verbenaslip-fleet/tests/plan.rs
@@ -5,7 +5,7 @@
 
 use verbenaslip_base::name::AvailabilityZone;
 use verbenaslip_fleet::order::Outcome;
-use verbenaslip_fleet::plan::{Counts, Demand, Kind, Planner, base_with_replacements};
+use verbenaslip_fleet::plan::{Counts, Demand, Planner, UpstreamKind, base_with_replacements};
 use verbenaslip_fleet::route_table::Scaling;
 
 const BASE: u32 = 12;
@@ -27,8 +27,8 @@
     }
 }
 
-fn kind(zone: &str, reclaimable: bool) -> Kind {
-    Kind { zone: AvailabilityZone::from(zone), reclaimable }
+fn kind(zone: &str, reclaimable: bool) -> UpstreamKind {
+    UpstreamKind { zone: AvailabilityZone::from(zone), reclaimable }
 }
 
 fn counts(dear: [u32; 3], cheap: [u32; 3]) -> Counts {
@@ -39,7 +39,7 @@
 }
 
 /// Plans once and returns what is wanted, by kind.
-fn plan(planner: &mut Planner, now: Duration, have: &Counts) -> BTreeMap<Kind, (u64, u32)> {
+fn plan(planner: &mut Planner, now: Duration, have: &Counts) -> BTreeMap<UpstreamKind, (u64, u32)> {
     plan_for(planner, now, Demand { base: BASE, busy_upstreams: None }, have)
 }
 
@@ -48,13 +48,13 @@
     now: Duration,
     demand: Demand,
     have: &Counts,
-) -> BTreeMap<Kind, (u64, u32)> {
+) -> BTreeMap<UpstreamKind, (u64, u32)> {
     let mut id = 0;
     let orders = planner.plan(now, &scaling(), demand, have, || {
         id += 1;
         id
     });
-    let kind = |zone, reclaimable| Kind { zone, reclaimable };
+    let kind = |zone, reclaimable| UpstreamKind { zone, reclaimable };
     orders.into_iter().map(|(id, it)| (kind(it.zone, it.reclaimable), (id, it.count))).collect()
 }
 
@@ -66,7 +66,11 @@
     planner
 }
 
-fn wants(orders: &BTreeMap<Kind, (u64, u32)>, zone: &str, reclaimable: bool) -> Option<u32> {
+fn wants(
+    orders: &BTreeMap<UpstreamKind, (u64, u32)>,
+    zone: &str,
+    reclaimable: bool,
+) -> Option<u32> {
     orders.get(&kind(zone, reclaimable)).map(|(_, count)| *count)
 }
 
@@ -264,7 +268,7 @@
     now: Duration,
     demand: Demand,
     have: &Counts,
-) -> BTreeMap<Kind, (u64, u32)> {
+) -> BTreeMap<UpstreamKind, (u64, u32)> {
     let orders = plan_for(planner, now, demand, have);
     let refused = orders.iter().filter(|(kind, _)| kind.reclaimable);
     refused.for_each(|(_, (id, _))| {
@@ -282,10 +286,11 @@
         let lost = counts([0, 0, 0], [6, 6, 0]);
         let first = plan_scarce(&mut planner, at(3_000), demand, &lost);
         let again = plan_for(&mut planner, at(3_100), demand, &lost);
-        let on_demand = |orders: BTreeMap<Kind, (u64, u32)>| {
+        let on_demand = |orders: BTreeMap<UpstreamKind, (u64, u32)>| {
             orders.into_iter().filter(|it| !it.0.reclaimable).map(|(kind, it)| (kind, it.1))
         };
-        let ordered: BTreeMap<Kind, u32> = on_demand(first).chain(on_demand(again)).collect();
+        let ordered: BTreeMap<UpstreamKind, u32> =
+            on_demand(first).chain(on_demand(again)).collect();
         ordered.values().sum::<u32>()
     };
     assert_eq!(planned(2.9), 6, "six are enough for this load");
@@ -304,7 +309,7 @@
     let mut planner = steady(&counts([2, 0, 0], [6, 6, 6]));
     let first = plan_scarce(&mut planner, at(3_000), demand(5.0), &counts([2, 0, 0], [0, 0, 6]));
     let none = counts([2, 0, 0], [0, 0, 0]);
-    let mut ordered: BTreeMap<Kind, u32> =
+    let mut ordered: BTreeMap<UpstreamKind, u32> =
         first.into_iter().map(|(kind, (_, count))| (kind, count)).collect();
     for tenth in 0..50 {
         let busy = if (10..30).contains(&tenth) { 2.5 } else { 5.0 };
@@ -369,7 +374,7 @@
     let mut changed = 0;
     for millis in (from..until).step_by(100) {
         for (_, order) in planner.plan(at(millis), &large(), demand, have, || 1) {
-            let kind = Kind { zone: order.zone, reclaimable: order.reclaimable };
+            let kind = UpstreamKind { zone: order.zone, reclaimable: order.reclaimable };
             let before = have.insert(kind, order.count).unwrap_or(0);
             changed += before.abs_diff(order.count);
         }
