--- a/crates/verbenaslip-fleet/src/crash_report.rs
+++ b/crates/verbenaslip-fleet/src/crash_report.rs
@@ -1,4 +1,5 @@
-//! What an entry tells the leader of requests under which upstreams ended, and of answers to suspected ones.
+//! Reports of entries to the leader: crashes of upstreams during requests, and answers to suspected
+//! requests.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -10,62 +11,64 @@
 use crate::quarantine::{Answer, Crash};
 use crate::registry::Run;
 
-/// How long what happens together is gathered. An upstream that ends breaks off many requests at once.
+/// Time for which observations are collected into one report; an upstream that crashes breaks off
+/// many requests at once.
 const BATCH_DELAY: Duration = Duration::from_millis(20);
 
-/// After how long what the leader has not confirmed is told again.
+/// Time after which unconfirmed observations are reported again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long it is remembered, to tell a later leader: as long as it takes to elect one, many times over, and to
-/// see a request come again that does so every few seconds.
+/// How long an observation is kept, so that a later leader can be told: many times as long as an
+/// election takes, and long enough to see a request again that is repeated every few seconds.
 const RETENTION: Duration = Duration::from_secs(60);
 
-/// The most that is remembered of each kind; an entry has some 50 requests at the upstreams that a lost
-/// availability zone takes.
+/// Maximum number of kept observations of each kind. An entry has some 50 requests at the upstreams
+/// of an availability zone that is lost.
 const MAX_KEPT: usize = 256;
 
-/// The most that one account tells of each kind: under 2 kB.
+/// Maximum number of observations of each kind in one report, which keeps it under 2 kB.
 const MAX_PER_REPORT: usize = 32;
 
-/// Tells the leader what requests met.
+/// Tells the leader what an entry observed about its requests.
 #[data]
 pub struct CrashReport {
-    /// The entry.
+    /// The address of the entry.
     pub from: SocketAddr,
-    /// Counts the accounts of this life of the entry.
+    /// The number of the report within this run of the entry.
     pub number: u64,
-    /// Upstreams that ended.
+    /// The crashes of upstreams.
     pub crashes: Vec<Crash>,
-    /// Answers to requests that are suspected or held back.
+    /// The answers to requests that are suspected or quarantined.
     pub answers: Vec<Answer>,
 }
 
-/// Notes that an upstream ended while it ran a request.
+/// Records that an upstream crashed while it ran a request.
 #[derive(Clone, Debug)]
 pub struct ObservedCrash {
-    /// The request.
+    /// The fingerprint of the request.
     pub fingerprint: Fingerprint,
     /// The run of the upstream.
     pub run: Run,
-    /// When the request was sent there.
+    /// When the request was sent to the upstream.
     pub sent: Duration,
-    /// When it broke off.
+    /// When the request broke off.
     pub ended: Duration,
 }
 
-/// Notes that a request was answered which is suspected or held back.
+/// Records that a suspected or quarantined request was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ObservedAnswer {
-    /// The request.
+    /// The fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// When the answer was whole.
+    /// When the answer was complete.
     pub at: Duration,
 }
 
-/// Remembers what is to be told, until the leader has it and beyond.
+/// Keeps observations until the leader has confirmed them, and for a while after that.
 ///
-/// What a leader was told is lost with it. A request that ends upstreams would go on doing so under the next
-/// one, from the beginning; so that one is told again of the last minute.
+/// What a leader was told is lost with the leader. The next leader would have to find a poison
+/// request from the start, while upstreams continue to crash, so it is told the observations of the
+/// last minute again.
 #[derive(Debug, Default)]
 pub struct CrashReporter {
     term: u64,
@@ -75,18 +78,19 @@
     answers: VecDeque<Kept<ObservedAnswer>>,
 }
 
+/// Holds one observation, and whether the leader has confirmed it.
 #[derive(Debug)]
 struct Kept<T> {
     observation: T,
     recorded_at: Duration,
-    /// The account that told it last; zero before the first.
+    /// The number of the last report that contained the observation; zero before the first one.
     last_report: u64,
-    /// Whether the leader of this term has confirmed it.
+    /// Whether the leader of this term has confirmed the observation.
     confirmed: bool,
 }
 
 impl CrashReporter {
-    /// Takes what requests met.
+    /// Records what was observed about requests.
     pub fn record(
         &mut self,
         now: Duration,
@@ -101,7 +105,7 @@
         self.schedule(now + BATCH_DELAY);
     }
 
-    /// Begins anew with a leader of a later term.
+    /// Starts to report all observations again if the leader has a later term.
     pub fn set_term(&mut self, now: Duration, term: u64) {
         if term <= self.term {
             return;
@@ -115,7 +119,7 @@
         }
     }
 
-    /// Takes the leader's word that it has an account.
+    /// Handles the confirmation of a report by the leader.
     pub fn confirm(&mut self, term: u64, number: u64) {
         if term != self.term {
             return;
@@ -124,12 +128,12 @@
         confirm(&mut self.answers, number);
     }
 
-    /// Returns when an account is due; none while there is nothing to tell.
+    /// Returns when a report is due; none while there is nothing to report.
     pub fn next_due(&self) -> Option<Duration> {
         self.due
     }
 
-    /// Makes the account that is due.
+    /// Returns the report if one is due.
     pub fn next_report(&mut self, now: Duration, from: SocketAddr) -> Option<CrashReport> {
         self.due.filter(|due| now >= *due)?;
         self.due = None;
@@ -153,12 +157,12 @@
         if crashes.is_empty() && answers.is_empty() {
             return None;
         }
-        // Response again unless it is confirmed, and the rest with it.
+        // The report is repeated unless it is confirmed, together with what did not fit into it.
         self.due = Some(now + RETRY_INTERVAL);
         Some(CrashReport { from, number: self.number, crashes, answers })
     }
 
-    /// Puts off what is due, since no leader is known.
+    /// Postpones the next report because no leader is known.
     pub fn postpone(&mut self, now: Duration) {
         self.due = Some(now + BATCH_DELAY);
     }
@@ -193,7 +197,7 @@
     }
 }
 
-/// Goes through what an account tells, the oldest first.
+/// Returns the observations of a report, the oldest first.
 fn mark_reported<T>(items: &mut VecDeque<Kept<T>>, number: u64) -> impl Iterator<Item = &T> {
     items.iter_mut().filter(|it| !it.confirmed).take(MAX_PER_REPORT).map(move |it| {
         it.last_report = number;
--- a/crates/verbenaslip-fleet/src/departure.rs
+++ b/crates/verbenaslip-fleet/src/departure.rs
@@ -1,4 +1,4 @@
-//! Which runs of upstreams have said that they go, as every instance remembers it.
+//! The departures of upstream runs that every instance remembers.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -9,30 +9,32 @@
 
 use crate::upstream::{Run, Status};
 
-/// How long a departure is remembered, so that a late announcement of the same run is known for what
-/// it is. Announcements are held up for as long as a cut lasts and their sender's system tries to send
-/// them. Where a third of 7,800 upstreams are reclaimed within that time it takes a quarter of a megabyte.
+/// How long a departure is remembered, so that a delayed announcement of the same run is recognized
+/// as stale. Announcements are delayed for as long as a network partition lasts and the sender's
+/// system retransmits them. If a third of 7,800 upstreams are reclaimed within this time, their
+/// departures take a quarter of a megabyte.
 pub const RETENTION: Duration = Duration::from_secs(300);
 
-/// Holds the word of a run that it goes.
+/// Says that a run is leaving or gone.
 #[data]
 pub struct Departure {
     /// The run.
     pub run: Run,
-    /// Whether it has gone, or only takes no new work.
+    /// Whether the run is gone, or only accepts no new requests.
     pub status: Status,
 }
 
-/// Remembers the last run of each upstream that goes or has gone.
+/// Remembers the last run of each upstream that is leaving or gone.
 ///
-/// An upstream has one run at a time, so a departure speaks for all earlier runs as well. Nothing that
-/// is heard later undoes it: announcements are held up, doubled and overtaken on the way, and a leader
-/// may have been elected that never heard the departure itself.
+/// An upstream has one run at a time, so a departure also covers all earlier runs. Nothing that
+/// arrives later undoes a departure: announcements may be delayed, duplicated and reordered, and a
+/// new leader may never have received the departure itself.
 #[derive(Clone, Debug, Default)]
 pub struct Departures {
     departures: BTreeMap<Upstream, LastDeparture>,
 }
 
+/// Holds the last departure of an upstream, and when it was recorded.
 #[derive(Clone, Copy, Debug)]
 struct LastDeparture {
     incarnation: u64,
@@ -41,7 +43,7 @@
 }
 
 impl Departures {
-    /// Takes a departure; returns whether it says more than was known.
+    /// Records a departure; returns whether it adds to what was known.
     pub fn record(&mut self, now: Duration, run: &Run, status: Status) -> bool {
         let known = self.status(run);
         if known.is_some_and(|known| known >= status) {
@@ -52,7 +54,7 @@
         true
     }
 
-    /// Returns how a run stands that goes or has gone; none for any other run.
+    /// Returns the status of a run that is leaving or gone; none for any other run.
     pub fn status(&self, run: &Run) -> Option<Status> {
         let last = self.departures.get(&run.upstream)?;
         match run.incarnation.cmp(&last.incarnation) {
@@ -62,23 +64,23 @@
         }
     }
 
-    /// Returns how long ago a run was last heard to go.
+    /// Returns the time since a run was last heard to be leaving or gone.
     pub fn age(&self, now: Duration, run: &Run) -> Option<Duration> {
         let last = self.departures.get(&run.upstream)?;
         (run.incarnation <= last.incarnation).then(|| now.saturating_sub(last.recorded_at))
     }
 
-    /// Returns how many are remembered.
+    /// Returns the number of remembered departures.
     pub fn len(&self) -> usize {
         self.departures.len()
     }
 
-    /// Tells whether none is remembered.
+    /// Returns whether no departure is remembered.
     pub fn is_empty(&self) -> bool {
         self.departures.is_empty()
     }
 
-    /// Takes all that another one remembers.
+    /// Records all departures that another instance remembers.
     pub fn merge(&mut self, now: Duration, other: &Self) {
         for (upstream, last) in &other.departures {
             let run = Run { upstream: upstream.clone(), incarnation: last.incarnation };
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Forgets what is so old that no announcement of it can still be on its way.
+    /// Removes departures so old that no announcement of their runs can still arrive.
     pub fn remove_expired(&mut self, now: Duration) {
         self.departures.retain(|_, last| now.saturating_sub(last.recorded_at) <= RETENTION);
     }
--- a/crates/verbenaslip-fleet/src/fingerprint.rs
+++ b/crates/verbenaslip-fleet/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! The content of a request, as far as it must be known again.
+//! Fingerprints by which requests with the same content are recognized.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -6,16 +6,16 @@
 
 use verbenaslip_base::{data, hash};
 
-/// Stands for what a request asks for, by whomever it is sent and under whatever identity.
+/// Identifies the content of a request, whichever caller sends it and under whatever request ID.
 ///
-/// It is made of all that upstreams do the same with each time: whose team asks, where, and the body. Two
-/// requests that differ in one of these may fare differently, and a request that comes again is under a new
-/// identity each time. Nothing of the content can be read from it.
+/// It covers everything that determines how upstreams process the request: the team, the host, the
+/// target and the body. Requests that differ in any of these may end differently. A repeated
+/// request has a new ID each time. Nothing of the content can be recovered from the fingerprint.
 #[data(copy, ord, hash)]
 pub struct Fingerprint(u128);
 
 impl Fingerprint {
-    /// Makes the fingerprint of a request, by the key that all entries share.
+    /// Computes the fingerprint of a request with the key that all entries share.
     pub fn of(key: u128, team: &str, host: &str, target: &str, body: &[u8]) -> Self {
         let parts = [team.as_bytes(), host.as_bytes(), target.as_bytes(), body];
         Self(hash::keyed(key, &parts))
--- a/crates/verbenaslip-fleet/src/index.rs
+++ b/crates/verbenaslip-fleet/src/index.rs
@@ -1,20 +1,20 @@
-//! Finds the route of a request and the team of a key.
+//! Lookup of the route of a request and of the team of a key.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
 use crate::route_table::{Route, RouteTable, TeamConfig};
 
-/// Holds the place of each route of a host by its prefix.
+/// Maps the path prefixes of one host to positions in the list of routes.
 type Prefixes = HashMap<Arc<str>, usize>;
 
-/// Orders requests: first by their team's priority, then by their route's.
+/// Orders requests by the priority of their team, then by that of their route.
 type Urgency = (u8, u8);
 
-/// The ranks that upstreams know.
+/// Number of priority ranks that upstreams distinguish.
 const RANK_COUNT: usize = 10;
 
-/// Holds a route table ready for lookups.
+/// Holds a route table prepared for lookups.
 #[derive(Debug)]
 pub struct Index {
     sheet: Arc<RouteTable>,
@@ -24,7 +24,7 @@
 }
 
 impl Index {
-    /// Prepares a route table.
+    /// Builds the index of a route table.
     pub fn new(sheet: Arc<RouteTable>) -> Self {
         let mut hosts: HashMap<String, Prefixes> = HashMap::new();
         for (position, route) in sheet.routes.iter().enumerate() {
@@ -39,14 +39,14 @@
         Self { sheet, hosts, keys, urgencies }
     }
 
-    /// Returns the table.
+    /// Returns the route table.
     pub fn route_table(&self) -> &Arc<RouteTable> {
         &self.sheet
     }
 
-    /// Returns the route with the longest prefix of the path, among those of the host.
+    /// Returns the route of a host with the longest prefix of the path.
     ///
-    /// Prefixes end with a slash, so only as many lookups are made as the path has slashes, however
+    /// Prefixes end with a slash, so a lookup takes at most one step per slash in the path, however
     /// many routes there are.
     pub fn route(&self, host: &str, target: &str) -> Option<&Route> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
@@ -57,11 +57,11 @@
         candidates.next().and_then(|position| self.sheet.routes.get(*position))
     }
 
-    /// Returns the rank of a request of a team on a route; zero is the most urgent.
+    /// Returns the rank of a team's request on a route; zero is the most urgent.
     ///
-    /// A team's priority goes before a route's. Taken alone, it would leave the routes of one team
-    /// without any order: where upstreams are too few, the requests with the longest objective would
-    /// fill the queues in which the most urgent ones are too late.
+    /// The team's priority precedes the route's. If only the team's priority counted, the routes of
+    /// one team would have no order: where upstreams are too few, the requests with the longest
+    /// objective would fill the queues, and the most urgent ones would be too late.
     pub fn rank(&self, route: &Route, team: Option<&TeamConfig>) -> u8 {
         let urgency = urgency(route.priority, team.and_then(|team| team.priority));
         let position = self.urgencies.partition_point(|it| *it < urgency);
@@ -76,12 +76,12 @@
     }
 }
 
-/// Returns the urgency of a request; a team without a priority leaves it to the route's.
+/// Returns the urgency of a request; the route's priority stands in for a team without one.
 fn urgency(route: u8, team: Option<u8>) -> Urgency {
     (team.unwrap_or(route), route)
 }
 
-/// Lists the urgencies that requests may have, in order.
+/// Returns all urgencies that requests may have, in ascending order.
 fn urgencies(sheet: &RouteTable) -> Vec<Urgency> {
     let routes: BTreeSet<u8> = sheet.routes.iter().map(|route| route.priority).collect();
     let mut teams: BTreeSet<Option<u8>> = sheet.teams.iter().map(|team| team.priority).collect();
--- a/crates/verbenaslip-fleet/src/order.rs
+++ b/crates/verbenaslip-fleet/src/order.rs
@@ -1,8 +1,9 @@
 //! Orders to the cloud that only one instance may give.
 //!
-//! The cloud may not check fencing numbers. So two instances must not both believe that they hold
-//! the duty: the holder is the leader under its lease, its number is its term, and a new leader
-//! waits before its first order until every order of the last one has surely arrived.
+//! The cloud may not check fence numbers, so two instances must never both believe that they may
+//! give orders. The leader gives them under its lease, with its term as the fence number. A new
+//! leader waits before its first order until all orders of the previous leader have certainly
+//! arrived.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,77 +15,78 @@
 use crate::replicated_state::{ReplicatedState, Window};
 use crate::usage::window_end;
 
-/// How long an order that was not acknowledged waits until it is given again.
+/// Time after which an order without an acknowledgment is given again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// Gives the cloud one order.
+/// Holds one order to the cloud.
 #[data]
 pub struct Order {
-    /// Names the order in its outcome.
+    /// The ID, by which the outcome refers to the order.
     pub id: u64,
-    /// Rises whenever the holder changes.
+    /// The fence number, which rises whenever another instance becomes leader.
     pub fence: u64,
-    /// The order is void from then on, by the steady clock: the lease of the holder.
+    /// When the leader's lease ends and the order becomes void, by the monotonic clock.
     pub valid_until: Duration,
-    /// What is ordered.
+    /// The task.
     pub task: Task,
 }
 
-/// Says what the cloud shall do.
+/// Says what the cloud is to do.
 #[data]
 pub enum Task {
-    /// Take the counts of a window.
+    /// Accept the request counts of a window.
     Usage(Window),
-    /// Run so many upstreams.
+    /// Run a number of upstreams.
     Scale(Scale),
 }
 
-/// Wants a number of upstreams of a service in an availability zone.
+/// Requests a number of upstreams of a service in an availability zone.
 #[data(ord)]
 pub struct Scale {
     /// The service.
     pub service: Arc<str>,
     /// The availability zone.
     pub zone: AvailabilityZone,
-    /// Whether they may be reclaimed.
+    /// Whether the upstreams may be reclaimed.
     pub reclaimable: bool,
-    /// How many.
+    /// The number of upstreams.
     pub count: u32,
 }
 
 /// Says what became of an order.
 #[data(copy)]
 pub enum Outcome {
-    /// The cloud has taken it.
+    /// The cloud has accepted the order.
     Done,
-    /// The cloud has refused it for now, for want of machines.
+    /// The cloud has refused the order for now because it has no machines available.
     Refused,
-    /// The cloud takes no more calls at the moment, and has not carried it out.
+    /// The cloud accepts no more calls at the moment, and has not carried out the order.
     Busy,
-    /// It may or may not have arrived.
+    /// It is unknown whether the order has arrived.
     Unknown,
 }
 
-/// Bounds in time.
+/// Configures when orders are given.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// The length of a window of usage.
+    /// The length of a usage window.
     pub window_length: Duration,
-    /// How long after the end of a window its counts are awaited at most.
+    /// The longest time after the end of a window for which its counts are awaited.
     pub count_timeout: Duration,
-    /// How long after its end a window is of use to the cloud.
+    /// The time after the end of a window within which the cloud can use its counts.
     pub report_deadline: Duration,
-    /// How long a new leader waits before its first order.
+    /// The time that a new leader waits before its first order.
     pub takeover_wait: Duration,
 }
 
-/// Keeps which windows have been reported.
+/// Tracks which windows have been reported.
 #[derive(Debug, Default)]
 pub struct Dispatcher {
     reports: BTreeMap<u64, Report>,
     last_id: u64,
 }
 
+/// Says whether a window was sent to the cloud, or has been accepted by the cloud.
 #[derive(Debug)]
 enum Report {
     Sent { id: u64, retry_at: Duration },
@@ -92,7 +94,7 @@
 }
 
 impl Dispatcher {
-    /// Returns the windows whose counts are due to be closed.
+    /// Returns the recent windows that have ended and are not closed yet.
     pub fn windows_to_close(
         state: &ReplicatedState,
         timing: &Timing,
@@ -104,7 +106,7 @@
         range.filter(|window| !state.is_closed(*window))
     }
 
-    /// Returns the closed windows to report now, each with the name of its order.
+    /// Returns the closed windows to report now, each with the ID of its order.
     pub fn usage_orders(
         &mut self,
         now: Duration,
@@ -133,13 +135,13 @@
         orders
     }
 
-    /// Draws the name of an order.
+    /// Returns a new order ID.
     pub fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
     }
 
-    /// Takes what became of an order.
+    /// Handles the outcome of an order.
     pub fn handle_outcome(&mut self, order: u64, outcome: Outcome) {
         let done = matches!(outcome, Outcome::Done);
         for report in self.reports.values_mut() {
--- a/crates/verbenaslip-fleet/src/plan.rs
+++ b/crates/verbenaslip-fleet/src/plan.rs
@@ -1,9 +1,10 @@
-//! How many upstreams run where, and of which kind.
+//! Capacity plan: how many upstreams of which kind run in which availability zone.
 //!
-//! Reclaimable upstreams cost a fraction of on-demand ones, but all of an availability zone may be
-//! taken away with seconds of notice, and for a while none are to be had there. So they are spread
-//! such that without any one zone there are still as many as the operators began with. On-demand ones are
-//! kept only as far as these are missing and what callers ask for needs them.
+//! Reclaimable upstreams cost a fraction of on-demand ones, but all of them in an availability zone
+//! may be reclaimed with seconds of notice, and for a while no new ones are available there. They
+//! are therefore spread such that, without any one zone, there are still as many as the operators
+//! started with. On-demand upstreams are kept only as far as reclaimable ones are missing and the
+//! load needs them.
 
 mod discovery;
 mod pace;
@@ -22,47 +23,49 @@
 use crate::registry::{Announcement, Record, Status};
 use crate::route_table::Scaling;
 
-/// The part of the base that must be left when one more zone is reclaimed. Zones are reclaimed in
-/// series, and while they are, no reclaimable ones are to be had anywhere; an on-demand one takes
-/// seconds to start, so it is ordered before the next zone goes rather than after.
+/// Share of the base that must remain when one more zone is reclaimed. Zones are reclaimed in
+/// series, and meanwhile no reclaimable upstreams are available anywhere. An on-demand upstream
+/// takes seconds to start, so it is ordered before the next zone is reclaimed and not after.
 const MIN_SHARE_AFTER_RECLAIM: f64 = 0.75;
 
-/// How long fewer on-demand upstreams must be enough before some are given up: they cost several times as much as
-/// reclaimable ones, but take seconds to come back.
+/// How long fewer on-demand upstreams must suffice before some are given up: they cost several
+/// times as much as reclaimable ones, but take seconds to come back.
 const SURPLUS_TIME: Duration = Duration::from_secs(1);
 
-/// How long after its start an ordered upstream should have announced itself, beyond its boot.
+/// Time beyond its boot time within which an ordered upstream should have announced itself.
 const ANNOUNCEMENT_GRACE: Duration = Duration::from_secs(3);
 
-/// The same while reclaimable ones are refused: those that are given up then can't be made up for before others
-/// have started, and what callers ask for goes up and down.
+/// The same while reclaimable upstreams are refused: upstreams that are given up then can't be
+/// replaced until others have started, and the load goes up and down.
 const SURPLUS_TIME_SCARCE: Duration = Duration::from_secs(6);
 
-/// How long after a refusal of reclaimable ones they count as scarce: longer than between two tries of a zone.
+/// Time after a refusal during which reclaimable upstreams count as scarce: longer than the time
+/// between two attempts in a zone.
 const SCARCITY_TIME: Duration = Duration::from_secs(3);
 
-/// Steps of room in which a zone is asked again for what it had no room for: each one costs a call to the cloud.
+/// Divisor of the wanted number that gives by how much the room of a zone must grow before the zone
+/// is asked again: each order costs a call to the cloud.
 const ROOM_STEPS: u32 = 4;
 
-/// Boots that the exchange of a whole fleet may take whose load is not known.
+/// Number of boot times that replacing a whole fleet may take while its load is unknown.
 const MAX_REPLACEMENT_BOOTS: u32 = 1;
 
-/// How long a zone that refused an order is left alone; a refused order costs next to nothing.
+/// How long a zone that refused an order is not asked again; a refused order costs next to nothing.
 const REFUSAL_PAUSE: Duration = Duration::from_millis(1_500);
 
-/// Names what is counted apart.
+/// Identifies the upstreams that are counted together.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UpstreamKind {
     /// The availability zone.
     pub zone: AvailabilityZone,
-    /// Whether they may be reclaimed.
+    /// Whether the upstreams may be reclaimed.
     pub reclaimable: bool,
 }
 
-/// Counts the upstreams of a service that may get work.
+/// Holds the number of ready upstreams of a service by kind.
 pub type Counts = BTreeMap<UpstreamKind, u32>;
 
-/// Counts the upstreams that may get work, by kind.
+/// Counts the ready upstreams by kind.
 pub fn count_by_kind<'a>(records: impl Iterator<Item = &'a Record>) -> Counts {
     let mut counts: BTreeMap<(&AvailabilityZone, bool), u32> = BTreeMap::new();
     for record in records.filter(|record| record.status == Status::Ready) {
@@ -76,58 +79,59 @@
     counts.into_iter().map(|(counted, count)| (kind(counted), count)).collect()
 }
 
-/// Says how many upstreams a service wants.
+/// Says how many upstreams a service needs.
 #[derive(Clone, Copy, Debug)]
 pub struct Demand {
-    /// With how many the fleet began.
+    /// The base: how many upstreams the service started with.
     pub base: u32,
-    /// How many would be busy all the time with what callers ask for; none where that is not known.
+    /// How many upstreams the load would keep busy all the time; none if that is not known.
     pub busy_upstreams: Option<f64>,
 }
 
-/// The largest part of the base that is made up for where upstreams limit their requests: a limit may end as soon as
-/// another one has started.
+/// Largest share of the base that is replaced while upstreams limit their requests: a limit may end
+/// as soon as a replacement has started.
 const MAX_REPLACED_SHARE: f64 = 0.25;
 
-/// Returns with how many upstreams a service is planned that began with a number, while some are `limited`.
+/// Returns the base to plan with for a service that started with `base` upstreams, of which
+/// `limited` limit their requests.
 pub fn base_with_replacements(base: u32, limited: u32) -> u32 {
     base + limited.min(scale(base, MAX_REPLACED_SHARE))
 }
 
-/// The part of its time for which an engine may be busy reading prompts so that first events stay within
-/// the objective. Reading is not all it does, and prompts come in clumps.
+/// Share of its time for which an engine may be busy reading prompts so that first events stay
+/// within the objective. An engine has other work as well, and prompts arrive in bursts.
 const MAX_READING_SHARE: f64 = 0.5;
 
-/// The least part of the base that is kept, whatever is asked for: callers come back at once after a
+/// Smallest share of the base that is kept, whatever the load: callers come back suddenly after a
 /// pause, and an ordered engine takes seconds to start.
 const MIN_SHARE: f64 = 0.4;
 
 impl Demand {
-    /// Returns how many are enough for what callers ask for: never more than the base.
+    /// Returns how many upstreams suffice for the load, which is never more than the base.
     fn sufficient(self) -> u32 {
         scale(self.base, self.needed_share().clamp(MIN_SHARE, 1.0))
     }
 
-    /// Returns how many on-demand ones carry the load if all zones are reclaimed; none where that takes too many, or the
-    /// load is not known.
+    /// Returns how many on-demand upstreams carry the load if all zones are reclaimed; zero if that
+    /// takes too many, or if the load is not known.
     fn on_demand_alone(self) -> u32 {
         let needed_share = self.needed_share();
         if needed_share <= MAX_ON_DEMAND_SHARE { scale(self.base, needed_share) } else { 0 }
     }
 
-    /// Returns the part of the base that the load needs; all of it where the load is not known.
+    /// Returns the share of the base that the load needs; all of it if the load is not known.
     fn needed_share(self) -> f64 {
         self.busy_upstreams.map_or(1.0, |busy| self.share_for(busy))
     }
 
-    /// Returns the part of the base that a load needs.
+    /// Returns the share of the base that a load needs.
     fn share_for(self, busy: f64) -> f64 {
         busy / MAX_READING_SHARE / f64::from(self.base.max(1))
     }
 }
 
-/// The largest part of the base that on-demand ones cover in case that all zones are reclaimed: at a higher load they
-/// cost more than they are likely to save.
+/// Largest share of the base that on-demand upstreams cover in case all zones are reclaimed: at a
+/// higher load they cost more than they are likely to save.
 const MAX_ON_DEMAND_SHARE: f64 = 0.5;
 
 /// Plans the upstreams of one service.
@@ -136,37 +140,39 @@
     service: Arc<str>,
     orders: BTreeMap<UpstreamKind, PendingOrder>,
     exhausted: BTreeMap<AvailabilityZone, Duration>,
-    /// Since when there have been more on-demand ones than needed, and the most that were needed since.
+    /// Since when there have been more on-demand upstreams than needed, and how many of them are
+    /// kept.
     surplus: Option<(Duration, u32)>,
-    /// When reclaimable ones were refused last.
+    /// When reclaimable upstreams were last refused.
     last_refusal: Option<Duration>,
     discovery: Discovery,
     pace: Pace,
     size: Size,
 }
 
-/// Says what a fleet is to be.
+/// Says what the plan aims at.
 #[derive(Clone, Copy, Debug)]
 struct Target {
-    /// With how many upstreams it is planned.
+    /// The number of upstreams to plan with.
     size: u32,
-    /// Whether reclaimable upstreams take the place of the others.
+    /// Whether reclaimable upstreams replace on-demand ones.
     replaces_on_demand: bool,
 }
 
+/// Holds the last order for one kind of upstreams.
 #[derive(Debug)]
 struct PendingOrder {
     id: u64,
     count: u32,
-    /// The most of the kind that its zone had room for.
+    /// How many upstreams of the kind the zone had room for.
     room: u32,
     expires_at: Duration,
     refused: bool,
 }
 
 impl Planner {
-    /// Starts without knowing what was ordered before, but the size under the leader before, where there was one;
-    /// upstreams announce themselves once per `period`.
+    /// Creates a planner without knowledge of earlier orders. `before` is the number that the
+    /// previous leader planned, if there was one; upstreams announce themselves once per `period`.
     pub fn new(service: Arc<str>, period: Duration, before: Option<u32>) -> Self {
         Self {
             service,
@@ -180,17 +186,17 @@
         }
     }
 
-    /// Takes how many upstreams there are; returns whether these are all that run.
+    /// Records how many upstreams are known; returns whether these are all that run.
     pub fn update_count(&mut self, now: Duration, upstreams: u32) -> bool {
         self.discovery.update(now, upstreams)
     }
 
-    /// Takes how many instances are told of each upstream that comes or goes.
+    /// Sets the number of instances that learn of each upstream that starts or stops.
     pub fn set_instances(&mut self, instances: usize) {
         self.pace.set_instances(instances);
     }
 
-    /// Returns what is to be ordered now, with the names of the orders drawn from `next`.
+    /// Returns the orders to give now, with IDs from `next`.
     pub fn plan(
         &mut self,
         now: Duration,
@@ -241,15 +247,16 @@
         orders
     }
 
-    /// Returns with how many upstreams the service is planned by its load; none where that was never known.
+    /// Returns the number of upstreams planned by the load; none if the load was never known.
     pub fn planned_count(&self) -> Option<u32> {
         self.size.planned()
     }
 
-    /// Says what the service is planned as; nothing as long as it is left as it is.
+    /// Returns what the plan aims at; none if the service is left as it is.
     ///
-    /// Before the load is known, a fleet is only exchanged for a cheaper one if that takes no longer than a boot: all of
-    /// a large one would be exchanged at a time when most of it may turn out not to be needed.
+    /// Before the load is known, on-demand upstreams are only replaced if that takes no longer than
+    /// one boot time. A large fleet would be replaced at a time when most of it may turn out not to
+    /// be needed.
     fn target(
         &mut self,
         now: Duration,
@@ -268,7 +275,7 @@
         Some(Target { size, replaces_on_demand: false })
     }
 
-    /// Takes what became of an order; returns whether it was one of this service.
+    /// Handles the outcome of an order; returns whether the order was for this service.
     pub fn handle_outcome(&mut self, now: Duration, id: u64, outcome: Outcome) -> bool {
         let Some((kind, pending)) = self.orders.iter_mut().find(|(_, pending)| pending.id == id)
         else {
@@ -289,11 +296,12 @@
         true
     }
 
-    /// Adds the on-demand upstreams that are ordered and still start.
+    /// Adds the on-demand upstreams that are ordered and still starting.
     ///
-    /// The count of a zone includes them. Taken for missing, they would be made up for in other zones;
-    /// left out of a zone's next count, they would be stopped before they have served anything, which
-    /// shows as too few upstreams for twice the time that one takes to start.
+    /// The ordered number of a zone includes them. If they counted as missing, other zones would
+    /// replace them. If the next order for their zone left them out, they would be stopped before
+    /// they have served anything, and there would be too few upstreams for twice the time that one
+    /// takes to start.
     fn with_ordered(&self, now: Duration, current: &Counts) -> Counts {
         let mut counts = current.clone();
         for (kind, pending) in &self.orders {
@@ -305,7 +313,7 @@
         counts
     }
 
-    /// Returns how many on-demand upstreams are wanted where that differs from what there is.
+    /// Returns the wanted number of on-demand upstreams where it differs from the current one.
     fn on_demand(
         &mut self,
         now: Duration,
@@ -336,9 +344,9 @@
     }
 }
 
-/// Adds the zones that have upstreams and no price of their own, at the usual one.
+/// Adds a default price for zones that have upstreams but no price.
 ///
-/// Left out, their upstreams could not be given up, whatever callers ask for.
+/// Upstreams in a zone without a price could otherwise not be given up, whatever the load.
 fn with_default_prices(scaling: &Scaling, current: &Counts) -> Scaling {
     let mut scaling = scaling.clone();
     for kind in current.keys() {
@@ -347,13 +355,13 @@
     scaling
 }
 
-/// The price of an upstream in a zone that names none.
+/// Price of an upstream in a zone that has no price.
 const DEFAULT_PRICE: f64 = 1.0;
 
-/// Returns how many of a kind a zone has room for, beside those of the other kind.
+/// Returns how many upstreams of a kind a zone has room for, beside those of the other kind.
 ///
-/// What is ordered beyond that doesn't come. Unless it is ordered again once there is room, a zone full of
-/// on-demand upstreams keeps them for as long as an order is waited for.
+/// Upstreams ordered beyond that do not come. Unless they are ordered again once there is room, a
+/// zone full of on-demand upstreams keeps them until the order expires.
 fn room(scaling: &Scaling, kind: &UpstreamKind, current: &Counts) -> u32 {
     let other = UpstreamKind { zone: kind.zone.clone(), reclaimable: !kind.reclaimable };
     scaling.max_upstreams.saturating_sub(current.get(&other).copied().unwrap_or(0))
@@ -366,12 +374,12 @@
     let most = reclaimable.max().unwrap_or(0);
     let needed_now = demand.sufficient().saturating_sub(sum);
     let needed_after = scale(demand.base, MIN_SHARE_AFTER_RECLAIM).saturating_sub(sum - most);
-    // Where there is no reclaimable one left, none can be lost.
+    // Without any reclaimable upstreams, none can be lost.
     let alone = if is_scarce { demand.on_demand_alone() } else { 0 };
     if sum > 0 { needed_now.max(needed_after).max(alone) } else { needed_now }
 }
 
-/// Spreads additional on-demand upstreams, the cheapest zones first.
+/// Distributes additional on-demand upstreams, the cheapest zones first.
 fn add_on_demand(count: u32, scaling: &Scaling, current: &Counts) -> Vec<(UpstreamKind, u32)> {
     let mut missing = count;
     let mut wanted = Vec::new();
@@ -389,7 +397,7 @@
     wanted
 }
 
-/// Gives up on-demand upstreams, in the dearest zones first.
+/// Gives up on-demand upstreams, the most expensive zones first.
 fn remove_on_demand(count: u32, scaling: &Scaling, current: &Counts) -> Vec<(UpstreamKind, u32)> {
     let mut surplus = count;
     let mut wanted = Vec::new();
@@ -405,7 +413,7 @@
     wanted
 }
 
-/// Lists the zones, the cheapest first.
+/// Returns the zones, the cheapest first.
 fn zones_by_price(scaling: &Scaling) -> Vec<AvailabilityZone> {
     let mut zones: Vec<(&AvailabilityZone, &f64)> = scaling.prices.iter().collect();
     zones.sort_by(|one, other| one.1.total_cmp(other.1));
@@ -417,7 +425,7 @@
     (f64::from(count) * by).ceil() as u32
 }
 
-/// Returns how many reclaimable upstreams are wanted in each zone that has some to give.
+/// Returns how many reclaimable upstreams are wanted in each zone that is not exhausted.
 fn reclaimable_wanted(
     scaling: &Scaling,
     base: u32,
--- a/crates/verbenaslip-fleet/src/plan/size.rs
+++ b/crates/verbenaslip-fleet/src/plan/size.rs
@@ -1,52 +1,57 @@
-//! With how many upstreams a service is planned, by what callers ask for.
+//! Number of upstreams to plan a service with, derived from its load.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::plan::{Demand, scale};
 
-/// How many times the upstreams that are enough for the load are planned with. Within the time that an ordered one takes
-/// to start, callers may come three times as often.
+/// Factor by which the plan exceeds what suffices for the load. Within the time that an ordered
+/// upstream takes to start, requests may become three times as frequent.
 const LOAD_FACTOR: f64 = 3.0;
 
-/// Upstreams beyond that: the load of a few is uneven, and they cost little.
+/// Number of upstreams planned beyond that: the load of a few upstreams is uneven, and they cost
+/// little.
 const SPARE_UPSTREAMS: u32 = 12;
 
-/// Boots for which a load is remembered: what was given up for a shorter dip is missing when callers come back.
+/// Number of boot times for which a load is remembered: upstreams that are given up during a
+/// shorter dip are missing when callers come back.
 const MEMORY_BOOTS: u32 = 2;
 
-/// The part by which a size must be more than before to be followed: one in so many.
+/// Divisor of the planned number that gives by how much a larger number must exceed it to be
+/// followed.
 const RISE_DIVISOR: u32 = 8;
 
-/// The part by which it must be less.
+/// Divisor of the planned number that gives by how much a smaller number must fall below it to be
+/// followed.
 const FALL_DIVISOR: u32 = 4;
 
-/// The shortest time between two sizes that are remembered.
+/// Shortest time between two remembered samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Follows the load in both directions: up at once, down once it has been lower for long.
+/// Follows the load: up at once, and down after it has been lower for a while.
 #[derive(Debug, Default)]
 pub(crate) struct Size {
-    /// What was wanted of late, each time the most within a step.
+    /// The recently wanted numbers; each is the highest within one sample interval.
     samples: VecDeque<(Duration, u32)>,
-    /// The size under the leader before; none where that did not know the load.
+    /// The last planned number, which is at first the previous leader's; none if the load was never
+    /// known.
     planned: Option<u32>,
-    /// Since when all upstreams have been known and nobody has asked for anything.
+    /// Since when all upstreams have been known without any request.
     idle_since: Option<Duration>,
 }
 
 impl Size {
-    /// Starts with the size under the leader before, if that is known.
+    /// Starts with the number that the previous leader planned, if that is known.
     pub(crate) fn new(before: Option<u32>) -> Self {
         Self { planned: before, ..Self::default() }
     }
 
-    /// Returns with how many upstreams it was planned last by the load.
+    /// Returns the number that was last planned by the load.
     pub(crate) fn planned(&self) -> Option<u32> {
         self.planned
     }
 
-    /// Returns with how many upstreams to plan; none where the load was never known.
+    /// Returns the number of upstreams to plan with; none if the load was never known.
     pub(crate) fn update(&mut self, now: Duration, boot: Duration, demand: Demand) -> Option<u32> {
         let Some(busy) = demand.busy_upstreams else {
             return self.planned.map(|before| before.min(demand.base));
@@ -69,10 +74,10 @@
         self.planned
     }
 
-    /// Returns with how many upstreams to plan a fleet that nobody has asked for anything yet.
+    /// Returns the number of upstreams to plan with for a fleet that has received no request yet.
     ///
-    /// It may have been started for callers that are about to come, or for none: half of it is given up each time
-    /// that they have not come for as long as a dip lasts.
+    /// The fleet may have been started for callers who are about to come, or for none. It is halved
+    /// each time that no callers have come for as long as a dip is remembered.
     pub(crate) fn idle_count(&mut self, now: Duration, boot: Duration, base: u32) -> u32 {
         let since = *self.idle_since.get_or_insert(now);
         let memory = (boot * MEMORY_BOOTS).max(SAMPLE_INTERVAL).as_millis();
@@ -81,7 +86,8 @@
         left.max(SPARE_UPSTREAMS.min(base))
     }
 
-    /// Goes to another size if that differs by much: each step costs upstreams that start or are given up.
+    /// Returns the wanted number if it differs enough from the planned one: each change starts or
+    /// stops upstreams, which costs.
     fn with_hysteresis(&self, most: u32) -> u32 {
         let Some(planned) = self.planned else { return most };
         let rises = most > planned + planned / RISE_DIVISOR;
--- a/crates/verbenaslip-fleet/src/quarantine.rs
+++ b/crates/verbenaslip-fleet/src/quarantine.rs
@@ -1,17 +1,20 @@
-//! Requests that end the upstreams that run them: how the leader finds them, and how they are held back.
+//! Detection and quarantine of poison requests, which crash the upstreams that run them.
 //!
-//! An upstream that ends breaks off all that it runs, and each of these requests may be the cause. One that
-//! may be, and is sent again, shows itself: the next upstream ends too. So what counts is a *chain*: upstreams
-//! that ended one after the other, each of them sent the request only after the one before had ended. A zone that
-//! loses power ends many upstreams at once, and adds one to the chain of what ran on them.
+//! An upstream that crashes breaks off all requests that it runs, and each of them may be the
+//! cause. A poison request that is sent again gives itself away, because the next upstream crashes
+//! as well. What counts is therefore a *chain*: upstreams that crashed one after the other, where
+//! each one was sent the request only after the previous one had crashed. A zone that loses power
+//! ends many upstreams at once, and adds only one of them to the chain of each request that ran on
+//! them.
 //!
-//! Three things clear a request. It was answered after the last end: what ends each upstream that runs it is
-//! never answered, and what many callers ask for is answered all the time. Another request that ran on the same
-//! upstream was found to end them. Or nothing more is heard of it for long.
+//! A request is cleared in three ways. It was answered after the last crash: a poison request is
+//! never answered, while a popular request is answered all the time. Or another request on the same
+//! upstreams was found to be the cause. Or nothing more is heard of it for a long time.
 //!
-//! From the second end of a chain on, all entries watch for answers to the request, and a chain of three is
-//! believed only when they have had time to tell of one. Then the request is held back: no entry sends it to any
-//! upstream. After a time one entry lets one through, to see whether upstreams survive it by now.
+//! From the second crash of a chain on, all entries watch for answers to the request. A chain of
+//! three is believed only after the entries have had time to report an answer. Then the request is
+//! quarantined: no entry sends it to any upstream. After some time, one entry sends it once as a
+//! trial, to see whether upstreams survive it by now.
 
 mod record;
 
@@ -26,34 +29,38 @@
 };
 use crate::upstream::Run;
 
-/// How long a chain of enough ends waits for the word of an answer: as long as an update takes to all entries, 120 ms to
-/// 300 of them, and a popular request to be answered once more. Meanwhile a bad one may end two more upstreams.
+/// How long a complete chain waits for the report of an answer: as long as an update takes to reach
+/// all entries, which is 120 ms for 300 of them, and a popular request takes to be answered again.
+/// Meanwhile a poison request may crash two more upstreams.
 const CONFIRMATION_TIME: Duration = Duration::from_millis(400);
 
-/// How long a request is suspected after the last end. One that comes again after longer begins a new chain.
+/// How long a request is suspected after the last crash. A request that returns later starts a new
+/// chain.
 const SUSPICION_TIME: Duration = Duration::from_secs(600);
 
-/// How long entries watch for answers to a request that ends no further upstream.
+/// How long entries watch for answers to a request that crashes no further upstream.
 const WATCH_TIME: Duration = Duration::from_secs(30);
 
-/// The most requests that are suspected; a third of 3,000 upstreams that end at once had some 16,000 under way,
-/// most of which are never sent again.
+/// Maximum number of suspected requests. When a third of 3,000 upstreams ended at once, some 16,000
+/// requests were running on them, most of which are never sent again.
 const MAX_SUSPECTS: usize = 4_096;
 
-/// The most requests that entries watch, and that are held back: each change is told whole, 5 kB of each.
+/// Maximum number of watched requests, and of quarantined ones: each change sends the lists whole,
+/// with 5 kB each.
 const MAX_LISTED: usize = 256;
 
-/// Ends of a chain that are remembered: as many as are needed, and those that another request explains.
+/// Number of crashes that are remembered per request: as many as a chain needs, and those that
+/// another request explains.
 const MAX_CRASHES: usize = 8;
 
-/// How many upstreams a request may end that is let through again. After these it is held back until an operator
-/// lifts that.
+/// Number of upstreams that a request may crash in trials. After that it stays quarantined until an
+/// operator lifts the quarantine.
 const MAX_TRIALS: u8 = 3;
 
-/// How many times as long as before a request is held back that has ended another upstream.
+/// Factor by which the quarantine becomes longer with each upstream that crashes in a trial.
 const BACKOFF_FACTOR: u64 = 6;
 
-/// How long an entry has to let a request through before another one is to.
+/// How long an entry has for a trial before another entry is chosen.
 const TRIAL_TIME: Duration = Duration::from_secs(30);
 
 impl Default for QuarantinePolicy {
@@ -68,46 +75,46 @@
     }
 }
 
-/// Finds requests that end upstreams, at the leader.
+/// Finds poison requests, at the leader.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     policy: QuarantinePolicy,
     key: Option<u128>,
     suspects: BTreeMap<Fingerprint, Suspect>,
-    /// The suspects in the order in which they came.
+    /// The suspected requests in the order in which they were added.
     insertion_order: VecDeque<Fingerprint>,
     watched: BTreeSet<Fingerprint>,
     quarantined: BTreeMap<Fingerprint, Block>,
-    /// Since when an entry may let a request through.
+    /// When an entry was last chosen for a trial of a request.
     trials: BTreeMap<Fingerprint, Duration>,
-    /// Upstreams that a request ended which is held back, the last ones.
+    /// The last upstreams whose crash is explained by a quarantined request.
     explained: VecDeque<Run>,
     findings: Vec<Finding>,
     blocklist: Arc<Blocklist>,
 }
 
-/// Holds what is known of a request that may end upstreams.
+/// Holds what is known of a request that may crash upstreams.
 #[derive(Debug, Default)]
 struct Suspect {
     crashes: Vec<SuspectCrash>,
-    /// Since when entries watch for answers to it.
+    /// Since when entries watch for answers to the request.
     watched_since: Option<Duration>,
-    /// When it was answered last.
+    /// When the request was last answered.
     answered_at: Option<Duration>,
 }
 
-/// Holds an upstream that ended under a request.
+/// Records that an upstream crashed while it ran the request.
 #[derive(Clone, Debug)]
 struct SuspectCrash {
     run: Run,
     sent_at: Duration,
     ended_at: Duration,
-    /// Whether another request is known to have ended it.
+    /// Whether another request is known to have caused the crash.
     explained: bool,
 }
 
 impl Suspect {
-    /// Returns the upstreams that ended one after the other, since it was answered last.
+    /// Returns the upstreams that crashed one after the other, since the request was last answered.
     fn chain(&self) -> Vec<&SuspectCrash> {
         let mut chain: Vec<&SuspectCrash> = Vec::new();
         for crash in &self.crashes {
@@ -129,7 +136,7 @@
         if self.crashes.iter().any(|it| it.run == crash.run) {
             return;
         }
-        // Entries tell in any order, above all to a new leader.
+        // Entries report in any order, above all to a new leader.
         let position = self.crashes.partition_point(|it| it.ended_at <= crash.ended_at);
         self.crashes.insert(position, crash);
         if self.crashes.len() > MAX_CRASHES {
@@ -143,7 +150,8 @@
 }
 
 impl Quarantine {
-    /// Starts with what the log and this core hold. What is only suspected the entries tell again.
+    /// Starts with what the log and this core know. Suspected requests are reported again by the
+    /// entries.
     pub fn new(policy: QuarantinePolicy, persisted: &PersistedState, known: &Blocklist) -> Self {
         let mut quarantine = Self { policy, key: persisted.key, ..Self::default() };
         for (fingerprint, block) in known.quarantined.iter().chain(&persisted.quarantined) {
@@ -157,12 +165,12 @@
         quarantine
     }
 
-    /// Returns what entries go by.
+    /// Returns the blocklist that entries follow.
     pub fn blocklist(&self) -> &Arc<Blocklist> {
         &self.blocklist
     }
 
-    /// Returns what is to outlive this leader.
+    /// Returns the state that outlives this leader; `key` is used if there is no key yet.
     pub fn persisted(&self, key: u128) -> PersistedState {
         let without_trial = |block: &Block| Block { trial_entry: None, ..block.clone() };
         let block = self
@@ -173,18 +181,18 @@
         PersistedState { key: Some(self.key.unwrap_or(key)), quarantined: block }
     }
 
-    /// Takes the key once the log holds it.
+    /// Sets the key of the fingerprints once the log holds it.
     pub fn set_key(&mut self, key: Option<u128>) {
         self.key = self.key.or(key);
     }
 
-    /// Takes an operator's other wishes.
+    /// Sets the operator's changed policy.
     pub fn set_policy(&mut self, policy: QuarantinePolicy) {
         self.policy = policy;
         self.apply_policy();
     }
 
-    /// Takes an entry's word that an upstream ended while it ran a request; `unix` is the agreed time of day.
+    /// Handles an entry's report of a crash; `unix` is the agreed time of day in milliseconds.
     pub fn handle_crash(&mut self, now: Duration, unix: u64, crash: &Crash) {
         let Crash { fingerprint, run, sent_ms_ago: sent, ended_ms_ago: ended } = crash;
         if self.quarantined.contains_key(fingerprint) {
@@ -202,9 +210,10 @@
         self.evaluate(now, unix, *fingerprint);
     }
 
-    /// Takes an entry's word that a request was answered; `unix` is the agreed time of day.
+    /// Handles an entry's report that a request was answered; `unix` is the agreed time of day in
+    /// milliseconds.
     ///
-    /// An answer from before it ended one upstream after the other says nothing about that.
+    /// An answer from before the crashes says nothing about the request.
     pub fn handle_answer(&mut self, now: Duration, unix: u64, answer: &Answer) {
         let at = now.saturating_sub(Duration::from_millis(answer.ms_ago));
         let block = self.quarantined.get(&answer.fingerprint);
@@ -219,7 +228,7 @@
         }
     }
 
-    /// Decides what is due by now; `entries` are those that may let a request through.
+    /// Makes the decisions that are due; `entries` are those that may run trials.
     pub fn tick(&mut self, now: Duration, unix: u64, entries: &[SocketAddr]) {
         for fingerprint in self.watched.clone() {
             self.evaluate(now, unix, fingerprint);
@@ -242,16 +251,17 @@
         self.offer_trials(now, unix, entries);
     }
 
-    /// Takes what was decided since it was last asked for; returns whether entries go by something else now.
+    /// Returns the decisions since the last call, and whether the blocklist has changed since.
     pub fn take_findings(&mut self) -> (Vec<Finding>, bool) {
         let changed = self.publish();
         (std::mem::take(&mut self.findings), changed)
     }
 
-    /// Returns what is known of a request, and makes room for it if that is new.
+    /// Returns what is known of a request, and adds the request if it is new.
     ///
-    /// Room is made at the expense of what was suspected first and is not watched. So a flood of requests that
-    /// break off once pushes nothing out that is close to being found, and nothing that was found.
+    /// To make room, the oldest suspected requests that are not watched are removed. A flood of
+    /// requests that break off once therefore removes none that is about to be found, and none that
+    /// is quarantined.
     fn suspect(&mut self, fingerprint: Fingerprint) -> &mut Suspect {
         if !self.suspects.contains_key(&fingerprint) {
             self.insertion_order.push_back(fingerprint);
@@ -269,7 +279,7 @@
         self.suspects.entry(fingerprint).or_default()
     }
 
-    /// Decides of a request by the upstreams that ended under it.
+    /// Decides on a request by the upstreams that crashed while they ran it.
     fn evaluate(&mut self, now: Duration, unix: u64, fingerprint: Fingerprint) {
         if self.quarantined.contains_key(&fingerprint) || self.policy.lifted.contains(&fingerprint)
         {
@@ -289,7 +299,7 @@
         }
     }
 
-    /// Has entries watch for answers to a request, if there is room or it is all but found.
+    /// Has entries watch for answers to a request, if there is room or its chain is complete.
     fn watch(&mut self, now: Duration, fingerprint: Fingerprint, runs: Vec<Run>, threshold: usize) {
         if self.watched.len() >= MAX_LISTED {
             let chain_length =
@@ -312,7 +322,8 @@
         }
     }
 
-    /// Holds a request back. What else ran on the upstreams that it ended is innocent of that.
+    /// Quarantines a request. The other requests on the upstreams that it crashed are not to blame
+    /// for those crashes.
     fn quarantine_request(&mut self, unix: u64, fingerprint: Fingerprint, runs: Vec<Run>) {
         self.unwatch(fingerprint);
         if self.quarantined.len() >= MAX_LISTED {
@@ -333,7 +344,8 @@
         for run in &crashed_runs {
             self.record_explained_crash(fingerprint, run);
         }
-        // One that was found before, but by these upstreams alone, only happened to run on them.
+        // A request that was quarantined before, for crashes of these upstreams alone, only
+        // happened to run on them.
         let is_innocent = |it: &Suspect| {
             !it.crashes.is_empty()
                 && it.crashes.iter().all(|crash| crashed_runs.contains(&crash.run))
@@ -346,7 +358,7 @@
         }
     }
 
-    /// Notes that a request which is held back ended an upstream.
+    /// Records that a quarantined request caused the crash of an upstream.
     fn record_explained_crash(&mut self, culprit: Fingerprint, run: &Run) {
         if !self.explained.contains(run) {
             self.explained.push_back(run.clone());
@@ -370,8 +382,8 @@
         }
     }
 
-    /// Takes the end of another upstream under a request that is held back: one that was on its way when it was
-    /// found, or one that was let through again.
+    /// Handles another crash caused by a quarantined request: the request was already running when
+    /// it was quarantined, or it was sent as a trial.
     fn handle_repeated_crash(&mut self, sent: u64, unix: u64, fingerprint: Fingerprint, run: &Run) {
         self.record_explained_crash(fingerprint, run);
         let Some(block) = self.quarantined.get_mut(&fingerprint) else { return };
@@ -393,7 +405,7 @@
         self.findings.push(Finding::Quarantined { fingerprint, runs, held: block });
     }
 
-    /// Lets a request be sent again.
+    /// Allows a request to be sent again.
     fn release(&mut self, fingerprint: Fingerprint, cause: Cause) {
         if self.policy.forbidden.contains(&fingerprint) {
             return;
@@ -407,9 +419,9 @@
         }
     }
 
-    /// Has one entry let one through of each request that was held back for long enough.
+    /// Chooses one entry for a trial of each request that was quarantined for long enough.
     ///
-    /// Let through by all entries, it would end as many upstreams at once as there are callers.
+    /// If all entries ran the trial, it would crash as many upstreams at once as there are callers.
     fn offer_trials(&mut self, now: Duration, unix: u64, entries: &[SocketAddr]) {
         if entries.is_empty() {
             return;
@@ -431,12 +443,12 @@
         }
     }
 
-    /// Does what operators have said of single requests.
+    /// Applies the operator's rules for individual requests.
     fn apply_policy(&mut self) {
         for fingerprint in self.policy.lifted.clone() {
             self.release(fingerprint, Cause::Lifted);
         }
-        // One that an operator forbade, and forbids no more.
+        // These are requests that an operator had forbidden and no longer forbids.
         let is_freed = |fingerprint: &Fingerprint, block: &Block| {
             block.until == u64::MAX
                 && block.failed_trials < MAX_TRIALS
@@ -459,7 +471,7 @@
         }
     }
 
-    /// Makes what entries go by anew; returns whether that is something else now.
+    /// Rebuilds the blocklist; returns whether it has changed.
     fn publish(&mut self) -> bool {
         let is_unchanged = self.blocklist.key == self.key
             && self.blocklist.watched == self.watched
--- a/crates/verbenaslip-fleet/src/quarantine/record.rs
+++ b/crates/verbenaslip-fleet/src/quarantine/record.rs
@@ -1,4 +1,4 @@
-//! What entries tell of requests that end upstreams, and what the leader decides of them.
+//! Reports of entries about poison requests, and the decisions of the leader.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,116 +9,116 @@
 use crate::fingerprint::Fingerprint;
 use crate::upstream::Run;
 
-/// Says when a request is held back, and for how long.
+/// Configures when and for how long requests are quarantined.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuarantinePolicy {
-    /// How many upstreams must have ended under it, one after the other.
+    /// The number of upstreams that must have crashed one after the other.
     pub crash_threshold: u32,
-    /// After how long it is let through for the first time.
+    /// The time until the first trial.
     pub hold_time: Duration,
-    /// Requests that an operator never wants held back.
+    /// Requests that an operator exempts from quarantine.
     pub lifted: BTreeSet<Fingerprint>,
-    /// Requests that an operator wants held back, whatever became of them.
+    /// Requests that an operator wants quarantined, whatever is known of them.
     pub forbidden: BTreeSet<Fingerprint>,
 }
 
-/// Tells of an upstream that ended while it ran a request.
+/// Reports that an upstream crashed while it ran a request.
 #[data]
 pub struct Crash {
-    /// The request.
+    /// The fingerprint of the request.
     pub fingerprint: Fingerprint,
     /// The run of the upstream.
     pub run: Run,
-    /// When the request was sent there, in milliseconds before this is told.
+    /// When the request was sent to the upstream, in milliseconds before the report.
     pub sent_ms_ago: u64,
-    /// When it broke off, in the same way.
+    /// When the request broke off, in milliseconds before the report.
     pub ended_ms_ago: u64,
 }
 
-/// Tells that a request was answered whole.
+/// Reports that a request was answered completely.
 #[data]
 pub struct Answer {
-    /// The request.
+    /// The fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// When, in milliseconds before this is told.
+    /// When the answer was complete, in milliseconds before the report.
     pub ms_ago: u64,
 }
 
-/// Says how a request is held back.
+/// Describes the quarantine of a request.
 #[data]
 pub struct Block {
-    /// Since when, in Unix milliseconds of the agreed time of day.
+    /// When the quarantine began, in Unix milliseconds of the agreed time of day.
     pub since: u64,
-    /// Until when none is let through, in the same way.
+    /// When trials may begin, in Unix milliseconds of the agreed time of day.
     pub until: u64,
-    /// How many upstreams it has ended since it was let through again.
+    /// The number of upstreams that crashed in trials.
     pub failed_trials: u8,
-    /// The entry that may let one through.
+    /// The entry that may run a trial.
     pub trial_entry: Option<SocketAddr>,
 }
 
-/// Holds what outlives a leader, in the log.
+/// Holds the state that outlives a leader, because the log holds it.
 #[data(default)]
 pub struct PersistedState {
-    /// The key of the fingerprints; none before the first leader has drawn one.
+    /// The key of the fingerprints; none before the first leader has generated one.
     pub key: Option<u128>,
-    /// The requests that are held back.
+    /// The quarantined requests.
     pub quarantined: BTreeMap<Fingerprint, Block>,
 }
 
-/// Holds what entries go by.
+/// Holds what entries need to handle poison requests.
 #[data(default)]
 pub struct Blocklist {
-    /// The key of the fingerprints; without it no request is known again.
+    /// The key of the fingerprints; without it no request can be recognized.
     pub key: Option<u128>,
-    /// Requests whose answers the leader wants to hear of.
+    /// Requests whose answers entries report to the leader.
     pub watched: BTreeSet<Fingerprint>,
-    /// Requests that no upstream gets.
+    /// Requests that are sent to no upstream.
     pub quarantined: BTreeMap<Fingerprint, Block>,
 }
 
-/// Tells what was decided of a request.
+/// Describes a decision about a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Finding {
-    /// Upstreams have ended under it one after the other; entries watch for answers.
+    /// Upstreams crashed one after the other; entries watch for answers to the request.
     Suspected {
-        /// The request.
+        /// The fingerprint of the request.
         fingerprint: Fingerprint,
-        /// The upstreams.
+        /// The upstreams that crashed.
         runs: Vec<Run>,
     },
-    /// It is held back.
+    /// The request is quarantined.
     Quarantined {
-        /// The request.
+        /// The fingerprint of the request.
         fingerprint: Fingerprint,
-        /// The upstreams that ended under it.
+        /// The upstreams that crashed.
         runs: Vec<Run>,
-        /// How.
+        /// The quarantine.
         held: Block,
     },
-    /// It is not, or no longer.
+    /// The request is no longer suspected or quarantined.
     Cleared {
-        /// The request.
+        /// The fingerprint of the request.
         fingerprint: Fingerprint,
-        /// Why.
+        /// The reason.
         cause: Cause,
     },
-    /// An entry may let one through.
+    /// An entry may run a trial of the request.
     TrialOffered {
-        /// The request.
+        /// The fingerprint of the request.
         fingerprint: Fingerprint,
         /// The entry.
         entry: SocketAddr,
     },
 }
 
-/// Says why a request is no longer suspected or held back.
+/// Says why a request is no longer suspected or quarantined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// It was answered.
+    /// The request was answered.
     Answered,
-    /// Another request ended the upstreams that it ran on.
+    /// Another request caused the crashes.
     Explained,
-    /// An operator has lifted it.
+    /// An operator lifted the quarantine.
     Lifted,
 }
--- a/crates/verbenaslip-fleet/src/registry.rs
+++ b/crates/verbenaslip-fleet/src/registry.rs
@@ -1,4 +1,4 @@
-//! The upstreams that have announced themselves, as the leader holds them.
+//! The upstreams that have announced themselves, as the leader knows them.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -13,29 +13,32 @@
 pub use crate::upstream::{Announcement, Record, Run, Status};
 use crate::voucher::RenewalMark;
 
-/// After this silence an upstream counts as lost. As long again its record is kept, as that of one that is
-/// gone, so that instances that were away are told of its end and not of all upstreams anew.
+/// Time of silence after which an upstream counts as lost. Records of lost and gone upstreams are
+/// kept for as long again, so that instances that were unreachable receive the end of an upstream
+/// as a change and need not receive all upstreams again.
 const LOST_AFTER: Duration = Duration::from_secs(60);
 
-/// How many announcements an upstream may miss before it counts as silent.
+/// Number of announcements that a ready upstream may miss before it counts as silent.
 const MAX_MISSED_ANNOUNCEMENTS: u32 = 4;
 
-/// Up to this sequence number an unknown upstream is taken for one that has just started; above it,
-/// at an address that is in use, for one whose announcement was held up for long.
+/// Highest sequence number at which an unknown upstream counts as just started. If its address is
+/// in use and the number is higher, its announcement was delayed for long.
 const MAX_FIRST_SEQUENCE: u64 = 4;
 
-/// Holds the upstreams.
+/// Tracks the upstreams and the number of the last change of each one.
 #[derive(Debug)]
 pub struct Registry {
     announcement_period: Duration,
     records: BTreeMap<Upstream, TrackedUpstream>,
-    /// The upstream that was last known at each address.
+    /// The last upstream known at each address.
     addresses: BTreeMap<SocketAddr, Upstream>,
     departures: Departures,
     last_change: u64,
+    /// The last change that was forgotten; only later changes are known individually.
     forgotten_change: u64,
 }
 
+/// Holds the record of an upstream, the number of its last change, and when it was last heard.
 #[derive(Debug)]
 struct TrackedUpstream {
     record: Record,
@@ -43,55 +46,57 @@
     last_heard: Duration,
 }
 
-/// Says up to where the leader before had told, as its successor knows.
+/// Says which changes the previous leader had propagated, as far as its successor knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Propagation {
-    /// Its last change.
+    /// The number of the previous leader's last change.
     pub last_change: u64,
-    /// The change since which all others are known one by one.
+    /// The number of the change after which all changes are known individually.
     pub oldest_change: u64,
 }
 
-/// Says what has come of the silence of upstreams.
+/// Lists what followed from the silence of upstreams.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Expirations {
-    /// Whether anything changed that others should know.
+    /// Whether any status changed that other instances should know.
     pub changed: bool,
-    /// Upstreams that have fallen silent.
+    /// The upstreams that became silent.
     pub silent: Vec<Upstream>,
-    /// Runs that are lost.
+    /// The runs that are lost.
     pub lost: Vec<Run>,
 }
 
-/// Tells of an announcement that was passed over, since what is known is newer.
+/// Describes an announcement that was ignored because newer information is known.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StaleAnnouncement {
-    /// The run that it is of.
+    /// The run that sent the announcement.
     pub run: Run,
-    /// Its number.
+    /// The sequence number of the announcement.
     pub sequence: u64,
-    /// The run that its upstream's name stands for, and the number of that one's last announcement.
+    /// The incarnation of the current run with the upstream's name, and the sequence number of that
+    /// run's last announcement.
     pub known: Option<(u64, u64)>,
-    /// How its run goes or has gone, and how long ago that was last heard.
+    /// The status of the run if it is leaving or gone, and the time since that was last heard.
     pub departed: Option<(Status, Duration)>,
 }
 
-/// Says what an announcement has changed.
+/// Says what an announcement changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing that others must know at once.
+    /// Nothing that other instances must know at once.
     Unchanged,
-    /// Something that others should know.
+    /// Something that other instances should know.
     Updated,
-    /// The upstream leaves: acknowledged only when those that route know it, and whoever may lead.
+    /// The upstream is leaving. This is acknowledged only once all instances that route requests,
+    /// and any future leader, know it.
     Leaving,
-    /// Nothing: it names a service that no route table knows, and would take the name or address of an
-    /// upstream that serves.
+    /// Nothing: the announcement names a service that is in no route table, and would take the name
+    /// or address of an upstream that serves.
     UnknownService,
 }
 
 impl Registry {
-    /// Starts empty; upstreams announce themselves once per `period`.
+    /// Creates an empty registry; upstreams announce themselves once per `period`.
     pub fn new(period: Duration) -> Self {
         let departures = Departures::default();
         let (records, addresses) = (BTreeMap::new(), BTreeMap::new());
@@ -105,10 +110,12 @@
         }
     }
 
-    /// Starts from what an earlier leader had told, and from all departures that are remembered here.
+    /// Starts from what an earlier leader had propagated, and from all departures that this
+    /// instance remembers.
     ///
-    /// Without these, a late announcement would make an upstream ready again that has said to an earlier
-    /// leader that it goes: entries would send requests there that it no longer takes.
+    /// Without the departures, a delayed announcement would make an upstream ready again that has
+    /// told an earlier leader that it is leaving. Entries would then send requests that the
+    /// upstream no longer accepts.
     pub fn restore(
         &mut self,
         now: Duration,
@@ -132,7 +139,7 @@
         }
     }
 
-    /// Returns by which change each upstream has changed, for the time after this leader.
+    /// Returns the number of the last change of each upstream, for use after this leader's term.
     pub(crate) fn history(&self) -> History {
         let mut history = History::new(self.forgotten_change);
         for tracked in self.records.values() {
@@ -148,7 +155,7 @@
         history
     }
 
-    /// Holds a record that has changed by the change with this number.
+    /// Stores a record that was changed by the change with this number.
     fn insert_record(&mut self, now: Duration, change: u64, record: Record) {
         let Announcement { run, address, .. } = &record.announcement;
         let upstream = run.upstream.clone();
@@ -166,12 +173,12 @@
         &self.departures
     }
 
-    /// Returns the run that an upstream's name stands for now.
+    /// Returns the run that currently has an upstream's name.
     pub fn current_run(&self, upstream: &Upstream) -> Option<&Run> {
         self.records.get(upstream).map(|tracked| &tracked.record.announcement.run)
     }
 
-    /// Returns what is known of an upstream.
+    /// Returns the record of an upstream.
     pub fn record(&self, upstream: &Upstream) -> Option<&Record> {
         self.records.get(upstream).map(|tracked| &tracked.record)
     }
@@ -181,22 +188,23 @@
         self.last_change
     }
 
-    /// Goes through the upstreams.
+    /// Iterates over the records of all upstreams.
     pub fn records(&self) -> impl Iterator<Item = &Record> {
         self.records.values().map(|tracked| &tracked.record)
     }
 
-    /// Goes through the upstreams of a service.
+    /// Iterates over the records of a service's upstreams.
     pub fn service_records<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Record> {
         self.records().filter(move |record| &*record.announcement.service == service)
     }
 
-    /// Tells whether what changed after a stamp is still known.
+    /// Returns whether all changes after the given one are still known.
     pub fn has_changes_since(&self, change: u64) -> bool {
         change >= self.forgotten_change
     }
 
-    /// Returns what changed after a stamp; none when it is so old that everything must be told.
+    /// Returns the records that changed after the given change; none if it is so old that all
+    /// records must be sent.
     pub fn changes_since(&self, change: u64) -> Option<Vec<Record>> {
         if !self.has_changes_since(change) {
             return None;
@@ -205,7 +213,7 @@
         Some(newer.map(|tracked| tracked.record.clone()).collect())
     }
 
-    /// Takes an announcement; `served` tells whether the route table knows its service.
+    /// Handles an announcement; `served` says whether the route table contains its service.
     pub fn announce(&mut self, now: Duration, announcement: Announcement, served: bool) -> Change {
         let run = &announcement.run;
         let departed = self.departures.status(run);
@@ -232,10 +240,12 @@
         }
     }
 
-    /// Takes a core's word that a run has announced itself with nothing new; returns what that changes.
+    /// Renews a run that a core vouches for, since it announced itself unchanged; returns the
+    /// effect.
     ///
-    /// The core may know less than this leader: that the run goes, or that another one has its name. So a mark
-    /// renews what is held, and makes nothing ready but a run that was only silent.
+    /// The core may know less than this leader, for example that the run is leaving or that another
+    /// run has its name. A renewal mark therefore only renews the current run, and makes a run
+    /// ready only if it was merely silent.
     pub fn vouch(&mut self, now: Duration, mark: &RenewalMark) -> Change {
         let Some(tracked) = self.records.get_mut(&mark.run.upstream) else {
             return Change::Unchanged;
@@ -256,13 +266,15 @@
         Change::Updated
     }
 
-    /// Counts a change of something else that is told with the upstreams; returns its number.
+    /// Counts a change of other state that is propagated together with the upstreams; returns its
+    /// number.
     pub fn record_external_change(&mut self) -> u64 {
         self.last_change += 1;
         self.last_change
     }
 
-    /// Tells why an announcement was not taken; none for the one that is held now.
+    /// Explains why an announcement was ignored; returns none for the announcement that is
+    /// currently stored.
     pub fn stale_announcement(
         &self,
         now: Duration,
@@ -278,7 +290,7 @@
         Some(StaleAnnouncement { run: run.clone(), sequence, known, departed })
     }
 
-    /// Takes a later announcement of a run that is known.
+    /// Handles a newer announcement of the current run.
     fn renew(&mut self, now: Duration, announcement: Announcement) -> Change {
         let departed = self.departures.status(&announcement.run);
         let Some(tracked) = self.records.get_mut(&announcement.run.upstream) else {
@@ -308,10 +320,11 @@
         }
     }
 
-    /// Takes the word of a run that it goes or has gone, whatever else is known of it.
+    /// Handles the departure of a run, whatever else is known of the run.
     ///
-    /// A run says it once and for all, so neither a later number nor a missing record speaks against it. Passed
-    /// over here, it would be acknowledged by the log, which holds it, while entries go on sending requests.
+    /// A departure is final for a run, so neither a higher sequence number nor a missing record
+    /// contradicts it. If the departure were ignored here, it would still be acknowledged, because
+    /// the log holds it, while entries continue to send requests.
     pub fn depart(&mut self, now: Duration, departure: &Departure) -> Change {
         let Departure { run, status } = departure;
         if !self.departures.record(now, run, *status) {
@@ -319,8 +332,9 @@
         }
         let Some(tracked) = self.records.get_mut(&run.upstream) else { return Change::Leaving };
         if tracked.record.announcement.run.incarnation <= run.incarnation {
-            // This leader may have heard of an earlier run only. Response as that one's end, the word would
-            // leave the run that goes in use at entries that know it from an earlier leader.
+            // This leader may only know an earlier run of the upstream. If the departure were
+            // recorded for that run, entries that know the departing run from an earlier leader
+            // would continue to use it.
             tracked.record.announcement.run = run.clone();
             tracked.record.status = *status;
             self.last_change += 1;
@@ -329,12 +343,13 @@
         Change::Leaving
     }
 
-    /// Takes the word of a run that it has gone.
+    /// Handles the final departure of a run.
     pub fn withdraw(&mut self, now: Duration, run: &Run) -> Change {
         self.depart(now, &Departure { run: run.clone(), status: Status::Gone })
     }
 
-    /// Counts upstreams as silent that have missed announcements, later as lost, and forgets those long gone.
+    /// Marks upstreams that missed announcements as silent and later as lost, and removes those
+    /// that ended long ago.
     pub fn tick(&mut self, now: Duration) -> Expirations {
         let mut expirations = Expirations::default();
         for tracked in self.records.values_mut() {
@@ -362,7 +377,7 @@
         expirations
     }
 
-    /// Forgets upstreams that are gone or lost once every instance has been told.
+    /// Removes upstreams that are gone or lost once every instance has learned it.
     fn remove_expired(&mut self, now: Duration) {
         let is_expired = |tracked: &TrackedUpstream| {
             matches!(tracked.record.status, Status::Gone | Status::Lost)
@@ -381,13 +396,14 @@
         }
     }
 
-    /// Takes a run that is not known.
+    /// Adds a run that is not known yet.
     ///
-    /// It ends the record of an earlier run under its name, and that of whoever had its address: an
-    /// address is used again once its last user has ended. But an announcement that was held up may come
-    /// after its sender has ended and another run has registered at the address: taken for a new run, it
-    /// would turn requests to an upstream that no longer exists. It shows by an earlier start or, where
-    /// upstreams don't say when they started, by a high sequence number.
+    /// The new run ends the record of an earlier run with its name, and of any other upstream at
+    /// its address, since an address is reused only after its last user has ended. However, a
+    /// delayed announcement may arrive after its sender has ended and another run has registered at
+    /// the address. If it were taken for a new run, requests would go to an upstream that no longer
+    /// exists. Such an announcement is recognized by an earlier start time or, where upstreams
+    /// don't report when they started, by a high sequence number.
     fn register(&mut self, now: Duration, announcement: Announcement, served: bool) -> Change {
         let Announcement { run, address, sequence, .. } = &announcement;
         let is_active_at_address = |tracked: &&mut TrackedUpstream| {
@@ -427,11 +443,11 @@
     }
 }
 
-/// Returns what a silence makes of an upstream, if anything; `patience` is for how long one that is ready
-/// may be silent.
+/// Returns the status that follows from a silence if it differs; `max_silence` is how long a ready
+/// upstream may be silent.
 ///
-/// Entries hold what the leader told them last. An upstream that was only forgotten at the leader would stay in
-/// use at all of them, as the last resort, for as long as they run.
+/// Entries keep what the leader sent them last. An upstream that the leader merely forgot would
+/// stay in use at all entries, as the last resort, for as long as they run.
 fn status_after_silence(
     status: Status,
     silence: Duration,
@@ -445,7 +461,7 @@
     }
 }
 
-/// Returns the standing after an announcement; leaving is final for a run.
+/// Returns the status after an announcement; leaving is final for a run.
 fn status_after_announcement(announcement: &Announcement, before: Status) -> Status {
     if announcement.draining || before == Status::Leaving { Status::Leaving } else { Status::Ready }
 }
--- a/crates/verbenaslip-fleet/src/replicated_state.rs
+++ b/crates/verbenaslip-fleet/src/replicated_state.rs
@@ -1,4 +1,4 @@
-//! What the replicated log holds.
+//! The state that the replicated log drives.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -15,83 +15,84 @@
 use crate::rollout::{Order, Rollouts, State};
 use crate::route_table::RouteTable;
 
-/// Closed windows that are kept; at 5 s a window more than a minute, far beyond the time in which a
-/// report may still be sent.
+/// Number of closed windows that are kept: with windows of 5 s more than a minute, far longer than
+/// a report may still be sent.
 const MAX_CLOSED_WINDOWS: usize = 16;
 
-/// Changes the ledger.
+/// Changes the replicated state.
 #[data(float)]
 pub enum Command {
-    /// Puts a whole route table in force, if its revision is the highest.
+    /// Puts a route table in force if its revision is the highest.
     SetRouteTable(Box<RouteTableRevision>),
-    /// Closes a window of usage, if it is not closed yet.
+    /// Closes a usage window unless it is closed already.
     CloseWindow(Window),
-    /// Notes with how many upstreams a service began, if that is not noted yet.
+    /// Records how many upstreams a service had at first, unless that is recorded already.
     SetInitialCount {
         /// The service.
         service: Arc<str>,
-        /// How many there were.
+        /// The number of upstreams.
         upstreams: u32,
     },
-    /// Notes with how many upstreams a service is planned, for the time in which the next leader does not know the load.
+    /// Records the planned number of upstreams of a service, which the next leader uses until it
+    /// knows the load.
     SetPlannedCount {
         /// The service.
         service: Arc<str>,
-        /// How many there are to be.
+        /// The planned number of upstreams.
         upstreams: u32,
     },
-    /// Notes that runs of upstreams go, so that whoever leads next knows it.
+    /// Records departures of upstream runs, so that the next leader knows them.
     AddDepartures {
-        /// The runs.
+        /// The departures.
         departures: Vec<Departure>,
         /// The agreed time of day, in Unix milliseconds.
         unix: u64,
     },
-    /// Notes upstreams that have come, so that whoever leads next knows them at once.
+    /// Records upstreams that have registered, so that the next leader knows them at once.
     AddUpstreams {
-        /// What they announced.
+        /// The records of the upstreams.
         records: Vec<Record>,
     },
-    /// Forgets runs that were silent for long; they may come again.
+    /// Removes runs that were silent for long; they may register again.
     RemoveRuns {
         /// The runs.
         runs: Vec<Run>,
     },
-    /// Notes which requests are held back, so that whoever leads next knows it.
+    /// Records which requests are quarantined, so that the next leader knows them.
     SetQuarantine(PersistedState),
-    /// Begins a roll-out, unless another one of its service is under way.
+    /// Starts a rollout unless another one of its service is in progress.
     StartRollout {
-        /// What is ordered.
+        /// The operator's order.
         order: Order,
         /// The agreed time of day, in Unix milliseconds.
         unix: u64,
     },
-    /// Decides a roll-out, if it is not decided yet.
+    /// Records the verdict on a rollout unless it has one already.
     DecideRollout {
-        /// The roll-out.
+        /// The ID of the rollout.
         id: u64,
-        /// How it ends.
+        /// The final state.
         state: State,
         /// The agreed time of day, in Unix milliseconds.
         unix: u64,
     },
 }
 
-/// Pairs a route table with the document in which the operator wrote it.
+/// Pairs a route table with the operator's document that it was read from.
 #[data(float)]
 pub struct RouteTableRevision {
-    /// The table.
+    /// The route table.
     pub table: Arc<RouteTable>,
-    /// The operator's own bytes, given back unchanged to whoever reads the table.
+    /// The operator's document, which is returned unchanged to whoever reads the table.
     pub document: Arc<[u8]>,
 }
 
-/// Counts the requests of each team that began to run in one window.
+/// Holds the number of requests of each team that started to run in one window.
 #[data]
 pub struct Window {
-    /// Its number.
+    /// The number of the window.
     pub number: u64,
-    /// The counts.
+    /// The number of requests by team.
     pub counts: BTreeMap<Team, u64>,
 }
 
@@ -102,16 +103,16 @@
     windows: BTreeMap<u64, Window>,
     initial_counts: BTreeMap<Arc<str>, u32>,
     planned_counts: BTreeMap<Arc<str>, u32>,
-    /// Kept apart in a snapshot, since those of earlier versions end before it.
+    /// Stored separately in a snapshot, since snapshots of earlier versions end before it.
     #[serde(skip)]
     departures: BTreeMap<Upstream, LoggedDeparture>,
-    /// Upstreams that have come and not gone; kept apart as well.
+    /// The upstreams that have registered and not departed; stored separately as well.
     #[serde(skip)]
     upstreams: BTreeMap<Upstream, Record>,
-    /// The requests that are held back; kept apart as well.
+    /// The quarantined requests; stored separately as well.
     #[serde(skip)]
     quarantine: PersistedState,
-    /// The last roll-out of each service; kept apart as well.
+    /// The last rollout of each service; stored separately as well.
     #[serde(skip)]
     rollouts: Rollouts,
 }
@@ -121,26 +122,26 @@
 struct LoggedDeparture {
     incarnation: u64,
     status: Status,
-    /// When it was noted, in Unix milliseconds of the agreed time of day.
+    /// When the departure was recorded, in Unix milliseconds of the agreed time of day.
     unix: u64,
 }
 
-/// Says why a snapshot or command can't be read.
+/// Says why a snapshot or command can't be decoded.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Error {
-    /// the bytes of the ledger can't be read by this version
+    /// this version can't decode the bytes of the replicated state
     Unreadable,
 }
 
 impl std::error::Error for Error {}
 
 impl ReplicatedState {
-    /// Returns the newest route table.
+    /// Returns the current route table with the operator's document; none before the first one.
     pub fn current_table(&self) -> Option<&Arc<RouteTableRevision>> {
         self.current_table.as_ref()
     }
 
-    /// Returns the revision of the newest route table; zero without one.
+    /// Returns the revision number of the current route table; zero if there is none.
     pub fn revision(&self) -> u64 {
         self.current_table.as_ref().map_or(0, |revision| revision.table.revision)
     }
@@ -150,22 +151,23 @@
         self.windows.values()
     }
 
-    /// Tells whether a window is closed.
+    /// Returns whether a window is closed.
     pub fn is_closed(&self, window: u64) -> bool {
         self.windows.contains_key(&window)
     }
 
-    /// Returns with how many upstreams a service began, once that is noted.
+    /// Returns how many upstreams a service had at first; none if that is not recorded yet.
     pub fn initial_count(&self, service: &str) -> Option<u32> {
         self.initial_counts.get(service).copied()
     }
 
-    /// Returns with how many upstreams a service was planned last, once that was by its load.
+    /// Returns the last planned number of upstreams of a service; none if it was never planned by
+    /// its load.
     pub fn planned_count(&self, service: &str) -> Option<u32> {
         self.planned_counts.get(service).copied()
     }
 
-    /// Goes through the departures that are remembered.
+    /// Iterates over the recorded departures.
     pub fn departures(&self) -> impl Iterator<Item = Departure> {
         self.departures.iter().map(|(upstream, departed)| {
             let run = Run { upstream: upstream.clone(), incarnation: departed.incarnation };
@@ -173,17 +175,18 @@
         })
     }
 
-    /// Goes through the upstreams that have come and not gone.
+    /// Iterates over the upstreams that have registered and not departed.
     pub fn upstreams(&self) -> impl Iterator<Item = &Record> {
         self.upstreams.values()
     }
 
-    /// Tells whether the log holds that a run has come.
+    /// Returns whether the log holds that a run has registered.
     pub fn contains_run(&self, run: &Run) -> bool {
         self.upstreams.get(&run.upstream).is_some_and(|it| it.announcement.run == *run)
     }
 
-    /// Tells whether the log holds that a run goes, and as surely.
+    /// Returns whether the log holds a departure of the run, or of a later one, that is at least as
+    /// final as `status`.
     pub fn has_departed(&self, run: &Run, status: Status) -> bool {
         self.departures.get(&run.upstream).is_some_and(|it| {
             it.incarnation > run.incarnation
@@ -191,20 +194,20 @@
         })
     }
 
-    /// Returns the requests that are held back.
+    /// Returns the quarantined requests and the key of the fingerprints.
     pub fn quarantine(&self) -> &PersistedState {
         &self.quarantine
     }
 
-    /// Returns the last roll-out of each service.
+    /// Returns the last rollout of each service.
     pub fn rollouts(&self) -> &Rollouts {
         &self.rollouts
     }
 
-    /// Applies a command; every core applies the same ones in the same order.
+    /// Applies a command; every core applies the same commands in the same order.
     ///
-    /// A revision that is not the highest changes nothing, so a change that is sent again, or
-    /// overtaken by a newer one, is accepted without ever bringing an older table back.
+    /// A route table whose revision is not the highest changes nothing. A command that is repeated,
+    /// or arrives after a newer one, is therefore accepted without restoring an older table.
     pub fn apply(&mut self, command: Command) {
         match command {
             Command::SetRouteTable(revision) => {
@@ -220,8 +223,8 @@
                 self.planned_counts.insert(service, upstreams);
             }
             Command::CloseWindow(window) => {
-                // A window that two leaders close in turn would be reported with two counts; the
-                // first closing stays.
+                // Two leaders may close the same window one after the other. Only the first count
+                // is kept, so that the window is never reported with two different counts.
                 self.windows.entry(window.number).or_insert(window);
                 while self.windows.len() > MAX_CLOSED_WINDOWS {
                     self.windows.pop_first();
@@ -233,7 +236,8 @@
                 self.upstreams.retain(|_, it| !runs.contains(&it.announcement.run));
             }
             Command::SetQuarantine(persisted) => {
-                // Prints are worth nothing under another key than the one by which they were made.
+                // Fingerprints are only valid with the key that they were made with, so the first
+                // key stays.
                 let key = self.quarantine.key.or(persisted.key);
                 self.quarantine = PersistedState { key, ..persisted };
             }
@@ -242,10 +246,11 @@
         }
     }
 
-    /// Notes upstreams that have come.
+    /// Adds upstreams that have registered.
     ///
-    /// Whoever had the address of one of them has ended, without a word if it crashed. Remembered beside
-    /// it, a new leader would have requests sent to a run that no longer exists.
+    /// An upstream that had the address of one of them has ended, perhaps by a crash and without
+    /// announcing it. It is removed, because a new leader would otherwise have requests sent to a
+    /// run that no longer exists.
     fn add_upstreams(&mut self, records: Vec<Record>) {
         let addresses: BTreeSet<SocketAddr> =
             records.iter().map(|it| it.announcement.address).collect();
@@ -258,7 +263,7 @@
         }
     }
 
-    /// Notes departures, and forgets those that are older than any announcement on its way.
+    /// Records departures, and removes those older than any announcement that may still arrive.
     fn add_departures(&mut self, departures: Vec<Departure>, unix: u64) {
         for Departure { run, status } in departures {
             if !self.has_departed(&run, status) {
@@ -274,22 +279,22 @@
         self.departures.retain(|_, it| unix.saturating_sub(it.unix) <= retention);
     }
 
-    /// Writes the whole state.
+    /// Encodes the whole state.
     pub fn snapshot(&self) -> Vec<u8> {
-        // Encoding to memory fails for no value of these types.
+        // Encoding to memory can't fail for these types.
         let parts = (self, &self.departures, &self.upstreams, &self.quarantine, &self.rollouts);
         postcard::to_stdvec(&parts).unwrap_or_default()
     }
 
-    /// Reads what [`snapshot`](Self::snapshot) wrote.
+    /// Decodes what [`snapshot`](Self::snapshot) has encoded.
     ///
     /// # Errors
     ///
-    /// Returns an error for bytes that are no ledger.
+    /// Returns an error if the bytes are not a valid snapshot.
     pub fn restore(bytes: &[u8]) -> Result<Self, Error> {
         let (mut state, rest) =
             postcard::take_from_bytes::<Self>(bytes).map_err(|_| Error::Unreadable)?;
-        // Snapshots of earlier versions end before some of these.
+        // Snapshots of earlier versions lack some of these parts.
         let ((departures, upstreams), rest) = decode_part(rest)?;
         let (quarantine, rest) = decode_part(rest)?;
         let (rollouts, _) = decode_part(rest)?;
@@ -300,26 +305,26 @@
 }
 
 impl Command {
-    /// Writes the command for the log.
+    /// Encodes the command for the log.
     pub fn encode(&self) -> Arc<[u8]> {
-        // Encoding to memory fails for no value of these types.
+        // Encoding to memory can't fail for these types.
         postcard::to_stdvec(self).unwrap_or_default().into()
     }
 
-    /// Reads a command from the log.
+    /// Decodes a command from the log.
     ///
     /// # Errors
     ///
-    /// Returns an error for bytes that are no command.
+    /// Returns an error if the bytes are not a valid command.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         postcard::from_bytes(bytes).map_err(|_| Error::Unreadable)
     }
 }
 
-/// Holds a part of a snapshot and the bytes after it.
+/// Holds a decoded part of a snapshot and the bytes after it.
 type DecodedPart<'a, T> = Result<(T, &'a [u8]), Error>;
 
-/// Reads the next part of a snapshot; where it ends before that, the part is empty.
+/// Decodes the next part of a snapshot; a part that is missing at the end is empty.
 fn decode_part<T: DeserializeOwned + Default>(bytes: &[u8]) -> DecodedPart<'_, T> {
     if bytes.is_empty() {
         return Ok((T::default(), bytes));
--- a/crates/verbenaslip-fleet/src/rollout.rs
+++ b/crates/verbenaslip-fleet/src/rollout.rs
@@ -1,12 +1,13 @@
-//! Roll-outs: moving a service's traffic from the version that serves to another one.
+//! Rollouts: moving a service's traffic from the stable version to a candidate version.
 //!
-//! A [`Rollout`] lives in the replicated log from its order to its verdict. The leader runs a [`Controller`] for
-//! each one that is undecided. It sends a small share of the requests to a few *canaries*, upstreams of the
-//! candidate version; compares what they do with the stable version, as [`judge`] says; and then either shifts
-//! all traffic or rolls back. Entries follow the [`Plan`] of the moment and send [`report`]s.
+//! A [`Rollout`] is kept in the replicated log from its order to its verdict. The leader runs a
+//! [`Controller`] for each undecided rollout. The controller sends a small share of the requests to
+//! a few *canaries*, which are upstreams of the candidate version, and compares them with the
+//! stable version as described in [`evaluator`]. Then it either shifts all traffic or rolls back.
+//! Entries follow the current [`Plan`] and send [`report`]s.
 //!
-//! A verdict is final: the log takes the first one, and an entry that has heard of a roll-back sends nothing to
-//! the version again, whatever a later leader says.
+//! A verdict is final: the log keeps the first one, and an entry that has learned of a rollback
+//! sends no more requests to that version, whatever a later leader says.
 
 pub mod controller;
 pub mod evaluator;
@@ -22,7 +23,8 @@
 
 pub use crate::rollout::controller::Controller;
 
-/// How long after a verdict an equal order counts as the decided one sent again; operators resend for a few seconds.
+/// How long after a verdict an equal order counts as the decided one sent again; operators resend
+/// for a few seconds.
 const RESEND_WINDOW: Duration = Duration::from_secs(10);
 
 /// Orders a service's traffic to be moved to a version.
@@ -36,63 +38,64 @@
     pub time_limit: Duration,
 }
 
-/// Says how far a roll-out is.
+/// Says how far a rollout has come.
 #[data(copy, hash)]
 pub enum State {
     /// Both versions serve; there is no verdict yet.
     Serving,
     /// The candidate has taken over.
     Completed,
-    /// The candidate gets no more requests.
+    /// The candidate receives no more requests.
     RolledBack,
 }
 
-/// Holds one roll-out as the log knows it.
+/// Holds one rollout as the log knows it.
 #[data]
 pub struct Rollout {
-    /// Rises with each roll-out of the fleet.
+    /// The ID, which rises with each rollout of the fleet.
     pub id: u64,
-    /// What was ordered.
+    /// The operator's order.
     pub order: Order,
-    /// When it was ordered, in Unix milliseconds of the agreed time of day.
+    /// When the rollout was ordered, in Unix milliseconds of the agreed time of day.
     pub started: u64,
-    /// How far it is.
+    /// How far the rollout has come.
     pub state: State,
-    /// When it was decided, in the same way.
+    /// When the rollout was decided, in Unix milliseconds of the agreed time of day.
     pub decided: Option<u64>,
 }
 
 /// Holds the names of versions.
 pub type Versions = BTreeSet<Arc<str>>;
 
-/// Holds the last roll-out of each service.
+/// Holds the last rollout of each service.
 #[data(default)]
 pub struct Rollouts {
-    /// How many there have been.
+    /// The number of rollouts that were started.
     started: u64,
     services: BTreeMap<Arc<str>, Rollout>,
-    /// Versions that were rolled back, by service; they get no requests until they are ordered again.
+    /// The versions that were rolled back, by service; they receive no requests until they are
+    /// ordered again.
     rejected: BTreeMap<Arc<str>, Versions>,
 }
 
-/// Says what becomes of an order.
+/// Says how an order is handled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It begins a roll-out.
+    /// The order starts a rollout.
     New,
-    /// It is one that the log already holds.
+    /// The log already holds the order.
     Known,
     /// The service is being moved to this other version.
     Conflict(Arc<str>),
 }
 
 impl Rollouts {
-    /// Returns the last roll-out of a service.
+    /// Returns the last rollout of a service.
     pub fn get(&self, service: &str) -> Option<&Rollout> {
         self.services.get(service)
     }
 
-    /// Goes through the last roll-outs of all services.
+    /// Iterates over the last rollouts of all services.
     pub fn iter(&self) -> impl Iterator<Item = &Rollout> {
         self.services.values()
     }
@@ -102,7 +105,7 @@
         self.rejected.get(service).cloned().unwrap_or_default()
     }
 
-    /// Says what becomes of an order that arrives at a time.
+    /// Returns how an order is handled that arrives at a time, in Unix milliseconds.
     pub fn admission(&self, order: &Order, unix: u64) -> Admission {
         let Some(last) = self.services.get(&order.service) else { return Admission::New };
         let is_same_version = last.order.version == order.version;
@@ -117,7 +120,7 @@
         }
     }
 
-    /// Begins a roll-out unless the order is known or conflicts with another.
+    /// Starts a rollout unless the order is known or conflicts with another one.
     pub(crate) fn start(&mut self, order: Order, unix: u64) {
         if self.admission(&order, unix) != Admission::New {
             return;
@@ -132,7 +135,7 @@
         self.services.insert(service, rollout);
     }
 
-    /// Takes a verdict; the first one stays.
+    /// Records a verdict; only the first one counts.
     pub(crate) fn decide(&mut self, id: u64, state: State, unix: u64) {
         let undecided = |it: &&mut Rollout| it.id == id && it.decided.is_none();
         let Some(rollout) = self.services.values_mut().find(undecided) else { return };
@@ -145,46 +148,46 @@
     }
 }
 
-/// Holds what entries do about the versions of each service.
+/// Holds the plan of each service.
 pub type Plans = BTreeMap<Arc<str>, Plan>;
 
-/// Says which versions of one service get requests.
+/// Says which versions of one service receive requests.
 #[data(float)]
 pub struct Plan {
-    /// The roll-out.
+    /// The ID of the rollout.
     pub id: u64,
-    /// Rises with each change of this plan under one leader.
+    /// The step, which rises with each change of the plan under one leader.
     pub step: u32,
-    /// The version that is rolled out.
+    /// The candidate version.
     pub version: Arc<str>,
-    /// Versions that get nothing.
+    /// The versions that receive no requests.
     pub rejected: Versions,
-    /// How far it is.
+    /// How far the rollout has come.
     pub state: State,
-    /// The share of requests that goes to the candidate, for routes without one of their own.
+    /// The candidate's share of requests, on routes without a share of their own.
     pub share: f64,
-    /// The same by route.
+    /// The candidate's share of requests, by route.
     pub route_shares: BTreeMap<Arc<str>, f64>,
-    /// The upstreams of the candidate that get requests; none for all of them.
+    /// The upstreams of the candidate that receive requests; none if all of them do.
     pub canaries: Option<BTreeSet<Upstream>>,
-    /// Whether the candidate takes over, and gets more than canaries may.
+    /// Whether traffic is shifted to the candidate, which then receives more than canaries may.
     pub shifting: bool,
-    /// The latency above which an answer counts as bad, in milliseconds by route.
+    /// The latency above which an answer counts as bad, in milliseconds, by route.
     pub slow_ms: BTreeMap<Arc<str>, u32>,
 }
 
-/// Says which part of a service an upstream belongs to under a plan.
+/// Says which group of a service an upstream belongs to under a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cohort {
-    /// The versions that served before.
+    /// An upstream of the versions that served before.
     Stable,
-    /// A candidate that gets a small share.
+    /// An upstream of the candidate that receives a small share.
     Canary,
-    /// A candidate among all that take over.
+    /// An upstream of the candidate while traffic is shifted to it.
     Candidate,
-    /// A candidate that gets nothing yet.
+    /// An upstream of the candidate that receives no requests yet.
     Reserve,
-    /// A version that was rolled back.
+    /// An upstream of a version that was rolled back.
     Rejected,
 }
 
@@ -210,7 +213,7 @@
         self.slow_ms.get(route).map(|millis| Duration::from_millis(u64::from(*millis)))
     }
 
-    /// Returns the share of a route's requests that goes to the candidate.
+    /// Returns the share of a route's requests that the candidate receives.
     pub fn share(&self, route: &str) -> f64 {
         self.route_shares.get(route).copied().unwrap_or(self.share)
     }
@@ -220,7 +223,7 @@
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-#[allow(clippy::cast_precision_loss)] // Counts of one roll-out are far below the precision of a float.
+#[allow(clippy::cast_precision_loss)] // Counts of one rollout are far below the precision of a float.
 pub(crate) fn as_f64(count: u64) -> f64 {
     count as f64
 }
--- a/crates/verbenaslip-fleet/src/rollout/controller.rs
+++ b/crates/verbenaslip-fleet/src/rollout/controller.rs
@@ -1,9 +1,10 @@
-//! The leader's conduct of one roll-out.
+//! The leader's control of one rollout.
 //!
-//! Two bounds shape it. A bad version may get no more than a part of its service's requests, so canaries get about
-//! half of that part, and the shift to the candidate begins as late as the time limit allows. And the stable
-//! upstreams stop at once when a roll-out is completed, so that waits until the candidate carries all traffic and
-//! nothing is under way at the others.
+//! Two bounds shape it. A bad version may receive no more than a limited share of its service's
+//! requests, so canaries receive about half of that share, and the shift to the candidate begins as
+//! late as the time limit allows. The stable upstreams stop at once when a rollout is completed, so
+//! completion waits until the candidate carries all traffic and no requests are running on the
+//! stable upstreams.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,65 +18,68 @@
 use crate::rollout::verdict::{Fleet, Reason, Stage, Verdict};
 use crate::rollout::{Plan, Rollout, State, Versions, as_f64};
 
-/// The part of a service's requests that canaries get.
+/// Share of a service's requests that canaries receive.
 const CANARY_SHARE: f64 = 0.05;
 
-/// The same while canaries have got little, so that there is evidence early.
+/// The same while canaries have received few requests, so that there is evidence early.
 const CATCH_UP_SHARE: f64 = 0.1;
 
-/// Requests beyond that part that canaries may get, for services with few of them.
+/// Number of requests beyond that share that canaries may receive, for services with few requests.
 const CANARY_SLACK: f64 = 20.0;
 
-/// The largest share of one route's requests that canaries get.
+/// Largest share of one route's requests that canaries receive.
 const MAX_ROUTE_SHARE: f64 = 0.3;
 
-/// Steps between the shares of nothing and of all.
+/// Number of steps to which shares are rounded.
 const SHARE_STEPS: f64 = 50.0;
 
-/// The fewest canaries, where there are so many: half of them are left out of the judgement.
+/// Smallest number of canaries, if the candidate has that many upstreams: half of them are excluded
+/// from the evaluation.
 const MIN_CANARIES: usize = 6;
 
-/// How many times as many canaries there are while the candidate looks worse: it may be a few of its upstreams.
+/// Factor by which canaries are increased while the candidate looks worse, since only a few of its
+/// upstreams may be bad.
 const SUSPICION_FACTOR: usize = 3;
 
-/// The shares of the candidate on the way to all traffic, each for one [`STEP`].
+/// Shares of the candidate during the shift to all traffic, each for one [`SHIFT_STEP`].
 const SHIFT_SHARES: [f64; 3] = [0.25, 0.5, 1.0];
 
-/// How long each of these holds before the next.
+/// How long each share of the shift is held before the next one.
 const SHIFT_STEP: Duration = Duration::from_millis(500);
 
-/// How long requests at the stable upstreams are given to end before the time limit.
+/// Time before the time limit that requests on the stable upstreams have to end.
 const DRAIN_TIME: Duration = Duration::from_millis(1_700);
 
-/// How long before the time limit a candidate is completed: not sooner, since it can be rolled back until then, and
-/// not later, since the log takes a moment.
+/// Time before the time limit at which a candidate is completed: not earlier, since it can be
+/// rolled back until then, and not later, since the log takes a moment.
 const COMPLETION_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// The largest part of the time limit that shifting and draining may take.
+/// Largest share of the time limit that shifting and draining may take.
 const MAX_SHIFT_SHARE: f64 = 0.4;
 
-/// Answers of the candidate on each busy route that a shift needs.
+/// Number of the candidate's answers that a shift requires on each busy route.
 const MIN_ROUTE_ANSWERS: u64 = 12;
 
-/// The share of a service's requests from which on a route is busy enough to be judged.
+/// Share of a service's requests from which on a route is busy enough to be evaluated.
 const BUSY_SHARE: f64 = 0.02;
 
-/// The fewest answers of the stable version that say how fast a route is.
+/// Smallest number of the stable version's answers that show how fast a route is.
 const MIN_BASELINE_ANSWERS: u64 = 30;
 
-/// How many times the stable version's median latency an answer may take.
+/// Multiple of the stable version's median latency above which an answer is slow.
 const SLOW_FACTOR: f64 = 2.5;
 
-/// The shortest latency that counts as slow, in milliseconds.
+/// Shortest latency that counts as slow, in milliseconds.
 const MIN_SLOW_MS: f64 = 40.0;
 
-/// How long after the time limit an undecided candidate is rolled back, as a part of the limit.
+/// Time after the time limit at which an undecided candidate is rolled back, as a share of the
+/// limit.
 const ROLLBACK_GRACE: f64 = 1.0;
 
 /// Holds a number for each route.
 type ByRoute = BTreeMap<Arc<str>, f64>;
 
-/// Conducts one roll-out at the leader.
+/// Controls one rollout at the leader.
 #[derive(Debug)]
 pub struct Controller {
     rollout: Rollout,
@@ -91,7 +95,7 @@
 }
 
 impl Controller {
-    /// Begins, or goes on after another leader.
+    /// Starts a rollout, or continues one of an earlier leader.
     pub fn new(rollout: Rollout, rejected: Versions) -> Self {
         Self {
             rollout,
@@ -107,27 +111,27 @@
         }
     }
 
-    /// Returns the roll-out.
+    /// Returns the rollout.
     pub fn rollout(&self) -> &Rollout {
         &self.rollout
     }
 
-    /// Returns what candidates get now.
+    /// Returns what the candidate currently receives.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Returns how many requests were sent, and how many of them to the candidate.
+    /// Returns the number of requests that were sent, and how many of them went to the candidate.
     pub fn exposure(&self) -> (u64, u64) {
         self.totals.exposure()
     }
 
-    /// Returns the verdict once there is one.
+    /// Returns the verdict, once there is one.
     pub fn verdict(&self) -> Option<&Verdict> {
         self.verdict.as_ref()
     }
 
-    /// Takes what the log holds of the roll-out.
+    /// Updates the rollout to what the log holds.
     pub fn update_rollout(&mut self, rollout: &Rollout, rejected: &Versions) {
         if self.rollout != *rollout || self.rejected != *rejected {
             self.rollout = rollout.clone();
@@ -136,7 +140,7 @@
         }
     }
 
-    /// Takes the report with a number from a run of an entry.
+    /// Handles the report with this number from a run of an entry.
     pub fn handle_report(
         &mut self,
         entry: SocketAddr,
@@ -149,7 +153,7 @@
         }
     }
 
-    /// Goes on at an agreed time of day.
+    /// Advances the rollout; `unix` is the agreed time of day in milliseconds.
     pub fn tick(&mut self, now: Duration, unix: u64, fleet: &Fleet) {
         if self.rollout.state != State::Serving || self.verdict.is_some() {
             return;
@@ -184,7 +188,8 @@
         }
     }
 
-    /// Sets from the stable version's answers which latency is slow, until the candidate is judged by it.
+    /// Derives from the stable version's answers which latency is slow, until the candidate is
+    /// evaluated by it.
     fn update_slow_thresholds(&mut self) {
         for ((route, group), counts) in self.totals.sums() {
             let is_fixed = self.stage != Stage::Waiting && self.slow.contains_key(route);
@@ -201,7 +206,7 @@
         if let Stage::Shift { at, since } = self.stage {
             return self.shift(now, elapsed, fleet, at, since);
         }
-        // A new leader knows neither what was sent to the candidate nor whether it was good.
+        // A new leader knows neither how many requests the candidate received nor how they ended.
         let is_waiting = !fleet.all_reported || fleet.candidates.is_empty();
         self.stage = if is_waiting { Stage::Waiting } else { Stage::Canary };
         if is_waiting {
@@ -216,8 +221,8 @@
         self.allocate_canary_requests();
     }
 
-    /// Returns the time since the order at which the shift begins: as late as possible, since a version may turn
-    /// bad at any time, and more of it is exposed from then on.
+    /// Returns the time after the order at which the shift begins: as late as possible, since a
+    /// version may turn bad at any time, and more requests are exposed to it from then on.
     fn shift_start(&self) -> Duration {
         let limit = self.rollout.order.time_limit;
         let steps = u32::try_from(SHIFT_SHARES.len()).unwrap_or(u32::MAX);
@@ -225,7 +230,8 @@
         limit.saturating_sub(needed.min(limit.mul_f64(MAX_SHIFT_SHARE)))
     }
 
-    /// Tells whether the candidate has done well on all busy routes, and can carry them.
+    /// Returns whether the candidate has done well on all busy routes and has the capacity for
+    /// them.
     fn may_shift(&self, fleet: &Fleet) -> bool {
         let (all, _) = self.totals.exposure();
         let mut evaluated: BTreeMap<&str, u64> = BTreeMap::new();
@@ -266,7 +272,7 @@
         }
     }
 
-    /// Chooses canaries: a few, and more while they look worse than the stable version.
+    /// Chooses a few canaries, and more while they look worse than the stable version.
     fn choose_canaries(&mut self, fleet: &Fleet) {
         let wanted = (as_f64(fleet.stable as u64) * CANARY_SHARE).ceil();
         let mut wanted = (to_u32(wanted) as usize).max(MIN_CANARIES);
@@ -276,16 +282,17 @@
         self.choose(fleet, wanted);
     }
 
-    /// Chooses the upstreams of the candidate that take a part of the traffic: the same part of them, so that each
-    /// has its usual load. A version that is bad under load alone shows with the first part.
+    /// Chooses the upstreams of the candidate for the current step of the shift: their share equals
+    /// the share of traffic, so that each has its usual load. A version that is only bad under load
+    /// then shows in the first step.
     fn choose_shift_upstreams(&mut self, fleet: &Fleet) {
         let Stage::Shift { at, .. } = self.stage else { return };
         let wanted = (as_f64(fleet.candidates.len() as u64) * SHIFT_SHARES[at]).ceil();
         self.choose(fleet, to_u32(wanted) as usize);
     }
 
-    /// Has so many upstreams of the candidate get requests, from each zone in turn: one that is lost must not take
-    /// all of them.
+    /// Chooses this number of the candidate's upstreams, from each zone in turn, so that the loss
+    /// of one zone does not remove all of them.
     fn choose(&mut self, fleet: &Fleet, wanted: usize) {
         let available: BTreeSet<&Upstream> = fleet.candidates.iter().map(|it| &it.0).collect();
         self.canaries.retain(|it| available.contains(it));
@@ -303,8 +310,8 @@
         }
     }
 
-    /// Divides what canaries may get among the routes, the same number to each where there is enough: a version
-    /// may be bad on the one with the fewest requests.
+    /// Divides the requests that canaries may receive among the routes, evenly where each route has
+    /// enough: a version may be bad only on the route with the fewest requests.
     fn allocate_canary_requests(&mut self) {
         let (all, exposed) = self.totals.exposure();
         let (all, exposed) = (as_f64(all), as_f64(exposed));
@@ -317,7 +324,7 @@
         self.shares = allocate_requests(&self.sent_by_route(), share * all);
     }
 
-    /// Returns how many requests of each route were sent.
+    /// Returns the number of requests sent on each route.
     fn sent_by_route(&self) -> ByRoute {
         let mut sent = ByRoute::new();
         for ((route, _), counts) in self.totals.sums() {
@@ -326,11 +333,12 @@
         sent
     }
 
-    /// Returns what entries do now.
+    /// Returns the plan that entries currently follow.
     pub fn plan(&self) -> Plan {
         let state =
             self.verdict.as_ref().map_or(self.rollout.state, |verdict| match verdict.state {
-                // Entries hear of it once the log holds it: the stable upstreams stop then.
+                // Entries learn of the completion from the log, because the stable upstreams stop
+                // then.
                 State::Completed => State::Serving,
                 state => state,
             });
@@ -359,7 +367,8 @@
     }
 }
 
-/// Divides so many requests evenly among routes, each no more than a part of its own; returns the shares.
+/// Divides a number of requests evenly among the routes, up to a share of each route's requests;
+/// returns the resulting shares.
 fn allocate_requests(sent: &ByRoute, requests: f64) -> ByRoute {
     let mut routes: Vec<&Arc<str>> = sent.keys().collect();
     routes.sort_by(|one, other| sent[*one].total_cmp(&sent[*other]));
@@ -369,7 +378,7 @@
         let even = left / as_f64((routes.len() - at) as u64);
         let route_requests = even.min(sent[*route] * MAX_ROUTE_SHARE);
         left -= route_requests;
-        // In steps, so that small changes are not told to all entries.
+        // Shares are rounded to steps, so that small changes are not sent to all entries.
         let steps = (route_requests / sent[*route].max(1.0) * SHARE_STEPS).ceil();
         shares.insert((*route).clone(), steps / SHARE_STEPS);
     }
--- a/crates/verbenaslip-fleet/src/rollout/evaluator.rs
+++ b/crates/verbenaslip-fleet/src/rollout/evaluator.rs
@@ -1,13 +1,14 @@
-//! Whether the candidate version of a service is worse than the stable one.
+//! Statistical comparison of a service's candidate version with the stable one.
 //!
-//! A sequential test for each route: answers of the candidate are weighed under the hypothesis that it is as good
-//! as the stable version is at that moment, and under several that it is worse (cumulative sums of log-likelihood
-//! ratios). So it works with few samples, and a version that turns bad late is found as soon as one that was bad
-//! from the start. Comparing both versions at the same moment keeps the loss of an availability zone, or a service
-//! that fails part of its requests by nature, from counting against the candidate.
+//! For each route, a sequential test weighs the candidate's answers under the hypothesis that the
+//! candidate is as good as the stable version is at that moment, and under several hypotheses that
+//! it is worse (cumulative sums of log-likelihood ratios). The test therefore works with few
+//! samples, and finds a version that turns bad late as quickly as one that was bad from the start.
+//! Because both versions are compared at the same moment, neither the loss of an availability zone
+//! nor a service that always fails part of its requests counts against the candidate.
 //!
-//! The canaries with the worst record are left out, half of them. A version is bad on all its upstreams, while a
-//! crashed or faulty upstream says nothing of its version.
+//! Half of the canaries, those with the worst record, are excluded. A bad version is bad on all its
+//! upstreams, while a crashed or faulty upstream says nothing about its version.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,60 +16,63 @@
 use crate::rollout::as_f64;
 use crate::rollout::report::{Counts, Group, Key};
 
-/// By how much more of its answers a worse version fails; the test is for each of these.
+/// Share by which a worse version fails more of its answers; each value is tested as one
+/// hypothesis.
 const ADDED_BAD_SHARES: [f64; 3] = [0.1, 0.25, 0.6];
 
-/// How much worse than the stable version a good candidate may look, as a factor and a share: its caches are cold.
+/// How much worse than the stable version a good candidate may look, as a factor and an added
+/// share, since its caches are cold.
 const TOLERANCE: (f64, f64) = (1.5, 0.04);
 
-/// The highest share of bad answers that is still held against a candidate.
+/// Upper limit of the share of bad answers that is tolerated.
 const MAX_TOLERATED_SHARE: f64 = 0.7;
 
-/// The log-likelihood ratio at which a candidate counts as worse, for one route and hypothesis: one in 200,000.
+/// Log-likelihood ratio at which a candidate counts as worse: one false alarm in 200,000 for one
+/// route and hypothesis.
 const ALARM_RATIO: f64 = 12.2;
 
-/// Answers of the stable version that are remembered of each route.
+/// Number of the stable version's answers that are remembered for each route.
 const BASELINE_ANSWERS: f64 = 200.0;
 
-/// The part of the canaries that is left out, the worst ones first: one in so many.
+/// Divisor of the number of canaries that gives how many are excluded, the worst ones first.
 const EXCLUDED_DIVISOR: usize = 2;
 
 /// The same for a candidate that has given many bad answers.
 const EXCLUDED_DIVISOR_MANY_BAD: usize = 3;
 
-/// How many bad answers that is.
+/// Number of bad answers from which on there are many.
 const MANY_BAD_ANSWERS: u64 = 30;
 
-/// The evidence, with no canary left out, at which a candidate doesn't take over yet.
+/// Log-likelihood ratio, with no canary excluded, at which a candidate does not take over yet.
 const SUSPICION_RATIO: f64 = 4.0;
 
-/// Holds the evidence against a candidate.
+/// Collects the evidence against a candidate.
 #[derive(Debug, Default)]
 pub struct Evaluator {
     routes: BTreeMap<Arc<str>, RouteEvidence>,
     overall: [HypothesisTest; ADDED_BAD_SHARES.len()],
 }
 
-/// Says why a candidate counts as worse.
+/// Describes the evidence that a candidate is worse.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Evidence {
-    /// The route on which it is; none for all of them together.
+    /// The route that shows it; none for all routes together.
     pub route: Option<Arc<str>>,
-    /// Answers of the candidate that were weighed.
+    /// The number of the candidate's answers that were evaluated.
     pub ended: u64,
-    /// Those of them that were bad.
+    /// The number of bad answers among them.
     pub bad: u64,
 }
 
 /// Holds the evidence on one route.
 #[derive(Debug, Default)]
 struct RouteEvidence {
-    /// Answers of the stable version lately, and bad ones among them.
+    /// The recent answers of the stable version, and the bad ones among them.
     stable: (f64, f64),
     tests: [HypothesisTest; ADDED_BAD_SHARES.len()],
 }
 
-/// Holds the evidence for one hypothesis since it last looked unlikely.
+/// Holds the evidence for one hypothesis since the hypothesis last looked unlikely.
 #[derive(Debug, Default)]
 struct HypothesisTest {
     /// Log-likelihood ratios by group of upstreams.
@@ -78,7 +82,8 @@
 }
 
 impl Evaluator {
-    /// Takes what entries have reported since the last time; returns the evidence once it is enough.
+    /// Evaluates what entries have reported since the last call; returns the evidence once it
+    /// suffices.
     pub fn evaluate(&mut self, fresh: &BTreeMap<Key, Counts>) -> Option<Evidence> {
         let stable = |it: &(&Key, &Counts)| it.0.1 == Group::Stable;
         for ((route, _), counts) in fresh.iter().filter(stable) {
@@ -101,7 +106,7 @@
         })
     }
 
-    /// Tells whether the candidate looks worse on some route, though not yet surely.
+    /// Returns whether the candidate looks worse on some route, though not with certainty yet.
     pub fn is_suspicious(&self) -> bool {
         let routes = self.routes.values().flat_map(|route| &route.tests);
         routes.chain(&self.overall).any(|test| test.sum() >= SUSPICION_RATIO)
@@ -109,7 +114,7 @@
 }
 
 impl RouteEvidence {
-    /// Takes answers of the stable version.
+    /// Adds answers of the stable version.
     fn add_baseline(&mut self, counts: &Counts) {
         let ended = as_f64(counts.ended);
         let kept_share = (1.0 - ended / BASELINE_ANSWERS).max(0.0);
@@ -117,7 +122,7 @@
             (self.stable.0 * kept_share + ended, self.stable.1 * kept_share + as_f64(counts.bad));
     }
 
-    /// Returns the share of bad answers that is not held against a candidate.
+    /// Returns the share of bad answers that does not count against a candidate.
     fn tolerated_share(&self) -> f64 {
         let (ended, bad) = self.stable;
         let stable = (bad + 0.5) / (ended + 10.0);
@@ -132,7 +137,8 @@
         self.bad += counts.bad;
     }
 
-    /// Weighs the hypothesis; returns the answers and the bad ones among them if it holds.
+    /// Decides the hypothesis; returns the number of answers and of bad ones among them if it
+    /// holds.
     fn decide(&mut self) -> Option<(u64, u64)> {
         if self.sum() < 0.0 {
             *self = Self::default();
@@ -157,7 +163,8 @@
     }
 }
 
-/// Returns how much likelier answers are if so many more of them are bad than of a good version's.
+/// Returns the log-likelihood ratio of a version that gives bad answers more often, by `worse`,
+/// over a good version.
 fn log_ratio(counts: &Counts, good_share: f64, worse: f64) -> f64 {
     let bad_share = (good_share + worse).min(0.98);
     let good_answers = as_f64(counts.ended.saturating_sub(counts.bad));
--- a/crates/verbenaslip-fleet/src/rollout/report.rs
+++ b/crates/verbenaslip-fleet/src/rollout/report.rs
@@ -1,4 +1,4 @@
-//! What entries tell the leader of the versions of a service.
+//! Reports of entries to the leader about the versions of a service.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,65 +7,66 @@
 
 use verbenaslip_base::data;
 
-/// Buckets of a latency histogram; each is half as wide again as the one before.
+/// Number of buckets of a latency histogram; each upper bound is half as large again as the one
+/// before.
 pub const BUCKET_COUNT: usize = 24;
 
-/// The upper bound of the first bucket, in milliseconds.
+/// Upper bound of the first bucket, in milliseconds.
 const FIRST_BOUND_MS: f64 = 2.0;
 
-/// The ratio of the bounds of two neighbouring buckets.
+/// Ratio of the upper bounds of two adjacent buckets.
 const BOUND_RATIO: f64 = 1.5;
 
-/// Names the upstreams whose answers are counted together.
+/// Identifies the upstreams whose answers are counted together.
 #[data(copy, ord)]
 pub enum Group {
     /// The version that served before.
     Stable,
-    /// One canary, by the hash of its name.
+    /// One canary, identified by the hash of its name.
     Canary(u64),
-    /// All upstreams of the candidate that are not counted by themselves.
+    /// All upstreams of the candidate that are not counted individually.
     Candidate,
 }
 
 /// Counts the requests of one route at one group of upstreams.
 #[data(default)]
 pub struct Counts {
-    /// Requests that were sent.
+    /// The number of requests that were sent.
     pub sent: u64,
-    /// Requests whose outcome says something of the upstream.
+    /// The number of requests whose outcome says something about the upstream.
     pub ended: u64,
-    /// Those of them that failed or were slow.
+    /// The number of those that failed or were slow.
     pub bad: u64,
-    /// Latencies, for the stable version alone; see [`bucket`].
+    /// The latency histogram, for the stable version only; see [`bucket_index`].
     pub latencies: Vec<u64>,
 }
 
-/// Names a row of a report.
+/// Identifies a row of a report.
 pub type Key = (Arc<str>, Group);
 
-/// Tells what an entry has seen since it first heard of a roll-out.
+/// Holds what an entry has counted since it first learned of a rollout.
 ///
-/// All counts are totals, so a report that is lost or doubled does no harm.
+/// All counts are totals, so a report that is lost or duplicated does no harm.
 #[data]
 pub struct Report {
-    /// The roll-out.
+    /// The ID of the rollout.
     pub id: u64,
     /// The step of the plan that the entry follows.
     pub step: u32,
-    /// Requests under way at the stable version.
+    /// The number of requests that are running on the stable version.
     pub stable_active: u32,
-    /// Whether this entry knows from an earlier leader that the candidate was rolled back.
+    /// Whether this entry has learned from an earlier leader that the candidate was rolled back.
     pub halted: bool,
     /// The counts by route and group.
     pub rows: Vec<(Key, Counts)>,
 }
 
-/// Adds up the reports of all entries.
+/// Sums up the reports of all entries.
 #[derive(Debug, Default)]
 pub struct Totals {
     entries: BTreeMap<SocketAddr, LastReport>,
     sums: BTreeMap<Key, Counts>,
-    /// What came since it was last asked for.
+    /// The counts that were added since [`Totals::take_fresh`] was last called.
     fresh: BTreeMap<Key, Counts>,
 }
 
@@ -78,7 +79,7 @@
 }
 
 impl Totals {
-    /// Takes the report with a number from a run of an entry.
+    /// Adds the report with this number from a run of an entry.
     pub fn add_report(
         &mut self,
         entry: SocketAddr,
@@ -100,17 +101,17 @@
         self.entries.insert(entry, LastReport { incarnation, number, report: report.clone() });
     }
 
-    /// Takes what came since this was last called.
+    /// Removes and returns the counts that were added since the last call.
     pub fn take_fresh(&mut self) -> BTreeMap<Key, Counts> {
         std::mem::take(&mut self.fresh)
     }
 
-    /// Goes through the sums.
+    /// Iterates over the sums.
     pub fn sums(&self) -> impl Iterator<Item = (&Key, &Counts)> {
         self.sums.iter()
     }
 
-    /// Returns how many requests were sent in all, and how many of them to the candidate.
+    /// Returns the number of requests that were sent, and how many of them went to the candidate.
     pub fn exposure(&self) -> (u64, u64) {
         let sent = |it: &(&Key, &Counts)| it.1.sent;
         let all = self.sums.iter().map(|it| sent(&it)).sum();
@@ -118,12 +119,13 @@
         (all, candidate.map(|it| sent(&it)).sum())
     }
 
-    /// Tells whether any entry knows that the candidate was rolled back.
+    /// Returns whether any entry knows that the candidate was rolled back.
     pub fn is_halted(&self) -> bool {
         self.entries.values().any(|it| it.report.halted)
     }
 
-    /// Returns how many requests these entries have at the stable version, if all follow a step of the plan.
+    /// Returns how many requests of these entries are running on the stable version; none unless
+    /// all of them follow this step of the plan or a later one.
     pub fn stable_active(&self, entries: &[SocketAddr], step: u32) -> Option<u32> {
         let requests_if_current = |it: &SocketAddr| {
             let last = self.entries.get(it)?;
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Returns what was counted after earlier totals.
+    /// Returns the difference to earlier totals.
     #[must_use]
     pub fn difference(&self, before: Option<&Self>) -> Self {
         let Some(before) = before else { return self.clone() };
@@ -161,13 +163,13 @@
         }
     }
 
-    /// Counts a latency.
+    /// Adds a latency to the histogram.
     pub fn record_latency(&mut self, latency: Duration) {
         self.latencies.resize(BUCKET_COUNT, 0);
         self.latencies[bucket_index(latency)] += 1;
     }
 
-    /// Returns the median latency in milliseconds, if there are so many samples.
+    /// Returns the median latency in milliseconds; none with fewer than `min_samples` samples.
     pub fn median(&self, min_samples: u64) -> Option<f64> {
         let total: u64 = self.latencies.iter().sum();
         if total < min_samples.max(1) {
@@ -182,7 +184,7 @@
     }
 }
 
-/// Returns the bucket of a latency.
+/// Returns the index of the bucket for a latency.
 pub fn bucket_index(latency: Duration) -> usize {
     let millis = latency.as_secs_f64() * 1_000.0;
     (0..BUCKET_COUNT - 1)
--- a/crates/verbenaslip-fleet/src/rollout/verdict.rs
+++ b/crates/verbenaslip-fleet/src/rollout/verdict.rs
@@ -1,4 +1,4 @@
-//! How far a roll-out is, how it ends, and what it is decided by.
+//! The stages of a rollout, its verdict, and what the decisions are based on.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,64 +8,64 @@
 use crate::rollout::evaluator::Evidence;
 use crate::rollout::{State, as_f64};
 
-/// The part of the stable upstreams that the candidate must have to take over.
+/// Number of upstreams that the candidate needs to take over, as a share of the stable ones.
 const MIN_CAPACITY_SHARE: f64 = 0.6;
 
-/// Says what candidates get.
+/// Says what the candidate receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Nothing.
+    /// No requests.
     Waiting,
-    /// A share small enough for a bad version.
+    /// A share that is small enough for a bad version.
     Canary,
-    /// More with each step.
+    /// A share that grows with each step.
     Shift {
-        /// Index into the shares of the way.
+        /// The index into the shares of the shift.
         at: usize,
-        /// Since when.
+        /// When the step began.
         since: Duration,
     },
 }
 
-/// Decides a roll-out.
+/// Says how a rollout ends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Verdict {
-    /// How it ends.
+    /// The final state.
     pub state: State,
-    /// Why.
+    /// The reason.
     pub reason: Reason,
 }
 
-/// Says why a roll-out ended.
+/// Says why a rollout ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reason {
     /// The candidate carries all traffic.
     Shifted,
-    /// The candidate is worse.
+    /// The candidate is worse than the stable version.
     Worse(Evidence),
-    /// An entry had stopped using the candidate, or had heard of a verdict.
+    /// An entry had stopped using the candidate, or knew of a verdict.
     Halted,
-    /// The candidate looks worse when the time limit comes, though not surely.
+    /// The candidate looks worse at the time limit, though not with certainty.
     Doubtful,
-    /// There was too little to judge by in time.
+    /// There was too little evidence within the time limit.
     TimedOut,
 }
 
-/// Holds what the leader knows of a service's upstreams and the entries.
+/// Holds what the leader knows of a service's upstreams and of the entries.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
-    /// Ready upstreams of the candidate.
+    /// The ready upstreams of the candidate.
     pub candidates: Vec<(Upstream, AvailabilityZone)>,
-    /// Ready upstreams of other versions.
+    /// The number of ready upstreams of other versions.
     pub stable: usize,
-    /// Entries that are heard.
+    /// The entries that the leader hears from.
     pub entries: Vec<SocketAddr>,
-    /// Whether all entries that there are have reported to this leader.
+    /// Whether all existing entries have reported to this leader.
     pub all_reported: bool,
 }
 
 impl Fleet {
-    /// Tells whether the candidate has enough upstreams to take over.
+    /// Returns whether the candidate has enough upstreams to take over.
     pub(crate) fn has_capacity(&self) -> bool {
         let needed = as_f64(self.stable as u64) * MIN_CAPACITY_SHARE;
         as_f64(self.candidates.len() as u64) >= needed.max(1.0)
--- a/crates/verbenaslip-fleet/src/route_table.rs
+++ b/crates/verbenaslip-fleet/src/route_table.rs
@@ -1,4 +1,5 @@
-//! The route table: which requests go to which service, for whom, and within which bounds.
+//! The route table: which requests go to which services, which teams may send them, and the limits
+//! on callers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -8,153 +9,153 @@
 use verbenaslip_base::data;
 use verbenaslip_base::name::{AvailabilityZone, Team};
 
-/// Holds one whole route table under the operator's own rising revision.
+/// Holds one complete route table, which the operator numbers with a rising revision.
 #[data(float, default)]
 pub struct RouteTable {
-    /// The operator's revision; the highest is in force.
+    /// The operator's revision number; the table with the highest one is in force.
     pub revision: u64,
     /// The routes.
     pub routes: Vec<Route>,
-    /// The services that routes name.
+    /// The services that the routes refer to.
     pub services: Vec<Service>,
-    /// The teams; without any, callers need no key.
+    /// The teams; if there are none, callers need no key.
     pub teams: Vec<TeamConfig>,
-    /// What callers may send.
+    /// Limits on the requests of callers.
     pub limits: RequestLimits,
 }
 
-/// Sends the requests of a host and path prefix to services.
+/// Maps the requests for a host and a path prefix to services.
 #[data]
 pub struct Route {
-    /// Its name, for logs.
+    /// The name, which appears in logs.
     pub name: Arc<str>,
     /// The host, without a port.
     pub host: Arc<str>,
-    /// The prefix of the path, from slash to slash.
+    /// The path prefix, which begins and ends with a slash.
     pub prefix: Arc<str>,
-    /// What may be repeated.
+    /// Whether requests may be repeated.
     pub kind: RequestKind,
-    /// The longest time that a caller is kept waiting.
+    /// The longest time that a caller waits for an answer.
     pub timeout: Duration,
-    /// The time within which an answer, or its first event, is on time.
+    /// The latency objective: the time within which an answer, or its first event, should arrive.
     pub objective: Duration,
-    /// The longest pause between two events of an answer that is on time.
+    /// The latency objective within a stream: the longest time between two events.
     pub max_event_gap: Duration,
-    /// The rank; zero is the most urgent.
+    /// The priority; zero is the most urgent.
     pub priority: u8,
-    /// The services, by weight.
+    /// The services with their weights.
     pub targets: Vec<Target>,
-    /// The most upstreams to which one request may be sent.
+    /// The maximum number of upstreams that one request may be sent to.
     pub max_attempts: u32,
     /// Whether callers need no key.
     pub public: bool,
 }
 
-/// Says what may be repeated.
+/// Says whether a request may be run more than once.
 #[data(copy, hash)]
 pub enum RequestKind {
     /// The request is idempotent.
     Repeatable,
-    /// The request may run once at most.
+    /// The request may run at most once.
     Once,
-    /// The answer is a series of events.
+    /// The answer is a stream of events.
     Stream {
-        /// Whether another run may go on after the last event that the caller has.
+        /// Whether another run may continue after the last event that the caller has received.
         resumable: bool,
     },
 }
 
 impl RequestKind {
-    /// Tells whether a request that may have run may be run again.
+    /// Returns whether a request that may already have run may be run again.
     pub fn may_repeat(self) -> bool {
         matches!(self, Self::Repeatable | Self::Stream { resumable: true })
     }
 }
 
-/// Names a service with its weight among those of a route.
+/// Names a service and its weight among the services of a route.
 #[data]
 pub struct Target {
     /// The service.
     pub service: Arc<str>,
-    /// Its weight.
+    /// The weight.
     pub weight: u32,
 }
 
 /// Describes one service.
 #[data(float)]
 pub struct Service {
-    /// Its name.
+    /// The name.
     pub name: Arc<str>,
-    /// The path of its health check.
+    /// The path of the health check.
     pub health_path: Arc<str>,
-    /// The most connections that one of its upstreams accepts from all instances together.
+    /// The maximum number of connections that one upstream accepts from all instances together.
     pub max_connections: u32,
-    /// What its upstreams are, when they are model engines.
+    /// The properties of the upstreams if they are model engines.
     pub engine: Option<Engine>,
-    /// Within which bounds upstreams may be ordered; none where they can't be.
+    /// The bounds for the number of upstreams; none if upstreams can't be ordered.
     pub scaling: Option<Scaling>,
 }
 
 /// Describes the model engines of a service.
 #[data]
 pub struct Engine {
-    /// Requests that run at once.
+    /// The number of requests that an engine runs at once.
     pub slots: u32,
-    /// Tokens that fit into an engine's memory.
+    /// The number of tokens that fit into the memory of an engine.
     pub memory_tokens: u64,
-    /// Tokens in one event.
+    /// The number of tokens in one event.
     pub tokens_per_event: u32,
 }
 
-/// Bounds the upstreams of a service that may be ordered in one availability zone.
+/// Bounds the number of upstreams of a service in one availability zone.
 #[data(float)]
 pub struct Scaling {
-    /// The fewest.
+    /// The minimum number of upstreams.
     pub min_upstreams: u32,
-    /// The most.
+    /// The maximum number of upstreams.
     pub max_upstreams: u32,
-    /// How long an ordered upstream takes to serve.
+    /// The time from ordering an upstream until it serves requests.
     pub boot_time: Duration,
-    /// The price of a reclaimable upstream as a share of an on-demand one's; none where there are no
-    /// reclaimable ones.
+    /// The price of a reclaimable upstream as a share of an on-demand one's; none if there are no
+    /// reclaimable upstreams.
     pub reclaimable_price_ratio: Option<f64>,
     /// The price of an upstream by availability zone.
     pub prices: BTreeMap<AvailabilityZone, f64>,
 }
 
-/// Holds one team: who belongs to it and how much it may ask for.
+/// Holds one team: the keys of its callers, its priority and its rate limit.
 #[data(float)]
 pub struct TeamConfig {
-    /// The team.
+    /// The name.
     pub name: Team,
-    /// Its keys.
+    /// The keys that identify its callers.
     pub keys: Vec<Arc<str>>,
-    /// The rank of its requests, in place of the route's.
+    /// The priority of its requests, which precedes the route's; none leaves it to the route's.
     pub priority: Option<u8>,
-    /// What it may ask for; none is no limit.
+    /// The rate limit; none means unlimited.
     pub quota: Option<Quota>,
 }
 
-/// Limits what a team may ask for, over all entries together.
+/// Limits the rate of a team's requests over all entries together.
 #[data(copy, float)]
 pub struct Quota {
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
-    /// Units at once beyond that.
+    /// Units that may be used at once beyond the rate.
     pub burst: f64,
-    /// Units of a request that does not say how many tokens it has; none when each request counts
-    /// as one unit.
+    /// Units of a request that does not state its number of tokens; none if each request counts as
+    /// one unit.
     pub default_tokens: Option<f64>,
 }
 
-/// Bounds what callers may send and how long they may take.
+/// Limits the size of requests and the time that callers may take.
 #[data(copy)]
 pub struct RequestLimits {
-    /// Bytes of a request's head.
+    /// The maximum size of a request's head, in bytes.
     pub max_head_bytes: usize,
-    /// Bytes of a request's body.
+    /// The maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// The longest time for a head to arrive.
+    /// The longest time that a request's head may take to arrive.
     pub head_timeout: Duration,
     /// The longest time that a connection may stay idle.
     pub idle_timeout: Duration,
@@ -171,7 +172,7 @@
     }
 }
 
-/// Says why a route table can't be in force.
+/// Says why a route table is invalid.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum ValidationError {
     /// route {0} names the service {1}, which is not in the table
@@ -189,11 +190,11 @@
 impl std::error::Error for ValidationError {}
 
 impl RouteTable {
-    /// Checks that the table can be in force.
+    /// Checks that the table is valid.
     ///
     /// # Errors
     ///
-    /// Returns the first problem.
+    /// Returns the first problem that is found.
     pub fn validate(&self) -> Result<(), ValidationError> {
         let services: BTreeSet<&str> = self.services.iter().map(|it| &*it.name).collect();
         let mut locations = BTreeMap::new();
@@ -207,7 +208,7 @@
         self.validate_keys()
     }
 
-    /// Finds a service.
+    /// Returns the service with this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| &*service.name == name)
     }
--- a/crates/verbenaslip-fleet/src/upstream.rs
+++ b/crates/verbenaslip-fleet/src/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream as it announces itself, and how the fleet sees it.
+//! What an upstream announces about itself, and its status in the fleet.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,73 +7,73 @@
 use verbenaslip_base::data;
 use verbenaslip_base::name::{AvailabilityZone, Upstream};
 
-/// Names one run of an upstream.
+/// Identifies one run of an upstream.
 ///
-/// An upstream may start again under the name that it had. It holds nothing of before then, so whatever
-/// is known of an upstream is known of a run: what it has cached and under way, how often it failed,
-/// that it leaves or has gone.
+/// An upstream may restart under the same name, and then has none of its earlier state. Everything
+/// that is known of an upstream is therefore tracked per run: what it has cached, which requests it
+/// runs, how often it failed, and whether it is leaving or gone.
 #[data(ord, hash)]
 pub struct Run {
     /// The upstream.
     pub upstream: Upstream,
-    /// The time of its start, in Unix milliseconds; zero where upstreams don't say it, and have another
-    /// name after each start.
+    /// The start time in Unix milliseconds; zero if upstreams don't report it and take another name
+    /// after each start.
     pub incarnation: u64,
 }
 
-/// Holds what an upstream announces of itself.
+/// Holds what an upstream announces about itself.
 #[data]
 pub struct Announcement {
-    /// This run of the upstream.
+    /// The run that sends the announcement.
     pub run: Run,
-    /// The service that it serves.
+    /// The service of the upstream.
     pub service: Arc<str>,
-    /// Where it is reached.
+    /// The address at which the upstream accepts requests.
     pub address: SocketAddr,
-    /// Where it runs.
+    /// The availability zone in which the upstream runs.
     pub zone: AvailabilityZone,
-    /// The version of its software.
+    /// The version of the upstream's software.
     pub version: Arc<str>,
-    /// Requests that it runs at once.
+    /// The number of requests that the upstream runs at once.
     pub slots: u32,
-    /// Whether it is about to go.
+    /// Whether the upstream is about to stop.
     pub draining: bool,
-    /// How much longer it is slow after its start.
+    /// The remaining time for which the upstream is slow after its start.
     pub warmup_left: Duration,
-    /// Whether it may be reclaimed.
+    /// Whether the upstream may be reclaimed.
     pub reclaimable: bool,
-    /// How long it still serves, when it knows.
+    /// The remaining time for which the upstream serves, if it knows.
     pub leaves_in: Option<Duration>,
-    /// Rises with each announcement of this run.
+    /// The sequence number, which rises with each announcement of the run.
     pub sequence: u64,
 }
 
-/// Says whether an upstream may get work.
+/// Says whether an upstream may receive requests.
 #[data(copy, ord, hash)]
 pub enum Status {
-    /// It announces itself.
+    /// The upstream announces itself.
     Ready,
-    /// It has been silent for longer than it should.
+    /// The upstream has been silent for longer than allowed.
     Silent,
-    /// It is about to go and takes no new work.
+    /// The upstream is about to stop and accepts no new requests.
     Leaving,
-    /// It has gone.
+    /// The upstream has stopped.
     Gone,
-    /// It has been silent for so long that nothing more is expected of it; one that was cut off for long may
-    /// come back, as it never said that it goes.
+    /// The upstream has been silent for so long that it is given up. It never announced its
+    /// departure, so it may come back, for example after a long network partition.
     Lost,
 }
 
-/// Holds one upstream as all instances see it.
+/// Holds one upstream as all instances know it.
 #[data]
 pub struct Record {
-    /// What it last announced.
+    /// The last announcement of the upstream.
     pub announcement: Announcement,
-    /// Whether it may get work.
+    /// Whether the upstream may receive requests.
     pub status: Status,
 }
 
-/// Tells whether an announcement says something that others must know.
+/// Returns whether two announcements differ in anything that other instances must know.
 pub(crate) fn differs_for_others(old: &Announcement, new: &Announcement) -> bool {
     let relevant_parts = |it: &Announcement| {
         let state = (it.slots, it.draining, it.warmup_left.is_zero(), it.reclaimable);
--- a/crates/verbenaslip-fleet/src/usage.rs
+++ b/crates/verbenaslip-fleet/src/usage.rs
@@ -1,4 +1,4 @@
-//! Requests that began to run, by team and window of the agreed time of day.
+//! Counts of requests that started to run, by team and by window of the agreed time of day.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,41 +9,41 @@
 
 use crate::delta_map::DeltaMap;
 
-/// Windows that an entry keeps and tells again, so that a leader elected a moment ago hears of the
+/// Number of windows that an entry keeps and reports repeatedly, so that a new leader learns of
 /// windows that its predecessor had not closed.
 const MAX_ENTRY_WINDOWS: usize = 4;
 
-/// Windows that a core keeps; more than any report may still be due for.
+/// Number of windows that a core keeps: more than a report may still be due for.
 const MAX_CORE_WINDOWS: usize = 12;
 
-/// Counts the requests of a team that began in a window.
+/// Holds the number of requests of a team that started in one window.
 #[data]
 pub struct Count {
-    /// The window's number.
+    /// The number of the window.
     pub window: u64,
     /// The team.
     pub team: Team,
-    /// How many.
+    /// The number of requests.
     pub requests: u64,
 }
 
-/// Holds what one entry has counted.
+/// Holds the counts of one entry.
 #[data]
 pub struct EntryCounts {
-    /// The entry.
+    /// The run of the entry.
     pub entry: EntryRun,
-    /// Its counts.
+    /// The counts of its requests.
     pub counts: Vec<Count>,
 }
 
-/// Counts at one entry.
+/// Counts requests at one entry.
 #[derive(Debug, Default)]
 pub struct UsageCounter {
     windows: BTreeMap<u64, BTreeMap<Team, u64>>,
 }
 
 impl UsageCounter {
-    /// Counts a request that began to run.
+    /// Counts a request that started to run.
     pub fn count(&mut self, window: u64, team: &Team) {
         let counts = self.windows.entry(window).or_default();
         match counts.get_mut(team) {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Lists the counts of the last windows.
+    /// Returns the counts of the last windows.
     pub fn counts(&self) -> Vec<Count> {
         let windows = self.windows.iter();
         let counts = windows.flat_map(|(window, teams)| {
@@ -71,29 +71,30 @@
     }
 }
 
-/// Names a count of one entry.
+/// Identifies a count by its window, entry run and team.
 type Key = (u64, EntryRun, Team);
 
-/// Collects the counts of entries at the leader and at the cores.
+/// Collects the counts of entries, at the leader and at the cores.
 #[derive(Debug, Default)]
 pub struct Collector {
     counts: DeltaMap<Key, u64>,
     windows: BTreeSet<u64>,
 }
 
-/// Names one life of an entry; a restarted one counts from zero.
+/// Identifies one run of an entry; a restarted entry counts from zero.
 #[data(copy, ord)]
 pub struct EntryRun {
-    /// Where it is reached.
+    /// The address of the entry.
     pub address: SocketAddr,
-    /// Its incarnation.
+    /// The incarnation of the entry.
     pub incarnation: u64,
 }
 
 impl Collector {
-    /// Takes an entry's counts, which are told on with the report of a number.
+    /// Records an entry's counts, which are passed on with the report of this number.
     ///
-    /// What came by way of another core may be older; counts of one life only rise.
+    /// Counts that arrive through another core may be older. The counts of one run only rise, so
+    /// the highest one is kept.
     pub fn record(&mut self, number: u64, entry: EntryRun, counts: Vec<Count>) {
         for Count { window, team, requests } in counts {
             let key = (window, entry, team);
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Lists what was not told yet with the report of a number, by entry.
+    /// Returns the counts that changed after the report with this number, by entry.
     pub fn since(&self, number: u64) -> Vec<EntryCounts> {
         let mut by_entry: BTreeMap<EntryRun, Vec<Count>> = BTreeMap::new();
         for ((window, entry, team), requests) in self.counts.changed_since(number) {
@@ -114,7 +115,7 @@
         by_entry.into_iter().map(|(entry, counts)| EntryCounts { entry, counts }).collect()
     }
 
-    /// Returns the sum of all entries in a window.
+    /// Returns the number of requests by team that started in a window, over all entries.
     pub fn totals(&self, window: u64) -> BTreeMap<Team, u64> {
         let mut sum = BTreeMap::new();
         for ((at, _, team), requests) in self.counts.iter() {
@@ -125,7 +126,7 @@
         sum
     }
 
-    /// Holds a window, and drops the oldest one beyond those that are held.
+    /// Adds a window, and removes the oldest one if there are too many.
     fn add_window(&mut self, window: u64) {
         if !self.windows.insert(window) || self.windows.len() <= MAX_CORE_WINDOWS {
             return;
@@ -136,7 +137,7 @@
     }
 }
 
-/// Returns the number of the window that holds a time of day, in Unix milliseconds.
+/// Returns the number of the window that contains a time of day, in Unix milliseconds.
 pub fn window_at(unix: u64, length: Duration) -> u64 {
     unix / millis(length)
 }
--- a/crates/verbenaslip-fleet/src/voucher.rs
+++ b/crates/verbenaslip-fleet/src/voucher.rs
@@ -1,16 +1,18 @@
-//! What a core answers upstreams by itself, and how it tells the leader of that.
+//! Announcements that a core acknowledges by itself, and how it reports them to the leader.
 //!
-//! Upstreams announce themselves about once a second, and hardly ever with anything new. A core whose
-//! view of the fleet is fresh answers such an announcement at once and notes a [`Mark`]; its next report
-//! gives the leader the marks of all upstreams that have called it. So the leader takes one message from
-//! each core, however many upstreams there are.
+//! Upstreams announce themselves about once a second, and hardly ever with anything new. A core
+//! whose view of the fleet is up to date acknowledges such an announcement at once and stores a
+//! [`RenewalMark`]. Its next heartbeat carries the marks of all upstreams that have contacted it.
+//! The leader therefore handles one message per core, however many upstreams there are.
 //!
-//! What makes that safe: an answer to an upstream that stays promises nothing, and a mark only says that a
-//! run was heard. It makes no upstream known, ready again after it has said that it goes, or different
-//! from what the leader holds. Whatever says anything new, above all that an upstream goes, is passed on.
+//! This is safe because the acknowledgment promises nothing to an upstream that stays, and a mark
+//! only says that a run was heard. A mark does not register an upstream, does not make a run ready
+//! again that has announced its departure, and does not change what the leader knows of it. An
+//! announcement that says anything new, above all a departure, is passed on to the leader.
 //!
-//! An upstream that goes says so again with each announcement. Once that was acknowledged, all instances
-//! and the log have it for good, so a core that has given the answer gives it again by itself.
+//! A leaving upstream repeats its departure with each announcement. Once the departure was
+//! acknowledged, all instances and the log know it for good, so the core that acknowledged it can
+//! acknowledge the repetitions by itself.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,34 +23,37 @@
 use crate::departure::{Departure, Departures};
 use crate::upstream::{Announcement, Record, Run, Status, differs_for_others};
 
-/// Marks that are older than this are dropped: a core that stood still would tell the leader that upstreams
-/// are there which have ended meanwhile. Marks usually leave with the next report, within 250 ms.
+/// Maximum age of a mark that is sent: a core that was paused would otherwise tell the leader that
+/// upstreams are running which have ended meanwhile. Marks are usually sent with the next
+/// heartbeat, within 250 ms.
 const MAX_MARK_AGE: Duration = Duration::from_secs(1);
 
-/// How long a core repeats the acknowledgement of a leaving. The leader hears of the upstream again well within
-/// the minute after which it counts one that goes and is silent as gone.
+/// How long a core repeats the acknowledgment of a departure. After that the leader hears of the
+/// upstream again, well within the minute of silence after which it counts a leaving upstream as
+/// gone.
 const ACKNOWLEDGMENT_LIFETIME: Duration = Duration::from_secs(10);
 
-/// Acknowledgements that are remembered before old ones are looked for.
+/// Number of remembered acknowledgments from which on expired ones are removed.
 const PRUNE_THRESHOLD: usize = 1_024;
 
-/// Says that a run has announced itself, and nothing about it has changed.
+/// Says that a run has announced itself and that nothing about it has changed.
 #[data]
 pub struct RenewalMark {
     /// The run.
     pub run: Run,
-    /// The number of its announcement.
+    /// The sequence number of the announcement.
     pub sequence: u64,
 }
 
-/// Keeps the marks that the leader has not been told yet.
+/// Collects the marks that the leader has not received yet.
 #[derive(Debug, Default)]
 pub(crate) struct Voucher {
     pending: BTreeMap<Upstream, ReceivedAnnouncement>,
-    /// Departures that were acknowledged here, and when.
+    /// The departures that this core has acknowledged, and when.
     acknowledged: BTreeMap<Upstream, (Departure, Duration)>,
 }
 
+/// Holds the last unchanged announcement of an upstream, and when it was received.
 #[derive(Debug)]
 struct ReceivedAnnouncement {
     incarnation: u64,
@@ -57,7 +62,7 @@
 }
 
 impl Voucher {
-    /// Notes that a run was heard.
+    /// Stores a mark for a run that has announced itself.
     pub(crate) fn record(&mut self, now: Duration, announcement: &Announcement) {
         let Run { upstream, incarnation } = &announcement.run;
         let received = ReceivedAnnouncement {
@@ -73,7 +78,7 @@
         }
     }
 
-    /// Remembers that a departure was acknowledged here.
+    /// Remembers that this core has acknowledged a departure.
     pub(crate) fn acknowledge(&mut self, now: Duration, departure: Departure) {
         if self.acknowledged.len() >= PRUNE_THRESHOLD {
             self.acknowledged
@@ -82,7 +87,8 @@
         self.acknowledged.insert(departure.run.upstream.clone(), (departure, now));
     }
 
-    /// Tells whether a departure was acknowledged here lately, and as surely.
+    /// Returns whether this core has recently acknowledged this departure or a more final one of
+    /// the run.
     pub(crate) fn has_acknowledged(&self, now: Duration, departure: &Departure) -> bool {
         let known = self.acknowledged.get(&departure.run.upstream);
         known.is_some_and(|(known, at)| {
@@ -92,7 +98,7 @@
         })
     }
 
-    /// Takes the marks for the leader.
+    /// Removes and returns the marks for the leader.
     pub(crate) fn take_marks(&mut self, now: Duration) -> Vec<RenewalMark> {
         let pending = std::mem::take(&mut self.pending).into_iter();
         let fresh = pending.filter(|(_, it)| now.saturating_sub(it.received_at) <= MAX_MARK_AGE);
@@ -104,9 +110,10 @@
     }
 }
 
-/// Tells whether an announcement says nothing but that its run is still there, by what a core knows.
+/// Returns whether an announcement only says that its run is still there, by what a core knows.
 ///
-/// A late or doubled one says nothing new either, but is passed on: the leader tells of it in its log.
+/// A stale or duplicate announcement says nothing new either, but is passed on, because the leader
+/// writes it to its event log.
 pub(crate) fn is_unchanged_renewal(
     known: Option<&Record>,
     departures: &Departures,
