--- a/crates/verbenaslip-fleet/tests/quarantine.rs
+++ b/crates/verbenaslip-fleet/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are found to end upstreams, by what entries tell of them.
+//! Detection of poison requests from the reports of entries.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -12,12 +12,12 @@
 use verbenaslip_fleet::registry::Run;
 
 const SECOND: Duration = Duration::from_secs(1);
-/// How long after it has begun to run a bad request an upstream ends.
-const CRASH: u64 = 80;
+/// Time after which an upstream that runs a poison request crashes, in milliseconds.
+const CRASH_DELAY_MS: u64 = 80;
 /// The agreed time of day at the start, in Unix milliseconds.
-const EPOCH: u64 = 1_800_000_000_000;
+const START_UNIX_MS: u64 = 1_800_000_000_000;
 
-/// Plays a leader to whom entries tell things as they happen.
+/// Simulates a leader that receives the reports of entries immediately.
 struct Leader {
     quarantine: Quarantine,
     now: Duration,
@@ -26,17 +26,17 @@
 }
 
 impl Leader {
-    fn open(rule: QuarantinePolicy) -> Self {
-        let quarantine = Quarantine::new(rule, &PersistedState::default(), &Default::default());
+    fn new(policy: QuarantinePolicy) -> Self {
+        let quarantine = Quarantine::new(policy, &PersistedState::default(), &Default::default());
         let entries = (1..=3).map(|host| ([10, 2, 0, host], 7_000).into()).collect();
         Self { quarantine, now: SECOND, findings: Vec::new(), entries }
     }
 
     fn unix(&self) -> u64 {
-        EPOCH + u64::try_from(self.now.as_millis()).expect("small")
+        START_UNIX_MS + u64::try_from(self.now.as_millis()).expect("the time fits")
     }
 
-    fn wait(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
             self.now += Duration::from_millis(100).min(until - self.now);
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Has an upstream end now, with what it was sent so long ago.
+    /// Crashes an upstream now that was sent the requests the given number of milliseconds ago.
     fn crash(&mut self, upstream: u32, requests: &[(Fingerprint, u64)]) {
         for (fingerprint, sent) in requests {
             let crash = Crash {
@@ -67,21 +67,21 @@
         self.findings.extend(self.quarantine.take_findings().0);
     }
 
-    /// Has a request end one upstream after the other, until it is held back.
-    fn find(&mut self, fingerprint: Fingerprint, from: u32) {
+    /// Has a request crash one upstream after the other, until it is quarantined.
+    fn quarantine_by_crashes(&mut self, fingerprint: Fingerprint, from: u32) {
         for upstream in from..from + 3 {
-            self.wait(Duration::from_millis(CRASH));
-            self.crash(upstream, &[(fingerprint, CRASH)]);
+            self.advance(Duration::from_millis(CRASH_DELAY_MS));
+            self.crash(upstream, &[(fingerprint, CRASH_DELAY_MS)]);
         }
-        self.wait(SECOND);
-        assert!(self.holds(fingerprint), "{:?}", self.findings);
+        self.advance(SECOND);
+        assert!(self.is_quarantined(fingerprint), "{:?}", self.findings);
     }
 
-    fn holds(&self, fingerprint: Fingerprint) -> bool {
+    fn is_quarantined(&self, fingerprint: Fingerprint) -> bool {
         self.quarantine.blocklist().quarantined.contains_key(&fingerprint)
     }
 
-    fn cleared(&self, fingerprint: Fingerprint) -> Option<Cause> {
+    fn clearing_cause(&self, fingerprint: Fingerprint) -> Option<Cause> {
         self.findings.iter().rev().find_map(|finding| match finding {
             Finding::Cleared { fingerprint: it, cause } if *it == fingerprint => Some(*cause),
             _ => None,
@@ -98,61 +98,62 @@
 }
 
 #[test]
-fn a_request_under_which_three_upstreams_end_one_after_the_other_is_held_back() {
-    let mut leader = Leader::open(QuarantinePolicy::default());
-    let bad = fingerprint("bad");
+fn three_consecutive_crashes_quarantine_a_request() {
+    let mut leader = Leader::new(QuarantinePolicy::default());
+    let poison = fingerprint("bad");
     for upstream in 1..=3 {
-        assert!(!leader.holds(bad));
-        leader.wait(SECOND / 2);
-        leader.crash(upstream, &[(bad, CRASH)]);
+        assert!(!leader.is_quarantined(poison));
+        leader.advance(SECOND / 2);
+        leader.crash(upstream, &[(poison, CRASH_DELAY_MS)]);
     }
-    leader.wait(SECOND / 2);
-    assert!(leader.holds(bad));
-    let held = leader.findings.iter().find_map(|finding| match finding {
+    leader.advance(SECOND / 2);
+    assert!(leader.is_quarantined(poison));
+    let runs = leader.findings.iter().find_map(|finding| match finding {
         Finding::Quarantined { runs, .. } => Some(runs.clone()),
         _ => None,
     });
-    assert_eq!(held, Some(vec![run(1), run(2), run(3)]), "with the evidence");
+    assert_eq!(runs, Some(vec![run(1), run(2), run(3)]), "the finding names the upstreams");
 }
 
 #[test]
-fn one_that_comes_every_few_minutes_is_found_as_well() {
-    let mut leader = Leader::open(QuarantinePolicy::default());
-    let bad = fingerprint("bad");
+fn a_poison_request_every_few_minutes_is_found() {
+    let mut leader = Leader::new(QuarantinePolicy::default());
+    let poison = fingerprint("bad");
     for upstream in 1..=3 {
-        leader.wait(SECOND * 120);
-        leader.crash(upstream, &[(bad, CRASH)]);
+        leader.advance(SECOND * 120);
+        leader.crash(upstream, &[(poison, CRASH_DELAY_MS)]);
     }
-    leader.wait(SECOND / 2);
-    assert!(leader.holds(bad));
+    leader.advance(SECOND / 2);
+    assert!(leader.is_quarantined(poison));
 }
 
 #[test]
-fn upstreams_that_end_at_one_moment_are_no_sign_against_what_ran_on_them() {
-    // Symptom, if each counted: after a zone has lost power, what all callers ask for is refused. Sequence: it
-    // runs on eight upstreams of the zone when all of them end.
-    let mut leader = Leader::open(QuarantinePolicy::default());
+fn simultaneous_crashes_do_not_count_against_a_request() {
+    // If each of these crashes counted, a popular request would be refused after a zone has lost
+    // power: it runs on eight upstreams of the zone when all of them end.
+    let mut leader = Leader::new(QuarantinePolicy::default());
     let popular = fingerprint("popular");
     for upstream in 1..=8 {
         leader.crash(upstream, &[(popular, 100)]);
     }
-    leader.wait(SECOND);
+    leader.advance(SECOND);
     assert!(leader.quarantine.blocklist().watched.is_empty());
-    assert!(!leader.holds(popular));
+    assert!(!leader.is_quarantined(popular));
 }
 
 #[test]
-fn a_popular_request_is_cleared_by_its_answers_however_many_upstreams_end() {
-    // The upstreams end one after the other for reasons of their own, each with the popular request on it.
-    // Answers to it come all the time; entries tell of them as long as it is watched.
-    let mut leader = Leader::open(QuarantinePolicy::default());
+fn answers_clear_a_popular_request_despite_many_crashes() {
+    // The upstreams end one after the other for other reasons, each while it runs the popular
+    // request. The request is answered all the time, and entries report the answers as long as it
+    // is watched.
+    let mut leader = Leader::new(QuarantinePolicy::default());
     let popular = fingerprint("popular");
     let (mut refused, mut asked) = (0, 0);
     for upstream in 0..100 {
         for _ in 0..8 {
-            leader.wait(Duration::from_millis(30));
+            leader.advance(Duration::from_millis(30));
             asked += 1;
-            refused += u32::from(leader.holds(popular));
+            refused += u32::from(leader.is_quarantined(popular));
             if leader.quarantine.blocklist().watched.contains(&popular) {
                 leader.answer(popular);
             }
@@ -160,215 +161,241 @@
         leader.crash(upstream, &[(popular, 25)]);
     }
     assert_eq!((refused, asked), (0, 800));
-    assert_eq!(leader.cleared(popular), Some(Cause::Answered));
+    assert_eq!(leader.clearing_cause(popular), Some(Cause::Answered));
 }
 
 #[test]
-fn three_ends_within_a_moment_wait_for_the_word_of_an_answer() {
-    // Symptom, if they did not: what all callers ask for is refused for a moment, at all entries, when upstreams
-    // end quickly one after the other. Sequence: three end within 60 ms; entries hear that it is suspected, and
-    // the next answer comes 100 ms later.
-    let mut leader = Leader::open(QuarantinePolicy::default());
+fn three_crashes_in_quick_succession_wait_for_an_answer() {
+    // If they did not wait, a popular request would be refused for a moment at all entries when
+    // upstreams end in quick succession: three end within 60 ms, entries learn that the request is
+    // suspected, and the next answer comes 100 ms later.
+    let mut leader = Leader::new(QuarantinePolicy::default());
     let popular = fingerprint("popular");
     for upstream in 1..=3 {
-        leader.wait(Duration::from_millis(30));
+        leader.advance(Duration::from_millis(30));
         leader.crash(upstream, &[(popular, 25)]);
     }
-    leader.wait(Duration::from_millis(100));
+    leader.advance(Duration::from_millis(100));
     leader.answer(popular);
-    leader.wait(SECOND);
-    let held = |it: &Finding| matches!(it, Finding::Quarantined { .. });
-    assert!(!leader.findings.iter().any(held), "{:?}", leader.findings);
+    leader.advance(SECOND);
+    let is_quarantined = |it: &Finding| matches!(it, Finding::Quarantined { .. });
+    assert!(!leader.findings.iter().any(is_quarantined), "{:?}", leader.findings);
 }
 
 #[test]
-fn what_ran_beside_a_bad_request_is_cleared_when_that_is_found() {
-    let mut leader = Leader::open(QuarantinePolicy::default());
-    let (bad, beside) = (fingerprint("bad"), fingerprint("beside"));
-    // The other one is sent again each time, and happens to run on two of the upstreams that end.
+fn a_request_beside_a_poison_request_is_cleared_when_that_is_found() {
+    let mut leader = Leader::new(QuarantinePolicy::default());
+    let (poison, beside) = (fingerprint("bad"), fingerprint("beside"));
+    // The other request is sent again each time, and happens to run on two of the upstreams that
+    // crash.
     for upstream in 1..=3 {
-        leader.wait(SECOND / 4);
-        let both = [(beside, CRASH), (bad, CRASH)];
+        leader.advance(SECOND / 4);
+        let both = [(beside, CRASH_DELAY_MS), (poison, CRASH_DELAY_MS)];
         leader.crash(upstream, if upstream == 1 { &both[1..] } else { &both });
     }
-    leader.wait(SECOND / 2);
-    assert!(leader.holds(bad) && !leader.holds(beside));
-    assert_eq!(leader.cleared(beside), Some(Cause::Explained));
-    // What is still on its way goes on ending upstreams.
+    leader.advance(SECOND / 2);
+    assert!(leader.is_quarantined(poison) && !leader.is_quarantined(beside));
+    assert_eq!(leader.clearing_cause(beside), Some(Cause::Explained));
+    // Poison requests that were already sent continue to crash upstreams.
     for upstream in 4..=7 {
-        leader.wait(SECOND / 4);
-        leader.crash(upstream, &[(bad, CRASH), (beside, CRASH)]);
+        leader.advance(SECOND / 4);
+        leader.crash(upstream, &[(poison, CRASH_DELAY_MS), (beside, CRASH_DELAY_MS)]);
     }
-    leader.wait(SECOND);
-    assert!(!leader.holds(beside), "an upstream that ends under what is held back says nothing");
+    leader.advance(SECOND);
+    assert!(
+        !leader.is_quarantined(beside),
+        "crashes under a quarantined request count against no other request"
+    );
     assert_eq!(
-        leader.quarantine.blocklist().quarantined[&bad].failed_trials,
+        leader.quarantine.blocklist().quarantined[&poison].failed_trials,
         0,
-        "nor was it let through yet"
+        "no trial was made yet"
     );
 }
 
 #[test]
-fn one_that_was_taken_for_bad_is_let_go_when_another_explains_all_of_it() {
-    let mut leader = Leader::open(QuarantinePolicy::default());
-    let (bad, unlucky) = (fingerprint("bad"), fingerprint("unlucky"));
+fn a_wrongly_quarantined_request_is_released_when_another_explains_its_crashes() {
+    let mut leader = Leader::new(QuarantinePolicy::default());
+    let (poison, unlucky) = (fingerprint("bad"), fingerprint("unlucky"));
     for upstream in 1..=3 {
-        leader.wait(SECOND / 4);
-        leader.crash(upstream, &[(unlucky, CRASH), (bad, CRASH)]);
+        leader.advance(SECOND / 4);
+        leader.crash(upstream, &[(unlucky, CRASH_DELAY_MS), (poison, CRASH_DELAY_MS)]);
     }
-    leader.wait(SECOND / 2);
-    assert!(leader.holds(bad) || leader.holds(unlucky));
-    // Both ran on all three. The bad one, if it is still sent, goes on ending upstreams alone.
+    leader.advance(SECOND / 2);
+    assert!(leader.is_quarantined(poison) || leader.is_quarantined(unlucky));
+    // Both requests ran on all three upstreams. The poison request, if it is still sent, continues
+    // to crash upstreams alone.
     for upstream in 4..=8 {
-        leader.wait(SECOND / 4);
-        if !leader.holds(bad) {
-            leader.crash(upstream, &[(bad, CRASH)]);
+        leader.advance(SECOND / 4);
+        if !leader.is_quarantined(poison) {
+            leader.crash(upstream, &[(poison, CRASH_DELAY_MS)]);
         }
     }
-    leader.wait(SECOND);
-    assert!(leader.holds(bad) && !leader.holds(unlucky), "{:?}", leader.findings);
+    leader.advance(SECOND);
+    assert!(
+        leader.is_quarantined(poison) && !leader.is_quarantined(unlucky),
+        "{:?}",
+        leader.findings
+    );
 }
 
 #[test]
-fn a_flood_of_requests_that_break_off_pushes_no_finding_out() {
-    // A third of 3,000 upstreams end at once with 16 requests on each, twice, and each request is another one.
-    let mut leader = Leader::open(QuarantinePolicy::default());
+fn a_flood_of_broken_requests_displaces_no_finding() {
+    // A third of 3,000 upstreams end at once with 16 requests on each, twice, and each request is
+    // different.
+    let mut leader = Leader::new(QuarantinePolicy::default());
     let (found, close) = (fingerprint("found"), fingerprint("close"));
-    leader.find(found, 1);
+    leader.quarantine_by_crashes(found, 1);
     for upstream in 11..=12 {
-        leader.wait(SECOND / 2);
-        leader.crash(upstream, &[(close, CRASH)]);
+        leader.advance(SECOND / 2);
+        leader.crash(upstream, &[(close, CRASH_DELAY_MS)]);
     }
     for flood in 0..2_000_u32 {
         let requests: Vec<(Fingerprint, u64)> =
             (0..16).map(|it| (fingerprint(&format!("{flood}-{it}")), 50)).collect();
         leader.crash(100 + flood, &requests);
     }
-    leader.wait(SECOND / 2);
-    assert!(leader.holds(found));
-    leader.crash(13, &[(close, CRASH)]);
-    leader.wait(SECOND / 2);
-    assert!(leader.holds(close), "its third upstream");
+    leader.advance(SECOND / 2);
+    assert!(leader.is_quarantined(found));
+    leader.crash(13, &[(close, CRASH_DELAY_MS)]);
+    leader.advance(SECOND / 2);
+    assert!(leader.is_quarantined(close), "the third upstream crashed");
     assert!(leader.quarantine.blocklist().watched.len() <= 256);
 }
 
 #[test]
-fn one_entry_lets_one_through_after_the_time_and_ever_less_often() {
+fn one_entry_at_a_time_runs_trials_ever_less_often() {
     let hold = SECOND * 60;
     let mut leader =
-        Leader::open(QuarantinePolicy { hold_time: hold, ..QuarantinePolicy::default() });
-    let bad = fingerprint("bad");
-    leader.find(bad, 1);
-    let chosen = |leader: &Leader| leader.quarantine.blocklist().quarantined[&bad].trial_entry;
-    leader.wait(hold / 2);
-    assert_eq!(chosen(&leader), None);
+        Leader::new(QuarantinePolicy { hold_time: hold, ..QuarantinePolicy::default() });
+    let poison = fingerprint("bad");
+    leader.quarantine_by_crashes(poison, 1);
+    let trial_entry =
+        |leader: &Leader| leader.quarantine.blocklist().quarantined[&poison].trial_entry;
+    leader.advance(hold / 2);
+    assert_eq!(trial_entry(&leader), None);
     for (tries, wait) in [(1, hold), (2, hold * 6), (3, hold * 36)] {
-        leader.wait(wait);
-        let entry = chosen(&leader);
-        assert!(entry.is_some_and(|it| leader.entries.contains(&it)), "one entry, not all");
-        leader.wait(SECOND * 40);
-        assert_ne!(chosen(&leader), entry, "where none came to that one, another one");
-        leader.crash(100 + tries, &[(bad, CRASH)]);
-        leader.wait(SECOND);
-        assert_eq!(chosen(&leader), None);
-        assert_eq!(u32::from(leader.quarantine.blocklist().quarantined[&bad].failed_trials), tries);
+        leader.advance(wait);
+        let entry = trial_entry(&leader);
+        assert!(entry.is_some_and(|it| leader.entries.contains(&it)), "one entry runs the trial");
+        leader.advance(SECOND * 40);
+        assert_ne!(
+            trial_entry(&leader),
+            entry,
+            "another entry is chosen if the first one received no request"
+        );
+        leader.crash(100 + tries, &[(poison, CRASH_DELAY_MS)]);
+        leader.advance(SECOND);
+        assert_eq!(trial_entry(&leader), None);
+        assert_eq!(
+            u32::from(leader.quarantine.blocklist().quarantined[&poison].failed_trials),
+            tries
+        );
     }
-    leader.wait(hold * 1_000);
-    assert_eq!(chosen(&leader), None, "after three only an operator lets it through");
+    leader.advance(hold * 1_000);
+    assert_eq!(
+        trial_entry(&leader),
+        None,
+        "after three trials only an operator releases the request"
+    );
 }
 
 #[test]
-fn one_that_upstreams_survive_by_now_is_let_through_for_good() {
+fn a_request_that_upstreams_survive_is_released() {
     let hold = SECOND * 60;
     let mut leader =
-        Leader::open(QuarantinePolicy { hold_time: hold, ..QuarantinePolicy::default() });
-    let bad = fingerprint("bad");
-    leader.find(bad, 1);
-    leader.wait(hold + SECOND);
-    leader.answer(bad);
-    assert!(!leader.holds(bad));
-    assert_eq!(leader.cleared(bad), Some(Cause::Answered));
+        Leader::new(QuarantinePolicy { hold_time: hold, ..QuarantinePolicy::default() });
+    let poison = fingerprint("bad");
+    leader.quarantine_by_crashes(poison, 1);
+    leader.advance(hold + SECOND);
+    leader.answer(poison);
+    assert!(!leader.is_quarantined(poison));
+    assert_eq!(leader.clearing_cause(poison), Some(Cause::Answered));
     assert!(leader.quarantine.persisted(7).quarantined.is_empty());
 }
 
 #[test]
-fn the_next_leader_begins_with_what_is_held_back_though_the_log_lacks_it() {
-    // The leader is lost in the moment in which entries know of a finding and the log does not.
-    let mut leader = Leader::open(QuarantinePolicy::default());
-    let bad = fingerprint("bad");
-    leader.find(bad, 1);
+fn the_next_leader_keeps_a_quarantine_that_the_log_lacks() {
+    // The leader is lost at the moment at which entries know of a quarantine and the log does not.
+    let mut leader = Leader::new(QuarantinePolicy::default());
+    let poison = fingerprint("bad");
+    leader.quarantine_by_crashes(poison, 1);
     let blocklist = leader.quarantine.blocklist().clone();
     let next = Quarantine::new(QuarantinePolicy::default(), &PersistedState::default(), &blocklist);
-    assert!(next.blocklist().quarantined.contains_key(&bad));
-    assert!(next.persisted(7).quarantined.contains_key(&bad), "and has the log hold it");
+    assert!(next.blocklist().quarantined.contains_key(&poison));
+    assert!(
+        next.persisted(7).quarantined.contains_key(&poison),
+        "the log is to hold the quarantine as well"
+    );
 }
 
 #[test]
-fn an_answer_from_before_it_was_found_clears_nothing() {
-    // Symptom: a request that was fine until a new version of the service came is let through over and over.
-    // Sequence: it is held back; an entry that has just started to watch tells of an answer from before.
-    let mut leader = Leader::open(QuarantinePolicy::default());
-    let bad = fingerprint("bad");
-    leader.find(bad, 1);
-    let before = Answer { fingerprint: bad, ms_ago: 30_000 };
+fn an_answer_from_before_the_quarantine_clears_nothing() {
+    // Guards against a request that is released over and over because it was fine until a new
+    // version of the service came: it is quarantined, and an entry that has just started to watch
+    // reports an answer from before.
+    let mut leader = Leader::new(QuarantinePolicy::default());
+    let poison = fingerprint("bad");
+    leader.quarantine_by_crashes(poison, 1);
+    let before = Answer { fingerprint: poison, ms_ago: 30_000 };
     let (now, unix) = (leader.now, leader.unix());
     leader.quarantine.handle_answer(now, unix, &before);
-    leader.wait(SECOND);
-    assert!(leader.holds(bad));
+    leader.advance(SECOND);
+    assert!(leader.is_quarantined(poison));
     let (kept, blocklist) = (leader.quarantine.persisted(7), leader.quarantine.blocklist().clone());
     leader.quarantine = Quarantine::new(QuarantinePolicy::default(), &kept, &blocklist);
     leader.quarantine.handle_answer(now, unix, &before);
-    leader.wait(SECOND);
-    assert!(leader.holds(bad), "neither at a leader that knows no evidence");
+    leader.advance(SECOND);
+    assert!(leader.is_quarantined(poison), "also at a leader without evidence");
 }
 
 #[test]
-fn operators_lift_and_forbid_single_requests() {
-    let mut leader = Leader::open(QuarantinePolicy::default());
-    let (bad, other) = (fingerprint("bad"), fingerprint("other"));
-    leader.find(bad, 1);
-    let lifted = BTreeSet::from([bad]);
+fn operators_lift_and_forbid_individual_requests() {
+    let mut leader = Leader::new(QuarantinePolicy::default());
+    let (poison, other) = (fingerprint("bad"), fingerprint("other"));
+    leader.quarantine_by_crashes(poison, 1);
+    let lifted = BTreeSet::from([poison]);
     leader.quarantine.set_policy(QuarantinePolicy { lifted, ..QuarantinePolicy::default() });
-    leader.wait(SECOND);
-    assert!(!leader.holds(bad));
-    assert_eq!(leader.cleared(bad), Some(Cause::Lifted));
+    leader.advance(SECOND);
+    assert!(!leader.is_quarantined(poison));
+    assert_eq!(leader.clearing_cause(poison), Some(Cause::Lifted));
     for upstream in 11..=16 {
-        leader.wait(SECOND);
-        leader.crash(upstream, &[(bad, CRASH)]);
+        leader.advance(SECOND);
+        leader.crash(upstream, &[(poison, CRASH_DELAY_MS)]);
     }
-    assert!(!leader.holds(bad));
+    assert!(!leader.is_quarantined(poison));
     let forbidden = BTreeSet::from([other]);
     leader.quarantine.set_policy(QuarantinePolicy { forbidden, ..QuarantinePolicy::default() });
-    leader.wait(SECOND);
+    leader.advance(SECOND);
     leader.answer(other);
-    assert!(leader.holds(other), "whatever became of it");
+    assert!(leader.is_quarantined(other), "an answer does not release a forbidden request");
     leader.quarantine.set_policy(QuarantinePolicy::default());
-    leader.wait(SECOND);
-    assert!(!leader.holds(other), "until it is forbidden no more");
+    leader.advance(SECOND);
+    assert!(!leader.is_quarantined(other), "released once it is no longer forbidden");
 }
 
 #[test]
-fn the_order_in_which_entries_tell_does_not_matter() {
-    // A new leader hears of the last minute from one entry after the other.
-    let bad = fingerprint("bad");
+fn the_order_of_reports_does_not_matter() {
+    // A new leader receives the reports of the last minute from one entry after the other.
+    let poison = fingerprint("bad");
     let crashes: Vec<Crash> = (0..6)
         .map(|it| {
             let ended = 3_000 - u64::from(it) * 400;
             Crash {
-                fingerprint: bad,
+                fingerprint: poison,
                 run: run(it),
-                sent_ms_ago: ended + CRASH,
+                sent_ms_ago: ended + CRASH_DELAY_MS,
                 ended_ms_ago: ended,
             }
         })
         .collect();
     for order in [[0, 2, 4, 1, 3, 5], [5, 4, 3, 2, 1, 0], [1, 3, 5, 0, 2, 4]] {
-        let mut leader = Leader::open(QuarantinePolicy::default());
+        let mut leader = Leader::new(QuarantinePolicy::default());
         for index in order {
             let (now, unix) = (leader.now, leader.unix());
             leader.quarantine.handle_crash(now, unix, &crashes[index]);
         }
-        leader.wait(SECOND / 2);
-        assert!(leader.holds(bad), "{order:?}");
+        leader.advance(SECOND / 2);
+        assert!(leader.is_quarantined(poison), "{order:?}");
     }
 }
--- a/crates/verbenaslip-fleet/tests/rollout.rs
+++ b/crates/verbenaslip-fleet/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Orders of roll-outs at any core, and that their state survives what a route table survives.
+//! Rollout orders at any core, and the durability of their state.
 
 mod net;
 
@@ -20,18 +20,18 @@
     Order { service: "pool".into(), version: version.into(), time_limit: duration }
 }
 
-fn start(version: &str, seconds: u64) -> Request {
+fn start_rollout(version: &str, seconds: u64) -> Request {
     Request::StartRollout(order(version, seconds))
 }
 
-fn read(net: &mut Network, core: usize) -> Option<Rollout> {
+fn read_rollout(net: &mut Network, core: usize) -> Option<Rollout> {
     match net.call(core, Request::ReadRollout("pool".into())) {
         Some(Response::Rollout(rollout)) => rollout,
-        other => panic!("no state of a roll-out: {other:?}"),
+        other => panic!("not the state of a rollout: {other:?}"),
     }
 }
 
-fn founded(cores: usize, entries: usize, voters: usize) -> Network {
+fn start_fleet(cores: usize, entries: usize, voters: usize) -> Network {
     let mut net = Network::with_voters(cores, entries, voters);
     net.run(SECOND * 6);
     assert!(net.call(0, Request::AdoptRouteTable(Box::new(route_table_with_service(1)))).is_some());
@@ -39,47 +39,47 @@
 }
 
 #[test]
-fn an_order_is_acknowledged_at_any_core_and_again() {
-    let mut net = founded(3, 2, 3);
-    assert_eq!(read(&mut net, 1), None);
+fn any_core_acknowledges_an_order_and_its_repetition() {
+    let mut net = start_fleet(3, 2, 3);
+    assert_eq!(read_rollout(&mut net, 1), None);
     for core in [0, 1, 2, 0] {
-        assert_eq!(net.call(core, start("v2", 20)), Some(Response::Acknowledged));
+        assert_eq!(net.call(core, start_rollout("v2", 20)), Some(Response::Acknowledged));
     }
-    let rollout = read(&mut net, 2).expect("it was ordered");
+    let rollout = read_rollout(&mut net, 2).expect("the rollout was ordered");
     assert_eq!((rollout.id, rollout.state, &*rollout.order.version), (1, State::Serving, "v2"));
-    assert_eq!(net.call(1, start("v3", 20)), Some(Response::Conflict("v2".into())));
+    assert_eq!(net.call(1, start_rollout("v3", 20)), Some(Response::Conflict("v2".into())));
     let unknown = Order { service: "none".into(), ..order("v2", 20) };
     let unknown = net.call(1, Request::StartRollout(unknown));
     assert_eq!(unknown, Some(Response::UnknownService("none".into())));
 }
 
 #[test]
-fn an_order_survives_lost_disks_while_all_others_lose_power() {
+fn an_order_survives_lost_disks_and_a_power_loss() {
     for (cores, voters, lost) in [(3, 3, 1), (6, 5, 2)] {
-        let mut net = founded(cores, 2, voters);
+        let mut net = start_fleet(cores, 2, voters);
         net.run(SECOND * 3);
-        assert_eq!(net.call(1, start("v2", 60)), Some(Response::Acknowledged));
+        assert_eq!(net.call(1, start_rollout("v2", 60)), Some(Response::Acknowledged));
         for core in 0..cores {
             if core < lost { net.restart_with_empty_disk(core) } else { net.restart(core) }
         }
         net.run(SECOND * 10);
-        let rollout = read(&mut net, 0).expect("it was acknowledged");
+        let rollout = read_rollout(&mut net, 0).expect("the order was acknowledged");
         assert_eq!((&*rollout.order.version, rollout.state), ("v2", State::Serving));
     }
 }
 
 #[test]
 fn a_verdict_is_final_under_a_later_leader_and_known_to_all_entries() {
-    let mut net = founded(3, 2, 3);
-    assert_eq!(net.call(0, start("v2", 1)), Some(Response::Acknowledged));
+    let mut net = start_fleet(3, 2, 3);
+    assert_eq!(net.call(0, start_rollout("v2", 1)), Some(Response::Acknowledged));
     net.run(SECOND * 4);
-    // No upstream of the candidate ever came.
-    assert_eq!(read(&mut net, 0).map(|it| it.state), Some(State::RolledBack));
+    // No upstream of the candidate has registered.
+    assert_eq!(read_rollout(&mut net, 0).map(|it| it.state), Some(State::RolledBack));
     let leader = net.leaders()[0];
     net.stop(leader);
     net.run(SECOND * 5);
     let other = (leader + 1) % 3;
-    assert_eq!(read(&mut net, other).map(|it| it.state), Some(State::RolledBack));
+    assert_eq!(read_rollout(&mut net, other).map(|it| it.state), Some(State::RolledBack));
     for view in net.entries() {
         assert_eq!(view.rollout_plans["pool"].cohort(&"u".into(), "v2"), Cohort::Rejected);
         assert_eq!(view.rollout_plans["pool"].cohort(&"u".into(), "v1"), Cohort::Stable);
@@ -90,13 +90,13 @@
 }
 
 #[test]
-fn entries_know_of_an_order_before_its_candidates_come() {
-    let mut net = founded(3, 3, 3);
-    assert_eq!(net.call(0, start("v2", 30)), Some(Response::Acknowledged));
+fn entries_know_an_order_before_its_candidates_register() {
+    let mut net = start_fleet(3, 3, 3);
+    assert_eq!(net.call(0, start_rollout("v2", 30)), Some(Response::Acknowledged));
     for view in net.entries() {
         assert!(
             view.rollout_plans.contains_key("pool"),
-            "it is acknowledged as known to all entries"
+            "an acknowledged order is known to all entries"
         );
     }
     let candidate = Announcement {
@@ -115,30 +115,31 @@
 }
 
 #[test]
-fn an_order_that_is_resent_after_its_verdict_begins_nothing_new() {
-    let mut ledger = ReplicatedState::default();
-    let apply = |ledger: &mut ReplicatedState, unix| {
-        ledger.apply(Command::StartRollout { order: order("v2", 10), unix });
+fn an_order_resent_after_its_verdict_starts_no_rollout() {
+    let mut replicated = ReplicatedState::default();
+    let apply_order = |replicated: &mut ReplicatedState, unix| {
+        replicated.apply(Command::StartRollout { order: order("v2", 10), unix });
     };
-    apply(&mut ledger, 1_000);
-    ledger.apply(Command::DecideRollout { id: 1, state: State::RolledBack, unix: 9_000 });
-    ledger.apply(Command::DecideRollout { id: 1, state: State::Completed, unix: 9_001 });
-    apply(&mut ledger, 12_000);
-    let rollout = ledger.rollouts().get("pool").expect("it is there");
+    apply_order(&mut replicated, 1_000);
+    replicated.apply(Command::DecideRollout { id: 1, state: State::RolledBack, unix: 9_000 });
+    replicated.apply(Command::DecideRollout { id: 1, state: State::Completed, unix: 9_001 });
+    apply_order(&mut replicated, 12_000);
+    let rollout = replicated.rollouts().get("pool").expect("the rollout is recorded");
     assert_eq!((rollout.id, rollout.state), (1, State::RolledBack), "the first verdict stays");
-    assert!(ledger.rollouts().rejected("pool").contains("v2"));
-    assert_eq!(ledger.rollouts().admission(&order("v3", 10), 12_000), Admission::New);
-    // Much later an operator tries the same version again.
-    apply(&mut ledger, 60_000);
-    let rollout = ledger.rollouts().get("pool").expect("it is there");
+    assert!(replicated.rollouts().rejected("pool").contains("v2"));
+    assert_eq!(replicated.rollouts().admission(&order("v3", 10), 12_000), Admission::New);
+    // Much later, an operator orders the same version again.
+    apply_order(&mut replicated, 60_000);
+    let rollout = replicated.rollouts().get("pool").expect("the rollout is recorded");
     assert_eq!((rollout.id, rollout.state), (2, State::Serving));
-    assert!(!ledger.rollouts().rejected("pool").contains("v2"));
-    let restored = ReplicatedState::restore(&ledger.snapshot()).expect("it can be read");
-    assert_eq!(restored, ledger);
+    assert!(!replicated.rollouts().rejected("pool").contains("v2"));
+    let restored =
+        ReplicatedState::restore(&replicated.snapshot()).expect("the snapshot can be decoded");
+    assert_eq!(restored, replicated);
 }
 
 #[test]
-fn reports_that_are_doubled_late_or_from_a_restarted_entry_are_counted_once() {
+fn duplicate_stale_and_restarted_reports_are_counted_once() {
     let report = |sent: u64| {
         let counts = Counts { sent, ended: sent, ..Counts::default() };
         let rows = vec![((Arc::from("r"), Group::Candidate), counts)];
