--- a/crates/verbenaslip-fleet/src/quarantine.rs
+++ b/crates/verbenaslip-fleet/src/quarantine.rs
@@ -194,16 +194,16 @@
 
     /// Handles an entry's report of a crash; `unix` is the agreed time of day in milliseconds.
     pub fn handle_crash(&mut self, now: Duration, unix: u64, crash: &Crash) {
-        let Crash { fingerprint, run, sent_ms_ago: sent, ended_ms_ago: ended } = crash;
+        let Crash { fingerprint, run, sent_ms_ago, ended_ms_ago } = crash;
         if self.quarantined.contains_key(fingerprint) {
-            self.handle_repeated_crash(unix.saturating_sub(*sent), unix, *fingerprint, run);
+            self.handle_repeated_crash(unix.saturating_sub(*sent_ms_ago), unix, *fingerprint, run);
         }
         let ago = |millis: u64| now.saturating_sub(Duration::from_millis(millis));
         let explained = self.explained.contains(run);
         let suspect_crash = SuspectCrash {
             run: run.clone(),
-            sent_at: ago(*sent),
-            ended_at: ago(*ended),
+            sent_at: ago(*sent_ms_ago),
+            ended_at: ago(*ended_ms_ago),
             explained,
         };
         self.suspect(*fingerprint).add_crash(suspect_crash);
@@ -384,10 +384,16 @@
 
     /// Handles another crash caused by a quarantined request: the request was already running when
     /// it was quarantined, or it was sent as a trial.
-    fn handle_repeated_crash(&mut self, sent: u64, unix: u64, fingerprint: Fingerprint, run: &Run) {
+    fn handle_repeated_crash(
+        &mut self,
+        sent_unix: u64,
+        unix: u64,
+        fingerprint: Fingerprint,
+        run: &Run,
+    ) {
         self.record_explained_crash(fingerprint, run);
         let Some(block) = self.quarantined.get_mut(&fingerprint) else { return };
-        if sent < block.until {
+        if sent_unix < block.until {
             return;
         }
         block.failed_trials = block.failed_trials.saturating_add(1);
--- a/crates/verbenaslip-fleet/tests/vouch.rs
+++ b/crates/verbenaslip-fleet/tests/vouch.rs
@@ -25,7 +25,7 @@
 }
 
 /// Starts five cores with one upstream that every entry knows.
-fn fleet() -> Network {
+fn start_fleet() -> Network {
     let mut net = Network::with_voters(5, ENTRIES, 5);
     net.run(SECOND * 5);
     net.call(0, Request::AdoptRouteTable(Box::new(route_table_with_service(4))));
@@ -49,7 +49,7 @@
 fn a_vouched_upstream_stays_ready_and_becomes_silent_when_it_ends() {
     // Guards against serving upstreams that count as silent at every entry: they announce
     // themselves at a core that acknowledges by itself, and the leader never learns of it.
-    let mut net = fleet();
+    let mut net = start_fleet();
     let core = followers(&net)[0];
     for sequence in 2..12 {
         assert_eq!(net.call(core, announce("u", sequence, false)), Some(Response::Acknowledged));
@@ -68,7 +68,7 @@
     // Guards against a serving upstream that is silent at every entry and receives no error: its
     // core is cut off from the others but still reachable for the upstream, and acknowledges by
     // what it knew before.
-    let mut net = fleet();
+    let mut net = start_fleet();
     let core = followers(&net)[0];
     net.disconnect_core(core);
     net.run(SECOND);
@@ -84,7 +84,7 @@
     // announces its departure to one core, and a delayed earlier announcement reaches another core
     // that was paused and resumes. That core's mark must not make the upstream ready again at the
     // leader.
-    let mut net = fleet();
+    let mut net = start_fleet();
     let [informed, paused] = [followers(&net)[0], followers(&net)[1]];
     net.pause(paused);
     assert_eq!(net.call(informed, withdraw("u")), Some(Response::Acknowledged));
@@ -108,7 +108,7 @@
         for (delay, failure) in
             (0..8).flat_map(|delay| (0..3).map(move |failure| (delay * 10, failure)))
         {
-            let mut net = fleet();
+            let mut net = start_fleet();
             let core = followers(&net)[lost];
             let leader = net.leaders()[0];
             let call = net.start_call(leader, withdraw("u"));
@@ -143,7 +143,7 @@
     // within one term, so that nobody is answered: it is overloaded, misses rounds of the log, and
     // has the lease again a moment later. If the lapse counted as the end of its leadership, every
     // instance would be sent everything each time.
-    let mut net = fleet();
+    let mut net = start_fleet();
     let leader = net.leaders()[0];
     net.take_events();
     net.count_traffic();
@@ -173,7 +173,7 @@
     // Guards against an overloaded leader while the upstreams of a fleet are replaced: thousands
     // drain for some seconds, and each repeats its departure every 1.2 s. The leader must not be
     // asked each time, since all instances know.
-    let mut net = fleet();
+    let mut net = start_fleet();
     let core = followers(&net)[0];
     assert_eq!(net.call(core, announce("u", 2, true)), Some(Response::Acknowledged));
     assert!(statuses(&net).iter().all(|it| *it == Some(Status::Leaving)));
@@ -194,7 +194,7 @@
     // Guards against callers that are refused on a route three seconds after the edit that added it
     // was acknowledged: the log holds the edit, but the core that passes it on to some entries is
     // paused or overloaded.
-    let mut net = fleet();
+    let mut net = start_fleet();
     let core = followers(&net)[0];
     let leader = net.leaders()[0];
     net.pause(core);
@@ -215,7 +215,7 @@
 fn an_entry_that_receives_no_edit_delays_it_for_two_seconds_at_most() {
     // Guards against edits that are never acknowledged: an entry's reports arrive but nothing that
     // is sent to it does, and the acknowledgment waits for the entry forever.
-    let mut net = fleet();
+    let mut net = start_fleet();
     net.drop_frames_to_entry(3);
     let leader = net.leaders()[0];
     let began = net.now();
@@ -232,7 +232,7 @@
     // Guards against operators who do not learn that announcements are delayed: a stale one arrives
     // at a core that acknowledges by itself what is not new, and a lower sequence number is not
     // new.
-    let mut net = fleet();
+    let mut net = start_fleet();
     let core = followers(&net)[0];
     assert_eq!(net.call(core, announce("u", 5, false)), Some(Response::Acknowledged));
     net.run(ANNOUNCEMENT_PERIOD);
@@ -247,7 +247,7 @@
     // Guards against returning upstreams that receive nothing for another quarter of a second: a
     // silent one announces itself at a core that vouches, and its mark waits for the core's next
     // heartbeat.
-    let mut net = fleet();
+    let mut net = start_fleet();
     let core = followers(&net)[0];
     for sequence in [2, 3] {
         net.run(ANNOUNCEMENT_PERIOD * 6);
@@ -264,7 +264,7 @@
     // Guards against dropped records of upstreams that still drain: one repeats its departure every
     // 1.2 s for 80 s at the core that acknowledged it. If that core only repeats its
     // acknowledgment, the leader hears nothing for over a minute.
-    let mut net = fleet();
+    let mut net = start_fleet();
     let core = followers(&net)[0];
     for sequence in 2..70 {
         assert_eq!(net.call(core, announce("u", sequence, true)), Some(Response::Acknowledged));
@@ -278,7 +278,7 @@
     // Guards against an ended upstream that stays in use for several seconds more: it announces
     // itself at a core that is paused at once, and ends. When the core resumes, its old mark must
     // not be sent as a new one.
-    let mut net = fleet();
+    let mut net = start_fleet();
     let core = followers(&net)[0];
     net.run(ANNOUNCEMENT_PERIOD * 3);
     net.start_call(core, announce("u", 2, false));
