--- a/crates/verbenaslip-fleet/src/departure.rs
+++ b/crates/verbenaslip-fleet/src/departure.rs
@@ -1,4 +1,4 @@
-//! Which runs of upstreams have said that they go, as every instance remembers it.
+//! The departures of upstream runs that every instance remembers.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -9,85 +9,87 @@
 
 use crate::upstream::{Run, Status};
 
-/// How long a departure is remembered, so that a late announcement of the same run is known for what
-/// it is. Announcements are held up for as long as a cut lasts and their sender's system tries to send
-/// them. Where a third of 7,800 upstreams are reclaimed within that time it takes a quarter of a megabyte.
+/// How long a departure is remembered, so that a delayed announcement of the same run is recognized
+/// as stale. Announcements are delayed for as long as a network partition lasts and the sender's
+/// system retransmits them. If a third of 7,800 upstreams are reclaimed within this time, their
+/// departures take a quarter of a megabyte.
 pub const RETENTION: Duration = Duration::from_secs(300);
 
-/// Holds the word of a run that it goes.
+/// Says that a run is leaving or gone.
 #[data]
 pub struct Departure {
     /// The run.
     pub run: Run,
-    /// Whether it has gone, or only takes no new work.
+    /// Whether the run is gone, or only accepts no new requests.
     pub status: Status,
 }
 
-/// Remembers the last run of each upstream that goes or has gone.
+/// Remembers the last run of each upstream that is leaving or gone.
 ///
-/// An upstream has one run at a time, so a departure speaks for all earlier runs as well. Nothing that
-/// is heard later undoes it: announcements are held up, doubled and overtaken on the way, and a leader
-/// may have been elected that never heard the departure itself.
+/// An upstream has one run at a time, so a departure also covers all earlier runs. Nothing that
+/// arrives later undoes a departure: announcements may be delayed, duplicated and reordered, and a
+/// new leader may never have received the departure itself.
 #[derive(Clone, Debug, Default)]
 pub struct Departures {
-    last: BTreeMap<Upstream, Entry>,
+    departures: BTreeMap<Upstream, LastDeparture>,
 }
 
+/// Holds the last departure of an upstream, and when it was recorded.
 #[derive(Clone, Copy, Debug)]
-struct Entry {
+struct LastDeparture {
     incarnation: u64,
-    standing: Status,
-    heard: Duration,
+    status: Status,
+    recorded_at: Duration,
 }
 
 impl Departures {
-    /// Takes a departure; returns whether it says more than was known.
-    pub fn record(&mut self, now: Duration, run: &Run, standing: Status) -> bool {
+    /// Records a departure; returns whether it adds to what was known.
+    pub fn record(&mut self, now: Duration, run: &Run, status: Status) -> bool {
         let known = self.status(run);
-        if known.is_some_and(|known| known >= standing) {
+        if known.is_some_and(|known| known >= status) {
             return false;
         }
-        let held = Entry { incarnation: run.incarnation, standing, heard: now };
-        self.last.insert(run.upstream.clone(), held);
+        let last = LastDeparture { incarnation: run.incarnation, status, recorded_at: now };
+        self.departures.insert(run.upstream.clone(), last);
         true
     }
 
-    /// Returns how a run stands that goes or has gone; none for any other run.
+    /// Returns the status of a run that is leaving or gone; none for any other run.
     pub fn status(&self, run: &Run) -> Option<Status> {
-        let held = self.last.get(&run.upstream)?;
-        match run.incarnation.cmp(&held.incarnation) {
+        let last = self.departures.get(&run.upstream)?;
+        match run.incarnation.cmp(&last.incarnation) {
             Ordering::Less => Some(Status::Gone),
-            Ordering::Equal => Some(held.standing),
+            Ordering::Equal => Some(last.status),
             Ordering::Greater => None,
         }
     }
 
-    /// Returns how long ago a run was last heard to go.
+    /// Returns the time since a run was last heard to be leaving or gone.
     pub fn age(&self, now: Duration, run: &Run) -> Option<Duration> {
-        let held = self.last.get(&run.upstream)?;
-        (run.incarnation <= held.incarnation).then(|| now.saturating_sub(held.heard))
+        let last = self.departures.get(&run.upstream)?;
+        (run.incarnation <= last.incarnation).then(|| now.saturating_sub(last.recorded_at))
     }
 
-    /// Returns how many are remembered.
+    /// Returns the number of remembered departures.
     pub fn len(&self) -> usize {
-        self.last.len()
+        self.departures.len()
     }
 
-    /// Tells whether none is remembered.
+    /// Returns whether no departure is remembered.
     pub fn is_empty(&self) -> bool {
-        self.last.is_empty()
+        self.departures.is_empty()
     }
 
-    /// Takes all that another one remembers.
+    /// Records all departures that another instance remembers.
     pub fn merge(&mut self, now: Duration, other: &Self) {
-        for (upstream, held) in &other.last {
-            let run = Run { upstream: upstream.clone(), incarnation: held.incarnation };
-            self.record(now, &run, held.standing);
+        for (upstream, last) in &other.departures {
+            let run = Run { upstream: upstream.clone(), incarnation: last.incarnation };
+            self.record(now, &run, last.status);
         }
     }
 
-    /// Forgets what is so old that no announcement of it can still be on its way.
+    /// Removes departures so old that no announcement of their runs can still arrive.
     pub fn remove_expired(&mut self, now: Duration) {
-        self.last.retain(|_, held| now.saturating_sub(held.heard) <= RETENTION);
+        self.departures.retain(|_, last| now.saturating_sub(last.recorded_at) <= RETENTION);
     }
 }
