--- a/crates/verbenaslip-relay/src/forward.rs
+++ b/crates/verbenaslip-relay/src/forward.rs
@@ -9,19 +9,19 @@
 //! [`pool`] keeps the connections, [`events`] finds the ends of events, [`answer`] writes answers of
 //! this instance's own.
 
+pub mod admission;
 pub mod answer;
 pub mod context;
 pub(crate) mod crash;
 pub mod delivery;
 pub mod events;
 pub mod exchange;
-pub mod forwarded;
-pub mod job;
-pub(crate) mod leave;
-pub mod life;
-pub(crate) mod notice;
-pub(crate) mod placing;
+pub(crate) mod failover;
+pub mod lifecycle;
 pub mod pool;
-pub mod trace;
+pub mod request_log;
+pub(crate) mod upstream_choice;
+pub(crate) mod upstream_log;
+pub mod upstream_request;
 
 pub use context::Context;
--- a/crates/verbenaslip-relay/src/forward/context.rs
+++ b/crates/verbenaslip-relay/src/forward/context.rs
@@ -14,18 +14,18 @@
 use verbenaslip_fleet::view::View;
 
 use crate::dialect::{Dialect, ResponseInfo};
+use crate::forward::admission::Job;
 use crate::forward::crash::{Broken, Sign};
-use crate::forward::job::Job;
-use crate::forward::notice;
 use crate::forward::pool::Pool;
+use crate::forward::upstream_log;
 use crate::monotonic;
 use crate::policy::allowance::Allowance;
-use crate::policy::notice::Change;
-use crate::policy::place::{Choice, Ending, Placement};
-use crate::policy::record::Record;
+use crate::policy::placement::{Choice, Ending, Placement};
+use crate::policy::quarantine::Record;
+use crate::policy::restriction::Change;
 use crate::policy::retry::{Bounds, Budget};
+use crate::policy::returning::Waited;
 use crate::policy::versions::Tracks;
-use crate::policy::waited::Waited;
 use crate::shared::SharedState;
 
 /// Holds what all requests share; only the traffic thread uses it.
@@ -84,7 +84,7 @@
         }
         let limits = self.placement.borrow_mut().update_limits(monotonic::now(), &view);
         for Observation { run, limit } in limits {
-            notice::say_limit(&run, limit, None);
+            upstream_log::say_limit(&run, limit, None);
             self.board.limited(&run, limit);
         }
         self.board.versions().update(&view);
@@ -133,14 +133,14 @@
         for change in changes {
             match change {
                 Change::Limit(limit) => {
-                    notice::say_limit(&choice.run, limit, Some(&job.call.id));
+                    upstream_log::say_limit(&choice.run, limit, Some(&job.call.id));
                     self.board.limited(&choice.run, limit);
                 }
                 Change::Leaving => {
-                    notice::say_leaving(&choice.run, &job.call.id);
+                    upstream_log::say_leaving(&choice.run, &job.call.id);
                     self.board.leaving(&choice.run);
                 }
-                Change::Rest(rest) => notice::say_rest(&choice.run, rest, &job.call.id),
+                Change::Rest(rest) => upstream_log::say_rest(&choice.run, rest, &job.call.id),
             }
         }
     }
--- a/crates/verbenaslip-relay/src/forward/delivery.rs
+++ b/crates/verbenaslip-relay/src/forward/delivery.rs
@@ -4,11 +4,11 @@
 
 use tokio::time::Instant;
 
+use crate::forward::admission::Job;
 use crate::forward::answer;
 use crate::forward::events::Splitter;
 use crate::forward::exchange::Answered;
-use crate::forward::job::Job;
-use crate::forward::leave::Leave;
+use crate::forward::failover::Leave;
 use crate::http::body::{LAST_CHUNK, write_chunk};
 use crate::http::{Connection, Decoder, Framing, Step};
 
--- a/crates/verbenaslip-relay/src/forward/exchange.rs
+++ b/crates/verbenaslip-relay/src/forward/exchange.rs
@@ -6,13 +6,13 @@
 use tokio::time::Instant;
 
 use crate::dialect::ResponseInfo;
+use crate::forward::admission::Job;
 use crate::forward::context::Context;
-use crate::forward::job::Job;
-use crate::forward::leave::Leave;
+use crate::forward::failover::Leave;
 use crate::forward::pool;
 use crate::http::connection::Progress;
 use crate::http::{Connection, Decoder, ResponseHead, Step};
-use crate::policy::place::Choice;
+use crate::policy::placement::Choice;
 use crate::{monotonic, socket};
 
 /// How long a new connection may take; many times the longest way there and back.
--- a/crates/verbenaslip-relay/src/forward/life.rs
+++ b/crates/verbenaslip-relay/src/forward/lifecycle.rs
@@ -8,19 +8,19 @@
 use verbenaslip_fleet::route_table::RequestKind;
 
 use crate::dialect::ResponseInfo;
+use crate::forward::admission::{self, Job, Refused};
 use crate::forward::answer::{self, Refusal};
 use crate::forward::context::Context;
 use crate::forward::delivery::{Delivery, Ended};
 use crate::forward::exchange::{self, Answered, Failure};
-use crate::forward::forwarded;
-use crate::forward::job::{self, Job, Refused};
-use crate::forward::leave::Leave;
-use crate::forward::placing;
-use crate::forward::trace::{self, Basis, Trace};
+use crate::forward::failover::Leave;
+use crate::forward::request_log::{self, Basis, Trace};
+use crate::forward::upstream_choice;
+use crate::forward::upstream_request;
 use crate::http::{Connection, Message};
 use crate::monotonic;
-use crate::policy::place::{Choice, Ending};
-use crate::policy::record;
+use crate::policy::placement::{Choice, Ending};
+use crate::policy::quarantine;
 
 /// When a caller may come back that met a full upstream. An upstream that is full is slower as well, so
 /// callers that come back sooner keep it full; the next update of the fleet has come by then.
@@ -77,19 +77,19 @@
     trace.basis = Basis::of(&view);
     if left {
         trace.outcome = "caller_gone";
-        trace::say(&view, &id, None, &trace, whole.arrived);
+        request_log::say(&view, &id, None, &trace, whole.arrived);
         return After::Close;
     }
-    let admitted = job::admit(context, &view, whole, call.as_ref(), closes);
+    let admitted = admission::admit(context, &view, whole, call.as_ref(), closes);
     let after = match &admitted {
-        Ok(job) => match job::charge(context, &view, job).await {
+        Ok(job) => match admission::charge(context, &view, job).await {
             Ok(()) => lead(context, caller, job, &mut trace).await,
             Err(refused) => refuse(context, caller, &id, refused, closes, &mut trace).await,
         },
         Err(refused) => refuse(context, caller, &id, *refused, closes, &mut trace).await,
     };
     let job = admitted.as_ref().ok();
-    trace::say(&view, &id, job, &trace, whole.arrived);
+    request_log::say(&view, &id, job, &trace, whole.arrived);
     if closes { After::Close } else { after }
 }
 
@@ -131,7 +131,7 @@
         return After::Close;
     }
     if course.arrivals == 0 {
-        job::give_back(context, job);
+        admission::give_back(context, job);
     }
     refuse(context, caller, &job.call.id, refused, job.closes, trace).await
 }
@@ -182,7 +182,7 @@
             return Next::Refused(given_up(course));
         }
     }
-    let mut choice = match placing::place(context, job, course, remaining, trace) {
+    let mut choice = match upstream_choice::place(context, job, course, remaining, trace) {
         Ok(choice) => choice,
         Err(refused) => return Next::Refused(refused),
     };
@@ -190,7 +190,8 @@
     course.tried.push(choice.run.clone());
     let last = course.arrivals + 1 >= job.route.max_attempts;
     let patience = (!last && job.route.kind.may_repeat()).then(|| patience(job, &choice));
-    let bytes = forwarded::write(context, job, &choice, remaining, course.delivery.last_event());
+    let bytes =
+        upstream_request::write(context, job, &choice, remaining, course.delivery.last_event());
     context.sent(job, &mut choice);
     let sent = Instant::now();
     let may = || context.may_leave(job, &course.tried, &mut course.paid);
@@ -199,7 +200,7 @@
     if !matches!(answered, Err(Failure::Unreached)) {
         course.arrivals += 1;
         let upstream = choice.run.upstream.clone();
-        trace.sent.push(trace::Sent { upstream, after: sent - job.arrived });
+        trace.sent.push(request_log::Sent { upstream, after: sent - job.arrived });
     }
     match answered {
         Ok(answered) => {
@@ -258,7 +259,7 @@
         _ => None,
     };
     let before = course.delivery.first;
-    let survived = record::survived(status, answered.head.framing(&job.head.method).ok());
+    let survived = quarantine::survived(status, answered.head.framing(&job.head.method).ok());
     let may = || context.may_leave(job, &course.tried, &mut course.paid);
     let leave = Leave { after: pause, may };
     let ended = course.delivery.run(caller, job, &mut answered, leave).await;
--- a/crates/verbenaslip-relay/src/forward/trace.rs
+++ b/crates/verbenaslip-relay/src/forward/request_log.rs
@@ -11,7 +11,7 @@
 use verbenaslip_fleet::view::{Version, View};
 
 use crate::event_log::{self, Kind};
-use crate::forward::job::Job;
+use crate::forward::admission::Job;
 use crate::monotonic;
 
 /// One line a request, with what decided it.
--- a/crates/verbenaslip-relay/src/forward/placing.rs
+++ b/crates/verbenaslip-relay/src/forward/upstream_choice.rs
@@ -4,14 +4,14 @@
 
 use verbenaslip_fleet::rollout::Cohort;
 
+use crate::forward::admission::{Job, Refused};
 use crate::forward::answer::Refusal;
 use crate::forward::context::Context;
-use crate::forward::job::{Job, Refused};
-use crate::forward::life::{Course, given_up};
-use crate::forward::trace::{Basis, Trace};
+use crate::forward::lifecycle::{Course, given_up};
+use crate::forward::request_log::{Basis, Trace};
 use crate::monotonic;
-use crate::policy::notice::Restriction;
-use crate::policy::place::{Busy, Cause, Choice, Query, Verdict};
+use crate::policy::placement::{Busy, Cause, Choice, Query, Verdict};
+use crate::policy::restriction::Restriction;
 use crate::policy::versions::Tracks;
 
 /// Chooses the upstream that gets a request next, or says why it is refused.
--- a/crates/verbenaslip-relay/src/forward/forwarded.rs
+++ b/crates/verbenaslip-relay/src/forward/upstream_request.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use crate::dialect::ForwardedFields;
+use crate::forward::admission::Job;
 use crate::forward::answer;
 use crate::forward::context::Context;
-use crate::forward::job::Job;
 use crate::http::head;
-use crate::policy::place::Choice;
+use crate::policy::placement::Choice;
 
 /// Writes a request for an upstream: the caller's own words, but for what concerns one connection
 /// and what the system sets itself.
--- a/crates/verbenaslip-relay/src/policy.rs
+++ b/crates/verbenaslip-relay/src/policy.rs
@@ -10,14 +10,14 @@
 
 pub mod allowance;
 pub mod cache;
-pub mod limit;
-pub mod notice;
-pub mod pace;
-pub mod place;
-pub mod record;
-pub mod rest;
+pub mod cooldown;
+pub mod limiter;
+pub(crate) mod load_shedding;
+pub mod placement;
+pub mod quarantine;
+pub mod restriction;
 pub mod retry;
-pub(crate) mod shed;
-pub mod site;
+pub mod returning;
+pub mod speed;
+pub mod upstream_state;
 pub mod versions;
-pub mod waited;
--- a/crates/verbenaslip-relay/src/policy/place.rs
+++ b/crates/verbenaslip-relay/src/policy/placement.rs
@@ -1,7 +1,7 @@
 //! Which upstream takes a request.
 
 mod choice;
-mod restrict;
+mod restrictions;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,13 +15,13 @@
 use verbenaslip_fleet::rollout::{Cohort, Plans};
 
 use crate::dialect::PromptPart;
-use crate::policy::notice::Notices;
-use crate::policy::pace::Lag;
-use crate::policy::place::choice::Lane;
-pub use crate::policy::place::choice::{Busy, Cause, Choice, Query, Verdict};
-use crate::policy::shed::Share;
-pub use crate::policy::site::Ending;
-use crate::policy::site::Site;
+use crate::policy::load_shedding::Share;
+use crate::policy::placement::choice::Lane;
+pub use crate::policy::placement::choice::{Busy, Cause, Choice, Query, Verdict};
+use crate::policy::restriction::Notices;
+use crate::policy::speed::Lag;
+pub use crate::policy::upstream_state::Ending;
+use crate::policy::upstream_state::Site;
 use crate::policy::versions::{Track, Tracks};
 
 /// What another availability zone costs, in milliseconds: two ways of the longest path between
--- a/crates/verbenaslip-relay/src/policy/place/choice.rs
+++ b/crates/verbenaslip-relay/src/policy/placement/choice.rs
@@ -8,7 +8,7 @@
 use verbenaslip_fleet::rollout::Cohort;
 
 use crate::dialect::PromptPart;
-use crate::policy::notice::Restriction;
+use crate::policy::restriction::Restriction;
 use crate::policy::versions::{Ticket, Tracks};
 
 /// Names the requests of a service that have the same rank.
--- a/crates/verbenaslip-relay/src/policy/place/restrict.rs
+++ b/crates/verbenaslip-relay/src/policy/placement/restrictions.rs
@@ -8,9 +8,9 @@
 use verbenaslip_fleet::registry::Run;
 
 use crate::dialect::ResponseInfo;
-use crate::policy::notice::{Change, Moment, Restriction};
-use crate::policy::pace::Pace;
-use crate::policy::place::{Busy, Cause, Choice, Placement, Query};
+use crate::policy::placement::{Busy, Cause, Choice, Placement, Query};
+use crate::policy::restriction::{Change, Moment, Restriction};
+use crate::policy::speed::Pace;
 
 /// The earliest time at which a caller may come back that was refused because upstreams are limited or rest.
 const BACK_RESTRICTED: Duration = Duration::from_millis(300);
--- a/crates/verbenaslip-relay/src/policy/notice.rs
+++ b/crates/verbenaslip-relay/src/policy/restriction.rs
@@ -12,8 +12,8 @@
 use verbenaslip_fleet::registry::Run;
 
 use crate::dialect::{RateLimit, ResponseInfo};
-use crate::policy::limit::Limiter;
-use crate::policy::rest::Rest;
+use crate::policy::cooldown::Rest;
+use crate::policy::limiter::Limiter;
 
 /// How long an upstream takes to get all of its requests again. All entries find it idle at that moment, and would
 /// send it everything.
--- a/crates/verbenaslip-relay/src/policy/site.rs
+++ b/crates/verbenaslip-relay/src/policy/upstream_state.rs
@@ -7,7 +7,7 @@
 use verbenaslip_fleet::rollout::{Cohort, Plan};
 
 use crate::policy::cache::Cache;
-use crate::policy::pace::Pace;
+use crate::policy::speed::Pace;
 
 /// The first pause of an upstream that could not be reached; it doubles up to eight times that.
 const PAUSE: Duration = Duration::from_millis(500);
--- a/crates/verbenaslip-relay/src/policy/versions.rs
+++ b/crates/verbenaslip-relay/src/policy/versions.rs
@@ -9,7 +9,7 @@
 use verbenaslip_fleet::rollout::report::{Counts, Group, Key, Report};
 use verbenaslip_fleet::rollout::{Cohort, Plan, Plans, State};
 
-use crate::policy::site::Ending;
+use crate::policy::upstream_state::Ending;
 
 /// How long after the report that the leader last answered an entry may use a candidate. Counted from when an answer is
 /// read, a machine that stood still would go by answers from before it did.
--- a/crates/verbenaslip-relay/src/server.rs
+++ b/crates/verbenaslip-relay/src/server.rs
@@ -21,7 +21,7 @@
 use crate::forward::answer;
 use crate::forward::context::Context;
 use crate::forward::crash;
-use crate::forward::life::{self, After};
+use crate::forward::lifecycle::{self, After};
 use crate::http::{Connection, reader};
 use crate::policy::retry::Bounds;
 use crate::shared::SharedState;
@@ -149,7 +149,7 @@
         };
         let closes = whole.head.closes_connection() || context.board.is_draining();
         active.fetch_add(1, Ordering::Relaxed);
-        let after = life::serve(context, &mut caller, &whole, closes).await;
+        let after = lifecycle::serve(context, &mut caller, &whole, closes).await;
         active.fetch_sub(1, Ordering::Relaxed);
         if after == After::Close {
             if closes {
--- a/crates/verbenaslip-relay/tests/desk/mod.rs
+++ b/crates/verbenaslip-relay/tests/common/mod.rs
@@ -10,7 +10,7 @@
 use verbenaslip_fleet::View;
 use verbenaslip_fleet::registry::{Announcement, Record, Run, Status};
 use verbenaslip_relay::dialect::{RateLimit, ResponseInfo};
-use verbenaslip_relay::policy::place::{Choice, Placement, Query, Verdict};
+use verbenaslip_relay::policy::placement::{Choice, Placement, Query, Verdict};
 use verbenaslip_relay::policy::versions::Tracks;
 
 /// An answer by which nothing is asked for.
--- a/crates/verbenaslip-relay/tests/limit.rs
+++ b/crates/verbenaslip-relay/tests/limit.rs
@@ -1,12 +1,12 @@
 //! Upstreams that name a limit, under loads that are played against all entries together.
 
-mod desk;
+mod common;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-use desk::{go, query, record, run};
+use common::{go, query, record, run};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use verbenaslip_base::name::AvailabilityZone;
@@ -14,9 +14,9 @@
 use verbenaslip_fleet::limit::{Limit, Limits, TimeSlot};
 use verbenaslip_fleet::registry::Run;
 use verbenaslip_relay::dialect::{RateLimit, ResponseInfo};
-use verbenaslip_relay::policy::limit::Limiter;
-use verbenaslip_relay::policy::notice::{Change, Restriction};
-use verbenaslip_relay::policy::place::{Cause, Ending, Placement, Verdict};
+use verbenaslip_relay::policy::limiter::Limiter;
+use verbenaslip_relay::policy::placement::{Cause, Ending, Placement, Verdict};
+use verbenaslip_relay::policy::restriction::{Change, Restriction};
 
 /// The span in which arrivals are counted.
 const SPAN: f64 = 4.0;
@@ -31,12 +31,12 @@
     View {
         time_offset_ms: EPOCH,
         time_slot: Some(TimeSlot { index: 0, count: 1 }),
-        ..desk::view(runs)
+        ..common::view(runs)
     }
 }
 
 fn reply(limit: RateLimit) -> ResponseInfo {
-    ResponseInfo { rate_limit: limit, ..desk::REPLY }
+    ResponseInfo { rate_limit: limit, ..common::REPLY }
 }
 
 /// Plays a fleet of entries before upstreams, the first of which names limits.
--- a/crates/verbenaslip-relay/tests/notice.rs
+++ b/crates/verbenaslip-relay/tests/notice.rs
@@ -1,18 +1,18 @@
 //! Upstreams that ask for rest, or say that they go, in their answers to one entry.
 
-mod desk;
+mod common;
 
 use std::time::Duration;
 
-use desk::{REPLY, query, run, view};
+use common::{REPLY, query, run, view};
 use verbenaslip_relay::dialect::ResponseInfo;
-use verbenaslip_relay::policy::notice::{Change, Restriction};
-use verbenaslip_relay::policy::place::{Cause, Choice, Ending, Placement, Verdict};
+use verbenaslip_relay::policy::placement::{Cause, Choice, Ending, Placement, Verdict};
+use verbenaslip_relay::policy::restriction::{Change, Restriction};
 
 const SECOND: Duration = Duration::from_secs(1);
 
 fn open(upstreams: u16) -> Placement {
-    desk::open(&view((1..=upstreams).map(|number| run(number, 1))))
+    common::open(&view((1..=upstreams).map(|number| run(number, 1))))
 }
 
 /// Answers a request that was sent at a time, at another one.
--- a/crates/verbenaslip-relay/tests/pace.rs
+++ b/crates/verbenaslip-relay/tests/pace.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use verbenaslip_relay::policy::pace::{Lag, Pace};
+use verbenaslip_relay::policy::speed::{Lag, Pace};
 
 fn at(millis: u64) -> Duration {
     Duration::from_millis(millis)
--- a/crates/verbenaslip-relay/tests/place.rs
+++ b/crates/verbenaslip-relay/tests/place.rs
@@ -11,7 +11,7 @@
 use verbenaslip_fleet::registry::{Announcement, Record, Run, Status};
 use verbenaslip_fleet::rollout::{Plan, State};
 use verbenaslip_relay::dialect::PromptPart;
-use verbenaslip_relay::policy::place::{Choice, Ending, Placement, Query, Verdict};
+use verbenaslip_relay::policy::placement::{Choice, Ending, Placement, Query, Verdict};
 use verbenaslip_relay::policy::versions::{Track, Tracks};
 
 fn run(number: u32, incarnation: u64) -> Run {
--- a/crates/verbenaslip-relay/tests/record.rs
+++ b/crates/verbenaslip-relay/tests/record.rs
@@ -10,7 +10,7 @@
 use verbenaslip_fleet::fingerprint::Fingerprint;
 use verbenaslip_fleet::quarantine::{Block, Blocklist};
 use verbenaslip_relay::http::Framing;
-use verbenaslip_relay::policy::record::{Record, survived};
+use verbenaslip_relay::policy::quarantine::{Record, survived};
 
 const SECOND: Duration = Duration::from_secs(1);
 
--- a/crates/verbenaslip-relay/tests/rollout.rs
+++ b/crates/verbenaslip-relay/tests/rollout.rs
@@ -11,7 +11,7 @@
 use verbenaslip_fleet::View;
 use verbenaslip_fleet::rollout::verdict::{Fleet, Reason};
 use verbenaslip_fleet::rollout::{Cohort, Controller, Order, Plan, Rollout, State};
-use verbenaslip_relay::policy::site::Ending;
+use verbenaslip_relay::policy::upstream_state::Ending;
 use verbenaslip_relay::policy::versions::{Ticket, Track, Versions};
 
 const TICK: u64 = 10;
--- a/crates/verbenaslip-relay/tests/versions.rs
+++ b/crates/verbenaslip-relay/tests/versions.rs
@@ -6,7 +6,7 @@
 
 use verbenaslip_fleet::View;
 use verbenaslip_fleet::rollout::{Cohort, Plan, State};
-use verbenaslip_relay::policy::site::Ending;
+use verbenaslip_relay::policy::upstream_state::Ending;
 use verbenaslip_relay::policy::versions::{Track, Tracks, Versions};
 
 const NOW: Duration = Duration::from_secs(20);
--- a/crates/verbenaslip-relay/tests/waited.rs
+++ b/crates/verbenaslip-relay/tests/waited.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use verbenaslip_relay::policy::waited::Waited;
+use verbenaslip_relay::policy::returning::Waited;
 
 const OBJECTIVE: Duration = Duration::from_millis(150);
 
