--- a/crates/verbenaslip-relay/src/dialect.rs
+++ b/crates/verbenaslip-relay/src/dialect.rs
@@ -102,11 +102,11 @@
     fn is_reserved(&self, name: &str) -> bool;
 
     /// Writes the fields that this system sets towards an upstream.
-    fn write_forwarded(&self, forwarded: &ForwardedFields<'_>, put: WriteField<'_>);
+    fn write_forwarded(&self, fields: &ForwardedFields<'_>, write_field: WriteField<'_>);
 
     /// Reads what a response says.
     fn response_info(&self, head: &ResponseHead, id: &str) -> ResponseInfo;
 
     /// Writes the fields of an answer of this instance's own.
-    fn write_answer(&self, id: &str, back: Option<Duration>, put: WriteField<'_>);
+    fn write_answer(&self, id: &str, retry_after: Option<Duration>, write_field: WriteField<'_>);
 }
--- a/crates/verbenaslip-relay/src/event_log.rs
+++ b/crates/verbenaslip-relay/src/event_log.rs
@@ -16,13 +16,13 @@
 use crate::monotonic;
 
 /// Lines that may wait: some seconds' worth of a busy entry, under a megabyte.
-const QUEUE: usize = 2_048;
+const MAX_QUEUED_LINES: usize = 2_048;
 
 /// Lines wait up to this long to be written together, since each write costs processor time.
-const GATHER: Duration = Duration::from_millis(200);
+const BATCH_DELAY: Duration = Duration::from_millis(200);
 
-static LINES: OnceLock<Sender<String>> = OnceLock::new();
-static DROPPED: AtomicU64 = AtomicU64::new(0);
+static QUEUE: OnceLock<Sender<String>> = OnceLock::new();
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
 /// Names a kind of line; the number stays, whatever the name becomes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,38 +39,38 @@
 ///
 /// Fails when no thread can be started.
 pub fn start() -> std::io::Result<()> {
-    let (sender, receiver) = channel::bounded(QUEUE);
-    thread::Builder::new().name("journal".into()).spawn(move || write(&receiver))?;
+    let (sender, receiver) = channel::bounded(MAX_QUEUED_LINES);
+    thread::Builder::new().name("journal".into()).spawn(move || write_lines(&receiver))?;
     // A second opening keeps the first one's thread.
-    let _ = LINES.set(sender);
+    let _ = QUEUE.set(sender);
     Ok(())
 }
 
 /// Writes a line.
 pub fn emit(kind: Kind, fields: impl IntoIterator<Item = (&'static str, Value)>) {
-    let Some(lines) = LINES.get() else { return };
+    let Some(lines) = QUEUE.get() else { return };
     let mut map = Map::new();
     map.insert("at".into(), monotonic::unix_ms().into());
     map.insert("event".into(), kind.number.into());
     map.insert("what".into(), kind.name.into());
     map.extend(fields.into_iter().map(|(name, value)| (name.to_owned(), value)));
-    let dropped = DROPPED.swap(0, Ordering::Relaxed);
+    let dropped = DROPPED_LINES.swap(0, Ordering::Relaxed);
     if dropped > 0 {
         map.insert("dropped_before".into(), dropped.into());
     }
     if let Err(TrySendError::Full(_)) = lines.try_send(Value::Object(map).to_string()) {
-        DROPPED.fetch_add(dropped + 1, Ordering::Relaxed);
+        DROPPED_LINES.fetch_add(dropped + 1, Ordering::Relaxed);
     }
 }
 
 /// Waits a moment until what was said is written, before the process ends.
 pub fn flush() {
-    thread::sleep(GATHER + GATHER / 2);
+    thread::sleep(BATCH_DELAY + BATCH_DELAY / 2);
 }
 
-fn write(lines: &Receiver<String>) {
+fn write_lines(lines: &Receiver<String>) {
     while let Ok(first) = lines.recv() {
-        thread::sleep(GATHER);
+        thread::sleep(BATCH_DELAY);
         let mut text = first;
         text.push('\n');
         for line in lines.try_iter() {
--- a/crates/verbenaslip-relay/src/forward.rs
+++ b/crates/verbenaslip-relay/src/forward.rs
@@ -1,7 +1,7 @@
 //! One request from its caller to an upstream and back.
 //!
 //! [`job`] finds who asks and which route a request takes. [`life`] leads it: whether it
-//! is tried again, what its caller gets; [`placing`] says where it goes. [`forwarded`] writes it for an upstream, [`exchange`] sends it to
+//! is tried again, what its caller gets; [`upstream_choice`] says where it goes. [`forwarded`] writes it for an upstream, [`exchange`] sends it to
 //! one upstream and takes the head of the answer; [`delivery`] passes the answer on, and for a resumable
 //! stream goes on where another upstream broke off. [`leave`] says when a silent upstream is left, [`crash`]
 //! looks whether one that broke off has ended.
--- a/crates/verbenaslip-relay/src/forward/admission.rs
+++ b/crates/verbenaslip-relay/src/forward/admission.rs
@@ -19,31 +19,31 @@
 
 /// How long before the end of its time a request gets its answer, so that the answer arrives while
 /// its caller still waits.
-const EARLY: Duration = Duration::from_millis(30);
+const ANSWER_MARGIN: Duration = Duration::from_millis(30);
 
 /// When a caller that was refused for want of a route table may come back. An entry has none only
 /// when it has just started, and after a power loss of all it has one when the cores have elected a
 /// leader, which takes a second; whoever came back sooner would be refused again.
-const BACK_AFTER_START: Duration = Duration::from_millis(1_200);
+const RETRY_AFTER_START: Duration = Duration::from_millis(1_200);
 
 /// When a caller may come back, to another instance, that was refused because this one stops.
-const BACK_NOW: Duration = Duration::from_millis(50);
+const RETRY_AFTER_STOP: Duration = Duration::from_millis(50);
 
 /// How long a request waits for the leader to lend units of its team's limit: many times the way there and back, and
 /// short beside the time in which a leader that is lost is noticed.
-const LOAN: Duration = Duration::from_millis(250);
+const LOAN_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Says why a request is refused, and when its caller may come back.
-pub type Refused = (Refusal, Option<Duration>);
+pub type Rejection = (Refusal, Option<Duration>);
 
 /// Holds what is decided of a request once.
-pub struct Job<'a> {
+pub struct AdmittedRequest<'a> {
     /// Its head.
     pub head: &'a RequestHead,
     /// Its body.
     pub body: &'a Bytes,
     /// What it says beyond HTTP.
-    pub call: &'a RequestInfo,
+    pub info: &'a RequestInfo,
     /// Its content, to be known again; none as long as this entry has no key for that.
     pub fingerprint: Option<Fingerprint>,
     /// Its route.
@@ -55,22 +55,22 @@
     /// The service.
     pub service: Arc<str>,
     /// The connections that one of its upstreams accepts from all entries.
-    pub connections: u32,
+    pub upstream_connections: u32,
     /// How many entries there are.
     pub entries: u32,
     /// When it was whole.
-    pub arrived: Instant,
+    pub received_at: Instant,
     /// Until when its caller waits.
-    pub limit: Instant,
+    pub deadline: Instant,
     /// Whether its caller has come back, and any answer comes late.
-    pub waited: bool,
+    pub returning: bool,
     /// Whether the caller's connection ends with the answer.
-    pub closes: bool,
+    pub closes_connection: bool,
 }
 
-impl Job<'_> {
+impl AdmittedRequest<'_> {
     /// Tells whether another upstream may go on with the answer.
-    pub fn resumable(&self) -> bool {
+    pub fn is_resumable(&self) -> bool {
         self.route.kind == RequestKind::Stream { resumable: true }
     }
 }
@@ -79,92 +79,99 @@
 pub fn admit<'a>(
     context: &Context,
     view: &'a View,
-    whole: &'a Message,
-    call: Option<&'a RequestInfo>,
-    closes: bool,
-) -> Result<Job<'a>, Refused> {
-    if context.board.has_stopped_admitting() {
-        return Err((Refusal::Stopping, Some(BACK_NOW)));
+    message: &'a Message,
+    info: Option<&'a RequestInfo>,
+    closes_connection: bool,
+) -> Result<AdmittedRequest<'a>, Rejection> {
+    if context.shared.has_stopped_admitting() {
+        return Err((Refusal::Stopping, Some(RETRY_AFTER_STOP)));
     }
-    let Some(routes) = &view.routes else { return Err((Refusal::NoTable, Some(BACK_AFTER_START))) };
-    let call = call.ok_or((Refusal::Malformed, None))?;
-    let host = whole.head.text("host").unwrap_or_default();
-    let route = routes.route(host, &whole.head.target).ok_or((Refusal::NoRoute, None))?;
-    let team = team(routes, route, call)?;
-    let patience =
-        call.caller_timeout.map_or(route.timeout, |patience| patience.min(route.timeout));
-    let waited = call.caller_timeout.is_some_and(|patience| {
-        let mut waited = context.waited.borrow_mut();
-        waited.take(monotonic::now(), &route.name, patience, route.objective)
+    let Some(routes) = &view.routes else {
+        return Err((Refusal::NoRouteTable, Some(RETRY_AFTER_START)));
+    };
+    let info = info.ok_or((Refusal::Malformed, None))?;
+    let host = message.head.text("host").unwrap_or_default();
+    let route = routes.route(host, &message.head.target).ok_or((Refusal::NoRoute, None))?;
+    let team = find_team(routes, route, info)?;
+    let caller_timeout = info
+        .caller_timeout
+        .map_or(route.timeout, |caller_timeout| caller_timeout.min(route.timeout));
+    let returning = info.caller_timeout.is_some_and(|caller_timeout| {
+        let mut returning = context.returning_callers.borrow_mut();
+        returning.is_returning(monotonic::now(), &route.name, caller_timeout, route.objective)
     });
-    let service = service(context, route);
-    context.budget.borrow_mut().earn(&service, view.entry_count);
-    Ok(Job {
-        head: &whole.head,
-        body: &whole.body,
-        call,
-        fingerprint: fingerprint(view, whole, team, host),
+    let service = choose_service(context, route);
+    context.retry_budget.borrow_mut().record_request(&service, view.entry_count);
+    Ok(AdmittedRequest {
+        head: &message.head,
+        body: &message.body,
+        info,
+        fingerprint: fingerprint(view, message, team, host),
         route,
         rank: routes.rank(route, team),
         team,
-        connections: routes
+        upstream_connections: routes
             .route_table()
             .service(&service)
             .map_or(u32::MAX, |it| it.max_connections),
         entries: view.entry_count,
         service,
-        arrived: whole.arrived,
-        limit: whole.arrived + patience.saturating_sub(EARLY),
-        waited,
-        closes,
+        received_at: message.received_at,
+        deadline: message.received_at + caller_timeout.saturating_sub(ANSWER_MARGIN),
+        returning,
+        closes_connection,
     })
 }
 
 fn fingerprint(
     view: &View,
-    whole: &Message,
+    message: &Message,
     team: Option<&TeamConfig>,
     host: &str,
 ) -> Option<Fingerprint> {
     let team = team.map_or("", |team| team.name.as_str());
-    Some(Fingerprint::of(view.blocklist.key?, team, host, &whole.head.target, &whole.body))
+    Some(Fingerprint::of(view.blocklist.key?, team, host, &message.head.target, &message.body))
 }
 
-fn team<'a>(
+fn find_team<'a>(
     routes: &'a Index,
     route: &Route,
-    call: &RequestInfo,
-) -> Result<Option<&'a TeamConfig>, Refused> {
+    info: &RequestInfo,
+) -> Result<Option<&'a TeamConfig>, Rejection> {
     if route.public || routes.route_table().teams.is_empty() {
         return Ok(None);
     }
-    let found = call.api_key.as_ref().and_then(|key| routes.team(key));
-    found.map(Some).ok_or((Refusal::UnknownKey, None))
+    let team_row = info.api_key.as_ref().and_then(|key| routes.team(key));
+    team_row.map(Some).ok_or((Refusal::UnknownKey, None))
 }
 
 /// Takes a request out of its team's limit, if that has so much left.
-pub async fn charge(context: &Context, view: &View, job: &Job<'_>) -> Result<(), Refused> {
-    let Some(team) = job.team else { return Ok(()) };
+pub async fn charge_quota(
+    context: &Context,
+    view: &View,
+    request: &AdmittedRequest<'_>,
+) -> Result<(), Rejection> {
+    let Some(team) = request.team else { return Ok(()) };
     let Some(quota) = &team.quota else { return Ok(()) };
-    let units = allowance::units(quota, size(job.call));
-    let verdict = context.allowance.borrow_mut().take(monotonic::now(), team, units, view);
-    let within = match verdict {
-        Allowed::Within => Ok(()),
-        Allowed::Beyond(back) => Err(back),
-        Allowed::Borrow { need, ahead } => {
-            let answer = context.board.borrow(&team.name, need, ahead);
-            let lent = tokio::time::timeout(LOAN, answer).await.ok().and_then(Result::ok);
-            let mut allowance = context.allowance.borrow_mut();
-            allowance.lent(monotonic::now(), team, units, lent.as_ref())
+    let units = allowance::units(quota, total_tokens(request.info));
+    let verdict = context.allowances.borrow_mut().charge(monotonic::now(), team, units, view);
+    let result = match verdict {
+        Allowed::Admitted => Ok(()),
+        Allowed::Exceeded(retry_after) => Err(retry_after),
+        Allowed::Borrow { required, prefetch } => {
+            let grant = context.shared.request_loan(&team.name, required, prefetch);
+            let grant = tokio::time::timeout(LOAN_TIMEOUT, grant).await.ok().and_then(Result::ok);
+            let mut allowance = context.allowances.borrow_mut();
+            allowance.handle_grant(monotonic::now(), team, units, grant.as_ref())
         }
     };
-    within.map_err(|back| (Refusal::BeyondLimit, Some(back)))
+    result.map_err(|retry_after| (Refusal::QuotaExceeded, Some(retry_after)))
 }
 
 /// Chooses the service by the weights of the route.
-fn service(context: &Context, route: &Route) -> Arc<str> {
-    let sum: u64 = route.targets.iter().map(|target| u64::from(target.weight)).sum();
-    let mut draw = context.random().checked_rem(sum).unwrap_or(0);
+fn choose_service(context: &Context, route: &Route) -> Arc<str> {
+    let total_weight: u64 = route.targets.iter().map(|target| u64::from(target.weight)).sum();
+    let mut draw = context.next_random().checked_rem(total_weight).unwrap_or(0);
     for target in &route.targets {
         let weight = u64::from(target.weight);
         if draw < weight {
@@ -176,17 +183,17 @@
 }
 
 /// Gives back what a request took out of its team's limit, when no upstream got it.
-pub fn give_back(context: &Context, job: &Job<'_>) {
-    let Some(team) = job.team else { return };
+pub fn refund_quota(context: &Context, request: &AdmittedRequest<'_>) {
+    let Some(team) = request.team else { return };
     let Some(quota) = &team.quota else { return };
-    let units = allowance::units(quota, size(job.call));
-    let refund = context.allowance.borrow_mut().give_back(&team.name, units);
+    let units = allowance::units(quota, total_tokens(request.info));
+    let refund = context.allowances.borrow_mut().refund(&team.name, units);
     if let Some(refund) = refund {
-        context.board.refund(refund);
+        context.shared.refund(refund);
     }
 }
 
 /// Returns the tokens that a request asks for in all, when it says so.
-fn size(call: &RequestInfo) -> Option<u64> {
-    call.token_counts.map(|tokens| tokens.prompt + tokens.max_output)
+fn total_tokens(info: &RequestInfo) -> Option<u64> {
+    info.token_counts.map(|tokens| tokens.prompt + tokens.max_output)
 }
--- a/crates/verbenaslip-relay/src/forward/answer.rs
+++ b/crates/verbenaslip-relay/src/forward/answer.rs
@@ -15,35 +15,35 @@
     /// No route leads there.
     NoRoute,
     /// The request did not arrive in time.
-    SlowCaller,
+    RequestTimeout,
     /// The body is larger than allowed.
-    TooLarge,
+    BodyTooLarge,
     /// The head is larger than allowed.
-    LongHead,
+    HeadTooLarge,
     /// The team asked for more than its limit; it was not run.
-    BeyondLimit,
+    QuotaExceeded,
     /// This instance is about to stop; it was not run.
     Stopping,
     /// No route table is known here yet; it was not run.
-    NoTable,
+    NoRouteTable,
     /// No upstream may get it now; it was not run.
     NoUpstream,
     /// All upstreams are busy; it was not run.
     Busy,
     /// All upstreams limit the requests that they take; it was not run.
-    Limited,
+    RateLimited,
     /// All upstreams have asked this instance for rest; it was not run.
-    Resting,
+    CoolingDown,
     /// Upstreams have ended that ran such a request; this one was not run.
-    HeldBack,
+    Quarantined,
     /// Every upstream that got it said that it did not run it.
-    TurnedAway,
+    NotRun,
     /// An upstream failed; it may have run.
     Failed,
     /// The time ran out after it was sent; it may have run.
     TimedOut,
     /// The time ran out before it was sent anywhere; it was not run.
-    Expired,
+    DeadlineExpired,
 }
 
 impl Refusal {
@@ -53,20 +53,20 @@
             Self::Malformed => 400,
             Self::UnknownKey => 401,
             Self::NoRoute => 404,
-            Self::SlowCaller => 408,
-            Self::TooLarge => 413,
-            Self::BeyondLimit => 429,
-            Self::LongHead => 431,
+            Self::RequestTimeout => 408,
+            Self::BodyTooLarge => 413,
+            Self::QuotaExceeded => 429,
+            Self::HeadTooLarge => 431,
             Self::Failed => 502,
-            Self::NoTable
+            Self::NoRouteTable
             | Self::NoUpstream
             | Self::Busy
-            | Self::Limited
-            | Self::Resting
-            | Self::HeldBack
-            | Self::TurnedAway
+            | Self::RateLimited
+            | Self::CoolingDown
+            | Self::Quarantined
+            | Self::NotRun
             | Self::Stopping
-            | Self::Expired => 503,
+            | Self::DeadlineExpired => 503,
             Self::TimedOut => 504,
         }
     }
@@ -77,25 +77,25 @@
             Self::Malformed => "malformed",
             Self::UnknownKey => "unknown_key",
             Self::NoRoute => "no_route",
-            Self::SlowCaller => "slow_caller",
-            Self::TooLarge => "too_large",
-            Self::LongHead => "long_head",
-            Self::BeyondLimit => "beyond_limit",
+            Self::RequestTimeout => "slow_caller",
+            Self::BodyTooLarge => "too_large",
+            Self::HeadTooLarge => "long_head",
+            Self::QuotaExceeded => "beyond_limit",
             Self::Stopping => "stopping",
-            Self::NoTable => "no_table",
+            Self::NoRouteTable => "no_table",
             Self::NoUpstream => "no_upstream",
             Self::Busy => "busy",
-            Self::Limited => "limited",
-            Self::Resting => "resting",
-            Self::HeldBack => "held_back",
-            Self::TurnedAway => "turned_away",
+            Self::RateLimited => "limited",
+            Self::CoolingDown => "resting",
+            Self::Quarantined => "held_back",
+            Self::NotRun => "turned_away",
             Self::Failed => "failed",
             Self::TimedOut => "timed_out",
-            Self::Expired => "expired",
+            Self::DeadlineExpired => "expired",
         }
     }
 
-    fn reason(self) -> &'static str {
+    fn reason_phrase(self) -> &'static str {
         match self.status() {
             400 => "Bad Request",
             401 => "Unauthorized",
@@ -114,31 +114,33 @@
 impl From<MessageError> for Refusal {
     fn from(fault: MessageError) -> Self {
         match fault {
-            MessageError::TooLong => Self::LongHead,
-            MessageError::TooLarge => Self::TooLarge,
-            MessageError::Slow => Self::SlowCaller,
+            MessageError::HeadTooLong => Self::HeadTooLarge,
+            MessageError::BodyTooLarge => Self::BodyTooLarge,
+            MessageError::Timeout => Self::RequestTimeout,
             _ => Self::Malformed,
         }
     }
 }
 
 /// Writes an answer of this instance's own; `back` is when the caller may come again.
-pub fn write(
+pub fn write_refusal(
     dialect: &dyn Dialect,
     refusal: Refusal,
     id: &str,
-    back: Option<Duration>,
+    retry_after: Option<Duration>,
     close: bool,
 ) -> Vec<u8> {
     let body = format!("{{\"error\":\"{}\"}}\n", refusal.name());
     let mut out = Vec::with_capacity(256);
-    let line = format!("HTTP/1.1 {} {}\r\n", refusal.status(), refusal.reason());
+    let line = format!("HTTP/1.1 {} {}\r\n", refusal.status(), refusal.reason_phrase());
     out.extend_from_slice(line.as_bytes());
-    dialect.write_answer(id, back, &mut |name, value| put(&mut out, name, value.as_bytes()));
-    put(&mut out, "Content-Type", b"application/json");
-    put(&mut out, "Content-Length", body.len().to_string().as_bytes());
+    dialect.write_answer(id, retry_after, &mut |name, value| {
+        write_field(&mut out, name, value.as_bytes())
+    });
+    write_field(&mut out, "Content-Type", b"application/json");
+    write_field(&mut out, "Content-Length", body.len().to_string().as_bytes());
     if close {
-        put(&mut out, "Connection", b"close");
+        write_field(&mut out, "Connection", b"close");
     }
     out.extend_from_slice(b"\r\n");
     out.extend_from_slice(body.as_bytes());
@@ -152,33 +154,33 @@
     let line = format!("HTTP/1.1 {} {}\r\n", response.status, response.reason);
     out.extend_from_slice(line.as_bytes());
     for field in &response.fields {
-        let length = field.name.eq_ignore_ascii_case("content-length");
-        if !head::is_hop(&response.fields, &field.name) && !length {
-            put(&mut out, &field.name, &field.value);
+        let is_length = field.name.eq_ignore_ascii_case("content-length");
+        if !head::is_hop_by_hop(&response.fields, &field.name) && !is_length {
+            write_field(&mut out, &field.name, &field.value);
         }
     }
     match framing {
         Framing::Empty => {
             // An answer without a body may still say how long it would be.
-            if let Some(length) = response.text("content-length") {
-                put(&mut out, "Content-Length", length.as_bytes());
+            if let Some(is_length) = response.text("content-length") {
+                write_field(&mut out, "Content-Length", is_length.as_bytes());
             }
         }
-        Framing::Length(length) => {
-            put(&mut out, "Content-Length", length.to_string().as_bytes());
+        Framing::Length(is_length) => {
+            write_field(&mut out, "Content-Length", is_length.to_string().as_bytes());
         }
-        Framing::Chunked => put(&mut out, "Transfer-Encoding", b"chunked"),
-        Framing::Close => {}
+        Framing::Chunked => write_field(&mut out, "Transfer-Encoding", b"chunked"),
+        Framing::UntilClose => {}
     }
     if close {
-        put(&mut out, "Connection", b"close");
+        write_field(&mut out, "Connection", b"close");
     }
     out.extend_from_slice(b"\r\n");
     out
 }
 
 /// Writes one header field.
-pub fn put(out: &mut Vec<u8>, name: &str, value: &[u8]) {
+pub fn write_field(out: &mut Vec<u8>, name: &str, value: &[u8]) {
     out.extend_from_slice(name.as_bytes());
     out.extend_from_slice(b": ");
     out.extend_from_slice(value);
--- a/crates/verbenaslip-relay/src/forward/context.rs
+++ b/crates/verbenaslip-relay/src/forward/context.rs
@@ -14,210 +14,250 @@
 use verbenaslip_fleet::view::View;
 
 use crate::dialect::{Dialect, ResponseInfo};
-use crate::forward::admission::Job;
-use crate::forward::crash::{Broken, Sign};
+use crate::forward::admission::AdmittedRequest;
+use crate::forward::crash::{InterruptedRequest, Signal};
 use crate::forward::pool::Pool;
 use crate::forward::upstream_log;
 use crate::monotonic;
-use crate::policy::allowance::Allowance;
+use crate::policy::allowance::Allowances;
 use crate::policy::placement::{Choice, Ending, Placement};
-use crate::policy::quarantine::Record;
+use crate::policy::quarantine::Quarantine;
 use crate::policy::restriction::Change;
-use crate::policy::retry::{Bounds, Budget};
-use crate::policy::returning::Waited;
+use crate::policy::retry::{Bounds, RetryBudget};
+use crate::policy::returning::ReturningCallers;
 use crate::policy::versions::Tracks;
 use crate::shared::SharedState;
 
 /// Holds what all requests share; only the traffic thread uses it.
 pub struct Context {
     /// What is shared with the control thread.
-    pub board: Arc<SharedState>,
+    pub shared: Arc<SharedState>,
     /// The deployment's header names.
     pub dialect: Arc<dyn Dialect>,
     /// The length of a window of usage.
-    pub window: Duration,
+    pub usage_window: Duration,
     /// When this instance started.
-    pub(crate) started: Instant,
+    pub(crate) started_at: Instant,
     pub(crate) placement: RefCell<Placement>,
-    pub(crate) allowance: RefCell<Allowance>,
-    pub(crate) budget: RefCell<Budget>,
+    pub(crate) allowances: RefCell<Allowances>,
+    pub(crate) retry_budget: RefCell<RetryBudget>,
     pub(crate) pool: RefCell<Pool>,
-    pub(crate) waited: RefCell<Waited>,
-    pub(crate) record: RefCell<Record>,
-    pub(crate) draw: Cell<u64>,
-    signs: UnboundedSender<Sign>,
+    pub(crate) returning_callers: RefCell<ReturningCallers>,
+    pub(crate) quarantine: RefCell<Quarantine>,
+    pub(crate) random_state: Cell<u64>,
+    crash_signals: UnboundedSender<Signal>,
 }
 
 impl Context {
     /// Starts without requests.
-    pub(crate) fn open(
-        board: Arc<SharedState>,
+    pub(crate) fn new(
+        shared: Arc<SharedState>,
         dialect: Arc<dyn Dialect>,
         zone: AvailabilityZone,
         bounds: Bounds,
-        window: Duration,
-        signs: UnboundedSender<Sign>,
+        usage_window: Duration,
+        crash_signals: UnboundedSender<Signal>,
     ) -> Self {
         Self {
-            board,
+            shared,
             dialect,
-            window,
-            started: Instant::now(),
-            placement: RefCell::new(Placement::open(zone)),
-            allowance: RefCell::new(Allowance::open(monotonic::now())),
-            budget: RefCell::new(Budget::open(bounds)),
+            usage_window,
+            started_at: Instant::now(),
+            placement: RefCell::new(Placement::new(zone)),
+            allowances: RefCell::new(Allowances::new(monotonic::now())),
+            retry_budget: RefCell::new(RetryBudget::new(bounds)),
             pool: RefCell::new(Pool::default()),
-            waited: RefCell::new(Waited::default()),
-            record: RefCell::new(Record::default()),
-            draw: Cell::new(monotonic::unix_ms()),
-            signs,
+            returning_callers: RefCell::new(ReturningCallers::default()),
+            quarantine: RefCell::new(Quarantine::default()),
+            random_state: Cell::new(monotonic::unix_ms()),
+            crash_signals,
         }
     }
 
     /// Returns the newest view, after the parts that depend on it have taken it over.
-    pub(crate) fn view(&self) -> Arc<View> {
-        let view = self.board.view();
-        let gone = self.placement.borrow_mut().update(&view);
-        if !gone.is_empty() {
+    pub(crate) fn refresh_view(&self) -> Arc<View> {
+        let view = self.shared.view();
+        let removed_runs = self.placement.borrow_mut().update(&view);
+        if !removed_runs.is_empty() {
             // Another run may use the address by now; its connections are no longer of use.
-            self.pool.borrow_mut().forget(&gone);
+            self.pool.borrow_mut().remove_runs(&removed_runs);
         }
         let limits = self.placement.borrow_mut().update_limits(monotonic::now(), &view);
         for Observation { run, limit } in limits {
-            upstream_log::say_limit(&run, limit, None);
-            self.board.limited(&run, limit);
+            upstream_log::log_limit(&run, limit, None);
+            self.shared.set_limit(&run, limit);
         }
-        self.board.versions().update(&view);
-        let answered = self.record.borrow_mut().update(&view.blocklist);
-        answered.into_iter().for_each(|it| self.board.answered(it));
+        self.shared.versions().update(&view);
+        let answers = self.quarantine.borrow_mut().update(&view.blocklist);
+        answers.into_iter().for_each(|it| self.shared.add_answer(it));
         view
     }
 
     /// Chooses the versions that may take a request.
-    pub(crate) fn tracks(&self, job: &Job<'_>, again: bool) -> Tracks {
-        let step = u32::try_from(self.random() >> 32).unwrap_or(u32::MAX);
-        let draw = f64::from(step) / f64::from(u32::MAX);
-        let versions = self.board.versions();
-        versions.tracks(monotonic::now(), &job.service, &job.route.name, again, draw)
+    pub(crate) fn choose_tracks(&self, request: &AdmittedRequest<'_>, is_retry: bool) -> Tracks {
+        let step = u32::try_from(self.next_random() >> 32).unwrap_or(u32::MAX);
+        let random_fraction = f64::from(step) / f64::from(u32::MAX);
+        let versions = self.shared.versions();
+        versions.choose_tracks(
+            monotonic::now(),
+            &request.service,
+            &request.route.name,
+            is_retry,
+            random_fraction,
+        )
     }
 
     /// Counts a request that is sent to an upstream.
-    pub(crate) fn sent(&self, job: &Job<'_>, choice: &mut Choice) {
-        let (now, route) = (monotonic::now(), &job.route.name);
-        let mut versions = self.board.versions();
-        choice.ticket = versions.sent(now, &job.service, route, choice.cohort, choice.mark);
+    pub(crate) fn record_sent(&self, request: &AdmittedRequest<'_>, choice: &mut Choice) {
+        let (now, route) = (monotonic::now(), &request.route.name);
+        let mut versions = self.shared.versions();
+        choice.ticket =
+            versions.record_sent(now, &request.service, route, choice.cohort, choice.upstream_hash);
     }
 
     /// Takes the time of the first event of a request.
-    pub(crate) fn first(&self, choice: &Choice, took: Duration) {
-        self.placement.borrow_mut().first(monotonic::now(), choice, took);
+    pub(crate) fn record_first_event(&self, choice: &Choice, latency: Duration) {
+        self.placement.borrow_mut().record_first_event(monotonic::now(), choice, latency);
         if let Some(ticket) = choice.ticket {
-            self.board.versions().first(choice.service(), ticket, took);
+            self.shared.versions().record_first_event(choice.service(), ticket, latency);
         }
     }
 
     /// Takes what an upstream asks for in the head of its answer to a request that was sent at a time.
-    pub(crate) fn heard(
+    pub(crate) fn handle_response_info(
         &self,
-        job: &Job<'_>,
+        request: &AdmittedRequest<'_>,
         choice: &Choice,
-        sent: Instant,
-        reply: &ResponseInfo,
+        sent_at: Instant,
+        info: &ResponseInfo,
     ) {
-        if reply.other_run {
+        if info.other_run {
             return;
         }
         let now = monotonic::now();
-        let sent = now.saturating_sub(sent.elapsed());
-        let changes = self.placement.borrow_mut().answered(now, choice, sent, reply);
+        let sent_at = now.saturating_sub(sent_at.elapsed());
+        let changes = self.placement.borrow_mut().handle_response_info(now, choice, sent_at, info);
         for change in changes {
             match change {
-                Change::Limit(limit) => {
-                    upstream_log::say_limit(&choice.run, limit, Some(&job.call.id));
-                    self.board.limited(&choice.run, limit);
+                Change::RateLimit(limit) => {
+                    upstream_log::log_limit(&choice.run, limit, Some(&request.info.id));
+                    self.shared.set_limit(&choice.run, limit);
                 }
                 Change::Leaving => {
-                    upstream_log::say_leaving(&choice.run, &job.call.id);
-                    self.board.leaving(&choice.run);
+                    upstream_log::log_departure(&choice.run, &request.info.id);
+                    self.shared.add_departure(&choice.run);
+                }
+                Change::Cooldown(rest) => {
+                    upstream_log::log_cooldown(&choice.run, rest, &request.info.id)
                 }
-                Change::Rest(rest) => upstream_log::say_rest(&choice.run, rest, &job.call.id),
             }
         }
     }
 
     /// Counts a request's end at an upstream.
-    pub(crate) fn ended(&self, choice: &Choice, ending: Ending, began: Option<Duration>) {
+    pub(crate) fn record_end(&self, choice: &Choice, ending: Ending, duration: Option<Duration>) {
         let now = monotonic::now();
-        self.placement.borrow_mut().end(now, choice, ending, began);
+        self.placement.borrow_mut().record_end(now, choice, ending, duration);
         if let Some(ticket) = choice.ticket {
-            self.board.versions().end(now, choice.service(), ticket, ending);
+            self.shared.versions().record_end(now, choice.service(), ticket, ending);
         }
     }
 
     /// Has it looked at whether an upstream that broke a request off has ended.
-    pub(crate) fn broke_off(&self, job: &Job<'_>, choice: &Choice, sent: Instant) {
-        self.tell(Sign::BrokeOff(broken(job, choice, sent)));
+    pub(crate) fn signal_interrupted(
+        &self,
+        request: &AdmittedRequest<'_>,
+        choice: &Choice,
+        sent_at: Instant,
+    ) {
+        self.send_signal(Signal::Interrupted(interrupted_request(request, choice, sent_at)));
     }
 
     /// Notes that a request's caller left while an upstream was at work on it.
-    pub(crate) fn left(&self, job: &Job<'_>, choice: &Choice, sent: Instant) {
-        self.tell(Sign::Left(broken(job, choice, sent)));
+    pub(crate) fn signal_caller_left(
+        &self,
+        request: &AdmittedRequest<'_>,
+        choice: &Choice,
+        sent_at: Instant,
+    ) {
+        self.send_signal(Signal::CallerLeft(interrupted_request(request, choice, sent_at)));
     }
 
     /// Notes that an upstream could not be reached.
-    pub(crate) fn unreached(&self, choice: &Choice) {
-        self.tell(Sign::Unreached(choice.run.clone()));
+    pub(crate) fn signal_unreachable(&self, choice: &Choice) {
+        self.send_signal(Signal::Unreachable(choice.run.clone()));
     }
 
-    fn tell(&self, sign: Sign) {
+    fn send_signal(&self, signal: Signal) {
         // Nobody looks any more once the instance ends.
-        let _ = self.signs.send(sign);
+        let _ = self.crash_signals.send(signal);
     }
 
     /// Notes that a request was answered, and tells the leader if it is suspected.
-    pub(crate) fn answered(&self, job: &Job<'_>) {
-        let Some(fingerprint) = job.fingerprint else { return };
+    pub(crate) fn record_answer(&self, request: &AdmittedRequest<'_>) {
+        let Some(fingerprint) = request.fingerprint else { return };
         let at = monotonic::now();
-        if self.record.borrow_mut().answered(at, fingerprint, &self.board.view().blocklist) {
-            self.board.answered(ObservedAnswer { fingerprint, at });
+        if self.quarantine.borrow_mut().record_answer(
+            at,
+            fingerprint,
+            &self.shared.view().blocklist,
+        ) {
+            self.shared.add_answer(ObservedAnswer { fingerprint, at });
         }
     }
 
     /// Tells for how long a request is held back, if it is.
-    pub(crate) fn held(&self, job: &Job<'_>) -> Option<Duration> {
-        let view = self.board.view();
-        self.record.borrow_mut().held(monotonic::now(), job.fingerprint?, &view)
+    pub(crate) fn quarantined_for(&self, request: &AdmittedRequest<'_>) -> Option<Duration> {
+        let view = self.shared.view();
+        self.quarantine.borrow_mut().quarantined_for(monotonic::now(), request.fingerprint?, &view)
     }
 
     /// Pays for one more arrival of a request at its service, if the budget allows it.
-    pub(crate) fn spend(&self, job: &Job<'_>) -> bool {
-        self.budget.borrow_mut().spend(&job.service, job.entries)
+    pub(crate) fn spend_retry(&self, request: &AdmittedRequest<'_>) -> bool {
+        self.retry_budget.borrow_mut().try_spend(&request.service, request.entries)
     }
 
     /// Tells whether a silent upstream may be left for another one, and pays for that.
     ///
     /// Left while nothing else can go on, its caller's answer would end in the middle though the
     /// upstream was only slow: an engine that is out of memory is silent for seconds.
-    pub(crate) fn may_leave(&self, job: &Job<'_>, tried: &[Run], paid: &mut bool) -> bool {
+    pub(crate) fn may_switch(
+        &self,
+        request: &AdmittedRequest<'_>,
+        tried_runs: &[Run],
+        retry_paid: &mut bool,
+    ) -> bool {
         // The other one may have left since this request came.
-        self.view();
-        let other = self.placement.borrow().has_other(monotonic::now(), &job.service, tried);
-        *paid = *paid || (other && self.spend(job));
-        *paid && other
+        self.refresh_view();
+        let has_alternative =
+            self.placement.borrow().has_alternative(monotonic::now(), &request.service, tried_runs);
+        *retry_paid = *retry_paid || (has_alternative && self.spend_retry(request));
+        *retry_paid && has_alternative
     }
 
     /// Draws a number that differs each time (the sequence of SplitMix64).
-    pub(crate) fn random(&self) -> u64 {
-        let next = self.draw.get().wrapping_add(0x9e37_79b9_7f4a_7c15);
-        self.draw.set(next);
+    pub(crate) fn next_random(&self) -> u64 {
+        let next = self.random_state.get().wrapping_add(0x9e37_79b9_7f4a_7c15);
+        self.random_state.set(next);
         hash::mix(next)
     }
 }
 
 /// Says which request is at its end at an upstream now.
-fn broken(job: &Job<'_>, choice: &Choice, sent: Instant) -> Broken {
-    let (id, fingerprint) = (job.call.id.clone(), job.fingerprint);
+fn interrupted_request(
+    request: &AdmittedRequest<'_>,
+    choice: &Choice,
+    sent_at: Instant,
+) -> InterruptedRequest {
+    let (id, fingerprint) = (request.info.id.clone(), request.fingerprint);
     let (run, address) = (choice.run.clone(), choice.address);
     let ended = monotonic::now();
-    Broken { id, fingerprint, run, address, sent: ended.saturating_sub(sent.elapsed()), ended }
+    InterruptedRequest {
+        id,
+        fingerprint,
+        run,
+        address,
+        sent_at: ended.saturating_sub(sent_at.elapsed()),
+        ended_at: ended,
+    }
 }
--- a/crates/verbenaslip-relay/src/forward/crash.rs
+++ b/crates/verbenaslip-relay/src/forward/crash.rs
@@ -23,32 +23,32 @@
 const BROKE_OFF: Kind = Kind { number: 936, name: "upstream_broke_off" };
 
 /// Requests that are looked at together, since an upstream that ends breaks off all of them at once.
-const GATHER: Duration = Duration::from_millis(3);
+const BATCH_DELAY: Duration = Duration::from_millis(3);
 
 /// How long an upstream may take to answer that it listens; many times the longest way there and back.
-const DIAL: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Requests of one upstream that are listed.
-const LISTED: usize = 64;
+const MAX_LISTED: usize = 64;
 
 /// How long before its end an upstream may have been left by the caller of a request that ended it. Callers leave
 /// within half of an objective at the earliest; an upstream that goes on for longer has most likely dropped it.
-const LEFT: Duration = Duration::from_secs(1);
+const CALLER_LEFT_MEMORY: Duration = Duration::from_secs(1);
 
 /// Tells what may be a sign of an upstream's end.
 #[derive(Debug)]
-pub(crate) enum Sign {
+pub(crate) enum Signal {
     /// It broke a request off.
-    BrokeOff(Broken),
+    Interrupted(InterruptedRequest),
     /// The caller of a request left while it was at work.
-    Left(Broken),
+    CallerLeft(InterruptedRequest),
     /// It could not be reached.
-    Unreached(Run),
+    Unreachable(Run),
 }
 
 /// Holds a request that an upstream broke off, or whose caller left.
 #[derive(Clone, Debug)]
-pub(crate) struct Broken {
+pub(crate) struct InterruptedRequest {
     /// The identity of the request.
     pub(crate) id: Arc<str>,
     /// Its content, where fingerprints can be made.
@@ -58,19 +58,24 @@
     /// Where it is reached.
     pub(crate) address: SocketAddr,
     /// When it was sent there.
-    pub(crate) sent: Duration,
+    pub(crate) sent_at: Duration,
     /// When it broke off.
-    pub(crate) ended: Duration,
+    pub(crate) ended_at: Duration,
 }
 
 /// Looks at upstreams that may have ended, for as long as the instance runs.
-pub(crate) async fn watch(mut signs: UnboundedReceiver<Sign>, board: Arc<SharedState>) {
-    let mut left = VecDeque::new();
-    while let Some(first) = signs.recv().await {
-        tokio::time::sleep(GATHER).await;
-        let others = std::iter::from_fn(|| signs.try_recv().ok());
-        for (run, requests) in by_upstream(std::iter::once(first).chain(others), &mut left) {
-            tokio::task::spawn_local(look(run, requests, board.clone()));
+pub(crate) async fn watch_for_crashes(
+    mut signals: UnboundedReceiver<Signal>,
+    shared: Arc<SharedState>,
+) {
+    let mut left_by_callers = VecDeque::new();
+    while let Some(first) = signals.recv().await {
+        tokio::time::sleep(BATCH_DELAY).await;
+        let others = std::iter::from_fn(|| signals.try_recv().ok());
+        for (run, requests) in
+            group_by_run(std::iter::once(first).chain(others), &mut left_by_callers)
+        {
+            tokio::task::spawn_local(check_run(run, requests, shared.clone()));
         }
     }
 }
@@ -79,56 +84,62 @@
 ///
 /// What a caller has left is remembered for a while: the upstream may end of it all the same, and nobody is there
 /// any more whose answer would break off.
-fn by_upstream(
-    signs: impl Iterator<Item = Sign>,
-    left: &mut VecDeque<Broken>,
-) -> BTreeMap<Run, Vec<Broken>> {
-    let mut runs: BTreeMap<Run, Vec<Broken>> = BTreeMap::new();
-    let mut doubted = BTreeSet::new();
-    for sign in signs {
-        match sign {
-            Sign::BrokeOff(it) => {
-                doubted.insert(it.run.clone());
+fn group_by_run(
+    signals: impl Iterator<Item = Signal>,
+    left_by_callers: &mut VecDeque<InterruptedRequest>,
+) -> BTreeMap<Run, Vec<InterruptedRequest>> {
+    let mut runs: BTreeMap<Run, Vec<InterruptedRequest>> = BTreeMap::new();
+    let mut suspects = BTreeSet::new();
+    for signal in signals {
+        match signal {
+            Signal::Interrupted(it) => {
+                suspects.insert(it.run.clone());
                 runs.entry(it.run.clone()).or_default().push(it);
             }
-            Sign::Left(it) => left.push_back(it),
-            Sign::Unreached(run) => {
-                doubted.insert(run);
+            Signal::CallerLeft(it) => left_by_callers.push_back(it),
+            Signal::Unreachable(run) => {
+                suspects.insert(run);
             }
         }
     }
     let now = monotonic::now();
-    left.retain(|it| now.saturating_sub(it.ended) <= LEFT);
-    let (with, without) = left.drain(..).partition(|it| doubted.contains(&it.run));
-    *left = without;
-    for it in Vec::from(with) {
+    left_by_callers.retain(|it| now.saturating_sub(it.ended_at) <= CALLER_LEFT_MEMORY);
+    let (matching, unmatched) =
+        left_by_callers.drain(..).partition(|it| suspects.contains(&it.run));
+    *left_by_callers = unmatched;
+    for it in Vec::from(matching) {
         runs.entry(it.run.clone()).or_default().push(it);
     }
     runs
 }
 
 /// Looks whether an upstream is still there.
-async fn look(run: Run, requests: Vec<Broken>, board: Arc<SharedState>) {
+async fn check_run(run: Run, requests: Vec<InterruptedRequest>, shared: Arc<SharedState>) {
     let Some(address) = requests.first().map(|it| it.address) else { return };
-    let ended = socket::connect(address, DIAL).await.is_err();
+    let ended = socket::connect(address, CONNECT_TIMEOUT).await.is_err();
     if ended {
         metrics::counter!("verbenaslip_upstreams_ended_total").increment(1);
     }
-    say(&run.upstream, run.incarnation, ended, &requests);
+    log_interruption(&run.upstream, run.incarnation, ended, &requests);
     if ended {
-        board.crashed(requests.into_iter().filter_map(met));
+        shared.add_crashes(requests.into_iter().filter_map(observed_crash));
     }
 }
 
-fn met(broken: Broken) -> Option<ObservedCrash> {
-    let Broken { fingerprint, run, sent, ended, .. } = broken;
+fn observed_crash(request: InterruptedRequest) -> Option<ObservedCrash> {
+    let InterruptedRequest { fingerprint, run, sent_at: sent, ended_at: ended, .. } = request;
     Some(ObservedCrash { fingerprint: fingerprint?, run, sent, ended })
 }
 
-fn say(upstream: &Upstream, incarnation: u64, ended: bool, requests: &[Broken]) {
-    let listed = &requests[..requests.len().min(LISTED)];
+fn log_interruption(
+    upstream: &Upstream,
+    incarnation: u64,
+    ended: bool,
+    requests: &[InterruptedRequest],
+) {
+    let listed = &requests[..requests.len().min(MAX_LISTED)];
     let ids: Vec<&str> = listed.iter().map(|it| &*it.id).collect();
-    let contents: Vec<String> =
+    let fingerprints: Vec<String> =
         listed.iter().filter_map(|it| it.fingerprint).map(|it| it.to_string()).collect();
     event_log::emit(
         BROKE_OFF,
@@ -138,7 +149,7 @@
             ("ended", json!(ended)),
             ("count", json!(requests.len())),
             ("ids", json!(ids)),
-            ("contents", json!(contents)),
+            ("contents", json!(fingerprints)),
         ],
     );
 }
--- a/crates/verbenaslip-relay/src/forward/delivery.rs
+++ b/crates/verbenaslip-relay/src/forward/delivery.rs
@@ -4,16 +4,16 @@
 
 use tokio::time::Instant;
 
-use crate::forward::admission::Job;
+use crate::forward::admission::AdmittedRequest;
 use crate::forward::answer;
 use crate::forward::events::Splitter;
-use crate::forward::exchange::Answered;
-use crate::forward::failover::Leave;
+use crate::forward::exchange::Response;
+use crate::forward::failover::Failover;
 use crate::http::body::{LAST_CHUNK, write_chunk};
 use crate::http::{Connection, Decoder, Framing, Step};
 
 /// Bytes of an answer that are gathered before they are written.
-const GATHER: usize = 64 << 10;
+const MAX_BATCH_BYTES: usize = 64 << 10;
 
 /// Holds how far an answer has got to its caller.
 #[derive(Debug, Default)]
@@ -23,22 +23,22 @@
     /// The whole events of a resumable stream.
     splitter: Splitter,
     /// When the first byte of the body came.
-    pub first: Option<Instant>,
+    pub first_byte_at: Option<Instant>,
     /// When the last one came.
-    last: Option<Instant>,
+    last_piece_at: Option<Instant>,
     /// The longest pause between two pieces.
-    pub pause: Duration,
+    pub longest_pause: Duration,
 }
 
 /// Says how an answer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum Outcome {
     /// The caller has all of it.
     Complete,
     /// The upstream broke off.
     Broken,
     /// The upstream was silent for too long.
-    Silent,
+    Unresponsive,
     /// The time ran out.
     TimedOut,
     /// The caller has left.
@@ -47,116 +47,131 @@
 
 impl Delivery {
     /// Tells whether the caller has the head of an answer.
-    pub fn is_begun(&self) -> bool {
+    pub fn has_started(&self) -> bool {
         self.framing.is_some()
     }
 
     /// Returns the last event that the caller has of this answer.
-    pub fn last_event(&self) -> Option<u64> {
-        self.splitter.last
+    pub fn last_event_id(&self) -> Option<u64> {
+        self.splitter.last_id
     }
 
     /// Passes on an answer, or the rest of one that another upstream began.
     ///
     /// The caller must have all of it by the limit of its request.
-    pub async fn run(
+    pub async fn deliver(
         &mut self,
         caller: &mut Connection,
-        job: &Job<'_>,
-        answered: &mut Answered,
-        mut leave: Leave<impl FnMut() -> bool>,
-    ) -> Ended {
-        let limit = job.limit;
-        let Ok(framing) = answered.head.framing(&job.head.method) else { return Ended::Broken };
+        request: &AdmittedRequest<'_>,
+        response: &mut Response,
+        mut failover: Failover<impl FnMut() -> bool>,
+    ) -> Outcome {
+        let deadline = request.deadline;
+        let Ok(framing) = response.head.framing(&request.head.method) else {
+            return Outcome::Broken;
+        };
         let mut out = Vec::new();
         if self.framing.is_none() {
-            let to_caller = to_caller(job, framing);
-            out = answer::write_head(&answered.head, to_caller, job.closes);
-            self.framing = Some(to_caller);
+            let framing_to_caller = caller_framing(request, framing);
+            out = answer::write_head(&response.head, framing_to_caller, request.closes_connection);
+            self.framing = Some(framing_to_caller);
         }
         let mut decoder = Decoder::new(framing);
         loop {
-            let whole = match self.gather(&mut decoder, &mut answered.wire, job, &mut out) {
-                Ok(whole) => whole,
-                Err(()) => return self.broken(caller, &out, limit, Ended::Broken).await,
+            let complete = match self.decode_available(
+                &mut decoder,
+                &mut response.connection,
+                request,
+                &mut out,
+            ) {
+                Ok(complete) => complete,
+                Err(()) => {
+                    return self.flush_partial(caller, &out, deadline, Outcome::Broken).await;
+                }
             };
-            if whole {
-                self.end(job, &mut out);
+            if complete {
+                self.finish_body(request, &mut out);
             }
             if !out.is_empty() {
-                let sent = tokio::time::timeout_at(limit, caller.send(&out)).await;
+                let sent = tokio::time::timeout_at(deadline, caller.send(&out)).await;
                 match sent {
                     Ok(Ok(())) => out.clear(),
-                    Ok(Err(_)) => return Ended::CallerGone,
-                    Err(_) => return Ended::TimedOut,
+                    Ok(Err(_)) => return Outcome::CallerGone,
+                    Err(_) => return Outcome::TimedOut,
                 }
             }
-            if whole {
-                return Ended::Complete;
+            if complete {
+                return Outcome::Complete;
             }
-            if let Some(ended) =
-                wait(caller, &mut answered.wire, &decoder, limit, leave.after).await
+            if let Some(outcome) = wait_for_more(
+                caller,
+                &mut response.connection,
+                &decoder,
+                deadline,
+                failover.silence_limit,
+            )
+            .await
             {
-                if ended == Ended::Silent && !(leave.may)() {
+                if outcome == Outcome::Unresponsive && !(failover.may_switch)() {
                     continue;
                 }
-                if ended == Ended::Complete {
-                    self.end(job, &mut out);
-                    let sent = tokio::time::timeout_at(limit, caller.send(&out)).await;
-                    let gone = !matches!(sent, Ok(Ok(())));
-                    return if gone { Ended::CallerGone } else { Ended::Complete };
+                if outcome == Outcome::Complete {
+                    self.finish_body(request, &mut out);
+                    let sent = tokio::time::timeout_at(deadline, caller.send(&out)).await;
+                    let caller_gone = !matches!(sent, Ok(Ok(())));
+                    return if caller_gone { Outcome::CallerGone } else { Outcome::Complete };
                 }
-                self.splitter.cut();
-                return ended;
+                self.splitter.discard_partial();
+                return outcome;
             }
         }
     }
 
     /// Takes all that has come; returns whether the body is whole.
-    fn gather(
+    fn decode_available(
         &mut self,
         decoder: &mut Decoder,
-        wire: &mut Connection,
-        job: &Job<'_>,
+        connection: &mut Connection,
+        request: &AdmittedRequest<'_>,
         out: &mut Vec<u8>,
     ) -> Result<bool, ()> {
-        let mut pieces = Vec::new();
-        while pieces.len() < GATHER {
-            match decoder.step(&mut wire.buffer) {
-                Ok(Step::Data(piece)) => pieces.extend_from_slice(&piece),
-                Ok(Step::More) => break,
+        let mut data = Vec::new();
+        while data.len() < MAX_BATCH_BYTES {
+            match decoder.step(&mut connection.buffer) {
+                Ok(Step::Data(piece)) => data.extend_from_slice(&piece),
+                Ok(Step::NeedMore) => break,
                 Ok(Step::End) => {
-                    self.put(job, &pieces, out);
+                    self.append(request, &data, out);
                     return Ok(true);
                 }
                 Err(_) => {
-                    self.put(job, &pieces, out);
+                    self.append(request, &data, out);
                     return Err(());
                 }
             }
         }
-        self.put(job, &pieces, out);
+        self.append(request, &data, out);
         Ok(false)
     }
 
-    fn put(&mut self, job: &Job<'_>, pieces: &[u8], out: &mut Vec<u8>) {
-        if pieces.is_empty() {
+    fn append(&mut self, request: &AdmittedRequest<'_>, data: &[u8], out: &mut Vec<u8>) {
+        if data.is_empty() {
             return;
         }
         let now = Instant::now();
-        self.first.get_or_insert(now);
-        if let Some(last) = self.last.replace(now) {
-            self.pause = self.pause.max(now - last);
+        self.first_byte_at.get_or_insert(now);
+        if let Some(last) = self.last_piece_at.replace(now) {
+            self.longest_pause = self.longest_pause.max(now - last);
         }
-        if job.resumable() {
-            let whole = self.splitter.take(pieces);
-            self.write(&whole, out);
+        if request.is_resumable() {
+            let complete = self.splitter.push(data);
+            self.append_framed(&complete, out);
         } else {
-            self.write(pieces, out);
+            self.append_framed(data, out);
         }
     }
 
-    fn write(&self, bytes: &[u8], out: &mut Vec<u8>) {
+    fn append_framed(&self, bytes: &[u8], out: &mut Vec<u8>) {
         match self.framing {
             _ if bytes.is_empty() => {}
             Some(Framing::Chunked) => write_chunk(bytes, out),
@@ -164,10 +179,10 @@
         }
     }
 
-    fn end(&mut self, job: &Job<'_>, out: &mut Vec<u8>) {
-        if job.resumable() {
-            let rest = self.splitter.rest();
-            self.write(&rest, out);
+    fn finish_body(&mut self, request: &AdmittedRequest<'_>, out: &mut Vec<u8>) {
+        if request.is_resumable() {
+            let rest = self.splitter.take_rest();
+            self.append_framed(&rest, out);
         }
         if self.framing == Some(Framing::Chunked) {
             out.extend_from_slice(LAST_CHUNK);
@@ -175,41 +190,42 @@
     }
 
     /// Passes on what is whole before the connection's end makes the rest worthless.
-    async fn broken(
+    async fn flush_partial(
         &mut self,
         caller: &mut Connection,
         out: &[u8],
-        limit: Instant,
-        ended: Ended,
-    ) -> Ended {
-        self.splitter.cut();
-        match tokio::time::timeout_at(limit, caller.send(out)).await {
-            Ok(Ok(())) => ended,
-            Ok(Err(_)) => Ended::CallerGone,
-            Err(_) => Ended::TimedOut,
+        deadline: Instant,
+        outcome: Outcome,
+    ) -> Outcome {
+        self.splitter.discard_partial();
+        match tokio::time::timeout_at(deadline, caller.send(out)).await {
+            Ok(Ok(())) => outcome,
+            Ok(Err(_)) => Outcome::CallerGone,
+            Err(_) => Outcome::TimedOut,
         }
     }
 }
 
 /// Waits for more of the body; returns how the answer ended, if it did.
-async fn wait(
+async fn wait_for_more(
     caller: &mut Connection,
-    wire: &mut Connection,
+    connection: &mut Connection,
     decoder: &Decoder,
-    limit: Instant,
-    pause: Option<Duration>,
-) -> Option<Ended> {
-    let silent = pause.map_or(limit, |pause| Instant::now() + pause);
+    deadline: Instant,
+    silence_limit: Option<Duration>,
+) -> Option<Outcome> {
+    let silent_until =
+        silence_limit.map_or(deadline, |silence_limit| Instant::now() + silence_limit);
     tokio::select! {
-        filled = wire.fill() => match filled {
+        filled = connection.fill() => match filled {
             Ok(count) if count > 0 => None,
             // An answer without a length ends with its connection, if that ends in good order.
-            Ok(_) if decoder.may_end() => Some(Ended::Complete),
-            Ok(_) | Err(_) => Some(Ended::Broken),
+            Ok(_) if decoder.may_end_with_connection() => Some(Outcome::Complete),
+            Ok(_) | Err(_) => Some(Outcome::Broken),
         },
-        () = caller.gone() => Some(Ended::CallerGone),
-        () = tokio::time::sleep_until(limit.min(silent)) => {
-            Some(if silent < limit { Ended::Silent } else { Ended::TimedOut })
+        () = caller.closed_by_peer() => Some(Outcome::CallerGone),
+        () = tokio::time::sleep_until(deadline.min(silent_until)) => {
+            Some(if silent_until < deadline { Outcome::Unresponsive } else { Outcome::TimedOut })
         }
     }
 }
@@ -218,11 +234,11 @@
 ///
 /// A body that ends with the upstream's connection goes on in chunks: the caller would take the end
 /// of its own connection for the end of the body, also when the upstream broke off.
-fn to_caller(job: &Job<'_>, framing: Framing) -> Framing {
+fn caller_framing(request: &AdmittedRequest<'_>, framing: Framing) -> Framing {
     match framing {
         Framing::Empty => Framing::Empty,
-        Framing::Length(length) if !job.resumable() => Framing::Length(length),
-        _ if job.head.minor == 0 => Framing::Close,
+        Framing::Length(length) if !request.is_resumable() => Framing::Length(length),
+        _ if request.head.minor_version == 0 => Framing::UntilClose,
         _ => Framing::Chunked,
     }
 }
--- a/crates/verbenaslip-relay/src/forward/exchange.rs
+++ b/crates/verbenaslip-relay/src/forward/exchange.rs
@@ -6,9 +6,9 @@
 use tokio::time::Instant;
 
 use crate::dialect::ResponseInfo;
-use crate::forward::admission::Job;
+use crate::forward::admission::AdmittedRequest;
 use crate::forward::context::Context;
-use crate::forward::failover::Leave;
+use crate::forward::failover::Failover;
 use crate::forward::pool;
 use crate::http::connection::Progress;
 use crate::http::{Connection, Decoder, ResponseHead, Step};
@@ -16,22 +16,22 @@
 use crate::{monotonic, socket};
 
 /// How long a new connection may take; many times the longest way there and back.
-const DIAL: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The longest head of an answer.
-const HEAD: usize = 64 << 10;
+const MAX_HEAD_BYTES: usize = 64 << 10;
 
 /// The longest answer to another request that is skipped.
-const SKIP: usize = 1 << 20;
+const MAX_SKIPPED_BYTES: usize = 1 << 20;
 
 /// Holds a connection on which the head of the answer has come.
-pub struct Answered {
+pub struct Response {
     /// The connection; the body comes next.
-    pub wire: Connection,
+    pub connection: Connection,
     /// The head.
     pub head: ResponseHead,
     /// What it says beyond HTTP.
-    pub reply: ResponseInfo,
+    pub info: ResponseInfo,
     /// Whether the connection may be used again after the body.
     pub reusable: bool,
 }
@@ -40,11 +40,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// Nothing was sent: it has not run.
-    Unreached,
+    Unreachable,
     /// The connection broke, or what came is no answer: it may have run.
     Broken,
     /// Nothing came in time: it may have run.
-    Silent,
+    Unresponsive,
     /// The caller has left.
     CallerGone,
 }
@@ -56,53 +56,56 @@
 pub async fn send(
     context: &Context,
     caller: &mut Connection,
-    job: &Job<'_>,
+    request: &AdmittedRequest<'_>,
     choice: &Choice,
     bytes: &[u8],
-    mut leave: Leave<impl FnMut() -> bool>,
-) -> Result<Answered, Failure> {
-    let until = |silence: Option<Duration>| {
-        silence.map_or(job.limit, |silence| job.limit.min(Instant::now() + silence))
+    mut failover: Failover<impl FnMut() -> bool>,
+) -> Result<Response, Failure> {
+    let deadline_after = |silence_limit: Option<Duration>| {
+        silence_limit.map_or(request.deadline, |silence_limit| {
+            request.deadline.min(Instant::now() + silence_limit)
+        })
     };
-    let mut limit = until(leave.after);
-    let (mut wire, kept) = connect(context, job, choice, limit).await?;
+    let mut deadline = deadline_after(failover.silence_limit);
+    let (mut connection, reused) = connect(context, request, choice, deadline).await?;
     let mut written = 0;
-    let mut clean = true;
+    let mut in_sync = true;
     loop {
-        while let Some(end) = wire.head_length() {
-            let head = ResponseHead::parse(&wire.buffer[..end]).map_err(|_| Failure::Broken)?;
-            wire.buffer.advance(end);
+        while let Some(end) = connection.head_length() {
+            let head =
+                ResponseHead::parse(&connection.buffer[..end]).map_err(|_| Failure::Broken)?;
+            connection.buffer.advance(end);
             if head.status < 200 {
                 continue;
             }
-            let reply = context.dialect.response_info(&head, &job.call.id);
-            if reply.matches_request {
-                let reusable = clean && written == bytes.len() && !head.closes_connection();
-                return Ok(Answered { wire, head, reply, reusable });
+            let info = context.dialect.response_info(&head, &request.info.id);
+            if info.matches_request {
+                let reusable = in_sync && written == bytes.len() && !head.closes_connection();
+                return Ok(Response { connection, head, info, reusable });
             }
             // A late answer to an earlier request on this connection. Taken for this one's, it
             // would give a caller what another one asked for.
-            skip(&mut wire, &head, job, limit).await?;
-            clean = false;
+            skip_body(&mut connection, &head, request, deadline).await?;
+            in_sync = false;
         }
-        if wire.buffer.len() > HEAD {
+        if connection.buffer.len() > MAX_HEAD_BYTES {
             return Err(Failure::Broken);
         }
         tokio::select! {
-            progress = wire.exchange(&bytes[written..]) => match progress {
+            progress = connection.write_or_read(&bytes[written..]) => match progress {
                 Ok(Progress::Wrote(count)) => written += count,
                 Ok(Progress::Read(count)) if count > 0 => {}
-                Ok(Progress::Read(_)) | Err(_) if written == 0 && kept => {
-                    return Err(Failure::Unreached);
+                Ok(Progress::Read(_)) | Err(_) if written == 0 && reused => {
+                    return Err(Failure::Unreachable);
                 }
                 Ok(Progress::Read(_)) | Err(_) => return Err(Failure::Broken),
             },
-            () = caller.gone() => return Err(Failure::CallerGone),
-            () = tokio::time::sleep_until(limit) => {
-                if limit == job.limit || (leave.may)() {
-                    return Err(Failure::Silent);
+            () = caller.closed_by_peer() => return Err(Failure::CallerGone),
+            () = tokio::time::sleep_until(deadline) => {
+                if deadline == request.deadline || (failover.may_switch)() {
+                    return Err(Failure::Unresponsive);
                 }
-                limit = until(leave.after);
+                deadline = deadline_after(failover.silence_limit);
             }
         }
     }
@@ -110,66 +113,71 @@
 
 async fn connect(
     context: &Context,
-    job: &Job<'_>,
+    request: &AdmittedRequest<'_>,
     choice: &Choice,
-    limit: Instant,
+    deadline: Instant,
 ) -> Result<(Connection, bool), Failure> {
-    let once = !job.route.kind.may_repeat();
-    let kept = context.pool.borrow_mut().take(monotonic::now(), &choice.run, once);
-    if let Some(wire) = kept {
-        return Ok((wire, true));
+    let run_once = !request.route.kind.may_repeat();
+    let reused = context.pool.borrow_mut().take(monotonic::now(), &choice.run, run_once);
+    if let Some(connection) = reused {
+        return Ok((connection, true));
     }
-    let left = limit.saturating_duration_since(Instant::now());
-    let dialled = socket::connect(choice.address, DIAL.min(left)).await;
+    let remaining = deadline.saturating_duration_since(Instant::now());
+    let connected = socket::connect(choice.address, CONNECT_TIMEOUT.min(remaining)).await;
     metrics::counter!("verbenaslip_upstream_connections_total").increment(1);
-    dialled.map(|stream| (Connection::new(stream), false)).map_err(|_| Failure::Unreached)
+    connected.map(|stream| (Connection::new(stream), false)).map_err(|_| Failure::Unreachable)
 }
 
 /// Reads over the body of an answer that belongs to another request.
-async fn skip(
-    wire: &mut Connection,
+async fn skip_body(
+    connection: &mut Connection,
     head: &ResponseHead,
-    job: &Job<'_>,
-    limit: Instant,
+    request: &AdmittedRequest<'_>,
+    deadline: Instant,
 ) -> Result<(), Failure> {
-    let framing = head.framing(&job.head.method).map_err(|_| Failure::Broken)?;
+    let framing = head.framing(&request.head.method).map_err(|_| Failure::Broken)?;
     let mut decoder = Decoder::new(framing);
     let mut skipped = 0;
     loop {
-        match decoder.step(&mut wire.buffer) {
+        match decoder.step(&mut connection.buffer) {
             Ok(Step::End) => return Ok(()),
             Ok(Step::Data(piece)) => skipped += piece.len(),
-            Ok(Step::More) => {
-                let filled = tokio::time::timeout_at(limit, wire.fill()).await;
+            Ok(Step::NeedMore) => {
+                let filled = tokio::time::timeout_at(deadline, connection.fill()).await;
                 match filled {
                     Ok(Ok(count)) if count > 0 => {}
                     Ok(_) => return Err(Failure::Broken),
-                    Err(_) => return Err(Failure::Silent),
+                    Err(_) => return Err(Failure::Unresponsive),
                 }
             }
             Err(_) => return Err(Failure::Broken),
         }
-        if skipped > SKIP {
+        if skipped > MAX_SKIPPED_BYTES {
             return Err(Failure::Broken);
         }
     }
 }
 
 /// Keeps a connection whose answer was not passed on, if its body is short and whole.
-pub async fn recycle(context: &Context, job: &Job<'_>, choice: &Choice, mut answered: Answered) {
-    let Ok(framing) = answered.head.framing(&job.head.method) else { return };
+pub async fn drain_and_keep(
+    context: &Context,
+    request: &AdmittedRequest<'_>,
+    choice: &Choice,
+    mut response: Response,
+) {
+    let Ok(framing) = response.head.framing(&request.head.method) else { return };
     let mut decoder = Decoder::new(framing);
     for _ in 0..2 {
         loop {
-            match decoder.step(&mut answered.wire.buffer) {
+            match decoder.step(&mut response.connection.buffer) {
                 Ok(Step::Data(_)) => {}
-                Ok(Step::End) => return keep(context, job, choice, answered),
-                Ok(Step::More) => break,
+                Ok(Step::End) => return keep_connection(context, request, choice, response),
+                Ok(Step::NeedMore) => break,
                 Err(_) => return,
             }
         }
         let wait = Duration::from_millis(5);
-        let filled = tokio::time::timeout(wait, answered.wire.fill()).await;
+        let filled = tokio::time::timeout(wait, response.connection.fill()).await;
         if !matches!(filled, Ok(Ok(count)) if count > 0) {
             return;
         }
@@ -177,18 +185,23 @@
 }
 
 /// Keeps a connection after a whole answer; one on which more has come is thrown away.
-pub fn keep(context: &Context, job: &Job<'_>, choice: &Choice, answered: Answered) {
-    if !answered.reusable || !answered.wire.buffer.is_empty() {
+pub fn keep_connection(
+    context: &Context,
+    request: &AdmittedRequest<'_>,
+    choice: &Choice,
+    response: Response,
+) {
+    if !response.reusable || !response.connection.buffer.is_empty() {
         return;
     }
-    let stated = answered.head.text("keep-alive").and_then(stated);
+    let keep_alive = response.head.text("keep-alive").and_then(keep_alive_timeout);
     let now = monotonic::now();
-    let most = pool::share(job.connections, job.entries);
-    context.pool.borrow_mut().put(now, &choice.run, answered.wire, stated, most);
+    let max_idle = pool::idle_share(request.upstream_connections, request.entries);
+    context.pool.borrow_mut().put(now, &choice.run, response.connection, keep_alive, max_idle);
 }
 
 /// Reads for how many seconds an upstream keeps an idle connection.
-fn stated(value: &str) -> Option<Duration> {
+fn keep_alive_timeout(value: &str) -> Option<Duration> {
     let words = value.split(',').map(str::trim);
     let timeout = words.filter_map(|word| word.strip_prefix("timeout=")).next()?;
     timeout.trim().parse().ok().map(Duration::from_secs)
--- a/crates/verbenaslip-relay/src/forward/failover.rs
+++ b/crates/verbenaslip-relay/src/forward/failover.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 /// Says after which silence an upstream may be left, and asks then whether another one can go on.
-pub struct Leave<F> {
+pub struct Failover<F> {
     /// The silence; none if it is never left.
-    pub after: Option<Duration>,
+    pub silence_limit: Option<Duration>,
     /// Tells whether another one can go on, and pays for that.
-    pub may: F,
+    pub may_switch: F,
 }
--- a/crates/verbenaslip-relay/src/forward/lifecycle.rs
+++ b/crates/verbenaslip-relay/src/forward/lifecycle.rs
@@ -8,13 +8,13 @@
 use verbenaslip_fleet::route_table::RequestKind;
 
 use crate::dialect::ResponseInfo;
-use crate::forward::admission::{self, Job, Refused};
+use crate::forward::admission::{self, AdmittedRequest, Rejection};
 use crate::forward::answer::{self, Refusal};
 use crate::forward::context::Context;
-use crate::forward::delivery::{Delivery, Ended};
-use crate::forward::exchange::{self, Answered, Failure};
-use crate::forward::failover::Leave;
-use crate::forward::request_log::{self, Basis, Trace};
+use crate::forward::delivery::{Delivery, Outcome};
+use crate::forward::exchange::{self, Failure, Response};
+use crate::forward::failover::Failover;
+use crate::forward::request_log::{self, Trace, ViewInfo};
 use crate::forward::upstream_choice;
 use crate::forward::upstream_request;
 use crate::http::{Connection, Message};
@@ -24,39 +24,39 @@
 
 /// When a caller may come back that met a full upstream. An upstream that is full is slower as well, so
 /// callers that come back sooner keep it full; the next update of the fleet has come by then.
-const BACK_SOON: Duration = Duration::from_millis(300);
+const RETRY_AFTER_FULL: Duration = Duration::from_millis(300);
 
 /// When a caller may come back that was refused for want of an upstream: half of the time in which
 /// every upstream announces itself once.
-const BACK_WITH_UPSTREAMS: Duration = Duration::from_millis(600);
+const RETRY_AFTER_NO_UPSTREAM: Duration = Duration::from_millis(600);
 
 /// How long a request waits at an entry that has no route table yet: as long as cores take to start, to elect a
 /// leader and to send the table.
-const WAIT_FOR_ROUTES: Duration = Duration::from_millis(1_300);
+const ROUTE_TABLE_WAIT: Duration = Duration::from_millis(1_300);
 
 /// How long after its start an entry is likely to get a route table soon. One that has none after that
 /// is cut off from the cores, and what it can't serve is refused at once.
-const STARTING: Duration = Duration::from_secs(2);
+const STARTUP_PERIOD: Duration = Duration::from_secs(2);
 
 /// How far the times at which callers come back are spread, as a part of them; all at once they
 /// would be refused again.
-const SPREAD: f64 = 0.25;
+const RETRY_JITTER: f64 = 0.25;
 
 /// The most upstreams that are tried to be reached for one request; those that could not be reached
 /// have got nothing of it.
-const REACHES: usize = 4;
+const MAX_UNREACHABLE: usize = 4;
 
 /// The shortest and longest silence after which a request that may be repeated is tried elsewhere.
 const SILENCE: (Duration, Duration) = (Duration::from_millis(400), Duration::from_secs(2));
 
 /// The longest silence within a stream, as a multiple of the pause that is on time.
-const PAUSES: u32 = 4;
+const PAUSE_FACTOR: u32 = 4;
 
 /// Says what becomes of the caller's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum After {
+pub enum Disposition {
     /// It takes the next request.
-    Keep,
+    KeepOpen,
     /// It is closed.
     Close,
 }
@@ -65,32 +65,36 @@
 pub async fn serve(
     context: &Context,
     caller: &mut Connection,
-    whole: &Message,
-    closes: bool,
-) -> After {
+    message: &Message,
+    closes_connection: bool,
+) -> Disposition {
     let mut trace = Trace::default();
-    let call = context.dialect.request_info(&whole.head);
-    let id = call.as_ref().map_or_else(|| "".into(), |call| call.id.clone());
-    let starting = context.board.view().routes.is_none();
-    let left = starting && wait_for_routes(context, caller, whole).await;
-    let view = context.view();
-    trace.basis = Basis::of(&view);
-    if left {
+    let info = context.dialect.request_info(&message.head);
+    let id = info.as_ref().map_or_else(|| "".into(), |info| info.id.clone());
+    let starting = context.shared.view().routes.is_none();
+    let caller_left = starting && wait_for_route_table(context, caller, message).await;
+    let view = context.refresh_view();
+    trace.view_info = ViewInfo::of(&view);
+    if caller_left {
         trace.outcome = "caller_gone";
-        request_log::say(&view, &id, None, &trace, whole.arrived);
-        return After::Close;
+        request_log::log_request(&view, &id, None, &trace, message.received_at);
+        return Disposition::Close;
     }
-    let admitted = admission::admit(context, &view, whole, call.as_ref(), closes);
-    let after = match &admitted {
-        Ok(job) => match admission::charge(context, &view, job).await {
-            Ok(()) => lead(context, caller, job, &mut trace).await,
-            Err(refused) => refuse(context, caller, &id, refused, closes, &mut trace).await,
+    let admitted = admission::admit(context, &view, message, info.as_ref(), closes_connection);
+    let disposition = match &admitted {
+        Ok(request) => match admission::charge_quota(context, &view, request).await {
+            Ok(()) => run_attempts(context, caller, request, &mut trace).await,
+            Err(rejection) => {
+                send_refusal(context, caller, &id, rejection, closes_connection, &mut trace).await
+            }
         },
-        Err(refused) => refuse(context, caller, &id, *refused, closes, &mut trace).await,
+        Err(rejection) => {
+            send_refusal(context, caller, &id, *rejection, closes_connection, &mut trace).await
+        }
     };
-    let job = admitted.as_ref().ok();
-    request_log::say(&view, &id, job, &trace, whole.arrived);
-    if closes { After::Close } else { after }
+    let request = admitted.as_ref().ok();
+    request_log::log_request(&view, &id, request, &trace, message.received_at);
+    if closes_connection { Disposition::Close } else { disposition }
 }
 
 /// Waits for a route table a little while; returns whether the caller has left meanwhile.
@@ -98,311 +102,358 @@
 /// After a power loss of all, entries are back before the cores have elected a leader. Whoever asks then
 /// and is refused comes back after its objective; many have come back once already, from an entry that
 /// was down, and do not a second time. The table is there a moment later.
-async fn wait_for_routes(context: &Context, caller: &mut Connection, whole: &Message) -> bool {
-    let until = (whole.arrived + WAIT_FOR_ROUTES).min(context.started + STARTING);
+async fn wait_for_route_table(
+    context: &Context,
+    caller: &mut Connection,
+    message: &Message,
+) -> bool {
+    let deadline =
+        (message.received_at + ROUTE_TABLE_WAIT).min(context.started_at + STARTUP_PERIOD);
     tokio::select! {
-        () = context.board.has_routes() => false,
-        () = tokio::time::sleep_until(until) => false,
-        () = caller.gone() => true,
+        () = context.shared.wait_for_routes() => false,
+        () = tokio::time::sleep_until(deadline) => false,
+        () = caller.closed_by_peer() => true,
     }
 }
 
 /// Leads an admitted request to its end.
-async fn lead(
+async fn run_attempts(
     context: &Context,
     caller: &mut Connection,
-    job: &Job<'_>,
+    request: &AdmittedRequest<'_>,
     trace: &mut Trace,
-) -> After {
-    let mut course = Course::default();
-    let refused = loop {
-        let next = next(context, caller, job, &mut course, trace).await;
-        trace.first = course.delivery.first.map(|first| first - job.arrived);
-        trace.pause = course.delivery.pause;
+) -> Disposition {
+    let mut attempts = Attempts::default();
+    let rejection = loop {
+        let next = try_upstream(context, caller, request, &mut attempts, trace).await;
+        trace.first_piece_after = attempts
+            .delivery
+            .first_byte_at
+            .map(|first_byte_at| first_byte_at - request.received_at);
+        trace.longest_pause = attempts.delivery.longest_pause;
         match next {
-            Next::Again => {}
-            Next::Ended(after) => return after,
-            Next::Refused(refused) => break refused,
+            Next::Retry => {}
+            Next::Done(disposition) => return disposition,
+            Next::Refuse(rejection) => break rejection,
         }
     };
-    if course.delivery.is_begun() {
+    if attempts.delivery.has_started() {
         // What the caller has looks unfinished only if its connection ends without an end mark.
         trace.outcome = "cut";
-        return After::Close;
+        return Disposition::Close;
     }
-    if course.arrivals == 0 {
-        admission::give_back(context, job);
+    if attempts.sends == 0 {
+        admission::refund_quota(context, request);
     }
-    refuse(context, caller, &job.call.id, refused, job.closes, trace).await
+    send_refusal(context, caller, &request.info.id, rejection, request.closes_connection, trace)
+        .await
 }
 
 /// Holds how far a request has got.
 #[derive(Default)]
-pub(super) struct Course {
+pub(super) struct Attempts {
     delivery: Delivery,
     /// Runs of upstreams that got it or could not be reached.
-    pub(super) tried: Vec<Run>,
+    pub(super) tried_runs: Vec<Run>,
     /// How many upstreams got it.
-    pub(super) arrivals: u32,
+    pub(super) sends: u32,
     /// How many could not be reached.
-    unreached: usize,
+    unreachable_count: usize,
     /// Whether it may have run somewhere.
     pub(super) may_have_run: bool,
     /// Whether the budget has paid for the next arrival.
-    paid: bool,
+    retry_paid: bool,
     /// Whether it was counted as begun.
-    counted: bool,
+    usage_counted: bool,
 }
 
 enum Next {
-    Again,
-    Ended(After),
-    Refused(Refused),
+    Retry,
+    Done(Disposition),
+    Refuse(Rejection),
 }
 
 /// Tries one upstream.
-async fn next(
+async fn try_upstream(
     context: &Context,
     caller: &mut Connection,
-    job: &Job<'_>,
-    course: &mut Course,
+    request: &AdmittedRequest<'_>,
+    attempts: &mut Attempts,
     trace: &mut Trace,
 ) -> Next {
-    let remaining = job.limit.saturating_duration_since(Instant::now());
+    let remaining = request.deadline.saturating_duration_since(Instant::now());
     if remaining.is_zero() {
-        return Next::Refused(timed_out(course));
+        return Next::Refuse(timeout_rejection(attempts));
     }
-    if let Some(back) = context.held(job) {
-        return Next::Refused(held_back(course, back));
+    if let Some(retry_after) = context.quarantined_for(request) {
+        return Next::Refuse(quarantine_rejection(attempts, retry_after));
     }
-    if course.arrivals > 0 {
-        let may = course.arrivals < job.route.max_attempts
-            && (std::mem::take(&mut course.paid) || context.spend(job));
-        if !may {
-            return Next::Refused(given_up(course));
+    if attempts.sends > 0 {
+        let may_switch = attempts.sends < request.route.max_attempts
+            && (std::mem::take(&mut attempts.retry_paid) || context.spend_retry(request));
+        if !may_switch {
+            return Next::Refuse(exhausted_rejection(attempts));
         }
     }
-    let mut choice = match upstream_choice::place(context, job, course, remaining, trace) {
-        Ok(choice) => choice,
-        Err(refused) => return Next::Refused(refused),
-    };
-    (trace.expected, trace.lag, trace.limit) = (choice.expected, choice.lag, choice.limit);
-    course.tried.push(choice.run.clone());
-    let last = course.arrivals + 1 >= job.route.max_attempts;
-    let patience = (!last && job.route.kind.may_repeat()).then(|| patience(job, &choice));
-    let bytes =
-        upstream_request::write(context, job, &choice, remaining, course.delivery.last_event());
-    context.sent(job, &mut choice);
+    let mut choice =
+        match upstream_choice::choose_upstream(context, request, attempts, remaining, trace) {
+            Ok(choice) => choice,
+            Err(rejection) => return Next::Refuse(rejection),
+        };
+    (trace.expected_ms, trace.lag_ms, trace.rate_limit) =
+        (choice.expected_ms, choice.lag_ms, choice.rate_limit);
+    attempts.tried_runs.push(choice.run.clone());
+    let is_last_attempt = attempts.sends + 1 >= request.route.max_attempts;
+    let silence_limit = (!is_last_attempt && request.route.kind.may_repeat())
+        .then(|| silence_limit(request, &choice));
+    let bytes = upstream_request::write(
+        context,
+        request,
+        &choice,
+        remaining,
+        attempts.delivery.last_event_id(),
+    );
+    context.record_sent(request, &mut choice);
     let sent = Instant::now();
-    let may = || context.may_leave(job, &course.tried, &mut course.paid);
-    let leave = Leave { after: patience, may };
-    let answered = exchange::send(context, caller, job, &choice, &bytes, leave).await;
-    if !matches!(answered, Err(Failure::Unreached)) {
-        course.arrivals += 1;
+    let may_switch = || context.may_switch(request, &attempts.tried_runs, &mut attempts.retry_paid);
+    let failover = Failover { silence_limit, may_switch };
+    let response = exchange::send(context, caller, request, &choice, &bytes, failover).await;
+    if !matches!(response, Err(Failure::Unreachable)) {
+        attempts.sends += 1;
         let upstream = choice.run.upstream.clone();
-        trace.sent.push(request_log::Sent { upstream, after: sent - job.arrived });
+        trace
+            .attempts
+            .push(request_log::Attempt { upstream, sent_after: sent - request.received_at });
     }
-    match answered {
-        Ok(answered) => {
-            took(context, caller, job, course, trace, Sent { choice, answered, at: sent }).await
+    match response {
+        Ok(response) => {
+            handle_response(
+                context,
+                caller,
+                request,
+                attempts,
+                trace,
+                SentRequest { choice, response, sent_at: sent },
+            )
+            .await
         }
-        Err(failure) => failed(context, job, course, trace, (&choice, sent), failure),
+        Err(failure) => handle_failure(context, request, attempts, trace, (&choice, sent), failure),
     }
 }
 
 /// Holds what an upstream answered.
-struct Sent {
+struct SentRequest {
     choice: Choice,
-    answered: Answered,
-    at: Instant,
+    response: Response,
+    sent_at: Instant,
 }
 
 /// Goes on after the head of an answer.
-async fn took(
+async fn handle_response(
     context: &Context,
     caller: &mut Connection,
-    job: &Job<'_>,
-    course: &mut Course,
+    request: &AdmittedRequest<'_>,
+    attempts: &mut Attempts,
     trace: &mut Trace,
-    sent: Sent,
+    sent: SentRequest,
 ) -> Next {
-    let Sent { choice, mut answered, at } = sent;
-    context.heard(job, &choice, at, &answered.reply);
-    if answered.reply.not_run {
+    let SentRequest { choice, mut response, sent_at } = sent;
+    context.handle_response_info(request, &choice, sent_at, &response.info);
+    if response.info.not_run {
         // A run that is no longer there gets nothing more for a while, as one that can't be reached.
-        let (cause, ending) = match answered.reply {
+        let (cause, ending) = match response.info {
             ResponseInfo { other_run: true, .. } => ("other_run", Ending::Unreachable),
-            ResponseInfo { cooldown: Some(_), .. } => ("resting", Ending::Resting),
+            ResponseInfo { cooldown: Some(_), .. } => ("resting", Ending::CoolingDown),
             _ => ("not_run", Ending::Full),
         };
         trace.causes.push(cause);
-        context.ended(&choice, ending, None);
-        exchange::recycle(context, job, &choice, answered).await;
-        return Next::Again;
+        context.record_end(&choice, ending, None);
+        exchange::drain_and_keep(context, request, &choice, response).await;
+        return Next::Retry;
     }
-    count(context, job, course);
-    course.may_have_run = true;
-    let status = answered.head.status;
-    let failed = status >= 500 || answered.reply.unrequested_encoding;
-    let goes_on = course.delivery.is_begun();
-    let again = failed && job.route.kind.may_repeat() && course.arrivals < job.route.max_attempts;
-    if again || answered.reply.unrequested_encoding || (goes_on && status != 200) {
+    count_usage(context, request, attempts);
+    attempts.may_have_run = true;
+    let status = response.head.status;
+    let failed = status >= 500 || response.info.unrequested_encoding;
+    let continues = attempts.delivery.has_started();
+    let retry =
+        failed && request.route.kind.may_repeat() && attempts.sends < request.route.max_attempts;
+    if retry || response.info.unrequested_encoding || (continues && status != 200) {
         trace.causes.push(if failed { "upstream_failed" } else { "no_resume" });
-        context.ended(&choice, Ending::Failed, None);
-        exchange::recycle(context, job, &choice, answered).await;
-        return if again || goes_on { Next::Again } else { Next::Refused((Refusal::Failed, None)) };
+        context.record_end(&choice, Ending::Failed, None);
+        exchange::drain_and_keep(context, request, &choice, response).await;
+        return if retry || continues {
+            Next::Retry
+        } else {
+            Next::Refuse((Refusal::Failed, None))
+        };
     }
-    let pause = match job.route.kind {
-        RequestKind::Stream { resumable: true } if course.arrivals < job.route.max_attempts => {
-            Some((job.route.max_event_gap * PAUSES).clamp(SILENCE.0 * 2, SILENCE.1))
+    let silence_limit = match request.route.kind {
+        RequestKind::Stream { resumable: true } if attempts.sends < request.route.max_attempts => {
+            Some((request.route.max_event_gap * PAUSE_FACTOR).clamp(SILENCE.0 * 2, SILENCE.1))
         }
         _ => None,
     };
-    let before = course.delivery.first;
-    let survived = quarantine::survived(status, answered.head.framing(&job.head.method).ok());
-    let may = || context.may_leave(job, &course.tried, &mut course.paid);
-    let leave = Leave { after: pause, may };
-    let ended = course.delivery.run(caller, job, &mut answered, leave).await;
-    let first = course.delivery.first.filter(|_| before.is_none());
-    if let Some(first) = first {
-        context.first(&choice, first - at);
+    let first_byte_before = attempts.delivery.first_byte_at;
+    let proves_execution =
+        quarantine::proves_execution(status, response.head.framing(&request.head.method).ok());
+    let may_switch = || context.may_switch(request, &attempts.tried_runs, &mut attempts.retry_paid);
+    let failover = Failover { silence_limit, may_switch };
+    let outcome = attempts.delivery.deliver(caller, request, &mut response, failover).await;
+    let first_byte_at = attempts.delivery.first_byte_at.filter(|_| first_byte_before.is_none());
+    if let Some(first_byte_at) = first_byte_at {
+        context.record_first_event(&choice, first_byte_at - sent_at);
     }
     trace.status = status;
-    let ending = match ended {
-        Ended::Complete if status >= 500 => Ending::Failed,
-        Ended::Complete => Ending::Complete,
-        Ended::Broken | Ended::Silent => Ending::Failed,
-        Ended::TimedOut | Ended::CallerGone => Ending::Left,
+    let ending = match outcome {
+        Outcome::Complete if status >= 500 => Ending::Failed,
+        Outcome::Complete => Ending::Complete,
+        Outcome::Broken | Outcome::Unresponsive => Ending::Failed,
+        Outcome::TimedOut | Outcome::CallerGone => Ending::Abandoned,
     };
-    context.ended(&choice, ending, Some(at.elapsed()));
-    match ended {
-        Ended::Complete if survived => context.answered(job),
-        Ended::Broken => context.broke_off(job, &choice, at),
-        Ended::CallerGone => context.left(job, &choice, at),
-        Ended::Complete | Ended::Silent | Ended::TimedOut => {}
+    context.record_end(&choice, ending, Some(sent_at.elapsed()));
+    match outcome {
+        Outcome::Complete if proves_execution => context.record_answer(request),
+        Outcome::Broken => context.signal_interrupted(request, &choice, sent_at),
+        Outcome::CallerGone => context.signal_caller_left(request, &choice, sent_at),
+        Outcome::Complete | Outcome::Unresponsive | Outcome::TimedOut => {}
     }
-    match ended {
-        Ended::Complete => {
-            exchange::keep(context, job, &choice, answered);
+    match outcome {
+        Outcome::Complete => {
+            exchange::keep_connection(context, request, &choice, response);
             trace.outcome = "answered";
-            Next::Ended(After::Keep)
+            Next::Done(Disposition::KeepOpen)
         }
-        Ended::Broken | Ended::Silent => {
-            trace.causes.push(if ended == Ended::Broken { "broke_off" } else { "went_silent" });
-            if job.resumable() { Next::Again } else { Next::Refused((Refusal::Failed, None)) }
+        Outcome::Broken | Outcome::Unresponsive => {
+            trace.causes.push(if outcome == Outcome::Broken { "broke_off" } else { "went_silent" });
+            if request.is_resumable() { Next::Retry } else { Next::Refuse((Refusal::Failed, None)) }
         }
-        Ended::TimedOut => Next::Refused((Refusal::TimedOut, None)),
-        Ended::CallerGone => {
+        Outcome::TimedOut => Next::Refuse((Refusal::TimedOut, None)),
+        Outcome::CallerGone => {
             trace.outcome = "caller_gone";
-            Next::Ended(After::Close)
+            Next::Done(Disposition::Close)
         }
     }
 }
 
 /// Goes on after an upstream gave no answer.
-fn failed(
+fn handle_failure(
     context: &Context,
-    job: &Job<'_>,
-    course: &mut Course,
+    request: &AdmittedRequest<'_>,
+    attempts: &mut Attempts,
     trace: &mut Trace,
     (choice, sent): (&Choice, Instant),
     failure: Failure,
 ) -> Next {
     let (ending, cause) = match failure {
-        Failure::Unreached => (Ending::Unreachable, "unreached"),
+        Failure::Unreachable => (Ending::Unreachable, "unreached"),
         Failure::Broken => (Ending::Failed, "broken"),
-        Failure::Silent => (Ending::Failed, "silent"),
-        Failure::CallerGone => (Ending::Left, "caller_gone"),
+        Failure::Unresponsive => (Ending::Failed, "silent"),
+        Failure::CallerGone => (Ending::Abandoned, "caller_gone"),
     };
-    context.ended(choice, ending, None);
+    context.record_end(choice, ending, None);
     match failure {
-        Failure::Broken => context.broke_off(job, choice, sent),
-        Failure::CallerGone => context.left(job, choice, sent),
-        Failure::Unreached => context.unreached(choice),
-        Failure::Silent => {}
+        Failure::Broken => context.signal_interrupted(request, choice, sent),
+        Failure::CallerGone => context.signal_caller_left(request, choice, sent),
+        Failure::Unreachable => context.signal_unreachable(choice),
+        Failure::Unresponsive => {}
     }
     trace.causes.push(cause);
     match failure {
         Failure::CallerGone => {
             trace.outcome = "caller_gone";
-            Next::Ended(After::Close)
+            Next::Done(Disposition::Close)
         }
-        Failure::Unreached => {
-            course.unreached += 1;
-            if course.unreached < REACHES { Next::Again } else { Next::Refused(given_up(course)) }
+        Failure::Unreachable => {
+            attempts.unreachable_count += 1;
+            if attempts.unreachable_count < MAX_UNREACHABLE {
+                Next::Retry
+            } else {
+                Next::Refuse(exhausted_rejection(attempts))
+            }
         }
-        Failure::Broken | Failure::Silent => {
-            course.may_have_run = true;
-            if job.route.kind.may_repeat() { Next::Again } else { Next::Refused(lost(failure)) }
+        Failure::Broken | Failure::Unresponsive => {
+            attempts.may_have_run = true;
+            if request.route.kind.may_repeat() {
+                Next::Retry
+            } else {
+                Next::Refuse(failure_rejection(failure))
+            }
         }
     }
 }
 
-fn lost(failure: Failure) -> Refused {
-    let refusal = if failure == Failure::Silent { Refusal::TimedOut } else { Refusal::Failed };
+fn failure_rejection(failure: Failure) -> Rejection {
+    let refusal =
+        if failure == Failure::Unresponsive { Refusal::TimedOut } else { Refusal::Failed };
     (refusal, None)
 }
 
 /// Says what a caller gets whose request can't be tried again: that it has not run only if so.
-pub(super) fn given_up(course: &Course) -> Refused {
-    match (course.may_have_run, course.arrivals) {
+pub(super) fn exhausted_rejection(attempts: &Attempts) -> Rejection {
+    match (attempts.may_have_run, attempts.sends) {
         (true, _) => (Refusal::Failed, None),
-        (false, 0) => (Refusal::NoUpstream, Some(BACK_WITH_UPSTREAMS)),
-        (false, _) => (Refusal::TurnedAway, Some(BACK_SOON)),
+        (false, 0) => (Refusal::NoUpstream, Some(RETRY_AFTER_NO_UPSTREAM)),
+        (false, _) => (Refusal::NotRun, Some(RETRY_AFTER_FULL)),
     }
 }
 
 /// Says what a caller gets whose request has ended upstreams: that it has not run only if so.
-fn held_back(course: &Course, back: Duration) -> Refused {
-    if course.may_have_run { (Refusal::Failed, None) } else { (Refusal::HeldBack, Some(back)) }
+fn quarantine_rejection(attempts: &Attempts, retry_after: Duration) -> Rejection {
+    if attempts.may_have_run {
+        (Refusal::Failed, None)
+    } else {
+        (Refusal::Quarantined, Some(retry_after))
+    }
 }
 
-fn timed_out(course: &Course) -> Refused {
-    if course.may_have_run { (Refusal::TimedOut, None) } else { (Refusal::Expired, None) }
+fn timeout_rejection(attempts: &Attempts) -> Rejection {
+    if attempts.may_have_run { (Refusal::TimedOut, None) } else { (Refusal::DeadlineExpired, None) }
 }
 
 /// Returns how long an upstream may be silent before another one is asked as well.
-fn patience(job: &Job<'_>, choice: &Choice) -> Duration {
-    let expected = Duration::from_secs_f64(choice.expected.max(0.0) / 1_000.0);
-    let usual = job.route.objective.max(expected * 2) * 2;
-    usual.clamp(SILENCE.0, SILENCE.1.max(expected * 2))
+fn silence_limit(request: &AdmittedRequest<'_>, choice: &Choice) -> Duration {
+    let expected = Duration::from_secs_f64(choice.expected_ms.max(0.0) / 1_000.0);
+    let limit = request.route.objective.max(expected * 2) * 2;
+    limit.clamp(SILENCE.0, SILENCE.1.max(expected * 2))
 }
 
 /// Counts a request as begun, once.
-fn count(context: &Context, job: &Job<'_>, course: &mut Course) {
-    if std::mem::replace(&mut course.counted, true) {
+fn count_usage(context: &Context, request: &AdmittedRequest<'_>, attempts: &mut Attempts) {
+    if std::mem::replace(&mut attempts.usage_counted, true) {
         return;
     }
-    let Some(team) = job.team else { return };
-    let unix = clock::unix_ms(monotonic::now(), context.board.view().time_offset_ms);
-    context.board.began(&team.name, unix, context.window);
+    let Some(team) = request.team else { return };
+    let unix = clock::unix_ms(monotonic::now(), context.shared.view().time_offset_ms);
+    context.shared.count_request(&team.name, unix, context.usage_window);
 }
 
-async fn refuse(
+async fn send_refusal(
     context: &Context,
     caller: &mut Connection,
     id: &str,
-    refused: Refused,
-    closes: bool,
+    rejection: Rejection,
+    closes_connection: bool,
     trace: &mut Trace,
-) -> After {
-    let (refusal, back) = refused;
-    let back = back.map(|back| spread(context, back));
+) -> Disposition {
+    let (refusal, retry_after) = rejection;
+    let retry_after = retry_after.map(|retry_after| add_jitter(context, retry_after));
     trace.status = refusal.status();
     trace.outcome = refusal.name();
-    trace.back = back;
-    let bytes = answer::write(&*context.dialect, refusal, id, back, closes);
+    trace.retry_after = retry_after;
+    let bytes =
+        answer::write_refusal(&*context.dialect, refusal, id, retry_after, closes_connection);
     match caller.send(&bytes).await {
-        Ok(()) => After::Keep,
-        Err(_) => After::Close,
+        Ok(()) => Disposition::KeepOpen,
+        Err(_) => Disposition::Close,
     }
 }
 
 /// Spreads the times at which callers come back.
-fn spread(context: &Context, back: Duration) -> Duration {
+fn add_jitter(context: &Context, retry_after: Duration) -> Duration {
     /// Steps between the shortest and the longest time.
     const STEPS: u32 = 1_000;
-    let step = u32::try_from(context.random() % u64::from(STEPS)).unwrap_or(0);
+    let step = u32::try_from(context.next_random() % u64::from(STEPS)).unwrap_or(0);
     let part = f64::from(step) / f64::from(STEPS) * 2.0 - 1.0;
-    back.mul_f64(1.0 + part * SPREAD)
+    retry_after.mul_f64(1.0 + part * RETRY_JITTER)
 }
--- a/crates/verbenaslip-relay/src/forward/upstream_choice.rs
+++ b/crates/verbenaslip-relay/src/forward/upstream_choice.rs
@@ -4,74 +4,82 @@
 
 use verbenaslip_fleet::rollout::Cohort;
 
-use crate::forward::admission::{Job, Refused};
+use crate::forward::admission::{AdmittedRequest, Rejection};
 use crate::forward::answer::Refusal;
 use crate::forward::context::Context;
-use crate::forward::lifecycle::{Course, given_up};
-use crate::forward::request_log::{Basis, Trace};
+use crate::forward::lifecycle::{Attempts, exhausted_rejection};
+use crate::forward::request_log::{Trace, ViewInfo};
 use crate::monotonic;
-use crate::policy::placement::{Busy, Cause, Choice, Query, Verdict};
+use crate::policy::placement::{Busy, Cause, Choice, Decision, Query};
 use crate::policy::restriction::Restriction;
 use crate::policy::versions::Tracks;
 
 /// Chooses the upstream that gets a request next, or says why it is refused.
-pub(super) fn place(
+pub(super) fn choose_upstream(
     context: &Context,
-    job: &Job<'_>,
-    course: &Course,
+    request: &AdmittedRequest<'_>,
+    attempts: &Attempts,
     remaining: Duration,
     trace: &mut Trace,
-) -> Result<Choice, Refused> {
+) -> Result<Choice, Rejection> {
     let query = Query {
-        service: &job.service,
-        rank: job.rank,
-        parts: &job.call.prompt_parts,
-        prompt: job.call.token_counts.map_or(0, |tokens| tokens.prompt),
-        tried: &course.tried,
-        objective: job.route.objective,
+        service: &request.service,
+        rank: request.rank,
+        parts: &request.info.prompt_parts,
+        prompt_tokens: request.info.token_counts.map_or(0, |tokens| tokens.prompt),
+        tried_runs: &attempts.tried_runs,
+        objective: request.route.objective,
         remaining,
-        spare: course.arrivals + 1 < job.route.max_attempts,
-        waited: job.waited,
-        begun: course.may_have_run,
+        has_spare_attempt: attempts.sends + 1 < request.route.max_attempts,
+        returning: request.returning,
+        may_have_run: attempts.may_have_run,
         tracks: Tracks::default(),
     };
     // A request that is tried again may have waited for seconds, and nothing else need have come meanwhile.
     // Placed by what was known when it came, it would go to an upstream that has left since.
-    trace.basis = Basis::of(&context.view());
-    let query = Query { tracks: context.tracks(job, !course.tried.is_empty()), ..query };
-    let verdict = context.placement.borrow_mut().choose(monotonic::now(), &query);
-    count_work(context, job, course, &verdict);
-    match verdict {
-        Verdict::Go(choice) => {
+    trace.view_info = ViewInfo::of(&context.refresh_view());
+    let query =
+        Query { tracks: context.choose_tracks(request, !attempts.tried_runs.is_empty()), ..query };
+    let decision = context.placement.borrow_mut().choose(monotonic::now(), &query);
+    count_engine_time(context, request, attempts, &decision);
+    match decision {
+        Decision::Send(choice) => {
             trace.cohort = (choice.cohort != Cohort::Stable).then_some(choice.cohort);
             trace.version = Some(choice.version.clone());
             Ok(choice)
         }
-        Verdict::Busy(Busy { cause: Cause::Restricted(_), .. }) if course.may_have_run => {
-            Err(given_up(course))
+        Decision::Refuse(Busy { cause: Cause::Restricted(_), .. }) if attempts.may_have_run => {
+            Err(exhausted_rejection(attempts))
         }
-        Verdict::Busy(Busy { back, cause, .. }) => {
+        Decision::Refuse(Busy { retry_after, cause, .. }) => {
             let mut refusal = Refusal::Busy;
             match cause {
-                Cause::Restricted(Restriction::Limited) => refusal = Refusal::Limited,
-                Cause::Restricted(Restriction::Resting) => refusal = Refusal::Resting,
-                Cause::Share(share) => trace.share = Some(share),
-                Cause::Late { expected, lag } => (trace.expected, trace.lag) = (expected, lag),
+                Cause::Restricted(Restriction::RateLimited) => refusal = Refusal::RateLimited,
+                Cause::Restricted(Restriction::CoolingDown) => refusal = Refusal::CoolingDown,
+                Cause::Share(share) => trace.admitted_share = Some(share),
+                Cause::Late { expected_ms, lag_ms } => {
+                    (trace.expected_ms, trace.lag_ms) = (expected_ms, lag_ms)
+                }
             }
-            Err((refusal, Some(back)))
+            Err((refusal, Some(retry_after)))
         }
-        Verdict::Nowhere => Err(given_up(course)),
+        Decision::NoUpstream => Err(exhausted_rejection(attempts)),
     }
 }
 
 /// Counts the engine time that a request asks for, once for each caller.
-fn count_work(context: &Context, job: &Job<'_>, course: &Course, verdict: &Verdict) {
-    let work = match verdict {
-        Verdict::Go(choice) => choice.work,
-        Verdict::Busy(busy) => busy.work,
-        Verdict::Nowhere => 0.0,
+fn count_engine_time(
+    context: &Context,
+    request: &AdmittedRequest<'_>,
+    attempts: &Attempts,
+    decision: &Decision,
+) {
+    let engine_ms = match decision {
+        Decision::Send(choice) => choice.prefill_ms,
+        Decision::Refuse(busy) => busy.prefill_ms,
+        Decision::NoUpstream => 0.0,
     };
-    if work > 0.0 && course.tried.is_empty() && !job.waited {
-        context.board.worked(&job.service, work);
+    if engine_ms > 0.0 && attempts.tried_runs.is_empty() && !request.returning {
+        context.shared.add_engine_time(&request.service, engine_ms);
     }
 }
--- a/crates/verbenaslip-relay/src/forward/upstream_log.rs
+++ b/crates/verbenaslip-relay/src/forward/upstream_log.rs
@@ -12,19 +12,19 @@
 const LIMIT: Kind = Kind { number: 943, name: "upstream_limit" };
 
 /// An upstream has turned a request away and wants nothing from this entry for a while, or takes requests again.
-const REST: Kind = Kind { number: 945, name: "upstream_rest" };
+const COOLDOWN: Kind = Kind { number: 945, name: "upstream_rest" };
 
 /// Says in one line that an upstream asks for rest, by the answer to the request named, or takes requests again.
-pub fn say_rest(run: &Run, rest: Option<Duration>, id: &str) {
-    if rest.is_some() {
+pub fn log_cooldown(run: &Run, cooldown: Option<Duration>, id: &str) {
+    if cooldown.is_some() {
         metrics::counter!("verbenaslip_upstream_rests_total").increment(1);
     }
     event_log::emit(
-        REST,
+        COOLDOWN,
         [
             ("upstream", json!(run.upstream.as_str())),
             ("incarnation", json!(run.incarnation)),
-            ("rest_ms", json!(rest.map(|rest| rest.as_millis()))),
+            ("rest_ms", json!(cooldown.map(|cooldown| cooldown.as_millis()))),
             ("id", json!(id)),
         ],
     );
@@ -34,7 +34,7 @@
 const LEAVING: Kind = Kind { number: 946, name: "upstream_leaves" };
 
 /// Says in one line that an upstream is about to go, by the answer to the request named.
-pub fn say_leaving(run: &Run, id: &str) {
+pub fn log_departure(run: &Run, id: &str) {
     event_log::emit(
         LEAVING,
         [
@@ -46,7 +46,7 @@
 }
 
 /// Says in one line that a limit has changed, by the answer to the request named or by the leader's word.
-pub fn say_limit(run: &Run, limit: Limit, id: Option<&str>) {
+pub fn log_limit(run: &Run, limit: Limit, id: Option<&str>) {
     let source = if id.is_some() { "answer" } else { "leader" };
     metrics::counter!("verbenaslip_upstream_limits_total", "source" => source).increment(1);
     event_log::emit(
--- a/crates/verbenaslip-relay/src/http.rs
+++ b/crates/verbenaslip-relay/src/http.rs
@@ -19,25 +19,25 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum MessageError {
     /// the head is longer than allowed
-    TooLong,
+    HeadTooLong,
     /// the first line is not one of HTTP/1.1
-    Line,
+    StartLine,
     /// a line does not end with CRLF, or holds a control character
-    Control,
+    ControlCharacter,
     /// a header field is malformed or folded over several lines
-    Field,
+    HeaderField,
     /// the Host header is missing or given twice
     Host,
     /// the length of the body is given twice or in two ways
-    Length,
+    BodyLength,
     /// the transfer coding is not known here
-    Coding,
+    TransferCoding,
     /// the chunks of the body are malformed
     Chunk,
     /// the body is larger than allowed
-    TooLarge,
+    BodyTooLarge,
     /// the request did not arrive in time
-    Slow,
+    Timeout,
 }
 
 impl std::error::Error for MessageError {}
--- a/crates/verbenaslip-relay/src/http/body.rs
+++ b/crates/verbenaslip-relay/src/http/body.rs
@@ -5,7 +5,7 @@
 use crate::http::MessageError;
 
 /// The longest line of a chunk's size, or of a trailer, in bytes.
-const LINE: usize = 1 << 10;
+const MAX_LINE_BYTES: usize = 1 << 10;
 
 /// Says how a body is delimited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -17,7 +17,7 @@
     /// By chunks.
     Chunked,
     /// By the end of the connection.
-    Close,
+    UntilClose,
 }
 
 /// Takes the body out of the bytes of a connection.
@@ -32,15 +32,15 @@
     /// So many bytes of a body with a length.
     Length(u64),
     /// The size of a chunk.
-    Size,
+    ChunkSize,
     /// So many bytes of a chunk.
-    Chunk(u64),
+    ChunkData(u64),
     /// The line end after a chunk.
-    ChunkEnd,
+    ChunkLineEnd,
     /// Trailers, up to an empty line.
     Trailer,
     /// Bytes up to the end of the connection.
-    Close,
+    UntilClose,
     /// Nothing: the body is whole.
     End,
 }
@@ -51,7 +51,7 @@
     /// A piece of the body.
     Data(Bytes),
     /// More bytes are needed.
-    More,
+    NeedMore,
     /// The body is whole.
     End,
 }
@@ -62,15 +62,15 @@
         let state = match framing {
             Framing::Empty | Framing::Length(0) => State::End,
             Framing::Length(length) => State::Length(length),
-            Framing::Chunked => State::Size,
-            Framing::Close => State::Close,
+            Framing::Chunked => State::ChunkSize,
+            Framing::UntilClose => State::UntilClose,
         };
         Self { state }
     }
 
     /// Tells whether the body is whole if the connection ends in good order here.
-    pub fn may_end(&self) -> bool {
-        matches!(self.state, State::Close | State::End)
+    pub fn may_end_with_connection(&self) -> bool {
+        matches!(self.state, State::UntilClose | State::End)
     }
 
     /// Takes the next piece.
@@ -82,35 +82,36 @@
         loop {
             match self.state {
                 State::End => return Ok(Step::End),
-                _ if bytes.is_empty() => return Ok(Step::More),
-                State::Close => return Ok(Step::Data(bytes.split().freeze())),
+                _ if bytes.is_empty() => return Ok(Step::NeedMore),
+                State::UntilClose => return Ok(Step::Data(bytes.split().freeze())),
                 State::Length(left) => {
-                    let (piece, left) = take(bytes, left);
+                    let (piece, left) = take_up_to(bytes, left);
                     self.state = if left == 0 { State::End } else { State::Length(left) };
                     return Ok(Step::Data(piece));
                 }
-                State::Chunk(left) => {
-                    let (piece, left) = take(bytes, left);
-                    self.state = if left == 0 { State::ChunkEnd } else { State::Chunk(left) };
+                State::ChunkData(left) => {
+                    let (piece, left) = take_up_to(bytes, left);
+                    self.state =
+                        if left == 0 { State::ChunkLineEnd } else { State::ChunkData(left) };
                     return Ok(Step::Data(piece));
                 }
-                State::ChunkEnd => {
+                State::ChunkLineEnd => {
                     if bytes.len() < 2 {
-                        return Ok(Step::More);
+                        return Ok(Step::NeedMore);
                     }
                     if !bytes.starts_with(b"\r\n") {
                         return Err(MessageError::Chunk);
                     }
                     bytes.advance(2);
-                    self.state = State::Size;
+                    self.state = State::ChunkSize;
                 }
-                State::Size => {
-                    let Some(line) = line(bytes)? else { return Ok(Step::More) };
-                    let size = size(&line)?;
-                    self.state = if size == 0 { State::Trailer } else { State::Chunk(size) };
+                State::ChunkSize => {
+                    let Some(line) = take_line(bytes)? else { return Ok(Step::NeedMore) };
+                    let size = parse_chunk_size(&line)?;
+                    self.state = if size == 0 { State::Trailer } else { State::ChunkData(size) };
                 }
                 State::Trailer => {
-                    let Some(line) = line(bytes)? else { return Ok(Step::More) };
+                    let Some(line) = take_line(bytes)? else { return Ok(Step::NeedMore) };
                     if line.is_empty() {
                         self.state = State::End;
                     }
@@ -130,29 +131,29 @@
 /// Ends a body of chunks.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-fn take(bytes: &mut BytesMut, left: u64) -> (Bytes, u64) {
-    let have = bytes.len().min(usize::try_from(left).unwrap_or(usize::MAX));
-    let piece = bytes.split_to(have).freeze();
-    (piece, left - have as u64)
+fn take_up_to(bytes: &mut BytesMut, left: u64) -> (Bytes, u64) {
+    let available = bytes.len().min(usize::try_from(left).unwrap_or(usize::MAX));
+    let piece = bytes.split_to(available).freeze();
+    (piece, left - available as u64)
 }
 
 /// Takes one line that ends with CRLF.
-fn line(bytes: &mut BytesMut) -> Result<Option<Bytes>, MessageError> {
+fn take_line(bytes: &mut BytesMut) -> Result<Option<Bytes>, MessageError> {
     let Some(end) = bytes.iter().position(|byte| *byte == b'\n') else {
-        return if bytes.len() > LINE { Err(MessageError::Chunk) } else { Ok(None) };
+        return if bytes.len() > MAX_LINE_BYTES { Err(MessageError::Chunk) } else { Ok(None) };
     };
-    let whole = bytes.split_to(end + 1).freeze();
-    let line = whole.strip_suffix(b"\r\n").ok_or(MessageError::Chunk)?;
-    if line.len() > LINE || line.contains(&b'\r') {
+    let raw_line = bytes.split_to(end + 1).freeze();
+    let line = raw_line.strip_suffix(b"\r\n").ok_or(MessageError::Chunk)?;
+    if line.len() > MAX_LINE_BYTES || line.contains(&b'\r') {
         return Err(MessageError::Chunk);
     }
-    Ok(Some(whole.slice_ref(line)))
+    Ok(Some(raw_line.slice_ref(line)))
 }
 
 /// Reads the size of a chunk; an extension after it is allowed and means nothing.
-fn size(line: &[u8]) -> Result<u64, MessageError> {
+fn parse_chunk_size(line: &[u8]) -> Result<u64, MessageError> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
-    let fits = (1..=15).contains(&digits.len()) && digits.iter().all(u8::is_ascii_hexdigit);
-    let text = std::str::from_utf8(digits).ok().filter(|_| fits).ok_or(MessageError::Chunk)?;
+    let is_valid = (1..=15).contains(&digits.len()) && digits.iter().all(u8::is_ascii_hexdigit);
+    let text = std::str::from_utf8(digits).ok().filter(|_| is_valid).ok_or(MessageError::Chunk)?;
     u64::from_str_radix(text, 16).map_err(|_| MessageError::Chunk)
 }
--- a/crates/verbenaslip-relay/src/http/connection.rs
+++ b/crates/verbenaslip-relay/src/http/connection.rs
@@ -9,10 +9,10 @@
 use crate::http::head;
 
 /// Bytes that a reader takes at once; a head and a small body fit.
-const ROOM: usize = 8 << 10;
+const READ_BYTES: usize = 8 << 10;
 
 /// Bytes that may wait on a connection while it is only watched for its end.
-const AHEAD: usize = 64 << 10;
+const MAX_BUFFERED_BYTES: usize = 64 << 10;
 
 /// Reads and writes one connection.
 #[derive(Debug)]
@@ -34,7 +34,7 @@
     ///
     /// Fails when the connection does.
     pub async fn fill(&mut self) -> io::Result<usize> {
-        self.buffer.reserve(ROOM);
+        self.buffer.reserve(READ_BYTES);
         self.stream.read_buf(&mut self.buffer).await
     }
 
@@ -49,7 +49,7 @@
 
     /// Returns the length of the whole head that has come, if it has.
     pub fn head_length(&self) -> Option<usize> {
-        head::end(&self.buffer)
+        head::head_length(&self.buffer)
     }
 
     /// Writes all of it.
@@ -63,9 +63,9 @@
 
     /// Returns when the other side has closed, or the connection has failed; meanwhile what comes
     /// is kept.
-    pub async fn gone(&mut self) {
+    pub async fn closed_by_peer(&mut self) {
         loop {
-            if self.buffer.len() >= AHEAD {
+            if self.buffer.len() >= MAX_BUFFERED_BYTES {
                 // More than one request ahead: whether it is gone shows when it is written to.
                 return std::future::pending().await;
             }
@@ -84,8 +84,8 @@
     /// # Errors
     ///
     /// Fails when the connection does.
-    pub async fn exchange(&mut self, out: &[u8]) -> io::Result<Progress> {
-        self.buffer.reserve(ROOM);
+    pub async fn write_or_read(&mut self, out: &[u8]) -> io::Result<Progress> {
+        self.buffer.reserve(READ_BYTES);
         let (mut reader, mut writer) = self.stream.split();
         if out.is_empty() {
             return Ok(Progress::Read(reader.read_buf(&mut self.buffer).await?));
@@ -97,11 +97,11 @@
     }
 
     /// Tells whether an idle connection is as it was left: open, and nothing has come on it.
-    pub fn is_clean(&mut self) -> bool {
+    pub fn is_open_and_empty(&mut self) -> bool {
         let mut byte = [0; 1];
         let read = self.stream.try_read(&mut byte);
-        let waits = matches!(&read, Err(error) if error.kind() == io::ErrorKind::WouldBlock);
-        self.buffer.is_empty() && waits
+        let is_open = matches!(&read, Err(error) if error.kind() == io::ErrorKind::WouldBlock);
+        self.buffer.is_empty() && is_open
     }
 
     /// Ends the sending side, after all that was written.
--- a/crates/verbenaslip-relay/src/http/head.rs
+++ b/crates/verbenaslip-relay/src/http/head.rs
@@ -20,7 +20,7 @@
     /// Path and query, as they were written.
     pub target: Box<str>,
     /// The minor version: zero or one.
-    pub minor: u8,
+    pub minor_version: u8,
     /// The header fields in order.
     pub fields: Vec<Field>,
 }
@@ -31,7 +31,7 @@
     /// The status.
     pub status: u16,
     /// The minor version: zero or one.
-    pub minor: u8,
+    pub minor_version: u8,
     /// The reason phrase.
     pub reason: Box<str>,
     /// The header fields in order.
@@ -39,8 +39,8 @@
 }
 
 /// Returns the length of a whole head at the start of the bytes, with its empty line.
-pub fn end(bytes: &[u8]) -> Option<usize> {
-    bytes.windows(4).position(|four| four == b"\r\n\r\n").map(|at| at + 4)
+pub fn head_length(bytes: &[u8]) -> Option<usize> {
+    bytes.windows(4).position(|bytes| bytes == b"\r\n\r\n").map(|start| start + 4)
 }
 
 impl RequestHead {
@@ -52,22 +52,23 @@
     /// smuggled to an upstream inside another one's bytes.
     pub fn parse(bytes: &[u8]) -> Result<Self, MessageError> {
         let mut lines = lines(bytes)?;
-        let line = lines.next().ok_or(MessageError::Line)?;
+        let line = lines.next().ok_or(MessageError::StartLine)?;
         let mut words = line.split(' ');
         let (method, target, version) = (words.next(), words.next(), words.next());
         let (Some(method), Some(target), Some(version), None) =
             (method, target, version, words.next())
         else {
-            return Err(MessageError::Line);
+            return Err(MessageError::StartLine);
         };
         let method_fits = !method.is_empty() && method.bytes().all(is_token);
         let target_fits = target.starts_with('/') && target.bytes().all(|it| it.is_ascii_graphic());
         if !method_fits || !target_fits {
-            return Err(MessageError::Line);
+            return Err(MessageError::StartLine);
         }
-        let minor = minor(version)?;
-        let fields = fields(lines)?;
-        let request = Self { method: method.into(), target: target.into(), minor, fields };
+        let minor = parse_minor_version(version)?;
+        let fields = parse_fields(lines)?;
+        let request =
+            Self { method: method.into(), target: target.into(), minor_version: minor, fields };
         if request.all("host").count() != 1 {
             return Err(MessageError::Host);
         }
@@ -90,19 +91,19 @@
     ///
     /// Refuses a body whose length is given twice or in two ways.
     pub fn framing(&self) -> Result<Framing, MessageError> {
-        let length = length(&self.fields)?;
-        if !chunked(&self.fields)? {
+        let length = content_length(&self.fields)?;
+        if !is_chunked(&self.fields)? {
             return Ok(length.map_or(Framing::Empty, Framing::Length));
         }
-        if length.is_some() || self.minor == 0 {
-            return Err(MessageError::Length);
+        if length.is_some() || self.minor_version == 0 {
+            return Err(MessageError::BodyLength);
         }
         Ok(Framing::Chunked)
     }
 
     /// Tells whether the connection ends with this request.
     pub fn closes_connection(&self) -> bool {
-        self.minor == 0 || has_word(&self.fields, "connection", "close")
+        self.minor_version == 0 || has_list_item(&self.fields, "connection", "close")
     }
 }
 
@@ -114,16 +115,20 @@
     /// Refuses what is no response.
     pub fn parse(bytes: &[u8]) -> Result<Self, MessageError> {
         let mut lines = lines(bytes)?;
-        let line = lines.next().ok_or(MessageError::Line)?;
+        let line = lines.next().ok_or(MessageError::StartLine)?;
         let mut words = line.splitn(3, ' ');
         let (Some(version), Some(status)) = (words.next(), words.next()) else {
-            return Err(MessageError::Line);
+            return Err(MessageError::StartLine);
         };
-        let digits = status.len() == 3 && status.bytes().all(|it| it.is_ascii_digit());
-        let status =
-            status.parse().ok().filter(|it| digits && *it >= 100).ok_or(MessageError::Line)?;
-        let (minor, reason) = (minor(version)?, words.next().unwrap_or_default().into());
-        Ok(Self { status, minor, reason, fields: fields(lines)? })
+        let is_numeric = status.len() == 3 && status.bytes().all(|it| it.is_ascii_digit());
+        let status = status
+            .parse()
+            .ok()
+            .filter(|it| is_numeric && *it >= 100)
+            .ok_or(MessageError::StartLine)?;
+        let (minor, reason) =
+            (parse_minor_version(version)?, words.next().unwrap_or_default().into());
+        Ok(Self { status, minor_version: minor, reason, fields: parse_fields(lines)? })
     }
 
     /// Returns the values of a field, however often it is given.
@@ -142,29 +147,29 @@
     ///
     /// Refuses a body whose length is given twice or in two ways.
     pub fn framing(&self, method: &str) -> Result<Framing, MessageError> {
-        let bare = matches!(self.status, 100..200 | 204 | 304) || method == "HEAD";
-        let length = length(&self.fields)?;
-        let chunked = chunked(&self.fields)?;
-        match (bare, chunked, length) {
+        let bodiless = matches!(self.status, 100..200 | 204 | 304) || method == "HEAD";
+        let length = content_length(&self.fields)?;
+        let chunked = is_chunked(&self.fields)?;
+        match (bodiless, chunked, length) {
             (true, _, _) => Ok(Framing::Empty),
-            (false, true, Some(_)) => Err(MessageError::Length),
+            (false, true, Some(_)) => Err(MessageError::BodyLength),
             (false, true, None) => Ok(Framing::Chunked),
             (false, false, Some(length)) => Ok(Framing::Length(length)),
-            (false, false, None) => Ok(Framing::Close),
+            (false, false, None) => Ok(Framing::UntilClose),
         }
     }
 
     /// Tells whether the connection ends with this response.
     pub fn closes_connection(&self) -> bool {
-        self.minor == 0 || has_word(&self.fields, "connection", "close")
+        self.minor_version == 0 || has_list_item(&self.fields, "connection", "close")
     }
 }
 
 /// Tells whether a field concerns one connection only and is not forwarded.
 ///
 /// Fields that a `Connection` header names belong to these as well.
-pub fn is_hop(fields: &[Field], name: &str) -> bool {
-    const HOP: [&str; 9] = [
+pub fn is_hop_by_hop(fields: &[Field], name: &str) -> bool {
+    const HOP_BY_HOP: [&str; 9] = [
         "connection",
         "keep-alive",
         "proxy-connection",
@@ -175,11 +180,12 @@
         "transfer-encoding",
         "upgrade",
     ];
-    HOP.iter().any(|hop| name.eq_ignore_ascii_case(hop)) || has_word(fields, "connection", name)
+    HOP_BY_HOP.iter().any(|hop| name.eq_ignore_ascii_case(hop))
+        || has_list_item(fields, "connection", name)
 }
 
 /// Tells whether one of the comma-separated words of a field is the given one.
-pub fn has_word(fields: &[Field], name: &str, word: &str) -> bool {
+pub fn has_list_item(fields: &[Field], name: &str, word: &str) -> bool {
     let values = all(fields, name).filter_map(|field| std::str::from_utf8(&field.value).ok());
     let mut words = values.flat_map(|value| value.split(','));
     words.any(|it| it.trim().eq_ignore_ascii_case(word))
@@ -198,52 +204,55 @@
 /// Splits a head into lines; each must end with CRLF and hold no other control character.
 fn lines(bytes: &[u8]) -> Result<impl Iterator<Item = &str>, MessageError> {
     let text = std::str::from_utf8(bytes);
-    let text = text.ok().and_then(|it| it.strip_suffix("\r\n\r\n")).ok_or(MessageError::Control)?;
+    let text = text
+        .ok()
+        .and_then(|it| it.strip_suffix("\r\n\r\n"))
+        .ok_or(MessageError::ControlCharacter)?;
     let lines = text.split("\r\n");
     if lines.clone().any(|line| line.bytes().any(|it| it.is_ascii_control() && it != b'\t')) {
-        return Err(MessageError::Control);
+        return Err(MessageError::ControlCharacter);
     }
     Ok(lines)
 }
 
-fn fields<'a>(lines: impl Iterator<Item = &'a str>) -> Result<Vec<Field>, MessageError> {
-    lines.map(field).collect()
+fn parse_fields<'a>(lines: impl Iterator<Item = &'a str>) -> Result<Vec<Field>, MessageError> {
+    lines.map(parse_field).collect()
 }
 
-fn field(line: &str) -> Result<Field, MessageError> {
-    let (name, value) = line.split_once(':').ok_or(MessageError::Field)?;
+fn parse_field(line: &str) -> Result<Field, MessageError> {
+    let (name, value) = line.split_once(':').ok_or(MessageError::HeaderField)?;
     // A name with white space before the colon, and a line that goes on with the one before it, are
     // read by some as one thing and by some as another.
     if name.is_empty() || !name.bytes().all(is_token) {
-        return Err(MessageError::Field);
+        return Err(MessageError::HeaderField);
     }
     Ok(Field { name: name.into(), value: value.trim_matches([' ', '\t']).as_bytes().into() })
 }
 
-fn minor(version: &str) -> Result<u8, MessageError> {
+fn parse_minor_version(version: &str) -> Result<u8, MessageError> {
     match version {
         "HTTP/1.1" => Ok(1),
         "HTTP/1.0" => Ok(0),
-        _ => Err(MessageError::Line),
+        _ => Err(MessageError::StartLine),
     }
 }
 
-fn length(fields: &[Field]) -> Result<Option<u64>, MessageError> {
-    let mut given = all(fields, "content-length");
-    let Some(field) = given.next() else { return Ok(None) };
-    let digits = !field.value.is_empty() && field.value.iter().all(u8::is_ascii_digit);
+fn content_length(fields: &[Field]) -> Result<Option<u64>, MessageError> {
+    let mut values = all(fields, "content-length");
+    let Some(field) = values.next() else { return Ok(None) };
+    let is_numeric = !field.value.is_empty() && field.value.iter().all(u8::is_ascii_digit);
     let value = std::str::from_utf8(&field.value).ok().and_then(|it| it.parse().ok());
-    match (value, given.next()) {
-        (Some(value), None) if digits => Ok(Some(value)),
-        _ => Err(MessageError::Length),
+    match (value, values.next()) {
+        (Some(value), None) if is_numeric => Ok(Some(value)),
+        _ => Err(MessageError::BodyLength),
     }
 }
 
-fn chunked(fields: &[Field]) -> Result<bool, MessageError> {
-    let mut given = all(fields, "transfer-encoding");
-    let Some(field) = given.next() else { return Ok(false) };
-    let only = given.next().is_none() && field.value.eq_ignore_ascii_case(b"chunked");
-    if only { Ok(true) } else { Err(MessageError::Coding) }
+fn is_chunked(fields: &[Field]) -> Result<bool, MessageError> {
+    let mut values = all(fields, "transfer-encoding");
+    let Some(field) = values.next() else { return Ok(false) };
+    let is_chunked_only = values.next().is_none() && field.value.eq_ignore_ascii_case(b"chunked");
+    if is_chunked_only { Ok(true) } else { Err(MessageError::TransferCoding) }
 }
 
 fn is_token(byte: u8) -> bool {
--- a/crates/verbenaslip-relay/src/http/reader.rs
+++ b/crates/verbenaslip-relay/src/http/reader.rs
@@ -11,7 +11,7 @@
 
 /// How long an idle connection of a caller is kept beyond the time that callers know of, so that a
 /// request sent in time does not meet its closing.
-const GRACE: Duration = Duration::from_secs(1);
+const IDLE_GRACE: Duration = Duration::from_secs(1);
 
 /// Holds a whole request as it came.
 #[derive(Debug)]
@@ -21,12 +21,12 @@
     /// Its body.
     pub body: Bytes,
     /// When it was whole.
-    pub arrived: Instant,
+    pub received_at: Instant,
 }
 
 /// Waits for the first byte of a request; false when the caller closes or stays idle.
-pub async fn begun(caller: &mut Connection, limits: &RequestLimits) -> bool {
-    let filled = within(limits.idle_timeout + GRACE, caller.fill()).await;
+pub async fn wait_for_first_byte(caller: &mut Connection, limits: &RequestLimits) -> bool {
+    let filled = with_timeout(limits.idle_timeout + IDLE_GRACE, caller.fill()).await;
     matches!(filled, Some(Ok(count)) if count > 0)
 }
 
@@ -39,15 +39,15 @@
     caller: &mut Connection,
     limits: &RequestLimits,
 ) -> Result<Option<Message>, MessageError> {
-    if caller.buffer.is_empty() && !begun(caller, limits).await {
+    if caller.buffer.is_empty() && !wait_for_first_byte(caller, limits).await {
         return Ok(None);
     }
     let started = Instant::now();
-    let Some(end) = head_end(caller, limits, started).await? else { return Ok(None) };
+    let Some(end) = read_head_length(caller, limits, started).await? else { return Ok(None) };
     let head = RequestHead::parse(&caller.buffer[..end])?;
     caller.buffer.advance(end);
     let mut decoder = Decoder::new(head.framing()?);
-    if head::has_word(&head.fields, "expect", "100-continue") {
+    if head::has_list_item(&head.fields, "expect", "100-continue") {
         // If the caller is gone the next read tells.
         let _ = caller.send(b"HTTP/1.1 100 Continue\r\n\r\n").await;
     }
@@ -55,22 +55,22 @@
     loop {
         match decoder.step(&mut caller.buffer)? {
             Step::Data(piece) if body.len() + piece.len() > limits.max_body_bytes => {
-                return Err(MessageError::TooLarge);
+                return Err(MessageError::BodyTooLarge);
             }
             Step::Data(piece) => body.extend_from_slice(&piece),
             Step::End => break,
-            Step::More => match within(limits.idle_timeout, caller.fill()).await {
+            Step::NeedMore => match with_timeout(limits.idle_timeout, caller.fill()).await {
                 Some(Ok(count)) if count > 0 => {}
                 Some(_) => return Ok(None),
-                None => return Err(MessageError::Slow),
+                None => return Err(MessageError::Timeout),
             },
         }
     }
-    Ok(Some(Message { head, body: body.freeze(), arrived: Instant::now() }))
+    Ok(Some(Message { head, body: body.freeze(), received_at: Instant::now() }))
 }
 
 /// Waits for a whole head and returns its length; none when the caller closes.
-async fn head_end(
+async fn read_head_length(
     caller: &mut Connection,
     limits: &RequestLimits,
     started: Instant,
@@ -82,39 +82,39 @@
         }
         if let Some(end) = caller.head_length() {
             return if end > limits.max_head_bytes {
-                Err(MessageError::TooLong)
+                Err(MessageError::HeadTooLong)
             } else {
                 Ok(Some(end))
             };
         }
         if caller.buffer.len() > limits.max_head_bytes {
-            return Err(MessageError::TooLong);
+            return Err(MessageError::HeadTooLong);
         }
-        if has_bare_line_end(&caller.buffer) {
-            return Err(MessageError::Control);
+        if has_bare_line_feed(&caller.buffer) {
+            return Err(MessageError::ControlCharacter);
         }
-        let left = limits.head_timeout.saturating_sub(started.elapsed());
-        match within(left, caller.fill()).await {
+        let remaining = limits.head_timeout.saturating_sub(started.elapsed());
+        match with_timeout(remaining, caller.fill()).await {
             Some(Ok(count)) if count > 0 => {}
             Some(_) => return Ok(None),
-            None => return Err(MessageError::Slow),
+            None => return Err(MessageError::Timeout),
         }
     }
 }
 
 /// Tells whether a line of a head ends without a carriage return, which would never end the head.
-fn has_bare_line_end(bytes: &[u8]) -> bool {
-    let mut before = b'\r';
+fn has_bare_line_feed(bytes: &[u8]) -> bool {
+    let mut previous = b'\r';
     for byte in bytes {
-        if *byte == b'\n' && before != b'\r' {
+        if *byte == b'\n' && previous != b'\r' {
             return true;
         }
-        before = *byte;
+        previous = *byte;
     }
     false
 }
 
 /// Waits for an outcome up to a time.
-pub(crate) async fn within<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
+pub(crate) async fn with_timeout<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
     tokio::time::timeout(limit, future).await.ok()
 }
--- a/crates/verbenaslip-relay/src/policy.rs
+++ b/crates/verbenaslip-relay/src/policy.rs
@@ -5,7 +5,7 @@
 //! refused at once. [`site`] is what `place` knows of one upstream, with [`cache`] and [`pace`];
 //! [`notice`] is what upstreams ask for in their answers, with [`limit`], an entry's part of the rate that one of them
 //! takes, and [`rest`], the time in which it wants nothing;
-//! [`shed`] is what it knows of a service as a whole, [`waited`] tells callers that come back from
+//! [`load_shedding`] is what it knows of a service as a whole, [`waited`] tells callers that come back from
 //! new ones, [`versions`] says which version of a service takes a request while one is rolled out, and [`record`] knows which requests were answered and which are held back.
 
 pub mod allowance;
--- a/crates/verbenaslip-relay/src/policy/cache.rs
+++ b/crates/verbenaslip-relay/src/policy/cache.rs
@@ -6,11 +6,11 @@
 use crate::dialect::PromptPart;
 
 /// Parts that are remembered of one upstream; beyond that the oldest half is forgotten.
-const PARTS: usize = 4_096;
+const MAX_PARTS: usize = 4_096;
 
 /// How long a part is taken for cached after its last use here. Engines give up what was used least
 /// recently; at the memory and the token rates to design for that takes longer than this.
-const LASTS: Duration = Duration::from_secs(15);
+const CACHED_FOR: Duration = Duration::from_secs(15);
 
 /// Remembers what this entry has sent to one upstream.
 #[derive(Debug, Default)]
@@ -20,20 +20,22 @@
 
 impl Cache {
     /// Returns the tokens at the start of a prompt that the upstream is likely to hold.
-    pub fn held(&self, now: Duration, parts: &[PromptPart]) -> u64 {
-        let fresh = |part: &&PromptPart| {
-            self.parts.get(&part.id).is_some_and(|at| now.saturating_sub(*at) < LASTS)
+    pub fn cached_tokens(&self, now: Duration, parts: &[PromptPart]) -> u64 {
+        let is_fresh = |part: &&PromptPart| {
+            self.parts
+                .get(&part.id)
+                .is_some_and(|sent_at| now.saturating_sub(*sent_at) < CACHED_FOR)
         };
-        parts.iter().take_while(fresh).map(|part| u64::from(part.tokens)).sum()
+        parts.iter().take_while(is_fresh).map(|part| u64::from(part.tokens)).sum()
     }
 
     /// Notes that a prompt was sent there.
-    pub fn note(&mut self, now: Duration, parts: &[PromptPart]) {
-        if self.parts.len() + parts.len() > PARTS {
+    pub fn record_sent(&mut self, now: Duration, parts: &[PromptPart]) {
+        if self.parts.len() + parts.len() > MAX_PARTS {
             let mut times: Vec<Duration> = self.parts.values().copied().collect();
             times.sort_unstable();
-            let middle = times.get(times.len() / 2).copied().unwrap_or_default();
-            self.parts.retain(|_, at| *at > middle);
+            let median = times.get(times.len() / 2).copied().unwrap_or_default();
+            self.parts.retain(|_, sent_at| *sent_at > median);
         }
         self.parts.extend(parts.iter().map(|part| (part.id, now)));
     }
--- a/crates/verbenaslip-relay/src/policy/placement.rs
+++ b/crates/verbenaslip-relay/src/policy/placement.rs
@@ -15,233 +15,244 @@
 use verbenaslip_fleet::rollout::{Cohort, Plans};
 
 use crate::dialect::PromptPart;
-use crate::policy::load_shedding::Share;
-use crate::policy::placement::choice::Lane;
-pub use crate::policy::placement::choice::{Busy, Cause, Choice, Query, Verdict};
-use crate::policy::restriction::Notices;
+use crate::policy::load_shedding::AdmittedShare;
+use crate::policy::placement::choice::ServiceRank;
+pub use crate::policy::placement::choice::{Busy, Cause, Choice, Decision, Query};
+use crate::policy::restriction::Restrictions;
 use crate::policy::speed::Lag;
 pub use crate::policy::upstream_state::Ending;
-use crate::policy::upstream_state::Site;
+use crate::policy::upstream_state::UpstreamState;
 use crate::policy::versions::{Track, Tracks};
 
 /// What another availability zone costs, in milliseconds: two ways of the longest path between
 /// zones of one region, so that it decides between equals only.
-const AWAY: f64 = 3.0;
+const OTHER_ZONE_COST_MS: f64 = 3.0;
 
 /// What one running request adds to the time of all others, in milliseconds for each.
-const BATCHED: f64 = 0.5;
+const RUNNING_REQUEST_COST_MS: f64 = 0.5;
 
 /// The part of a prompt that is taken for read already at the upstream where its prefix belongs by
 /// hash, even though this entry has not sent it there: other entries prefer the same one.
-const SHARED: f64 = 0.8;
+const HOME_CACHED_SHARE: f64 = 0.8;
 
 /// What reading a shared part once more costs beyond the time of this request, as a multiple of it:
 /// the requests behind it wait for it too, and the part takes memory twice.
-const AGAIN: f64 = 1.0;
+const PREFILL_AGAIN_FACTOR: f64 = 1.0;
 
 /// Differences below this, in milliseconds, are no reason to prefer one upstream.
-const EQUAL: f64 = 0.1;
+const EQUAL_COST_MS: f64 = 0.1;
 
 /// What a share of failed answers costs, in milliseconds for all of them failing: more than any
 /// queue is worth.
-const FAILING: f64 = 800.0;
+const FAILURE_COST_MS: f64 = 800.0;
 
 /// When the callers of a plain service may come back that were refused because it has more to do than it
 /// can: after the first time, and the part of the second one that is refused. A refused part of a half keeps
 /// them away for 0.8 s, longer than a full queue takes to empty.
-const BACK_SHED: (Duration, Duration) = (Duration::from_millis(300), Duration::from_secs(1));
+const SHED_RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(300), Duration::from_secs(1));
 
 /// How many times the part of new requests is refused of those that have come back: none of them is
 /// admitted once a third of the others is not.
-const WAITED: f64 = 3.0;
+const RETURNING_REFUSAL_FACTOR: f64 = 3.0;
 
 /// The most that is refused of those that have come back; a few show that there is room again.
-const SHED_MOST: f64 = 0.95;
+const MAX_RETURNING_REFUSAL: f64 = 0.95;
 
 /// How much of the objective a request has taken that was turned away for want of room: a full queue
 /// takes all of it and more.
-const ALL: f64 = 1.0;
+const FULL_QUEUE_LATENCY: f64 = 1.0;
 
 /// The part of the objective within which a first event must be expected, or the request is refused at
 /// once. Where engines are missing, their queues settle at this.
-const PATIENCE: f64 = 1.0;
+const MAX_EXPECTED: f64 = 1.0;
 
 /// The same for callers that have come back, whose answers come late in any case: they get what others
 /// leave over.
-const PATIENCE_WAITED: f64 = 0.6;
+const MAX_EXPECTED_RETURNING: f64 = 0.6;
 
 /// What is taken off the cost of a limited upstream that is to be asked, in milliseconds: more than reading most
 /// prompts costs, and less than a queue.
-const DUE: f64 = 100.0;
+const PROBE_BONUS_MS: f64 = 100.0;
 
 /// Holds the upstreams as the fleet knows them.
-type Records = BTreeMap<Upstream, Record>;
+type UpstreamRecords = BTreeMap<Upstream, Record>;
 
 /// Holds what is known of the upstreams and what this entry has under way there.
 #[derive(Debug)]
 pub struct Placement {
     zone: AvailabilityZone,
-    sites: BTreeMap<Upstream, Site>,
+    states: BTreeMap<Upstream, UpstreamState>,
     by_service: BTreeMap<Arc<str>, Vec<Upstream>>,
-    upstreams: Option<Arc<Records>>,
-    plans: Arc<Plans>,
-    notices: Notices,
+    records: Option<Arc<UpstreamRecords>>,
+    rollout_plans: Arc<Plans>,
+    restrictions: Restrictions,
     limits: Arc<Limits>,
     /// This entry's place among the entries.
-    place: Option<TimeSlot>,
+    time_slot: Option<TimeSlot>,
     /// The agreed time of day less the monotonic clock, in milliseconds.
-    time: i64,
+    time_offset_ms: i64,
     /// Whether the upstreams have changed since what they ask for was looked through.
-    changed: bool,
-    turn: u64,
-    lags: BTreeMap<Lane, Lag>,
-    shares: BTreeMap<Arc<str>, Share>,
+    records_changed: bool,
+    request_counter: u64,
+    lags: BTreeMap<ServiceRank, Lag>,
+    admitted_shares: BTreeMap<Arc<str>, AdmittedShare>,
 }
 
 /// Holds what a request would take at an upstream.
 #[derive(Clone, Copy, Debug)]
 struct Estimate {
     /// Tokens of the prompt that are still to be read there.
-    reading: u64,
+    uncached_tokens: u64,
     /// The expected milliseconds to the first event.
-    expected: f64,
+    expected_ms: f64,
     /// What it costs all requests together, in milliseconds.
-    cost: f64,
+    cost_ms: f64,
     /// Whether nothing else is under way there.
     idle: bool,
 }
 
 impl Placement {
     /// Starts without upstreams.
-    pub fn open(zone: AvailabilityZone) -> Self {
+    pub fn new(zone: AvailabilityZone) -> Self {
         Self {
             zone,
-            sites: BTreeMap::new(),
+            states: BTreeMap::new(),
             by_service: BTreeMap::new(),
-            upstreams: None,
-            plans: Arc::default(),
-            notices: Notices::default(),
+            records: None,
+            rollout_plans: Arc::default(),
+            restrictions: Restrictions::default(),
             limits: Arc::default(),
-            place: None,
-            time: 0,
-            changed: false,
-            turn: 0,
+            time_slot: None,
+            time_offset_ms: 0,
+            records_changed: false,
+            request_counter: 0,
             lags: BTreeMap::new(),
-            shares: BTreeMap::new(),
+            admitted_shares: BTreeMap::new(),
         }
     }
 
     /// Takes a newer view; runs of upstreams that are no longer in it are returned.
     pub fn update(&mut self, view: &View) -> Vec<Run> {
-        let mut gone = Vec::new();
-        self.time = view.time_offset_ms;
-        if !self.upstreams.as_ref().is_some_and(|it| Arc::ptr_eq(it, &view.upstreams)) {
-            gone = self.take_records(&view.upstreams);
-            self.changed = true;
-            self.upstreams = Some(view.upstreams.clone());
-            self.follow(&view.rollout_plans);
+        let mut removed = Vec::new();
+        self.time_offset_ms = view.time_offset_ms;
+        if !self.records.as_ref().is_some_and(|it| Arc::ptr_eq(it, &view.upstreams)) {
+            removed = self.update_records(&view.upstreams);
+            self.records_changed = true;
+            self.records = Some(view.upstreams.clone());
+            self.update_plans(&view.rollout_plans);
         }
-        if !Arc::ptr_eq(&self.plans, &view.rollout_plans) {
-            self.follow(&view.rollout_plans);
+        if !Arc::ptr_eq(&self.rollout_plans, &view.rollout_plans) {
+            self.update_plans(&view.rollout_plans);
         }
-        gone
+        removed
     }
 
     /// Decides where a request goes, and counts it there.
-    pub fn choose(&mut self, now: Duration, query: &Query<'_>) -> Verdict {
+    pub fn choose(&mut self, now: Duration, query: &Query<'_>) -> Decision {
         let engine = !query.parts.is_empty();
-        self.turn = self.turn.wrapping_add(1);
-        if let Some(busy) = self.sheds(now, query) {
-            return Verdict::Busy(busy);
+        self.request_counter = self.request_counter.wrapping_add(1);
+        if let Some(busy) = self.shed(now, query) {
+            return Decision::Refuse(busy);
         }
-        let Some(mut choice) = self.choose_track(now, query) else {
-            return self.restricted(now, query).map_or(Verdict::Nowhere, Verdict::Busy);
+        let Some(mut choice) = self.choose_on_tracks(now, query) else {
+            return self
+                .refuse_restricted(now, query)
+                .map_or(Decision::NoUpstream, Decision::Refuse);
         };
         let objective = query.objective.as_secs_f64() * 1_000.0;
         if engine {
-            choice.lag = self.lags.get(&choice.lane).map_or(0.0, |lag| lag.at(now));
+            choice.lag_ms = self.lags.get(&choice.service_rank).map_or(0.0, |lag| lag.lag_at(now));
         }
-        let expected = choice.expected + choice.lag;
-        let late = expected > objective * if query.waited { PATIENCE_WAITED } else { PATIENCE };
-        let hopeless = expected > query.remaining.as_secs_f64() * 1_000.0;
-        if engine && !query.begun && (late || hopeless) && choice.cohort == Cohort::Canary {
+        let expected_ms = choice.expected_ms + choice.lag_ms;
+        let late = expected_ms
+            > objective * if query.returning { MAX_EXPECTED_RETURNING } else { MAX_EXPECTED };
+        let hopeless = expected_ms > query.remaining.as_secs_f64() * 1_000.0;
+        if engine && !query.may_have_run && (late || hopeless) && choice.cohort == Cohort::Canary {
             // A canary that is busy must not cost its caller the answer.
             return self.choose(now, &Query { tracks: Tracks::default(), ..*query });
         }
-        if engine && !query.begun && (late || hopeless) {
-            let over = (expected - objective).max(100.0);
-            let back = Duration::from_secs_f64((over / 1_000.0).min(3.0));
-            let cause = Cause::Late { expected: choice.expected, lag: choice.lag };
-            return Verdict::Busy(Busy { back, cause, work: choice.work });
+        if engine && !query.may_have_run && (late || hopeless) {
+            let excess_ms = (expected_ms - objective).max(100.0);
+            let retry_after = Duration::from_secs_f64((excess_ms / 1_000.0).min(3.0));
+            let cause = Cause::Late { expected_ms: choice.expected_ms, lag_ms: choice.lag_ms };
+            return Decision::Refuse(Busy { retry_after, cause, prefill_ms: choice.prefill_ms });
         }
-        self.begin(now, &choice, query);
-        Verdict::Go(choice)
+        self.record_sent(now, &choice, query);
+        Decision::Send(choice)
     }
 
     /// Finds the best upstream of the first version that has one.
-    fn choose_track(&self, now: Duration, query: &Query<'_>) -> Option<Choice> {
-        let tracks = std::iter::once(query.tracks.first).chain(query.tracks.second);
-        let mut tries = [true, false].into_iter().flat_map(|strict| {
+    fn choose_on_tracks(&self, now: Duration, query: &Query<'_>) -> Option<Choice> {
+        let tracks = std::iter::once(query.tracks.preferred).chain(query.tracks.fallback);
+        let mut options = [true, false].into_iter().flat_map(|strict| {
             let tracks = tracks.clone();
             tracks.map(move |track| (strict, track))
         });
-        tries.find_map(|(strict, track)| {
-            let home = self.home(query, track);
-            self.best(now, query, home.as_ref(), strict, track)
+        options.find_map(|(strict, track)| {
+            let home = self.home_upstream(query, track);
+            self.best_upstream(now, query, home.as_ref(), strict, track)
         })
     }
 
     /// Takes which versions of services get requests.
-    fn follow(&mut self, plans: &Arc<Plans>) {
-        self.plans = plans.clone();
-        for site in self.sites.values_mut() {
-            let plan = self.plans.get(&site.record.announcement.service);
-            site.follow(plan);
+    fn update_plans(&mut self, plans: &Arc<Plans>) {
+        self.rollout_plans = plans.clone();
+        for state in self.states.values_mut() {
+            let plan = self.rollout_plans.get(&state.record.announcement.service);
+            state.update_plan(plan);
         }
     }
 
     /// Tells whether a service has an upstream that may get work, other than these.
-    pub(crate) fn has_other(&self, now: Duration, service: &str, tried: &[Run]) -> bool {
+    pub(crate) fn has_alternative(&self, now: Duration, service: &str, tried_runs: &[Run]) -> bool {
         let names = self.by_service.get(service).into_iter().flatten();
-        let mut sites = names.filter_map(|name| self.sites.get(name));
-        let serves = |it: &Site| matches!(it.cohort, Cohort::Stable | Cohort::Candidate);
+        let mut states = names.filter_map(|name| self.states.get(name));
+        let serves_requests =
+            |it: &UpstreamState| matches!(it.cohort, Cohort::Stable | Cohort::Candidate);
         let at = self.moment(now);
-        sites.any(|it| {
-            serves(it)
-                && it.takes(now, false, true)
-                && !tried.contains(it.run())
-                && self.notices.admits(at, it.run(), false, || 0.0)
+        states.any(|it| {
+            serves_requests(it)
+                && it.accepts_requests(now, false, true)
+                && !tried_runs.contains(it.run())
+                && self.restrictions.admits(at, it.run(), false, || 0.0)
         })
     }
 
     /// Takes an upstream's first event.
-    pub fn first(&mut self, now: Duration, choice: &Choice, took: Duration) {
-        if let Some(objective) = choice.plain {
-            let part = took.as_secs_f64() / objective.as_secs_f64().max(f64::MIN_POSITIVE);
-            self.share(now, &choice.lane.0).learn(now, part);
+    pub fn record_first_event(&mut self, now: Duration, choice: &Choice, latency: Duration) {
+        if let Some(objective) = choice.plain_objective {
+            let part = latency.as_secs_f64() / objective.as_secs_f64().max(f64::MIN_POSITIVE);
+            self.admitted_share(now, &choice.service_rank.0).record_latency(now, part);
         } else {
-            let lag = self.lags.entry(choice.lane.clone()).or_default();
-            lag.learn(now, took.as_secs_f64() * 1_000.0 - choice.expected);
+            let lag = self.lags.entry(choice.service_rank.clone()).or_default();
+            lag.record_sample(now, latency.as_secs_f64() * 1_000.0 - choice.expected_ms);
         }
-        let Some(site) = self.site_mut(choice) else { return };
-        site.reading = site.reading.saturating_sub(choice.reading);
+        let Some(state) = self.state_mut(choice) else { return };
+        state.pending_prefill = state.pending_prefill.saturating_sub(choice.uncached_tokens);
         if choice.idle {
-            site.pace.learn_first(choice.reading, took);
+            state.speed.record_first_event(choice.uncached_tokens, latency);
         }
     }
 
     /// Takes the end of a request at an upstream; `began` tells whether its first event had come.
-    pub fn end(&mut self, now: Duration, choice: &Choice, ending: Ending, began: Option<Duration>) {
+    pub fn record_end(
+        &mut self,
+        now: Duration,
+        choice: &Choice,
+        ending: Ending,
+        duration: Option<Duration>,
+    ) {
         // One upstream that refuses everything says nothing of the others.
-        let refuses = self.site_mut(choice).is_some_and(|site| site.refuses());
-        if ending == Ending::Full && choice.plain.is_some() && !refuses {
-            self.share(now, &choice.lane.0).learn(now, ALL);
+        let refuses = self.state_mut(choice).is_some_and(|state| state.is_refusing());
+        if ending == Ending::Full && choice.plain_objective.is_some() && !refuses {
+            self.admitted_share(now, &choice.service_rank.0)
+                .record_latency(now, FULL_QUEUE_LATENCY);
         }
-        let Some(site) = self.site_mut(choice) else { return };
-        if began.is_none() {
-            site.reading = site.reading.saturating_sub(choice.reading);
+        let Some(state) = self.state_mut(choice) else { return };
+        if duration.is_none() {
+            state.pending_prefill = state.pending_prefill.saturating_sub(choice.uncached_tokens);
         }
-        site.end(now, ending, began);
+        state.record_end(now, ending, duration);
     }
 
     /// Tells whether a request to a plain service is refused at once because the service has more to do
@@ -251,69 +262,74 @@
     /// requests are turned away and the others are late. Refused here in the right part, the rest finds
     /// short queues and is on time. The part follows from how late answers come beside what is wanted,
     /// so it needs to know neither the load nor what the upstreams can do.
-    fn sheds(&self, now: Duration, query: &Query<'_>) -> Option<Busy> {
-        if !query.parts.is_empty() || !query.tried.is_empty() {
+    fn shed(&self, now: Duration, query: &Query<'_>) -> Option<Busy> {
+        if !query.parts.is_empty() || !query.tried_runs.is_empty() {
             return None;
         }
-        let refused = 1.0 - self.shares.get(query.service)?.at(now);
+        let refused = 1.0 - self.admitted_shares.get(query.service)?.share_at(now);
         // Whoever has come back gets a late answer at best, in the place of one that is on time.
-        let part = if query.waited { (refused * WAITED).min(SHED_MOST) } else { refused };
-        let draw = f64::from(u32::try_from(hash::mix(self.turn) >> 32).unwrap_or(0));
-        let shed = draw < part * f64::from(u32::MAX);
-        let back = BACK_SHED.0 + BACK_SHED.1.mul_f64(part);
-        shed.then_some(Busy { back, cause: Cause::Share(1.0 - part), work: 0.0 })
+        let part = if query.returning {
+            (refused * RETURNING_REFUSAL_FACTOR).min(MAX_RETURNING_REFUSAL)
+        } else {
+            refused
+        };
+        let random = f64::from(u32::try_from(hash::mix(self.request_counter) >> 32).unwrap_or(0));
+        let shed = random < part * f64::from(u32::MAX);
+        let retry_after = SHED_RETRY_AFTER.0 + SHED_RETRY_AFTER.1.mul_f64(part);
+        shed.then_some(Busy { retry_after, cause: Cause::Share(1.0 - part), prefill_ms: 0.0 })
     }
 
-    fn share(&mut self, now: Duration, service: &Arc<str>) -> &mut Share {
-        self.shares.entry(service.clone()).or_insert_with(|| Share::open(now))
+    fn admitted_share(&mut self, now: Duration, service: &Arc<str>) -> &mut AdmittedShare {
+        self.admitted_shares.entry(service.clone()).or_insert_with(|| AdmittedShare::new(now))
     }
 
     /// Returns where a request was sent, unless that run has ended.
     ///
     /// An upstream that has started again under its name has nothing under way of what was sent before:
     /// counted there, the old requests would make it look busier, or idler, than it is.
-    fn site_mut(&mut self, choice: &Choice) -> Option<&mut Site> {
-        self.sites.get_mut(&choice.run.upstream).filter(|site| *site.run() == choice.run)
+    fn state_mut(&mut self, choice: &Choice) -> Option<&mut UpstreamState> {
+        self.states.get_mut(&choice.run.upstream).filter(|state| *state.run() == choice.run)
     }
 
-    fn take_records(&mut self, records: &Records) -> Vec<Run> {
-        let stays = |site: &Site| {
-            let record = records.get(&site.run().upstream);
-            record.is_some_and(|record| record.announcement.run == *site.run())
+    fn update_records(&mut self, records: &UpstreamRecords) -> Vec<Run> {
+        let is_same_run = |state: &UpstreamState| {
+            let record = records.get(&state.run().upstream);
+            record.is_some_and(|record| record.announcement.run == *state.run())
         };
-        let ended = self.sites.values().filter(|site| !stays(site));
-        let gone: Vec<Run> = ended.map(|site| site.run().clone()).collect();
-        self.sites.retain(|_, site| stays(site));
-        let mut moved = !gone.is_empty();
+        let ended = self.states.values().filter(|state| !is_same_run(state));
+        let removed: Vec<Run> = ended.map(|state| state.run().clone()).collect();
+        self.states.retain(|_, state| is_same_run(state));
+        let mut services_changed = !removed.is_empty();
         for (name, record) in records {
-            match self.sites.get_mut(name) {
-                Some(site) if site.record == *record => {}
-                Some(site) => {
-                    moved |= site.record.announcement.service != record.announcement.service;
-                    site.record = record.clone();
+            match self.states.get_mut(name) {
+                Some(state) if state.record == *record => {}
+                Some(state) => {
+                    services_changed |=
+                        state.record.announcement.service != record.announcement.service;
+                    state.record = record.clone();
                 }
                 None => {
-                    moved = true;
-                    self.sites.insert(name.clone(), Site::open(record.clone()));
+                    services_changed = true;
+                    self.states.insert(name.clone(), UpstreamState::new(record.clone()));
                 }
             }
         }
-        if moved {
-            self.list_services();
+        if services_changed {
+            self.rebuild_services();
         }
-        gone
+        removed
     }
 
     /// Lists the upstreams by service anew.
-    fn list_services(&mut self) {
+    fn rebuild_services(&mut self) {
         self.by_service.clear();
-        for (name, site) in &self.sites {
-            let service = site.record.announcement.service.clone();
+        for (name, state) in &self.states {
+            let service = state.record.announcement.service.clone();
             self.by_service.entry(service).or_default().push(name.clone());
         }
     }
 
-    fn best(
+    fn best_upstream(
         &self,
         now: Duration,
         query: &Query<'_>,
@@ -322,128 +338,143 @@
         track: Track,
     ) -> Option<Choice> {
         let names = self.by_service.get(query.service)?;
-        let shared: u64 = shared(query.parts).iter().map(|part| u64::from(part.tokens)).sum();
+        let shared: u64 = shared_parts(query.parts).iter().map(|part| u64::from(part.tokens)).sum();
         let at = self.moment(now);
-        let mut best: Option<(&Site, Estimate)> = None;
-        let mut equals = 1;
+        let mut best: Option<(&UpstreamState, Estimate)> = None;
+        let mut equal_count = 1;
         for name in names {
-            let Some(site) = self.sites.get(name) else { continue };
-            if !track.admits(site.cohort)
-                || !site.takes(now, strict, query.spare)
-                || query.tried.contains(site.run())
-                || !self.notices.admits(at, site.run(), query.spare, || self.draw(site, strict))
+            let Some(state) = self.states.get(name) else { continue };
+            if !track.includes(state.cohort)
+                || !state.accepts_requests(now, strict, query.has_spare_attempt)
+                || query.tried_runs.contains(state.run())
+                || !self.restrictions.admits(at, state.run(), query.has_spare_attempt, || {
+                    self.random_fraction(state, strict)
+                })
             {
                 continue;
             }
-            let likely = if home == Some(name) { scale(shared, SHARED) } else { 0 };
-            let mut estimate = self.weigh(now, query, site, shared, likely);
-            if self.notices.is_due(at, site.run()) {
-                estimate.cost -= DUE;
+            let likely_cached =
+                if home == Some(name) { scale(shared, HOME_CACHED_SHARE) } else { 0 };
+            let mut estimate = self.estimate(now, query, state, shared, likely_cached);
+            if self.restrictions.is_probe_due(at, state.run()) {
+                estimate.cost_ms -= PROBE_BONUS_MS;
             }
-            let gain = best.map_or(f64::MAX, |(_, best)| best.cost - estimate.cost);
-            equals = if gain.abs() < EQUAL { equals + 1 } else { 1 };
+            let gain = best.map_or(f64::MAX, |(_, best)| best.cost_ms - estimate.cost_ms);
+            equal_count = if gain.abs() < EQUAL_COST_MS { equal_count + 1 } else { 1 };
             // Of equals each is as likely; always the first would get all that comes at once.
-            let drawn = hash::mix(self.turn ^ site.mark).is_multiple_of(equals);
-            if gain >= EQUAL || (gain > -EQUAL && drawn) {
-                best = Some((site, estimate));
+            let picked =
+                hash::mix(self.request_counter ^ state.upstream_hash).is_multiple_of(equal_count);
+            if gain >= EQUAL_COST_MS || (gain > -EQUAL_COST_MS && picked) {
+                best = Some((state, estimate));
             }
         }
-        let (site, Estimate { reading, expected, idle, .. }) = best?;
-        let Announcement { run, address, service, version, .. } = &site.record.announcement;
+        let (state, Estimate { uncached_tokens, expected_ms, idle, .. }) = best?;
+        let Announcement { run, address, service, version, .. } = &state.record.announcement;
         let lane = (service.clone(), query.rank);
         Some(Choice {
             run: run.clone(),
             address: *address,
-            reading,
-            expected,
-            lag: 0.0,
+            uncached_tokens,
+            expected_ms,
+            lag_ms: 0.0,
             idle,
-            work: if query.parts.is_empty() { 0.0 } else { site.pace.reading(reading) },
+            prefill_ms: if query.parts.is_empty() {
+                0.0
+            } else {
+                state.speed.prefill_ms(uncached_tokens)
+            },
             version: version.clone(),
-            cohort: site.cohort,
-            mark: site.mark,
-            limit: self.notices.rate(site.run()),
+            cohort: state.cohort,
+            upstream_hash: state.upstream_hash,
+            rate_limit: self.restrictions.rate(state.run()),
             ticket: None,
-            lane,
-            plain: query.parts.is_empty().then_some(query.objective),
+            service_rank: lane,
+            plain_objective: query.parts.is_empty().then_some(query.objective),
         })
     }
 
     /// Works out when the first event would come from an upstream, of a prompt with so many tokens
     /// that others share, so many of which it is likely to have read for other entries.
-    fn weigh(
+    fn estimate(
         &self,
         now: Duration,
         query: &Query<'_>,
-        site: &Site,
+        state: &UpstreamState,
         shared: u64,
-        likely: u64,
+        likely_cached: u64,
     ) -> Estimate {
-        let held = site.cache.held(now, query.parts).max(likely);
-        let reading = query.prompt.saturating_sub(held);
-        let again = shared.saturating_sub(held);
-        let requests = site.requests;
+        let cached = state.cache.cached_tokens(now, query.parts).max(likely_cached);
+        let uncached_tokens = query.prompt_tokens.saturating_sub(cached);
+        let uncached_shared = shared.saturating_sub(cached);
+        let requests = state.active_requests;
         // Only what this entry itself has there. What others had would be known half a second later,
         // when it has been read, and would send all entries on to the same few upstreams.
-        let waiting = site.reading;
-        let slots = site.record.announcement.slots.max(1);
-        let away = if site.record.announcement.zone == self.zone { 0.0 } else { AWAY };
-        let mut expected = away + f64::from(requests) * BATCHED + site.failing(now) * FAILING;
+        let pending = state.pending_prefill;
+        let slots = state.record.announcement.slots.max(1);
+        let zone_cost =
+            if state.record.announcement.zone == self.zone { 0.0 } else { OTHER_ZONE_COST_MS };
+        let mut expected_ms = zone_cost
+            + f64::from(requests) * RUNNING_REQUEST_COST_MS
+            + state.failure_rate(now) * FAILURE_COST_MS;
         if !query.parts.is_empty() {
-            expected += site.pace.first() + site.pace.reading(waiting + reading);
+            expected_ms +=
+                state.speed.first_event_ms() + state.speed.prefill_ms(pending + uncached_tokens);
         }
         if requests >= slots {
-            let lasting = site.pace.lasting().unwrap_or(100.0);
-            expected += lasting * f64::from(requests - slots + 1) / f64::from(slots);
+            let answer_ms = state.speed.answer_ms().unwrap_or(100.0);
+            expected_ms += answer_ms * f64::from(requests - slots + 1) / f64::from(slots);
         } else if query.parts.is_empty() {
-            expected += 10.0 * f64::from(requests) / f64::from(slots);
+            expected_ms += 10.0 * f64::from(requests) / f64::from(slots);
         }
         Estimate {
-            reading,
-            expected,
-            cost: expected + site.pace.reading(again) * AGAIN,
-            idle: waiting == 0,
+            uncached_tokens,
+            expected_ms,
+            cost_ms: expected_ms + state.speed.prefill_ms(uncached_shared) * PREFILL_AGAIN_FACTOR,
+            idle: pending == 0,
         }
     }
 
     /// Draws a number between zero and one for a request at a site; less strictly, the lowest.
-    fn draw(&self, site: &Site, strict: bool) -> f64 {
+    fn random_fraction(&self, state: &UpstreamState, strict: bool) -> f64 {
         if !strict {
             return 0.0;
         }
-        let drawn = u32::try_from(hash::mix(self.turn ^ site.mark) >> 32).unwrap_or(u32::MAX);
-        f64::from(drawn) / f64::from(u32::MAX)
+        let picked = u32::try_from(hash::mix(self.request_counter ^ state.upstream_hash) >> 32)
+            .unwrap_or(u32::MAX);
+        f64::from(picked) / f64::from(u32::MAX)
     }
 
-    fn begin(&mut self, now: Duration, choice: &Choice, query: &Query<'_>) {
+    fn record_sent(&mut self, now: Duration, choice: &Choice, query: &Query<'_>) {
         let at = self.moment(now);
-        self.notices.sent(at, &choice.run);
-        let Some(site) = self.site_mut(choice) else { return };
-        site.requests += 1;
-        site.reading += choice.reading;
-        site.cache.note(now, query.parts);
+        self.restrictions.record_sent(at, &choice.run);
+        let Some(state) = self.state_mut(choice) else { return };
+        state.active_requests += 1;
+        state.pending_prefill += choice.uncached_tokens;
+        state.cache.record_sent(now, query.parts);
     }
 
     /// Returns the upstream where the shared start of a prompt belongs.
     ///
     /// All entries find the same one without a word between them: the one with the highest hash of
     /// prefix and upstream.
-    fn home(&self, query: &Query<'_>, track: Track) -> Option<Upstream> {
-        let part = shared(query.parts).last()?.id;
+    fn home_upstream(&self, query: &Query<'_>, track: Track) -> Option<Upstream> {
+        let part = shared_parts(query.parts).last()?.id;
         let names = self.by_service.get(query.service)?;
-        let sites = names.iter().filter_map(|name| Some((name, self.sites.get(name)?)));
-        let ready = sites.filter(|(_, site)| {
-            site.record.status == Status::Ready
-                && track.admits(site.cohort)
-                && self.notices.restriction(site.run()).is_none()
-                && !self.notices.is_leaving(site.run())
+        let states = names.iter().filter_map(|name| Some((name, self.states.get(name)?)));
+        let ready = states.filter(|(_, state)| {
+            state.record.status == Status::Ready
+                && track.includes(state.cohort)
+                && self.restrictions.restriction(state.run()).is_none()
+                && !self.restrictions.is_leaving(state.run())
         });
-        ready.max_by_key(|(_, site)| hash::mix(site.mark ^ part)).map(|(name, _)| name.clone())
+        ready
+            .max_by_key(|(_, state)| hash::mix(state.upstream_hash ^ part))
+            .map(|(name, _)| name.clone())
     }
 }
 
 /// Returns the parts that other requests may share: all but the last.
-fn shared(parts: &[PromptPart]) -> &[PromptPart] {
+fn shared_parts(parts: &[PromptPart]) -> &[PromptPart] {
     parts.split_last().map_or(&[], |(_, shared)| shared)
 }
 
--- a/crates/verbenaslip-relay/src/policy/placement/restrictions.rs
+++ b/crates/verbenaslip-relay/src/policy/placement/restrictions.rs
@@ -10,65 +10,74 @@
 use crate::dialect::ResponseInfo;
 use crate::policy::placement::{Busy, Cause, Choice, Placement, Query};
 use crate::policy::restriction::{Change, Moment, Restriction};
-use crate::policy::speed::Pace;
+use crate::policy::speed::Speed;
 
 /// The earliest time at which a caller may come back that was refused because upstreams are limited or rest.
-const BACK_RESTRICTED: Duration = Duration::from_millis(300);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// The latest time where upstreams are limited: it may be another entry's turn before.
-const BACK_LIMITED: Duration = Duration::from_secs(2);
+const MAX_RETRY_AFTER_LIMITED: Duration = Duration::from_secs(2);
 
 impl Placement {
     /// Takes the limits of a newer view; returns those that are new here.
     pub fn update_limits(&mut self, now: Duration, view: &View) -> Vec<Observation> {
         let at = self.moment(now);
-        if std::mem::take(&mut self.changed) {
-            let there = |run: &Run| self.sites.get(&run.upstream).is_some_and(|it| it.run() == run);
-            self.notices.prune(at, there);
+        if std::mem::take(&mut self.records_changed) {
+            let is_present =
+                |run: &Run| self.states.get(&run.upstream).is_some_and(|it| it.run() == run);
+            self.restrictions.prune(at, is_present);
         }
-        if Arc::ptr_eq(&self.limits, &view.limits) && self.place == view.time_slot {
+        if Arc::ptr_eq(&self.limits, &view.limits) && self.time_slot == view.time_slot {
             return Vec::new();
         }
-        (self.limits, self.place) = (view.limits.clone(), view.time_slot);
-        self.notices.follow(at, view)
+        (self.limits, self.time_slot) = (view.limits.clone(), view.time_slot);
+        self.restrictions.update_from_view(at, view)
     }
 
     /// Takes what an upstream asks for in the head of an answer to a request that was sent at a time; returns what has
     /// changed by it.
-    pub fn answered(
+    pub fn handle_response_info(
         &mut self,
         now: Duration,
         choice: &Choice,
-        sent: Duration,
-        reply: &ResponseInfo,
+        sent_at: Duration,
+        info: &ResponseInfo,
     ) -> Vec<Change> {
         let at = self.moment(now);
-        self.notices.answered(at, &choice.run, sent, reply)
+        self.restrictions.handle_response_info(at, &choice.run, sent_at, info)
     }
 
     pub(super) fn moment(&self, now: Duration) -> Moment {
-        Moment::at(now, self.time)
+        Moment::at(now, self.time_offset_ms)
     }
 
     /// Says when to come back, if upstreams take no request only because of what they have asked for.
-    pub(super) fn restricted(&self, now: Duration, query: &Query<'_>) -> Option<Busy> {
+    pub(super) fn refuse_restricted(&self, now: Duration, query: &Query<'_>) -> Option<Busy> {
         let at = self.moment(now);
         let names = self.by_service.get(query.service).into_iter().flatten();
-        let sites = names.filter_map(|name| self.sites.get(name));
-        let sites = sites
-            .filter(|site| site.takes(now, false, true) && !self.notices.is_leaving(site.run()));
-        let restricted = sites.filter_map(|site| {
-            let restriction = self.notices.restriction(site.run())?;
-            let wait = self.notices.wait(at, site.run(), query.spare);
+        let states = names.filter_map(|name| self.states.get(name));
+        let states = states.filter(|state| {
+            state.accepts_requests(now, false, true) && !self.restrictions.is_leaving(state.run())
+        });
+        let restricted = states.filter_map(|state| {
+            let restriction = self.restrictions.restriction(state.run())?;
+            let wait =
+                self.restrictions.time_until_allowed(at, state.run(), query.has_spare_attempt);
             let wait = match restriction {
-                Restriction::Limited => wait.unwrap_or(BACK_LIMITED).min(BACK_LIMITED),
-                Restriction::Resting => wait.unwrap_or(BACK_LIMITED),
+                Restriction::RateLimited => {
+                    wait.unwrap_or(MAX_RETRY_AFTER_LIMITED).min(MAX_RETRY_AFTER_LIMITED)
+                }
+                Restriction::CoolingDown => wait.unwrap_or(MAX_RETRY_AFTER_LIMITED),
             };
             Some((wait, restriction))
         });
-        let (back, restriction) = restricted.min_by_key(|(wait, _)| *wait)?;
-        let work = if query.parts.is_empty() { 0.0 } else { Pace::default().reading(query.prompt) };
-        let back = back.max(BACK_RESTRICTED);
-        Some(Busy { back, cause: Cause::Restricted(restriction), work })
+        let (retry_after, restriction) = restricted.min_by_key(|(wait, _)| *wait)?;
+        let prefill_ms = if query.parts.is_empty() {
+            0.0
+        } else {
+            Speed::default().prefill_ms(query.prompt_tokens)
+        };
+        let retry_after = retry_after.max(MIN_RETRY_AFTER);
+        Some(Busy { retry_after, cause: Cause::Restricted(restriction), prefill_ms })
     }
 }
--- a/crates/verbenaslip-relay/src/policy/restriction.rs
+++ b/crates/verbenaslip-relay/src/policy/restriction.rs
@@ -12,16 +12,16 @@
 use verbenaslip_fleet::registry::Run;
 
 use crate::dialect::{RateLimit, ResponseInfo};
-use crate::policy::cooldown::Rest;
+use crate::policy::cooldown::Cooldown;
 use crate::policy::limiter::Limiter;
 
 /// How long an upstream takes to get all of its requests again. All entries find it idle at that moment, and would
 /// send it everything.
-const RETURN: Duration = Duration::from_secs(2);
+const RAMP_UP: Duration = Duration::from_secs(2);
 
 /// How long an entry may not have asked a limited upstream until it prefers it in its turn: only its answers say when
 /// the limit ends.
-const PROBE: Duration = Duration::from_secs(1);
+const PROBE_AFTER: Duration = Duration::from_secs(1);
 
 /// How long what a run asked for is remembered after its last answer.
 const MEMORY: Duration = Duration::from_secs(60);
@@ -30,19 +30,19 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Moment {
     /// By the monotonic clock.
-    pub now: Duration,
+    pub monotonic: Duration,
     /// By the agreed time of day, since the start of 1970.
-    pub time: Duration,
+    pub wall_clock: Duration,
 }
 
 impl Moment {
     /// Reads both clocks at a time of the monotonic one.
     pub fn at(now: Duration, offset: i64) -> Self {
-        Self { now, time: Duration::from_millis(clock::unix_ms(now, offset)) }
+        Self { monotonic: now, wall_clock: Duration::from_millis(clock::unix_ms(now, offset)) }
     }
 
-    fn unix(self) -> u64 {
-        u64::try_from(self.time.as_millis()).unwrap_or(u64::MAX)
+    fn unix_ms(self) -> u64 {
+        u64::try_from(self.wall_clock.as_millis()).unwrap_or(u64::MAX)
     }
 }
 
@@ -50,9 +50,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Change {
     /// The limit of the upstream.
-    Limit(Limit),
+    RateLimit(Limit),
     /// The rest that it wants from this entry; none once it takes requests again.
-    Rest(Option<Duration>),
+    Cooldown(Option<Duration>),
     /// It is about to go.
     Leaving,
 }
@@ -61,210 +61,239 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Restriction {
     /// It limits the rate, and it is not this entry's turn.
-    Limited,
+    RateLimited,
     /// It has asked for rest.
-    Resting,
+    CoolingDown,
 }
 
 /// Remembers what each run of an upstream asks for.
 #[derive(Debug, Default)]
-pub struct Notices {
-    notices: BTreeMap<Run, Notice>,
-    turn: Option<TimeSlot>,
+pub struct Restrictions {
+    runs: BTreeMap<Run, RunRestrictions>,
+    time_slot: Option<TimeSlot>,
 }
 
 /// Holds what one run asks for.
 #[derive(Debug)]
-struct Notice {
+struct RunRestrictions {
     limit: Option<Limit>,
     limiter: Option<Limiter>,
     /// When this entry learnt of the limit.
-    learnt: Duration,
-    rest: Option<Rest>,
+    limited_since: Duration,
+    cooldown: Option<Cooldown>,
     /// Whether it is about to go; a run says that once and for all.
     leaving: bool,
     /// When this entry last had an answer.
-    answered: Duration,
+    answered_at: Duration,
     /// When the last restriction ended.
-    ended: Option<Duration>,
+    ended_at: Option<Duration>,
 }
 
-impl Notices {
+impl Restrictions {
     /// Takes what an answer says to a request that was sent at a time; returns what has changed by it.
-    pub fn answered(
+    pub fn handle_response_info(
         &mut self,
         at: Moment,
         run: &Run,
-        sent: Duration,
-        reply: &ResponseInfo,
+        sent_at: Duration,
+        info: &ResponseInfo,
     ) -> Vec<Change> {
-        let limits = reply.rate_limit != RateLimit::Unlimited;
-        let asks = limits || reply.cooldown.is_some() || reply.leaving;
-        if !asks && !self.notices.contains_key(run) {
+        let limits = info.rate_limit != RateLimit::Unlimited;
+        let asks = limits || info.cooldown.is_some() || info.leaving;
+        if !asks && !self.runs.contains_key(run) {
             return Vec::new();
         }
-        let notice = self.notices.entry(run.clone()).or_insert_with(|| Notice::open(at));
-        notice.answered = at.now;
-        let limit = notice.take_limit(at, sent, reply.rate_limit, self.turn).map(Change::Limit);
-        let rest = notice.take_rest(at, sent, reply);
-        let leaves = reply.leaving && !std::mem::replace(&mut notice.leaving, true);
-        let leaving = leaves.then_some(Change::Leaving);
-        limit.into_iter().chain(rest).chain(leaving).collect()
+        let run_restrictions =
+            self.runs.entry(run.clone()).or_insert_with(|| RunRestrictions::new(at));
+        run_restrictions.answered_at = at.monotonic;
+        let limit = run_restrictions
+            .handle_limit(at, sent_at, info.rate_limit, self.time_slot)
+            .map(Change::RateLimit);
+        let cooldown = run_restrictions.handle_cooldown(at, sent_at, info);
+        let is_new_departure =
+            info.leaving && !std::mem::replace(&mut run_restrictions.leaving, true);
+        let leaving = is_new_departure.then_some(Change::Leaving);
+        limit.into_iter().chain(cooldown).chain(leaving).collect()
     }
 
     /// Takes the limits that others have learnt of, and this entry's place among them; returns what is new here.
-    pub fn follow(&mut self, at: Moment, view: &View) -> Vec<Observation> {
-        if self.turn != view.time_slot {
-            self.turn = view.time_slot;
-            let limiters = self.notices.values_mut().filter_map(|it| it.limiter.as_mut());
-            limiters.for_each(|limiter| limiter.change(limiter.rate(), view.time_slot, at.time));
+    pub fn update_from_view(&mut self, at: Moment, view: &View) -> Vec<Observation> {
+        if self.time_slot != view.time_slot {
+            self.time_slot = view.time_slot;
+            let limiters = self.runs.values_mut().filter_map(|it| it.limiter.as_mut());
+            limiters
+                .for_each(|limiter| limiter.update(limiter.rate(), view.time_slot, at.wall_clock));
         }
-        let known = |run: &Run| self.notices.get(run).and_then(|it| it.limit.as_ref());
-        let news = view.limits.iter().filter(|(run, limit)| limit.supersedes(known(run)));
-        let news: Vec<Observation> =
-            news.map(|(run, limit)| Observation { run: run.clone(), limit: *limit }).collect();
-        for Observation { run, limit } in &news {
-            let notice = self.notices.entry(run.clone()).or_insert_with(|| Notice::open(at));
-            notice.set_limit(at, *limit, view.time_slot);
+        let known = |run: &Run| self.runs.get(run).and_then(|it| it.limit.as_ref());
+        let updates = view.limits.iter().filter(|(run, limit)| limit.supersedes(known(run)));
+        let updates: Vec<Observation> =
+            updates.map(|(run, limit)| Observation { run: run.clone(), limit: *limit }).collect();
+        for Observation { run, limit } in &updates {
+            let run_restrictions =
+                self.runs.entry(run.clone()).or_insert_with(|| RunRestrictions::new(at));
+            run_restrictions.set_limit(at, *limit, view.time_slot);
         }
-        news
+        updates
     }
 
     /// Tells whether this entry may send a request to a run now.
     ///
     /// `spare` is whether another upstream may get it if this one turns it away; `draw`, between zero and one, decides
     /// while traffic returns.
-    pub fn admits(&self, at: Moment, run: &Run, spare: bool, draw: impl FnOnce() -> f64) -> bool {
-        let Some(notice) = self.notices.get(run) else { return true };
-        if notice.leaving {
+    pub fn admits(
+        &self,
+        at: Moment,
+        run: &Run,
+        has_spare_attempt: bool,
+        random_fraction: impl FnOnce() -> f64,
+    ) -> bool {
+        let Some(run_restrictions) = self.runs.get(run) else { return true };
+        if run_restrictions.leaving {
             return false;
         }
-        let since = notice.ended.map_or(RETURN, |ended| at.now.saturating_sub(ended));
-        let returned = draw() * RETURN.as_secs_f64() <= since.as_secs_f64();
-        let free = notice.limiter.is_none_or(|limiter| limiter.is_free(at.time));
-        free && match notice.rest {
-            Some(rest) => rest.is_over(at.now, spare),
-            None => returned || notice.limiter.is_some(),
-        }
+        let since_end =
+            run_restrictions.ended_at.map_or(RAMP_UP, |ended| at.monotonic.saturating_sub(ended));
+        let ramped_up = random_fraction() * RAMP_UP.as_secs_f64() <= since_end.as_secs_f64();
+        let has_slot =
+            run_restrictions.limiter.is_none_or(|limiter| limiter.is_free(at.wall_clock));
+        has_slot
+            && match run_restrictions.cooldown {
+                Some(cooldown) => cooldown.allows_request(at.monotonic, has_spare_attempt),
+                None => ramped_up || run_restrictions.limiter.is_some(),
+            }
     }
 
     /// Tells whether a run is about to go.
     pub fn is_leaving(&self, run: &Run) -> bool {
-        self.notices.get(run).is_some_and(|it| it.leaving)
+        self.runs.get(run).is_some_and(|it| it.leaving)
     }
 
     /// Tells how a run is restricted.
     pub fn restriction(&self, run: &Run) -> Option<Restriction> {
-        let notice = self.notices.get(run)?;
-        let rest = notice.rest.map(|_| Restriction::Resting);
-        rest.or(notice.limiter.map(|_| Restriction::Limited))
+        let run_restrictions = self.runs.get(run)?;
+        let cooldown = run_restrictions.cooldown.map(|_| Restriction::CoolingDown);
+        cooldown.or(run_restrictions.limiter.map(|_| Restriction::RateLimited))
     }
 
     /// Returns how long it takes until this entry may send to a run; none where it is limited and this entry's place is
     /// not known.
-    pub fn wait(&self, at: Moment, run: &Run, spare: bool) -> Option<Duration> {
-        let Some(notice) = self.notices.get(run) else { return Some(Duration::ZERO) };
-        let rest = notice.rest.map_or(Duration::ZERO, |rest| rest.wait(at.now, spare));
-        match notice.limiter {
-            Some(limiter) => limiter.wait(at.time).map(|turn| turn.max(rest)),
-            None => Some(rest),
+    pub fn time_until_allowed(
+        &self,
+        at: Moment,
+        run: &Run,
+        has_spare_attempt: bool,
+    ) -> Option<Duration> {
+        let Some(run_restrictions) = self.runs.get(run) else { return Some(Duration::ZERO) };
+        let cooldown = run_restrictions.cooldown.map_or(Duration::ZERO, |cooldown| {
+            cooldown.time_until_allowed(at.monotonic, has_spare_attempt)
+        });
+        match run_restrictions.limiter {
+            Some(limiter) => limiter.time_until_free(at.wall_clock).map(|wait| wait.max(cooldown)),
+            None => Some(cooldown),
         }
     }
 
     /// Returns the limit of a run.
     pub fn rate(&self, run: &Run) -> Option<f64> {
-        Some(self.notices.get(run)?.limiter?.rate())
+        Some(self.runs.get(run)?.limiter?.rate())
     }
 
     /// Tells whether a run is to be asked, to learn whether it still is limited.
-    pub fn is_due(&self, at: Moment, run: &Run) -> bool {
-        let notice = self.notices.get(run).filter(|it| it.limiter.is_some());
-        notice.is_some_and(|it| at.now.saturating_sub(it.answered) > PROBE)
+    pub fn is_probe_due(&self, at: Moment, run: &Run) -> bool {
+        let run_restrictions = self.runs.get(run).filter(|it| it.limiter.is_some());
+        run_restrictions.is_some_and(|it| at.monotonic.saturating_sub(it.answered_at) > PROBE_AFTER)
     }
 
     /// Counts a request that is sent to a run.
-    pub fn sent(&mut self, at: Moment, run: &Run) {
-        let Some(notice) = self.notices.get_mut(run) else { return };
-        if let Some(limiter) = &mut notice.limiter {
-            limiter.take(at.time);
+    pub fn record_sent(&mut self, at: Moment, run: &Run) {
+        let Some(run_restrictions) = self.runs.get_mut(run) else { return };
+        if let Some(limiter) = &mut run_restrictions.limiter {
+            limiter.use_slot(at.wall_clock);
         }
-        if let Some(rest) = &mut notice.rest {
-            rest.sent(at.now);
+        if let Some(cooldown) = &mut run_restrictions.cooldown {
+            cooldown.record_sent(at.monotonic);
         }
     }
 
     /// Forgets runs that are not `there` and have not answered for long.
     ///
     /// A run may be missing for a moment, while a new leader has not heard it yet, and what it asked for still holds.
-    pub fn prune(&mut self, at: Moment, there: impl Fn(&Run) -> bool) {
-        let lately = |it: &Notice| at.now.saturating_sub(it.answered) <= MEMORY;
-        self.notices.retain(|run, notice| lately(notice) || there(run));
+    pub fn prune(&mut self, at: Moment, is_present: impl Fn(&Run) -> bool) {
+        let answered_recently =
+            |it: &RunRestrictions| at.monotonic.saturating_sub(it.answered_at) <= MEMORY;
+        self.runs
+            .retain(|run, run_restrictions| answered_recently(run_restrictions) || is_present(run));
     }
 }
 
-impl Notice {
-    fn open(at: Moment) -> Self {
+impl RunRestrictions {
+    fn new(at: Moment) -> Self {
         Self {
             limit: None,
             limiter: None,
-            learnt: at.now,
-            rest: None,
+            limited_since: at.monotonic,
+            cooldown: None,
             leaving: false,
-            answered: at.now,
-            ended: None,
+            answered_at: at.monotonic,
+            ended_at: None,
         }
     }
 
-    fn take_limit(
+    fn handle_limit(
         &mut self,
         at: Moment,
-        sent: Duration,
-        said: RateLimit,
-        turn: Option<TimeSlot>,
+        sent_at: Duration,
+        rate_limit: RateLimit,
+        time_slot: Option<TimeSlot>,
     ) -> Option<Limit> {
-        let rate = match said {
+        let rate = match rate_limit {
             RateLimit::PerSecond(rate) => Some(rate),
             // An answer to what was sent before may have been made before the limit was named.
-            RateLimit::Unlimited if self.limiter.is_some() && sent >= self.learnt => None,
+            RateLimit::Unlimited if self.limiter.is_some() && sent_at >= self.limited_since => None,
             RateLimit::Unlimited | RateLimit::Unreadable => return None,
         };
-        let limit = Limit { rate, reported_at_ms: at.unix() };
+        let limit = Limit { rate, reported_at_ms: at.unix_ms() };
         if !limit.supersedes(self.limit.as_ref()) {
             return None;
         }
-        self.set_limit(at, limit, turn);
+        self.set_limit(at, limit, time_slot);
         Some(limit)
     }
 
-    fn set_limit(&mut self, at: Moment, limit: Limit, turn: Option<TimeSlot>) {
+    fn set_limit(&mut self, at: Moment, limit: Limit, time_slot: Option<TimeSlot>) {
         self.limit = Some(limit);
         match (&mut self.limiter, limit.rate) {
-            (Some(limiter), Some(rate)) => limiter.change(rate, turn, at.time),
+            (Some(limiter), Some(rate)) => limiter.update(rate, time_slot, at.wall_clock),
             (None, Some(rate)) => {
-                self.learnt = at.now;
-                self.limiter = Some(Limiter::open(rate, turn, at.time));
+                self.limited_since = at.monotonic;
+                self.limiter = Some(Limiter::new(rate, time_slot, at.wall_clock));
             }
             (Some(_), None) => {
                 self.limiter = None;
-                self.ended = Some(at.now);
+                self.ended_at = Some(at.monotonic);
             }
             (None, None) => {}
         }
     }
 
-    fn take_rest(&mut self, at: Moment, sent: Duration, reply: &ResponseInfo) -> Option<Change> {
-        if let Some(length) = reply.cooldown {
-            self.rest = Some(Rest::open(at.now, length));
-            return Some(Change::Rest(Some(length)));
+    fn handle_cooldown(
+        &mut self,
+        at: Moment,
+        sent_at: Duration,
+        info: &ResponseInfo,
+    ) -> Option<Change> {
+        if let Some(length) = info.cooldown {
+            self.cooldown = Some(Cooldown::new(at.monotonic, length));
+            return Some(Change::Cooldown(Some(length)));
         }
-        let rest = self.rest.filter(|rest| rest.is_probe(sent))?;
-        if reply.not_run {
+        let cooldown = self.cooldown.filter(|cooldown| cooldown.is_probe(sent_at))?;
+        if info.not_run {
             // It still takes none, and says no other time.
-            self.rest = Some(Rest::open(at.now, rest.length()));
+            self.cooldown = Some(Cooldown::new(at.monotonic, cooldown.length()));
             return None;
         }
-        self.rest = None;
-        self.ended = Some(at.now);
-        Some(Change::Rest(None))
+        self.cooldown = None;
+        self.ended_at = Some(at.monotonic);
+        Some(Change::Cooldown(None))
     }
 }
--- a/crates/verbenaslip-relay/src/policy/retry.rs
+++ b/crates/verbenaslip-relay/src/policy/retry.rs
@@ -18,44 +18,44 @@
 
 /// The part of the bounds that is used; the rest is for what may still be on its way while entries
 /// come and go.
-const USED: f64 = 0.6;
+const USED_FRACTION: f64 = 0.6;
 
 /// Keeps one budget for each service.
 #[derive(Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     bounds: Bounds,
-    left: BTreeMap<Arc<str>, f64>,
+    balances: BTreeMap<Arc<str>, f64>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Starts with a part of the allowance, since an entry may have been restarted after it had
     /// spent it all.
-    pub fn open(bounds: Bounds) -> Self {
-        Self { bounds, left: BTreeMap::new() }
+    pub fn new(bounds: Bounds) -> Self {
+        Self { bounds, balances: BTreeMap::new() }
     }
 
     /// Counts a request that callers made.
-    pub fn earn(&mut self, service: &Arc<str>, entries: u32) {
-        let most = self.most(entries);
-        let ratio = self.bounds.ratio * USED;
-        let left = self.left.entry(service.clone()).or_insert(most / 2.0);
-        *left = (*left + ratio).min(most);
+    pub fn record_request(&mut self, service: &Arc<str>, entries: u32) {
+        let capacity = self.capacity(entries);
+        let ratio = self.bounds.ratio * USED_FRACTION;
+        let balance = self.balances.entry(service.clone()).or_insert(capacity / 2.0);
+        *balance = (*balance + ratio).min(capacity);
     }
 
     /// Takes one further arrival, if the budget allows it.
-    pub fn spend(&mut self, service: &Arc<str>, entries: u32) -> bool {
-        let most = self.most(entries);
-        let left = self.left.entry(service.clone()).or_insert(most / 2.0);
-        let may = *left >= 1.0;
-        if may {
-            *left -= 1.0;
+    pub fn try_spend(&mut self, service: &Arc<str>, entries: u32) -> bool {
+        let capacity = self.capacity(entries);
+        let balance = self.balances.entry(service.clone()).or_insert(capacity / 2.0);
+        let allowed = *balance >= 1.0;
+        if allowed {
+            *balance -= 1.0;
         }
-        may
+        allowed
     }
 
     /// Returns the most that may be saved up at this entry; at least one, or nothing could ever be
     /// tried again where entries are many.
-    fn most(&self, entries: u32) -> f64 {
-        (self.bounds.allowance * USED / f64::from(entries.max(1))).max(1.0)
+    fn capacity(&self, entries: u32) -> f64 {
+        (self.bounds.allowance * USED_FRACTION / f64::from(entries.max(1))).max(1.0)
     }
 }
--- a/crates/verbenaslip-relay/src/policy/returning.rs
+++ b/crates/verbenaslip-relay/src/policy/returning.rs
@@ -6,44 +6,48 @@
 
 /// The part of the longest patience below which a caller is taken for one that has come back. Callers
 /// of one kind of request differ in their patience by up to 15 in 100.
-const FRESH: f64 = 0.8;
+const RETURNING_BELOW: f64 = 0.8;
 
 /// How long it takes until a longest patience that nobody has any more counts half: callers may be
 /// changed to wait less, and then all of them would be taken for ones that have come back.
-const FADE: Duration = Duration::from_secs(60);
+const TIMEOUT_HALF_LIFE: Duration = Duration::from_secs(60);
 
 /// Learns how long the callers of each route wait when they first query.
 ///
 /// A caller that comes back after a refusal sends a new request, and says how long it still waits.
 /// Nothing else tells it from one that asks for the first time.
 #[derive(Debug, Default)]
-pub struct Waited {
-    longest: HashMap<Arc<str>, Longest>,
+pub struct ReturningCallers {
+    longest: HashMap<Arc<str>, LongestTimeout>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Longest {
-    patience: Duration,
-    at: Duration,
+struct LongestTimeout {
+    caller_timeout: Duration,
+    seen_at: Duration,
 }
 
-impl Waited {
+impl ReturningCallers {
     /// Takes the patience of a caller; returns whether it has waited for longer than the objective, so
     /// that the answer comes late whatever is done.
-    pub fn take(
+    pub fn is_returning(
         &mut self,
         now: Duration,
         route: &Arc<str>,
-        patience: Duration,
+        caller_timeout: Duration,
         objective: Duration,
     ) -> bool {
-        let longest = self.longest.entry(route.clone()).or_insert(Longest { patience, at: now });
-        let age = now.saturating_sub(longest.at).as_secs_f64();
-        let faded = longest.patience.mul_f64(0.5_f64.powf(age / FADE.as_secs_f64()));
-        if patience >= faded {
-            *longest = Longest { patience, at: now };
+        let longest = self
+            .longest
+            .entry(route.clone())
+            .or_insert(LongestTimeout { caller_timeout, seen_at: now });
+        let age = now.saturating_sub(longest.seen_at).as_secs_f64();
+        let faded =
+            longest.caller_timeout.mul_f64(0.5_f64.powf(age / TIMEOUT_HALF_LIFE.as_secs_f64()));
+        if caller_timeout >= faded {
+            *longest = LongestTimeout { caller_timeout, seen_at: now };
             return false;
         }
-        patience < faded.mul_f64(FRESH) && faded - patience > objective
+        caller_timeout < faded.mul_f64(RETURNING_BELOW) && faded - caller_timeout > objective
     }
 }
