--- a/crates/verbenaslip-relay/src/policy/versions.rs
+++ b/crates/verbenaslip-relay/src/policy/versions.rs
@@ -13,7 +13,7 @@
 
 /// How long after the report that the leader last answered an entry may use a candidate. Counted from when an answer is
 /// read, a machine that stood still would go by answers from before it did.
-const LEASE: Duration = Duration::from_secs(1);
+const CONFIRMATION_LEASE: Duration = Duration::from_secs(1);
 
 /// The versions that a request may go to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,20 +28,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tracks {
     /// Where it goes.
-    pub first: Track,
+    pub preferred: Track,
     /// Where it goes if it can't go there.
-    pub second: Option<Track>,
+    pub fallback: Option<Track>,
 }
 
 impl Default for Tracks {
     fn default() -> Self {
-        Self { first: Track::Stable, second: None }
+        Self { preferred: Track::Stable, fallback: None }
     }
 }
 
 impl Track {
     /// Tells whether upstreams of a cohort are on the track.
-    pub(crate) fn admits(self, cohort: Cohort) -> bool {
+    pub(crate) fn includes(self, cohort: Cohort) -> bool {
         match self {
             Self::Stable => cohort == Cohort::Stable,
             Self::Candidate => matches!(cohort, Cohort::Canary | Cohort::Candidate),
@@ -54,10 +54,10 @@
 pub struct Versions {
     plans: Arc<Plans>,
     /// When the last report was sent whose answer says that the plans are the newest.
-    confirmed: Option<Duration>,
+    plans_confirmed_at: Option<Duration>,
     /// Roll-outs whose candidate this entry uses no more, whatever a later leader says.
     rolled_back: BTreeSet<u64>,
-    tallies: BTreeMap<Arc<str>, Tally>,
+    services: BTreeMap<Arc<str>, ServiceCounts>,
 }
 
 /// Names a request that is counted for a roll-out.
@@ -66,32 +66,32 @@
 
 /// Counts the requests of one service during a roll-out.
 #[derive(Debug)]
-struct Tally {
+struct ServiceCounts {
     plan: Plan,
     rows: BTreeMap<Key, Counts>,
-    active: BTreeMap<u64, Active>,
-    next: u64,
+    active_requests: BTreeMap<u64, ActiveRequest>,
+    last_ticket: u64,
     judge: Evaluator,
     /// What the judge has seen.
-    judged: BTreeMap<Key, Counts>,
+    evaluated: BTreeMap<Key, Counts>,
     /// Whether the candidate looks bad from here.
-    stopped: bool,
+    candidate_stopped: bool,
 }
 
 /// Holds a request that is under way.
 #[derive(Debug)]
-struct Active {
+struct ActiveRequest {
     key: Key,
-    sent: Duration,
-    first: Option<Duration>,
+    sent_at: Duration,
+    first_event_after: Option<Duration>,
     /// Whether it was counted already, as one that is slow.
-    counted: bool,
+    counted_as_slow: bool,
 }
 
 impl Versions {
     /// Takes a newer view.
     pub fn update(&mut self, view: &View) {
-        self.confirmed = view.plans_confirmed_at;
+        self.plans_confirmed_at = view.plans_confirmed_at;
         if Arc::ptr_eq(&self.plans, &view.rollout_plans) {
             return;
         }
@@ -100,143 +100,162 @@
             if plan.state == State::RolledBack {
                 self.rolled_back.insert(plan.id);
             }
-            match self.tallies.get_mut(service) {
-                Some(tally) if tally.plan.id == plan.id => tally.plan = plan.clone(),
+            match self.services.get_mut(service) {
+                Some(service_counts) if service_counts.plan.id == plan.id => {
+                    service_counts.plan = plan.clone()
+                }
                 _ => {
-                    self.tallies.insert(service.clone(), Tally::open(plan.clone()));
+                    self.services.insert(service.clone(), ServiceCounts::new(plan.clone()));
                 }
             }
         }
-        self.tallies.retain(|service, _| view.rollout_plans.contains_key(service));
+        self.services.retain(|service, _| view.rollout_plans.contains_key(service));
     }
 
     /// Chooses the versions for a request of a route; `draw` is between zero and one.
     ///
     /// One that is tried again goes to a version that is known to be good, unless the candidate takes over.
-    pub fn tracks(
+    pub fn choose_tracks(
         &self,
         now: Duration,
         service: &str,
         route: &str,
-        again: bool,
-        draw: f64,
+        is_retry: bool,
+        random_fraction: f64,
     ) -> Tracks {
-        let Some(tally) = self.tallies.get(service) else { return Tracks::default() };
-        let plan = &tally.plan;
-        let silent = self.confirmed.is_none_or(|at| now.saturating_sub(at) > LEASE);
-        let ended = self.rolled_back.contains(&plan.id);
-        let both = |first, second| Tracks { first, second: Some(second) };
+        let Some(service_counts) = self.services.get(service) else { return Tracks::default() };
+        let plan = &service_counts.plan;
+        let unconfirmed =
+            self.plans_confirmed_at.is_none_or(|at| now.saturating_sub(at) > CONFIRMATION_LEASE);
+        let rolled_back = self.rolled_back.contains(&plan.id);
+        let with_fallback = |first, second| Tracks { preferred: first, fallback: Some(second) };
         match plan.state {
             State::RolledBack => Tracks::default(),
-            State::Completed => both(Track::Candidate, Track::Stable),
-            State::Serving if ended => Tracks::default(),
+            State::Completed => with_fallback(Track::Candidate, Track::Stable),
+            State::Serving if rolled_back => Tracks::default(),
             // The verdict may be known elsewhere by now, and the stable upstreams stopped.
-            State::Serving if silent || tally.stopped => match plan.shifting {
-                true => both(Track::Stable, Track::Candidate),
-                false => Tracks::default(),
-            },
-            State::Serving if again && !plan.shifting => Tracks::default(),
-            State::Serving if draw < plan.share(route) => both(Track::Candidate, Track::Stable),
-            State::Serving if plan.shifting => both(Track::Stable, Track::Candidate),
+            State::Serving if unconfirmed || service_counts.candidate_stopped => {
+                match plan.shifting {
+                    true => with_fallback(Track::Stable, Track::Candidate),
+                    false => Tracks::default(),
+                }
+            }
+            State::Serving if is_retry && !plan.shifting => Tracks::default(),
+            State::Serving if random_fraction < plan.share(route) => {
+                with_fallback(Track::Candidate, Track::Stable)
+            }
+            State::Serving if plan.shifting => with_fallback(Track::Stable, Track::Candidate),
             State::Serving => Tracks::default(),
         }
     }
 
     /// Counts a request that is sent; none while its service has no roll-out under way.
-    pub fn sent(
+    pub fn record_sent(
         &mut self,
         now: Duration,
         service: &str,
         route: &Arc<str>,
         cohort: Cohort,
-        mark: u64,
+        upstream_hash: u64,
     ) -> Option<Ticket> {
-        let tally = self.tallies.get_mut(service)?;
-        if tally.plan.state != State::Serving {
+        let service_counts = self.services.get_mut(service)?;
+        if service_counts.plan.state != State::Serving {
             return None;
         }
         let group = match cohort {
             Cohort::Stable => Group::Stable,
-            Cohort::Canary => Group::Canary(mark),
+            Cohort::Canary => Group::Canary(upstream_hash),
             Cohort::Candidate | Cohort::Reserve | Cohort::Rejected => Group::Candidate,
         };
-        Some(tally.sent(now, (route.clone(), group)))
+        Some(service_counts.record_sent(now, (route.clone(), group)))
     }
 
     /// Takes the time of the first event of a request.
-    pub fn first(&mut self, service: &str, ticket: Ticket, took: Duration) {
-        let active = self.tallies.get_mut(service).and_then(|it| it.active.get_mut(&ticket.0));
+    pub fn record_first_event(&mut self, service: &str, ticket: Ticket, latency: Duration) {
+        let active =
+            self.services.get_mut(service).and_then(|it| it.active_requests.get_mut(&ticket.0));
         if let Some(active) = active {
-            active.first = active.first.or(Some(took));
+            active.first_event_after = active.first_event_after.or(Some(latency));
         }
     }
 
     /// Takes the end of a request.
-    pub fn end(&mut self, now: Duration, service: &str, ticket: Ticket, ending: Ending) {
-        if let Some(tally) = self.tallies.get_mut(service) {
-            tally.end(now, ticket, ending);
+    pub fn record_end(&mut self, now: Duration, service: &str, ticket: Ticket, ending: Ending) {
+        if let Some(service_counts) = self.services.get_mut(service) {
+            service_counts.record_end(now, ticket, ending);
         }
     }
 
     /// Makes the reports that the leader gets next.
     pub fn report(&mut self, now: Duration) -> Vec<Report> {
         let rolled_back = &self.rolled_back;
-        let serving = self.tallies.values_mut().filter(|it| it.plan.state == State::Serving);
-        serving.map(|tally| tally.report(now, rolled_back.contains(&tally.plan.id))).collect()
+        let serving = self.services.values_mut().filter(|it| it.plan.state == State::Serving);
+        serving
+            .map(|service_counts| {
+                service_counts.report(now, rolled_back.contains(&service_counts.plan.id))
+            })
+            .collect()
     }
 }
 
-impl Tally {
-    fn open(plan: Plan) -> Self {
+impl ServiceCounts {
+    fn new(plan: Plan) -> Self {
         Self {
             plan,
             rows: BTreeMap::new(),
-            active: BTreeMap::new(),
-            next: 0,
+            active_requests: BTreeMap::new(),
+            last_ticket: 0,
             judge: Evaluator::default(),
-            judged: BTreeMap::new(),
-            stopped: false,
+            evaluated: BTreeMap::new(),
+            candidate_stopped: false,
         }
     }
 
-    fn sent(&mut self, now: Duration, key: Key) -> Ticket {
-        self.next += 1;
+    fn record_sent(&mut self, now: Duration, key: Key) -> Ticket {
+        self.last_ticket += 1;
         self.rows.entry(key.clone()).or_default().sent += 1;
-        self.active.insert(self.next, Active { key, sent: now, first: None, counted: false });
-        Ticket(self.next)
+        self.active_requests.insert(
+            self.last_ticket,
+            ActiveRequest { key, sent_at: now, first_event_after: None, counted_as_slow: false },
+        );
+        Ticket(self.last_ticket)
     }
 
-    fn end(&mut self, now: Duration, ticket: Ticket, ending: Ending) {
-        let Some(active) = self.active.remove(&ticket.0) else { return };
-        let slow = self.plan.slow_threshold(&active.key.0);
+    fn record_end(&mut self, now: Duration, ticket: Ticket, ending: Ending) {
+        let Some(active) = self.active_requests.remove(&ticket.0) else { return };
+        let slow_threshold = self.plan.slow_threshold(&active.key.0);
         let counts = self.rows.entry(active.key.clone()).or_default();
-        let took = active.first.unwrap_or(now.saturating_sub(active.sent));
-        let late = slow.is_some_and(|slow| took > slow);
+        let latency = active.first_event_after.unwrap_or(now.saturating_sub(active.sent_at));
+        let is_slow = slow_threshold.is_some_and(|slow_threshold| latency > slow_threshold);
         let bad = match ending {
             Ending::Unreachable => {
                 counts.sent = counts.sent.saturating_sub(1);
                 return;
             }
-            Ending::Full | Ending::Resting => return,
-            Ending::Left if !late => return,
-            Ending::Left | Ending::Failed => true,
-            Ending::Complete => late,
+            Ending::Full | Ending::CoolingDown => return,
+            Ending::Abandoned if !is_slow => return,
+            Ending::Abandoned | Ending::Failed => true,
+            Ending::Complete => is_slow,
         };
         if active.key.1 == Group::Stable && ending == Ending::Complete {
-            counts.record_latency(took);
+            counts.record_latency(latency);
         }
-        if !active.counted {
+        if !active.counted_as_slow {
             counts.ended += 1;
             counts.bad += u64::from(bad);
         }
     }
 
     /// Counts requests that are late already, so that slow ones are known before they are answered.
-    fn count_late(&mut self, now: Duration) {
-        for active in self.active.values_mut().filter(|it| !it.counted && it.first.is_none()) {
-            let slow = self.plan.slow_threshold(&active.key.0);
-            if slow.is_some_and(|limit| now.saturating_sub(active.sent) > limit) {
-                active.counted = true;
+    fn count_slow(&mut self, now: Duration) {
+        for active in self
+            .active_requests
+            .values_mut()
+            .filter(|it| !it.counted_as_slow && it.first_event_after.is_none())
+        {
+            let slow_threshold = self.plan.slow_threshold(&active.key.0);
+            if slow_threshold.is_some_and(|limit| now.saturating_sub(active.sent_at) > limit) {
+                active.counted_as_slow = true;
                 let counts = self.rows.entry(active.key.clone()).or_default();
                 counts.ended += 1;
                 counts.bad += 1;
@@ -245,9 +264,9 @@
     }
 
     fn report(&mut self, now: Duration, rolled_back: bool) -> Report {
-        self.count_late(now);
-        self.judge();
-        let stable = self.active.values().filter(|it| it.key.1 == Group::Stable).count();
+        self.count_slow(now);
+        self.evaluate();
+        let stable = self.active_requests.values().filter(|it| it.key.1 == Group::Stable).count();
         Report {
             id: self.plan.id,
             step: self.plan.step,
@@ -258,7 +277,7 @@
     }
 
     /// Stops using a candidate that looks bad from here, before the leader's word comes.
-    fn judge(&mut self) {
+    fn evaluate(&mut self) {
         let fresh = self.rows.iter().map(|((route, group), counts)| {
             let group = if *group == Group::Stable { Group::Stable } else { Group::Candidate };
             ((route.clone(), group), counts.clone())
@@ -266,9 +285,9 @@
         let mut pooled: BTreeMap<Key, Counts> = BTreeMap::new();
         fresh.for_each(|(key, counts)| pooled.entry(key).or_default().add(&counts));
         let fresh =
-            pooled.iter().map(|(key, it)| (key.clone(), it.difference(self.judged.get(key))));
+            pooled.iter().map(|(key, it)| (key.clone(), it.difference(self.evaluated.get(key))));
         let fresh = fresh.collect();
-        self.stopped |= self.judge.evaluate(&fresh).is_some();
-        self.judged = pooled;
+        self.candidate_stopped |= self.judge.evaluate(&fresh).is_some();
+        self.evaluated = pooled;
     }
 }
--- a/crates/verbenaslip-relay/src/server.rs
+++ b/crates/verbenaslip-relay/src/server.rs
@@ -21,14 +21,14 @@
 use crate::forward::answer;
 use crate::forward::context::Context;
 use crate::forward::crash;
-use crate::forward::lifecycle::{self, After};
+use crate::forward::lifecycle::{self, Disposition};
 use crate::http::{Connection, reader};
 use crate::policy::retry::Bounds;
 use crate::shared::SharedState;
 use crate::{monotonic, socket};
 
 /// Time between two sweeps of idle connections.
-const SWEEP: Duration = Duration::from_secs(1);
+const POOL_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Sets the forwarding face up.
 pub struct Config {
@@ -52,7 +52,7 @@
 
 /// Runs the forwarding face on a thread of its own.
 pub struct Server {
-    active: Arc<AtomicUsize>,
+    active_requests: Arc<AtomicUsize>,
 }
 
 impl Server {
@@ -61,97 +61,102 @@
     /// # Errors
     ///
     /// Fails when an address can't be listened on.
-    pub fn spawn(setup: Config) -> io::Result<Self> {
-        let active = Arc::new(AtomicUsize::new(0));
+    pub fn spawn(config: Config) -> io::Result<Self> {
+        let active_requests = Arc::new(AtomicUsize::new(0));
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        let (callers, ready) = {
+        let (caller_listener, readiness_listener) = {
             let _guard = runtime.enter();
-            (socket::listen(setup.caller_address)?, socket::listen(setup.readiness_address)?)
+            (socket::listen(config.caller_address)?, socket::listen(config.readiness_address)?)
         };
-        let counter = active.clone();
+        let counter = active_requests.clone();
         thread::Builder::new().name("traffic".into()).spawn(move || {
             let local = LocalSet::new();
-            local.block_on(&runtime, run(setup, callers, ready, counter));
+            local.block_on(&runtime, run(config, caller_listener, readiness_listener, counter));
         })?;
-        Ok(Self { active })
+        Ok(Self { active_requests })
     }
 
     /// Returns how many requests are under way.
     pub fn active_requests(&self) -> usize {
-        self.active.load(Ordering::Relaxed)
+        self.active_requests.load(Ordering::Relaxed)
     }
 }
 
-async fn run(setup: Config, callers: TcpListener, ready: TcpListener, active: Arc<AtomicUsize>) {
-    let Config {
-        zone,
-        max_connections: connections,
-        retry_bounds: retries,
-        usage_window: window,
-        shared: board,
+async fn run(
+    config: Config,
+    caller_listener: TcpListener,
+    readiness_listener: TcpListener,
+    active_requests: Arc<AtomicUsize>,
+) {
+    let Config { zone, max_connections, retry_bounds, usage_window, shared, dialect, .. } = config;
+    let (crash_signals, crash_receiver) = mpsc::unbounded_channel();
+    let context = Rc::new(Context::new(
+        shared.clone(),
         dialect,
-        ..
-    } = setup;
-    let (signs, looked_at) = mpsc::unbounded_channel();
-    let context = Rc::new(Context::open(board.clone(), dialect, zone, retries, window, signs));
-    tokio::task::spawn_local(crash::watch(looked_at, board.clone()));
-    tokio::task::spawn_local(answer_probes(ready, board));
-    tokio::task::spawn_local(sweep(context.clone()));
-    let open = Rc::new(Cell::new(0_usize));
+        zone,
+        retry_bounds,
+        usage_window,
+        crash_signals,
+    ));
+    tokio::task::spawn_local(crash::watch_for_crashes(crash_receiver, shared.clone()));
+    tokio::task::spawn_local(serve_readiness_probes(readiness_listener, shared));
+    tokio::task::spawn_local(sweep_pool(context.clone()));
+    let open_connections = Rc::new(Cell::new(0_usize));
     loop {
-        let stream = socket::accept(&callers).await;
-        if open.get() >= connections {
+        let stream = socket::accept(&caller_listener).await;
+        if open_connections.get() >= max_connections {
             drop(stream);
             continue;
         }
-        open.set(open.get() + 1);
-        let (context, active, open) = (context.clone(), active.clone(), open.clone());
+        open_connections.set(open_connections.get() + 1);
+        let (context, active_requests, open_connections) =
+            (context.clone(), active_requests.clone(), open_connections.clone());
         tokio::task::spawn_local(async move {
-            connection(&context, stream, &active).await;
-            open.set(open.get() - 1);
+            serve_connection(&context, stream, &active_requests).await;
+            open_connections.set(open_connections.get() - 1);
         });
     }
 }
 
-async fn sweep(context: Rc<Context>) {
+async fn sweep_pool(context: Rc<Context>) {
     loop {
-        tokio::time::sleep(SWEEP).await;
-        context.pool.borrow_mut().sweep(monotonic::now());
+        tokio::time::sleep(POOL_SWEEP_INTERVAL).await;
+        context.pool.borrow_mut().remove_expired(monotonic::now());
     }
 }
 
 /// Serves the requests of one connection, one after the other.
-async fn connection(context: &Context, stream: TcpStream, active: &AtomicUsize) {
+async fn serve_connection(context: &Context, stream: TcpStream, active_requests: &AtomicUsize) {
     // A connection that ended before it was accepted is served by its end.
     if socket::set_options(&stream).is_err() {
         return;
     }
     let mut caller = Connection::new(stream);
     loop {
-        let limits = limits(context);
+        let limits = request_limits(context);
         if caller.buffer.is_empty() {
             // An idle connection is closed once new requests are refused; its caller comes back
             // over another instance.
             tokio::select! {
-                there = reader::begun(&mut caller, &limits) => if !there { return },
-                () = context.board.closed() => return caller.shutdown().await,
+                arrived = reader::wait_for_first_byte(&mut caller, &limits) => if !arrived { return },
+                () = context.shared.wait_until_admission_stops() => return caller.shutdown().await,
             }
         }
-        let whole = match reader::read_request(&mut caller, &limits).await {
-            Ok(Some(whole)) => whole,
+        let message = match reader::read_request(&mut caller, &limits).await {
+            Ok(Some(message)) => message,
             Ok(None) => return,
-            Err(fault) => {
-                let bytes = answer::write(&*context.dialect, fault.into(), "", None, true);
+            Err(error) => {
+                let bytes = answer::write_refusal(&*context.dialect, error.into(), "", None, true);
                 // The caller broke the protocol; whether it still reads is its own affair.
                 let _ = caller.send(&bytes).await;
-                return linger(&mut caller).await;
+                return drain_after_error(&mut caller).await;
             }
         };
-        let closes = whole.head.closes_connection() || context.board.is_draining();
-        active.fetch_add(1, Ordering::Relaxed);
-        let after = lifecycle::serve(context, &mut caller, &whole, closes).await;
-        active.fetch_sub(1, Ordering::Relaxed);
-        if after == After::Close {
+        let closes = message.head.closes_connection() || context.shared.is_draining();
+        active_requests.fetch_add(1, Ordering::Relaxed);
+        let disposition = lifecycle::serve(context, &mut caller, &message, closes).await;
+        active_requests.fetch_sub(1, Ordering::Relaxed);
+        if disposition == Disposition::Close {
             if closes {
                 caller.shutdown().await;
             }
@@ -160,14 +165,14 @@
     }
 }
 
-fn limits(context: &Context) -> RequestLimits {
-    let view = context.board.view();
+fn request_limits(context: &Context) -> RequestLimits {
+    let view = context.shared.view();
     view.routes.as_ref().map(|routes| routes.route_table().limits).unwrap_or_default()
 }
 
 /// Reads on for a moment after a refusal; closed with unread bytes the connection would be reset,
 /// and the caller could miss its answer.
-async fn linger(caller: &mut Connection) {
+async fn drain_after_error(caller: &mut Connection) {
     caller.shutdown().await;
     let until = Instant::now() + Duration::from_millis(500);
     while let Ok(Ok(count)) = tokio::time::timeout_at(until, caller.fill()).await {
@@ -179,26 +184,26 @@
 }
 
 /// Tells the balancer whether new callers may come.
-async fn answer_probes(listener: TcpListener, board: Arc<SharedState>) {
+async fn serve_readiness_probes(listener: TcpListener, shared: Arc<SharedState>) {
     loop {
         let stream = socket::accept(&listener).await;
-        tokio::task::spawn_local(probe(stream, board.clone()));
+        tokio::task::spawn_local(serve_probe(stream, shared.clone()));
     }
 }
 
-async fn probe(stream: TcpStream, board: Arc<SharedState>) {
-    let mut wire = Connection::new(stream);
+async fn serve_probe(stream: TcpStream, shared: Arc<SharedState>) {
+    let mut connection = Connection::new(stream);
     loop {
-        while let Some(end) = wire.head_length() {
-            wire.buffer.advance(end);
-            let status = if board.is_ready() { "200 OK" } else { "503 Service Unavailable" };
+        while let Some(end) = connection.head_length() {
+            connection.buffer.advance(end);
+            let status = if shared.is_ready() { "200 OK" } else { "503 Service Unavailable" };
             let answer = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
-            if wire.send(answer.as_bytes()).await.is_err() {
+            if connection.send(answer.as_bytes()).await.is_err() {
                 return;
             }
         }
-        let filled = reader::within(Duration::from_secs(10), wire.fill()).await;
-        if !matches!(filled, Some(Ok(count)) if count > 0) || wire.buffer.len() > 8 << 10 {
+        let filled = reader::with_timeout(Duration::from_secs(10), connection.fill()).await;
+        if !matches!(filled, Some(Ok(count)) if count > 0) || connection.buffer.len() > 8 << 10 {
             return;
         }
     }
--- a/crates/verbenaslip-relay/src/shared.rs
+++ b/crates/verbenaslip-relay/src/shared.rs
@@ -20,29 +20,29 @@
 use crate::policy::versions::Versions;
 
 /// Sums by service.
-type Totals = BTreeMap<Arc<str>, f64>;
+type ServiceTotals = BTreeMap<Arc<str>, f64>;
 
 /// Shares the view of the fleet one way, and counts the other.
 #[derive(Debug, Default)]
 pub struct SharedState {
     view: Mutex<Arc<View>>,
-    tally: Mutex<UsageCounter>,
-    loans: Mutex<Loans>,
+    usage: Mutex<UsageCounter>,
+    loans: Mutex<LoanQueue>,
     refunds: Mutex<BTreeMap<Team, f64>>,
-    borrows: Notify,
+    loan_requested: Notify,
     /// Milliseconds of engine time that were asked for since the start, by service.
-    work: Mutex<Totals>,
-    met: Mutex<Observations>,
+    engine_ms: Mutex<ServiceTotals>,
+    observations: Mutex<Observations>,
     versions: Mutex<Versions>,
     /// The limits of upstreams, as far as they are known here.
     limits: Mutex<Limits>,
     /// Upstreams that have said in an answer that they go.
-    leaving: Mutex<BTreeSet<Run>>,
-    meets: Notify,
-    draining: AtomicBool,
-    closing: AtomicBool,
-    closed: Notify,
-    shown: Notify,
+    departures: Mutex<BTreeSet<Run>>,
+    observation_added: Notify,
+    is_draining_flag: AtomicBool,
+    stopped_admitting: AtomicBool,
+    admission_stopped: Notify,
+    view_updated: Notify,
 }
 
 impl SharedState {
@@ -54,13 +54,13 @@
     /// Shows a new view.
     pub fn set_view(&self, view: View) {
         *lock(&self.view) = Arc::new(view);
-        self.shown.notify_waiters();
+        self.view_updated.notify_waiters();
     }
 
     /// Returns once a route table is known.
-    pub async fn has_routes(&self) {
+    pub async fn wait_for_routes(&self) {
         loop {
-            let shown = self.shown.notified();
+            let shown = self.view_updated.notified();
             tokio::pin!(shown);
             shown.as_mut().enable();
             if self.view().routes.is_some() {
@@ -71,43 +71,48 @@
     }
 
     /// Counts a request that began to run at a time of day.
-    pub fn began(&self, team: &Team, unix: u64, window: Duration) {
-        lock(&self.tally).count(usage::window_at(unix, window), team);
+    pub fn count_request(&self, team: &Team, unix: u64, window: Duration) {
+        lock(&self.usage).count(usage::window_at(unix, window), team);
     }
 
     /// Asks the leader for units of a team's limit: those that a request needs, and some for others ahead.
-    pub fn borrow(&self, team: &Team, need: f64, ahead: f64) -> oneshot::Receiver<LoanGrant> {
-        let (answer, answered) = oneshot::channel();
+    pub fn request_loan(
+        &self,
+        team: &Team,
+        required: f64,
+        prefetch: f64,
+    ) -> oneshot::Receiver<LoanGrant> {
+        let (sender, answered) = oneshot::channel();
         let mut loans = lock(&self.loans);
-        loans.last += 1;
-        let id = loans.last;
-        let at = monotonic::now();
-        loans.waiting.insert(id, Borrower { team: team.clone(), answer, at });
-        loans.fresh.push(LoanRequest { id, team: team.clone(), required: need, prefetch: ahead });
+        loans.last_id += 1;
+        let id = loans.last_id;
+        let requested_at = monotonic::now();
+        loans.waiters.insert(id, LoanWaiter { team: team.clone(), sender, requested_at });
+        loans.unsent.push(LoanRequest { id, team: team.clone(), required, prefetch });
         drop(loans);
-        self.borrows.notify_one();
+        self.loan_requested.notify_one();
         answered
     }
 
     /// Returns once there is something to ask the leader for.
     pub async fn wait_for_loan_requests(&self) {
-        self.borrows.notified().await;
+        self.loan_requested.notified().await;
     }
 
     /// Takes what is to be asked for.
     pub fn take_loan_requests(&self) -> Vec<LoanRequest> {
         let mut loans = lock(&self.loans);
         let now = monotonic::now();
-        loans.waiting.retain(|_, it| now.saturating_sub(it.at) <= ANSWERED);
-        std::mem::take(&mut loans.fresh)
+        loans.waiters.retain(|_, it| now.saturating_sub(it.requested_at) <= LOAN_ANSWER_TIMEOUT);
+        std::mem::take(&mut loans.unsent)
     }
 
     /// Hands out what the leader has lent.
-    pub fn deliver_loan_grants(&self, lent: Vec<LoanGrant>) {
-        for lent in lent {
-            let waiting = lock(&self.loans).waiting.remove(&lent.id);
-            let Some(Borrower { team, answer, .. }) = waiting else { continue };
-            if let Err(LoanGrant { units, .. }) = answer.send(lent) {
+    pub fn deliver_loan_grants(&self, grant: Vec<LoanGrant>) {
+        for grant in grant {
+            let waiting = lock(&self.loans).waiters.remove(&grant.id);
+            let Some(LoanWaiter { team, sender, .. }) = waiting else { continue };
+            if let Err(LoanGrant { units, .. }) = sender.send(grant) {
                 self.refund(Refund { team, units });
             }
         }
@@ -124,8 +129,8 @@
     }
 
     /// Counts the engine time that a request asks for.
-    pub fn worked(&self, service: &Arc<str>, millis: f64) {
-        *lock(&self.work).entry(service.clone()).or_default() += millis;
+    pub fn add_engine_time(&self, service: &Arc<str>, millis: f64) {
+        *lock(&self.engine_ms).entry(service.clone()).or_default() += millis;
     }
 
     /// Returns which versions of services take requests, with the counts of each.
@@ -134,24 +139,24 @@
     }
 
     /// Notes the limit of an upstream, or its end.
-    pub fn limited(&self, run: &Run, limit: Limit) {
+    pub fn set_limit(&self, run: &Run, limit: Limit) {
         lock(&self.limits).insert(run.clone(), limit);
     }
 
     /// Notes that an upstream has said in an answer that it goes.
-    pub fn leaving(&self, run: &Run) {
-        lock(&self.leaving).insert(run.clone());
+    pub fn add_departure(&self, run: &Run) {
+        lock(&self.departures).insert(run.clone());
     }
 
     /// Lists the upstreams that have said so and are not known to go by the leader.
     fn unshared_departures(&self) -> Vec<Run> {
         let view = self.view();
-        let mut leaving = lock(&self.leaving);
+        let mut leaving = lock(&self.departures);
         leaving.retain(|run| {
             let ready = |it: &Record| matches!(it.status, Status::Ready | Status::Silent);
             view.record(run).is_some_and(ready)
         });
-        leaving.iter().take(SIGHTINGS).cloned().collect()
+        leaving.iter().take(MAX_REPORTED).cloned().collect()
     }
 
     /// Lists the limits that the leader is not known to know.
@@ -161,42 +166,42 @@
         limits.retain(|run, _| view.record(run).is_some());
         let news = limits.iter().filter(|(run, limit)| limit.supersedes(view.limits.get(run)));
         let news = news.map(|(run, limit)| limit::Observation { run: run.clone(), limit: *limit });
-        news.take(SIGHTINGS).collect()
+        news.take(MAX_REPORTED).collect()
     }
 
     /// Notes requests under which an upstream ended.
-    pub fn crashed(&self, crashes: impl IntoIterator<Item = ObservedCrash>) {
-        lock(&self.met).crashes.extend(crashes);
-        self.meets.notify_one();
+    pub fn add_crashes(&self, crashes: impl IntoIterator<Item = ObservedCrash>) {
+        lock(&self.observations).crashes.extend(crashes);
+        self.observation_added.notify_one();
     }
 
     /// Notes that a request was answered which is suspected or held back.
-    pub fn answered(&self, answered: ObservedAnswer) {
-        lock(&self.met).answers.push(answered);
-        self.meets.notify_one();
+    pub fn add_answer(&self, answered: ObservedAnswer) {
+        lock(&self.observations).answers.push(answered);
+        self.observation_added.notify_one();
     }
 
     /// Returns once there is something that requests met.
     pub async fn wait_for_observations(&self) {
-        self.meets.notified().await;
+        self.observation_added.notified().await;
     }
 
     /// Takes what requests met since it was last asked for.
     pub fn take_observations(&self) -> Observations {
-        std::mem::take(&mut *lock(&self.met))
+        std::mem::take(&mut *lock(&self.observations))
     }
 
     /// Collects the next report.
     pub fn take_report(&self) -> Report {
         let refunds = self.take_refunds();
-        let work = lock(&self.work);
+        let work = lock(&self.engine_ms);
         let work = work
             .iter()
             .map(|(service, total)| WorkReport { service: service.clone(), total_ms: *total })
             .collect();
         let rollouts = self.versions().report(monotonic::now());
         let limits = self.unshared_limits();
-        let counts = lock(&self.tally).counts();
+        let counts = lock(&self.usage).counts();
         let leaving = self.unshared_departures();
         Report {
             counts,
@@ -211,12 +216,12 @@
 
     /// Begins the planned stop: no new connection shall come.
     pub fn start_draining(&self) {
-        self.draining.store(true, Ordering::Relaxed);
+        self.is_draining_flag.store(true, Ordering::Relaxed);
     }
 
     /// Tells whether the planned stop has begun.
     pub fn is_draining(&self) -> bool {
-        self.draining.load(Ordering::Relaxed)
+        self.is_draining_flag.load(Ordering::Relaxed)
     }
 
     /// Ends the time in which new requests are taken during a planned stop.
@@ -224,18 +229,18 @@
     /// A request on a kept connection would otherwise be taken until the very end, and cut off when
     /// the process ends; refused as not run it is answered by another instance.
     pub fn stop_admitting(&self) {
-        self.closing.store(true, Ordering::Relaxed);
-        self.closed.notify_waiters();
+        self.stopped_admitting.store(true, Ordering::Relaxed);
+        self.admission_stopped.notify_waiters();
     }
 
     /// Tells whether new requests are refused.
     pub fn has_stopped_admitting(&self) -> bool {
-        self.closing.load(Ordering::Relaxed)
+        self.stopped_admitting.load(Ordering::Relaxed)
     }
 
     /// Returns once new requests are refused.
-    pub async fn closed(&self) {
-        let closed = self.closed.notified();
+    pub async fn wait_until_admission_stops(&self) {
+        let closed = self.admission_stopped.notified();
         if !self.has_stopped_admitting() {
             closed.await;
         }
@@ -257,25 +262,25 @@
 }
 
 /// The most limits, and the most departures, in one report; the others wait for the next.
-const SIGHTINGS: usize = 32;
+const MAX_REPORTED: usize = 32;
 
 /// Holds what is asked of the leader, and who waits for the answers.
 #[derive(Debug, Default)]
-struct Loans {
-    last: u64,
-    fresh: Vec<LoanRequest>,
-    waiting: BTreeMap<u64, Borrower>,
+struct LoanQueue {
+    last_id: u64,
+    unsent: Vec<LoanRequest>,
+    waiters: BTreeMap<u64, LoanWaiter>,
 }
 
 /// How long the answer to a loan may take. One that comes when nobody waits any more is given back.
-const ANSWERED: Duration = Duration::from_secs(2);
+const LOAN_ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Waits for an answer.
 #[derive(Debug)]
-struct Borrower {
+struct LoanWaiter {
     team: Team,
-    answer: oneshot::Sender<LoanGrant>,
-    at: Duration,
+    sender: oneshot::Sender<LoanGrant>,
+    requested_at: Duration,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
--- a/crates/verbenaslip-relay/src/socket.rs
+++ b/crates/verbenaslip-relay/src/socket.rs
@@ -13,17 +13,17 @@
 
 /// How long sent bytes may stay unacknowledged: well under the shortest timeout of a route, and
 /// many times the longest path between two availability zones.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1_500);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// After this idle time a connection is probed.
-const PROBE_AFTER: Duration = Duration::from_secs(2);
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(2);
 
 /// Connections that may wait to be accepted.
 const BACKLOG: u32 = 1_024;
 
 /// Between two tries to accept a connection when there is no descriptor for it: other connections
 /// end all the time.
-const FULL: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Connects within a time.
 ///
@@ -57,7 +57,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => return stream,
-            Err(_) => tokio::time::sleep(FULL).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
@@ -70,9 +70,9 @@
 pub fn set_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
+        .with_time(KEEPALIVE_IDLE)
         .with_interval(Duration::from_secs(1))
         .with_retries(2);
     socket.set_tcp_keepalive(&keepalive)
--- a/crates/verbenaslip-relay/tests/allowance.rs
+++ b/crates/verbenaslip-relay/tests/allowance.rs
@@ -5,7 +5,7 @@
 use verbenaslip_fleet::View;
 use verbenaslip_fleet::quota::LoanGrant;
 use verbenaslip_fleet::route_table::{Quota, TeamConfig};
-use verbenaslip_relay::policy::allowance::{Allowance, Verdict};
+use verbenaslip_relay::policy::allowance::{Allowances, Verdict};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -29,57 +29,60 @@
 #[test]
 fn an_entry_that_hears_no_leader_goes_on_by_an_equal_part() {
     // Guards against a cut-off entry that spends what the leader lends to others meanwhile.
-    let mut allowance = Allowance::default();
-    assert!(borrows(allowance.take(SECOND, &team(), 1.0, &heard(SECOND))));
+    let mut allowance = Allowances::default();
+    assert!(borrows(allowance.charge(SECOND, &team(), 1.0, &heard(SECOND))));
     let late = SECOND * 5;
     let mut admitted = 0;
-    while allowance.take(late, &team(), 1.0, &heard(SECOND)) == Verdict::Within {
+    while allowance.charge(late, &team(), 1.0, &heard(SECOND)) == Verdict::Admitted {
         admitted += 1;
     }
     assert_eq!(admitted, 25, "a quarter of a bucket, as one of four entries");
-    assert!(matches!(allowance.take(late, &team(), 1.0, &heard(SECOND)), Verdict::Beyond(_)));
+    assert!(matches!(allowance.charge(late, &team(), 1.0, &heard(SECOND)), Verdict::Exceeded(_)));
 }
 
 #[test]
 fn an_entry_that_is_cut_off_admits_a_team_that_it_has_not_seen_before() {
     // Guards against the first request of each team refused at entries that hear no leader.
-    let mut allowance = Allowance::open(SECOND);
+    let mut allowance = Allowances::new(SECOND);
     let now = SECOND * 9;
-    assert_eq!(allowance.take(now, &team(), 20.0, &heard(SECOND)), Verdict::Within);
-    let mut restarted = Allowance::open(now);
-    assert!(matches!(restarted.take(now, &team(), 20.0, &heard(SECOND)), Verdict::Beyond(_)));
+    assert_eq!(allowance.charge(now, &team(), 20.0, &heard(SECOND)), Verdict::Admitted);
+    let mut restarted = Allowances::new(now);
+    assert!(matches!(restarted.charge(now, &team(), 20.0, &heard(SECOND)), Verdict::Exceeded(_)));
 }
 
 #[test]
 fn what_was_admitted_without_a_loan_is_not_given_back_to_the_leader() {
     // Guards against a bucket that fills up by requests that an entry has admitted while it was cut off.
-    let mut allowance = Allowance::open(SECOND);
-    assert_eq!(allowance.take(SECOND * 9, &team(), 20.0, &heard(SECOND)), Verdict::Within);
-    assert_eq!(allowance.give_back(&team().name, 20.0), None);
+    let mut allowance = Allowances::new(SECOND);
+    assert_eq!(allowance.charge(SECOND * 9, &team(), 20.0, &heard(SECOND)), Verdict::Admitted);
+    assert_eq!(allowance.refund(&team().name, 20.0), None);
 }
 
 #[test]
 fn a_loan_that_is_not_answered_in_time_is_taken_out_of_the_equal_part() {
     // Guards against requests that are all refused while a leader is elected.
-    let mut allowance = Allowance::default();
-    assert!(borrows(allowance.take(SECOND, &team(), 1.0, &heard(SECOND))));
+    let mut allowance = Allowances::default();
+    assert!(borrows(allowance.charge(SECOND, &team(), 1.0, &heard(SECOND))));
     let now = SECOND * 2;
-    assert!(borrows(allowance.take(now, &team(), 1.0, &heard(now))));
-    let admitted = (0..100).filter(|_| allowance.lent(now, &team(), 1.0, None).is_ok()).count();
+    assert!(borrows(allowance.charge(now, &team(), 1.0, &heard(now))));
+    let admitted =
+        (0..100).filter(|_| allowance.handle_grant(now, &team(), 1.0, None).is_ok()).count();
     assert_eq!(admitted, 25);
 }
 
 #[test]
 fn what_is_lent_ahead_admits_the_next_requests() {
     // Guards against a message to the leader for each request of a busy team.
-    let (mut allowance, now) = (Allowance::default(), SECOND);
+    let (mut allowance, now) = (Allowances::default(), SECOND);
     let mut asked = 0;
     for step in 0..1_000_u32 {
         let now = now + Duration::from_millis(10) * step;
-        if let Verdict::Borrow { need, ahead } = allowance.take(now, &team(), 1.0, &heard(now)) {
+        if let Verdict::Borrow { required, prefetch } =
+            allowance.charge(now, &team(), 1.0, &heard(now))
+        {
             asked += 1;
-            let lent = LoanGrant { id: 1, units: need + ahead, empty_for: Duration::ZERO };
-            assert_eq!(allowance.lent(now, &team(), 1.0, Some(&lent)), Ok(()));
+            let lent = LoanGrant { id: 1, units: required + prefetch, empty_for: Duration::ZERO };
+            assert_eq!(allowance.handle_grant(now, &team(), 1.0, Some(&lent)), Ok(()));
         }
     }
     assert!(asked <= 30, "asked {asked} times for 1,000 requests in 10 s");
@@ -88,12 +91,12 @@
 #[test]
 fn while_the_bucket_is_empty_callers_are_refused_without_asking_again() {
     // Guards against a team far beyond its limit that costs the leader a message for each refusal.
-    let (mut allowance, now) = (Allowance::default(), SECOND);
-    assert!(borrows(allowance.take(now, &team(), 1.0, &heard(now))));
+    let (mut allowance, now) = (Allowances::default(), SECOND);
+    assert!(borrows(allowance.charge(now, &team(), 1.0, &heard(now))));
     let lent = LoanGrant { id: 1, units: 0.0, empty_for: Duration::from_millis(200) };
-    assert!(allowance.lent(now, &team(), 1.0, Some(&lent)).is_err());
+    assert!(allowance.handle_grant(now, &team(), 1.0, Some(&lent)).is_err());
     let soon = now + Duration::from_millis(199);
-    assert!(matches!(allowance.take(soon, &team(), 1.0, &heard(soon)), Verdict::Beyond(_)));
+    assert!(matches!(allowance.charge(soon, &team(), 1.0, &heard(soon)), Verdict::Exceeded(_)));
     let later = now + Duration::from_millis(200);
-    assert!(borrows(allowance.take(later, &team(), 1.0, &heard(later))));
+    assert!(borrows(allowance.charge(later, &team(), 1.0, &heard(later))));
 }
--- a/crates/verbenaslip-relay/tests/board.rs
+++ b/crates/verbenaslip-relay/tests/board.rs
@@ -17,7 +17,7 @@
     let board = Arc::new(SharedState::default());
     let waits = tokio::spawn({
         let board = board.clone();
-        async move { board.has_routes().await }
+        async move { board.wait_for_routes().await }
     });
     tokio::task::yield_now().await;
     board.set_view(View::default());
@@ -32,5 +32,5 @@
 async fn who_finds_a_route_table_does_not_wait() {
     let board = SharedState::default();
     board.set_view(with_routes());
-    board.has_routes().await;
+    board.wait_for_routes().await;
 }
--- a/crates/verbenaslip-relay/tests/common/mod.rs
+++ b/crates/verbenaslip-relay/tests/common/mod.rs
@@ -10,7 +10,7 @@
 use verbenaslip_fleet::View;
 use verbenaslip_fleet::registry::{Announcement, Record, Run, Status};
 use verbenaslip_relay::dialect::{RateLimit, ResponseInfo};
-use verbenaslip_relay::policy::placement::{Choice, Placement, Query, Verdict};
+use verbenaslip_relay::policy::placement::{Choice, Decision, Placement, Query};
 use verbenaslip_relay::policy::versions::Tracks;
 
 /// An answer by which nothing is asked for.
@@ -53,7 +53,7 @@
 }
 
 pub fn open(view: &View) -> Placement {
-    let mut entry = Placement::open(AvailabilityZone::from("north"));
+    let mut entry = Placement::new(AvailabilityZone::from("north"));
     entry.update(view);
     entry
 }
@@ -64,13 +64,13 @@
         service: "desk",
         rank: 0,
         parts: &[],
-        prompt: 0,
-        tried: &[],
+        prompt_tokens: 0,
+        tried_runs: &[],
         objective: Duration::from_millis(300),
         remaining: Duration::from_secs(3),
-        spare,
-        waited: false,
-        begun: false,
+        has_spare_attempt: spare,
+        returning: false,
+        may_have_run: false,
         tracks: Tracks::default(),
     }
 }
@@ -78,7 +78,7 @@
 /// Places a request that some upstream takes.
 pub fn go(entry: &mut Placement, now: Duration) -> Choice {
     match entry.choose(now, &query(true)) {
-        Verdict::Go(choice) => choice,
+        Decision::Send(choice) => choice,
         other => panic!("{other:?}"),
     }
 }
--- a/crates/verbenaslip-relay/tests/http.rs
+++ b/crates/verbenaslip-relay/tests/http.rs
@@ -12,19 +12,19 @@
     // Symptom: an upstream runs a request that no caller sent. Sequence: a request's end is read at
     // one place here and at another there. Cause: a lenient reader.
     let cases = [
-        ("GET / HTTP/1.1\nHost: a\r\n\r\n", MessageError::Control),
-        ("GET / HTTP/1.1\r\nHost: a\nX: b\r\n\r\n", MessageError::Control),
-        ("GET / HTTP/1.1\r\nHost: a\rX: b\r\n\r\n", MessageError::Control),
-        ("GET / HTTP/1.1\r\nHost: a\0\r\n\r\n", MessageError::Control),
-        ("GET / HTTP/1.1\r\nHost: a\r\n folded\r\n\r\n", MessageError::Field),
-        ("GET / HTTP/1.1\r\nHost : a\r\n\r\n", MessageError::Field),
-        ("GET / HTTP/1.1\r\nHost: a\r\nno colon\r\n\r\n", MessageError::Field),
+        ("GET / HTTP/1.1\nHost: a\r\n\r\n", MessageError::ControlCharacter),
+        ("GET / HTTP/1.1\r\nHost: a\nX: b\r\n\r\n", MessageError::ControlCharacter),
+        ("GET / HTTP/1.1\r\nHost: a\rX: b\r\n\r\n", MessageError::ControlCharacter),
+        ("GET / HTTP/1.1\r\nHost: a\0\r\n\r\n", MessageError::ControlCharacter),
+        ("GET / HTTP/1.1\r\nHost: a\r\n folded\r\n\r\n", MessageError::HeaderField),
+        ("GET / HTTP/1.1\r\nHost : a\r\n\r\n", MessageError::HeaderField),
+        ("GET / HTTP/1.1\r\nHost: a\r\nno colon\r\n\r\n", MessageError::HeaderField),
         ("GET / HTTP/1.1\r\n\r\n", MessageError::Host),
         ("GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", MessageError::Host),
-        ("GET  / HTTP/1.1\r\nHost: a\r\n\r\n", MessageError::Line),
-        ("GET / HTTP/2.0\r\nHost: a\r\n\r\n", MessageError::Line),
-        ("GET http://a/ HTTP/1.1\r\nHost: a\r\n\r\n", MessageError::Line),
-        ("G(T / HTTP/1.1\r\nHost: a\r\n\r\n", MessageError::Line),
+        ("GET  / HTTP/1.1\r\nHost: a\r\n\r\n", MessageError::StartLine),
+        ("GET / HTTP/2.0\r\nHost: a\r\n\r\n", MessageError::StartLine),
+        ("GET http://a/ HTTP/1.1\r\nHost: a\r\n\r\n", MessageError::StartLine),
+        ("G(T / HTTP/1.1\r\nHost: a\r\n\r\n", MessageError::StartLine),
     ];
     for (bytes, fault) in cases {
         assert_eq!(request(bytes), Err(fault), "{bytes:?}");
@@ -34,12 +34,15 @@
 #[test]
 fn a_body_delimited_in_two_ways_is_refused() {
     let cases = [
-        ("Content-Length: 3\r\nContent-Length: 3", Err(MessageError::Length)),
-        ("Content-Length: 3\r\nTransfer-Encoding: chunked", Err(MessageError::Length)),
-        ("Content-Length: +3", Err(MessageError::Length)),
-        ("Content-Length: 3, 3", Err(MessageError::Length)),
-        ("Transfer-Encoding: gzip, chunked", Err(MessageError::Coding)),
-        ("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked", Err(MessageError::Coding)),
+        ("Content-Length: 3\r\nContent-Length: 3", Err(MessageError::BodyLength)),
+        ("Content-Length: 3\r\nTransfer-Encoding: chunked", Err(MessageError::BodyLength)),
+        ("Content-Length: +3", Err(MessageError::BodyLength)),
+        ("Content-Length: 3, 3", Err(MessageError::BodyLength)),
+        ("Transfer-Encoding: gzip, chunked", Err(MessageError::TransferCoding)),
+        (
+            "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked",
+            Err(MessageError::TransferCoding),
+        ),
         ("Content-Length: 3", Ok(Framing::Length(3))),
         ("Transfer-Encoding: Chunked", Ok(Framing::Chunked)),
         ("X: 1", Ok(Framing::Empty)),
@@ -55,11 +58,11 @@
     let head =
         |fields: &str| ResponseHead::parse(format!("HTTP/1.1 200 OK\r\n{fields}\r\n").as_bytes());
     let framing = |fields: &str, method| head(fields).and_then(|head| head.framing(method));
-    assert_eq!(framing("", "GET"), Ok(Framing::Close));
+    assert_eq!(framing("", "GET"), Ok(Framing::UntilClose));
     assert_eq!(framing("Content-Length: 5\r\n", "HEAD"), Ok(Framing::Empty));
-    assert!(Decoder::new(Framing::Close).may_end());
-    assert!(!Decoder::new(Framing::Chunked).may_end());
-    assert!(!Decoder::new(Framing::Length(1)).may_end());
+    assert!(Decoder::new(Framing::UntilClose).may_end_with_connection());
+    assert!(!Decoder::new(Framing::Chunked).may_end_with_connection());
+    assert!(!Decoder::new(Framing::Length(1)).may_end_with_connection());
 }
 
 #[test]
@@ -81,7 +84,7 @@
         loop {
             match decoder.step(&mut have)? {
                 Step::Data(piece) => body.extend_from_slice(&piece),
-                Step::More => break,
+                Step::NeedMore => break,
                 Step::End => return Ok((body, true, bytes.len() - index - 1)),
             }
         }
--- a/crates/verbenaslip-relay/tests/limit.rs
+++ b/crates/verbenaslip-relay/tests/limit.rs
@@ -15,7 +15,7 @@
 use verbenaslip_fleet::registry::Run;
 use verbenaslip_relay::dialect::{RateLimit, ResponseInfo};
 use verbenaslip_relay::policy::limiter::Limiter;
-use verbenaslip_relay::policy::placement::{Cause, Ending, Placement, Verdict};
+use verbenaslip_relay::policy::placement::{Cause, Decision, Ending, Placement};
 use verbenaslip_relay::policy::restriction::{Change, Restriction};
 
 /// The span in which arrivals are counted.
@@ -79,7 +79,7 @@
             leader: true,
         };
         for index in 0..world.views.len() {
-            world.entries.push(Placement::open(AvailabilityZone::from("north")));
+            world.entries.push(Placement::new(AvailabilityZone::from("north")));
             world.show(index);
         }
         world
@@ -105,27 +105,31 @@
     fn ask(&mut self, entry: usize) {
         self.asked += 1;
         let choice = match self.entries[entry].choose(self.now, &query(true)) {
-            Verdict::Go(choice) => choice,
-            Verdict::Busy(busy) => {
-                assert!(matches!(busy.cause, Cause::Restricted(Restriction::Limited)), "{busy:?}");
-                self.refused.push(busy.back);
+            Decision::Send(choice) => choice,
+            Decision::Refuse(busy) => {
+                assert!(
+                    matches!(busy.cause, Cause::Restricted(Restriction::RateLimited)),
+                    "{busy:?}"
+                );
+                self.refused.push(busy.retry_after);
                 return;
             }
-            Verdict::Nowhere => panic!("all upstreams are there"),
+            Decision::NoUpstream => panic!("all upstreams are there"),
         };
         let number = choice.address.port();
         self.arrivals.entry(number).or_default().push(self.now.as_secs_f64());
         let named = self.limits.get(&number).copied();
         let limit = named.map_or(RateLimit::Unlimited, RateLimit::PerSecond);
-        let learnt = self.entries[entry].answered(self.now, &choice, self.now, &reply(limit));
-        self.entries[entry].end(
+        let learnt =
+            self.entries[entry].handle_response_info(self.now, &choice, self.now, &reply(limit));
+        self.entries[entry].record_end(
             self.now,
             &choice,
             Ending::Complete,
             Some(Duration::from_millis(15)),
         );
         for change in learnt {
-            let Change::Limit(limit) = change else { panic!("{change:?}") };
+            let Change::RateLimit(limit) = change else { panic!("{change:?}") };
             self.news.push((self.now + SHARED, choice.run.clone(), limit));
         }
     }
@@ -269,35 +273,39 @@
 #[test]
 fn an_answer_to_what_was_sent_before_does_not_end_a_limit() {
     // Guards against an answer that was made before the limit was named and read after that.
-    let mut entry = Placement::open(AvailabilityZone::from("north"));
+    let mut entry = Placement::new(AvailabilityZone::from("north"));
     entry.update(&view([run(1, 1)]));
     let second = Duration::from_secs(1);
     let choices = [(); 2].map(|()| go(&mut entry, second));
     let limited = reply(RateLimit::PerSecond(1.0));
-    assert_eq!(entry.answered(second * 2, &choices[0], second, &limited).len(), 1);
+    assert_eq!(entry.handle_response_info(second * 2, &choices[0], second, &limited).len(), 1);
     let early = reply(RateLimit::Unlimited);
-    assert_eq!(entry.answered(second * 3, &choices[1], second, &early), []);
-    let end = entry.answered(second * 4, &choices[1], second * 3, &early);
-    assert!(matches!(end[..], [Change::Limit(Limit { rate: None, .. })]), "{end:?}");
+    assert_eq!(entry.handle_response_info(second * 3, &choices[1], second, &early), []);
+    let end = entry.handle_response_info(second * 4, &choices[1], second * 3, &early);
+    assert!(matches!(end[..], [Change::RateLimit(Limit { rate: None, .. })]), "{end:?}");
 }
 
 #[test]
 fn what_can_not_be_read_changes_nothing_and_a_new_run_starts_without_a_limit() {
     // Guards against requests lost to a malformed header, and against a limit that outlives its run.
     let second = Duration::from_secs(1);
-    let mut entry = Placement::open(AvailabilityZone::from("north"));
+    let mut entry = Placement::new(AvailabilityZone::from("north"));
     let alone = View { time_slot: None, ..view([run(1, 1)]) };
     entry.update(&alone);
     entry.update_limits(second, &alone);
     let choice = go(&mut entry, second);
-    assert_eq!(entry.answered(second, &choice, second, &reply(RateLimit::Unreadable)), []);
+    assert_eq!(
+        entry.handle_response_info(second, &choice, second, &reply(RateLimit::Unreadable)),
+        []
+    );
     let choice = go(&mut entry, second);
     let limited = reply(RateLimit::PerSecond(5.0));
-    assert_eq!(entry.answered(second, &choice, second, &limited).len(), 1);
-    let again = entry.answered(second * 2, &choice, second * 2, &reply(RateLimit::Unreadable));
+    assert_eq!(entry.handle_response_info(second, &choice, second, &limited).len(), 1);
+    let again =
+        entry.handle_response_info(second * 2, &choice, second * 2, &reply(RateLimit::Unreadable));
     assert_eq!(again, []);
     let refused = entry.choose(second * 9, &query(true));
-    assert!(matches!(refused, Verdict::Busy(_)), "its turn is not known: {refused:?}");
+    assert!(matches!(refused, Decision::Refuse(_)), "its turn is not known: {refused:?}");
     entry.update(&view([run(1, 2)]));
     assert_eq!(go(&mut entry, second * 9).run, run(1, 2));
 }
@@ -341,13 +349,13 @@
     // Guards against a limit that follows the clock of one machine.
     let turn = Some(TimeSlot { index: 2, count: 9 });
     let start = Duration::from_secs(1_800_000_000);
-    let mut limiter = Limiter::open(2.0, turn, start);
+    let mut limiter = Limiter::new(2.0, turn, start);
     let mut sent = 0;
     for step in 0..4_000_u64 {
         let jump = if step >= 2_000 { 600 } else { 0 };
         let time = start + Duration::from_millis(step * 10) - Duration::from_secs(jump);
         if limiter.is_free(time) {
-            limiter.take(time);
+            limiter.use_slot(time);
             sent += 1;
         }
     }
--- a/crates/verbenaslip-relay/tests/notice.rs
+++ b/crates/verbenaslip-relay/tests/notice.rs
@@ -6,7 +6,7 @@
 
 use common::{REPLY, query, run, view};
 use verbenaslip_relay::dialect::ResponseInfo;
-use verbenaslip_relay::policy::placement::{Cause, Choice, Ending, Placement, Verdict};
+use verbenaslip_relay::policy::placement::{Cause, Choice, Decision, Ending, Placement};
 use verbenaslip_relay::policy::restriction::{Change, Restriction};
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -26,19 +26,19 @@
     let turned_away = rest.is_some();
     let reply =
         ResponseInfo { not_run: turned_away, cooldown: rest.map(Duration::from_secs), ..REPLY };
-    entry.answered(now, choice, sent, &reply);
-    let ending = if turned_away { Ending::Resting } else { Ending::Complete };
-    entry.end(now, choice, ending, (!turned_away).then_some(Duration::from_millis(15)));
+    entry.handle_response_info(now, choice, sent, &reply);
+    let ending = if turned_away { Ending::CoolingDown } else { Ending::Complete };
+    entry.record_end(now, choice, ending, (!turned_away).then_some(Duration::from_millis(15)));
 }
 
 fn go(entry: &mut Placement, now: Duration, spare: bool) -> Option<Choice> {
     match entry.choose(now, &query(spare)) {
-        Verdict::Go(choice) => Some(choice),
-        Verdict::Busy(busy) => {
-            assert!(matches!(busy.cause, Cause::Restricted(Restriction::Resting)), "{busy:?}");
+        Decision::Send(choice) => Some(choice),
+        Decision::Refuse(busy) => {
+            assert!(matches!(busy.cause, Cause::Restricted(Restriction::CoolingDown)), "{busy:?}");
             None
         }
-        Verdict::Nowhere => panic!("the upstream is there"),
+        Decision::NoUpstream => panic!("the upstream is there"),
     }
 }
 
@@ -56,9 +56,9 @@
     let mut entry = resting();
     for step in 0..30 {
         let now = SECOND + Duration::from_millis(step * 100);
-        let Verdict::Busy(busy) = entry.choose(now, &query(true)) else { panic!("it rests") };
+        let Decision::Refuse(busy) = entry.choose(now, &query(true)) else { panic!("it rests") };
         let left = SECOND * 4 - now;
-        assert_eq!(busy.back, left.max(Duration::from_millis(300)), "at {now:?}");
+        assert_eq!(busy.retry_after, left.max(Duration::from_millis(300)), "at {now:?}");
     }
     assert!(go(&mut entry, SECOND * 4, true).is_some());
 }
@@ -93,7 +93,7 @@
     let mut entry = resting();
     let probe = go(&mut entry, SECOND * 4, true).expect("the rest is over");
     let reply = ResponseInfo { not_run: true, ..REPLY };
-    assert_eq!(entry.answered(SECOND * 4, &probe, SECOND * 4, &reply), []);
+    assert_eq!(entry.handle_response_info(SECOND * 4, &probe, SECOND * 4, &reply), []);
     assert!(go(&mut entry, SECOND * 6, true).is_none());
     assert!(go(&mut entry, SECOND * 7, true).is_some());
 }
@@ -151,11 +151,11 @@
     let choice = go(&mut entry, SECOND, true).expect("nothing is known yet");
     let reply =
         |rest: Option<Duration>| ResponseInfo { not_run: rest.is_some(), cooldown: rest, ..REPLY };
-    let asked = entry.answered(SECOND, &choice, SECOND, &reply(Some(SECOND)));
-    assert_eq!(asked, [Change::Rest(Some(SECOND))]);
-    let ended = entry.answered(SECOND * 2, &choice, SECOND * 2, &reply(None));
-    assert_eq!(ended, [Change::Rest(None)]);
-    assert_eq!(entry.answered(SECOND * 3, &choice, SECOND * 3, &reply(None)), []);
+    let asked = entry.handle_response_info(SECOND, &choice, SECOND, &reply(Some(SECOND)));
+    assert_eq!(asked, [Change::Cooldown(Some(SECOND))]);
+    let ended = entry.handle_response_info(SECOND * 2, &choice, SECOND * 2, &reply(None));
+    assert_eq!(ended, [Change::Cooldown(None)]);
+    assert_eq!(entry.handle_response_info(SECOND * 3, &choice, SECOND * 3, &reply(None)), []);
 }
 
 #[test]
@@ -164,12 +164,12 @@
     let mut entry = open(1);
     let choice = go(&mut entry, SECOND, true).expect("nothing is known yet");
     let reply = ResponseInfo { leaving: true, ..REPLY };
-    assert_eq!(entry.answered(SECOND, &choice, SECOND, &reply), [Change::Leaving]);
-    assert_eq!(entry.answered(SECOND, &choice, SECOND, &reply), [], "told once");
-    assert!(matches!(entry.choose(SECOND, &query(true)), Verdict::Nowhere));
+    assert_eq!(entry.handle_response_info(SECOND, &choice, SECOND, &reply), [Change::Leaving]);
+    assert_eq!(entry.handle_response_info(SECOND, &choice, SECOND, &reply), [], "told once");
+    assert!(matches!(entry.choose(SECOND, &query(true)), Decision::NoUpstream));
     entry.update(&view([]));
     entry.update(&view([run(1, 1)]));
-    assert!(matches!(entry.choose(SECOND * 2, &query(true)), Verdict::Nowhere));
+    assert!(matches!(entry.choose(SECOND * 2, &query(true)), Decision::NoUpstream));
     entry.update(&view([run(1, 2)]));
-    assert!(matches!(entry.choose(SECOND * 3, &query(true)), Verdict::Go(_)));
+    assert!(matches!(entry.choose(SECOND * 3, &query(true)), Decision::Send(_)));
 }
--- a/crates/verbenaslip-relay/tests/pace.rs
+++ b/crates/verbenaslip-relay/tests/pace.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use verbenaslip_relay::policy::speed::{Lag, Pace};
+use verbenaslip_relay::policy::speed::{Lag, Speed};
 
 fn at(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -14,28 +14,31 @@
     // late; then they go, while nothing is sent there any more. Cause: a transition that nothing renews.
     let mut lag = Lag::default();
     for millis in (0..2_000).step_by(100) {
-        lag.learn(at(millis), 1_000.0);
+        lag.record_sample(at(millis), 1_000.0);
     }
-    assert!(lag.at(at(2_000)) > 600.0);
-    assert!(lag.at(at(9_000)) < 40.0);
+    assert!(lag.lag_at(at(2_000)) > 600.0);
+    assert!(lag.lag_at(at(9_000)) < 40.0);
 }
 
 #[test]
 fn first_events_that_come_early_leave_no_lag() {
     let mut lag = Lag::default();
-    lag.learn(at(0), -300.0);
-    assert!(lag.at(at(0)).abs() < f64::EPSILON);
+    lag.record_sample(at(0), -300.0);
+    assert!(lag.lag_at(at(0)).abs() < f64::EPSILON);
 }
 
 #[test]
 fn the_speed_of_reading_is_learnt_and_one_cached_prompt_does_not_upset_it() {
-    let mut pace = Pace::default();
+    let mut pace = Speed::default();
     for _ in 0..60 {
         // 3,000 tokens in 30 ms beyond what is not reading.
-        pace.learn_first(3_000, Duration::from_secs_f64((pace.first() + 30.0) / 1_000.0));
+        pace.record_first_event(
+            3_000,
+            Duration::from_secs_f64((pace.first_event_ms() + 30.0) / 1_000.0),
+        );
     }
-    let learnt = pace.reading(3_000);
+    let learnt = pace.prefill_ms(3_000);
     assert!((25.0..36.0).contains(&learnt), "{learnt}");
-    pace.learn_first(3_000, Duration::from_millis(1));
-    assert!(pace.reading(3_000) > learnt * 0.9);
+    pace.record_first_event(3_000, Duration::from_millis(1));
+    assert!(pace.prefill_ms(3_000) > learnt * 0.9);
 }
--- a/crates/verbenaslip-relay/tests/place.rs
+++ b/crates/verbenaslip-relay/tests/place.rs
@@ -11,7 +11,7 @@
 use verbenaslip_fleet::registry::{Announcement, Record, Run, Status};
 use verbenaslip_fleet::rollout::{Plan, State};
 use verbenaslip_relay::dialect::PromptPart;
-use verbenaslip_relay::policy::placement::{Choice, Ending, Placement, Query, Verdict};
+use verbenaslip_relay::policy::placement::{Choice, Decision, Ending, Placement, Query};
 use verbenaslip_relay::policy::versions::{Track, Tracks};
 
 fn run(number: u32, incarnation: u64) -> Run {
@@ -45,7 +45,7 @@
 }
 
 fn open(view: &View) -> Placement {
-    let mut placement = Placement::open(AvailabilityZone::from("north"));
+    let mut placement = Placement::new(AvailabilityZone::from("north"));
     placement.update(view);
     placement
 }
@@ -55,13 +55,13 @@
         service: "pool",
         rank: 0,
         parts,
-        prompt: parts.iter().map(|part| u64::from(part.tokens)).sum(),
-        tried,
+        prompt_tokens: parts.iter().map(|part| u64::from(part.tokens)).sum(),
+        tried_runs: tried,
         objective: Duration::from_millis(600),
         remaining: Duration::from_secs(5),
-        spare: true,
-        waited: false,
-        begun: false,
+        has_spare_attempt: true,
+        returning: false,
+        may_have_run: false,
         tracks: Tracks::default(),
     }
 }
@@ -72,7 +72,7 @@
 
 fn go(placement: &mut Placement, now: Duration, ask: &Query<'_>) -> Choice {
     match placement.choose(now, ask) {
-        Verdict::Go(choice) => choice,
+        Decision::Send(choice) => choice,
         other => panic!("{other:?}"),
     }
 }
@@ -86,8 +86,13 @@
         for (index, entry) in entries.iter_mut().enumerate() {
             let parts = prompt(1_000 + shared, 10_000 + shared * 100 + index as u64);
             let choice = go(entry, Duration::ZERO, &ask(&parts, &[]));
-            entry.first(Duration::ZERO, &choice, Duration::from_millis(120));
-            entry.end(Duration::ZERO, &choice, Ending::Complete, Some(Duration::from_millis(400)));
+            entry.record_first_event(Duration::ZERO, &choice, Duration::from_millis(120));
+            entry.record_end(
+                Duration::ZERO,
+                &choice,
+                Ending::Complete,
+                Some(Duration::from_millis(400)),
+            );
             chosen.push(choice.run.upstream);
         }
         chosen.dedup();
@@ -133,8 +138,8 @@
         due.sort_by(|one, other| one.0.total_cmp(&other.0));
         while due.first().is_some_and(|(at, ..)| *at <= now) {
             let (at, entry, choice, sent) = due.remove(0);
-            placements[entry].first(time(at), &choice, time(at - sent));
-            placements[entry].end(
+            placements[entry].record_first_event(time(at), &choice, time(at - sent));
+            placements[entry].record_end(
                 time(at),
                 &choice,
                 Ending::Complete,
@@ -146,7 +151,7 @@
         let entry = rng.random_range(0..entries) as usize;
         asked += 1;
         counted += u64::from(now > WARM);
-        let Verdict::Go(choice) = placements[entry].choose(time(now), &ask(&parts, &[])) else {
+        let Decision::Send(choice) = placements[entry].choose(time(now), &ask(&parts, &[])) else {
             continue;
         };
         let again = cached.insert((choice.run.upstream.clone(), shared));
@@ -183,7 +188,7 @@
     let mut placement = open(&view(records[..2].to_vec()));
     assert_eq!(go(&mut placement, Duration::ZERO, &ask(&[], &[])).run.upstream.as_str(), "u2");
     let mut placement = open(&view(records[..1].to_vec()));
-    assert!(matches!(placement.choose(Duration::ZERO, &ask(&[], &[])), Verdict::Nowhere));
+    assert!(matches!(placement.choose(Duration::ZERO, &ask(&[], &[])), Decision::NoUpstream));
 }
 
 #[test]
@@ -191,11 +196,11 @@
     let mut placement = open(&many(2));
     let tried = [run(2, 0)];
     let choice = go(&mut placement, Duration::ZERO, &ask(&[], &tried));
-    placement.end(Duration::ZERO, &choice, Ending::Unreachable, None);
+    placement.record_end(Duration::ZERO, &choice, Ending::Unreachable, None);
     for _ in 0..10 {
         let choice = go(&mut placement, Duration::from_millis(100), &ask(&[], &[]));
         assert_eq!(choice.run.upstream.as_str(), "u2");
-        placement.end(Duration::from_millis(100), &choice, Ending::Complete, None);
+        placement.record_end(Duration::from_millis(100), &choice, Ending::Complete, None);
     }
     let later = Duration::from_secs(40);
     let chosen: Vec<String> = (0..4)
@@ -212,7 +217,12 @@
     let mut counts = BTreeMap::<String, u32>::new();
     for _ in 0..30 {
         let choice = go(&mut placement, Duration::ZERO, &ask(&[], &[]));
-        placement.end(Duration::ZERO, &choice, Ending::Complete, Some(Duration::from_millis(30)));
+        placement.record_end(
+            Duration::ZERO,
+            &choice,
+            Ending::Complete,
+            Some(Duration::from_millis(30)),
+        );
         *counts.entry(choice.run.upstream.to_string()).or_default() += 1;
     }
     assert_eq!(counts.len(), 3, "{counts:?}");
@@ -227,10 +237,10 @@
         let parts = prompt(own, 1_000 + own);
         verdicts.push(placement.choose(Duration::ZERO, &ask(&parts, &[])));
     }
-    let refused = verdicts.iter().filter(|verdict| matches!(verdict, Verdict::Busy(_))).count();
+    let refused = verdicts.iter().filter(|verdict| matches!(verdict, Decision::Refuse(_))).count();
     assert!(refused > 20, "{refused}");
     let backs = verdicts.iter().filter_map(|verdict| match verdict {
-        Verdict::Busy(busy) => Some(busy.back),
+        Decision::Refuse(busy) => Some(busy.retry_after),
         _ => None,
     });
     assert!(backs.into_iter().all(|back| back >= Duration::from_millis(100)));
@@ -242,9 +252,9 @@
     // Cause: refused like a new request, for an answer that would come late.
     let mut placement = open(&many(1));
     let parts = prompt(1, 2);
-    while matches!(placement.choose(Duration::ZERO, &ask(&parts, &[])), Verdict::Go(_)) {}
-    let begun = Query { begun: true, ..ask(&parts, &[]) };
-    assert!(matches!(placement.choose(Duration::ZERO, &begun), Verdict::Go(_)));
+    while matches!(placement.choose(Duration::ZERO, &ask(&parts, &[])), Decision::Send(_)) {}
+    let begun = Query { may_have_run: true, ..ask(&parts, &[]) };
+    assert!(matches!(placement.choose(Duration::ZERO, &begun), Decision::Send(_)));
 }
 
 #[test]
@@ -256,10 +266,10 @@
     let mut fresh = 0;
     for own in 0..40 {
         let parts = prompt(1, 1_000 + own);
-        let back = Query { waited: true, ..ask(&parts, &[]) };
-        if let Verdict::Busy(_) = placement.choose(Duration::ZERO, &back) {
+        let back = Query { returning: true, ..ask(&parts, &[]) };
+        if let Decision::Refuse(_) = placement.choose(Duration::ZERO, &back) {
             let verdict = placement.choose(Duration::ZERO, &ask(&parts, &[]));
-            fresh += u32::from(matches!(verdict, Verdict::Go(_)));
+            fresh += u32::from(matches!(verdict, Decision::Send(_)));
         }
     }
     assert!(fresh >= 3, "{fresh} were taken after one that had come back was refused");
@@ -303,8 +313,13 @@
         due.sort_by(|one, other| one.0.total_cmp(&other.0));
         while due.first().is_some_and(|(at, ..)| *at <= now) {
             let (at, entry, choice, sent) = due.remove(0);
-            placements[entry].first(time(at), &choice, time(at - sent));
-            placements[entry].end(time(at), &choice, Ending::Complete, Some(time(at - sent)));
+            placements[entry].record_first_event(time(at), &choice, time(at - sent));
+            placements[entry].record_end(
+                time(at),
+                &choice,
+                Ending::Complete,
+                Some(time(at - sent)),
+            );
         }
         // Entries get uneven parts of the load: the last ones a small part of the first ones'.
         let draw = rng.random::<f64>() * rng.random::<f64>();
@@ -312,17 +327,17 @@
         let ask = Query {
             objective: time(OBJECTIVE),
             rank: rng.random_range(0..4),
-            waited: again,
+            returning: again,
             ..ask(&[], &[])
         };
         let counted = now > WARM;
         counts.asked += f64::from(u8::from(counted && !again));
         let wait = match placements[entry].choose(time(now), &ask) {
-            Verdict::Go(choice) if due.len() >= SLOTS + QUEUE => {
-                placements[entry].end(time(now), &choice, Ending::Full, None);
+            Decision::Send(choice) if due.len() >= SLOTS + QUEUE => {
+                placements[entry].record_end(time(now), &choice, Ending::Full, None);
                 Some(300.0)
             }
-            Verdict::Go(choice) => {
+            Decision::Send(choice) => {
                 free.sort_by(f64::total_cmp);
                 let work = 30.0 * (0.4 + 1.2 * rng.random::<f64>());
                 free[0] = free[0].max(now) + work;
@@ -332,8 +347,8 @@
                 due.push((done, entry, choice, now));
                 None
             }
-            Verdict::Busy(busy) => Some(busy.back.as_secs_f64() * 1_000.0),
-            Verdict::Nowhere => panic!("the upstream is ready"),
+            Decision::Refuse(busy) => Some(busy.retry_after.as_secs_f64() * 1_000.0),
+            Decision::NoUpstream => panic!("the upstream is ready"),
         };
         match wait {
             Some(wait) if !again => back.push(now + wait),
@@ -384,16 +399,19 @@
     let fresh = go(&mut placement, Duration::ZERO, &ask(&parts, &[]));
     for _ in 0..5 {
         let choice = go(&mut placement, Duration::ZERO, &ask(&parts, &[]));
-        placement.end(Duration::ZERO, &choice, Ending::Failed, None);
+        placement.record_end(Duration::ZERO, &choice, Ending::Failed, None);
     }
     let before = go(&mut placement, Duration::ZERO, &ask(&parts, &[]));
-    assert!(before.expected > fresh.expected);
+    assert!(before.expected_ms > fresh.expected_ms);
     assert_eq!(placement.update(&again(20)), [run(1, 10)], "its connections are dropped");
-    placement.end(Duration::ZERO, &before, Ending::Failed, None);
+    placement.record_end(Duration::ZERO, &before, Ending::Failed, None);
     let tried = [run(1, 10)];
     let after = go(&mut placement, Duration::ZERO, &ask(&parts, &tried));
     assert_eq!(after.run, run(1, 20));
-    assert_eq!((after.expected, after.reading), (fresh.expected, fresh.reading));
+    assert_eq!(
+        (after.expected_ms, after.uncached_tokens),
+        (fresh.expected_ms, fresh.uncached_tokens)
+    );
     assert!(after.idle);
 }
 
@@ -415,7 +433,7 @@
         shifting: false,
         slow_ms: BTreeMap::new(),
     };
-    let both = Tracks { first: Track::Candidate, second: Some(Track::Stable) };
+    let both = Tracks { preferred: Track::Candidate, fallback: Some(Track::Stable) };
     let cases = [
         (plan(State::Serving, &["u3"]), Tracks::default(), &["u1", "u2"][..]),
         (plan(State::Serving, &["u3"]), both, &["u3"]),
@@ -429,7 +447,7 @@
             .map(|number| {
                 let now = Duration::from_millis(number);
                 let choice = go(&mut placement, now, &Query { tracks, ..ask(&[], &[]) });
-                placement.end(now, &choice, Ending::Complete, Some(now));
+                placement.record_end(now, &choice, Ending::Complete, Some(now));
                 choice.run.upstream.as_str().to_owned()
             })
             .collect();
--- a/crates/verbenaslip-relay/tests/quota.rs
+++ b/crates/verbenaslip-relay/tests/quota.rs
@@ -9,7 +9,7 @@
 use verbenaslip_fleet::View;
 use verbenaslip_fleet::quota::{LoanRequest, TeamBuckets};
 use verbenaslip_fleet::route_table::{Quota, RouteTable, TeamConfig};
-use verbenaslip_relay::policy::allowance::{Allowance, Verdict};
+use verbenaslip_relay::policy::allowance::{Allowances, Verdict};
 
 const ENTRIES: usize = 63;
 const ROUND: Duration = Duration::from_millis(250);
@@ -58,7 +58,7 @@
     let sheet = RouteTable { teams: vec![row.clone()], ..RouteTable::default() };
     let mut rng = Pcg64::seed_from_u64(7);
     let (mut quotas, mut one) = (TeamBuckets::default(), TeamBuckets::default());
-    let mut entries: Vec<Allowance> = (0..count).map(|_| Allowance::default()).collect();
+    let mut entries: Vec<Allowances> = (0..count).map(|_| Allowances::default()).collect();
     let entries_told = u32::try_from(count).expect("few");
     let mut view = View { entry_count: entries_told, ..View::default() };
     let mut outcome = Outcome::default();
@@ -105,21 +105,20 @@
 
 /// Asks an entry, which asks the leader if there is one; returns whether the request is admitted.
 fn ask(
-    entry: &mut Allowance,
+    entry: &mut Allowances,
     now: Duration,
     row: &TeamConfig,
     units: f64,
     view: &View,
     leader: Option<&mut TeamBuckets>,
 ) -> bool {
-    match entry.take(now, row, units, view) {
-        Verdict::Within => true,
-        Verdict::Beyond(_) => false,
-        Verdict::Borrow { need, ahead } => {
-            let loan =
-                LoanRequest { id: 1, team: row.name.clone(), required: need, prefetch: ahead };
+    match entry.charge(now, row, units, view) {
+        Verdict::Admitted => true,
+        Verdict::Exceeded(_) => false,
+        Verdict::Borrow { required, prefetch } => {
+            let loan = LoanRequest { id: 1, team: row.name.clone(), required, prefetch };
             let lent = leader.map(|quotas| quotas.grant(&loan));
-            entry.lent(now, row, units, lent.as_ref()).is_ok()
+            entry.handle_grant(now, row, units, lent.as_ref()).is_ok()
         }
     }
 }
@@ -215,7 +214,7 @@
     let mut quotas = TeamBuckets::new(true);
     quotas.refill(now, &sheet, 1.0);
     let view = View { entry_count: 291, leader_heard_at: Some(now), ..View::default() };
-    let mut entries: Vec<Allowance> = (0..291).map(|_| Allowance::default()).collect();
+    let mut entries: Vec<Allowances> = (0..291).map(|_| Allowances::default()).collect();
     let admitted = entries
         .iter_mut()
         .filter_map(|entry| ask(entry, now, &row, SIZE, &view, Some(&mut quotas)).then_some(SIZE));
@@ -243,9 +242,9 @@
     quotas.refill(now, &sheet, 1.0);
     let view = View { entry_count: 10, leader_heard_at: Some(now), ..View::default() };
     for _ in 0..20 {
-        let mut entry = Allowance::default();
+        let mut entry = Allowances::default();
         assert!(ask(&mut entry, now, &row, 60.0, &view, Some(&mut quotas)));
-        let refund = entry.give_back(&row.name, 60.0).expect("it has no use for that");
+        let refund = entry.refund(&row.name, 60.0).expect("it has no use for that");
         quotas.refund(&refund);
     }
 }
--- a/crates/verbenaslip-relay/tests/record.rs
+++ b/crates/verbenaslip-relay/tests/record.rs
@@ -10,7 +10,7 @@
 use verbenaslip_fleet::fingerprint::Fingerprint;
 use verbenaslip_fleet::quarantine::{Block, Blocklist};
 use verbenaslip_relay::http::Framing;
-use verbenaslip_relay::policy::quarantine::{Record, survived};
+use verbenaslip_relay::policy::quarantine::{Quarantine, proves_execution};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -61,39 +61,39 @@
 #[test]
 fn an_answer_from_before_a_request_was_watched_is_told_once_it_is() {
     // A popular request was answered a moment ago; then two upstreams end under it elsewhere.
-    let mut record = Record::default();
+    let mut record = Quarantine::default();
     let (popular, bad) = (fingerprint("popular"), fingerprint("bad"));
     record.update(&watching(&[]));
-    assert!(!record.answered(SECOND, popular, &watching(&[])), "nobody wants to know");
+    assert!(!record.record_answer(SECOND, popular, &watching(&[])), "nobody wants to know");
     let blocklist = watching(&[popular, bad]);
     assert_eq!(record.update(&blocklist), [ObservedAnswer { fingerprint: popular, at: SECOND }]);
     assert_eq!(record.update(&blocklist), [], "once");
-    assert!(record.answered(SECOND * 2, popular, &blocklist), "and each later one");
+    assert!(record.record_answer(SECOND * 2, popular, &blocklist), "and each later one");
 }
 
 #[test]
 fn a_flood_of_answers_pushes_a_popular_one_out_only_until_it_is_answered_again() {
-    let mut record = Record::default();
+    let mut record = Quarantine::default();
     let popular = fingerprint("popular");
     let none = watching(&[]);
     record.update(&none);
-    record.answered(SECOND, popular, &none);
+    record.record_answer(SECOND, popular, &none);
     for number in 0..5_000 {
-        record.answered(SECOND, fingerprint(&number.to_string()), &none);
+        record.record_answer(SECOND, fingerprint(&number.to_string()), &none);
     }
     let blocklist = watching(&[popular]);
     assert_eq!(record.update(&blocklist), []);
-    assert!(record.answered(SECOND * 2, popular, &blocklist));
+    assert!(record.record_answer(SECOND * 2, popular, &blocklist));
 }
 
 #[test]
 fn what_is_held_back_is_refused_until_then_with_when_to_come_back() {
-    let mut record = Record::default();
+    let mut record = Quarantine::default();
     let bad = fingerprint("bad");
     let view = holding(bad, 61_000, None);
-    assert_eq!(record.held(SECOND, bad, &view), Some(SECOND * 60));
-    assert_eq!(record.held(SECOND, fingerprint("other"), &view), None);
-    let back = record.held(SECOND * 70, bad, &view);
+    assert_eq!(record.quarantined_for(SECOND, bad, &view), Some(SECOND * 60));
+    assert_eq!(record.quarantined_for(SECOND, fingerprint("other"), &view), None);
+    let back = record.quarantined_for(SECOND * 70, bad, &view);
     assert_eq!(back, Some(SECOND * 5), "nobody is invited to come back at once");
 }
 
@@ -101,27 +101,30 @@
 fn the_chosen_entry_lets_one_through_and_no_second_one() {
     // Symptom, if each could: an entry that is asked ten times a second for what is let through again ends ten
     // upstreams before it hears of the first.
-    let mut record = Record::default();
+    let mut record = Quarantine::default();
     let bad = fingerprint("bad");
     let elsewhere = holding(bad, 61_000, Some(OTHER.into()));
-    assert!(record.held(SECOND * 70, bad, &elsewhere).is_some());
+    assert!(record.quarantined_for(SECOND * 70, bad, &elsewhere).is_some());
     let here = holding(bad, 61_000, Some(OWN.into()));
-    assert_eq!(record.held(SECOND * 70, bad, &here), None);
-    assert!(record.held(SECOND * 70, bad, &here).is_some());
-    assert!(record.held(SECOND * 71, bad, &elsewhere).is_some());
-    assert!(record.held(SECOND * 72, bad, &here).is_some(), "nor when its turn comes once more");
+    assert_eq!(record.quarantined_for(SECOND * 70, bad, &here), None);
+    assert!(record.quarantined_for(SECOND * 70, bad, &here).is_some());
+    assert!(record.quarantined_for(SECOND * 71, bad, &elsewhere).is_some());
+    assert!(
+        record.quarantined_for(SECOND * 72, bad, &here).is_some(),
+        "nor when its turn comes once more"
+    );
     let later = holding(bad, 400_000, Some(OWN.into()));
-    assert_eq!(record.held(SECOND * 401, bad, &later), None, "but the next time");
+    assert_eq!(record.quarantined_for(SECOND * 401, bad, &later), None, "but the next time");
 }
 
 #[test]
 fn only_an_answer_that_was_surely_run_tells_that_an_upstream_survives() {
     // Symptom, if any did: a request that ends upstreams is let go each time one that fails part of its requests
     // answers it with an error, or ends in the middle of an answer without a length.
-    assert!(survived(200, Some(Framing::Chunked)));
-    assert!(survived(404, Some(Framing::Length(3))));
-    assert!(survived(204, Some(Framing::Empty)));
-    assert!(!survived(500, Some(Framing::Length(3))));
-    assert!(!survived(200, Some(Framing::Close)));
-    assert!(!survived(200, None));
+    assert!(proves_execution(200, Some(Framing::Chunked)));
+    assert!(proves_execution(404, Some(Framing::Length(3))));
+    assert!(proves_execution(204, Some(Framing::Empty)));
+    assert!(!proves_execution(500, Some(Framing::Length(3))));
+    assert!(!proves_execution(200, Some(Framing::UntilClose)));
+    assert!(!proves_execution(200, None));
 }
--- a/crates/verbenaslip-relay/tests/rollout.rs
+++ b/crates/verbenaslip-relay/tests/rollout.rs
@@ -141,9 +141,9 @@
     fn send(&mut self, plan: &Plan, entry: usize, route: usize, outcome: &mut Outcome) {
         let (now, draw) = (Self::time(self.now), self.draw());
         let (name, _, usual) = ROUTES[route];
-        let tracks = self.entries[entry].tracks(now, "pool", name, false, draw);
+        let tracks = self.entries[entry].choose_tracks(now, "pool", name, false, draw);
         let canaries = plan.canaries.as_ref().map_or(self.candidates, BTreeSet::len);
-        let candidate = tracks.first == Track::Candidate && canaries > 0;
+        let candidate = tracks.preferred == Track::Candidate && canaries > 0;
         let (cohort, at) = match (candidate, &plan.canaries) {
             (true, None) => (Cohort::Candidate, self.pick(self.candidates)),
             (true, Some(canaries)) => {
@@ -167,7 +167,7 @@
         let spread = 0.6 + self.draw() * 0.9;
         let took = (usual * spread * if slow { 5.0 } else { 1.0 }) as u64;
         let name: Arc<str> = name.into();
-        let ticket = self.entries[entry].sent(now, "pool", &name, cohort, at as u64);
+        let ticket = self.entries[entry].record_sent(now, "pool", &name, cohort, at as u64);
         let Some(ticket) = ticket else { return };
         self.next += 1;
         self.tickets.insert(self.next, ticket);
@@ -210,8 +210,8 @@
             };
             let Some(ticket) = self.tickets.remove(&number) else { continue };
             let ending = if bad { Ending::Failed } else { Ending::Complete };
-            self.entries[entry].first("pool", ticket, Duration::from_millis(took));
-            self.entries[entry].end(Self::time(at), "pool", ticket, ending);
+            self.entries[entry].record_first_event("pool", ticket, Duration::from_millis(took));
+            self.entries[entry].record_end(Self::time(at), "pool", ticket, ending);
             outcome.bad += u64::from(own);
             if outcome.bad >= 50 && outcome.fiftieth.is_none() {
                 outcome.fiftieth = Some(at);
--- a/crates/verbenaslip-relay/tests/versions.rs
+++ b/crates/verbenaslip-relay/tests/versions.rs
@@ -32,13 +32,13 @@
 }
 
 fn first(versions: &Versions, again: bool, draw: f64) -> Track {
-    versions.tracks(NOW, "pool", "r", again, draw).first
+    versions.choose_tracks(NOW, "pool", "r", again, draw).preferred
 }
 
 #[test]
 fn without_a_roll_out_every_version_is_the_stable_one() {
     let versions = Versions::default();
-    assert_eq!(versions.tracks(NOW, "pool", "r", false, 0.0), Tracks::default());
+    assert_eq!(versions.choose_tracks(NOW, "pool", "r", false, 0.0), Tracks::default());
 }
 
 #[test]
@@ -56,9 +56,13 @@
     versions.update(&view(plan(State::Serving, 1.0, true), NOW - Duration::from_millis(900)));
     assert_eq!(first(&versions, false, 0.5), Track::Candidate);
     versions.update(&view(plan(State::Serving, 1.0, true), NOW - Duration::from_millis(1_100)));
-    let tracks = versions.tracks(NOW, "pool", "r", false, 0.5);
+    let tracks = versions.choose_tracks(NOW, "pool", "r", false, 0.5);
     let second = Some(Track::Candidate);
-    assert_eq!(tracks, Tracks { first: Track::Stable, second }, "the stable ones may be gone");
+    assert_eq!(
+        tracks,
+        Tracks { preferred: Track::Stable, fallback: second },
+        "the stable ones may be gone"
+    );
 }
 
 #[test]
@@ -66,7 +70,7 @@
     let mut versions = Versions::default();
     versions.update(&view(plan(State::RolledBack, 0.0, false), NOW));
     versions.update(&view(plan(State::Serving, 1.0, true), NOW));
-    assert_eq!(versions.tracks(NOW, "pool", "r", false, 0.0), Tracks::default());
+    assert_eq!(versions.choose_tracks(NOW, "pool", "r", false, 0.0), Tracks::default());
     assert!(versions.report(NOW)[0].halted, "and it is told");
 }
 
@@ -75,15 +79,16 @@
     let mut versions = Versions::default();
     versions.update(&view(plan(State::Serving, 0.1, false), NOW));
     let route: Arc<str> = "r".into();
-    let ticket = versions.sent(NOW, "pool", &route, Cohort::Canary, 7).expect("it is counted");
+    let ticket =
+        versions.record_sent(NOW, "pool", &route, Cohort::Canary, 7).expect("it is counted");
     let later = NOW + Duration::from_millis(150);
     let counts = |versions: &mut Versions| {
         let rows = versions.report(later).remove(0).rows;
         (rows[0].1.sent, rows[0].1.ended, rows[0].1.bad)
     };
     assert_eq!(counts(&mut versions), (1, 1, 1));
-    versions.first("pool", ticket, Duration::from_millis(160));
-    versions.end(later, "pool", ticket, Ending::Complete);
+    versions.record_first_event("pool", ticket, Duration::from_millis(160));
+    versions.record_end(later, "pool", ticket, Ending::Complete);
     assert_eq!(counts(&mut versions), (1, 1, 1));
 }
 
@@ -92,9 +97,10 @@
     let mut versions = Versions::default();
     versions.update(&view(plan(State::Serving, 0.1, false), NOW));
     let route: Arc<str> = "r".into();
-    for ending in [Ending::Unreachable, Ending::Full, Ending::Left] {
-        let ticket = versions.sent(NOW, "pool", &route, Cohort::Canary, 7).expect("it is counted");
-        versions.end(NOW, "pool", ticket, ending);
+    for ending in [Ending::Unreachable, Ending::Full, Ending::Abandoned] {
+        let ticket =
+            versions.record_sent(NOW, "pool", &route, Cohort::Canary, 7).expect("it is counted");
+        versions.record_end(NOW, "pool", ticket, ending);
     }
     let rows = versions.report(NOW).remove(0).rows;
     assert_eq!((rows[0].1.sent, rows[0].1.ended, rows[0].1.bad), (2, 0, 0));
@@ -106,8 +112,8 @@
     versions.update(&view(plan(State::Serving, 1.0, true), NOW));
     let route: Arc<str> = "r".into();
     for _ in 0..12 {
-        let ticket = versions.sent(NOW, "pool", &route, Cohort::Candidate, 7);
-        versions.end(NOW, "pool", ticket.expect("it is counted"), Ending::Failed);
+        let ticket = versions.record_sent(NOW, "pool", &route, Cohort::Candidate, 7);
+        versions.record_end(NOW, "pool", ticket.expect("it is counted"), Ending::Failed);
     }
     versions.report(NOW);
     assert_eq!(first(&versions, false, 0.0), Track::Stable);
