--- a/crates/verbenaslip-relay/src/dialect.rs
+++ b/crates/verbenaslip-relay/src/dialect.rs
@@ -1,4 +1,4 @@
-//! The port through which a deployment's header names become typed fields.
+//! Interface that maps a deployment's header names to typed fields.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,106 +7,110 @@
 
 use crate::http::{RequestHead, ResponseHead};
 
-/// Holds what a request says of itself beyond HTTP.
+/// Holds what the header fields of a request say beyond HTTP.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestInfo {
-    /// The request's own identity.
+    /// Identity of the request.
     pub id: Arc<str>,
-    /// The caller's key.
+    /// API key of the caller.
     pub api_key: Option<Arc<str>>,
-    /// How long the caller waits for the whole answer.
+    /// Time that the caller waits for the whole answer.
     pub caller_timeout: Option<Duration>,
-    /// The tokens of the prompt and the most tokens of the answer, when it says so.
+    /// Prompt tokens and maximum output tokens, if the request states them.
     pub token_counts: Option<TokenCounts>,
-    /// The caller's estimate of the tokens of the answer.
+    /// The caller's estimate of the output tokens.
     pub output_estimate: Option<u64>,
-    /// The parts of the prompt in order; requests share the first ones.
+    /// Parts of the prompt in order; the first ones may be shared with other requests.
     pub prompt_parts: Vec<PromptPart>,
-    /// The last event of the answer that the caller has.
+    /// Identity of the last event of the answer that the caller has received.
     pub last_event_id: Option<u64>,
 }
 
-/// Says how large a generation is.
+/// Holds the size of a generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TokenCounts {
     /// Tokens of the prompt.
     pub prompt: u64,
-    /// The most tokens of the answer.
+    /// Maximum tokens of the answer.
     pub max_output: u64,
 }
 
-/// Names one part of a prompt.
+/// Identifies one part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Its identity.
+    /// Identity of the part.
     pub id: u64,
-    /// Its tokens.
+    /// Tokens in the part.
     pub tokens: u32,
 }
 
-/// Holds what is told to the upstream beside the caller's own words.
+/// Holds the fields that the system adds to a request for an upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct ForwardedFields<'a> {
-    /// The run of the upstream that is meant; any other must not take the request.
+    /// Run of the upstream that must take the request; any other run must refuse it.
     pub upstream: &'a Upstream,
-    /// The caller's team.
+    /// Team of the caller.
     pub team: Option<&'a Team>,
-    /// How long the caller still waits.
+    /// Time that the caller still waits.
     pub remaining: Duration,
-    /// The last event that the caller has.
+    /// Identity of the last event that the caller has received.
     pub last_event_id: Option<u64>,
-    /// The rank among the upstream's requests; zero is the most urgent.
+    /// Priority among the upstream's requests; zero is the most urgent.
     pub rank: Option<u8>,
 }
 
-/// Says whether an upstream limits the rate of requests, by the head of its answer.
+/// States whether an upstream limits its request rate, according to the head of its answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum RateLimit {
-    /// It names no limit.
+    /// The answer names no limit.
     #[default]
     Unlimited,
-    /// The requests a second that it takes from all instances together.
+    /// Requests per second that the upstream takes from all instances together.
     PerSecond(f64),
-    /// It names a limit that can't be read.
+    /// The answer names a limit that cannot be parsed.
     Unreadable,
 }
 
-/// Holds what a response says beyond HTTP.
+/// Holds what the header fields of a response say beyond HTTP.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResponseInfo {
-    /// Whether it answers the request with the given identity.
+    /// Whether the response answers the request with the given identity.
     pub matches_request: bool,
-    /// Whether the upstream says that it has not run the request and never will.
+    /// Whether the upstream states that it has not run the request and never will.
     pub not_run: bool,
-    /// Whether another run than the one that is meant has answered, which no longer is at this address.
+    /// Whether a different run than the intended one has answered, so that the intended one is no
+    /// longer at this address.
     pub other_run: bool,
-    /// Whether its body is encoded in a way that the caller did not ask for.
+    /// Whether the body has a content encoding that the caller did not ask for.
     pub unrequested_encoding: bool,
-    /// The limit that the upstream names.
+    /// Rate limit that the upstream states.
     pub rate_limit: RateLimit,
-    /// Whether the upstream says that it is about to go.
+    /// Whether the upstream announces its departure.
     pub leaving: bool,
-    /// How long the upstream wants nothing from this instance, if it has turned the request away and says so.
+    /// Time for which the upstream wants no requests from this instance, if it has refused the
+    /// request and states one.
     pub cooldown: Option<Duration>,
 }
 
-/// Takes the name and value of a header field that is to be written.
+/// Callback that takes the name and value of a header field to be written.
 pub type WriteField<'a> = &'a mut dyn FnMut(&str, &str);
 
-/// Knows a deployment's names of header fields; decides nothing.
+/// Maps a deployment's header names to typed fields; makes no decisions.
 pub trait Dialect: Send + Sync {
-    /// Reads what a request says of itself; none when it has no identity.
+    /// Reads the fields of a request; returns `None` if the request has no identity.
     fn request_info(&self, head: &RequestHead) -> Option<RequestInfo>;
 
-    /// Tells whether a field is set by this system alone, so that a caller's is not passed on.
+    /// Returns whether only this system may set a field, so that the caller's own is not
+    /// forwarded.
     fn is_reserved(&self, name: &str) -> bool;
 
-    /// Writes the fields that this system sets towards an upstream.
+    /// Writes the fields that this system sets for an upstream.
     fn write_forwarded(&self, fields: &ForwardedFields<'_>, write_field: WriteField<'_>);
 
-    /// Reads what a response says.
+    /// Reads the fields of a response to the request with the identity `id`.
     fn response_info(&self, head: &ResponseHead, id: &str) -> ResponseInfo;
 
-    /// Writes the fields of an answer of this instance's own.
+    /// Writes the fields of an answer that this instance makes itself; `retry_after` is when the caller
+    /// may retry.
     fn write_answer(&self, id: &str, retry_after: Option<Duration>, write_field: WriteField<'_>);
 }
--- a/crates/verbenaslip-relay/src/event_log.rs
+++ b/crates/verbenaslip-relay/src/event_log.rs
@@ -1,8 +1,9 @@
-//! Structured log lines on standard output, bounded and never waited for.
+//! Structured log lines on standard output, with a bounded queue that never blocks the caller.
 //!
-//! A pipe that nobody reads would block whoever writes to it, and a thread that waits for its log
-//! answers nobody. So lines go through a short queue to a thread of their own; what does not fit is
-//! dropped and counted, and the next line that fits says how many were.
+//! Writing to a pipe that nobody reads would block the writing thread, and that thread could then
+//! answer no requests. Lines therefore go through a short queue to a thread of their own. Lines
+//! that do not fit are dropped and counted, and the next line that fits states how many were
+//! dropped.
 
 use std::io::Write;
 use std::sync::OnceLock;
@@ -15,38 +16,38 @@
 
 use crate::monotonic;
 
-/// Lines that may wait: some seconds' worth of a busy entry, under a megabyte.
+/// Limit on queued lines: some seconds' worth at a busy entry, less than a megabyte.
 const MAX_QUEUED_LINES: usize = 2_048;
 
-/// Lines wait up to this long to be written together, since each write costs processor time.
+/// Time for which lines are collected before one write, since each write costs processor time.
 const BATCH_DELAY: Duration = Duration::from_millis(200);
 
 static QUEUE: OnceLock<Sender<String>> = OnceLock::new();
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Names a kind of line; the number stays, whatever the name becomes.
+/// Identifies a kind of event; the number stays the same if the name changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Kind {
-    /// Its number in the catalogue.
+    /// Number of the kind in the event catalogue.
     pub number: u16,
-    /// Its name.
+    /// Name of the kind.
     pub name: &'static str,
 }
 
-/// Starts the thread that writes; without it lines are dropped.
+/// Starts the writer thread; lines emitted before are dropped.
 ///
 /// # Errors
 ///
-/// Fails when no thread can be started.
+/// Fails if the thread cannot be started.
 pub fn start() -> std::io::Result<()> {
     let (sender, receiver) = channel::bounded(MAX_QUEUED_LINES);
     thread::Builder::new().name("journal".into()).spawn(move || write_lines(&receiver))?;
-    // A second opening keeps the first one's thread.
+    // A second call keeps the first writer thread.
     let _ = QUEUE.set(sender);
     Ok(())
 }
 
-/// Writes a line.
+/// Emits a log line, or drops and counts it if the queue is full.
 pub fn emit(kind: Kind, fields: impl IntoIterator<Item = (&'static str, Value)>) {
     let Some(lines) = QUEUE.get() else { return };
     let mut map = Map::new();
@@ -63,7 +64,7 @@
     }
 }
 
-/// Waits a moment until what was said is written, before the process ends.
+/// Waits until the lines emitted so far have most likely been written, before the process ends.
 pub fn flush() {
     thread::sleep(BATCH_DELAY + BATCH_DELAY / 2);
 }
@@ -78,7 +79,7 @@
             text.push('\n');
         }
         let mut out = std::io::stdout().lock();
-        // Nobody is left to tell when standard output itself fails.
+        // A failure of standard output cannot be reported anywhere.
         let _ = out.write_all(text.as_bytes()).and_then(|()| out.flush());
     }
 }
--- a/crates/verbenaslip-relay/src/forward.rs
+++ b/crates/verbenaslip-relay/src/forward.rs
@@ -1,13 +1,14 @@
-//! One request from its caller to an upstream and back.
+//! Takes one request from its caller to an upstream and back.
 //!
-//! [`job`] finds who asks and which route a request takes. [`life`] leads it: whether it
-//! is tried again, what its caller gets; [`upstream_choice`] says where it goes. [`forwarded`] writes it for an upstream, [`exchange`] sends it to
-//! one upstream and takes the head of the answer; [`delivery`] passes the answer on, and for a resumable
-//! stream goes on where another upstream broke off. [`leave`] says when a silent upstream is left, [`crash`]
-//! looks whether one that broke off has ended.
-//! [`notice`] logs what an upstream asks for in the head of its answer.
-//! [`pool`] keeps the connections, [`events`] finds the ends of events, [`answer`] writes answers of
-//! this instance's own.
+//! [`admission`] determines the team and the route of a request. [`lifecycle`] runs the request:
+//! whether it is retried, and what its caller gets. [`upstream_choice`] selects the upstream.
+//! [`upstream_request`] writes the request for an upstream, [`exchange`] sends it and reads the
+//! head of the answer. [`delivery`] passes the answer on and, for a resumable stream, continues
+//! where another upstream broke off. [`failover`] states when a request leaves an unresponsive
+//! upstream, and [`crash`] checks whether an upstream that broke off has crashed. [`upstream_log`]
+//! logs what an upstream asks for in the head of its answer. [`pool`] keeps connections,
+//! [`events`] finds the ends of events, [`answer`] writes answers that this instance makes itself,
+//! and [`request_log`] logs each request.
 
 pub mod admission;
 pub mod answer;
--- a/crates/verbenaslip-relay/src/forward/admission.rs
+++ b/crates/verbenaslip-relay/src/forward/admission.rs
@@ -1,4 +1,4 @@
-//! What is decided of a request once: who asks, which route it takes, whether its team may query.
+//! Decisions made once per request: its team, its route, and its team's quota.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,65 +17,65 @@
 use crate::monotonic;
 use crate::policy::allowance::{self, Verdict as Allowed};
 
-/// How long before the end of its time a request gets its answer, so that the answer arrives while
-/// its caller still waits.
+/// How long before its deadline a request is answered, so that the answer arrives while the caller
+/// still waits.
 const ANSWER_MARGIN: Duration = Duration::from_millis(30);
 
-/// When a caller that was refused for want of a route table may come back. An entry has none only
-/// when it has just started, and after a power loss of all it has one when the cores have elected a
-/// leader, which takes a second; whoever came back sooner would be refused again.
+/// Retry time for a caller that was refused because this entry has no route table. An entry has
+/// none only just after its start. After a power loss of the whole fleet the cores first elect a
+/// leader, which takes a second; a caller that retried sooner would be refused again.
 const RETRY_AFTER_START: Duration = Duration::from_millis(1_200);
 
-/// When a caller may come back, to another instance, that was refused because this one stops.
+/// Retry time, at another instance, for a caller that was refused because this instance stops.
 const RETRY_AFTER_STOP: Duration = Duration::from_millis(50);
 
-/// How long a request waits for the leader to lend units of its team's limit: many times the way there and back, and
-/// short beside the time in which a leader that is lost is noticed.
+/// Time limit for the leader's grant: many times the round trip, and short compared with the time
+/// in which the loss of a leader is noticed.
 const LOAN_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Says why a request is refused, and when its caller may come back.
+/// Holds why a request is refused and when its caller may retry.
 pub type Rejection = (Refusal, Option<Duration>);
 
-/// Holds what is decided of a request once.
+/// Holds what is decided once per request.
 pub struct AdmittedRequest<'a> {
-    /// Its head.
+    /// Head of the request.
     pub head: &'a RequestHead,
-    /// Its body.
+    /// Body of the request.
     pub body: &'a Bytes,
-    /// What it says beyond HTTP.
+    /// What the header fields say beyond HTTP.
     pub info: &'a RequestInfo,
-    /// Its content, to be known again; none as long as this entry has no key for that.
+    /// Fingerprint of the content; `None` while this entry has no key to compute it.
     pub fingerprint: Option<Fingerprint>,
-    /// Its route.
+    /// Route of the request.
     pub route: &'a Route,
-    /// Its rank; zero is the most urgent.
+    /// Priority of the request; zero is the most urgent.
     pub rank: u8,
-    /// Its caller's team.
+    /// Team of the caller.
     pub team: Option<&'a TeamConfig>,
-    /// The service.
+    /// Service that the request goes to.
     pub service: Arc<str>,
-    /// The connections that one of its upstreams accepts from all entries.
+    /// Connections that one upstream of the service accepts from all entries together.
     pub upstream_connections: u32,
-    /// How many entries there are.
+    /// Number of entries.
     pub entries: u32,
-    /// When it was whole.
+    /// When the request was complete.
     pub received_at: Instant,
-    /// Until when its caller waits.
+    /// Deadline of the answer.
     pub deadline: Instant,
-    /// Whether its caller has come back, and any answer comes late.
+    /// Whether the caller has retried, so that any answer comes after its objective.
     pub returning: bool,
     /// Whether the caller's connection ends with the answer.
     pub closes_connection: bool,
 }
 
 impl AdmittedRequest<'_> {
-    /// Tells whether another upstream may go on with the answer.
+    /// Returns whether another upstream may continue the answer.
     pub fn is_resumable(&self) -> bool {
         self.route.kind == RequestKind::Stream { resumable: true }
     }
 }
 
-/// Finds route and team of a request.
+/// Determines the route and the team of a request.
 pub fn admit<'a>(
     context: &Context,
     view: &'a View,
@@ -145,7 +145,7 @@
     team_row.map(Some).ok_or((Refusal::UnknownKey, None))
 }
 
-/// Takes a request out of its team's limit, if that has so much left.
+/// Charges a request to its team's limit, with a loan from the leader if necessary.
 pub async fn charge_quota(
     context: &Context,
     view: &View,
@@ -168,7 +168,7 @@
     result.map_err(|retry_after| (Refusal::QuotaExceeded, Some(retry_after)))
 }
 
-/// Chooses the service by the weights of the route.
+/// Chooses a service by the weights of the route's targets.
 fn choose_service(context: &Context, route: &Route) -> Arc<str> {
     let total_weight: u64 = route.targets.iter().map(|target| u64::from(target.weight)).sum();
     let mut draw = context.next_random().checked_rem(total_weight).unwrap_or(0);
@@ -182,7 +182,7 @@
     route.targets.last().map_or_else(|| "".into(), |target| target.service.clone())
 }
 
-/// Gives back what a request took out of its team's limit, when no upstream got it.
+/// Refunds what a request was charged, if no upstream received it.
 pub fn refund_quota(context: &Context, request: &AdmittedRequest<'_>) {
     let Some(team) = request.team else { return };
     let Some(quota) = &team.quota else { return };
@@ -193,7 +193,7 @@
     }
 }
 
-/// Returns the tokens that a request asks for in all, when it says so.
+/// Returns the total number of tokens that a request asks for, if it states them.
 fn total_tokens(info: &RequestInfo) -> Option<u64> {
     info.token_counts.map(|tokens| tokens.prompt + tokens.max_output)
 }
--- a/crates/verbenaslip-relay/src/forward/answer.rs
+++ b/crates/verbenaslip-relay/src/forward/answer.rs
@@ -1,18 +1,18 @@
-//! Answers of this instance's own, and the heads of those passed on.
+//! Answers that this instance makes itself, and the heads of forwarded answers.
 
 use std::time::Duration;
 
 use crate::dialect::Dialect;
 use crate::http::{Framing, MessageError, ResponseHead, head};
 
-/// Says why a request is not passed on, or gets no upstream's answer.
+/// Describes why a request is not forwarded, or gets no upstream's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// The request is malformed.
     Malformed,
-    /// The key is missing or belongs to no team.
+    /// The API key is missing or belongs to no team.
     UnknownKey,
-    /// No route leads there.
+    /// No route matches the request.
     NoRoute,
     /// The request did not arrive in time.
     RequestTimeout,
@@ -20,34 +20,34 @@
     BodyTooLarge,
     /// The head is larger than allowed.
     HeadTooLarge,
-    /// The team asked for more than its limit; it was not run.
+    /// The team has exceeded its limit; the request was not run.
     QuotaExceeded,
-    /// This instance is about to stop; it was not run.
+    /// This instance is about to stop; the request was not run.
     Stopping,
-    /// No route table is known here yet; it was not run.
+    /// This instance has no route table yet; the request was not run.
     NoRouteTable,
-    /// No upstream may get it now; it was not run.
+    /// No upstream can take the request now; it was not run.
     NoUpstream,
-    /// All upstreams are busy; it was not run.
+    /// All upstreams are busy; the request was not run.
     Busy,
-    /// All upstreams limit the requests that they take; it was not run.
+    /// All upstreams limit their request rate; the request was not run.
     RateLimited,
-    /// All upstreams have asked this instance for rest; it was not run.
+    /// All upstreams have asked this instance for a cooldown; the request was not run.
     CoolingDown,
-    /// Upstreams have ended that ran such a request; this one was not run.
+    /// Upstreams have crashed during such a request; this one was not run.
     Quarantined,
-    /// Every upstream that got it said that it did not run it.
+    /// Every upstream that received the request stated that it did not run it.
     NotRun,
-    /// An upstream failed; it may have run.
+    /// An upstream failed; the request may have run.
     Failed,
-    /// The time ran out after it was sent; it may have run.
+    /// The time ran out after the request was sent; it may have run.
     TimedOut,
-    /// The time ran out before it was sent anywhere; it was not run.
+    /// The time ran out before the request was sent; it was not run.
     DeadlineExpired,
 }
 
 impl Refusal {
-    /// Returns the status.
+    /// Returns the HTTP status.
     pub fn status(self) -> u16 {
         match self {
             Self::Malformed => 400,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Returns its name, for logs, metrics and the answer's body.
+    /// Returns the name for logs, metrics and the body of the answer.
     pub fn name(self) -> &'static str {
         match self {
             Self::Malformed => "malformed",
@@ -122,7 +122,7 @@
     }
 }
 
-/// Writes an answer of this instance's own; `back` is when the caller may come again.
+/// Writes an answer that this instance makes itself; `retry_after` is when the caller may retry.
 pub fn write_refusal(
     dialect: &dyn Dialect,
     refusal: Refusal,
@@ -147,8 +147,8 @@
     out
 }
 
-/// Writes the head of an upstream's answer for the caller; only what concerns the connection
-/// differs.
+/// Writes the head of an upstream's answer for the caller; only the fields about the connection
+/// differ.
 pub fn write_head(response: &ResponseHead, framing: Framing, close: bool) -> Vec<u8> {
     let mut out = Vec::with_capacity(512);
     let line = format!("HTTP/1.1 {} {}\r\n", response.status, response.reason);
@@ -161,7 +161,7 @@
     }
     match framing {
         Framing::Empty => {
-            // An answer without a body may still say how long it would be.
+            // An answer without a body may still state its length.
             if let Some(is_length) = response.text("content-length") {
                 write_field(&mut out, "Content-Length", is_length.as_bytes());
             }
--- a/crates/verbenaslip-relay/src/forward/context.rs
+++ b/crates/verbenaslip-relay/src/forward/context.rs
@@ -1,4 +1,4 @@
-//! What all requests of an instance share.
+//! State that all requests of an instance share.
 
 use std::cell::{Cell, RefCell};
 use std::sync::Arc;
@@ -28,13 +28,13 @@
 use crate::policy::versions::Tracks;
 use crate::shared::SharedState;
 
-/// Holds what all requests share; only the traffic thread uses it.
+/// Holds the state that all requests share; only the traffic thread uses it.
 pub struct Context {
-    /// What is shared with the control thread.
+    /// State shared with the control thread.
     pub shared: Arc<SharedState>,
     /// The deployment's header names.
     pub dialect: Arc<dyn Dialect>,
-    /// The length of a window of usage.
+    /// Length of a usage window.
     pub usage_window: Duration,
     /// When this instance started.
     pub(crate) started_at: Instant,
@@ -49,7 +49,7 @@
 }
 
 impl Context {
-    /// Starts without requests.
+    /// Creates the state without any requests.
     pub(crate) fn new(
         shared: Arc<SharedState>,
         dialect: Arc<dyn Dialect>,
@@ -74,12 +74,13 @@
         }
     }
 
-    /// Returns the newest view, after the parts that depend on it have taken it over.
+    /// Returns the newest view after the parts that depend on it have been updated.
     pub(crate) fn refresh_view(&self) -> Arc<View> {
         let view = self.shared.view();
         let removed_runs = self.placement.borrow_mut().update(&view);
         if !removed_runs.is_empty() {
-            // Another run may use the address by now; its connections are no longer of use.
+            // A different run may use the address now, so the connections of the old run are of no
+            // use.
             self.pool.borrow_mut().remove_runs(&removed_runs);
         }
         let limits = self.placement.borrow_mut().update_limits(monotonic::now(), &view);
@@ -115,7 +116,7 @@
             versions.record_sent(now, &request.service, route, choice.cohort, choice.upstream_hash);
     }
 
-    /// Takes the time of the first event of a request.
+    /// Records the time to the first event of a request.
     pub(crate) fn record_first_event(&self, choice: &Choice, latency: Duration) {
         self.placement.borrow_mut().record_first_event(monotonic::now(), choice, latency);
         if let Some(ticket) = choice.ticket {
@@ -123,7 +124,8 @@
         }
     }
 
-    /// Takes what an upstream asks for in the head of its answer to a request that was sent at a time.
+    /// Handles what an upstream asks for in the head of its answer; `sent_at` is when the request
+    /// was sent.
     pub(crate) fn handle_response_info(
         &self,
         request: &AdmittedRequest<'_>,
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Counts a request's end at an upstream.
+    /// Records the end of a request at an upstream.
     pub(crate) fn record_end(&self, choice: &Choice, ending: Ending, duration: Option<Duration>) {
         let now = monotonic::now();
         self.placement.borrow_mut().record_end(now, choice, ending, duration);
@@ -163,7 +165,7 @@
         }
     }
 
-    /// Has it looked at whether an upstream that broke a request off has ended.
+    /// Requests a check whether an upstream that broke off a request has crashed.
     pub(crate) fn signal_interrupted(
         &self,
         request: &AdmittedRequest<'_>,
@@ -173,7 +175,7 @@
         self.send_signal(Signal::Interrupted(interrupted_request(request, choice, sent_at)));
     }
 
-    /// Notes that a request's caller left while an upstream was at work on it.
+    /// Signals that the caller left while an upstream was running the request.
     pub(crate) fn signal_caller_left(
         &self,
         request: &AdmittedRequest<'_>,
@@ -183,17 +185,18 @@
         self.send_signal(Signal::CallerLeft(interrupted_request(request, choice, sent_at)));
     }
 
-    /// Notes that an upstream could not be reached.
+    /// Signals that an upstream could not be reached.
     pub(crate) fn signal_unreachable(&self, choice: &Choice) {
         self.send_signal(Signal::Unreachable(choice.run.clone()));
     }
 
     fn send_signal(&self, signal: Signal) {
-        // Nobody looks any more once the instance ends.
+        // The receiver is gone once the instance ends.
         let _ = self.crash_signals.send(signal);
     }
 
-    /// Notes that a request was answered, and tells the leader if it is suspected.
+    /// Records that a request was answered, and reports that to the leader if the request is
+    /// suspected.
     pub(crate) fn record_answer(&self, request: &AdmittedRequest<'_>) {
         let Some(fingerprint) = request.fingerprint else { return };
         let at = monotonic::now();
@@ -206,28 +209,30 @@
         }
     }
 
-    /// Tells for how long a request is held back, if it is.
+    /// Returns how long a request is still quarantined; `None` if it may be sent.
     pub(crate) fn quarantined_for(&self, request: &AdmittedRequest<'_>) -> Option<Duration> {
         let view = self.shared.view();
         self.quarantine.borrow_mut().quarantined_for(monotonic::now(), request.fingerprint?, &view)
     }
 
-    /// Pays for one more arrival of a request at its service, if the budget allows it.
+    /// Spends one retry of the service's retry budget; returns whether the budget allows it.
     pub(crate) fn spend_retry(&self, request: &AdmittedRequest<'_>) -> bool {
         self.retry_budget.borrow_mut().try_spend(&request.service, request.entries)
     }
 
-    /// Tells whether a silent upstream may be left for another one, and pays for that.
+    /// Returns whether a request may switch from an unresponsive upstream to another one, and
+    /// spends a retry for that.
     ///
-    /// Left while nothing else can go on, its caller's answer would end in the middle though the
-    /// upstream was only slow: an engine that is out of memory is silent for seconds.
+    /// Without another upstream the request stays: the upstream may only be slow, such as an
+    /// engine that is out of memory and pauses for seconds, and leaving would cut off the caller's
+    /// answer.
     pub(crate) fn may_switch(
         &self,
         request: &AdmittedRequest<'_>,
         tried_runs: &[Run],
         retry_paid: &mut bool,
     ) -> bool {
-        // The other one may have left since this request came.
+        // The other upstream may have left since this request arrived.
         self.refresh_view();
         let has_alternative =
             self.placement.borrow().has_alternative(monotonic::now(), &request.service, tried_runs);
@@ -235,7 +240,7 @@
         *retry_paid && has_alternative
     }
 
-    /// Draws a number that differs each time (the sequence of SplitMix64).
+    /// Returns a number that differs on each call (the SplitMix64 sequence).
     pub(crate) fn next_random(&self) -> u64 {
         let next = self.random_state.get().wrapping_add(0x9e37_79b9_7f4a_7c15);
         self.random_state.set(next);
@@ -243,7 +248,7 @@
     }
 }
 
-/// Says which request is at its end at an upstream now.
+/// Describes a request that has just ended at an upstream.
 fn interrupted_request(
     request: &AdmittedRequest<'_>,
     choice: &Choice,
--- a/crates/verbenaslip-relay/src/forward/crash.rs
+++ b/crates/verbenaslip-relay/src/forward/crash.rs
@@ -1,7 +1,8 @@
-//! Which upstreams have ended while they ran requests.
+//! Detects upstreams that crash while they run requests.
 //!
-//! A broken answer may be all that was lost, or the upstream itself. Nothing tells but whether somebody still
-//! listens there; announcements would tell seconds later. A request whose caller left may have ended it as well.
+//! A broken connection may mean that one answer was lost, or that the upstream crashed. Connecting
+//! to the upstream again is the only quick way to tell; missing announcements would show a crash
+//! seconds later. A request whose caller has left may have caused the crash as well.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -19,51 +20,53 @@
 use crate::shared::SharedState;
 use crate::{monotonic, socket};
 
-/// An upstream broke off what it ran.
+/// An upstream broke off the requests that it ran.
 const BROKE_OFF: Kind = Kind { number: 936, name: "upstream_broke_off" };
 
-/// Requests that are looked at together, since an upstream that ends breaks off all of them at once.
+/// Time for which broken requests are collected, since a crash breaks off all requests of an
+/// upstream at once.
 const BATCH_DELAY: Duration = Duration::from_millis(3);
 
-/// How long an upstream may take to answer that it listens; many times the longest way there and back.
+/// Time limit for connecting to an upstream; many times the longest round trip.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Requests of one upstream that are listed.
+/// Limit on the requests listed in one log line.
 const MAX_LISTED: usize = 64;
 
-/// How long before its end an upstream may have been left by the caller of a request that ended it. Callers leave
-/// within half of an objective at the earliest; an upstream that goes on for longer has most likely dropped it.
+/// How long before a crash the caller of a request that caused it may have left. Callers leave
+/// after half of an objective at the earliest; an upstream that runs on for longer has most likely
+/// dropped the request.
 const CALLER_LEFT_MEMORY: Duration = Duration::from_secs(1);
 
-/// Tells what may be a sign of an upstream's end.
+/// Describes a possible sign of a crash.
 #[derive(Debug)]
 pub(crate) enum Signal {
-    /// It broke a request off.
+    /// An upstream broke off a request.
     Interrupted(InterruptedRequest),
-    /// The caller of a request left while it was at work.
+    /// The caller of a request left while an upstream was running it.
     CallerLeft(InterruptedRequest),
-    /// It could not be reached.
+    /// An upstream could not be reached.
     Unreachable(Run),
 }
 
 /// Holds a request that an upstream broke off, or whose caller left.
 #[derive(Clone, Debug)]
 pub(crate) struct InterruptedRequest {
-    /// The identity of the request.
+    /// Identity of the request.
     pub(crate) id: Arc<str>,
-    /// Its content, where fingerprints can be made.
+    /// Fingerprint of the content, if this entry has a key to compute one.
     pub(crate) fingerprint: Option<Fingerprint>,
-    /// The run of the upstream.
+    /// Run of the upstream.
     pub(crate) run: Run,
-    /// Where it is reached.
+    /// Address of the upstream.
     pub(crate) address: SocketAddr,
-    /// When it was sent there.
+    /// When the request was sent to the upstream.
     pub(crate) sent_at: Duration,
-    /// When it broke off.
+    /// When the request was broken off or its caller left.
     pub(crate) ended_at: Duration,
 }
 
-/// Looks at upstreams that may have ended, for as long as the instance runs.
+/// Checks upstreams that may have crashed, for as long as the instance runs.
 pub(crate) async fn watch_for_crashes(
     mut signals: UnboundedReceiver<Signal>,
     shared: Arc<SharedState>,
@@ -80,10 +83,10 @@
     }
 }
 
-/// Gathers by upstream what may have ended it.
+/// Groups the requests that may have crashed an upstream by its run.
 ///
-/// What a caller has left is remembered for a while: the upstream may end of it all the same, and nobody is there
-/// any more whose answer would break off.
+/// A request whose caller left is remembered for a while: the upstream may still crash because of
+/// it, and no connection is left that would break off.
 fn group_by_run(
     signals: impl Iterator<Item = Signal>,
     left_by_callers: &mut VecDeque<InterruptedRequest>,
@@ -113,7 +116,7 @@
     runs
 }
 
-/// Looks whether an upstream is still there.
+/// Checks whether an upstream still accepts connections, and reports a crash if it does not.
 async fn check_run(run: Run, requests: Vec<InterruptedRequest>, shared: Arc<SharedState>) {
     let Some(address) = requests.first().map(|it| it.address) else { return };
     let ended = socket::connect(address, CONNECT_TIMEOUT).await.is_err();
--- a/crates/verbenaslip-relay/src/forward/delivery.rs
+++ b/crates/verbenaslip-relay/src/forward/delivery.rs
@@ -1,4 +1,4 @@
-//! Passes an answer on to its caller as it comes.
+//! Passes an answer on to its caller as it arrives.
 
 use std::time::Duration;
 
@@ -12,53 +12,53 @@
 use crate::http::body::{LAST_CHUNK, write_chunk};
 use crate::http::{Connection, Decoder, Framing, Step};
 
-/// Bytes of an answer that are gathered before they are written.
+/// Limit on the bytes of an answer that are collected before a write.
 const MAX_BATCH_BYTES: usize = 64 << 10;
 
-/// Holds how far an answer has got to its caller.
+/// Tracks how much of an answer the caller has received.
 #[derive(Debug, Default)]
 pub struct Delivery {
-    /// How the body goes to the caller; none before the head was written.
+    /// How the body is framed for the caller; `None` until the head is written.
     framing: Option<Framing>,
-    /// The whole events of a resumable stream.
+    /// Splits a resumable stream into whole events.
     splitter: Splitter,
-    /// When the first byte of the body came.
+    /// When the first byte of the body arrived.
     pub first_byte_at: Option<Instant>,
-    /// When the last one came.
+    /// When the last piece of the body arrived.
     last_piece_at: Option<Instant>,
-    /// The longest pause between two pieces.
+    /// Longest pause between two pieces of the body.
     pub longest_pause: Duration,
 }
 
-/// Says how an answer ended.
+/// Describes how an answer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The caller has all of it.
+    /// The caller has received the whole answer.
     Complete,
     /// The upstream broke off.
     Broken,
-    /// The upstream was silent for too long.
+    /// The upstream sent nothing for too long.
     Unresponsive,
-    /// The time ran out.
+    /// The deadline passed.
     TimedOut,
     /// The caller has left.
     CallerGone,
 }
 
 impl Delivery {
-    /// Tells whether the caller has the head of an answer.
+    /// Returns whether the caller has received the head of an answer.
     pub fn has_started(&self) -> bool {
         self.framing.is_some()
     }
 
-    /// Returns the last event that the caller has of this answer.
+    /// Returns the identity of the last event that the caller has received.
     pub fn last_event_id(&self) -> Option<u64> {
         self.splitter.last_id
     }
 
-    /// Passes on an answer, or the rest of one that another upstream began.
+    /// Passes on an answer, or the rest of an answer that another upstream began.
     ///
-    /// The caller must have all of it by the limit of its request.
+    /// The caller must have received all of it by the deadline of its request.
     pub async fn deliver(
         &mut self,
         caller: &mut Connection,
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Takes all that has come; returns whether the body is whole.
+    /// Decodes all bytes that have arrived; returns whether the body is complete.
     fn decode_available(
         &mut self,
         decoder: &mut Decoder,
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Passes on what is whole before the connection's end makes the rest worthless.
+    /// Passes on what was decoded before the body became malformed.
     async fn flush_partial(
         &mut self,
         caller: &mut Connection,
@@ -219,7 +219,7 @@
     tokio::select! {
         filled = connection.fill() => match filled {
             Ok(count) if count > 0 => None,
-            // An answer without a length ends with its connection, if that ends in good order.
+            // An answer without a length is complete when its connection is closed cleanly.
             Ok(_) if decoder.may_end_with_connection() => Some(Outcome::Complete),
             Ok(_) | Err(_) => Some(Outcome::Broken),
         },
@@ -230,10 +230,10 @@
     }
 }
 
-/// Returns how a body goes to the caller.
+/// Returns how a body is framed for the caller.
 ///
-/// A body that ends with the upstream's connection goes on in chunks: the caller would take the end
-/// of its own connection for the end of the body, also when the upstream broke off.
+/// A body that ends with the upstream's connection is sent in chunks. Otherwise the caller would
+/// take the end of its own connection for the end of the body even if the upstream broke off.
 fn caller_framing(request: &AdmittedRequest<'_>, framing: Framing) -> Framing {
     match framing {
         Framing::Empty => Framing::Empty,
--- a/crates/verbenaslip-relay/src/forward/events.rs
+++ b/crates/verbenaslip-relay/src/forward/events.rs
@@ -1,23 +1,23 @@
-//! Where the events of a stream end.
+//! Finds the ends of events in a stream.
 
 use bytes::{Bytes, BytesMut};
 
-/// The longest event that is waited for; a longer one is passed on as it comes.
+/// Limit on the bytes of an incomplete event; a longer one is passed on as it arrives.
 const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// Finds whole events and their identities.
+/// Splits a stream into whole events and tracks their identities.
 #[derive(Debug, Default)]
 pub struct Splitter {
     pending: BytesMut,
-    /// The identity of the last whole event.
+    /// Identity of the last whole event.
     pub last_id: Option<u64>,
 }
 
 impl Splitter {
-    /// Takes a piece of a stream and returns the whole events in it and before it.
+    /// Takes a piece of a stream and returns the whole events received so far.
     ///
-    /// An upstream may break off in the middle of an event. Passed on, the half event and the whole
-    /// one from the next upstream would be read as one.
+    /// An upstream may break off in the middle of an event. If the partial event were passed on,
+    /// it would be read as one event together with the whole one from the next upstream.
     pub fn push(&mut self, piece: &[u8]) -> Bytes {
         self.pending.extend_from_slice(piece);
         let Some(end) = end_of_last_event(&self.pending) else {
@@ -31,18 +31,18 @@
         whole
     }
 
-    /// Returns what is held at the end of a stream that ended in good order.
+    /// Returns the pending bytes at the end of a stream that ended cleanly.
     pub fn take_rest(&mut self) -> Bytes {
         self.pending.split().freeze()
     }
 
-    /// Drops a half event, when its stream broke off.
+    /// Drops a partial event after its stream broke off.
     pub fn discard_partial(&mut self) {
         self.pending.clear();
     }
 }
 
-/// Returns the place after the last empty line.
+/// Returns the position after the last empty line.
 fn end_of_last_event(bytes: &[u8]) -> Option<usize> {
     let mut end = bytes.len();
     while let Some(line_end) = bytes[..end].iter().rposition(|byte| *byte == b'\n') {
@@ -55,7 +55,7 @@
     None
 }
 
-/// Returns the number in the last line that gives an event its identity.
+/// Returns the number in the last `id:` line.
 fn last_event_id(events: &[u8]) -> Option<u64> {
     let lines = events.rsplit(|byte| *byte == b'\n');
     let mut identities = lines.filter_map(|line| line.strip_prefix(b"id:"));
--- a/crates/verbenaslip-relay/src/forward/exchange.rs
+++ b/crates/verbenaslip-relay/src/forward/exchange.rs
@@ -1,4 +1,4 @@
-//! Sends a request to one upstream and takes the head of its answer.
+//! Sends a request to one upstream and reads the head of the answer.
 
 use std::time::Duration;
 
@@ -15,35 +15,35 @@
 use crate::policy::placement::Choice;
 use crate::{monotonic, socket};
 
-/// How long a new connection may take; many times the longest way there and back.
+/// Time limit for a new connection; many times the longest round trip.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The longest head of an answer.
+/// Limit on the bytes of an answer's head.
 const MAX_HEAD_BYTES: usize = 64 << 10;
 
-/// The longest answer to another request that is skipped.
+/// Limit on the bytes of an answer to another request that is skipped.
 const MAX_SKIPPED_BYTES: usize = 1 << 20;
 
-/// Holds a connection on which the head of the answer has come.
+/// Holds a connection on which the head of an answer has arrived.
 pub struct Response {
-    /// The connection; the body comes next.
+    /// Connection from which the body can be read.
     pub connection: Connection,
-    /// The head.
+    /// Head of the answer.
     pub head: ResponseHead,
-    /// What it says beyond HTTP.
+    /// What the header fields say beyond HTTP.
     pub info: ResponseInfo,
     /// Whether the connection may be used again after the body.
     pub reusable: bool,
 }
 
-/// Says why there is no answer from an upstream.
+/// Describes why an upstream gave no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Nothing was sent: it has not run.
+    /// Nothing was sent; the request has not run.
     Unreachable,
-    /// The connection broke, or what came is no answer: it may have run.
+    /// The connection broke or the answer was malformed; the request may have run.
     Broken,
-    /// Nothing came in time: it may have run.
+    /// Nothing arrived in time; the request may have run.
     Unresponsive,
     /// The caller has left.
     CallerGone,
@@ -51,8 +51,8 @@
 
 /// Sends a request and waits for the head of the answer.
 ///
-/// A silent upstream is left only if another one can take the request. Left without that, its caller
-/// would lose an answer that was only slow.
+/// The request leaves an unresponsive upstream only if another one can take it. Otherwise its
+/// caller would lose an answer that was only slow.
 pub async fn send(
     context: &Context,
     caller: &mut Connection,
@@ -83,8 +83,8 @@
                 let reusable = in_sync && written == bytes.len() && !head.closes_connection();
                 return Ok(Response { connection, head, info, reusable });
             }
-            // A late answer to an earlier request on this connection. Taken for this one's, it
-            // would give a caller what another one asked for.
+            // This is a late answer to an earlier request on the connection. Passing it on would
+            // give the caller what another caller asked for.
             skip_body(&mut connection, &head, request, deadline).await?;
             in_sync = false;
         }
@@ -128,7 +128,7 @@
     connected.map(|stream| (Connection::new(stream), false)).map_err(|_| Failure::Unreachable)
 }
 
-/// Reads over the body of an answer that belongs to another request.
+/// Skips the body of an answer that belongs to another request.
 async fn skip_body(
     connection: &mut Connection,
     head: &ResponseHead,
@@ -158,7 +158,7 @@
     }
 }
 
-/// Keeps a connection whose answer was not passed on, if its body is short and whole.
+/// Keeps a connection whose answer was not passed on, if its body is short and complete.
 pub async fn drain_and_keep(
     context: &Context,
     request: &AdmittedRequest<'_>,
@@ -184,7 +184,7 @@
     }
 }
 
-/// Keeps a connection after a whole answer; one on which more has come is thrown away.
+/// Keeps a connection after a complete answer, unless more bytes have arrived on it.
 pub fn keep_connection(
     context: &Context,
     request: &AdmittedRequest<'_>,
@@ -200,7 +200,7 @@
     context.pool.borrow_mut().put(now, &choice.run, response.connection, keep_alive, max_idle);
 }
 
-/// Reads for how many seconds an upstream keeps an idle connection.
+/// Returns how long an upstream keeps an idle connection, according to its `Keep-Alive` field.
 fn keep_alive_timeout(value: &str) -> Option<Duration> {
     let words = value.split(',').map(str::trim);
     let timeout = words.filter_map(|word| word.strip_prefix("timeout=")).next()?;
--- a/crates/verbenaslip-relay/src/forward/failover.rs
+++ b/crates/verbenaslip-relay/src/forward/failover.rs
@@ -1,11 +1,11 @@
-//! When a silent upstream is left for another one.
+//! When a request leaves an unresponsive upstream for another one.
 
 use std::time::Duration;
 
-/// Says after which silence an upstream may be left, and asks then whether another one can go on.
+/// States after which silence a request may leave its upstream, and checks then whether it may.
 pub struct Failover<F> {
-    /// The silence; none if it is never left.
+    /// Longest silence; `None` if the request never leaves the upstream.
     pub silence_limit: Option<Duration>,
-    /// Tells whether another one can go on, and pays for that.
+    /// Returns whether another upstream can continue, and spends a retry for that.
     pub may_switch: F,
 }
--- a/crates/verbenaslip-relay/src/forward/lifecycle.rs
+++ b/crates/verbenaslip-relay/src/forward/lifecycle.rs
@@ -1,4 +1,4 @@
-//! One request: where it goes, whether it is tried again, what its caller gets.
+//! Runs one request: where it goes, whether it is retried, and what its caller gets.
 
 use std::time::Duration;
 
@@ -22,42 +22,44 @@
 use crate::policy::placement::{Choice, Ending};
 use crate::policy::quarantine;
 
-/// When a caller may come back that met a full upstream. An upstream that is full is slower as well, so
-/// callers that come back sooner keep it full; the next update of the fleet has come by then.
+/// Retry time for a caller whose request was refused by full upstreams. A full upstream is also
+/// slower, so callers that retry sooner would keep it full. By this time the next update of the
+/// fleet has arrived.
 const RETRY_AFTER_FULL: Duration = Duration::from_millis(300);
 
-/// When a caller may come back that was refused for want of an upstream: half of the time in which
-/// every upstream announces itself once.
+/// Retry time for a caller that was refused because no upstream was available: half of the
+/// interval in which every upstream announces itself once.
 const RETRY_AFTER_NO_UPSTREAM: Duration = Duration::from_millis(600);
 
-/// How long a request waits at an entry that has no route table yet: as long as cores take to start, to elect a
-/// leader and to send the table.
+/// Time that a request waits at an entry without a route table: as long as cores take to start, to
+/// elect a leader and to send the table.
 const ROUTE_TABLE_WAIT: Duration = Duration::from_millis(1_300);
 
-/// How long after its start an entry is likely to get a route table soon. One that has none after that
-/// is cut off from the cores, and what it can't serve is refused at once.
+/// Time after its start within which an entry is likely to get a route table. An entry without one
+/// after that is cut off from the cores and refuses requests at once.
 const STARTUP_PERIOD: Duration = Duration::from_secs(2);
 
-/// How far the times at which callers come back are spread, as a part of them; all at once they
-/// would be refused again.
+/// Fraction by which retry times are spread at random; callers that all retried at once would be
+/// refused again.
 const RETRY_JITTER: f64 = 0.25;
 
-/// The most upstreams that are tried to be reached for one request; those that could not be reached
-/// have got nothing of it.
+/// Limit on the unreachable upstreams tried for one request. An unreachable upstream has received
+/// nothing of the request.
 const MAX_UNREACHABLE: usize = 4;
 
-/// The shortest and longest silence after which a request that may be repeated is tried elsewhere.
+/// Shortest and longest silence after which a request that may be repeated is sent to another
+/// upstream.
 const SILENCE: (Duration, Duration) = (Duration::from_millis(400), Duration::from_secs(2));
 
-/// The longest silence within a stream, as a multiple of the pause that is on time.
+/// Longest silence within a stream, as a multiple of the route's longest regular pause.
 const PAUSE_FACTOR: u32 = 4;
 
-/// Says what becomes of the caller's connection.
+/// Describes what happens to the caller's connection after a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disposition {
-    /// It takes the next request.
+    /// The connection takes the next request.
     KeepOpen,
-    /// It is closed.
+    /// The connection is closed.
     Close,
 }
 
@@ -97,11 +99,12 @@
     if closes_connection { Disposition::Close } else { disposition }
 }
 
-/// Waits for a route table a little while; returns whether the caller has left meanwhile.
+/// Waits a short time for a route table; returns whether the caller has left meanwhile.
 ///
-/// After a power loss of all, entries are back before the cores have elected a leader. Whoever asks then
-/// and is refused comes back after its objective; many have come back once already, from an entry that
-/// was down, and do not a second time. The table is there a moment later.
+/// After a power loss of the whole fleet, entries are back before the cores have elected a leader.
+/// A caller that is refused then retries after its objective has passed. Many callers have already
+/// retried once, after an entry that was down, and do not retry again. The table arrives a moment
+/// later.
 async fn wait_for_route_table(
     context: &Context,
     caller: &mut Connection,
@@ -116,7 +119,7 @@
     }
 }
 
-/// Leads an admitted request to its end.
+/// Runs an admitted request until it is answered or refused.
 async fn run_attempts(
     context: &Context,
     caller: &mut Connection,
@@ -138,7 +141,8 @@
         }
     };
     if attempts.delivery.has_started() {
-        // What the caller has looks unfinished only if its connection ends without an end mark.
+        // The caller can only see that the answer is incomplete if the connection ends without an
+        // end mark.
         trace.outcome = "cut";
         return Disposition::Close;
     }
@@ -149,21 +153,21 @@
         .await
 }
 
-/// Holds how far a request has got.
+/// Tracks the attempts of one request.
 #[derive(Default)]
 pub(super) struct Attempts {
     delivery: Delivery,
-    /// Runs of upstreams that got it or could not be reached.
+    /// Runs of upstreams that received the request or could not be reached.
     pub(super) tried_runs: Vec<Run>,
-    /// How many upstreams got it.
+    /// Number of upstreams that received the request.
     pub(super) sends: u32,
-    /// How many could not be reached.
+    /// Number of upstreams that could not be reached.
     unreachable_count: usize,
-    /// Whether it may have run somewhere.
+    /// Whether the request may have run at an upstream.
     pub(super) may_have_run: bool,
-    /// Whether the budget has paid for the next arrival.
+    /// Whether the retry budget has already paid for the next attempt.
     retry_paid: bool,
-    /// Whether it was counted as begun.
+    /// Whether the request was counted for its team's usage.
     usage_counted: bool,
 }
 
@@ -241,14 +245,14 @@
     }
 }
 
-/// Holds what an upstream answered.
+/// Holds the answer of an upstream to a request.
 struct SentRequest {
     choice: Choice,
     response: Response,
     sent_at: Instant,
 }
 
-/// Goes on after the head of an answer.
+/// Continues after the head of an answer has arrived.
 async fn handle_response(
     context: &Context,
     caller: &mut Connection,
@@ -260,7 +264,8 @@
     let SentRequest { choice, mut response, sent_at } = sent;
     context.handle_response_info(request, &choice, sent_at, &response.info);
     if response.info.not_run {
-        // A run that is no longer there gets nothing more for a while, as one that can't be reached.
+        // A run that is no longer at its address gets no requests for a while, like an unreachable
+        // one.
         let (cause, ending) = match response.info {
             ResponseInfo { other_run: true, .. } => ("other_run", Ending::Unreachable),
             ResponseInfo { cooldown: Some(_), .. } => ("resting", Ending::CoolingDown),
@@ -336,7 +341,7 @@
     }
 }
 
-/// Goes on after an upstream gave no answer.
+/// Continues after an upstream gave no answer.
 fn handle_failure(
     context: &Context,
     request: &AdmittedRequest<'_>,
@@ -389,7 +394,8 @@
     (refusal, None)
 }
 
-/// Says what a caller gets whose request can't be tried again: that it has not run only if so.
+/// Returns the refusal for a request that cannot be retried; it states "not run" only if that is
+/// certain.
 pub(super) fn exhausted_rejection(attempts: &Attempts) -> Rejection {
     match (attempts.may_have_run, attempts.sends) {
         (true, _) => (Refusal::Failed, None),
@@ -398,7 +404,7 @@
     }
 }
 
-/// Says what a caller gets whose request has ended upstreams: that it has not run only if so.
+/// Returns the refusal for a quarantined request; it states "not run" only if that is certain.
 fn quarantine_rejection(attempts: &Attempts, retry_after: Duration) -> Rejection {
     if attempts.may_have_run {
         (Refusal::Failed, None)
@@ -411,14 +417,14 @@
     if attempts.may_have_run { (Refusal::TimedOut, None) } else { (Refusal::DeadlineExpired, None) }
 }
 
-/// Returns how long an upstream may be silent before another one is asked as well.
+/// Returns how long an upstream may be silent before the request is sent to another one.
 fn silence_limit(request: &AdmittedRequest<'_>, choice: &Choice) -> Duration {
     let expected = Duration::from_secs_f64(choice.expected_ms.max(0.0) / 1_000.0);
     let limit = request.route.objective.max(expected * 2) * 2;
     limit.clamp(SILENCE.0, SILENCE.1.max(expected * 2))
 }
 
-/// Counts a request as begun, once.
+/// Counts a request for its team's usage, at most once.
 fn count_usage(context: &Context, request: &AdmittedRequest<'_>, attempts: &mut Attempts) {
     if std::mem::replace(&mut attempts.usage_counted, true) {
         return;
@@ -449,9 +455,9 @@
     }
 }
 
-/// Spreads the times at which callers come back.
+/// Spreads a retry time at random.
 fn add_jitter(context: &Context, retry_after: Duration) -> Duration {
-    /// Steps between the shortest and the longest time.
+    /// Number of steps between the shortest and the longest time.
     const STEPS: u32 = 1_000;
     let step = u32::try_from(context.next_random() % u64::from(STEPS)).unwrap_or(0);
     let part = f64::from(step) / f64::from(STEPS) * 2.0 - 1.0;
--- a/crates/verbenaslip-relay/src/forward/pool.rs
+++ b/crates/verbenaslip-relay/src/forward/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams that are kept for the next request.
+//! Idle connections to upstreams, kept for later requests.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,45 +7,48 @@
 
 use crate::http::Connection;
 
-/// Idle connections kept for one upstream at most; more are hardly ever in use at one moment.
+/// Limit on the idle connections to one upstream; more are hardly ever in use at one moment.
 const MAX_IDLE: usize = 16;
 
-/// The part of the connections that an upstream accepts which may be idle ones of all entries
-/// together. The rest is for requests; beyond its number an upstream resets connections in use.
+/// Divisor for the share of an upstream's connections that the idle ones of all entries together
+/// may take. The rest is for requests: an upstream that accepts no more connections resets
+/// connections in use.
 const IDLE_DIVISOR: u32 = 2;
 
-/// Returns how many idle connections an entry keeps for an upstream that accepts so many.
+/// Returns how many idle connections an entry keeps to an upstream that accepts `connections`.
 pub fn idle_share(connections: u32, entries: u32) -> usize {
     let share = connections / IDLE_DIVISOR / entries.max(1);
     usize::try_from(share).unwrap_or(MAX_IDLE).clamp(1, MAX_IDLE)
 }
 
-/// How long a connection is kept where the upstream does not say. Shorter than what upstreams are
-/// known to allow, since a request that meets the closing may or may not have run.
+/// Idle time after which a connection is dropped if the upstream states none. It is shorter than
+/// what upstreams are known to allow, since a request that meets a closing connection may or may
+/// not have run.
 const DEFAULT_IDLE: Duration = Duration::from_secs(4);
 
-/// The part of the time that an upstream states for which its connections are used.
+/// Fraction of the stated idle time for which a connection is used.
 const IDLE_FRACTION: f64 = 0.7;
 
-/// How long a connection may have been idle for a request that must run once at most, where the upstream
-/// does not say how long it keeps it. It may be closed just when a request is sent, and then nobody knows
-/// whether it ran.
+/// Idle time up to which a connection serves a request that must run at most once, if the upstream
+/// states none. If the upstream closed the connection just as the request was sent, nobody would
+/// know whether it ran.
 const DEFAULT_IDLE_ONCE: Duration = Duration::from_millis(400);
 
-/// The same as a part of the time that the upstream states, far enough from its end.
+/// Fraction of the stated idle time for requests that must run at most once, far enough from its
+/// end.
 const IDLE_FRACTION_ONCE: f64 = 0.4;
 
-/// Says how long a connection is kept that is idle from now on.
+/// Holds how long a connection may stay idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IdleLimit {
-    /// For requests that may be repeated.
+    /// Limit for requests that may be repeated.
     pub repeatable: Duration,
-    /// For requests that must run once at most.
+    /// Limit for requests that must run at most once.
     pub run_once: Duration,
 }
 
 impl IdleLimit {
-    /// Decides by what the upstream states of how long it keeps it.
+    /// Returns the limits for the idle time that the upstream states, if it states one.
     pub fn from_keep_alive(keep_alive: Option<Duration>) -> Self {
         let Some(keep_alive) = keep_alive else {
             return Self { repeatable: DEFAULT_IDLE, run_once: DEFAULT_IDLE_ONCE };
@@ -57,7 +60,7 @@
     }
 }
 
-/// Keeps idle connections by the run of the upstream, never by its address alone.
+/// Holds idle connections by the run of the upstream, never by its address alone.
 #[derive(Debug, Default)]
 pub struct Pool {
     idle: HashMap<Run, Vec<Idle>>,
@@ -78,13 +81,15 @@
 }
 
 impl Pool {
-    /// Takes a connection for a request; `once` says whether that must run once at most.
+    /// Takes a connection for a request; `run_once` states whether the request must run at most
+    /// once.
     pub fn take(&mut self, now: Duration, run: &Run, run_once: bool) -> Option<Connection> {
         let idle = self.idle.get_mut(run)?;
-        // The last one has been idle for the shortest time; the others may still serve other requests.
+        // The last connection has been idle for the shortest time; the others may still serve
+        // other requests.
         while idle.last().is_some_and(|kept| kept.is_usable(now, run_once)) {
             let mut kept = idle.pop()?;
-            // Whatever has come since the last answer belongs to no request.
+            // Bytes that have arrived since the last answer belong to no request.
             if kept.connection.is_open_and_empty() {
                 return Some(kept.connection);
             }
@@ -92,8 +97,8 @@
         None
     }
 
-    /// Keeps a connection, with no more than `most` of the same run; `stated` is for how long
-    /// the upstream keeps it.
+    /// Keeps a connection, and at most `max_idle` for the same run; `keep_alive` is how long the
+    /// upstream keeps it, if stated.
     pub fn put(
         &mut self,
         now: Duration,
@@ -117,7 +122,7 @@
         }
     }
 
-    /// Drops the connections whose time is over.
+    /// Drops the connections that have been idle for too long.
     pub fn remove_expired(&mut self, now: Duration) {
         for idle in self.idle.values_mut() {
             idle.retain(|kept| kept.is_usable(now, false));
--- a/crates/verbenaslip-relay/src/forward/request_log.rs
+++ b/crates/verbenaslip-relay/src/forward/request_log.rs
@@ -1,4 +1,4 @@
-//! What the log says of a request.
+//! The log line about a request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,63 +14,63 @@
 use crate::forward::admission::AdmittedRequest;
 use crate::monotonic;
 
-/// One line a request, with what decided it.
+/// A request has ended; the line states what decided its outcome.
 const REQUEST_ENDED: Kind = Kind { number: 901, name: "request_ended" };
 
-/// Collects what the log line says of a request.
+/// Collects the contents of the log line.
 #[derive(Debug, Default)]
 pub struct Trace {
-    /// The upstreams that got it, in order.
+    /// Upstreams that received the request, in order.
     pub attempts: Vec<Attempt>,
-    /// By whose word it was admitted, or its last upstream chosen.
+    /// The view by which the request was admitted or its last upstream was chosen.
     pub view_info: ViewInfo,
-    /// Why each try ended without an answer.
+    /// Why each attempt ended without an answer.
     pub causes: Vec<&'static str>,
-    /// The status of the final answer.
+    /// Status of the final answer.
     pub status: u16,
-    /// What became of it.
+    /// Outcome of the request.
     pub outcome: &'static str,
-    /// When the first event, or byte of the body, was expected at the last upstream tried, in
-    /// milliseconds from when it was sent there.
+    /// Expected time to the first event, or to the first byte of the body, at the last upstream
+    /// tried, in milliseconds after sending.
     pub expected_ms: f64,
-    /// By how much later than that first events came lately, in milliseconds.
+    /// How much later than expected recent first events arrived, in milliseconds.
     pub lag_ms: f64,
-    /// The requests a second that the last upstream takes from all entries, if that is limited.
+    /// Requests per second that the last upstream takes from all entries, if it limits them.
     pub rate_limit: Option<f64>,
-    /// The share of such requests that its service admits, if it was refused by that.
+    /// Share of such requests that the service admits, if the request was refused because of it.
     pub admitted_share: Option<f64>,
-    /// When it came, from when the request had arrived.
+    /// When the first piece of the body arrived, after the arrival of the request.
     pub first_piece_after: Option<Duration>,
-    /// When the caller was told to come back.
+    /// When the caller may retry.
     pub retry_after: Option<Duration>,
-    /// The part of the last upstream in a roll-out, if it is of the candidate version.
+    /// The last upstream's cohort in a rollout, if it runs the candidate version.
     pub cohort: Option<Cohort>,
-    /// The version of the last upstream.
+    /// Version of the last upstream.
     pub version: Option<Arc<str>>,
-    /// The longest pause between two pieces of the answer.
+    /// Longest pause between two pieces of the answer.
     pub longest_pause: Duration,
 }
 
-/// Says where a request was sent.
+/// Holds one attempt of a request at an upstream.
 #[derive(Debug)]
 pub struct Attempt {
     /// The upstream.
     pub upstream: Upstream,
-    /// When, from when the request had arrived.
+    /// When the request was sent, after its arrival.
     pub sent_after: Duration,
 }
 
-/// Says by whose word something was decided.
+/// Describes the view by which a decision was made.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ViewInfo {
-    /// How new the list of upstreams was.
+    /// Version of the view.
     version: Version,
-    /// How long before the leader had been heard.
+    /// Time since the leader was last heard.
     leader_silence: Option<Duration>,
 }
 
 impl ViewInfo {
-    /// Notes what a decision goes by that is made now.
+    /// Describes the view for a decision that is made now.
     pub fn of(view: &View) -> Self {
         let leader_silence =
             view.leader_heard_at.map(|heard| monotonic::now().saturating_sub(heard));
@@ -78,7 +78,7 @@
     }
 }
 
-/// Says in one line how a request ended and what decided it.
+/// Logs how a request ended and what decided that.
 pub fn log_request(
     view: &View,
     id: &str,
@@ -135,12 +135,12 @@
     event_log::emit(REQUEST_ENDED, fields.into_iter().filter(|(_, value)| is_informative(value)));
 }
 
-/// Returns the plan of a roll-out of the request's service, if there is one.
+/// Returns the rollout plan of the request's service, if there is one.
 fn rollout_plan<'a>(view: &'a View, request: Option<&AdmittedRequest<'_>>) -> Option<&'a Plan> {
     view.rollout_plans.get(&request?.service)
 }
 
-/// Tells whether a value is worth its place in a line.
+/// Returns whether a value is worth its place in a line.
 ///
 /// There is a line for every request, and log collectors keep a limited number of bytes.
 fn is_informative(value: &Value) -> bool {
--- a/crates/verbenaslip-relay/src/forward/upstream_choice.rs
+++ b/crates/verbenaslip-relay/src/forward/upstream_choice.rs
@@ -1,4 +1,4 @@
-//! Where a request goes next, and what its trace says of that.
+//! Chooses the upstream for the next attempt of a request, and records the choice for the log.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use crate::policy::restriction::Restriction;
 use crate::policy::versions::Tracks;
 
-/// Chooses the upstream that gets a request next, or says why it is refused.
+/// Chooses the upstream that gets a request next, or returns why the request is refused.
 pub(super) fn choose_upstream(
     context: &Context,
     request: &AdmittedRequest<'_>,
@@ -35,8 +35,8 @@
         may_have_run: attempts.may_have_run,
         tracks: Tracks::default(),
     };
-    // A request that is tried again may have waited for seconds, and nothing else need have come meanwhile.
-    // Placed by what was known when it came, it would go to an upstream that has left since.
+    // A retried request may have waited for seconds without any other request arriving meanwhile.
+    // With the view from its arrival it could go to an upstream that has left since.
     trace.view_info = ViewInfo::of(&context.refresh_view());
     let query =
         Query { tracks: context.choose_tracks(request, !attempts.tried_runs.is_empty()), ..query };
@@ -67,7 +67,7 @@
     }
 }
 
-/// Counts the engine time that a request asks for, once for each caller.
+/// Adds the engine time that a request asks for, once per caller.
 fn count_engine_time(
     context: &Context,
     request: &AdmittedRequest<'_>,
--- a/crates/verbenaslip-relay/src/forward/upstream_log.rs
+++ b/crates/verbenaslip-relay/src/forward/upstream_log.rs
@@ -1,4 +1,4 @@
-//! What the log says when an upstream asks for something in the head of its answer.
+//! Log lines about what an upstream asks for in the head of its answer.
 
 use std::time::Duration;
 
@@ -8,13 +8,15 @@
 
 use crate::event_log::{self, Kind};
 
-/// An upstream names another limit than before, or none any more.
+/// An upstream states a different rate limit than before, or none any more.
 const LIMIT: Kind = Kind { number: 943, name: "upstream_limit" };
 
-/// An upstream has turned a request away and wants nothing from this entry for a while, or takes requests again.
+/// An upstream has refused a request and wants no requests from this entry for a while, or it
+/// takes requests again.
 const COOLDOWN: Kind = Kind { number: 945, name: "upstream_rest" };
 
-/// Says in one line that an upstream asks for rest, by the answer to the request named, or takes requests again.
+/// Logs that an upstream asks for a cooldown, in its answer to the request `id`, or that it takes
+/// requests again.
 pub fn log_cooldown(run: &Run, cooldown: Option<Duration>, id: &str) {
     if cooldown.is_some() {
         metrics::counter!("verbenaslip_upstream_rests_total").increment(1);
@@ -30,10 +32,10 @@
     );
 }
 
-/// An upstream says in an answer that it is about to go.
+/// An upstream announces its departure in an answer.
 const LEAVING: Kind = Kind { number: 946, name: "upstream_leaves" };
 
-/// Says in one line that an upstream is about to go, by the answer to the request named.
+/// Logs that an upstream has announced its departure in its answer to the request `id`.
 pub fn log_departure(run: &Run, id: &str) {
     event_log::emit(
         LEAVING,
@@ -45,7 +47,8 @@
     );
 }
 
-/// Says in one line that a limit has changed, by the answer to the request named or by the leader's word.
+/// Logs that a rate limit has changed: through the answer to the request `id`, or through the
+/// leader if there is no `id`.
 pub fn log_limit(run: &Run, limit: Limit, id: Option<&str>) {
     let source = if id.is_some() { "answer" } else { "leader" };
     metrics::counter!("verbenaslip_upstream_limits_total", "source" => source).increment(1);
--- a/crates/verbenaslip-relay/src/http.rs
+++ b/crates/verbenaslip-relay/src/http.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 as far as forwarding needs it.
+//! The part of HTTP/1.1 that forwarding needs.
 //!
-//! A library that hides the bytes doesn't fit here: answers must go back unchanged, and what came on
-//! a connection after an answer must be seen in order not to be taken for the next one.
+//! A library that hides the bytes is unsuitable here: answers must go back unchanged, and bytes
+//! that arrive after an answer must be visible so that they are not taken for the next answer.
 
 pub mod body;
 pub mod connection;
@@ -15,22 +15,22 @@
 
 use displaydoc::Display;
 
-/// Says why bytes are no message that can be forwarded.
+/// Describes why bytes are not a message that can be forwarded.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum MessageError {
     /// the head is longer than allowed
     HeadTooLong,
-    /// the first line is not one of HTTP/1.1
+    /// the start line is not valid HTTP/1.1
     StartLine,
-    /// a line does not end with CRLF, or holds a control character
+    /// a line does not end with CRLF, or contains a control character
     ControlCharacter,
     /// a header field is malformed or folded over several lines
     HeaderField,
-    /// the Host header is missing or given twice
+    /// the Host header is missing or repeated
     Host,
     /// the length of the body is given twice or in two ways
     BodyLength,
-    /// the transfer coding is not known here
+    /// the transfer coding is not supported
     TransferCoding,
     /// the chunks of the body are malformed
     Chunk,
--- a/crates/verbenaslip-relay/src/http/body.rs
+++ b/crates/verbenaslip-relay/src/http/body.rs
@@ -1,39 +1,39 @@
-//! Bodies, as they are delimited on a connection.
+//! Message bodies and their framing on a connection.
 
 use bytes::{Buf, Bytes, BytesMut};
 
 use crate::http::MessageError;
 
-/// The longest line of a chunk's size, or of a trailer, in bytes.
+/// Limit on the bytes of a chunk-size line or a trailer line.
 const MAX_LINE_BYTES: usize = 1 << 10;
 
-/// Says how a body is delimited.
+/// Describes how a body is delimited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// There is none.
+    /// There is no body.
     Empty,
-    /// By its length.
+    /// The body has a known length in bytes.
     Length(u64),
-    /// By chunks.
+    /// The body is sent in chunks.
     Chunked,
-    /// By the end of the connection.
+    /// The body ends with the connection.
     UntilClose,
 }
 
-/// Takes the body out of the bytes of a connection.
+/// Extracts a body from the bytes of a connection.
 #[derive(Clone, Debug)]
 pub struct Decoder {
     state: State,
 }
 
-/// Says what the next bytes are.
+/// Describes what the next bytes are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// So many bytes of a body with a length.
+    /// Remaining bytes of a body with a known length.
     Length(u64),
-    /// The size of a chunk.
+    /// The size line of a chunk.
     ChunkSize,
-    /// So many bytes of a chunk.
+    /// Remaining bytes of a chunk.
     ChunkData(u64),
     /// The line end after a chunk.
     ChunkLineEnd,
@@ -41,23 +41,23 @@
     Trailer,
     /// Bytes up to the end of the connection.
     UntilClose,
-    /// Nothing: the body is whole.
+    /// Nothing: the body is complete.
     End,
 }
 
-/// Says what became of the bytes at hand.
+/// Describes the result of one decoding step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// A piece of the body.
     Data(Bytes),
     /// More bytes are needed.
     NeedMore,
-    /// The body is whole.
+    /// The body is complete.
     End,
 }
 
 impl Decoder {
-    /// Starts at the first byte of a body.
+    /// Creates a decoder at the first byte of a body.
     pub fn new(framing: Framing) -> Self {
         let state = match framing {
             Framing::Empty | Framing::Length(0) => State::End,
@@ -68,16 +68,16 @@
         Self { state }
     }
 
-    /// Tells whether the body is whole if the connection ends in good order here.
+    /// Returns whether the body is complete if the connection is closed cleanly here.
     pub fn may_end_with_connection(&self) -> bool {
         matches!(self.state, State::UntilClose | State::End)
     }
 
-    /// Takes the next piece.
+    /// Decodes the next piece.
     ///
     /// # Errors
     ///
-    /// Refuses malformed chunks.
+    /// Fails if a chunk is malformed.
     pub fn step(&mut self, bytes: &mut BytesMut) -> Result<Step, MessageError> {
         loop {
             match self.state {
@@ -121,14 +121,14 @@
     }
 }
 
-/// Writes a piece of a body as a chunk.
+/// Writes a piece of a body as one chunk.
 pub fn write_chunk(piece: &[u8], out: &mut Vec<u8>) {
     out.extend_from_slice(format!("{:x}\r\n", piece.len()).as_bytes());
     out.extend_from_slice(piece);
     out.extend_from_slice(b"\r\n");
 }
 
-/// Ends a body of chunks.
+/// Chunk that ends a chunked body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
 fn take_up_to(bytes: &mut BytesMut, left: u64) -> (Bytes, u64) {
@@ -137,7 +137,7 @@
     (piece, left - available as u64)
 }
 
-/// Takes one line that ends with CRLF.
+/// Takes one line that ends with CRLF; returns `None` if it has not arrived completely.
 fn take_line(bytes: &mut BytesMut) -> Result<Option<Bytes>, MessageError> {
     let Some(end) = bytes.iter().position(|byte| *byte == b'\n') else {
         return if bytes.len() > MAX_LINE_BYTES { Err(MessageError::Chunk) } else { Ok(None) };
@@ -150,7 +150,7 @@
     Ok(Some(raw_line.slice_ref(line)))
 }
 
-/// Reads the size of a chunk; an extension after it is allowed and means nothing.
+/// Parses a chunk size; a chunk extension is allowed and ignored.
 fn parse_chunk_size(line: &[u8]) -> Result<u64, MessageError> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
     let is_valid = (1..=15).contains(&digits.len()) && digits.iter().all(u8::is_ascii_hexdigit);
--- a/crates/verbenaslip-relay/src/http/connection.rs
+++ b/crates/verbenaslip-relay/src/http/connection.rs
@@ -1,4 +1,4 @@
-//! A connection with the bytes that have come on it and are not used yet.
+//! A connection with its unread bytes.
 
 use std::io;
 
@@ -8,17 +8,17 @@
 
 use crate::http::head;
 
-/// Bytes that a reader takes at once; a head and a small body fit.
+/// Bytes that a read can take at once; a head and a small body fit.
 const READ_BYTES: usize = 8 << 10;
 
-/// Bytes that may wait on a connection while it is only watched for its end.
+/// Limit on the unread bytes while a connection is only watched for its end.
 const MAX_BUFFERED_BYTES: usize = 64 << 10;
 
 /// Reads and writes one connection.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
-    /// What has come and is not used yet.
+    /// Received bytes that are not used yet.
     pub buffer: BytesMut,
 }
 
@@ -28,45 +28,46 @@
         Self { stream, buffer: BytesMut::new() }
     }
 
-    /// Reads what there is; zero at the end of the connection.
+    /// Reads the bytes that are available; returns zero at the end of the connection.
     ///
     /// # Errors
     ///
-    /// Fails when the connection does.
+    /// Fails if the connection fails.
     pub async fn fill(&mut self) -> io::Result<usize> {
         self.buffer.reserve(READ_BYTES);
         self.stream.read_buf(&mut self.buffer).await
     }
 
-    /// Waits until there is something to read, or the connection has ended.
+    /// Waits until there is something to read or the connection has ended.
     ///
     /// # Errors
     ///
-    /// Fails when the connection does.
+    /// Fails if the connection fails.
     pub async fn readable(&self) -> io::Result<()> {
         if self.buffer.is_empty() { self.stream.readable().await } else { Ok(()) }
     }
 
-    /// Returns the length of the whole head that has come, if it has.
+    /// Returns the length of the head at the start of the buffer, if it is complete.
     pub fn head_length(&self) -> Option<usize> {
         head::head_length(&self.buffer)
     }
 
-    /// Writes all of it.
+    /// Writes all bytes.
     ///
     /// # Errors
     ///
-    /// Fails when the connection does.
+    /// Fails if the connection fails.
     pub async fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
 
-    /// Returns when the other side has closed, or the connection has failed; meanwhile what comes
-    /// is kept.
+    /// Returns when the peer has closed or the connection has failed; bytes received meanwhile are
+    /// kept.
     pub async fn closed_by_peer(&mut self) {
         loop {
             if self.buffer.len() >= MAX_BUFFERED_BYTES {
-                // More than one request ahead: whether it is gone shows when it is written to.
+                // The caller has sent more than one request ahead; whether it is gone shows at the
+                // next write.
                 return std::future::pending().await;
             }
             if !matches!(self.fill().await, Ok(read) if read > 0) {
@@ -75,15 +76,14 @@
         }
     }
 
-    /// Writes bytes and reads at the same time; returns how many were written once something was
-    /// read, or all is written.
+    /// Writes and reads at the same time and returns after the first progress on either side.
     ///
-    /// An upstream may answer before it has read a long body. Writing first and reading then would
-    /// wait for each other for ever where the windows are small.
+    /// An upstream may answer before it has read a long body. Writing everything first would
+    /// deadlock with such an upstream when the TCP windows are small.
     ///
     /// # Errors
     ///
-    /// Fails when the connection does.
+    /// Fails if the connection fails.
     pub async fn write_or_read(&mut self, out: &[u8]) -> io::Result<Progress> {
         self.buffer.reserve(READ_BYTES);
         let (mut reader, mut writer) = self.stream.split();
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Tells whether an idle connection is as it was left: open, and nothing has come on it.
+    /// Returns whether an idle connection is still open and has received nothing.
     pub fn is_open_and_empty(&mut self) -> bool {
         let mut byte = [0; 1];
         let read = self.stream.try_read(&mut byte);
@@ -104,18 +104,18 @@
         self.buffer.is_empty() && is_open
     }
 
-    /// Ends the sending side, after all that was written.
+    /// Closes the sending side after all written bytes.
     pub async fn shutdown(&mut self) {
-        // The other side may be gone already, which is as good an end.
+        // The peer may be gone already, which needs no handling.
         let _ = self.stream.shutdown().await;
     }
 }
 
-/// Says what a exchange did.
+/// Describes what one exchange did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// So many bytes were written.
+    /// Number of bytes written.
     Wrote(usize),
-    /// So many bytes were read; zero at the end of the connection.
+    /// Number of bytes read; zero at the end of the connection.
     Read(usize),
 }
--- a/crates/verbenaslip-relay/src/http/head.rs
+++ b/crates/verbenaslip-relay/src/http/head.rs
@@ -3,53 +3,53 @@
 use crate::http::MessageError;
 use crate::http::body::Framing;
 
-/// Holds one header field as it was written.
+/// Holds one header field as received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Field {
-    /// Its name.
+    /// Name of the field.
     pub name: Box<str>,
-    /// Its value, without the white space around it.
+    /// Value of the field without surrounding white space.
     pub value: Box<[u8]>,
 }
 
 /// Holds the head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// The method.
+    /// Request method.
     pub method: Box<str>,
-    /// Path and query, as they were written.
+    /// Path and query as received.
     pub target: Box<str>,
-    /// The minor version: zero or one.
+    /// Minor HTTP version: 0 or 1.
     pub minor_version: u8,
-    /// The header fields in order.
+    /// Header fields in order.
     pub fields: Vec<Field>,
 }
 
 /// Holds the head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// The status.
+    /// Status code.
     pub status: u16,
-    /// The minor version: zero or one.
+    /// Minor HTTP version: 0 or 1.
     pub minor_version: u8,
-    /// The reason phrase.
+    /// Reason phrase.
     pub reason: Box<str>,
-    /// The header fields in order.
+    /// Header fields in order.
     pub fields: Vec<Field>,
 }
 
-/// Returns the length of a whole head at the start of the bytes, with its empty line.
+/// Returns the length of a complete head at the start of the bytes, including its empty line.
 pub fn head_length(bytes: &[u8]) -> Option<usize> {
     bytes.windows(4).position(|bytes| bytes == b"\r\n\r\n").map(|start| start + 4)
 }
 
 impl RequestHead {
-    /// Reads a whole head.
+    /// Parses a complete head.
     ///
     /// # Errors
     ///
-    /// Refuses whatever another reader could understand differently: a request could otherwise be
-    /// smuggled to an upstream inside another one's bytes.
+    /// Fails on anything that another reader could understand differently; otherwise a request
+    /// could be smuggled to an upstream inside the bytes of another request.
     pub fn parse(bytes: &[u8]) -> Result<Self, MessageError> {
         let mut lines = lines(bytes)?;
         let line = lines.next().ok_or(MessageError::StartLine)?;
@@ -75,12 +75,12 @@
         Ok(request)
     }
 
-    /// Returns the values of a field, however often it is given.
+    /// Returns all fields with a name.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a Field> {
         all(&self.fields, name)
     }
 
-    /// Returns the value of a field as text, if it is given once.
+    /// Returns the value of a field as text, if the field occurs exactly once.
     pub fn text(&self, name: &str) -> Option<&str> {
         text(&self.fields, name)
     }
@@ -89,7 +89,8 @@
     ///
     /// # Errors
     ///
-    /// Refuses a body whose length is given twice or in two ways.
+    /// Fails if the body's length is given twice or in two ways, or the transfer coding is not
+    /// supported.
     pub fn framing(&self) -> Result<Framing, MessageError> {
         let length = content_length(&self.fields)?;
         if !is_chunked(&self.fields)? {
@@ -101,18 +102,18 @@
         Ok(Framing::Chunked)
     }
 
-    /// Tells whether the connection ends with this request.
+    /// Returns whether the connection ends with this request.
     pub fn closes_connection(&self) -> bool {
         self.minor_version == 0 || has_list_item(&self.fields, "connection", "close")
     }
 }
 
 impl ResponseHead {
-    /// Reads a whole head.
+    /// Parses a complete head.
     ///
     /// # Errors
     ///
-    /// Refuses what is no response.
+    /// Fails if the bytes are not a response head.
     pub fn parse(bytes: &[u8]) -> Result<Self, MessageError> {
         let mut lines = lines(bytes)?;
         let line = lines.next().ok_or(MessageError::StartLine)?;
@@ -131,21 +132,22 @@
         Ok(Self { status, minor_version: minor, reason, fields: parse_fields(lines)? })
     }
 
-    /// Returns the values of a field, however often it is given.
+    /// Returns all fields with a name.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a Field> {
         all(&self.fields, name)
     }
 
-    /// Returns the value of a field as text, if it is given once.
+    /// Returns the value of a field as text, if the field occurs exactly once.
     pub fn text(&self, name: &str) -> Option<&str> {
         text(&self.fields, name)
     }
 
-    /// Returns how the body is delimited, for the answer to a request with the given method.
+    /// Returns how the body is delimited in an answer to a request with the given method.
     ///
     /// # Errors
     ///
-    /// Refuses a body whose length is given twice or in two ways.
+    /// Fails if the body's length is given twice or in two ways, or the transfer coding is not
+    /// supported.
     pub fn framing(&self, method: &str) -> Result<Framing, MessageError> {
         let bodiless = matches!(self.status, 100..200 | 204 | 304) || method == "HEAD";
         let length = content_length(&self.fields)?;
@@ -159,15 +161,15 @@
         }
     }
 
-    /// Tells whether the connection ends with this response.
+    /// Returns whether the connection ends with this response.
     pub fn closes_connection(&self) -> bool {
         self.minor_version == 0 || has_list_item(&self.fields, "connection", "close")
     }
 }
 
-/// Tells whether a field concerns one connection only and is not forwarded.
+/// Returns whether a field applies to one connection only and is not forwarded.
 ///
-/// Fields that a `Connection` header names belong to these as well.
+/// Fields that a `Connection` header names are included.
 pub fn is_hop_by_hop(fields: &[Field], name: &str) -> bool {
     const HOP_BY_HOP: [&str; 9] = [
         "connection",
@@ -184,7 +186,7 @@
         || has_list_item(fields, "connection", name)
 }
 
-/// Tells whether one of the comma-separated words of a field is the given one.
+/// Returns whether one of the comma-separated items of a field equals `word`.
 pub fn has_list_item(fields: &[Field], name: &str, word: &str) -> bool {
     let values = all(fields, name).filter_map(|field| std::str::from_utf8(&field.value).ok());
     let mut words = values.flat_map(|value| value.split(','));
@@ -201,7 +203,7 @@
     std::str::from_utf8(&field.value).ok()
 }
 
-/// Splits a head into lines; each must end with CRLF and hold no other control character.
+/// Splits a head into lines; each must end with CRLF and contain no other control character.
 fn lines(bytes: &[u8]) -> Result<impl Iterator<Item = &str>, MessageError> {
     let text = std::str::from_utf8(bytes);
     let text = text
@@ -221,8 +223,8 @@
 
 fn parse_field(line: &str) -> Result<Field, MessageError> {
     let (name, value) = line.split_once(':').ok_or(MessageError::HeaderField)?;
-    // A name with white space before the colon, and a line that goes on with the one before it, are
-    // read by some as one thing and by some as another.
+    // A name with white space before the colon, and a folded line, are understood differently by
+    // different readers.
     if name.is_empty() || !name.bytes().all(is_token) {
         return Err(MessageError::HeaderField);
     }
--- a/crates/verbenaslip-relay/src/http/reader.rs
+++ b/crates/verbenaslip-relay/src/http/reader.rs
@@ -1,4 +1,4 @@
-//! Reads whole requests.
+//! Reads complete requests.
 
 use std::future::Future;
 use std::time::Duration;
@@ -9,32 +9,33 @@
 
 use crate::http::{Connection, Decoder, MessageError, RequestHead, Step, head};
 
-/// How long an idle connection of a caller is kept beyond the time that callers know of, so that a
-/// request sent in time does not meet its closing.
+/// Extra time that a caller's idle connection stays open beyond the timeout that callers know of,
+/// so that a request sent in time does not meet a closed connection.
 const IDLE_GRACE: Duration = Duration::from_secs(1);
 
-/// Holds a whole request as it came.
+/// Holds a complete request as received.
 #[derive(Debug)]
 pub struct Message {
-    /// Its head.
+    /// Head of the request.
     pub head: RequestHead,
-    /// Its body.
+    /// Body of the request.
     pub body: Bytes,
-    /// When it was whole.
+    /// When the request was complete.
     pub received_at: Instant,
 }
 
-/// Waits for the first byte of a request; false when the caller closes or stays idle.
+/// Waits for the first byte of a request; returns false if the caller closes or stays idle.
 pub async fn wait_for_first_byte(caller: &mut Connection, limits: &RequestLimits) -> bool {
     let filled = with_timeout(limits.idle_timeout + IDLE_GRACE, caller.fill()).await;
     matches!(filled, Some(Ok(count)) if count > 0)
 }
 
-/// Reads one request; none when the caller closes or stays idle.
+/// Reads one request; returns `None` if the caller closes or stays idle.
 ///
 /// # Errors
 ///
-/// Says what is wrong with the request; the connection can't be used any further.
+/// Fails if the request is malformed, too large or too slow; the connection cannot be used
+/// afterwards.
 pub async fn read_request(
     caller: &mut Connection,
     limits: &RequestLimits,
@@ -48,7 +49,7 @@
     caller.buffer.advance(end);
     let mut decoder = Decoder::new(head.framing()?);
     if head::has_list_item(&head.fields, "expect", "100-continue") {
-        // If the caller is gone the next read tells.
+        // If the caller is gone, the next read reports that.
         let _ = caller.send(b"HTTP/1.1 100 Continue\r\n\r\n").await;
     }
     let mut body = BytesMut::new();
@@ -69,14 +70,14 @@
     Ok(Some(Message { head, body: body.freeze(), received_at: Instant::now() }))
 }
 
-/// Waits for a whole head and returns its length; none when the caller closes.
+/// Waits for a complete head and returns its length; returns `None` if the caller closes.
 async fn read_head_length(
     caller: &mut Connection,
     limits: &RequestLimits,
     started: Instant,
 ) -> Result<Option<usize>, MessageError> {
     loop {
-        // An empty line before a request is allowed and means nothing.
+        // An empty line before a request is allowed and ignored.
         while caller.buffer.starts_with(b"\r\n") {
             caller.buffer.advance(2);
         }
@@ -102,7 +103,7 @@
     }
 }
 
-/// Tells whether a line of a head ends without a carriage return, which would never end the head.
+/// Returns whether a line ends without a carriage return; such a head would never end.
 fn has_bare_line_feed(bytes: &[u8]) -> bool {
     let mut previous = b'\r';
     for byte in bytes {
@@ -114,7 +115,7 @@
     false
 }
 
-/// Waits for an outcome up to a time.
+/// Waits for a future up to a time limit; returns `None` after that.
 pub(crate) async fn with_timeout<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
     tokio::time::timeout(limit, future).await.ok()
 }
--- a/crates/verbenaslip-relay/src/lib.rs
+++ b/crates/verbenaslip-relay/src/lib.rs
@@ -1,23 +1,22 @@
-//! The forwarding face: passes callers' requests on to upstreams and their answers back, byte for
-//! byte.
+//! Forwards callers' requests to upstreams and passes the answers back unchanged.
 //!
-//! One request lives on one instance and is held nowhere else: a caller that tries again sends a new
-//! request, which any instance may take. So at most once means here that the one instance that has
-//! read a request sends it to one upstream at most, unless that upstream surely has not run it.
+//! A request is held by one instance only. A caller that retries sends a new request, which any
+//! instance may take. "At most once" therefore means that the instance that has read a request
+//! sends it to at most one upstream, unless that upstream has certainly not run it.
 //!
-//! The parts follow each other like this:
+//! The modules in the order in which a request passes through them:
 //!
-//! 1. [`http`] reads and writes heads and bodies, strictly: what two readers could understand
-//!    differently is refused.
-//! 2. [`dialect`] is the port through which a deployment's header names become typed fields.
-//! 3. [`board`] is what the control thread and the traffic thread share: the view of the fleet one
-//!    way, counts the other.
-//! 4. [`policy`] decides, without any I/O: what a team may still ask for, which upstream takes a
-//!    request, whether it is better refused at once, and whether it may be tried again.
-//! 5. [`forward`] leads one request through all of this, over kept connections to the upstreams.
+//! 1. [`http`] reads and writes heads and bodies strictly and refuses anything that two readers
+//!    could understand differently.
+//! 2. [`dialect`] is the interface that maps a deployment's header names to typed fields.
+//! 3. [`shared`] is the state that the control thread and the traffic thread share: the view of
+//!    the fleet in one direction, counts in the other.
+//! 4. [`policy`] makes the decisions without I/O: what a team may still use, which upstream takes
+//!    a request, whether a request is refused at once, and whether it may be retried.
+//! 5. [`forward`] takes one request through these steps over pooled connections to the upstreams.
 //! 6. [`server`] accepts callers and drains before a stop.
 //!
-//! What happened goes out through [`journal`] as structured lines, and as metrics.
+//! Events are written through [`event_log`] as structured lines, and as metrics.
 
 pub mod dialect;
 pub mod event_log;
--- a/crates/verbenaslip-relay/src/policy.rs
+++ b/crates/verbenaslip-relay/src/policy.rs
@@ -1,12 +1,14 @@
-//! Decisions of one entry, without any I/O.
+//! Decisions of one entry, without I/O.
 //!
-//! [`allowance`] says what a team may still ask for at this entry, [`retry`] whether a request may
-//! be sent to another upstream, and [`place`] which upstream takes a request or whether it is better
-//! refused at once. [`site`] is what `place` knows of one upstream, with [`cache`] and [`pace`];
-//! [`notice`] is what upstreams ask for in their answers, with [`limit`], an entry's part of the rate that one of them
-//! takes, and [`rest`], the time in which it wants nothing;
-//! [`load_shedding`] is what it knows of a service as a whole, [`waited`] tells callers that come back from
-//! new ones, [`versions`] says which version of a service takes a request while one is rolled out, and [`record`] knows which requests were answered and which are held back.
+//! [`allowance`] decides what a team may still use at this entry, [`retry`] whether a request may
+//! be sent to another upstream, and [`placement`] which upstream takes a request or whether it is
+//! refused at once. `placement` uses the following modules. [`upstream_state`] holds what is known
+//! of one upstream, with [`cache`] and [`speed`]. [`restriction`] holds what upstreams ask for in
+//! their answers: [`limiter`] keeps to an entry's share of an upstream's rate limit, and
+//! [`cooldown`] to the time in which an upstream wants no requests. [`load_shedding`] refuses a
+//! share of a service's requests. [`returning`] tells callers that retry from new ones.
+//! [`versions`] chooses the version of a service during a rollout, and [`quarantine`] holds back
+//! poison requests.
 
 pub mod allowance;
 pub mod cache;
--- a/crates/verbenaslip-relay/src/policy/allowance.rs
+++ b/crates/verbenaslip-relay/src/policy/allowance.rs
@@ -1,4 +1,4 @@
-//! What teams may still ask for at this entry.
+//! What teams may still use of their limits at this entry.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,20 +9,20 @@
 use verbenaslip_fleet::route_table::{Quota, TeamConfig};
 use verbenaslip_fleet::view::View;
 
-/// How far ahead units are borrowed for a team that asks for much: the requests of so much time need not wait for the
-/// leader, each by itself.
+/// Time for which units are borrowed in advance for a busy team, so that its requests need not
+/// each wait for the leader.
 const LOAN_AHEAD: Duration = Duration::from_secs(1);
 
-/// Requests that are expected in that time before any units are borrowed ahead.
+/// Minimum number of requests expected within [`LOAN_AHEAD`] before units are borrowed in advance.
 const MIN_REQUESTS_AHEAD: f64 = 2.0;
 
-/// The time constant of the rate at which a team asks.
+/// Time constant of a team's smoothed request rate, in seconds.
 const RATE_TIME_CONSTANT_SECS: f64 = 2.0;
 
-/// The shortest and longest time after which a caller beyond the limit may come back, in seconds.
+/// Shortest and longest retry time for a caller beyond the limit, in seconds.
 const RETRY_AFTER_SECS: (f64, f64) = (0.3, 5.0);
 
-/// Holds what was lent of each team's limit, and a bucket for the time without a leader.
+/// Holds the units granted for each team, and a token bucket for the time without a leader.
 #[derive(Debug, Default)]
 pub struct Allowances {
     /// When this entry started.
@@ -32,42 +32,43 @@
 
 #[derive(Debug)]
 struct Balance {
-    /// Units that were lent and not used.
+    /// Units that were granted and not used.
     granted: f64,
-    /// Units a second that are asked for, smoothed.
+    /// Smoothed rate of requested units per second.
     request_rate: f64,
-    /// What is left of an equal part of the limit.
+    /// Remaining units of this entry's equal share of the limit.
     equal_share: f64,
-    /// Units admitted from that part since the leader lent the last time.
+    /// Units admitted from the equal share since the leader's last grant.
     spent_without_grant: f64,
     updated_at: Duration,
-    /// Until when the leader has nothing to lend.
+    /// Until when the leader has nothing to grant.
     bucket_empty_until: Duration,
 }
 
-/// Says whether a team may ask for so much now.
+/// States whether a team may use the requested units now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// It may.
+    /// The request is admitted.
     Admitted,
-    /// It may if the leader lends so much.
+    /// The request is admitted if the leader grants a loan.
     Borrow {
         /// Units that this request lacks.
         required: f64,
-        /// Units for those that are likely to follow.
+        /// Units for the requests that are likely to follow.
         prefetch: f64,
     },
-    /// It asked for more than its limit; after this time it may again.
+    /// The team has exceeded its limit and may retry after this time.
     Exceeded(Duration),
 }
 
 impl Allowances {
-    /// Starts without anything lent.
+    /// Creates the state without any granted units.
     pub fn new(now: Duration) -> Self {
         Self { opened_at: now, balances: BTreeMap::new() }
     }
 
-    /// Takes what a request asks for out of its team's limit, as far as this entry knows that there is so much left.
+    /// Charges a request to its team's limit, as far as this entry knows that enough units are
+    /// left.
     pub fn charge(&mut self, now: Duration, team: &TeamConfig, units: f64, view: &View) -> Verdict {
         let Some(quota) = team.quota.filter(|quota| quota.rate > 0.0) else {
             return Verdict::Admitted;
@@ -96,11 +97,11 @@
         }
     }
 
-    /// Takes the leader's answer for a request that waits for it; none when it did not come in time.
+    /// Handles the leader's grant for a waiting request; `None` if it did not arrive in time.
     ///
     /// # Errors
     ///
-    /// Says when the caller may come back if the request is beyond the limit.
+    /// Returns when the caller may retry, if the request exceeds the limit.
     pub fn handle_grant(
         &mut self,
         now: Duration,
@@ -126,11 +127,12 @@
         }
     }
 
-    /// Gives back what a request took that did not run; returns what this entry has no use for.
+    /// Refunds the units of a request that did not run; returns those for which this entry has no
+    /// use.
     pub fn refund(&mut self, team: &Team, units: f64) -> Option<Refund> {
         let balance = self.balances.get_mut(team)?;
         balance.equal_share += units;
-        // What the leader has not lent is not its to lend again.
+        // Units that the leader has not granted must not be returned to it.
         if balance.spent_without_grant >= units {
             balance.spent_without_grant -= units;
             return None;
@@ -145,8 +147,9 @@
     }
 
     fn balance_mut(&mut self, team: &Team) -> &mut Balance {
-        // The equal part fills up from the start of this entry on, not from a team's first request: one that is cut off
-        // would refuse that. It begins empty: an entry that was killed may have spent a whole one a moment ago.
+        // The equal share fills from the start of this entry, not from a team's first request;
+        // otherwise an entry that is cut off would refuse that request. It starts empty, since an
+        // entry that was killed may have spent a whole share a moment ago.
         let at = self.opened_at;
         let new_balance = || Balance {
             granted: 0.0,
@@ -170,7 +173,7 @@
         self.updated_at = now;
     }
 
-    /// Returns the units that are worth borrowing ahead, by the size of one request.
+    /// Returns the units worth borrowing in advance, given the size of one request.
     fn prefetch_units(&self, units: f64) -> f64 {
         let prefetch = self.request_rate * LOAN_AHEAD.as_secs_f64();
         if prefetch >= units * MIN_REQUESTS_AHEAD { prefetch } else { 0.0 }
@@ -181,9 +184,10 @@
         self.equal_share -= units;
     }
 
-    /// Takes a request out of this entry's equal part of the limit.
+    /// Charges a request to this entry's equal share of the limit.
     ///
-    /// It may be overdrawn by one request: one larger than the whole part would otherwise never pass.
+    /// The share may be overdrawn by one request; otherwise a request larger than the whole share
+    /// would never be admitted.
     fn spend_equal_share(&mut self, units: f64, quota: &Quota) -> Result<(), Duration> {
         if self.equal_share > 0.0 {
             self.equal_share -= units;
@@ -194,16 +198,16 @@
     }
 }
 
-/// Returns when a caller may come back for so many units, if the bucket is empty for a time.
+/// Returns when a caller may retry for `units`, if the bucket is empty for a time.
 fn retry_after(empty_for: Duration, units: f64, quota: &Quota) -> Duration {
     let wait = empty_for.as_secs_f64() + units / quota.rate;
     Duration::from_secs_f64(wait.clamp(RETRY_AFTER_SECS.0, RETRY_AFTER_SECS.1))
 }
 
-/// Tells whether the leader was heard so lately that it may lend.
+/// Returns whether the leader was heard recently enough to grant loans.
 ///
-/// An entry that does not hear the leader can't know what others use meanwhile, so it falls back to an equal part of
-/// each limit, which the leader keeps for it.
+/// An entry that does not hear the leader cannot know what other entries use meanwhile. It falls
+/// back to an equal share of each limit, which the leader reserves for it.
 fn is_leader_reachable(now: Duration, view: &View) -> bool {
     view.leader_heard_at.is_some_and(|heard| now.saturating_sub(heard) <= SHARE_LEASE)
 }
--- a/crates/verbenaslip-relay/src/policy/cache.rs
+++ b/crates/verbenaslip-relay/src/policy/cache.rs
@@ -1,25 +1,26 @@
-//! Which parts of prompts an upstream is likely to hold.
+//! Which parts of prompts an upstream is likely to have cached.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use crate::dialect::PromptPart;
 
-/// Parts that are remembered of one upstream; beyond that the oldest half is forgotten.
+/// Limit on the parts remembered for one upstream; beyond it the older half is forgotten.
 const MAX_PARTS: usize = 4_096;
 
-/// How long a part is taken for cached after its last use here. Engines give up what was used least
-/// recently; at the memory and the token rates to design for that takes longer than this.
+/// Time for which a part counts as cached after its last use here. Engines evict the least
+/// recently used parts, which takes longer than this at the memory sizes and token rates of the
+/// design.
 const CACHED_FOR: Duration = Duration::from_secs(15);
 
-/// Remembers what this entry has sent to one upstream.
+/// Remembers the prompt parts that this entry has sent to one upstream.
 #[derive(Debug, Default)]
 pub struct Cache {
     parts: HashMap<u64, Duration>,
 }
 
 impl Cache {
-    /// Returns the tokens at the start of a prompt that the upstream is likely to hold.
+    /// Returns the tokens at the start of a prompt that the upstream has most likely cached.
     pub fn cached_tokens(&self, now: Duration, parts: &[PromptPart]) -> u64 {
         let is_fresh = |part: &&PromptPart| {
             self.parts
@@ -29,7 +30,7 @@
         parts.iter().take_while(is_fresh).map(|part| u64::from(part.tokens)).sum()
     }
 
-    /// Notes that a prompt was sent there.
+    /// Records that a prompt was sent to the upstream.
     pub fn record_sent(&mut self, now: Duration, parts: &[PromptPart]) {
         if self.parts.len() + parts.len() > MAX_PARTS {
             let mut times: Vec<Duration> = self.parts.values().copied().collect();
--- a/crates/verbenaslip-relay/src/policy/limiter.rs
+++ b/crates/verbenaslip-relay/src/policy/limiter.rs
@@ -1,31 +1,33 @@
-//! An entry's part of the rate of requests that an upstream takes from all entries together.
+//! An entry's share of the request rate that an upstream takes from all entries together.
 
 use std::time::Duration;
 
 use verbenaslip_fleet::limit::TimeSlot;
 
-/// How long after its time a turn may still be used, so that a limit isn't lost to an entry that has nothing to send
-/// just then. All that is saved up in it may come at once.
+/// Time for which a past time slot may still be used, so that a limit is not lost to an entry that
+/// had nothing to send just then. All slots saved up in this time may be used at once.
 const MAX_SLOT_AGE: Duration = Duration::from_millis(1_500);
 
-/// The least and the most requests a second that are taken for a limit. Of one that takes none it must be learnt
-/// when that ends.
+/// Lowest and highest requests per second that count as a limit. An upstream that takes no
+/// requests still gets the lowest rate, since its answers tell when the limit ends.
 const RATE_RANGE: (f64, f64) = (0.25, 10_000.0);
 
-/// Lets an entry send in its turn.
+/// Lets an entry send in its own time slots.
 ///
-/// Time is cut into as many slots a second as requests are allowed, and the slots go round the entries. The agreed
-/// time of day numbers them, so that the sum is kept to without a word between entries, however many there are.
+/// Time is divided into as many slots per second as requests are allowed, and the slots are
+/// assigned to the entries in rotation. The agreed time of day numbers the slots. The sum
+/// therefore stays within the limit without communication between entries, regardless of their
+/// number.
 #[derive(Clone, Copy, Debug)]
 pub struct Limiter {
     rate: f64,
     time_slot: Option<TimeSlot>,
-    /// The first slot that is not used up.
+    /// First slot that has not been used.
     next_slot: u64,
 }
 
 impl Limiter {
-    /// Starts with the slot after the present one.
+    /// Creates a limiter that starts with the slot after the present one.
     pub fn new(rate: f64, time_slot: Option<TimeSlot>, time: Duration) -> Self {
         let mut limiter =
             Self { rate: rate.clamp(RATE_RANGE.0, RATE_RANGE.1), time_slot, next_slot: 0 };
@@ -33,44 +35,45 @@
         limiter
     }
 
-    /// Returns the rate from all entries together.
+    /// Returns the rate limit for all entries together, in requests per second.
     pub fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// Takes another rate or another place among the entries; slots are counted anew.
+    /// Updates the rate or the position among the entries, and restarts the numbering of slots.
     pub fn update(&mut self, rate: f64, time_slot: Option<TimeSlot>, time: Duration) {
         let rate = rate.clamp(RATE_RANGE.0, RATE_RANGE.1);
-        // With every change a slot may be another entry's that has used it already.
+        // After any change a slot may belong to another entry that has already used it.
         if (rate, time_slot) != (self.rate, self.time_slot) {
             *self = Self::new(rate, time_slot, time);
         }
     }
 
-    /// Returns how long it takes until this entry may send; none where its place is not known.
+    /// Returns the time until this entry may send; `None` if its position is not known.
     pub fn time_until_free(&self, time: Duration) -> Option<Duration> {
         let slot = self.first_free_slot(time)?;
         Some(Duration::from_secs_f64(as_f64(slot) / self.rate).saturating_sub(time))
     }
 
-    /// Tells whether this entry may send now.
+    /// Returns whether this entry may send now.
     pub fn is_free(&self, time: Duration) -> bool {
         self.first_free_slot(time).is_some_and(|slot| slot <= self.slot_at(time))
     }
 
-    /// Uses up a turn.
+    /// Uses one slot.
     pub fn use_slot(&mut self, time: Duration) {
         if let Some(slot) = self.first_free_slot(time) {
             self.next_slot = slot + 1;
         }
     }
 
-    /// Finds the first slot of this entry that is neither used up nor too old.
+    /// Returns the first slot of this entry that is neither used nor too old.
     fn first_free_slot(&self, time: Duration) -> Option<u64> {
         let TimeSlot { index, count } = self.time_slot?;
         let (index, count) = (u64::from(index), u64::from(count.max(1)));
         let oldest = self.slot_at(time.saturating_sub(MAX_SLOT_AGE));
-        // Set back by seconds, the time of day would leave the entry without a turn for as long.
+        // If the time of day were set back by seconds, the entry would otherwise have no slot for
+        // as long.
         let is_ahead = self.next_slot > self.slot_at(time) + count + 1;
         let first = if is_ahead { oldest } else { self.next_slot.max(oldest) };
         Some(first + (index + count - first % count) % count)
--- a/crates/verbenaslip-relay/src/policy/placement.rs
+++ b/crates/verbenaslip-relay/src/policy/placement.rs
@@ -1,4 +1,4 @@
-//! Which upstream takes a request.
+//! Chooses the upstream for a request.
 
 mod choice;
 mod restrictions;
@@ -24,60 +24,60 @@
 use crate::policy::upstream_state::UpstreamState;
 use crate::policy::versions::{Track, Tracks};
 
-/// What another availability zone costs, in milliseconds: two ways of the longest path between
-/// zones of one region, so that it decides between equals only.
+/// Cost of another availability zone in milliseconds: two trips over the longest path between
+/// zones of a region, so that it only decides between equal upstreams.
 const OTHER_ZONE_COST_MS: f64 = 3.0;
 
-/// What one running request adds to the time of all others, in milliseconds for each.
+/// Delay that each running request adds to all others, in milliseconds.
 const RUNNING_REQUEST_COST_MS: f64 = 0.5;
 
-/// The part of a prompt that is taken for read already at the upstream where its prefix belongs by
-/// hash, even though this entry has not sent it there: other entries prefer the same one.
+/// Fraction of a shared prefix that counts as cached at the upstream to which the prefix belongs
+/// by hash, even if this entry has not sent it there: other entries prefer the same upstream.
 const HOME_CACHED_SHARE: f64 = 0.8;
 
-/// What reading a shared part once more costs beyond the time of this request, as a multiple of it:
-/// the requests behind it wait for it too, and the part takes memory twice.
+/// Cost of a repeated prefill of a shared part beyond the time of the request itself, as a
+/// multiple of that time: the requests queued behind it wait too, and the part takes memory twice.
 const PREFILL_AGAIN_FACTOR: f64 = 1.0;
 
-/// Differences below this, in milliseconds, are no reason to prefer one upstream.
+/// Cost difference in milliseconds below which upstreams count as equal.
 const EQUAL_COST_MS: f64 = 0.1;
 
-/// What a share of failed answers costs, in milliseconds for all of them failing: more than any
-/// queue is worth.
+/// Cost of a failure rate of one, in milliseconds: more than any queue is worth.
 const FAILURE_COST_MS: f64 = 800.0;
 
-/// When the callers of a plain service may come back that were refused because it has more to do than it
-/// can: after the first time, and the part of the second one that is refused. A refused part of a half keeps
-/// them away for 0.8 s, longer than a full queue takes to empty.
+/// Retry time for callers that an overloaded plain service refuses: the first duration, plus the
+/// second one multiplied by the refused share. At a refused share of one half callers stay away
+/// for 0.8 s, longer than a full queue takes to empty.
 const SHED_RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(300), Duration::from_secs(1));
 
-/// How many times the part of new requests is refused of those that have come back: none of them is
-/// admitted once a third of the others is not.
+/// Factor by which the refused share is higher for returning callers than for new ones. No
+/// returning caller is admitted once a third of the new ones is refused.
 const RETURNING_REFUSAL_FACTOR: f64 = 3.0;
 
-/// The most that is refused of those that have come back; a few show that there is room again.
+/// Limit on the refused share of returning callers; a few must get through to show that there is
+/// room again.
 const MAX_RETURNING_REFUSAL: f64 = 0.95;
 
-/// How much of the objective a request has taken that was turned away for want of room: a full queue
-/// takes all of it and more.
+/// Latency recorded for a request that a full upstream refused, as a fraction of the objective: a
+/// full queue takes all of the objective or more.
 const FULL_QUEUE_LATENCY: f64 = 1.0;
 
-/// The part of the objective within which a first event must be expected, or the request is refused at
-/// once. Where engines are missing, their queues settle at this.
+/// Fraction of the objective within which a first event must be expected; otherwise the request is
+/// refused at once. When engines are missing, their queues settle at this level.
 const MAX_EXPECTED: f64 = 1.0;
 
-/// The same for callers that have come back, whose answers come late in any case: they get what others
-/// leave over.
+/// The same limit for returning callers, whose answers are late in any case: they get what other
+/// callers leave over.
 const MAX_EXPECTED_RETURNING: f64 = 0.6;
 
-/// What is taken off the cost of a limited upstream that is to be asked, in milliseconds: more than reading most
-/// prompts costs, and less than a queue.
+/// Amount subtracted from the cost of a rate-limited upstream that should be probed, in
+/// milliseconds: more than the prefill of most prompts, and less than a queue.
 const PROBE_BONUS_MS: f64 = 100.0;
 
-/// Holds the upstreams as the fleet knows them.
+/// Upstreams as the fleet knows them.
 type UpstreamRecords = BTreeMap<Upstream, Record>;
 
-/// Holds what is known of the upstreams and what this entry has under way there.
+/// Holds what is known of the upstreams, and this entry's requests in progress there.
 #[derive(Debug)]
 pub struct Placement {
     zone: AvailabilityZone,
@@ -87,32 +87,32 @@
     rollout_plans: Arc<Plans>,
     restrictions: Restrictions,
     limits: Arc<Limits>,
-    /// This entry's place among the entries.
+    /// This entry's time slot among the entries.
     time_slot: Option<TimeSlot>,
-    /// The agreed time of day less the monotonic clock, in milliseconds.
+    /// Agreed time of day minus the monotonic clock, in milliseconds.
     time_offset_ms: i64,
-    /// Whether the upstreams have changed since what they ask for was looked through.
+    /// Whether the records have changed since the restrictions were last pruned.
     records_changed: bool,
     request_counter: u64,
     lags: BTreeMap<ServiceRank, Lag>,
     admitted_shares: BTreeMap<Arc<str>, AdmittedShare>,
 }
 
-/// Holds what a request would take at an upstream.
+/// Holds the estimated effect of sending a request to an upstream.
 #[derive(Clone, Copy, Debug)]
 struct Estimate {
-    /// Tokens of the prompt that are still to be read there.
+    /// Tokens of the prompt that are not cached there.
     uncached_tokens: u64,
-    /// The expected milliseconds to the first event.
+    /// Expected milliseconds to the first event.
     expected_ms: f64,
-    /// What it costs all requests together, in milliseconds.
+    /// Cost for all requests together, in milliseconds.
     cost_ms: f64,
-    /// Whether nothing else is under way there.
+    /// Whether no prefill of this entry is pending there.
     idle: bool,
 }
 
 impl Placement {
-    /// Starts without upstreams.
+    /// Creates a placement without upstreams.
     pub fn new(zone: AvailabilityZone) -> Self {
         Self {
             zone,
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Takes a newer view; runs of upstreams that are no longer in it are returned.
+    /// Updates the view; returns the runs of upstreams that are no longer in it.
     pub fn update(&mut self, view: &View) -> Vec<Run> {
         let mut removed = Vec::new();
         self.time_offset_ms = view.time_offset_ms;
@@ -168,7 +168,7 @@
             > objective * if query.returning { MAX_EXPECTED_RETURNING } else { MAX_EXPECTED };
         let hopeless = expected_ms > query.remaining.as_secs_f64() * 1_000.0;
         if engine && !query.may_have_run && (late || hopeless) && choice.cohort == Cohort::Canary {
-            // A canary that is busy must not cost its caller the answer.
+            // A busy canary must not cost its caller the answer.
             return self.choose(now, &Query { tracks: Tracks::default(), ..*query });
         }
         if engine && !query.may_have_run && (late || hopeless) {
@@ -181,7 +181,7 @@
         Decision::Send(choice)
     }
 
-    /// Finds the best upstream of the first version that has one.
+    /// Returns the best upstream of the first version that has one.
     fn choose_on_tracks(&self, now: Duration, query: &Query<'_>) -> Option<Choice> {
         let tracks = std::iter::once(query.tracks.preferred).chain(query.tracks.fallback);
         let mut options = [true, false].into_iter().flat_map(|strict| {
@@ -194,7 +194,7 @@
         })
     }
 
-    /// Takes which versions of services get requests.
+    /// Updates the rollout plans.
     fn update_plans(&mut self, plans: &Arc<Plans>) {
         self.rollout_plans = plans.clone();
         for state in self.states.values_mut() {
@@ -203,7 +203,8 @@
         }
     }
 
-    /// Tells whether a service has an upstream that may get work, other than these.
+    /// Returns whether a service has an upstream that may take work, other than the runs in
+    /// `tried_runs`.
     pub(crate) fn has_alternative(&self, now: Duration, service: &str, tried_runs: &[Run]) -> bool {
         let names = self.by_service.get(service).into_iter().flatten();
         let mut states = names.filter_map(|name| self.states.get(name));
@@ -218,7 +219,7 @@
         })
     }
 
-    /// Takes an upstream's first event.
+    /// Records the first event of an answer; `latency` is the time since the request was sent.
     pub fn record_first_event(&mut self, now: Duration, choice: &Choice, latency: Duration) {
         if let Some(objective) = choice.plain_objective {
             let part = latency.as_secs_f64() / objective.as_secs_f64().max(f64::MIN_POSITIVE);
@@ -234,7 +235,8 @@
         }
     }
 
-    /// Takes the end of a request at an upstream; `began` tells whether its first event had come.
+    /// Records the end of a request at an upstream; `duration` is its length if its first event
+    /// had arrived.
     pub fn record_end(
         &mut self,
         now: Duration,
@@ -242,7 +244,7 @@
         ending: Ending,
         duration: Option<Duration>,
     ) {
-        // One upstream that refuses everything says nothing of the others.
+        // An upstream that refuses everything says nothing about the others.
         let refuses = self.state_mut(choice).is_some_and(|state| state.is_refusing());
         if ending == Ending::Full && choice.plain_objective.is_some() && !refuses {
             self.admitted_share(now, &choice.service_rank.0)
@@ -255,19 +257,20 @@
         state.record_end(now, ending, duration);
     }
 
-    /// Tells whether a request to a plain service is refused at once because the service has more to do
-    /// than it can.
+    /// Returns a refusal if a request to an overloaded plain service should be refused at once.
     ///
-    /// When fewer upstreams are left than the load needs, all their queues are full: half of the
-    /// requests are turned away and the others are late. Refused here in the right part, the rest finds
-    /// short queues and is on time. The part follows from how late answers come beside what is wanted,
-    /// so it needs to know neither the load nor what the upstreams can do.
+    /// When too few upstreams are left for the load, all their queues are full: half of the
+    /// requests are refused by the upstreams and the others are late. If the right share is
+    /// refused here, the rest finds short queues and is on time. The share follows from the
+    /// latency of answers relative to the objective, so neither the load nor the capacity needs to
+    /// be known.
     fn shed(&self, now: Duration, query: &Query<'_>) -> Option<Busy> {
         if !query.parts.is_empty() || !query.tried_runs.is_empty() {
             return None;
         }
         let refused = 1.0 - self.admitted_shares.get(query.service)?.share_at(now);
-        // Whoever has come back gets a late answer at best, in the place of one that is on time.
+        // A returning caller gets a late answer at best, in place of an answer that would be on
+        // time.
         let part = if query.returning {
             (refused * RETURNING_REFUSAL_FACTOR).min(MAX_RETURNING_REFUSAL)
         } else {
@@ -283,10 +286,10 @@
         self.admitted_shares.entry(service.clone()).or_insert_with(|| AdmittedShare::new(now))
     }
 
-    /// Returns where a request was sent, unless that run has ended.
+    /// Returns the state of the upstream that a request was sent to, unless that run has ended.
     ///
-    /// An upstream that has started again under its name has nothing under way of what was sent before:
-    /// counted there, the old requests would make it look busier, or idler, than it is.
+    /// An upstream that has restarted under its name has none of the earlier requests in progress.
+    /// Counting them there would make it look busier, or idler, than it is.
     fn state_mut(&mut self, choice: &Choice) -> Option<&mut UpstreamState> {
         self.states.get_mut(&choice.run.upstream).filter(|state| *state.run() == choice.run)
     }
@@ -320,7 +323,7 @@
         removed
     }
 
-    /// Lists the upstreams by service anew.
+    /// Rebuilds the index of upstreams by service.
     fn rebuild_services(&mut self) {
         self.by_service.clear();
         for (name, state) in &self.states {
@@ -361,7 +364,8 @@
             }
             let gain = best.map_or(f64::MAX, |(_, best)| best.cost_ms - estimate.cost_ms);
             equal_count = if gain.abs() < EQUAL_COST_MS { equal_count + 1 } else { 1 };
-            // Of equals each is as likely; always the first would get all that comes at once.
+            // Equal upstreams are equally likely; always taking the first would send it all
+            // simultaneous requests.
             let picked =
                 hash::mix(self.request_counter ^ state.upstream_hash).is_multiple_of(equal_count);
             if gain >= EQUAL_COST_MS || (gain > -EQUAL_COST_MS && picked) {
@@ -393,8 +397,9 @@
         })
     }
 
-    /// Works out when the first event would come from an upstream, of a prompt with so many tokens
-    /// that others share, so many of which it is likely to have read for other entries.
+    /// Estimates when the first event would arrive from an upstream. The prompt has `shared`
+    /// tokens in shared parts, of which `likely_cached` are probably cached because of other
+    /// entries.
     fn estimate(
         &self,
         now: Duration,
@@ -407,8 +412,8 @@
         let uncached_tokens = query.prompt_tokens.saturating_sub(cached);
         let uncached_shared = shared.saturating_sub(cached);
         let requests = state.active_requests;
-        // Only what this entry itself has there. What others had would be known half a second later,
-        // when it has been read, and would send all entries on to the same few upstreams.
+        // Counts only this entry's own requests. Those of other entries would be known half a
+        // second late, after their prefill, and would send all entries to the same few upstreams.
         let pending = state.pending_prefill;
         let slots = state.record.announcement.slots.max(1);
         let zone_cost =
@@ -434,7 +439,8 @@
         }
     }
 
-    /// Draws a number between zero and one for a request at a site; less strictly, the lowest.
+    /// Returns a number between zero and one for a request at an upstream; zero if the check is
+    /// not strict.
     fn random_fraction(&self, state: &UpstreamState, strict: bool) -> f64 {
         if !strict {
             return 0.0;
@@ -453,10 +459,10 @@
         state.cache.record_sent(now, query.parts);
     }
 
-    /// Returns the upstream where the shared start of a prompt belongs.
+    /// Returns the upstream to which the shared prefix of a prompt belongs.
     ///
-    /// All entries find the same one without a word between them: the one with the highest hash of
-    /// prefix and upstream.
+    /// All entries choose the same one without communication: the upstream with the highest hash
+    /// of prefix and upstream.
     fn home_upstream(&self, query: &Query<'_>, track: Track) -> Option<Upstream> {
         let part = shared_parts(query.parts).last()?.id;
         let names = self.by_service.get(query.service)?;
--- a/crates/verbenaslip-relay/src/policy/placement/choice.rs
+++ b/crates/verbenaslip-relay/src/policy/placement/choice.rs
@@ -1,4 +1,4 @@
-//! A request to be placed, and what becomes of it.
+//! A request to be placed, and the decision about it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,103 +11,105 @@
 use crate::policy::restriction::Restriction;
 use crate::policy::versions::{Ticket, Tracks};
 
-/// Names the requests of a service that have the same rank.
+/// Identifies the requests of a service with the same priority.
 pub(super) type ServiceRank = (Arc<str>, u8);
 
 /// Describes a request to be placed.
 #[derive(Clone, Copy, Debug)]
 pub struct Query<'a> {
-    /// The service.
+    /// Service of the request.
     pub service: &'a str,
-    /// Its rank; zero is the most urgent.
+    /// Priority of the request; zero is the most urgent.
     pub rank: u8,
-    /// The parts of its prompt.
+    /// Parts of the prompt.
     pub parts: &'a [PromptPart],
-    /// The tokens of its prompt.
+    /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Runs of upstreams where it must not go: it was sent there already.
+    /// Runs of upstreams that have already been tried and are excluded.
     pub tried_runs: &'a [Run],
-    /// The time within which the first event is wanted.
+    /// Time within which the first event is wanted.
     pub objective: Duration,
-    /// How long the caller still waits.
+    /// Time that the caller still waits.
     pub remaining: Duration,
-    /// Whether another upstream may get it if one turns it away.
+    /// Whether another upstream may get the request if one refuses it.
     pub has_spare_attempt: bool,
-    /// Whether the caller has come back, so that any answer comes late.
+    /// Whether the caller has retried, so that any answer comes after its objective.
     pub returning: bool,
-    /// Whether an upstream may have begun on it: it goes on wherever it can, also when late.
+    /// Whether an upstream may have started the request; it then continues wherever possible, even
+    /// if it is late.
     pub may_have_run: bool,
-    /// The versions that may take it.
+    /// Versions that may take the request.
     pub tracks: Tracks,
 }
 
-/// Says where a request goes.
+/// Describes where a request goes.
 #[derive(Clone, Debug)]
 pub struct Choice {
-    /// The run of the upstream.
+    /// Run of the upstream.
     pub run: Run,
-    /// Where it is reached.
+    /// Address of the upstream.
     pub address: SocketAddr,
-    /// Tokens of the prompt that are still to be read there.
+    /// Tokens of the prompt that are not cached there.
     pub uncached_tokens: u64,
-    /// The expected milliseconds to the first event, by what this entry knows of the upstream.
+    /// Expected milliseconds to the first event, from what this entry knows of the upstream.
     pub expected_ms: f64,
-    /// The milliseconds by which first events come later than that lately.
+    /// Milliseconds by which first events have recently been later than expected.
     pub lag_ms: f64,
-    /// Whether nothing else was under way there.
+    /// Whether no prefill of this entry was pending there.
     pub idle: bool,
-    /// Milliseconds in which an engine reads what it has yet to read of the prompt.
+    /// Milliseconds of prefill for the tokens that are not cached.
     pub prefill_ms: f64,
-    /// The version that the upstream runs.
+    /// Version that the upstream runs.
     pub version: Arc<str>,
-    /// The upstream's part in a roll-out of its service.
+    /// Cohort of the upstream in a rollout of its service.
     pub cohort: Cohort,
-    /// Stands for the upstream in hashes.
+    /// Hash of the upstream's name.
     pub upstream_hash: u64,
-    /// The requests a second that the upstream takes from all entries together, if that is limited.
+    /// Requests per second that the upstream takes from all entries together, if it limits them.
     pub rate_limit: Option<f64>,
-    /// Its place in the counts of a roll-out, once it is sent.
+    /// Ticket of the request in the counts of a rollout, once it is sent.
     pub ticket: Option<Ticket>,
-    /// The request's service and rank.
+    /// Service and priority of the request.
     pub(super) service_rank: ServiceRank,
-    /// The time within which a plain service is to answer; none for a prompt.
+    /// Objective of a plain service; `None` for a prompt.
     pub(super) plain_objective: Option<Duration>,
 }
 
-/// Says what becomes of a request.
+/// Describes the decision about a request.
 #[derive(Clone, Debug)]
 pub enum Decision {
-    /// It goes to an upstream.
+    /// The request goes to an upstream.
     Send(Choice),
-    /// Every upstream is so busy that it is refused.
+    /// The request is refused, since every upstream is too busy.
     Refuse(Busy),
-    /// No upstream of the service may get work now.
+    /// No upstream of the service may take work now.
     NoUpstream,
 }
 
-/// Says why a request is refused for want of room, and when its caller may come back.
+/// Describes why a request is refused for lack of capacity, and when its caller may retry.
 #[derive(Clone, Copy, Debug)]
 pub struct Busy {
-    /// When its caller may come back.
+    /// When the caller may retry.
     pub retry_after: Duration,
-    /// What decided it.
+    /// Reason for the refusal.
     pub cause: Cause,
-    /// Milliseconds in which an engine would have read its prompt.
+    /// Milliseconds of prefill that the request would have taken.
     pub prefill_ms: f64,
 }
 
-/// Says what decided that a request is refused for want of room.
+/// Describes why a request is refused for lack of capacity.
 #[derive(Clone, Copy, Debug)]
 pub enum Cause {
-    /// Its service has more to do than it can, and admits this share of such requests.
+    /// The service is overloaded and admits this share of such requests.
     Share(f64),
-    /// All upstreams that could take it have asked for less; so has the one that takes some first.
+    /// All possible upstreams are restricted; this is the restriction of the one that is available
+    /// first.
     Restricted(Restriction),
-    /// Its first event was expected too late, by these milliseconds together.
+    /// The first event was expected too late, by the sum of these times.
     Late {
-        /// What this entry knows of the upstream.
+        /// Expected milliseconds from what this entry knows of the upstream.
         expected_ms: f64,
-        /// How much later first events come lately.
+        /// Milliseconds by which first events have recently been later than expected.
         lag_ms: f64,
     },
 }
--- a/crates/verbenaslip-relay/src/policy/placement/restrictions.rs
+++ b/crates/verbenaslip-relay/src/policy/placement/restrictions.rs
@@ -1,4 +1,4 @@
-//! What upstreams ask for in their answers, as far as it decides where requests go.
+//! Applies the restrictions that upstreams ask for to the placement of requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,14 +12,14 @@
 use crate::policy::restriction::{Change, Moment, Restriction};
 use crate::policy::speed::Speed;
 
-/// The earliest time at which a caller may come back that was refused because upstreams are limited or rest.
+/// Shortest retry time for callers that are refused because upstreams are restricted.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// The latest time where upstreams are limited: it may be another entry's turn before.
+/// Longest retry time if upstreams are rate-limited: another entry may have a free slot before.
 const MAX_RETRY_AFTER_LIMITED: Duration = Duration::from_secs(2);
 
 impl Placement {
-    /// Takes the limits of a newer view; returns those that are new here.
+    /// Updates the rate limits from a newer view; returns those that are new here.
     pub fn update_limits(&mut self, now: Duration, view: &View) -> Vec<Observation> {
         let at = self.moment(now);
         if std::mem::take(&mut self.records_changed) {
@@ -34,8 +34,8 @@
         self.restrictions.update_from_view(at, view)
     }
 
-    /// Takes what an upstream asks for in the head of an answer to a request that was sent at a time; returns what has
-    /// changed by it.
+    /// Handles what an upstream asks for in the head of an answer to a request sent at `sent_at`;
+    /// returns what has changed.
     pub fn handle_response_info(
         &mut self,
         now: Duration,
@@ -51,7 +51,8 @@
         Moment::at(now, self.time_offset_ms)
     }
 
-    /// Says when to come back, if upstreams take no request only because of what they have asked for.
+    /// Returns a refusal with a retry time, if upstreams take no request only because of their
+    /// restrictions.
     pub(super) fn refuse_restricted(&self, now: Duration, query: &Query<'_>) -> Option<Busy> {
         let at = self.moment(now);
         let names = self.by_service.get(query.service).into_iter().flatten();
--- a/crates/verbenaslip-relay/src/policy/quarantine.rs
+++ b/crates/verbenaslip-relay/src/policy/quarantine.rs
@@ -1,4 +1,4 @@
-//! What became of requests with the same content, and which of them are held back.
+//! Remembers answered requests by content, and holds back quarantined ones.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -12,37 +12,39 @@
 
 use crate::http::Framing;
 
-/// The most answers that are remembered: what many callers ask for is asked for again before so many others.
+/// Limit on the remembered answers; a popular request is repeated before this many other requests.
 const MAX_ANSWERS: usize = 2_048;
 
-/// When the caller of a request that is held back may come back, at the earliest and at the latest.
+/// Shortest and longest retry time for the caller of a quarantined request.
 const RETRY_AFTER_RANGE: (Duration, Duration) =
     (Duration::from_secs(5), Duration::from_secs(3_600));
 
-/// Tells whether an upstream surely has run what it answers.
+/// Returns whether an answer proves that the upstream ran the request and survived it.
 ///
-/// One that fails part of its requests answers some without having run them, and an answer that ends with its
-/// connection may be what is left of one whose upstream has ended. Taken for a sign of health, either would let a
-/// request go on that ends upstreams.
+/// An upstream that fails part of its requests answers some of them without running them. An
+/// answer that ends with its connection may be what is left after the upstream crashed. Taking
+/// either as proof would release a request that crashes upstreams.
 pub fn proves_execution(status: u16, framing: Option<Framing>) -> bool {
     status < 500 && framing.is_some_and(|it| it != Framing::UntilClose)
 }
 
-/// Remembers which requests were answered lately, so that the leader hears of those that it suspects.
+/// Remembers which requests were answered recently, and reports answers to those that the leader
+/// suspects.
 ///
-/// A request that many callers send alike runs on most upstreams, and so on most of those that end. That it is
-/// answered elsewhere tells it from one that ends them.
+/// A request that many callers send runs on most upstreams, and therefore also on most of those
+/// that crash. Its answers from other upstreams distinguish it from a request that causes crashes.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     answered_at: HashMap<Fingerprint, Duration>,
     order: VecDeque<Fingerprint>,
     blocklist: Option<Arc<Blocklist>>,
-    /// The requests that this entry has let through again, and until when they had been held back.
+    /// Requests that this entry has let through as a trial, with the end of their quarantine at
+    /// that time.
     trials: HashMap<Fingerprint, u64>,
 }
 
 impl Quarantine {
-    /// Takes a newer blocklist; returns when requests were answered that it suspects anew.
+    /// Updates the blocklist; returns the remembered answers to newly suspected requests.
     pub fn update(&mut self, blocklist: &Arc<Blocklist>) -> Vec<ObservedAnswer> {
         if self.blocklist.as_ref().is_some_and(|it| Arc::ptr_eq(it, blocklist)) {
             return Vec::new();
@@ -61,7 +63,7 @@
         .collect()
     }
 
-    /// Takes an answer to a request; tells whether the leader wants to hear of it.
+    /// Records an answer to a request; returns whether the leader wants to know of it.
     pub fn record_answer(
         &mut self,
         now: Duration,
@@ -79,9 +81,10 @@
         blocklist.watched.contains(&fingerprint) || blocklist.quarantined.contains_key(&fingerprint)
     }
 
-    /// Tells for how long a request is held back; none for one that may be sent.
+    /// Returns how long a request is still quarantined; `None` if it may be sent.
     ///
-    /// Of a request that was held back for long enough, the entry that the leader has chosen lets one through.
+    /// After the quarantine of a request has ended, the entry chosen by the leader lets one such
+    /// request through as a trial.
     pub fn quarantined_for(
         &mut self,
         now: Duration,
--- a/crates/verbenaslip-relay/src/policy/restriction.rs
+++ b/crates/verbenaslip-relay/src/policy/restriction.rs
@@ -1,7 +1,7 @@
 //! What upstreams ask for in the heads of their answers.
 //!
-//! Whatever is asked for binds this entry by itself: it holds while the upstream is not heard by the cores, or
-//! the cores are not heard here.
+//! A request of an upstream binds this entry directly. It also holds while the cores do not hear
+//! the upstream, or this entry does not hear the cores.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,28 +15,29 @@
 use crate::policy::cooldown::Cooldown;
 use crate::policy::limiter::Limiter;
 
-/// How long an upstream takes to get all of its requests again. All entries find it idle at that moment, and would
-/// send it everything.
+/// Time over which an upstream gets back all of its requests after a restriction. All entries see
+/// it as idle at that moment, and would send it everything.
 const RAMP_UP: Duration = Duration::from_secs(2);
 
-/// How long an entry may not have asked a limited upstream until it prefers it in its turn: only its answers say when
-/// the limit ends.
+/// Time without an answer after which this entry prefers a rate-limited upstream in its next slot;
+/// only the upstream's answers tell when the limit ends.
 const PROBE_AFTER: Duration = Duration::from_secs(1);
 
-/// How long what a run asked for is remembered after its last answer.
+/// Time for which the wishes of a run are remembered after its last answer.
 const MEMORY: Duration = Duration::from_secs(60);
 
-/// A moment by both clocks.
+/// Holds one moment in both clocks.
 #[derive(Clone, Copy, Debug)]
 pub struct Moment {
-    /// By the monotonic clock.
+    /// Time on the monotonic clock.
     pub monotonic: Duration,
-    /// By the agreed time of day, since the start of 1970.
+    /// Agreed time of day, since the start of 1970.
     pub wall_clock: Duration,
 }
 
 impl Moment {
-    /// Reads both clocks at a time of the monotonic one.
+    /// Returns the moment that corresponds to a monotonic time; `offset` is the agreed time of day
+    /// minus the monotonic clock, in milliseconds.
     pub fn at(now: Duration, offset: i64) -> Self {
         Self { monotonic: now, wall_clock: Duration::from_millis(clock::unix_ms(now, offset)) }
     }
@@ -46,23 +47,23 @@
     }
 }
 
-/// Says what has changed by an answer.
+/// Describes what an answer has changed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Change {
-    /// The limit of the upstream.
+    /// Rate limit of the upstream.
     RateLimit(Limit),
-    /// The rest that it wants from this entry; none once it takes requests again.
+    /// Cooldown that the upstream wants from this entry; `None` once it takes requests again.
     Cooldown(Option<Duration>),
-    /// It is about to go.
+    /// The upstream is about to stop.
     Leaving,
 }
 
-/// Says why an upstream takes no request from this entry now.
+/// Describes why an upstream takes no request from this entry now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Restriction {
-    /// It limits the rate, and it is not this entry's turn.
+    /// The upstream limits its request rate, and this entry has no free slot.
     RateLimited,
-    /// It has asked for rest.
+    /// The upstream has asked for a cooldown.
     CoolingDown,
 }
 
@@ -78,19 +79,20 @@
 struct RunRestrictions {
     limit: Option<Limit>,
     limiter: Option<Limiter>,
-    /// When this entry learnt of the limit.
+    /// When this entry learnt of the rate limit.
     limited_since: Duration,
     cooldown: Option<Cooldown>,
-    /// Whether it is about to go; a run says that once and for all.
+    /// Whether the run is about to stop, which a run never takes back.
     leaving: bool,
-    /// When this entry last had an answer.
+    /// When this entry last received an answer.
     answered_at: Duration,
     /// When the last restriction ended.
     ended_at: Option<Duration>,
 }
 
 impl Restrictions {
-    /// Takes what an answer says to a request that was sent at a time; returns what has changed by it.
+    /// Handles the header fields of an answer to a request that was sent at `sent_at`; returns
+    /// what they have changed.
     pub fn handle_response_info(
         &mut self,
         at: Moment,
@@ -116,7 +118,8 @@
         limit.into_iter().chain(cooldown).chain(leaving).collect()
     }
 
-    /// Takes the limits that others have learnt of, and this entry's place among them; returns what is new here.
+    /// Updates the limits that other entries have learnt and this entry's time slot; returns the
+    /// limits that are new here.
     pub fn update_from_view(&mut self, at: Moment, view: &View) -> Vec<Observation> {
         if self.time_slot != view.time_slot {
             self.time_slot = view.time_slot;
@@ -136,10 +139,10 @@
         updates
     }
 
-    /// Tells whether this entry may send a request to a run now.
+    /// Returns whether this entry may send a request to a run now.
     ///
-    /// `spare` is whether another upstream may get it if this one turns it away; `draw`, between zero and one, decides
-    /// while traffic returns.
+    /// `has_spare_attempt` states whether another upstream may get the request if this one refuses
+    /// it. `random_fraction`, between zero and one, decides while traffic returns gradually.
     pub fn admits(
         &self,
         at: Moment,
@@ -163,20 +166,20 @@
             }
     }
 
-    /// Tells whether a run is about to go.
+    /// Returns whether a run is about to stop.
     pub fn is_leaving(&self, run: &Run) -> bool {
         self.runs.get(run).is_some_and(|it| it.leaving)
     }
 
-    /// Tells how a run is restricted.
+    /// Returns how a run is restricted, if it is.
     pub fn restriction(&self, run: &Run) -> Option<Restriction> {
         let run_restrictions = self.runs.get(run)?;
         let cooldown = run_restrictions.cooldown.map(|_| Restriction::CoolingDown);
         cooldown.or(run_restrictions.limiter.map(|_| Restriction::RateLimited))
     }
 
-    /// Returns how long it takes until this entry may send to a run; none where it is limited and this entry's place is
-    /// not known.
+    /// Returns the time until this entry may send to a run; `None` if the run is rate-limited and
+    /// this entry's position is not known.
     pub fn time_until_allowed(
         &self,
         at: Moment,
@@ -193,12 +196,12 @@
         }
     }
 
-    /// Returns the limit of a run.
+    /// Returns the rate limit of a run, in requests per second.
     pub fn rate(&self, run: &Run) -> Option<f64> {
         Some(self.runs.get(run)?.limiter?.rate())
     }
 
-    /// Tells whether a run is to be asked, to learn whether it still is limited.
+    /// Returns whether a run should get a request to learn whether it is still rate-limited.
     pub fn is_probe_due(&self, at: Moment, run: &Run) -> bool {
         let run_restrictions = self.runs.get(run).filter(|it| it.limiter.is_some());
         run_restrictions.is_some_and(|it| at.monotonic.saturating_sub(it.answered_at) > PROBE_AFTER)
@@ -215,9 +218,11 @@
         }
     }
 
-    /// Forgets runs that are not `there` and have not answered for long.
+    /// Forgets the runs for which `is_present` is false and that have not answered for a long
+    /// time.
     ///
-    /// A run may be missing for a moment, while a new leader has not heard it yet, and what it asked for still holds.
+    /// A run may be missing for a moment while a new leader has not yet heard it, and its
+    /// restrictions still hold.
     pub fn prune(&mut self, at: Moment, is_present: impl Fn(&Run) -> bool) {
         let answered_recently =
             |it: &RunRestrictions| at.monotonic.saturating_sub(it.answered_at) <= MEMORY;
@@ -248,7 +253,7 @@
     ) -> Option<Limit> {
         let rate = match rate_limit {
             RateLimit::PerSecond(rate) => Some(rate),
-            // An answer to what was sent before may have been made before the limit was named.
+            // An answer to an earlier request may have been made before the limit was stated.
             RateLimit::Unlimited if self.limiter.is_some() && sent_at >= self.limited_since => None,
             RateLimit::Unlimited | RateLimit::Unreadable => return None,
         };
@@ -288,7 +293,7 @@
         }
         let cooldown = self.cooldown.filter(|cooldown| cooldown.is_probe(sent_at))?;
         if info.not_run {
-            // It still takes none, and says no other time.
+            // The upstream still takes no requests and states no new time.
             self.cooldown = Some(Cooldown::new(at.monotonic, cooldown.length()));
             return None;
         }
--- a/crates/verbenaslip-relay/src/policy/returning.rs
+++ b/crates/verbenaslip-relay/src/policy/returning.rs
@@ -1,21 +1,21 @@
-//! Which callers have waited already and come back.
+//! Tells callers that retry after a refusal from new callers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The part of the longest patience below which a caller is taken for one that has come back. Callers
-/// of one kind of request differ in their patience by up to 15 in 100.
+/// Fraction of the longest caller timeout below which a caller counts as returning. The timeouts
+/// of callers with the same kind of request differ by up to 15 %.
 const RETURNING_BELOW: f64 = 0.8;
 
-/// How long it takes until a longest patience that nobody has any more counts half: callers may be
-/// changed to wait less, and then all of them would be taken for ones that have come back.
+/// Half-life of the longest caller timeout. If callers are changed to shorter timeouts, all of
+/// them would otherwise count as returning.
 const TIMEOUT_HALF_LIFE: Duration = Duration::from_secs(60);
 
-/// Learns how long the callers of each route wait when they first query.
+/// Learns how long the callers of each route wait when they send their first request.
 ///
-/// A caller that comes back after a refusal sends a new request, and says how long it still waits.
-/// Nothing else tells it from one that asks for the first time.
+/// A caller that retries after a refusal sends a new request with the remaining time that it
+/// waits. Nothing else distinguishes it from a new caller.
 #[derive(Debug, Default)]
 pub struct ReturningCallers {
     longest: HashMap<Arc<str>, LongestTimeout>,
@@ -28,8 +28,8 @@
 }
 
 impl ReturningCallers {
-    /// Takes the patience of a caller; returns whether it has waited for longer than the objective, so
-    /// that the answer comes late whatever is done.
+    /// Records the timeout of a caller; returns whether the caller has already waited for longer
+    /// than the objective, so that its answer is late in any case.
     pub fn is_returning(
         &mut self,
         now: Duration,
--- a/crates/verbenaslip-relay/src/policy/speed.rs
+++ b/crates/verbenaslip-relay/src/policy/speed.rs
@@ -1,21 +1,21 @@
-//! How fast an upstream is, learnt from its answers.
+//! The speed of an upstream, learnt from its answers.
 
 use std::time::Duration;
 
-/// The weight of a new sample: the mean follows about the last ten.
+/// Weight of a new sample; the mean follows about the last ten samples.
 const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// Tokens of a prompt that an engine reads in a millisecond, until it was measured. Only used to
-/// compare upstreams that are all unmeasured, so its size matters little.
+/// Assumed prefill speed in tokens per millisecond until it has been measured. It only compares
+/// upstreams that are all unmeasured, so its size matters little.
 const DEFAULT_TOKENS_PER_MS: f64 = 60.0;
 
-/// The shortest prompt, in tokens, whose reading says something of the speed.
+/// Shortest prompt, in tokens, whose prefill time is used to measure the speed.
 const MIN_PREFILL_SAMPLE: u64 = 1_500;
 
-/// The time of an answer's first event that is not reading, until it was measured.
+/// Assumed time to the first event beyond prefill, in milliseconds, until it has been measured.
 const DEFAULT_FIRST_EVENT_MS: f64 = 60.0;
 
-/// Learns one upstream's speed.
+/// Learns the speed of one upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct Speed {
     tokens_per_ms: f64,
@@ -34,23 +34,23 @@
 }
 
 impl Speed {
-    /// Returns the milliseconds in which a number of tokens is read.
+    /// Returns the milliseconds that the prefill of a number of tokens takes.
     #[allow(clippy::cast_precision_loss)] // Token counts are far below 2^52.
     pub fn prefill_ms(&self, tokens: u64) -> f64 {
         tokens as f64 / self.tokens_per_ms
     }
 
-    /// Returns the milliseconds to the first event beyond reading.
+    /// Returns the milliseconds to the first event beyond prefill.
     pub fn first_event_ms(&self) -> f64 {
         self.first_event_ms
     }
 
-    /// Returns the milliseconds that a whole answer lasts; none before any was measured.
+    /// Returns the milliseconds that a whole answer takes; `None` before the first measurement.
     pub fn answer_ms(&self) -> Option<f64> {
         self.answer_ms
     }
 
-    /// Takes how long an idle upstream took to the first event of a prompt.
+    /// Records the time that an idle upstream took to the first event of a prompt.
     #[allow(clippy::cast_precision_loss)] // Token counts are far below 2^52.
     pub fn record_first_event(&mut self, tokens: u64, latency: Duration) {
         let latency = latency.as_secs_f64() * 1_000.0;
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Takes how long a whole answer lasted.
+    /// Records the time that a whole answer took.
     pub fn record_answer(&mut self, latency: Duration) {
         let latency = latency.as_secs_f64() * 1_000.0;
         let mean = self.answer_ms.unwrap_or(latency);
@@ -73,25 +73,26 @@
     }
 }
 
-/// Learns how much later first events come than this entry can foresee.
+/// Learns how much later first events arrive than this entry can predict.
 ///
-/// An entry knows what it has under way itself. What the others have shows in its own first events
-/// only: under load they come later than what is known here explains. Without this, entries go on to
-/// send requests into queues that each of them sees a small part of.
+/// An entry only knows its own requests. The load from other entries shows only in the entry's own
+/// first events, which arrive later than its own requests explain. Without this correction,
+/// entries would keep sending requests into queues of which each entry sees only a small part.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lag {
     lag_ms: f64,
     updated_at: Duration,
 }
 
-/// How long it takes until a lag counts half: when requests are refused because of it, nothing new
-/// is learnt, and it must be tried again whether the queues have gone.
+/// Half-life of a lag. While requests are refused because of the lag nothing new is learnt, so the
+/// lag must fade for the queues to be tried again.
 const LAG_HALF_LIFE: Duration = Duration::from_millis(1_200);
 
-/// How long a lag holds before it fades: the time between two samples at an entry that sends little.
+/// Time for which a lag holds before it fades: the interval between two samples at an entry that
+/// sends little.
 const LAG_HOLD: Duration = Duration::from_millis(600);
 
-/// The weight of a new sample of a lag that comes close after the last one.
+/// Weight of a new lag sample that follows closely on the last one.
 const LAG_SAMPLE_WEIGHT: f64 = 0.15;
 
 impl Lag {
@@ -101,11 +102,11 @@
         self.lag_ms * 0.5_f64.powf(age / LAG_HALF_LIFE.as_secs_f64())
     }
 
-    /// Takes by how much later than expected a first event came.
+    /// Records by how many milliseconds a first event was later than expected.
     pub fn record_sample(&mut self, now: Duration, excess_ms: f64) {
         let lag = self.lag_at(now);
         let age = now.saturating_sub(self.updated_at).as_secs_f64();
-        // Samples that come seldom weigh more, or an entry that sends little would never learn.
+        // Rare samples weigh more; otherwise an entry that sends little would never learn.
         let staleness = 1.0 - 0.5_f64.powf(age / LAG_HALF_LIFE.as_secs_f64());
         let weight = LAG_SAMPLE_WEIGHT + (1.0 - LAG_SAMPLE_WEIGHT) * staleness;
         self.lag_ms = lag + (excess_ms.max(0.0) - lag) * weight;
--- a/crates/verbenaslip-relay/src/policy/upstream_state.rs
+++ b/crates/verbenaslip-relay/src/policy/upstream_state.rs
@@ -9,69 +9,69 @@
 use crate::policy::cache::Cache;
 use crate::policy::speed::Speed;
 
-/// The first pause of an upstream that could not be reached; it doubles up to eight times that.
+/// First pause of an unreachable upstream; it doubles up to eight times this value.
 const UNREACHABLE_PAUSE: Duration = Duration::from_millis(500);
 
-/// The first pause of an upstream that was full; it doubles up to 32 times that with each refusal that follows on the
-/// one before. A queue that was full has room a moment later.
+/// First pause of a full upstream; it doubles with each consecutive refusal, up to 32 times this
+/// value. A full queue has room a moment later.
 const FULL_PAUSE: Duration = Duration::from_millis(50);
 
-/// Refusals without an answer between them after which an upstream counts as one that refuses.
+/// Number of refusals without an answer in between from which an upstream counts as refusing.
 const MIN_REFUSALS: u32 = 2;
 
-/// How long it takes until a share of failures counts half. An upstream that is avoided because it
-/// failed gives no new outcomes, and would be avoided for ever.
+/// Half-life of the failure rate. An upstream that is avoided for its failures yields no new
+/// outcomes, and would otherwise be avoided for ever.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(4);
 
-/// The weight of the newest outcome in the share of failures.
+/// Weight of the newest outcome in the failure rate.
 const OUTCOME_WEIGHT: f64 = 0.08;
 
-/// Says how a request ended at an upstream.
+/// Describes how a request ended at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// It was answered whole.
+    /// The request was answered completely.
     Complete,
-    /// The upstream failed it.
+    /// The upstream failed the request.
     Failed,
-    /// The upstream was full and said so.
+    /// The upstream refused the request because it was full.
     Full,
-    /// The upstream turned it away and asked for rest, which keeps others from it.
+    /// The upstream refused the request and asked for a cooldown, which keeps other requests away.
     CoolingDown,
-    /// It could not be reached.
+    /// The upstream could not be reached.
     Unreachable,
-    /// The caller left or its time ran out; says nothing of the upstream.
+    /// The caller left or the time ran out; this says nothing about the upstream.
     Abandoned,
 }
 
-/// Holds what this entry knows of an upstream and has under way there.
+/// Holds what this entry knows of an upstream, and its requests in progress there.
 #[derive(Debug)]
 pub(crate) struct UpstreamState {
     /// The upstream as the fleet knows it.
     pub(crate) record: Record,
-    /// Its part in a roll-out of its service.
+    /// Cohort of the upstream in a rollout of its service.
     pub(crate) cohort: Cohort,
-    /// Stands for it in hashes.
+    /// Hash of the upstream's name, used to select upstreams.
     pub(crate) upstream_hash: u64,
-    /// How many requests are under way.
+    /// Number of requests in progress.
     pub(crate) active_requests: u32,
-    /// Tokens of prompts that it has yet to read.
+    /// Prompt tokens whose prefill is still pending.
     pub(crate) pending_prefill: u64,
-    /// What it has read.
+    /// Prompt parts that the upstream has most likely cached.
     pub(crate) cache: Cache,
-    /// How fast it is.
+    /// Measured speed of the upstream.
     pub(crate) speed: Speed,
     failure_rate: f64,
     failure_rate_at: Duration,
     failed_connects: u32,
-    /// Refusals since its last answer, each after the pause of the one before.
+    /// Refusals since the last answer, each after the pause of the previous one.
     consecutive_refusals: u32,
-    /// How long it was left alone after the last refusal.
+    /// Length of the pause after the last refusal.
     pause: Duration,
     paused_until: Duration,
 }
 
 impl UpstreamState {
-    /// Starts with nothing under way.
+    /// Creates a state without requests in progress.
     pub(crate) fn new(record: Record) -> Self {
         let mark = hash::narrow(&[record.announcement.run.upstream.as_str().as_bytes()]);
         Self {
@@ -96,7 +96,7 @@
         &self.record.announcement.run
     }
 
-    /// Takes the plan of a roll-out of its service, or that there is none.
+    /// Updates the plan of a rollout of the service, if there is one.
     pub(crate) fn update_plan(&mut self, plan: Option<&Plan>) {
         let announcement = &self.record.announcement;
         let cohort =
@@ -104,7 +104,7 @@
         self.cohort = cohort.unwrap_or(Cohort::Stable);
     }
 
-    /// Takes the end of a request; `took` is how long it lasted if it had its first event.
+    /// Records the end of a request; `duration` is its length if its first event had arrived.
     pub(crate) fn record_end(&mut self, now: Duration, ending: Ending, duration: Option<Duration>) {
         self.active_requests = self.active_requests.saturating_sub(1);
         match ending {
@@ -130,18 +130,19 @@
         }
     }
 
-    /// Returns the share of its answers that failed lately.
+    /// Returns the recent failure rate of the upstream's answers.
     pub(crate) fn failure_rate(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.failure_rate_at).as_secs_f64();
         self.failure_rate * 0.5_f64.powf(age / FAILURE_HALF_LIFE.as_secs_f64())
     }
 
-    /// Leaves a full upstream alone for longer each time.
+    /// Pauses a full upstream, longer with each refusal.
     ///
-    /// One that refuses everything does so at once, has nothing under way and looks best. After a short pause alone it
-    /// would draw more than its part, and its refusals would be taken for those of a service without room.
+    /// An upstream that refuses everything does so at once, has nothing in progress and looks
+    /// best. With short pauses alone it would attract more than its share, and its refusals would
+    /// look like those of an overloaded service.
     fn pause_after_refusal(&mut self, now: Duration) {
-        // What was on its way together counts once.
+        // Requests that were under way together count once.
         if now < self.paused_until {
             return;
         }
@@ -150,23 +151,23 @@
         self.consecutive_refusals += 1;
     }
 
-    /// Tells whether it refuses one request after the other, and answers none.
+    /// Returns whether the upstream refuses one request after another and answers none.
     pub(crate) fn is_refusing(&self) -> bool {
         self.consecutive_refusals >= MIN_REFUSALS
     }
 
-    /// Notes an outcome: one for a failure, zero for a whole answer.
+    /// Records an outcome: one for a failure, zero for a complete answer.
     fn record_outcome(&mut self, now: Duration, outcome: f64) {
         let share = self.failure_rate(now);
         self.failure_rate = share + (outcome - share) * OUTCOME_WEIGHT;
         self.failure_rate_at = now;
     }
 
-    /// Tells whether it may get work; less strictly, also when it looks lost from here. Where most
-    /// look lost, it may be this entry that is cut off from what would tell it otherwise.
+    /// Returns whether the upstream may take work. A check that is not strict also accepts an
+    /// upstream that looks lost from here: if most look lost, this entry itself may be cut off.
     ///
-    /// Whether one that refuses still does is shown by a request that may go elsewhere (`spare`), or by any after as
-    /// long again.
+    /// A refusing upstream is probed by a request that may go elsewhere (`has_spare_attempt`), or
+    /// by any request after another pause.
     pub(crate) fn accepts_requests(
         &self,
         now: Duration,
--- a/crates/verbenaslip-relay/src/policy/versions.rs
+++ b/crates/verbenaslip-relay/src/policy/versions.rs
@@ -1,4 +1,5 @@
-//! Which version of a service takes a request, and what requests met at each.
+//! Chooses the version of a service for a request during a rollout, and counts the results of each
+//! version.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,25 +12,26 @@
 
 use crate::policy::upstream_state::Ending;
 
-/// How long after the report that the leader last answered an entry may use a candidate. Counted from when an answer is
-/// read, a machine that stood still would go by answers from before it did.
+/// Time for which an entry may use a candidate after sending the last report that the leader
+/// answered. If the time were counted from reading the answer, a machine that was paused would
+/// rely on answers from before its pause.
 const CONFIRMATION_LEASE: Duration = Duration::from_secs(1);
 
-/// The versions that a request may go to.
+/// Versions that a request may go to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Track {
-    /// Those that served before.
+    /// The versions that served before the rollout.
     Stable,
-    /// The candidate of a roll-out.
+    /// The candidate version of the rollout.
     Candidate,
 }
 
-/// Says which versions take a request: the first, or else the second.
+/// Holds which versions may take a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tracks {
-    /// Where it goes.
+    /// Version that the request goes to.
     pub preferred: Track,
-    /// Where it goes if it can't go there.
+    /// Version that the request goes to if the preferred one cannot take it.
     pub fallback: Option<Track>,
 }
 
@@ -40,7 +42,7 @@
 }
 
 impl Track {
-    /// Tells whether upstreams of a cohort are on the track.
+    /// Returns whether upstreams of a cohort belong to the track.
     pub(crate) fn includes(self, cohort: Cohort) -> bool {
         match self {
             Self::Stable => cohort == Cohort::Stable,
@@ -49,22 +51,22 @@
     }
 }
 
-/// Follows the plans of all roll-outs at one entry.
+/// Follows the plans of all rollouts at one entry.
 #[derive(Debug, Default)]
 pub struct Versions {
     plans: Arc<Plans>,
-    /// When the last report was sent whose answer says that the plans are the newest.
+    /// When the last report was sent whose answer confirmed that the plans are the newest.
     plans_confirmed_at: Option<Duration>,
-    /// Roll-outs whose candidate this entry uses no more, whatever a later leader says.
+    /// Rollouts whose candidate this entry no longer uses, even if a later leader says otherwise.
     rolled_back: BTreeSet<u64>,
     services: BTreeMap<Arc<str>, ServiceCounts>,
 }
 
-/// Names a request that is counted for a roll-out.
+/// Identifies a request that is counted for a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ticket(u64);
 
-/// Counts the requests of one service during a roll-out.
+/// Counts the requests to one service during a rollout.
 #[derive(Debug)]
 struct ServiceCounts {
     plan: Plan,
@@ -72,24 +74,24 @@
     active_requests: BTreeMap<u64, ActiveRequest>,
     last_ticket: u64,
     judge: Evaluator,
-    /// What the judge has seen.
+    /// Counts that have already been evaluated.
     evaluated: BTreeMap<Key, Counts>,
-    /// Whether the candidate looks bad from here.
+    /// Whether this entry has stopped using the candidate because of its own counts.
     candidate_stopped: bool,
 }
 
-/// Holds a request that is under way.
+/// Holds a request in progress.
 #[derive(Debug)]
 struct ActiveRequest {
     key: Key,
     sent_at: Duration,
     first_event_after: Option<Duration>,
-    /// Whether it was counted already, as one that is slow.
+    /// Whether the request was already counted as slow.
     counted_as_slow: bool,
 }
 
 impl Versions {
-    /// Takes a newer view.
+    /// Updates the view.
     pub fn update(&mut self, view: &View) {
         self.plans_confirmed_at = view.plans_confirmed_at;
         if Arc::ptr_eq(&self.plans, &view.rollout_plans) {
@@ -112,9 +114,10 @@
         self.services.retain(|service, _| view.rollout_plans.contains_key(service));
     }
 
-    /// Chooses the versions for a request of a route; `draw` is between zero and one.
+    /// Chooses the versions for a request of a route; `random_fraction` is between zero and one.
     ///
-    /// One that is tried again goes to a version that is known to be good, unless the candidate takes over.
+    /// A retry goes to a version that is known to be good, unless the traffic is being shifted to
+    /// the candidate.
     pub fn choose_tracks(
         &self,
         now: Duration,
@@ -133,7 +136,8 @@
             State::RolledBack => Tracks::default(),
             State::Completed => with_fallback(Track::Candidate, Track::Stable),
             State::Serving if rolled_back => Tracks::default(),
-            // The verdict may be known elsewhere by now, and the stable upstreams stopped.
+            // The rollout may already be decided elsewhere, and the stable upstreams may be
+            // stopped.
             State::Serving if unconfirmed || service_counts.candidate_stopped => {
                 match plan.shifting {
                     true => with_fallback(Track::Stable, Track::Candidate),
@@ -149,7 +153,7 @@
         }
     }
 
-    /// Counts a request that is sent; none while its service has no roll-out under way.
+    /// Counts a request that is sent; returns `None` if its service has no rollout in progress.
     pub fn record_sent(
         &mut self,
         now: Duration,
@@ -170,7 +174,7 @@
         Some(service_counts.record_sent(now, (route.clone(), group)))
     }
 
-    /// Takes the time of the first event of a request.
+    /// Records the time to the first event of a request.
     pub fn record_first_event(&mut self, service: &str, ticket: Ticket, latency: Duration) {
         let active =
             self.services.get_mut(service).and_then(|it| it.active_requests.get_mut(&ticket.0));
@@ -179,14 +183,14 @@
         }
     }
 
-    /// Takes the end of a request.
+    /// Records the end of a request.
     pub fn record_end(&mut self, now: Duration, service: &str, ticket: Ticket, ending: Ending) {
         if let Some(service_counts) = self.services.get_mut(service) {
             service_counts.record_end(now, ticket, ending);
         }
     }
 
-    /// Makes the reports that the leader gets next.
+    /// Returns the reports for the leader.
     pub fn report(&mut self, now: Duration) -> Vec<Report> {
         let rolled_back = &self.rolled_back;
         let serving = self.services.values_mut().filter(|it| it.plan.state == State::Serving);
@@ -246,7 +250,7 @@
         }
     }
 
-    /// Counts requests that are late already, so that slow ones are known before they are answered.
+    /// Counts requests that are already slow, so that slowness is known before they are answered.
     fn count_slow(&mut self, now: Duration) {
         for active in self
             .active_requests
@@ -276,7 +280,7 @@
         }
     }
 
-    /// Stops using a candidate that looks bad from here, before the leader's word comes.
+    /// Stops using a candidate that looks bad to this entry, before the leader decides.
     fn evaluate(&mut self) {
         let fresh = self.rows.iter().map(|((route, group), counts)| {
             let group = if *group == Group::Stable { Group::Stable } else { Group::Candidate };
--- a/crates/verbenaslip-relay/src/server.rs
+++ b/crates/verbenaslip-relay/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepts callers, and drains before a stop.
+//! Accepts callers and drains before a stop.
 
 use std::cell::Cell;
 use std::io;
@@ -27,30 +27,30 @@
 use crate::shared::SharedState;
 use crate::{monotonic, socket};
 
-/// Time between two sweeps of idle connections.
+/// Time between two removals of expired idle connections.
 const POOL_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Sets the forwarding face up.
+/// Configures the server.
 pub struct Config {
-    /// Where callers connect.
+    /// Address at which callers connect.
     pub caller_address: SocketAddr,
-    /// Where the balancer asks whether new callers may come.
+    /// Address at which the load balancer probes readiness.
     pub readiness_address: SocketAddr,
-    /// Where this instance runs.
+    /// Availability zone of this instance.
     pub zone: AvailabilityZone,
-    /// The most connections of callers at once.
+    /// Limit on simultaneous connections of callers.
     pub max_connections: usize,
-    /// Bounds repeated arrivals.
+    /// Limits on retries.
     pub retry_bounds: Bounds,
-    /// The length of a window of usage.
+    /// Length of a usage window.
     pub usage_window: Duration,
-    /// What is shared with the control thread.
+    /// State shared with the control thread.
     pub shared: Arc<SharedState>,
     /// The deployment's header names.
     pub dialect: Arc<dyn Dialect>,
 }
 
-/// Runs the forwarding face on a thread of its own.
+/// Forwards requests on a thread of its own.
 pub struct Server {
     active_requests: Arc<AtomicUsize>,
 }
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when an address can't be listened on.
+    /// Fails if an address cannot be listened on or the thread cannot be started.
     pub fn spawn(config: Config) -> io::Result<Self> {
         let active_requests = Arc::new(AtomicUsize::new(0));
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -76,7 +76,7 @@
         Ok(Self { active_requests })
     }
 
-    /// Returns how many requests are under way.
+    /// Returns the number of requests in progress.
     pub fn active_requests(&self) -> usize {
         self.active_requests.load(Ordering::Relaxed)
     }
@@ -125,9 +125,9 @@
     }
 }
 
-/// Serves the requests of one connection, one after the other.
+/// Serves the requests of one connection one after the other.
 async fn serve_connection(context: &Context, stream: TcpStream, active_requests: &AtomicUsize) {
-    // A connection that ended before it was accepted is served by its end.
+    // A connection that has already ended needs no service.
     if socket::set_options(&stream).is_err() {
         return;
     }
@@ -135,8 +135,8 @@
     loop {
         let limits = request_limits(context);
         if caller.buffer.is_empty() {
-            // An idle connection is closed once new requests are refused; its caller comes back
-            // over another instance.
+            // An idle connection is closed once new requests are refused; its caller reconnects
+            // through another instance.
             tokio::select! {
                 arrived = reader::wait_for_first_byte(&mut caller, &limits) => if !arrived { return },
                 () = context.shared.wait_until_admission_stops() => return caller.shutdown().await,
@@ -147,7 +147,8 @@
             Ok(None) => return,
             Err(error) => {
                 let bytes = answer::write_refusal(&*context.dialect, error.into(), "", None, true);
-                // The caller broke the protocol; whether it still reads is its own affair.
+                // The caller broke the protocol and may no longer read; a failed write does not
+                // matter.
                 let _ = caller.send(&bytes).await;
                 return drain_after_error(&mut caller).await;
             }
@@ -170,8 +171,8 @@
     view.routes.as_ref().map(|routes| routes.route_table().limits).unwrap_or_default()
 }
 
-/// Reads on for a moment after a refusal; closed with unread bytes the connection would be reset,
-/// and the caller could miss its answer.
+/// Reads on for a moment after an error answer; closing with unread bytes would reset the
+/// connection, and the caller could miss the answer.
 async fn drain_after_error(caller: &mut Connection) {
     caller.shutdown().await;
     let until = Instant::now() + Duration::from_millis(500);
@@ -183,7 +184,7 @@
     }
 }
 
-/// Tells the balancer whether new callers may come.
+/// Answers the load balancer's readiness probes.
 async fn serve_readiness_probes(listener: TcpListener, shared: Arc<SharedState>) {
     loop {
         let stream = socket::accept(&listener).await;
--- a/crates/verbenaslip-relay/src/shared.rs
+++ b/crates/verbenaslip-relay/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the control thread and the traffic thread share.
+//! State that the control thread and the traffic thread share.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -22,7 +22,8 @@
 /// Sums by service.
 type ServiceTotals = BTreeMap<Arc<str>, f64>;
 
-/// Shares the view of the fleet one way, and counts the other.
+/// Hands the view of the fleet to the traffic thread and collects its counts for the control
+/// thread.
 #[derive(Debug, Default)]
 pub struct SharedState {
     view: Mutex<Arc<View>>,
@@ -30,13 +31,13 @@
     loans: Mutex<LoanQueue>,
     refunds: Mutex<BTreeMap<Team, f64>>,
     loan_requested: Notify,
-    /// Milliseconds of engine time that were asked for since the start, by service.
+    /// Engine time that requests have asked for since the start, in milliseconds by service.
     engine_ms: Mutex<ServiceTotals>,
     observations: Mutex<Observations>,
     versions: Mutex<Versions>,
-    /// The limits of upstreams, as far as they are known here.
+    /// Rate limits of upstreams that this instance has learnt.
     limits: Mutex<Limits>,
-    /// Upstreams that have said in an answer that they go.
+    /// Upstreams that have announced their departure in an answer.
     departures: Mutex<BTreeSet<Run>>,
     observation_added: Notify,
     is_draining_flag: AtomicBool,
@@ -51,7 +52,7 @@
         lock(&self.view).clone()
     }
 
-    /// Shows a new view.
+    /// Replaces the view.
     pub fn set_view(&self, view: View) {
         *lock(&self.view) = Arc::new(view);
         self.view_updated.notify_waiters();
@@ -70,12 +71,14 @@
         }
     }
 
-    /// Counts a request that began to run at a time of day.
+    /// Counts a request that an upstream started to run; `unix` is the time of day in
+    /// milliseconds.
     pub fn count_request(&self, team: &Team, unix: u64, window: Duration) {
         lock(&self.usage).count(usage::window_at(unix, window), team);
     }
 
-    /// Asks the leader for units of a team's limit: those that a request needs, and some for others ahead.
+    /// Requests a loan of a team's limit from the leader: `required` units for one request and
+    /// `prefetch` units for those expected next.
     pub fn request_loan(
         &self,
         team: &Team,
@@ -94,12 +97,12 @@
         answered
     }
 
-    /// Returns once there is something to ask the leader for.
+    /// Returns once there are loan requests to send to the leader.
     pub async fn wait_for_loan_requests(&self) {
         self.loan_requested.notified().await;
     }
 
-    /// Takes what is to be asked for.
+    /// Takes the loan requests that have not been sent yet.
     pub fn take_loan_requests(&self) -> Vec<LoanRequest> {
         let mut loans = lock(&self.loans);
         let now = monotonic::now();
@@ -107,7 +110,9 @@
         std::mem::take(&mut loans.unsent)
     }
 
-    /// Hands out what the leader has lent.
+    /// Passes the leader's grants to the requests that wait for them.
+    ///
+    /// A grant whose request no longer waits is refunded.
     pub fn deliver_loan_grants(&self, grant: Vec<LoanGrant>) {
         for grant in grant {
             let waiting = lock(&self.loans).waiters.remove(&grant.id);
@@ -118,7 +123,7 @@
         }
     }
 
-    /// Gives units back to the leader.
+    /// Returns units to the leader with the next report.
     pub fn refund(&self, refund: Refund) {
         *lock(&self.refunds).entry(refund.team).or_default() += refund.units;
     }
@@ -128,27 +133,27 @@
         refunds.map(|(team, units)| Refund { team, units }).collect()
     }
 
-    /// Counts the engine time that a request asks for.
+    /// Adds the engine time that a request asks for, in milliseconds.
     pub fn add_engine_time(&self, service: &Arc<str>, millis: f64) {
         *lock(&self.engine_ms).entry(service.clone()).or_default() += millis;
     }
 
-    /// Returns which versions of services take requests, with the counts of each.
+    /// Returns the versions of services that take requests, with the counts of each.
     pub fn versions(&self) -> MutexGuard<'_, Versions> {
         lock(&self.versions)
     }
 
-    /// Notes the limit of an upstream, or its end.
+    /// Records the rate limit of an upstream, or that the limit has ended.
     pub fn set_limit(&self, run: &Run, limit: Limit) {
         lock(&self.limits).insert(run.clone(), limit);
     }
 
-    /// Notes that an upstream has said in an answer that it goes.
+    /// Records that an upstream has announced its departure in an answer.
     pub fn add_departure(&self, run: &Run) {
         lock(&self.departures).insert(run.clone());
     }
 
-    /// Lists the upstreams that have said so and are not known to go by the leader.
+    /// Returns the recorded departures of which the leader is not known to have heard.
     fn unshared_departures(&self) -> Vec<Run> {
         let view = self.view();
         let mut leaving = lock(&self.departures);
@@ -159,7 +164,7 @@
         leaving.iter().take(MAX_REPORTED).cloned().collect()
     }
 
-    /// Lists the limits that the leader is not known to know.
+    /// Returns the recorded limits of which the leader is not known to have heard.
     fn unshared_limits(&self) -> Vec<limit::Observation> {
         let view = self.view();
         let mut limits = lock(&self.limits);
@@ -169,29 +174,29 @@
         news.take(MAX_REPORTED).collect()
     }
 
-    /// Notes requests under which an upstream ended.
+    /// Records requests during which an upstream crashed.
     pub fn add_crashes(&self, crashes: impl IntoIterator<Item = ObservedCrash>) {
         lock(&self.observations).crashes.extend(crashes);
         self.observation_added.notify_one();
     }
 
-    /// Notes that a request was answered which is suspected or held back.
+    /// Records an answer to a request that is suspected or quarantined.
     pub fn add_answer(&self, answered: ObservedAnswer) {
         lock(&self.observations).answers.push(answered);
         self.observation_added.notify_one();
     }
 
-    /// Returns once there is something that requests met.
+    /// Returns once there are observations for the leader.
     pub async fn wait_for_observations(&self) {
         self.observation_added.notified().await;
     }
 
-    /// Takes what requests met since it was last asked for.
+    /// Takes the observations made since the last call.
     pub fn take_observations(&self) -> Observations {
         std::mem::take(&mut *lock(&self.observations))
     }
 
-    /// Collects the next report.
+    /// Builds the next report.
     pub fn take_report(&self) -> Report {
         let refunds = self.take_refunds();
         let work = lock(&self.engine_ms);
@@ -214,26 +219,28 @@
         }
     }
 
-    /// Begins the planned stop: no new connection shall come.
+    /// Starts the planned stop: readiness probes fail from now on, so that no new connections
+    /// arrive.
     pub fn start_draining(&self) {
         self.is_draining_flag.store(true, Ordering::Relaxed);
     }
 
-    /// Tells whether the planned stop has begun.
+    /// Returns whether the planned stop has begun.
     pub fn is_draining(&self) -> bool {
         self.is_draining_flag.load(Ordering::Relaxed)
     }
 
-    /// Ends the time in which new requests are taken during a planned stop.
+    /// Stops admitting new requests during a planned stop.
     ///
-    /// A request on a kept connection would otherwise be taken until the very end, and cut off when
-    /// the process ends; refused as not run it is answered by another instance.
+    /// Without this, a request on an open connection would be admitted until the very end and cut
+    /// off when the process ends. A request that is refused as not run is answered by another
+    /// instance.
     pub fn stop_admitting(&self) {
         self.stopped_admitting.store(true, Ordering::Relaxed);
         self.admission_stopped.notify_waiters();
     }
 
-    /// Tells whether new requests are refused.
+    /// Returns whether new requests are refused.
     pub fn has_stopped_admitting(&self) -> bool {
         self.stopped_admitting.load(Ordering::Relaxed)
     }
@@ -246,25 +253,26 @@
         }
     }
 
-    /// Tells whether new callers may come: a route table is known and no stop has begun.
+    /// Returns whether new callers may connect: a route table is known and no stop has begun.
     pub fn is_ready(&self) -> bool {
         !self.is_draining() && lock(&self.view).routes.is_some()
     }
 }
 
-/// Holds what requests met that the leader is to hear of.
+/// Holds observations about poison requests for the leader.
 #[derive(Debug, Default)]
 pub struct Observations {
-    /// Upstreams that ended while they ran them.
+    /// Requests during which an upstream crashed.
     pub crashes: Vec<ObservedCrash>,
-    /// Answers to requests that are suspected or held back.
+    /// Answers to requests that are suspected or quarantined.
     pub answers: Vec<ObservedAnswer>,
 }
 
-/// The most limits, and the most departures, in one report; the others wait for the next.
+/// Limit on the rate limits, and on the departures, in one report; the others wait for the next
+/// report.
 const MAX_REPORTED: usize = 32;
 
-/// Holds what is asked of the leader, and who waits for the answers.
+/// Holds loan requests and the requests that wait for their grants.
 #[derive(Debug, Default)]
 struct LoanQueue {
     last_id: u64,
@@ -272,10 +280,10 @@
     waiters: BTreeMap<u64, LoanWaiter>,
 }
 
-/// How long the answer to a loan may take. One that comes when nobody waits any more is given back.
+/// Time after which a loan request no longer waits for its grant; a later grant is refunded.
 const LOAN_ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Waits for an answer.
+/// Waits for the grant of one loan request.
 #[derive(Debug)]
 struct LoanWaiter {
     team: Team,
--- a/crates/verbenaslip-relay/src/socket.rs
+++ b/crates/verbenaslip-relay/src/socket.rs
@@ -1,8 +1,9 @@
-//! Sockets with the options that notice a connection that has gone silent.
+//! Sockets with options that detect unresponsive connections.
 //!
-//! An open connection may go silent for good while new ones work, without a reset. One would notice
-//! requests that wait on it until their deadlines. The kernel gives it up when what was sent stays
-//! unacknowledged, or probes on an idle one stay unanswered.
+//! An open connection may become unresponsive for good, without a reset, while new connections
+//! work. Requests on it would then wait until their deadlines. The kernel drops such a connection
+//! when sent bytes stay unacknowledged, or when keepalive probes on an idle connection stay
+//! unanswered.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,25 +12,25 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::{TcpListener, TcpStream};
 
-/// How long sent bytes may stay unacknowledged: well under the shortest timeout of a route, and
-/// many times the longest path between two availability zones.
+/// Time that sent bytes may stay unacknowledged; well below the shortest timeout of a route, and
+/// many times the longest round trip between two availability zones.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// After this idle time a connection is probed.
+/// Idle time after which a connection is probed.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(2);
 
-/// Connections that may wait to be accepted.
+/// Limit on connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
 
-/// Between two tries to accept a connection when there is no descriptor for it: other connections
-/// end all the time.
+/// Pause before accepting again when no file descriptor is free; other connections end all the
+/// time and free theirs.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Connects within a time.
+/// Connects within `limit`.
 ///
 /// # Errors
 ///
-/// Fails when the address does not answer, or not in time.
+/// Fails if the address does not answer in time, or refuses.
 pub async fn connect(address: SocketAddr, limit: Duration) -> io::Result<TcpStream> {
     let stream = tokio::time::timeout(limit, TcpStream::connect(address));
     let stream = stream.await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
@@ -41,7 +42,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the address can't be listened on.
+/// Fails if the address cannot be listened on.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = tokio::net::TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -51,8 +52,8 @@
 
 /// Accepts the next connection.
 ///
-/// Out of descriptors it fails until some are free again; tried again without a pause it would take
-/// all of the thread's time.
+/// Accepting fails while no file descriptor is free. Retrying without a pause would take all of
+/// the thread's time.
 pub async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
@@ -66,7 +67,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the connection has ended meanwhile.
+/// Fails if the connection has already ended.
 pub fn set_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
