--- a/crates/verbenaslip-relay/tests/allowance.rs
+++ b/crates/verbenaslip-relay/tests/allowance.rs
@@ -1,4 +1,5 @@
-//! What a team may still ask for at an entry, by what the leader lends it and when it was heard.
+//! What a team may still use at an entry, depending on the leader's grants and on when the leader
+//! was heard.
 
 use std::time::Duration;
 
@@ -28,7 +29,8 @@
 
 #[test]
 fn an_entry_that_hears_no_leader_goes_on_by_an_equal_part() {
-    // Guards against a cut-off entry that spends what the leader lends to others meanwhile.
+    // Guards against a cut-off entry that spends units which the leader meanwhile grants to
+    // others.
     let mut allowance = Allowances::default();
     assert!(borrows(allowance.charge(SECOND, &team(), 1.0, &heard(SECOND))));
     let late = SECOND * 5;
@@ -42,7 +44,7 @@
 
 #[test]
 fn an_entry_that_is_cut_off_admits_a_team_that_it_has_not_seen_before() {
-    // Guards against the first request of each team refused at entries that hear no leader.
+    // Guards against entries without a leader that refuse the first request of each team.
     let mut allowance = Allowances::new(SECOND);
     let now = SECOND * 9;
     assert_eq!(allowance.charge(now, &team(), 20.0, &heard(SECOND)), Verdict::Admitted);
@@ -52,7 +54,8 @@
 
 #[test]
 fn what_was_admitted_without_a_loan_is_not_given_back_to_the_leader() {
-    // Guards against a bucket that fills up by requests that an entry has admitted while it was cut off.
+    // Guards against a bucket that is filled by requests that an entry admitted while it was cut
+    // off.
     let mut allowance = Allowances::new(SECOND);
     assert_eq!(allowance.charge(SECOND * 9, &team(), 20.0, &heard(SECOND)), Verdict::Admitted);
     assert_eq!(allowance.refund(&team().name, 20.0), None);
@@ -60,7 +63,7 @@
 
 #[test]
 fn a_loan_that_is_not_answered_in_time_is_taken_out_of_the_equal_part() {
-    // Guards against requests that are all refused while a leader is elected.
+    // Guards against refusing all requests while a leader is being elected.
     let mut allowance = Allowances::default();
     assert!(borrows(allowance.charge(SECOND, &team(), 1.0, &heard(SECOND))));
     let now = SECOND * 2;
@@ -72,7 +75,7 @@
 
 #[test]
 fn what_is_lent_ahead_admits_the_next_requests() {
-    // Guards against a message to the leader for each request of a busy team.
+    // Guards against one message to the leader per request of a busy team.
     let (mut allowance, now) = (Allowances::default(), SECOND);
     let mut asked = 0;
     for step in 0..1_000_u32 {
@@ -90,7 +93,7 @@
 
 #[test]
 fn while_the_bucket_is_empty_callers_are_refused_without_asking_again() {
-    // Guards against a team far beyond its limit that costs the leader a message for each refusal.
+    // Guards against one message to the leader per refusal for a team far beyond its limit.
     let (mut allowance, now) = (Allowances::default(), SECOND);
     assert!(borrows(allowance.charge(now, &team(), 1.0, &heard(now))));
     let lent = LoanGrant { id: 1, units: 0.0, empty_for: Duration::from_millis(200) };
--- a/crates/verbenaslip-relay/tests/board.rs
+++ b/crates/verbenaslip-relay/tests/board.rs
@@ -1,4 +1,4 @@
-//! What the control thread and the traffic thread share.
+//! State that the control thread and the traffic thread share.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +22,7 @@
     tokio::task::yield_now().await;
     board.set_view(View::default());
     tokio::task::yield_now().await;
-    assert!(!waits.is_finished(), "a view without a table is none to serve by");
+    assert!(!waits.is_finished(), "a view without a route table must not end the wait");
     board.set_view(with_routes());
     let ended = tokio::time::timeout(Duration::from_secs(60), waits).await;
     assert!(ended.is_ok_and(|joined| joined.is_ok()));
--- a/crates/verbenaslip-relay/tests/common/mod.rs
+++ b/crates/verbenaslip-relay/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use verbenaslip_relay::policy::placement::{Choice, Decision, Placement, Query};
 use verbenaslip_relay::policy::versions::Tracks;
 
-/// An answer by which nothing is asked for.
+/// An answer that asks for nothing.
 pub const REPLY: ResponseInfo = ResponseInfo {
     matches_request: true,
     not_run: false,
@@ -28,7 +28,7 @@
     Run { upstream: Upstream::new(format!("u{number}")), incarnation }
 }
 
-/// Returns an upstream that is ready; its number is its port.
+/// Returns a ready upstream; its number is its port.
 pub fn record(run: Run, zone: &str) -> Record {
     let number: u16 = run.upstream.as_str()[1..].parse().expect("a number");
     let announcement = Announcement {
@@ -58,7 +58,7 @@
     entry
 }
 
-/// Returns a request; `spare` is whether it may be sent to a second upstream.
+/// Returns a request; `spare` states whether it may be sent to a second upstream.
 pub fn query(spare: bool) -> Query<'static> {
     Query {
         service: "desk",
@@ -75,7 +75,7 @@
     }
 }
 
-/// Places a request that some upstream takes.
+/// Places a request and expects an upstream to take it.
 pub fn go(entry: &mut Placement, now: Duration) -> Choice {
     match entry.choose(now, &query(true)) {
         Decision::Send(choice) => choice,
--- a/crates/verbenaslip-relay/tests/events.rs
+++ b/crates/verbenaslip-relay/tests/events.rs
@@ -1,4 +1,4 @@
-//! Streams of events that break off anywhere.
+//! Event streams that break off at any position.
 
 use verbenaslip_relay::forward::events::Splitter;
 
@@ -6,8 +6,9 @@
 
 #[test]
 fn a_stream_cut_anywhere_gives_whole_events_only() {
-    // Symptom: a caller reads half an event and a whole one as one. Sequence: an upstream breaks off
-    // in the middle of an event, another goes on after the last one. Cause: the half passed on.
+    // Guards against passing on a partial event. An upstream breaks off in the middle of an event
+    // and another one continues after the last whole event; the caller would read the partial
+    // event and the next whole one as one event.
     for cut in 0..=STREAM.len() {
         let mut splitter = Splitter::default();
         let mut given = Vec::new();
--- a/crates/verbenaslip-relay/tests/http.rs
+++ b/crates/verbenaslip-relay/tests/http.rs
@@ -1,4 +1,4 @@
-//! Heads and bodies as literal bytes: what is taken, and what is refused.
+//! Heads and bodies as literal bytes: what is accepted and what is refused.
 
 use bytes::BytesMut;
 use verbenaslip_relay::http::{Decoder, Framing, MessageError, RequestHead, ResponseHead, Step};
@@ -9,8 +9,8 @@
 
 #[test]
 fn what_two_readers_could_understand_differently_is_refused() {
-    // Symptom: an upstream runs a request that no caller sent. Sequence: a request's end is read at
-    // one place here and at another there. Cause: a lenient reader.
+    // Guards against a lenient parser. If the end of a request is found at different positions
+    // here and at the upstream, the upstream runs a request that no caller sent.
     let cases = [
         ("GET / HTTP/1.1\nHost: a\r\n\r\n", MessageError::ControlCharacter),
         ("GET / HTTP/1.1\r\nHost: a\nX: b\r\n\r\n", MessageError::ControlCharacter),
@@ -72,10 +72,10 @@
     }
 }
 
-/// Holds a decoded body, whether it is whole, and how many bytes come after it.
+/// Holds a decoded body, whether it is complete, and how many bytes follow it.
 type Decoded = (Vec<u8>, bool, usize);
 
-/// Decodes bytes that come one by one, which must make no difference.
+/// Decodes bytes that arrive one by one, which must make no difference.
 fn decode(framing: Framing, bytes: &[u8]) -> Result<Decoded, MessageError> {
     let mut decoder = Decoder::new(framing);
     let (mut body, mut have) = (Vec::new(), BytesMut::new());
--- a/crates/verbenaslip-relay/tests/limit.rs
+++ b/crates/verbenaslip-relay/tests/limit.rs
@@ -1,4 +1,4 @@
-//! Upstreams that name a limit, under loads that are played against all entries together.
+//! Rate-limited upstreams under simulated load on all entries together.
 
 mod common;
 
@@ -18,13 +18,13 @@
 use verbenaslip_relay::policy::placement::{Cause, Decision, Ending, Placement};
 use verbenaslip_relay::policy::restriction::{Change, Restriction};
 
-/// The span in which arrivals are counted.
+/// Seconds over which arrivals are counted.
 const SPAN: f64 = 4.0;
 
-/// The time of day at the start of the monotonic clock, in milliseconds.
+/// Time of day at the start of the monotonic clock, in milliseconds.
 const EPOCH: i64 = 1_800_000_000_000;
 
-/// How long it takes until all entries know what one of them has learnt.
+/// Time until all entries know what one of them has learnt.
 const SHARED: Duration = Duration::from_millis(500);
 
 fn view(runs: impl IntoIterator<Item = Run>) -> View {
@@ -39,20 +39,20 @@
     ResponseInfo { rate_limit: limit, ..common::REPLY }
 }
 
-/// Plays a fleet of entries before upstreams, the first of which names limits.
+/// Simulates a fleet of entries and upstreams that state limits.
 struct World {
     entries: Vec<Placement>,
     views: Vec<View>,
     limits: BTreeMap<u16, f64>,
     known: Limits,
-    /// What entries have learnt and others will know at a time.
+    /// Limits that entries have learnt, with the time at which the others know them.
     news: Vec<(Duration, Run, Limit)>,
     now: Duration,
     arrivals: BTreeMap<u16, Vec<f64>>,
     refused: Vec<Duration>,
     asked: usize,
     random: Pcg64,
-    /// Whether news reach the others.
+    /// Whether a leader passes learnt limits to the other entries.
     leader: bool,
 }
 
@@ -90,7 +90,7 @@
         self.entries[index].update_limits(self.now, &self.views[index]);
     }
 
-    /// Has all entries asked so many requests a second together for a time.
+    /// Sends `per_second` requests a second to all entries together for `seconds`.
     fn play(&mut self, seconds: f64, per_second: f64) {
         let end = self.now + Duration::from_secs_f64(seconds);
         while self.now < end {
@@ -114,7 +114,7 @@
                 self.refused.push(busy.retry_after);
                 return;
             }
-            Decision::NoUpstream => panic!("all upstreams are there"),
+            Decision::NoUpstream => panic!("no upstream is available"),
         };
         let number = choice.address.port();
         self.arrivals.entry(number).or_default().push(self.now.as_secs_f64());
@@ -176,7 +176,8 @@
 
 #[test]
 fn the_sum_over_all_entries_keeps_to_the_limit_and_uses_most_of_it() {
-    // Guards against a part for each entry that adds up to more, or that most entries leave unused.
+    // Guards against a share per entry that adds up to more than the limit, or that most entries
+    // leave unused.
     for (entries, per_second) in [(1, 40.0), (2, 62.0), (9, 110.0), (54, 860.0), (300, 1_700.0)] {
         for limit in [0.0, 0.3, 1.0, 1.1, 3.0, 8.0, 20.0] {
             let mut world = World::open(entries, 6);
@@ -186,17 +187,17 @@
             world.play(16.0, per_second);
             let (most, used) = (world.most(1, bound), world.used(1, bound));
             let what =
-                format!("{entries} entries, {limit} a second: {most} in 4 s, {used:.2} used");
+                format!("{entries} entries, limit {limit}/s: {most} in 4 s, {used:.2}/s used");
             assert!(most <= allowed(limit), "{what}");
             assert!(used >= limit * 0.7 || limit * SPAN > per_second / 6.0, "{what}");
-            assert!(world.refused.is_empty(), "others had room: {what}");
+            assert!(world.refused.is_empty(), "other upstreams had room: {what}");
         }
     }
 }
 
 #[test]
 fn where_all_are_limited_the_rest_is_refused_with_a_time_to_return() {
-    // Guards against upstreams in need that get everything because there is no other.
+    // Guards against sending everything to restricted upstreams because there is no other.
     for (entries, per_second) in [(2, 62.0), (9, 40.0), (54, 245.0), (300, 470.0)] {
         let mut world = World::open(entries, 4);
         let limits = [1.0, 1.1, 3.0, 8.0];
@@ -209,11 +210,11 @@
         world.play(16.0, per_second);
         for (number, limit) in (1..).zip(limits) {
             let most = world.most(number, bound);
-            assert!(most <= allowed(limit), "{entries} entries, {limit} a second: {most} in 4 s");
+            assert!(most <= allowed(limit), "{entries} entries, limit {limit}/s: {most} in 4 s");
         }
         let (asked, refused) = (world.asked - before, world.refused.len());
         let served = (asked - refused) as f64 / 16.0;
-        assert!(served >= 13.1 * 0.7, "{entries} entries: {served:.1} of 13.1 a second");
+        assert!(served >= 13.1 * 0.7, "{entries} entries: {served:.1}/s of 13.1/s served");
         let short = Duration::from_millis(300);
         assert!(world.refused.iter().all(|it| *it >= short && *it <= Duration::from_secs(2)));
     }
@@ -236,24 +237,25 @@
 
 #[test]
 fn the_end_of_a_limit_is_learnt_though_others_are_nearer_and_traffic_returns_in_steps() {
-    // Guards against an upstream that is never asked again, and against one that gets all requests at once.
+    // Guards against an upstream that is never probed again, and against one that gets all
+    // requests at once.
     let mut world = World::open(54, 6);
     for view in &mut world.views {
         let far = record(run(1, 1), "south");
         Arc::make_mut(&mut view.upstreams).insert(far.announcement.run.upstream.clone(), far);
     }
     (0..54).for_each(|index| world.show(index));
-    // Others are busy now and then, so that the far one gets some.
+    // The other upstreams are busy now and then, so that the distant one gets some requests.
     world.limits.insert(1, 1.0);
     let sighting =
         Limit { rate: Some(1.0), reported_at_ms: u64::try_from(EPOCH).expect("positive") };
     world.news.push((world.now, run(1, 1), sighting));
     world.play(4.0, 400.0);
-    assert!(world.used(1, Duration::from_secs(2)) >= 0.5, "asked in turn");
+    assert!(world.used(1, Duration::from_secs(2)) >= 0.5, "the upstream gets requests in free slots");
     world.limits.clear();
     let ended = world.now;
     world.play(4.0, 400.0);
-    assert!(world.known.get(&run(1, 1)).is_some_and(|it| it.rate.is_none()), "all know");
+    assert!(world.known.get(&run(1, 1)).is_some_and(|it| it.rate.is_none()), "all entries know the end of the limit");
     let mut near = World::open(54, 6);
     near.limits.insert(1, 1.0);
     near.play(4.0, 400.0);
@@ -265,14 +267,14 @@
         near.arrivals[&1].iter().filter(|it| **it >= from && **it < from + 0.5).count()
     };
     let usual = 400.0 / 6.0 * 0.5;
-    assert!((0..10).all(|step| at(f64::from(step) * 0.5) as f64 <= usual * 2.0), "never all");
+    assert!((0..10).all(|step| at(f64::from(step) * 0.5) as f64 <= usual * 2.0), "more than twice the usual traffic returned at once");
     let back: usize = (10..40).map(|step| at(f64::from(step) * 0.5)).sum();
     assert!(back as f64 >= usual * 30.0 * 0.5, "{back} in 15 s");
 }
 
 #[test]
 fn an_answer_to_what_was_sent_before_does_not_end_a_limit() {
-    // Guards against an answer that was made before the limit was named and read after that.
+    // Guards against an answer that was made before the limit was stated and read after that.
     let mut entry = Placement::new(AvailabilityZone::from("north"));
     entry.update(&view([run(1, 1)]));
     let second = Duration::from_secs(1);
@@ -287,7 +289,8 @@
 
 #[test]
 fn what_can_not_be_read_changes_nothing_and_a_new_run_starts_without_a_limit() {
-    // Guards against requests lost to a malformed header, and against a limit that outlives its run.
+    // Guards against requests lost to a malformed header, and against a limit that outlives its
+    // run.
     let second = Duration::from_secs(1);
     let mut entry = Placement::new(AvailabilityZone::from("north"));
     let alone = View { time_slot: None, ..view([run(1, 1)]) };
@@ -305,14 +308,14 @@
         entry.handle_response_info(second * 2, &choice, second * 2, &reply(RateLimit::Unreadable));
     assert_eq!(again, []);
     let refused = entry.choose(second * 9, &query(true));
-    assert!(matches!(refused, Decision::Refuse(_)), "its turn is not known: {refused:?}");
+    assert!(matches!(refused, Decision::Refuse(_)), "the time slot is not known: {refused:?}");
     entry.update(&view([run(1, 2)]));
     assert_eq!(go(&mut entry, second * 9).run, run(1, 2));
 }
 
 #[test]
 fn without_a_leader_entries_that_were_told_keep_to_the_sum() {
-    // Guards against a limit that holds only as long as somebody grants it.
+    // Guards against a limit that holds only while a leader passes it on.
     let mut world = World::open(9, 3);
     world.limits.insert(1, 1.0);
     world.leader = false;
@@ -324,7 +327,7 @@
 
 #[test]
 fn entries_that_come_and_go_leave_the_sum_as_it_is() {
-    // Guards against turns that are used twice while places among the entries change.
+    // Guards against time slots that are used twice while positions among the entries change.
     let mut world = World::open(54, 3);
     world.limits.insert(1, 3.0);
     world.play(3.0, 860.0);
@@ -332,7 +335,7 @@
     for step in 0..40_u32 {
         let of = if step % 2 == 0 { 53 } else { 54 };
         for index in 0..54_u32 {
-            // Entries learn of their new place one after the other.
+            // Entries learn their new position one after the other.
             if index % 2 == step % 2 {
                 world.views[index as usize].time_slot =
                     Some(TimeSlot { index: index.min(of - 1), count: of });
@@ -359,5 +362,5 @@
             sent += 1;
         }
     }
-    assert!((7..=11).contains(&sent), "{sent} in 40 s, a ninth of 2 a second");
+    assert!((7..=11).contains(&sent), "{sent} in 40 s at a ninth of 2/s");
 }
--- a/crates/verbenaslip-relay/tests/pace.rs
+++ b/crates/verbenaslip-relay/tests/pace.rs
@@ -10,8 +10,8 @@
 
 #[test]
 fn a_lag_is_learnt_within_some_requests_and_forgotten_within_seconds() {
-    // Symptom: an entry refuses for good, or never. Sequence: queues of others make first events
-    // late; then they go, while nothing is sent there any more. Cause: a transition that nothing renews.
+    // Guards against a lag that never fades: the queues of other entries delay first events and
+    // then empty while nothing is sent there, so the entry would refuse requests for good.
     let mut lag = Lag::default();
     for millis in (0..2_000).step_by(100) {
         lag.record_sample(at(millis), 1_000.0);
@@ -31,7 +31,7 @@
 fn the_speed_of_reading_is_learnt_and_one_cached_prompt_does_not_upset_it() {
     let mut pace = Speed::default();
     for _ in 0..60 {
-        // 3,000 tokens in 30 ms beyond what is not reading.
+        // 3,000 tokens take 30 ms beyond the time that is not prefill.
         pace.record_first_event(
             3_000,
             Duration::from_secs_f64((pace.first_event_ms() + 30.0) / 1_000.0),
--- a/crates/verbenaslip-relay/tests/place.rs
+++ b/crates/verbenaslip-relay/tests/place.rs
@@ -1,4 +1,4 @@
-//! Where requests go, under loads that are played against the decisions.
+//! Where requests go under simulated load.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -113,15 +113,16 @@
     assert!(chosen.values().all(|count| *count <= 6), "{chosen:?}");
 }
 
-/// Holds when a first event comes, at which entry, from where, and when its request was sent.
+/// Holds when a first event arrives, at which entry, its choice of upstream, and when its request
+/// was sent.
 type Due = (f64, usize, Choice, f64);
 
-/// Plays entries that know nothing of each other against engines that read one prompt after the
-/// other, and returns the share of first events within 600 ms.
+/// Simulates entries that know nothing of each other and engines that read one prompt after
+/// another; returns the fraction of first events within 600 ms.
 fn play(entries: u32, engines: u32, per_second: f64) -> f64 {
     /// Tokens that an engine reads in a millisecond.
     const SPEED: f64 = 60.0;
-    /// Milliseconds to a first event beyond reading.
+    /// Milliseconds to a first event beyond prefill.
     const FIRST: f64 = 70.0;
     /// Milliseconds after which the prefixes have been read once.
     const WARM: f64 = 8_000.0;
@@ -167,10 +168,10 @@
 
 #[test]
 fn entries_that_know_nothing_of_each_other_make_no_herd() {
-    // Symptom: first events come after a second while most upstreams are idle. Sequence: entries
-    // send where the least was when others last reported, which is half a second ago, and all meet
-    // there. Cause: old reports counted as what is there now. At half of what the engines can read,
-    // hardly any request may be late, however many entries there are.
+    // Guards against herding. If entries sent requests to the upstream that was least loaded in
+    // reports from half a second ago, all would meet there, and first events would take more than
+    // a second while most upstreams are idle. At half of the engines' capacity hardly any request
+    // may be late, for any number of entries.
     for entries in [1, 9, 63] {
         let share = play(entries, 12, 120.0);
         assert!(share > 0.97, "{entries} entries: {share} on time");
@@ -248,8 +249,8 @@
 
 #[test]
 fn a_request_that_was_begun_goes_on_however_late_it_is() {
-    // Symptom: a stream ends in the middle. Sequence: its engine breaks off while all others are busy.
-    // Cause: refused like a new request, for an answer that would come late.
+    // Guards against a stream that ends in the middle: its engine breaks off while all others are
+    // busy, and the rest of the stream is refused like a new request that would be late.
     let mut placement = open(&many(1));
     let parts = prompt(1, 2);
     while matches!(placement.choose(Duration::ZERO, &ask(&parts, &[])), Decision::Send(_)) {}
@@ -259,9 +260,9 @@
 
 #[test]
 fn who_has_come_back_gets_what_others_leave_over() {
-    // Symptom: with engines missing, all answers come late, also those to callers that ask for the first
-    // time. Sequence: callers that were refused come back after their objective has passed, and wait in the
-    // same queue. Cause: a place given to an answer that is late in any case.
+    // Guards against late answers for new callers when engines are missing. Callers that were
+    // refused retry after their objective has passed, and their answers, which are late in any
+    // case, would take places in the same queue.
     let mut placement = open(&many(1));
     let mut fresh = 0;
     for own in 0..40 {
@@ -272,10 +273,10 @@
             fresh += u32::from(matches!(verdict, Decision::Send(_)));
         }
     }
-    assert!(fresh >= 3, "{fresh} were taken after one that had come back was refused");
+    assert!(fresh >= 3, "{fresh} new callers were admitted after a returning one was refused");
 }
 
-/// Counts what became of the requests to a plain service.
+/// Counts the outcomes of requests to a plain service.
 #[derive(Debug, Default)]
 struct Plain {
     asked: f64,
@@ -283,16 +284,16 @@
     on_time: f64,
 }
 
-/// Plays entries that know nothing of each other against a plain service of one upstream that can do
-/// 200 requests a second: six at once, 30 ms each on average, and 24 more wait. Callers of four ranks
-/// come back once, after they are told to.
+/// Simulates entries that know nothing of each other and a plain service of one upstream that
+/// handles 200 requests a second: six at once, 30 ms each on average, and 24 more wait. Callers of
+/// four priorities retry once, after the time that they are told.
 fn play_plain(entries: usize, per_second: f64) -> Plain {
     const SLOTS: usize = 6;
     const QUEUE: usize = 24;
     const OBJECTIVE: f64 = 150.0;
-    /// Milliseconds on the way there and back, from caller to upstream.
+    /// Milliseconds of the round trip from caller to upstream.
     const PATH: f64 = 9.0;
-    /// Milliseconds after which the play counts.
+    /// Milliseconds after which requests are counted.
     const WARM: f64 = 8_000.0;
     let view = many(1);
     let mut placements: Vec<Placement> = (0..entries).map(|_| open(&view)).collect();
@@ -321,7 +322,8 @@
                 Some(time(at - sent)),
             );
         }
-        // Entries get uneven parts of the load: the last ones a small part of the first ones'.
+        // Entries get uneven shares of the load: the last ones a small fraction of the first
+        // ones'.
         let draw = rng.random::<f64>() * rng.random::<f64>();
         let entry = (draw * entries as f64) as usize;
         let ask = Query {
@@ -348,7 +350,7 @@
                 None
             }
             Decision::Refuse(busy) => Some(busy.retry_after.as_secs_f64() * 1_000.0),
-            Decision::NoUpstream => panic!("the upstream is ready"),
+            Decision::NoUpstream => panic!("no upstream is available"),
         };
         match wait {
             Some(wait) if !again => back.push(now + wait),
@@ -361,16 +363,16 @@
 
 #[test]
 fn a_plain_service_with_more_load_than_it_can_do_is_of_use_to_those_it_can_serve() {
-    // Symptom: two thirds of the answers are some milliseconds too late, the others are refused.
-    // Sequence: two of a service's three upstreams go; what is sent to the third fills its queue, which
-    // then takes longer than the objective. Cause: entries that see a few answers a second each followed
-    // the lateness of the last ones up and down, and between them the queue was always full.
+    // Guards against a queue that is always full. Two of a service's three upstreams go, and the
+    // load fills the queue of the third, which then takes longer than the objective. If entries
+    // that see a few answers a second followed the latest latency up and down, two thirds of the
+    // answers would be some milliseconds late and the others refused.
     for entries in [6, 63] {
         for per_second in [260.0, 400.0] {
             let Plain { asked, on_time, .. } = play_plain(entries, per_second);
             let possible = asked * 200.0 / per_second;
             let share = on_time / possible;
-            assert!(share > 0.75, "{entries} entries, {per_second}/s: {share} of what it can do");
+            assert!(share > 0.75, "{entries} entries, {per_second}/s: {share} of the capacity");
         }
     }
 }
@@ -386,9 +388,9 @@
 
 #[test]
 fn a_run_that_starts_again_under_its_name_begins_without_what_was_known_of_the_one_before() {
-    // Symptom: an upstream that was restarted is avoided, or counted as busy for ever. Sequence: it fails
-    // some requests and has others under way, crashes, and starts again under its name; then the requests
-    // of before end. Cause: failures, cached parts and requests under way kept by name.
+    // Guards against keeping failures, cached parts and requests in progress by name. An upstream
+    // fails some requests, crashes with others in progress, and restarts under its name; when the
+    // earlier requests end, it would be avoided or counted as busy for ever.
     let again = |incarnation| {
         let mut record = record(1, "north", Status::Ready);
         record.announcement.run = run(1, incarnation);
@@ -403,7 +405,7 @@
     }
     let before = go(&mut placement, Duration::ZERO, &ask(&parts, &[]));
     assert!(before.expected_ms > fresh.expected_ms);
-    assert_eq!(placement.update(&again(20)), [run(1, 10)], "its connections are dropped");
+    assert_eq!(placement.update(&again(20)), [run(1, 10)], "the old run is reported as gone");
     placement.record_end(Duration::ZERO, &before, Ending::Failed, None);
     let tried = [run(1, 10)];
     let after = go(&mut placement, Duration::ZERO, &ask(&parts, &tried));
--- a/crates/verbenaslip-relay/tests/quota.rs
+++ b/crates/verbenaslip-relay/tests/quota.rs
@@ -1,4 +1,4 @@
-//! The teams' limits over all entries: full use within them, and no more than the slack beyond.
+//! Team limits over all entries: full use within them, and little more than the limit beyond them.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -22,21 +22,21 @@
 struct Outcome {
     asked: f64,
     refused: f64,
-    /// What one bucket for all would refuse.
+    /// Requests that a single bucket for all entries would refuse.
     beyond: f64,
-    /// The most units admitted in any window.
+    /// Most units admitted in any window.
     peak: f64,
 }
 
-/// Says how many requests a second come in each round.
+/// Returns the requests per second in each round.
 type Load<'a> = &'a dyn Fn(usize) -> f64;
 
-/// Plays Poisson arrivals of requests of very different sizes at many entries.
+/// Simulates Poisson arrivals of requests with very different sizes at many entries.
 fn play(quota: Quota, per_second: f64, rounds: usize) -> Outcome {
     play_at(ENTRIES, quota, rounds, |_| per_second)
 }
 
-/// The same at so many entries, with so many requests a second in each round.
+/// Does the same at `count` entries, with a rate of requests for each round.
 fn play_at(
     count: usize,
     quota: Quota,
@@ -46,7 +46,7 @@
     play_without(count, quota, rounds, per_second, &[])
 }
 
-/// The same without a leader in some rounds; the next one knows nothing.
+/// Does the same without a leader in some rounds; the next leader starts without knowledge.
 fn play_without(
     count: usize,
     quota: Quota,
@@ -103,7 +103,8 @@
     outcome
 }
 
-/// Asks an entry, which asks the leader if there is one; returns whether the request is admitted.
+/// Charges a request at an entry, which asks the leader if there is one; returns whether the
+/// request is admitted.
 fn ask(
     entry: &mut Allowances,
     now: Duration,
@@ -133,9 +134,9 @@
 
 #[test]
 fn a_team_within_its_limit_is_hardly_ever_refused() {
-    // Symptom: a third of a quiet day's requests got 429. Sequence: 63 entries, each asked for about
-    // one request a second by a team that uses half of its limit. Cause: a bucket at each entry runs
-    // dry by chance, and one large request empties it for seconds.
+    // Guards against a separate bucket at each entry. With 63 entries that each get about one
+    // request a second from a team at half of its limit, a bucket runs dry by chance and one large
+    // request empties it for seconds; a third of the requests on a quiet day got 429.
     for per_second in [20.0, 200.0] {
         let outcome = play(quota(per_second * SIZE * 1.8), per_second, 400);
         let share = outcome.refused / outcome.asked;
@@ -156,9 +157,10 @@
 
 #[test]
 fn a_team_far_beyond_its_limit_gets_little_more_at_hundreds_of_entries() {
-    // Symptom: a team is given 11.7 million tokens in 8 s where 10.4 million and a tenth are its limit. Sequence:
-    // it asks for several times its limit at 291 entries, steadily or in bursts; each entry is granted two requests
-    // whenever the bucket has filled up a little. Cause: grants that add up to three times what is in the bucket.
+    // Guards against grants that add up to three times what is in the bucket. A team asks for
+    // several times its limit at 291 entries, steadily or in bursts. If each entry were granted
+    // two requests whenever the bucket had filled a little, the team would get 11.7 million tokens
+    // in 8 s where its limit plus a tenth is 10.4 million.
     let rate = 1_160_000.0;
     let within = rate / SIZE * 0.7;
     let plays: [(&str, Load); 4] = [
@@ -178,7 +180,8 @@
 
 #[test]
 fn a_team_within_its_limit_is_hardly_ever_refused_at_hundreds_of_entries() {
-    // Symptom, sequence and cause as at 63 entries, each of which sees five times as many of its requests.
+    // Guards against separate buckets as at 63 entries, each of which sees five times as many of a
+    // team's requests.
     let rate = 1_160_000.0;
     for part in [0.4, 0.7] {
         let outcome = play_at(291, quota(rate), 400, |_| rate / SIZE * part);
@@ -189,9 +192,9 @@
 
 #[test]
 fn a_team_far_beyond_its_limit_gets_little_more_while_leaders_change() {
-    // Symptom: as above. Sequence: a team asks for several times its limit; the leader is lost, and every entry
-    // goes on for up to a second by what it was granted; the next leader begins with a bucket that is half full.
-    // Cause: grants that add up to several times what is in the bucket are all spent before anybody counts them.
+    // Guards against grants that exceed the bucket and are spent before they are counted. A team
+    // asks for several times its limit; the leader is lost, every entry continues for up to a
+    // second with what it was granted, and the next leader starts with a bucket that is half full.
     let rate = 1_160_000.0;
     let within = rate / SIZE * 0.7;
     for lost_at in [4, 9, 40, 41, 42, 43, 47, 60] {
@@ -206,7 +209,8 @@
 
 #[test]
 fn callers_that_waited_for_a_power_loss_to_end_are_served_within_the_limit() {
-    // Guards against requests refused in the second after a start of all, though nobody has used the limit meanwhile.
+    // Guards against refusals in the second after the whole fleet has started, although nobody has
+    // used the limit meanwhile.
     let rate = 1_160_000.0;
     let row = row(quota(rate));
     let sheet = RouteTable { teams: vec![row.clone()], ..RouteTable::default() };
@@ -218,12 +222,12 @@
     let admitted = entries
         .iter_mut()
         .filter_map(|entry| ask(entry, now, &row, SIZE, &view, Some(&mut quotas)).then_some(SIZE));
-    assert!(admitted.sum::<f64>() >= rate, "a whole bucket is used");
+    assert!(admitted.sum::<f64>() >= rate, "a whole bucket must be usable");
 }
 
 #[test]
 fn a_team_of_a_request_a_second_at_a_thousand_entries_is_not_refused_within_its_limit() {
-    // Guards against a limit of less than two requests that is split into parts which admit none.
+    // Guards against a limit of less than two requests that is split into shares that admit none.
     let rate = SIZE * 1.8;
     let outcome = play_at(1_000, quota(rate), 4_000, |_| 1.0);
     let share = outcome.refused / outcome.asked;
@@ -234,7 +238,7 @@
 
 #[test]
 fn what_was_lent_for_a_request_that_did_not_run_is_lent_again() {
-    // Guards against limits that shrink with each request which finds no upstream.
+    // Guards against limits that shrink with each request that finds no upstream.
     let row = row(quota(100.0));
     let sheet = RouteTable { teams: vec![row.clone()], ..RouteTable::default() };
     let now = Duration::from_secs(1);
@@ -244,14 +248,15 @@
     for _ in 0..20 {
         let mut entry = Allowances::default();
         assert!(ask(&mut entry, now, &row, 60.0, &view, Some(&mut quotas)));
-        let refund = entry.refund(&row.name, 60.0).expect("it has no use for that");
+        let refund = entry.refund(&row.name, 60.0).expect("the entry has no use for the units");
         quotas.refund(&refund);
     }
 }
 
 #[test]
 fn a_team_far_beyond_its_limit_gets_little_more_while_leaders_change_twice() {
-    // Guards against a bucket that each new leader begins with, beside what entries were lent ahead by the one before.
+    // Guards against a bucket that each new leader starts with, in addition to what the previous
+    // leader granted in advance.
     let rate = 500_000.0;
     let within = rate / SIZE * 0.55;
     for count in [6, 9, 54] {
--- a/crates/verbenaslip-relay/tests/record.rs
+++ b/crates/verbenaslip-relay/tests/record.rs
@@ -1,4 +1,4 @@
-//! What an entry remembers of requests with the same content, and which it holds back.
+//! What an entry remembers of requests with the same content, and which of them it holds back.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -26,7 +26,8 @@
     Arc::new(Blocklist { key: Some(7), watched, quarantined: BTreeMap::new() })
 }
 
-/// Makes the view of an entry at which a request is held back until a time, or may be tried by somebody.
+/// Returns the view of an entry in which a request is quarantined until a time, or may be tried by
+/// an entry.
 fn holding(fingerprint: Fingerprint, until: u64, tried_by: Option<SocketAddr>) -> View {
     let held = Block { since: 0, until, failed_trials: 0, trial_entry: tried_by };
     let blocklist = Blocklist {
@@ -60,15 +61,15 @@
 
 #[test]
 fn an_answer_from_before_a_request_was_watched_is_told_once_it_is() {
-    // A popular request was answered a moment ago; then two upstreams end under it elsewhere.
+    // A popular request was answered a moment ago; then two upstreams crash during it elsewhere.
     let mut record = Quarantine::default();
     let (popular, bad) = (fingerprint("popular"), fingerprint("bad"));
     record.update(&watching(&[]));
-    assert!(!record.record_answer(SECOND, popular, &watching(&[])), "nobody wants to know");
+    assert!(!record.record_answer(SECOND, popular, &watching(&[])), "the request is not watched");
     let blocklist = watching(&[popular, bad]);
     assert_eq!(record.update(&blocklist), [ObservedAnswer { fingerprint: popular, at: SECOND }]);
     assert_eq!(record.update(&blocklist), [], "once");
-    assert!(record.record_answer(SECOND * 2, popular, &blocklist), "and each later one");
+    assert!(record.record_answer(SECOND * 2, popular, &blocklist), "each later answer is reported");
 }
 
 #[test]
@@ -94,13 +95,13 @@
     assert_eq!(record.quarantined_for(SECOND, bad, &view), Some(SECOND * 60));
     assert_eq!(record.quarantined_for(SECOND, fingerprint("other"), &view), None);
     let back = record.quarantined_for(SECOND * 70, bad, &view);
-    assert_eq!(back, Some(SECOND * 5), "nobody is invited to come back at once");
+    assert_eq!(back, Some(SECOND * 5), "the retry time has a minimum");
 }
 
 #[test]
 fn the_chosen_entry_lets_one_through_and_no_second_one() {
-    // Symptom, if each could: an entry that is asked ten times a second for what is let through again ends ten
-    // upstreams before it hears of the first.
+    // Guards against several trials of one request. An entry that gets a poison request ten times
+    // a second would crash ten upstreams before it learns of the first crash.
     let mut record = Quarantine::default();
     let bad = fingerprint("bad");
     let elsewhere = holding(bad, 61_000, Some(OTHER.into()));
@@ -111,16 +112,17 @@
     assert!(record.quarantined_for(SECOND * 71, bad, &elsewhere).is_some());
     assert!(
         record.quarantined_for(SECOND * 72, bad, &here).is_some(),
-        "nor when its turn comes once more"
+        "an entry chosen again makes no second trial"
     );
     let later = holding(bad, 400_000, Some(OWN.into()));
-    assert_eq!(record.quarantined_for(SECOND * 401, bad, &later), None, "but the next time");
+    assert_eq!(record.quarantined_for(SECOND * 401, bad, &later), None, "the next quarantine allows another trial");
 }
 
 #[test]
 fn only_an_answer_that_was_surely_run_tells_that_an_upstream_survives() {
-    // Symptom, if any did: a request that ends upstreams is let go each time one that fails part of its requests
-    // answers it with an error, or ends in the middle of an answer without a length.
+    // Guards against releasing a poison request. An upstream that fails part of its requests
+    // answers it with an error, or crashes in the middle of an answer without a length; neither
+    // proves that the upstream survived.
     assert!(proves_execution(200, Some(Framing::Chunked)));
     assert!(proves_execution(404, Some(Framing::Length(3))));
     assert!(proves_execution(204, Some(Framing::Empty)));
--- a/crates/verbenaslip-relay/tests/rollout.rs
+++ b/crates/verbenaslip-relay/tests/rollout.rs
@@ -1,4 +1,5 @@
-//! Roll-outs played in virtual time: real decisions of a leader and of entries, upstreams that only answer.
+//! Rollouts in virtual time, with the real decisions of a leader and of entries, and simulated
+//! upstreams.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -17,45 +18,46 @@
 const TICK: u64 = 10;
 const REPORT: u64 = 250;
 const PUSH: u64 = 60;
-/// Names a route with its part of the requests and the usual latency in milliseconds.
+/// Holds the name of a route, its fraction of the requests and its usual latency in milliseconds.
 type Route = (&'static str, f64, f64);
 
 const ROUTES: [Route; 3] =
     [("draft", 0.32, 130.0), ("check", 0.60, 100.0), ("explain", 0.08, 90.0)];
 
-/// Says how a candidate answers.
+/// Describes how a candidate answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Version {
     Good,
-    /// Fails a part of its requests.
+    /// Fails a fraction of its requests.
     Failing(f64),
-    /// Answers a part of them five times slower.
+    /// Answers a fraction of its requests five times slower.
     Slow(f64),
-    /// Fails a part of them from a time on.
+    /// Fails a fraction of its requests from a time on, in milliseconds.
     Late(f64, u64),
-    /// Fails a part of them on the route with the fewest.
+    /// Fails a fraction of its requests on the route with the fewest requests.
     OneRoute(f64),
-    /// Fails a part of them at upstreams with more than a part of the usual load.
+    /// Fails a fraction of its requests at upstreams with more than a fraction of the usual load.
     Loaded(f64, f64),
 }
 
-/// Says what else goes wrong.
+/// Describes other faults during a rollout.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Trouble {
-    /// Part of the upstreams of both versions that fail two requests in five.
+    /// Fraction of the upstreams of both versions that fail two requests in five.
     grey: f64,
-    /// When a third of all upstreams break off what they run and fail for a while.
+    /// When a third of all upstreams break off their requests and fail for a while, in
+    /// milliseconds.
     crash: Option<u64>,
-    /// When the leader is lost; the next one begins three seconds later.
+    /// When the leader is lost, in milliseconds; the next one starts three seconds later.
     leader: Option<u64>,
-    /// Part of the requests that fail by nature.
+    /// Fraction of the requests that fail with any version.
     natural: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Setup {
     entries: usize,
-    /// Requests a second.
+    /// Requests per second.
     rate: f64,
     upstreams: usize,
     duration: u64,
@@ -64,12 +66,12 @@
     seed: u64,
 }
 
-/// Says what came of a roll-out.
+/// Describes the result of a rollout.
 #[derive(Debug)]
 struct Outcome {
     state: State,
     decided: u64,
-    /// Requests between the order and its time limit, and those to the candidate.
+    /// Requests between the order and its time limit, and those to the candidate among them.
     sent: (u64, u64),
     /// When the candidate gave its fiftieth bad answer.
     fiftieth: Option<u64>,
@@ -87,7 +89,8 @@
     }
 }
 
-/// Names a request that is under way: its end, entry, ticket, latency, and how it ends.
+/// Holds a request in progress: its end, entry, number, latency, whether it fails, and whether the
+/// version is the cause.
 type Active = (u64, usize, u64, u64, bool, bool);
 
 struct World {
@@ -119,7 +122,7 @@
         Duration::from_secs(60) + Duration::from_millis(millis)
     }
 
-    /// Sends what callers ask for within one tick.
+    /// Sends the requests that arrive within one tick.
     fn arrive(&mut self, plan: &Plan, outcome: &mut Outcome) {
         let mean = self.setup.rate * TICK as f64 / 1_000.0;
         let mut count = mean as usize;
@@ -148,9 +151,9 @@
             (true, None) => (Cohort::Candidate, self.pick(self.candidates)),
             (true, Some(canaries)) => {
                 let at = self.pick(canaries.len());
-                let name = canaries.iter().nth(at).expect("it is there").as_str();
+                let name = canaries.iter().nth(at).expect("the index is in range").as_str();
                 let cohort = if plan.shifting { Cohort::Candidate } else { Cohort::Canary };
-                (cohort, name[1..].parse().expect("its number"))
+                (cohort, name[1..].parse().expect("a number"))
             }
             (false, _) => (Cohort::Stable, self.pick(self.setup.upstreams)),
         };
@@ -174,7 +177,7 @@
         self.active.push(Reverse((self.now + took, entry, self.next, took, bad, own)));
     }
 
-    /// Says whether an answer is bad, is slow, and is so because of the version.
+    /// Returns whether an answer is bad, whether it is slow, and whether the version is the cause.
     fn treat(&mut self, candidate: bool, at: usize, route: usize) -> (bool, bool, bool) {
         let trouble = self.setup.trouble;
         let (drawn, other) = (self.draw(), self.draw());
@@ -231,12 +234,12 @@
     ([10, 2, high, low], 7_000).into()
 }
 
-/// Conducts a roll-out at a leader that may be lost.
+/// Runs a rollout at a leader that may be lost.
 struct Leader {
     rollout: Rollout,
     controller: Option<Controller>,
     began: u64,
-    /// The plan of the moment at the leader, and when entries get it.
+    /// The leader's current plan, and when entries get it.
     newest: (u64, Plan),
     /// The plan that entries follow.
     shown: Plan,
@@ -251,7 +254,7 @@
         Self { rollout, controller: Some(controller), began: 0, newest, shown: plan }
     }
 
-    /// Loses the leader, or has the next one begin.
+    /// Removes the leader, or starts the next one.
     fn change(&mut self, now: u64, lost: Option<u64>) {
         if lost == Some(now) {
             self.controller = None;
@@ -308,7 +311,7 @@
     }
 }
 
-/// Plays a roll-out until four seconds after its time limit or verdict.
+/// Simulates a rollout until four seconds after its time limit or its verdict, whichever is later.
 fn play(setup: Setup) -> Outcome {
     let mut world = World {
         setup,
@@ -446,6 +449,6 @@
             }
         }
     }
-    // One in a thousand at most; the short run allows none.
+    // At most one rollback in a thousand runs is allowed; the short run allows none.
     assert!(rolled_back.len() <= seeds as usize * troubles.len() / 1_000, "{rolled_back:?}");
 }
--- a/crates/verbenaslip-relay/tests/versions.rs
+++ b/crates/verbenaslip-relay/tests/versions.rs
@@ -1,4 +1,4 @@
-//! Which version of a service a request goes to at one entry.
+//! Which version of a service an entry chooses for a request.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -61,7 +61,7 @@
     assert_eq!(
         tracks,
         Tracks { preferred: Track::Stable, fallback: second },
-        "the stable ones may be gone"
+        "the stable upstreams may be gone"
     );
 }
 
@@ -71,7 +71,7 @@
     versions.update(&view(plan(State::RolledBack, 0.0, false), NOW));
     versions.update(&view(plan(State::Serving, 1.0, true), NOW));
     assert_eq!(versions.choose_tracks(NOW, "pool", "r", false, 0.0), Tracks::default());
-    assert!(versions.report(NOW)[0].halted, "and it is told");
+    assert!(versions.report(NOW)[0].halted, "the leader must learn of the rollback");
 }
 
 #[test]
@@ -80,7 +80,7 @@
     versions.update(&view(plan(State::Serving, 0.1, false), NOW));
     let route: Arc<str> = "r".into();
     let ticket =
-        versions.record_sent(NOW, "pool", &route, Cohort::Canary, 7).expect("it is counted");
+        versions.record_sent(NOW, "pool", &route, Cohort::Canary, 7).expect("the request is counted");
     let later = NOW + Duration::from_millis(150);
     let counts = |versions: &mut Versions| {
         let rows = versions.report(later).remove(0).rows;
@@ -99,7 +99,7 @@
     let route: Arc<str> = "r".into();
     for ending in [Ending::Unreachable, Ending::Full, Ending::Abandoned] {
         let ticket =
-            versions.record_sent(NOW, "pool", &route, Cohort::Canary, 7).expect("it is counted");
+            versions.record_sent(NOW, "pool", &route, Cohort::Canary, 7).expect("the request is counted");
         versions.record_end(NOW, "pool", ticket, ending);
     }
     let rows = versions.report(NOW).remove(0).rows;
@@ -113,7 +113,7 @@
     let route: Arc<str> = "r".into();
     for _ in 0..12 {
         let ticket = versions.record_sent(NOW, "pool", &route, Cohort::Candidate, 7);
-        versions.record_end(NOW, "pool", ticket.expect("it is counted"), Ending::Failed);
+        versions.record_end(NOW, "pool", ticket.expect("the request is counted"), Ending::Failed);
     }
     versions.report(NOW);
     assert_eq!(first(&versions, false, 0.0), Track::Stable);
--- a/crates/verbenaslip-relay/tests/waited.rs
+++ b/crates/verbenaslip-relay/tests/waited.rs
@@ -1,4 +1,4 @@
-//! Telling callers that come back from those that ask for the first time.
+//! Tells callers that retry from new callers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,8 +17,8 @@
     let route: Arc<str> = "lookup".into();
     let mut take = |patience| waited.is_returning(millis(1), &route, millis(patience), OBJECTIVE);
     assert!(!take(1_500));
-    assert!(!take(1_280), "callers differ a little");
-    assert!(take(900), "it was refused and came back");
+    assert!(!take(1_280), "timeouts of new callers differ a little");
+    assert!(take(900), "the caller was refused and has retried");
     assert!(!take(1_600));
 }
 
