--- a/crates/verbenaslip-relay/tests/board.rs
+++ b/crates/verbenaslip-relay/tests/board.rs
@@ -8,29 +8,29 @@
 use verbenaslip_fleet::route_table::RouteTable;
 use verbenaslip_relay::shared::SharedState;
 
-fn with_routes() -> View {
+fn view_with_routes() -> View {
     View { routes: Some(Arc::new(Index::new(Arc::new(RouteTable::default())))), ..View::default() }
 }
 
 #[tokio::test]
-async fn who_waits_for_a_route_table_goes_on_as_soon_as_there_is_one() {
-    let board = Arc::new(SharedState::default());
-    let waits = tokio::spawn({
-        let board = board.clone();
-        async move { board.wait_for_routes().await }
+async fn waiting_for_routes_ends_when_a_table_arrives() {
+    let shared = Arc::new(SharedState::default());
+    let waiter = tokio::spawn({
+        let shared = shared.clone();
+        async move { shared.wait_for_routes().await }
     });
     tokio::task::yield_now().await;
-    board.set_view(View::default());
+    shared.set_view(View::default());
     tokio::task::yield_now().await;
-    assert!(!waits.is_finished(), "a view without a route table must not end the wait");
-    board.set_view(with_routes());
-    let ended = tokio::time::timeout(Duration::from_secs(60), waits).await;
-    assert!(ended.is_ok_and(|joined| joined.is_ok()));
+    assert!(!waiter.is_finished(), "a view without a route table must not end the wait");
+    shared.set_view(view_with_routes());
+    let result = tokio::time::timeout(Duration::from_secs(60), waiter).await;
+    assert!(result.is_ok_and(|joined| joined.is_ok()));
 }
 
 #[tokio::test]
-async fn who_finds_a_route_table_does_not_wait() {
-    let board = SharedState::default();
-    board.set_view(with_routes());
-    board.wait_for_routes().await;
+async fn waiting_for_routes_returns_at_once_if_a_table_is_known() {
+    let shared = SharedState::default();
+    shared.set_view(view_with_routes());
+    shared.wait_for_routes().await;
 }
--- a/crates/verbenaslip-relay/tests/common/mod.rs
+++ b/crates/verbenaslip-relay/tests/common/mod.rs
@@ -52,7 +52,7 @@
     View { upstreams: Arc::new(named.collect::<BTreeMap<_, _>>()), ..View::default() }
 }
 
-pub fn open(view: &View) -> Placement {
+pub fn new_placement(view: &View) -> Placement {
     let mut entry = Placement::new(AvailabilityZone::from("north"));
     entry.update(view);
     entry
@@ -76,7 +76,7 @@
 }
 
 /// Places a request and expects an upstream to take it.
-pub fn go(entry: &mut Placement, now: Duration) -> Choice {
+pub fn place(entry: &mut Placement, now: Duration) -> Choice {
     match entry.choose(now, &query(true)) {
         Decision::Send(choice) => choice,
         other => panic!("{other:?}"),
--- a/crates/verbenaslip-relay/tests/http.rs
+++ b/crates/verbenaslip-relay/tests/http.rs
@@ -3,12 +3,12 @@
 use bytes::BytesMut;
 use verbenaslip_relay::http::{Decoder, Framing, MessageError, RequestHead, ResponseHead, Step};
 
-fn request(bytes: &str) -> Result<RequestHead, MessageError> {
+fn parse_request(bytes: &str) -> Result<RequestHead, MessageError> {
     RequestHead::parse(bytes.as_bytes())
 }
 
 #[test]
-fn what_two_readers_could_understand_differently_is_refused() {
+fn ambiguous_requests_are_refused() {
     // Guards against a lenient parser. If the end of a request is found at different positions
     // here and at the upstream, the upstream runs a request that no caller sent.
     let cases = [
@@ -26,13 +26,13 @@
         ("GET http://a/ HTTP/1.1\r\nHost: a\r\n\r\n", MessageError::StartLine),
         ("G(T / HTTP/1.1\r\nHost: a\r\n\r\n", MessageError::StartLine),
     ];
-    for (bytes, fault) in cases {
-        assert_eq!(request(bytes), Err(fault), "{bytes:?}");
+    for (bytes, error) in cases {
+        assert_eq!(parse_request(bytes), Err(error), "{bytes:?}");
     }
 }
 
 #[test]
-fn a_body_delimited_in_two_ways_is_refused() {
+fn body_with_two_lengths_is_refused() {
     let cases = [
         ("Content-Length: 3\r\nContent-Length: 3", Err(MessageError::BodyLength)),
         ("Content-Length: 3\r\nTransfer-Encoding: chunked", Err(MessageError::BodyLength)),
@@ -48,13 +48,13 @@
         ("X: 1", Ok(Framing::Empty)),
     ];
     for (fields, framing) in cases {
-        let head = request(&format!("POST / HTTP/1.1\r\nHost: a\r\n{fields}\r\n\r\n"));
+        let head = parse_request(&format!("POST / HTTP/1.1\r\nHost: a\r\n{fields}\r\n\r\n"));
         assert_eq!(head.and_then(|head| head.framing()), framing, "{fields:?}");
     }
 }
 
 #[test]
-fn an_answer_without_a_length_ends_with_its_connection() {
+fn answer_without_length_ends_with_its_connection() {
     let head =
         |fields: &str| ResponseHead::parse(format!("HTTP/1.1 200 OK\r\n{fields}\r\n").as_bytes());
     let framing = |fields: &str, method| head(fields).and_then(|head| head.framing(method));
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn what_is_no_response_is_refused() {
+fn malformed_response_heads_are_refused() {
     for bytes in ["HTTP/1.1 20 OK\r\n\r\n", "garbage\r\n\r\n", "HTTP/1.1\r\n\r\n"] {
         assert!(ResponseHead::parse(bytes.as_bytes()).is_err(), "{bytes:?}");
     }
@@ -78,11 +78,11 @@
 /// Decodes bytes that arrive one by one, which must make no difference.
 fn decode(framing: Framing, bytes: &[u8]) -> Result<Decoded, MessageError> {
     let mut decoder = Decoder::new(framing);
-    let (mut body, mut have) = (Vec::new(), BytesMut::new());
+    let (mut body, mut buffer) = (Vec::new(), BytesMut::new());
     for (index, byte) in bytes.iter().enumerate() {
-        have.extend_from_slice(&[*byte]);
+        buffer.extend_from_slice(&[*byte]);
         loop {
-            match decoder.step(&mut have)? {
+            match decoder.step(&mut buffer)? {
                 Step::Data(piece) => body.extend_from_slice(&piece),
                 Step::NeedMore => break,
                 Step::End => return Ok((body, true, bytes.len() - index - 1)),
@@ -93,9 +93,9 @@
 }
 
 #[test]
-fn bodies_end_where_they_say_and_not_before() {
-    let whole = decode(Framing::Chunked, b"5\r\nhello\r\n1;x=y\r\n!\r\n0\r\nT: 1\r\n\r\nrest");
-    assert_eq!(whole, Ok((b"hello!".to_vec(), true, 4)));
+fn bodies_end_at_their_stated_length() {
+    let complete = decode(Framing::Chunked, b"5\r\nhello\r\n1;x=y\r\n!\r\n0\r\nT: 1\r\n\r\nrest");
+    assert_eq!(complete, Ok((b"hello!".to_vec(), true, 4)));
     let cut = decode(Framing::Chunked, b"5\r\nhello\r\n");
     assert_eq!(cut, Ok((b"hello".to_vec(), false, 0)));
     assert_eq!(decode(Framing::Length(2), b"abc"), Ok((b"ab".to_vec(), true, 1)));
--- a/crates/verbenaslip-relay/tests/pace.rs
+++ b/crates/verbenaslip-relay/tests/pace.rs
@@ -4,31 +4,31 @@
 
 use verbenaslip_relay::policy::speed::{Lag, Speed};
 
-fn at(millis: u64) -> Duration {
-    Duration::from_millis(millis)
+fn millis(ms: u64) -> Duration {
+    Duration::from_millis(ms)
 }
 
 #[test]
-fn a_lag_is_learnt_within_some_requests_and_forgotten_within_seconds() {
+fn lag_is_learnt_and_fades_within_seconds() {
     // Guards against a lag that never fades: the queues of other entries delay first events and
     // then empty while nothing is sent there, so the entry would refuse requests for good.
     let mut lag = Lag::default();
-    for millis in (0..2_000).step_by(100) {
-        lag.record_sample(at(millis), 1_000.0);
+    for ms in (0..2_000).step_by(100) {
+        lag.record_sample(millis(ms), 1_000.0);
     }
-    assert!(lag.lag_at(at(2_000)) > 600.0);
-    assert!(lag.lag_at(at(9_000)) < 40.0);
+    assert!(lag.lag_at(millis(2_000)) > 600.0);
+    assert!(lag.lag_at(millis(9_000)) < 40.0);
 }
 
 #[test]
-fn first_events_that_come_early_leave_no_lag() {
+fn early_first_events_leave_no_lag() {
     let mut lag = Lag::default();
-    lag.record_sample(at(0), -300.0);
-    assert!(lag.lag_at(at(0)).abs() < f64::EPSILON);
+    lag.record_sample(millis(0), -300.0);
+    assert!(lag.lag_at(millis(0)).abs() < f64::EPSILON);
 }
 
 #[test]
-fn the_speed_of_reading_is_learnt_and_one_cached_prompt_does_not_upset_it() {
+fn prefill_speed_is_learnt_despite_one_cached_prompt() {
     let mut pace = Speed::default();
     for _ in 0..60 {
         // 3,000 tokens take 30 ms beyond the time that is not prefill.
--- a/crates/verbenaslip-relay/tests/record.rs
+++ b/crates/verbenaslip-relay/tests/record.rs
@@ -14,32 +14,40 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-const OWN: ([u8; 4], u16) = ([10, 2, 0, 1], 7_000);
-const OTHER: ([u8; 4], u16) = ([10, 2, 0, 2], 7_000);
+const OWN_ADDRESS: ([u8; 4], u16) = ([10, 2, 0, 1], 7_000);
+const OTHER_ADDRESS: ([u8; 4], u16) = ([10, 2, 0, 2], 7_000);
 
 fn fingerprint(name: &str) -> Fingerprint {
     Fingerprint::of(7, "red", "h", "/safe/x", name.as_bytes())
 }
 
-fn watching(fingerprints: &[Fingerprint]) -> Arc<Blocklist> {
+fn blocklist_watching(fingerprints: &[Fingerprint]) -> Arc<Blocklist> {
     let watched: BTreeSet<Fingerprint> = fingerprints.iter().copied().collect();
     Arc::new(Blocklist { key: Some(7), watched, quarantined: BTreeMap::new() })
 }
 
 /// Returns the view of an entry in which a request is quarantined until a time, or may be tried by
 /// an entry.
-fn holding(fingerprint: Fingerprint, until: u64, tried_by: Option<SocketAddr>) -> View {
-    let held = Block { since: 0, until, failed_trials: 0, trial_entry: tried_by };
+fn view_with_quarantined(
+    fingerprint: Fingerprint,
+    until: u64,
+    trial_entry: Option<SocketAddr>,
+) -> View {
+    let held = Block { since: 0, until, failed_trials: 0, trial_entry };
     let blocklist = Blocklist {
         key: Some(7),
         watched: BTreeSet::new(),
         quarantined: BTreeMap::from([(fingerprint, held)]),
     };
-    View { blocklist: Arc::new(blocklist), own_address: Some(OWN.into()), ..View::default() }
+    View {
+        blocklist: Arc::new(blocklist),
+        own_address: Some(OWN_ADDRESS.into()),
+        ..View::default()
+    }
 }
 
 #[test]
-fn the_same_content_has_the_same_print_and_any_other_has_another() {
+fn fingerprint_depends_on_exact_content() {
     let of = |key, team, host, target, body: &str| {
         Fingerprint::of(key, team, host, target, body.as_bytes())
     };
@@ -60,66 +68,73 @@
 }
 
 #[test]
-fn an_answer_from_before_a_request_was_watched_is_told_once_it_is() {
+fn earlier_answer_is_reported_once_request_is_watched() {
     // A popular request was answered a moment ago; then two upstreams crash during it elsewhere.
     let mut record = Quarantine::default();
-    let (popular, bad) = (fingerprint("popular"), fingerprint("bad"));
-    record.update(&watching(&[]));
-    assert!(!record.record_answer(SECOND, popular, &watching(&[])), "the request is not watched");
-    let blocklist = watching(&[popular, bad]);
+    let (popular, poison) = (fingerprint("popular"), fingerprint("bad"));
+    record.update(&blocklist_watching(&[]));
+    assert!(
+        !record.record_answer(SECOND, popular, &blocklist_watching(&[])),
+        "the request is not watched"
+    );
+    let blocklist = blocklist_watching(&[popular, poison]);
     assert_eq!(record.update(&blocklist), [ObservedAnswer { fingerprint: popular, at: SECOND }]);
     assert_eq!(record.update(&blocklist), [], "once");
     assert!(record.record_answer(SECOND * 2, popular, &blocklist), "each later answer is reported");
 }
 
 #[test]
-fn a_flood_of_answers_pushes_a_popular_one_out_only_until_it_is_answered_again() {
+fn evicted_answer_is_remembered_again_after_next_answer() {
     let mut record = Quarantine::default();
     let popular = fingerprint("popular");
-    let none = watching(&[]);
+    let none = blocklist_watching(&[]);
     record.update(&none);
     record.record_answer(SECOND, popular, &none);
     for number in 0..5_000 {
         record.record_answer(SECOND, fingerprint(&number.to_string()), &none);
     }
-    let blocklist = watching(&[popular]);
+    let blocklist = blocklist_watching(&[popular]);
     assert_eq!(record.update(&blocklist), []);
     assert!(record.record_answer(SECOND * 2, popular, &blocklist));
 }
 
 #[test]
-fn what_is_held_back_is_refused_until_then_with_when_to_come_back() {
+fn quarantined_request_is_refused_with_retry_time() {
     let mut record = Quarantine::default();
-    let bad = fingerprint("bad");
-    let view = holding(bad, 61_000, None);
-    assert_eq!(record.quarantined_for(SECOND, bad, &view), Some(SECOND * 60));
+    let poison = fingerprint("bad");
+    let view = view_with_quarantined(poison, 61_000, None);
+    assert_eq!(record.quarantined_for(SECOND, poison, &view), Some(SECOND * 60));
     assert_eq!(record.quarantined_for(SECOND, fingerprint("other"), &view), None);
-    let back = record.quarantined_for(SECOND * 70, bad, &view);
-    assert_eq!(back, Some(SECOND * 5), "the retry time has a minimum");
+    let retry_after = record.quarantined_for(SECOND * 70, poison, &view);
+    assert_eq!(retry_after, Some(SECOND * 5), "the retry time has a minimum");
 }
 
 #[test]
-fn the_chosen_entry_lets_one_through_and_no_second_one() {
+fn chosen_entry_lets_a_single_trial_through() {
     // Guards against several trials of one request. An entry that gets a poison request ten times
     // a second would crash ten upstreams before it learns of the first crash.
     let mut record = Quarantine::default();
-    let bad = fingerprint("bad");
-    let elsewhere = holding(bad, 61_000, Some(OTHER.into()));
-    assert!(record.quarantined_for(SECOND * 70, bad, &elsewhere).is_some());
-    let here = holding(bad, 61_000, Some(OWN.into()));
-    assert_eq!(record.quarantined_for(SECOND * 70, bad, &here), None);
-    assert!(record.quarantined_for(SECOND * 70, bad, &here).is_some());
-    assert!(record.quarantined_for(SECOND * 71, bad, &elsewhere).is_some());
+    let poison = fingerprint("bad");
+    let elsewhere = view_with_quarantined(poison, 61_000, Some(OTHER_ADDRESS.into()));
+    assert!(record.quarantined_for(SECOND * 70, poison, &elsewhere).is_some());
+    let here = view_with_quarantined(poison, 61_000, Some(OWN_ADDRESS.into()));
+    assert_eq!(record.quarantined_for(SECOND * 70, poison, &here), None);
+    assert!(record.quarantined_for(SECOND * 70, poison, &here).is_some());
+    assert!(record.quarantined_for(SECOND * 71, poison, &elsewhere).is_some());
     assert!(
-        record.quarantined_for(SECOND * 72, bad, &here).is_some(),
+        record.quarantined_for(SECOND * 72, poison, &here).is_some(),
         "an entry chosen again makes no second trial"
     );
-    let later = holding(bad, 400_000, Some(OWN.into()));
-    assert_eq!(record.quarantined_for(SECOND * 401, bad, &later), None, "the next quarantine allows another trial");
+    let later = view_with_quarantined(poison, 400_000, Some(OWN_ADDRESS.into()));
+    assert_eq!(
+        record.quarantined_for(SECOND * 401, poison, &later),
+        None,
+        "the next quarantine allows another trial"
+    );
 }
 
 #[test]
-fn only_an_answer_that_was_surely_run_tells_that_an_upstream_survives() {
+fn only_certain_execution_proves_survival() {
     // Guards against releasing a poison request. An upstream that fails part of its requests
     // answers it with an error, or crashes in the middle of an answer without a length; neither
     // proves that the upstream survived.
--- a/crates/verbenaslip-relay/tests/rollout.rs
+++ b/crates/verbenaslip-relay/tests/rollout.rs
@@ -15,9 +15,9 @@
 use verbenaslip_relay::policy::upstream_state::Ending;
 use verbenaslip_relay::policy::versions::{Ticket, Track, Versions};
 
-const TICK: u64 = 10;
-const REPORT: u64 = 250;
-const PUSH: u64 = 60;
+const TICK_MS: u64 = 10;
+const REPORT_INTERVAL_MS: u64 = 250;
+const PUSH_DELAY_MS: u64 = 60;
 /// Holds the name of a route, its fraction of the requests and its usual latency in milliseconds.
 type Route = (&'static str, f64, f64);
 
@@ -96,7 +96,7 @@
 struct World {
     setup: Setup,
     now: u64,
-    draws: u64,
+    draw_count: u64,
     entries: Vec<Versions>,
     tickets: BTreeMap<u64, Ticket>,
     active: BinaryHeap<Reverse<Active>>,
@@ -107,15 +107,16 @@
 
 impl World {
     fn draw(&mut self) -> f64 {
-        self.draws += 1;
-        let bits =
-            hash::mix(self.setup.seed.wrapping_mul(0x9e37_79b9).wrapping_add(self.draws) << 20);
+        self.draw_count += 1;
+        let bits = hash::mix(
+            self.setup.seed.wrapping_mul(0x9e37_79b9).wrapping_add(self.draw_count) << 20,
+        );
         f64::from(u32::try_from(bits >> 32).expect("32 bits")) / f64::from(u32::MAX)
     }
 
-    fn pick(&mut self, count: usize) -> usize {
-        let drawn = (self.draw() * count as f64) as usize;
-        drawn.min(count - 1)
+    fn random_index(&mut self, count: usize) -> usize {
+        let sample = (self.draw() * count as f64) as usize;
+        sample.min(count - 1)
     }
 
     fn time(millis: u64) -> Duration {
@@ -124,19 +125,19 @@
 
     /// Sends the requests that arrive within one tick.
     fn arrive(&mut self, plan: &Plan, outcome: &mut Outcome) {
-        let mean = self.setup.rate * TICK as f64 / 1_000.0;
+        let mean = self.setup.rate * TICK_MS as f64 / 1_000.0;
         let mut count = mean as usize;
         if self.draw() < mean.fract() {
             count += 1;
         }
         for _ in 0..count {
-            let drawn = self.draw();
-            let route = match drawn {
+            let sample = self.draw();
+            let route = match sample {
                 it if it < ROUTES[0].1 => 0,
                 it if it < ROUTES[0].1 + ROUTES[1].1 => 1,
                 _ => 2,
             };
-            let entry = self.pick(self.setup.entries);
+            let entry = self.random_index(self.setup.entries);
             self.send(plan, entry, route, outcome);
         }
     }
@@ -148,14 +149,14 @@
         let canaries = plan.canaries.as_ref().map_or(self.candidates, BTreeSet::len);
         let candidate = tracks.preferred == Track::Candidate && canaries > 0;
         let (cohort, at) = match (candidate, &plan.canaries) {
-            (true, None) => (Cohort::Candidate, self.pick(self.candidates)),
+            (true, None) => (Cohort::Candidate, self.random_index(self.candidates)),
             (true, Some(canaries)) => {
-                let at = self.pick(canaries.len());
+                let at = self.random_index(canaries.len());
                 let name = canaries.iter().nth(at).expect("the index is in range").as_str();
                 let cohort = if plan.shifting { Cohort::Candidate } else { Cohort::Canary };
                 (cohort, name[1..].parse().expect("a number"))
             }
-            (false, _) => (Cohort::Stable, self.pick(self.setup.upstreams)),
+            (false, _) => (Cohort::Stable, self.random_index(self.setup.upstreams)),
         };
         let limit = self.setup.duration;
         if self.now <= limit {
@@ -166,7 +167,7 @@
             outcome.last = self.now;
             self.load[at] += 1.0;
         }
-        let (bad, slow, own) = self.treat(candidate, at, route);
+        let (bad, slow, own) = self.sample_outcome(candidate, at, route);
         let spread = 0.6 + self.draw() * 0.9;
         let took = (usual * spread * if slow { 5.0 } else { 1.0 }) as u64;
         let name: Arc<str> = name.into();
@@ -178,16 +179,16 @@
     }
 
     /// Returns whether an answer is bad, whether it is slow, and whether the version is the cause.
-    fn treat(&mut self, candidate: bool, at: usize, route: usize) -> (bool, bool, bool) {
+    fn sample_outcome(&mut self, candidate: bool, at: usize, route: usize) -> (bool, bool, bool) {
         let trouble = self.setup.trouble;
-        let (drawn, other) = (self.draw(), self.draw());
+        let (sample, other) = (self.draw(), self.draw());
         let crashed = trouble.crash.is_some_and(|it| (it..it + 300).contains(&self.now))
             && at.is_multiple_of(3);
         let grey = trouble.grey > 0.0
             && (hash::mix(self.setup.seed ^ (at as u64 * 2 + u64::from(candidate)) << 7) % 1_000)
                 as f64
                 <= trouble.grey * 1_000.0;
-        let other = crashed || (grey && other < 0.4) || drawn < trouble.natural;
+        let other = crashed || (grey && other < 0.4) || sample < trouble.natural;
         let version = self.draw();
         let (bad, slow) = match self.setup.version {
             _ if !candidate => (false, false),
@@ -246,7 +247,7 @@
 }
 
 impl Leader {
-    fn open(setup: &Setup) -> Self {
+    fn new(setup: &Setup) -> Self {
         let rollout = rollout(setup);
         let controller = Controller::new(rollout.clone(), BTreeSet::new());
         let plan = controller.plan();
@@ -295,7 +296,7 @@
         controller.update_rollout(&self.rollout, &BTreeSet::new());
         let plan = controller.plan();
         if self.newest.1 != plan {
-            self.newest = (world.now + PUSH, plan);
+            self.newest = (world.now + PUSH_DELAY_MS, plan);
         }
     }
 
@@ -316,7 +317,7 @@
     let mut world = World {
         setup,
         now: 0,
-        draws: 0,
+        draw_count: 0,
         entries: (0..setup.entries).map(|_| Versions::default()).collect(),
         tickets: BTreeMap::new(),
         active: BinaryHeap::new(),
@@ -327,9 +328,9 @@
     let (state, sent) = (State::Serving, (0, 0));
     let mut outcome =
         Outcome { state, decided: 0, sent, fiftieth: None, last: 0, bad: 0, reason: None };
-    let mut leader = Leader::open(&setup);
+    let mut leader = Leader::new(&setup);
     while world.now < outcome.decided.max(setup.duration) + 4_000 {
-        world.now += TICK;
+        world.now += TICK_MS;
         leader.change(world.now, setup.trouble.leader);
         let booted = world.now.saturating_sub(4_000) / 50;
         world.candidates = usize::try_from(booted).expect("few").min(setup.upstreams);
@@ -337,8 +338,8 @@
         world.arrive(&leader.shown, &mut outcome);
         world.finish(&mut outcome);
         for entry in 0..setup.entries {
-            let phase = entry as u64 * 7 % (REPORT / TICK) * TICK;
-            if world.now % REPORT == phase {
+            let phase = entry as u64 * 7 % (REPORT_INTERVAL_MS / TICK_MS) * TICK_MS;
+            if world.now % REPORT_INTERVAL_MS == phase {
                 leader.report(&mut world, entry);
             }
         }
@@ -368,7 +369,7 @@
     Setup { entries: 54, rate: 620.0, upstreams: 45, duration: 12_000, version, trouble, seed }
 }
 
-const BAD: [Version; 9] = [
+const BAD_VERSIONS: [Version; 9] = [
     Version::Failing(1.0),
     Version::Failing(0.5),
     Version::Failing(0.2),
@@ -393,7 +394,7 @@
 
 #[test]
 fn a_bad_version_is_rolled_back_before_too_many_requests_reach_it() {
-    for version in BAD {
+    for version in BAD_VERSIONS {
         for duration in [12_000, 24_000] {
             for seed in 0..6 {
                 let outcome = play(Setup { duration, ..setup(version, seed) });
@@ -408,7 +409,7 @@
 #[test]
 fn a_bad_version_is_rolled_back_at_few_and_at_hundreds_of_entries() {
     for (entries, rate) in [(5, 150.0), (300, 3_000.0)] {
-        for version in BAD {
+        for version in BAD_VERSIONS {
             let upstreams = if entries == 5 { 12 } else { 160 };
             let outcome = play(Setup { entries, rate, upstreams, ..setup(version, 1) });
             let context = format!("{entries} {version:?} {outcome:?}");
@@ -420,7 +421,7 @@
 
 #[test]
 fn a_bad_version_stays_within_its_bounds_when_the_leader_is_lost() {
-    for version in BAD {
+    for version in BAD_VERSIONS {
         for at in [5_000, 7_500, 9_000] {
             let trouble = Trouble { leader: Some(at), ..Trouble::default() };
             let outcome = play(Setup { trouble, duration: 20_000, ..setup(version, 3) });
--- a/crates/verbenaslip-relay/tests/versions.rs
+++ b/crates/verbenaslip-relay/tests/versions.rs
@@ -31,30 +31,30 @@
     View { rollout_plans: Arc::new(plans), plans_confirmed_at: Some(confirmed), ..View::default() }
 }
 
-fn first(versions: &Versions, again: bool, draw: f64) -> Track {
-    versions.choose_tracks(NOW, "pool", "r", again, draw).preferred
+fn preferred_track(versions: &Versions, is_retry: bool, random_fraction: f64) -> Track {
+    versions.choose_tracks(NOW, "pool", "r", is_retry, random_fraction).preferred
 }
 
 #[test]
-fn without_a_roll_out_every_version_is_the_stable_one() {
+fn without_rollout_only_stable_track_is_used() {
     let versions = Versions::default();
     assert_eq!(versions.choose_tracks(NOW, "pool", "r", false, 0.0), Tracks::default());
 }
 
 #[test]
-fn canaries_get_their_share_and_nothing_that_is_tried_again() {
+fn canaries_get_their_share_and_no_retries() {
     let mut versions = Versions::default();
     versions.update(&view(plan(State::Serving, 0.1, false), NOW));
-    assert_eq!(first(&versions, false, 0.05), Track::Candidate);
-    assert_eq!(first(&versions, false, 0.15), Track::Stable);
-    assert_eq!(first(&versions, true, 0.05), Track::Stable);
+    assert_eq!(preferred_track(&versions, false, 0.05), Track::Candidate);
+    assert_eq!(preferred_track(&versions, false, 0.15), Track::Stable);
+    assert_eq!(preferred_track(&versions, true, 0.05), Track::Stable);
 }
 
 #[test]
-fn an_entry_that_lost_the_leader_sends_nothing_to_a_candidate() {
+fn entry_without_leader_prefers_stable_track() {
     let mut versions = Versions::default();
     versions.update(&view(plan(State::Serving, 1.0, true), NOW - Duration::from_millis(900)));
-    assert_eq!(first(&versions, false, 0.5), Track::Candidate);
+    assert_eq!(preferred_track(&versions, false, 0.5), Track::Candidate);
     versions.update(&view(plan(State::Serving, 1.0, true), NOW - Duration::from_millis(1_100)));
     let tracks = versions.choose_tracks(NOW, "pool", "r", false, 0.5);
     let second = Some(Track::Candidate);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_later_leader_that_missed_a_roll_back_brings_no_request_to_the_version() {
+fn rollback_holds_against_later_leader() {
     let mut versions = Versions::default();
     versions.update(&view(plan(State::RolledBack, 0.0, false), NOW));
     versions.update(&view(plan(State::Serving, 1.0, true), NOW));
@@ -75,12 +75,13 @@
 }
 
 #[test]
-fn a_request_that_is_late_counts_as_bad_before_it_is_answered_and_once() {
+fn slow_request_counts_as_bad_once_before_its_answer() {
     let mut versions = Versions::default();
     versions.update(&view(plan(State::Serving, 0.1, false), NOW));
     let route: Arc<str> = "r".into();
-    let ticket =
-        versions.record_sent(NOW, "pool", &route, Cohort::Canary, 7).expect("the request is counted");
+    let ticket = versions
+        .record_sent(NOW, "pool", &route, Cohort::Canary, 7)
+        .expect("the request is counted");
     let later = NOW + Duration::from_millis(150);
     let counts = |versions: &mut Versions| {
         let rows = versions.report(later).remove(0).rows;
@@ -93,13 +94,14 @@
 }
 
 #[test]
-fn an_upstream_that_was_never_reached_says_nothing_of_its_version() {
+fn unreached_request_does_not_count_as_ended() {
     let mut versions = Versions::default();
     versions.update(&view(plan(State::Serving, 0.1, false), NOW));
     let route: Arc<str> = "r".into();
     for ending in [Ending::Unreachable, Ending::Full, Ending::Abandoned] {
-        let ticket =
-            versions.record_sent(NOW, "pool", &route, Cohort::Canary, 7).expect("the request is counted");
+        let ticket = versions
+            .record_sent(NOW, "pool", &route, Cohort::Canary, 7)
+            .expect("the request is counted");
         versions.record_end(NOW, "pool", ticket, ending);
     }
     let rows = versions.report(NOW).remove(0).rows;
@@ -107,7 +109,7 @@
 }
 
 #[test]
-fn an_entry_stops_using_a_candidate_that_fails_all_its_requests() {
+fn entry_stops_using_a_failing_candidate() {
     let mut versions = Versions::default();
     versions.update(&view(plan(State::Serving, 1.0, true), NOW));
     let route: Arc<str> = "r".into();
@@ -116,5 +118,5 @@
         versions.record_end(NOW, "pool", ticket.expect("the request is counted"), Ending::Failed);
     }
     versions.report(NOW);
-    assert_eq!(first(&versions, false, 0.0), Track::Stable);
+    assert_eq!(preferred_track(&versions, false, 0.0), Track::Stable);
 }
--- a/crates/verbenaslip-relay/tests/waited.rs
+++ b/crates/verbenaslip-relay/tests/waited.rs
@@ -12,36 +12,37 @@
 }
 
 #[test]
-fn a_caller_with_far_less_patience_than_others_has_waited() {
-    let mut waited = ReturningCallers::default();
+fn caller_with_much_shorter_timeout_is_returning() {
+    let mut callers = ReturningCallers::default();
     let route: Arc<str> = "lookup".into();
-    let mut take = |patience| waited.is_returning(millis(1), &route, millis(patience), OBJECTIVE);
-    assert!(!take(1_500));
-    assert!(!take(1_280), "timeouts of new callers differ a little");
-    assert!(take(900), "the caller was refused and has retried");
-    assert!(!take(1_600));
+    let mut is_returning =
+        |patience| callers.is_returning(millis(1), &route, millis(patience), OBJECTIVE);
+    assert!(!is_returning(1_500));
+    assert!(!is_returning(1_280), "timeouts of new callers differ a little");
+    assert!(is_returning(900), "the caller was refused and has retried");
+    assert!(!is_returning(1_600));
 }
 
 #[test]
-fn routes_do_not_count_for_each_other() {
-    let mut waited = ReturningCallers::default();
-    assert!(!waited.is_returning(millis(1), &"long".into(), millis(15_000), OBJECTIVE));
-    assert!(!waited.is_returning(millis(1), &"short".into(), millis(900), OBJECTIVE));
+fn routes_are_independent() {
+    let mut callers = ReturningCallers::default();
+    assert!(!callers.is_returning(millis(1), &"long".into(), millis(15_000), OBJECTIVE));
+    assert!(!callers.is_returning(millis(1), &"short".into(), millis(900), OBJECTIVE));
 }
 
 #[test]
-fn callers_that_all_wait_less_than_before_are_fresh_again_in_time() {
-    let mut waited = ReturningCallers::default();
+fn shorter_timeouts_count_as_new_after_a_while() {
+    let mut callers = ReturningCallers::default();
     let route: Arc<str> = "lookup".into();
-    assert!(!waited.is_returning(millis(0), &route, millis(1_500), OBJECTIVE));
-    assert!(waited.is_returning(millis(10), &route, millis(750), OBJECTIVE));
-    assert!(!waited.is_returning(millis(60_100), &route, millis(750), OBJECTIVE));
+    assert!(!callers.is_returning(millis(0), &route, millis(1_500), OBJECTIVE));
+    assert!(callers.is_returning(millis(10), &route, millis(750), OBJECTIVE));
+    assert!(!callers.is_returning(millis(60_100), &route, millis(750), OBJECTIVE));
 }
 
 #[test]
-fn a_caller_whose_objective_has_not_passed_is_not_put_back() {
-    let mut waited = ReturningCallers::default();
+fn caller_within_objective_is_not_returning() {
+    let mut callers = ReturningCallers::default();
     let route: Arc<str> = "draft".into();
-    assert!(!waited.is_returning(millis(0), &route, millis(500), millis(400)));
-    assert!(!waited.is_returning(millis(1), &route, millis(200), millis(400)));
+    assert!(!callers.is_returning(millis(0), &route, millis(500), millis(400)));
+    assert!(!callers.is_returning(millis(1), &route, millis(200), millis(400)));
 }
