--- /dev/null
+++ b/crates/verbenaslip-relay/src/forward/request_log.rs
@@ -0,0 +1,152 @@
+//! The log line about a request.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use serde_json::{Value, json};
+use tokio::time::Instant;
+use verbenaslip_base::name::{Team, Upstream};
+use verbenaslip_fleet::rollout::{Cohort, Plan};
+use verbenaslip_fleet::route_table::TeamConfig;
+use verbenaslip_fleet::view::{Version, View};
+
+use crate::event_log::{self, Kind};
+use crate::forward::admission::AdmittedRequest;
+use crate::monotonic;
+
+/// A request has ended; the line states what decided its outcome.
+const REQUEST_ENDED: Kind = Kind { number: 901, name: "request_ended" };
+
+/// Collects the contents of the log line.
+#[derive(Debug, Default)]
+pub struct Trace {
+    /// Upstreams that received the request, in order.
+    pub attempts: Vec<Attempt>,
+    /// The view by which the request was admitted or its last upstream was chosen.
+    pub view_info: ViewInfo,
+    /// Why each attempt ended without an answer.
+    pub causes: Vec<&'static str>,
+    /// Status of the final answer.
+    pub status: u16,
+    /// Outcome of the request.
+    pub outcome: &'static str,
+    /// Expected time to the first event, or to the first byte of the body, at the last upstream
+    /// tried, in milliseconds after sending.
+    pub expected_ms: f64,
+    /// How much later than expected recent first events arrived, in milliseconds.
+    pub lag_ms: f64,
+    /// Requests per second that the last upstream takes from all entries, if it limits them.
+    pub rate_limit: Option<f64>,
+    /// Share of such requests that the service admits, if the request was refused because of it.
+    pub admitted_share: Option<f64>,
+    /// When the first piece of the body arrived, after the arrival of the request.
+    pub first_piece_after: Option<Duration>,
+    /// When the caller may retry.
+    pub retry_after: Option<Duration>,
+    /// The last upstream's cohort in a rollout, if it runs the candidate version.
+    pub cohort: Option<Cohort>,
+    /// Version of the last upstream.
+    pub version: Option<Arc<str>>,
+    /// Longest pause between two pieces of the answer.
+    pub longest_pause: Duration,
+}
+
+/// Holds one attempt of a request at an upstream.
+#[derive(Debug)]
+pub struct Attempt {
+    /// The upstream.
+    pub upstream: Upstream,
+    /// When the request was sent, after its arrival.
+    pub sent_after: Duration,
+}
+
+/// Describes the view by which a decision was made.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct ViewInfo {
+    /// Version of the view.
+    version: Version,
+    /// Time since the leader was last heard.
+    leader_silence: Option<Duration>,
+}
+
+impl ViewInfo {
+    /// Describes the view for a decision that is made now.
+    pub fn of(view: &View) -> Self {
+        let leader_silence =
+            view.leader_heard_at.map(|heard| monotonic::now().saturating_sub(heard));
+        Self { version: view.version, leader_silence }
+    }
+}
+
+/// Logs how a request ended and what decided that.
+pub fn log_request(
+    view: &View,
+    id: &str,
+    request: Option<&AdmittedRequest<'_>>,
+    trace: &Trace,
+    arrived: Instant,
+) {
+    let duration = arrived.elapsed();
+    let route = request.map_or("", |request| &*request.route.name);
+    let outcome = if trace.outcome.is_empty() { "cut" } else { trace.outcome };
+    metrics::counter!("verbenaslip_requests_total", "outcome" => outcome).increment(1);
+    metrics::histogram!("verbenaslip_request_seconds", "route" => route.to_owned())
+        .record(duration.as_secs_f64());
+    let ViewInfo { version, leader_silence } = trace.view_info;
+    let team = request.and_then(|request| request.team).map(|team: &TeamConfig| &team.name);
+    let sent: Vec<&str> = trace.attempts.iter().map(|attempt| attempt.upstream.as_str()).collect();
+    let sent_after: Vec<u128> =
+        trace.attempts.iter().map(|attempt| attempt.sent_after.as_millis()).collect();
+    let fields = [
+        ("id", json!(id)),
+        ("route", json!(route)),
+        ("team", json!(team.map(Team::as_str))),
+        (
+            "content",
+            json!(request.and_then(|request| request.fingerprint).map(|it| it.to_string())),
+        ),
+        ("outcome", json!(outcome)),
+        ("status", json!(trace.status)),
+        ("ms", json!(duration.as_millis())),
+        ("upstreams", json!(sent)),
+        ("sent_ms", json!(sent_after)),
+        ("term", json!(version.term)),
+        ("change", json!(version.change)),
+        ("causes", json!(trace.causes)),
+        ("objective_ms", json!(request.map(|request| request.route.objective.as_millis()))),
+        (
+            "patience_ms",
+            json!(request.and_then(|request| request.info.caller_timeout).map(|it| it.as_millis())),
+        ),
+        ("rank", json!(request.map(|request| request.rank))),
+        ("waited", json!(request.is_some_and(|request| request.returning))),
+        ("expected_ms", json!(trace.expected_ms.round())),
+        ("lag_ms", json!(trace.lag_ms.round())),
+        ("admitted_share", json!(trace.admitted_share)),
+        ("limit", json!(trace.rate_limit)),
+        ("first_ms", json!(trace.first_piece_after.map(|first| first.as_millis()))),
+        ("back_ms", json!(trace.retry_after.map(|back| back.as_millis()))),
+        ("pause_ms", json!(trace.longest_pause.as_millis())),
+        ("cohort", json!(trace.cohort.map(|it| format!("{it:?}")))),
+        ("version", json!(rollout_plan(view, request).and(trace.version.as_ref()))),
+        ("revision", json!(view.revision())),
+        ("view_age_ms", json!(leader_silence.map(|leader_silence| leader_silence.as_millis()))),
+    ];
+    event_log::emit(REQUEST_ENDED, fields.into_iter().filter(|(_, value)| is_informative(value)));
+}
+
+/// Returns the rollout plan of the request's service, if there is one.
+fn rollout_plan<'a>(view: &'a View, request: Option<&AdmittedRequest<'_>>) -> Option<&'a Plan> {
+    view.rollout_plans.get(&request?.service)
+}
+
+/// Returns whether a value is worth its place in a line.
+///
+/// There is a line for every request, and log collectors keep a limited number of bytes.
+fn is_informative(value: &Value) -> bool {
+    match value {
+        Value::Null | Value::Bool(false) => false,
+        Value::Array(items) => !items.is_empty(),
+        _ => true,
+    }
+}
--- /dev/null
+++ b/crates/verbenaslip-relay/src/policy/upstream_state.rs
@@ -0,0 +1,185 @@
+//! What an entry knows of one upstream.
+
+use std::time::Duration;
+
+use verbenaslip_base::hash;
+use verbenaslip_fleet::registry::{Record, Run, Status};
+use verbenaslip_fleet::rollout::{Cohort, Plan};
+
+use crate::policy::cache::Cache;
+use crate::policy::speed::Speed;
+
+/// First pause of an unreachable upstream; it doubles up to eight times this value.
+const UNREACHABLE_PAUSE: Duration = Duration::from_millis(500);
+
+/// First pause of a full upstream; it doubles with each consecutive refusal, up to 32 times this
+/// value. A full queue has room a moment later.
+const FULL_PAUSE: Duration = Duration::from_millis(50);
+
+/// Number of refusals without an answer in between from which an upstream counts as refusing.
+const MIN_REFUSALS: u32 = 2;
+
+/// Half-life of the failure rate. An upstream that is avoided for its failures yields no new
+/// outcomes, and would otherwise be avoided for ever.
+const FAILURE_HALF_LIFE: Duration = Duration::from_secs(4);
+
+/// Weight of the newest outcome in the failure rate.
+const OUTCOME_WEIGHT: f64 = 0.08;
+
+/// Describes how a request ended at an upstream.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Ending {
+    /// The request was answered completely.
+    Complete,
+    /// The upstream failed the request.
+    Failed,
+    /// The upstream refused the request because it was full.
+    Full,
+    /// The upstream refused the request and asked for a cooldown, which keeps other requests away.
+    CoolingDown,
+    /// The upstream could not be reached.
+    Unreachable,
+    /// The caller left or the time ran out; this says nothing about the upstream.
+    Abandoned,
+}
+
+/// Holds what this entry knows of an upstream, and its requests in progress there.
+#[derive(Debug)]
+pub(crate) struct UpstreamState {
+    /// The upstream as the fleet knows it.
+    pub(crate) record: Record,
+    /// Cohort of the upstream in a rollout of its service.
+    pub(crate) cohort: Cohort,
+    /// Hash of the upstream's name, used to select upstreams.
+    pub(crate) upstream_hash: u64,
+    /// Number of requests in progress.
+    pub(crate) active_requests: u32,
+    /// Prompt tokens whose prefill is still pending.
+    pub(crate) pending_prefill: u64,
+    /// Prompt parts that the upstream has most likely cached.
+    pub(crate) cache: Cache,
+    /// Measured speed of the upstream.
+    pub(crate) speed: Speed,
+    failure_rate: f64,
+    failure_rate_at: Duration,
+    failed_connects: u32,
+    /// Refusals since the last answer, each after the pause of the previous one.
+    consecutive_refusals: u32,
+    /// Length of the pause after the last refusal.
+    pause: Duration,
+    paused_until: Duration,
+}
+
+impl UpstreamState {
+    /// Creates a state without requests in progress.
+    pub(crate) fn new(record: Record) -> Self {
+        let mark = hash::narrow(&[record.announcement.run.upstream.as_str().as_bytes()]);
+        Self {
+            record,
+            cohort: Cohort::Stable,
+            upstream_hash: mark,
+            active_requests: 0,
+            pending_prefill: 0,
+            cache: Cache::default(),
+            speed: Speed::default(),
+            failure_rate: 0.0,
+            failure_rate_at: Duration::ZERO,
+            failed_connects: 0,
+            consecutive_refusals: 0,
+            pause: Duration::ZERO,
+            paused_until: Duration::ZERO,
+        }
+    }
+
+    /// Returns the run of the upstream.
+    pub(crate) fn run(&self) -> &Run {
+        &self.record.announcement.run
+    }
+
+    /// Updates the plan of a rollout of the service, if there is one.
+    pub(crate) fn update_plan(&mut self, plan: Option<&Plan>) {
+        let announcement = &self.record.announcement;
+        let cohort =
+            plan.map(|plan| plan.cohort(&announcement.run.upstream, &announcement.version));
+        self.cohort = cohort.unwrap_or(Cohort::Stable);
+    }
+
+    /// Records the end of a request; `duration` is its length if its first event had arrived.
+    pub(crate) fn record_end(&mut self, now: Duration, ending: Ending, duration: Option<Duration>) {
+        self.active_requests = self.active_requests.saturating_sub(1);
+        match ending {
+            Ending::Complete => {
+                self.record_outcome(now, 0.0);
+                self.failed_connects = 0;
+                self.consecutive_refusals = 0;
+                if let Some(duration) = duration {
+                    self.speed.record_answer(duration);
+                }
+            }
+            Ending::Failed => {
+                self.consecutive_refusals = 0;
+                self.record_outcome(now, 1.0);
+            }
+            Ending::Full => self.pause_after_refusal(now),
+            Ending::Unreachable => {
+                self.paused_until = now + UNREACHABLE_PAUSE * (1 << self.failed_connects.min(3));
+                self.failed_connects += 1;
+                self.record_outcome(now, 1.0);
+            }
+            Ending::Abandoned | Ending::CoolingDown => {}
+        }
+    }
+
+    /// Returns the recent failure rate of the upstream's answers.
+    pub(crate) fn failure_rate(&self, now: Duration) -> f64 {
+        let age = now.saturating_sub(self.failure_rate_at).as_secs_f64();
+        self.failure_rate * 0.5_f64.powf(age / FAILURE_HALF_LIFE.as_secs_f64())
+    }
+
+    /// Pauses a full upstream, longer with each refusal.
+    ///
+    /// An upstream that refuses everything does so at once, has nothing in progress and looks
+    /// best. With short pauses alone it would attract more than its share, and its refusals would
+    /// look like those of an overloaded service.
+    fn pause_after_refusal(&mut self, now: Duration) {
+        // Requests that were under way together count once.
+        if now < self.paused_until {
+            return;
+        }
+        self.pause = FULL_PAUSE * (1 << self.consecutive_refusals.min(5));
+        self.paused_until = now + self.pause;
+        self.consecutive_refusals += 1;
+    }
+
+    /// Returns whether the upstream refuses one request after another and answers none.
+    pub(crate) fn is_refusing(&self) -> bool {
+        self.consecutive_refusals >= MIN_REFUSALS
+    }
+
+    /// Records an outcome: one for a failure, zero for a complete answer.
+    fn record_outcome(&mut self, now: Duration, outcome: f64) {
+        let share = self.failure_rate(now);
+        self.failure_rate = share + (outcome - share) * OUTCOME_WEIGHT;
+        self.failure_rate_at = now;
+    }
+
+    /// Returns whether the upstream may take work. A check that is not strict also accepts an
+    /// upstream that looks lost from here: if most look lost, this entry itself may be cut off.
+    ///
+    /// A refusing upstream is probed by a request that may go elsewhere (`has_spare_attempt`), or
+    /// by any request after another pause.
+    pub(crate) fn accepts_requests(
+        &self,
+        now: Duration,
+        strict: bool,
+        has_spare_attempt: bool,
+    ) -> bool {
+        let wait_twice = self.is_refusing() && !has_spare_attempt;
+        let paused = if wait_twice { self.paused_until + self.pause } else { self.paused_until };
+        match self.record.status {
+            Status::Ready => !strict || paused <= now,
+            Status::Silent => !strict,
+            Status::Leaving | Status::Gone | Status::Lost => false,
+        }
+    }
+}
--- a/crates/verbenaslip-relay/tests/desk/mod.rs
+++ b/crates/verbenaslip-relay/tests/common/mod.rs
@@ -10,10 +10,10 @@
 use verbenaslip_fleet::View;
 use verbenaslip_fleet::registry::{Announcement, Record, Run, Status};
 use verbenaslip_relay::dialect::{RateLimit, ResponseInfo};
-use verbenaslip_relay::policy::place::{Choice, Placement, Query, Verdict};
+use verbenaslip_relay::policy::placement::{Choice, Decision, Placement, Query};
 use verbenaslip_relay::policy::versions::Tracks;
 
-/// An answer by which nothing is asked for.
+/// An answer that asks for nothing.
 pub const REPLY: ResponseInfo = ResponseInfo {
     matches_request: true,
     not_run: false,
@@ -28,7 +28,7 @@
     Run { upstream: Upstream::new(format!("u{number}")), incarnation }
 }
 
-/// Returns an upstream that is ready; its number is its port.
+/// Returns a ready upstream; its number is its port.
 pub fn record(run: Run, zone: &str) -> Record {
     let number: u16 = run.upstream.as_str()[1..].parse().expect("a number");
     let announcement = Announcement {
@@ -52,33 +52,33 @@
     View { upstreams: Arc::new(named.collect::<BTreeMap<_, _>>()), ..View::default() }
 }
 
-pub fn open(view: &View) -> Placement {
-    let mut entry = Placement::open(AvailabilityZone::from("north"));
+pub fn new_placement(view: &View) -> Placement {
+    let mut entry = Placement::new(AvailabilityZone::from("north"));
     entry.update(view);
     entry
 }
 
-/// Returns a request; `spare` is whether it may be sent to a second upstream.
+/// Returns a request; `spare` states whether it may be sent to a second upstream.
 pub fn query(spare: bool) -> Query<'static> {
     Query {
         service: "desk",
         rank: 0,
         parts: &[],
-        prompt: 0,
-        tried: &[],
+        prompt_tokens: 0,
+        tried_runs: &[],
         objective: Duration::from_millis(300),
         remaining: Duration::from_secs(3),
-        spare,
-        waited: false,
-        begun: false,
+        has_spare_attempt: spare,
+        returning: false,
+        may_have_run: false,
         tracks: Tracks::default(),
     }
 }
 
-/// Places a request that some upstream takes.
-pub fn go(entry: &mut Placement, now: Duration) -> Choice {
+/// Places a request and expects an upstream to take it.
+pub fn place(entry: &mut Placement, now: Duration) -> Choice {
     match entry.choose(now, &query(true)) {
-        Verdict::Go(choice) => choice,
+        Decision::Send(choice) => choice,
         other => panic!("{other:?}"),
     }
 }
