--- a/crates/verbenaslip-instance/src/core.rs
+++ b/crates/verbenaslip-instance/src/core.rs
@@ -335,18 +335,18 @@
                 self.load.sent(frame.kind(), frames, bytes * frames);
                 metrics::counter!("verbenaslip_updates_cast_total").increment(frames as u64);
             }
-            Output::Store { sequence: mark, write } => {
+            Output::Store { sequence, write } => {
                 if let Some(disk) = &self.disk {
-                    disk.write(mark, write);
+                    disk.write(sequence, write);
                 }
             }
-            Output::Reply { id, response: told } => self.face.answer(id, told),
+            Output::Reply { id, response } => self.face.answer(id, response),
             Output::Order(order) => {
                 if let Some(cloud) = &self.cloud {
                     cloud.give(order);
                 }
             }
-            Output::Event(note) => note::say(note),
+            Output::Event(event) => note::log_event(event),
         }
     }
 
--- a/crates/verbenaslip-instance/src/note.rs
+++ b/crates/verbenaslip-instance/src/note.rs
@@ -12,75 +12,62 @@
 use verbenaslip_fleet::rollout::Rollout;
 use verbenaslip_fleet::transition::Transition;
 use verbenaslip_fleet::view::Version;
-use verbenaslip_relay::event_log::{self, Kind};
+use verbenaslip_relay::event_log::{Kind, emit};
 
 use crate::event;
 
 /// Writes what a core believes to the log.
-pub fn say(note: Event) {
-    match note {
-        Event::Role { term, role: duty, leader } => {
+pub fn log_event(event: Event) {
+    match event {
+        Event::Role { term, role, leader } => {
             let leader = leader.map(|leader| leader.to_string());
-            let duty = format!("{duty:?}");
-            event_log::emit(
+            let role = format!("{role:?}");
+            emit(
                 event::ROLE,
-                [("term", json!(term)), ("role", json!(duty)), ("leader", json!(leader))],
+                [("term", json!(term)), ("role", json!(role)), ("leader", json!(leader))],
             );
         }
         Event::RouteTable { revision, routes } => {
-            event_log::emit(
-                event::SHEET,
-                [("revision", json!(revision)), ("routes", json!(routes))],
-            );
-        }
-        Event::Upstream { record } => say_upstream(&record),
-        Event::UpstreamWithdrawn(run) => run_line(event::WITHDRAWN, &run),
-        Event::StaleAnnouncement(late) => say_late(&late),
-        Event::DepartureAcknowledged { departure, waited, version: change, acks: spread } => {
-            say_acknowledged(&departure, waited, change, spread);
-        }
-        Event::LeadershipStarted { term, upstreams, logged, departures, quarantined: held } => {
-            event_log::emit(
-                event::BEGAN,
-                [
-                    ("term", json!(term)),
-                    ("upstreams", json!(upstreams)),
-                    ("logged", json!(logged)),
-                    ("departures", json!(departures)),
-                    ("held_back", json!(held)),
-                ],
-            )
+            emit(event::SHEET, [("revision", json!(revision)), ("routes", json!(routes))]);
         }
-        Event::LeaseLost { term } => event_log::emit(event::LAPSED, [("term", json!(term))]),
-        Event::LeadershipResumed { term } => {
-            event_log::emit(event::RESUMED, [("term", json!(term))])
+        Event::Upstream { record } => log_upstream(&record),
+        Event::UpstreamWithdrawn(run) => log_run(event::WITHDRAWN, &run),
+        Event::StaleAnnouncement(stale) => log_stale(&stale),
+        Event::DepartureAcknowledged { departure, waited, version, acks } => {
+            log_departure(&departure, waited, version, acks);
         }
-        Event::UnknownService(run) => run_line(event::FOREIGN, &run),
+        Event::LeadershipStarted { term, upstreams, logged, departures, quarantined } => emit(
+            event::BEGAN,
+            [
+                ("term", json!(term)),
+                ("upstreams", json!(upstreams)),
+                ("logged", json!(logged)),
+                ("departures", json!(departures)),
+                ("held_back", json!(quarantined)),
+            ],
+        ),
+        Event::LeaseLost { term } => emit(event::LAPSED, [("term", json!(term))]),
+        Event::LeadershipResumed { term } => emit(event::RESUMED, [("term", json!(term))]),
+        Event::UnknownService(run) => log_run(event::FOREIGN, &run),
         Event::VotersChanged { change } => {
-            event_log::emit(event::VOTERS, [("change", json!(format!("{change:?}")))]);
+            emit(event::VOTERS, [("change", json!(format!("{change:?}")))]);
         }
-        Event::QuarantineDecided(finding) => say_found(&finding),
-        Event::LimitChanged(sighting) => event_log::emit(
+        Event::QuarantineDecided(finding) => log_finding(&finding),
+        Event::LimitChanged(observed) => emit(
             event::LIMIT,
             [
-                ("upstream", json!(sighting.run.upstream.as_str())),
-                ("incarnation", json!(sighting.run.incarnation)),
-                ("per_second", json!(sighting.limit.rate)),
-                ("answered", json!(sighting.limit.reported_at_ms)),
+                ("upstream", json!(observed.run.upstream.as_str())),
+                ("incarnation", json!(observed.run.incarnation)),
+                ("per_second", json!(observed.limit.rate)),
+                ("answered", json!(observed.limit.reported_at_ms)),
             ],
         ),
         Event::WindowClosed { window, requests } => {
-            event_log::emit(
-                event::CLOSED,
-                [("window", json!(window)), ("requests", json!(requests))],
-            );
+            emit(event::CLOSED, [("window", json!(window)), ("requests", json!(requests))]);
         }
         Event::RolloutStage { rollout, stage, exposure } => {
             let stage = ("stage", json!(format!("{stage:?}")));
-            event_log::emit(
-                event::ROLLOUT_STAGE,
-                rollout_fields(&rollout, exposure).chain([stage]),
-            );
+            emit(event::ROLLOUT_STAGE, rollout_fields(&rollout, exposure).chain([stage]));
         }
         Event::RolloutDecided { rollout, verdict, exposure } => {
             let state = format!("{:?}", verdict.state);
@@ -88,45 +75,38 @@
                 .increment(1);
             let reason = ("reason", json!(format!("{:?}", verdict.reason)));
             let fields = [("state", json!(state)), reason];
-            event_log::emit(
-                event::ROLLOUT_DECIDED,
-                rollout_fields(&rollout, exposure).chain(fields),
-            );
-        }
-        Event::ScalingPlanned { service, initial_count: base, busy_upstreams: busy, upstreams } => {
-            event_log::emit(
-                event::PLANNED,
-                [
-                    ("service", json!(service)),
-                    ("base", json!(base)),
-                    ("busy", json!(busy.map(|busy| (busy * 100.0).round() / 100.0))),
-                    ("upstreams", json!(upstreams)),
-                ],
-            )
-        }
-        Event::CallTimedOut { call: what } => {
-            event_log::emit(event::UNSURE, [("asked", json!(what))])
+            emit(event::ROLLOUT_DECIDED, rollout_fields(&rollout, exposure).chain(fields));
         }
-        Event::UnreadableLog(what) => event_log::emit(event::UNREADABLE, [("cause", json!(what))]),
+        Event::ScalingPlanned { service, initial_count, busy_upstreams, upstreams } => emit(
+            event::PLANNED,
+            [
+                ("service", json!(service)),
+                ("base", json!(initial_count)),
+                ("busy", json!(busy_upstreams.map(|busy| (busy * 100.0).round() / 100.0))),
+                ("upstreams", json!(upstreams)),
+            ],
+        ),
+        Event::CallTimedOut { call } => emit(event::UNSURE, [("asked", json!(call))]),
+        Event::UnreadableLog(cause) => emit(event::UNREADABLE, [("cause", json!(cause))]),
     }
 }
 
 /// Writes a line about an acknowledged departure.
-fn say_acknowledged(departure: &Departure, waited: Duration, change: Version, spread: AckCounts) {
-    let complete = spread.acknowledged >= spread.reachable;
+fn log_departure(departure: &Departure, waited: Duration, version: Version, acks: AckCounts) {
+    let complete = acks.acknowledged >= acks.reachable;
     metrics::histogram!("verbenaslip_leaving_seconds").record(waited.as_secs_f64());
-    event_log::emit(
+    emit(
         event::ACKNOWLEDGED,
         [
             ("upstream", json!(departure.run.upstream.as_str())),
             ("incarnation", json!(departure.run.incarnation)),
             ("standing", json!(format!("{:?}", departure.status))),
             ("waited_ms", json!(waited.as_millis())),
-            ("term", json!(change.term)),
-            ("change", json!(change.change)),
-            ("seen", json!(spread.acknowledged)),
-            ("heard", json!(spread.reachable)),
-            ("silent", json!(spread.silent)),
+            ("term", json!(version.term)),
+            ("change", json!(version.change)),
+            ("seen", json!(acks.acknowledged)),
+            ("heard", json!(acks.reachable)),
+            ("silent", json!(acks.silent)),
             ("complete", json!(complete)),
         ],
     );
@@ -149,9 +129,9 @@
 }
 
 /// Writes a line about what is known of an upstream.
-fn say_upstream(record: &Record) {
+fn log_upstream(record: &Record) {
     let it = &record.announcement;
-    event_log::emit(
+    emit(
         event::UPSTREAM,
         [
             ("upstream", json!(it.run.upstream.as_str())),
@@ -168,16 +148,16 @@
 }
 
 /// Writes a line about an announcement that was passed over.
-fn say_late(late: &StaleAnnouncement) {
+fn log_stale(stale: &StaleAnnouncement) {
     metrics::counter!("verbenaslip_announcements_late_total").increment(1);
-    let (known, last) = late.known.unzip();
-    let (standing, age) = late.departed.unzip();
-    event_log::emit(
+    let (known, last) = stale.known.unzip();
+    let (standing, age) = stale.departed.unzip();
+    emit(
         event::LATE,
         [
-            ("upstream", json!(late.run.upstream.as_str())),
-            ("incarnation", json!(late.run.incarnation)),
-            ("sequence", json!(late.sequence)),
+            ("upstream", json!(stale.run.upstream.as_str())),
+            ("incarnation", json!(stale.run.incarnation)),
+            ("sequence", json!(stale.sequence)),
             ("known_incarnation", json!(known)),
             ("known_sequence", json!(last)),
             ("departed", json!(standing.map(|it| format!("{it:?}")))),
@@ -187,16 +167,16 @@
 }
 
 /// Writes a line about a request that ends upstreams, or may do so.
-fn say_found(finding: &Finding) {
+fn log_finding(finding: &Finding) {
     let runs = |runs: &[Run]| json!(runs.iter().map(|it| it.upstream.as_str()).collect::<Vec<_>>());
     let content = |fingerprint: &Fingerprint| ("content", json!(fingerprint.to_string()));
     match finding {
         Finding::Suspected { fingerprint, runs: ended } => {
-            event_log::emit(event::SUSPECTED, [content(fingerprint), ("upstreams", runs(ended))]);
+            emit(event::SUSPECTED, [content(fingerprint), ("upstreams", runs(ended))]);
         }
         Finding::Quarantined { fingerprint, runs: ended, held } => {
             metrics::counter!("verbenaslip_requests_held_back_total").increment(1);
-            event_log::emit(
+            emit(
                 event::HELD,
                 [
                     content(fingerprint),
@@ -207,16 +187,10 @@
             );
         }
         Finding::Cleared { fingerprint, cause } => {
-            event_log::emit(
-                event::CLEARED,
-                [content(fingerprint), ("cause", json!(format!("{cause:?}")))],
-            );
+            emit(event::CLEARED, [content(fingerprint), ("cause", json!(format!("{cause:?}")))]);
         }
         Finding::TrialOffered { fingerprint, entry } => {
-            event_log::emit(
-                event::TRIED,
-                [content(fingerprint), ("entry", json!(entry.to_string()))],
-            );
+            emit(event::TRIED, [content(fingerprint), ("entry", json!(entry.to_string()))]);
         }
     }
 }
@@ -231,8 +205,8 @@
 }
 
 /// Writes a line about one run of an upstream.
-fn run_line(kind: Kind, run: &Run) {
+fn log_run(kind: Kind, run: &Run) {
     let fields =
         [("upstream", json!(run.upstream.as_str())), ("incarnation", json!(run.incarnation))];
-    event_log::emit(kind, fields);
+    emit(kind, fields);
 }
