--- a/crates/verbenaslip-relay/src/http.rs
+++ b/crates/verbenaslip-relay/src/http.rs
@@ -20,17 +20,17 @@
 pub enum MessageError {
     /// the head is longer than allowed
     HeadTooLong,
-    /// the start line is not valid HTTP/1.1
+    /// the first line is not one of HTTP/1.1
     StartLine,
-    /// a line does not end with CRLF, or contains a control character
+    /// a line does not end with CRLF, or holds a control character
     ControlCharacter,
     /// a header field is malformed or folded over several lines
     HeaderField,
-    /// the Host header is missing or repeated
+    /// the Host header is missing or given twice
     Host,
     /// the length of the body is given twice or in two ways
     BodyLength,
-    /// the transfer coding is not supported
+    /// the transfer coding is not known here
     TransferCoding,
     /// the chunks of the body are malformed
     Chunk,
