--- a/crates/verbenaslip-relay/src/forward/context.rs
+++ b/crates/verbenaslip-relay/src/forward/context.rs
@@ -149,8 +149,8 @@
                     upstream_log::log_departure(&choice.run, &request.info.id);
                     self.shared.add_departure(&choice.run);
                 }
-                Change::Cooldown(rest) => {
-                    upstream_log::log_cooldown(&choice.run, rest, &request.info.id)
+                Change::Cooldown(cooldown) => {
+                    upstream_log::log_cooldown(&choice.run, cooldown, &request.info.id)
                 }
             }
         }
--- a/crates/verbenaslip-relay/src/forward/events.rs
+++ b/crates/verbenaslip-relay/src/forward/events.rs
@@ -24,11 +24,11 @@
             let long = self.pending.len() > MAX_EVENT_BYTES;
             return if long { self.pending.split().freeze() } else { Bytes::new() };
         };
-        let whole = self.pending.split_to(end).freeze();
-        if let Some(last) = last_event_id(&whole) {
+        let complete_events = self.pending.split_to(end).freeze();
+        if let Some(last) = last_event_id(&complete_events) {
             self.last_id = Some(last);
         }
-        whole
+        complete_events
     }
 
     /// Returns the pending bytes at the end of a stream that ended cleanly.
--- a/crates/verbenaslip-relay/src/forward/request_log.rs
+++ b/crates/verbenaslip-relay/src/forward/request_log.rs
@@ -125,7 +125,7 @@
         ("admitted_share", json!(trace.admitted_share)),
         ("limit", json!(trace.rate_limit)),
         ("first_ms", json!(trace.first_piece_after.map(|first| first.as_millis()))),
-        ("back_ms", json!(trace.retry_after.map(|back| back.as_millis()))),
+        ("back_ms", json!(trace.retry_after.map(|retry_after| retry_after.as_millis()))),
         ("pause_ms", json!(trace.longest_pause.as_millis())),
         ("cohort", json!(trace.cohort.map(|it| format!("{it:?}")))),
         ("version", json!(rollout_plan(view, request).and(trace.version.as_ref()))),
--- a/crates/verbenaslip-relay/src/policy/allowance.rs
+++ b/crates/verbenaslip-relay/src/policy/allowance.rs
@@ -138,12 +138,12 @@
             return None;
         }
         balance.granted += units;
-        let spare = balance.granted - balance.prefetch_units(units);
-        if spare <= 0.0 {
+        let unneeded = balance.granted - balance.prefetch_units(units);
+        if unneeded <= 0.0 {
             return None;
         }
-        balance.granted -= spare;
-        Some(Refund { team: team.clone(), units: spare })
+        balance.granted -= unneeded;
+        Some(Refund { team: team.clone(), units: unneeded })
     }
 
     fn balance_mut(&mut self, team: &Team) -> &mut Balance {
--- a/crates/verbenaslip-relay/src/policy/placement.rs
+++ b/crates/verbenaslip-relay/src/policy/placement.rs
@@ -166,12 +166,16 @@
         let expected_ms = choice.expected_ms + choice.lag_ms;
         let late = expected_ms
             > objective * if query.returning { MAX_EXPECTED_RETURNING } else { MAX_EXPECTED };
-        let hopeless = expected_ms > query.remaining.as_secs_f64() * 1_000.0;
-        if engine && !query.may_have_run && (late || hopeless) && choice.cohort == Cohort::Canary {
+        let past_deadline = expected_ms > query.remaining.as_secs_f64() * 1_000.0;
+        if engine
+            && !query.may_have_run
+            && (late || past_deadline)
+            && choice.cohort == Cohort::Canary
+        {
             // A busy canary must not cost its caller the answer.
             return self.choose(now, &Query { tracks: Tracks::default(), ..*query });
         }
-        if engine && !query.may_have_run && (late || hopeless) {
+        if engine && !query.may_have_run && (late || past_deadline) {
             let excess_ms = (expected_ms - objective).max(100.0);
             let retry_after = Duration::from_secs_f64((excess_ms / 1_000.0).min(3.0));
             let cause = Cause::Late { expected_ms: choice.expected_ms, lag_ms: choice.lag_ms };
@@ -245,8 +249,8 @@
         duration: Option<Duration>,
     ) {
         // An upstream that refuses everything says nothing about the others.
-        let refuses = self.state_mut(choice).is_some_and(|state| state.is_refusing());
-        if ending == Ending::Full && choice.plain_objective.is_some() && !refuses {
+        let refuses_all = self.state_mut(choice).is_some_and(|state| state.is_refusing());
+        if ending == Ending::Full && choice.plain_objective.is_some() && !refuses_all {
             self.admitted_share(now, &choice.service_rank.0)
                 .record_latency(now, FULL_QUEUE_LATENCY);
         }
@@ -362,13 +366,13 @@
             if self.restrictions.is_probe_due(at, state.run()) {
                 estimate.cost_ms -= PROBE_BONUS_MS;
             }
-            let gain = best.map_or(f64::MAX, |(_, best)| best.cost_ms - estimate.cost_ms);
-            equal_count = if gain.abs() < EQUAL_COST_MS { equal_count + 1 } else { 1 };
+            let cost_saving = best.map_or(f64::MAX, |(_, best)| best.cost_ms - estimate.cost_ms);
+            equal_count = if cost_saving.abs() < EQUAL_COST_MS { equal_count + 1 } else { 1 };
             // Equal upstreams are equally likely; always taking the first would send it all
             // simultaneous requests.
             let picked =
                 hash::mix(self.request_counter ^ state.upstream_hash).is_multiple_of(equal_count);
-            if gain >= EQUAL_COST_MS || (gain > -EQUAL_COST_MS && picked) {
+            if cost_saving >= EQUAL_COST_MS || (cost_saving > -EQUAL_COST_MS && picked) {
                 best = Some((state, estimate));
             }
         }
--- a/crates/verbenaslip-relay/src/policy/quarantine.rs
+++ b/crates/verbenaslip-relay/src/policy/quarantine.rs
@@ -92,8 +92,8 @@
         view: &View,
     ) -> Option<Duration> {
         let block = view.blocklist.quarantined.get(&fingerprint)?;
-        let chosen = block.trial_entry.is_some() && block.trial_entry == view.own_address;
-        if chosen && self.trials.insert(fingerprint, block.until) != Some(block.until) {
+        let is_trial_entry = block.trial_entry.is_some() && block.trial_entry == view.own_address;
+        if is_trial_entry && self.trials.insert(fingerprint, block.until) != Some(block.until) {
             return None;
         }
         let remaining = block.until.saturating_sub(clock::unix_ms(now, view.time_offset_ms));
