--- a/crates/verbenaslip-gossip/src/lib.rs
+++ b/crates/verbenaslip-gossip/src/lib.rs
@@ -13,7 +13,7 @@
 //!   incarnation overrides, then a higher refutation, then the later state. `probe` finds out who
 //!   does not answer, by one neighbour a period, directly and then through others. Only the own
 //!   region is probed; contacts compare the members of whole regions.
-//! - `rank` gives each key two homes in two availability zones, alike at all instances.
+//! - `rendezvous` gives each key two homes in two availability zones, alike at all instances.
 //! - `record` and `registry` hold the upstreams. Whoever receives an announcement passes a renewal
 //!   of a few bytes on to the upstream's two homes. Each home vouches for its upstreams in a
 //!   `stream`: a versioned set that changes seldom, and one freshness mark a second that renews all
@@ -34,10 +34,10 @@
 mod pack;
 mod probe;
 mod queue;
-mod rank;
 mod receive;
 mod record;
 mod registry;
+mod rendezvous;
 mod report;
 mod roster;
 mod setup;
@@ -51,9 +51,9 @@
 };
 pub use gossip::{Gossip, Input, Output, PeerReport};
 pub use member::{Event as MemberEvent, Handle, MemberStatus, Peer, RegionId, State};
-pub use rank::Homes;
 pub use record::{LeaseStatus, Record};
 pub use registry::{AnnouncementResult, Event as UpstreamEvent, Rejection};
+pub use rendezvous::Homes;
 pub use report::MAX_REPORT_BYTES;
 pub use roster::Member;
 pub use setup::{MAX_LEASE, Setup};
--- a/crates/verbenaslip-gossip/src/registry.rs
+++ b/crates/verbenaslip-gossip/src/registry.rs
@@ -1,8 +1,8 @@
 //! The upstreams of a region, with leases by age.
 
 mod departure;
-mod gauge;
 mod lease;
+mod load;
 mod vouching;
 
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/verbenaslip-gossip/src/roster.rs
+++ b/crates/verbenaslip-gossip/src/roster.rs
@@ -9,7 +9,7 @@
 
 use crate::frame::{RegionChecksum, RegionContact};
 use crate::member::{Event, Handle, MemberStatus, Peer, RegionId, State};
-use crate::rank::{Board, Homes};
+use crate::rendezvous::{Board, Homes};
 
 use compare::weigh;
 
