--- a/crates/verbenaslip-gossip/src/frame.rs
+++ b/crates/verbenaslip-gossip/src/frame.rs
@@ -120,13 +120,13 @@
 
 impl Key {
     /// Returns the first bytes, by which loads mean it.
-    pub(crate) fn short(self) -> [u8; 4] {
+    pub(crate) fn prefix(self) -> [u8; 4] {
         let [a, b, c, d, ..] = self.0;
         [a, b, c, d]
     }
 
     /// Returns the range of keys that begin with such bytes.
-    pub(crate) fn begin([a, b, c, d]: [u8; 4]) -> std::ops::RangeInclusive<Self> {
+    pub(crate) fn with_prefix([a, b, c, d]: [u8; 4]) -> std::ops::RangeInclusive<Self> {
         Self([a, b, c, d, 0, 0])..=Self([a, b, c, d, u8::MAX, u8::MAX])
     }
 }
@@ -269,9 +269,9 @@
 
 impl RegionContact {
     /// Measures how long ago a region was heard.
-    pub(crate) fn of(area: RegionId, now: Duration, then: Duration) -> Self {
+    pub(crate) fn of(region_id: RegionId, now: Duration, then: Duration) -> Self {
         let tenths = now.saturating_sub(then).as_millis() / 100 + 1;
-        Self { region_id: area, age_tenths: u16::try_from(tenths).unwrap_or(u16::MAX) }
+        Self { region_id, age_tenths: u16::try_from(tenths).unwrap_or(u16::MAX) }
     }
 }
 
--- a/crates/verbenaslip-gossip/src/member.rs
+++ b/crates/verbenaslip-gossip/src/member.rs
@@ -6,7 +6,7 @@
 use verbenaslip_base::{data, hash};
 
 /// The longest name that a peer may give, in bytes.
-const MAX_NAME: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 
 /// Describes one running instance.
 #[data(ord, hash)]
@@ -31,9 +31,9 @@
     }
 
     /// Checks that the names have a sensible length.
-    pub(crate) fn valid(&self) -> bool {
+    pub(crate) fn is_valid(&self) -> bool {
         let names = [self.instance.as_str(), self.zone.as_str(), self.region.as_str()];
-        names.iter().all(|name| (1..=MAX_NAME).contains(&name.len()))
+        names.iter().all(|name| (1..=MAX_NAME_BYTES).contains(&name.len()))
     }
 }
 
@@ -72,7 +72,7 @@
 
 impl State {
     /// Tells whether datagrams to it make sense.
-    pub(crate) fn present(self) -> bool {
+    pub(crate) fn is_present(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect | Self::Leaving)
     }
 }
@@ -91,10 +91,10 @@
 impl MemberStatus {
     /// Tells whether it overrides another one of the same instance.
     pub(crate) fn overrides(&self, other: &Self) -> bool {
-        self.rank() > other.rank()
+        self.precedence() > other.precedence()
     }
 
-    fn rank(&self) -> impl Ord + use<> {
+    fn precedence(&self) -> impl Ord + use<> {
         (self.peer.incarnation, self.refutations, self.state)
     }
 }
--- a/crates/verbenaslip-gossip/src/pack.rs
+++ b/crates/verbenaslip-gossip/src/pack.rs
@@ -13,130 +13,136 @@
 use crate::roster::Roster;
 
 /// How many bytes of news fit a datagram: what a frame may take without its own head.
-const ROOM: usize = crate::frame::MAX_FRAME_BYTES - 32;
+const UPDATES_BYTES: usize = crate::frame::MAX_FRAME_BYTES - 32;
 
 /// How many bytes of loads go into one datagram, so that they never crowd out the rest.
-const GAUGE_ROOM: usize = 96;
+const LOADS_BYTES: usize = 96;
 
 /// The most bytes that a freshness mark takes.
-const MARK: usize = 15;
+const MARK_BYTES: usize = 15;
 
 /// The most bytes that the news of a leaving upstream takes.
-const LEAVING: usize = 33;
+const DEPARTURE_BYTES: usize = 33;
 
 /// The most bytes that one change of a stream takes.
-const ENTRY: usize = 15;
+const ENTRY_BYTES: usize = 15;
 
 /// The most bytes that a delta takes besides its changes.
-const DELTA: usize = 24;
+const DELTA_BYTES: usize = 24;
 
 /// The most bytes that a rumor takes besides its names.
-const RUMOR: usize = 44;
+const STATUS_BYTES: usize = 44;
 
 /// The most bytes that the checksum of a region takes.
-const SUM: usize = 14;
+const CHECKSUM_BYTES: usize = 14;
 
 /// The most bytes that the silence of a region takes.
-const HEARD: usize = 7;
+const CONTACT_BYTES: usize = 7;
 
 /// Fills one datagram.
-struct Parcel {
-    spread: Updates,
-    room: usize,
-    gauges: usize,
+struct Packet {
+    updates: Updates,
+    free_bytes: usize,
+    free_load_bytes: usize,
 }
 
-impl Parcel {
-    fn empty() -> Self {
-        Self { spread: Updates::default(), room: ROOM, gauges: GAUGE_ROOM }
+impl Packet {
+    fn new() -> Self {
+        Self {
+            updates: Updates::default(),
+            free_bytes: UPDATES_BYTES,
+            free_load_bytes: LOADS_BYTES,
+        }
     }
 
-    fn take(&mut self, size: usize) -> bool {
-        let fits = size <= self.room;
+    fn reserve(&mut self, size: usize) -> bool {
+        let fits = size <= self.free_bytes;
         if fits {
-            self.room -= size;
+            self.free_bytes -= size;
         }
         fits
     }
 
-    fn add(&mut self, subject: &Subject, from: &Source<'_>) -> Added {
+    fn add(&mut self, subject: &Subject, from: &Source<'_>) -> AddOutcome {
         match subject {
-            Subject::Leaving(key) => self.add_leaving(from.registry.leaving(*key, from.now)),
-            Subject::Mark(voucher) => self.add_mark(from.registry.marked(*voucher, from.now)),
-            Subject::Member(name) => self.add_member(from.roster.rumor(name)),
+            Subject::Departure(key) => self.add_departure(from.registry.departure(*key, from.now)),
+            Subject::Mark(voucher) => self.add_mark(from.registry.mark_of(*voucher, from.now)),
+            Subject::Member(name) => self.add_member(from.roster.status_of(name)),
             Subject::Delta(voucher, version) => {
-                self.add_delta(from.registry.delta(*voucher, *version))
+                self.add_delta(from.registry.delta_to(*voucher, *version))
+            }
+            Subject::Announcement(key) => {
+                self.add_announcement(from.registry.forwarded_announcement(*key, from.now))
             }
-            Subject::Sheet(key) => self.add_sheet(from.registry.said(*key, from.now)),
-            Subject::Gauge(key) => self.add_gauge(from.registry.gauged(*key, from.now)),
+            Subject::Load(key) => self.add_load(from.registry.compact_load(*key, from.now)),
         }
     }
 
-    fn add_gauge(&mut self, gauge: Option<CompactLoad>) -> Added {
-        let Some(gauge) = gauge else { return Added::Gone };
-        let size = size(&gauge);
-        if self.gauges < size || !self.take(size) {
-            return Added::Enough;
+    fn add_load(&mut self, load: Option<CompactLoad>) -> AddOutcome {
+        let Some(load) = load else { return AddOutcome::Gone };
+        let size = encoded_size(&load);
+        if self.free_load_bytes < size || !self.reserve(size) {
+            return AddOutcome::LoadsFull;
         }
-        self.gauges -= size;
-        self.spread.loads.push(gauge);
-        Added::Yes
+        self.free_load_bytes -= size;
+        self.updates.loads.push(load);
+        AddOutcome::Added
     }
 
-    fn add_leaving(&mut self, leaving: Option<Departure>) -> Added {
-        let Some(leaving) = leaving else { return Added::Gone };
-        if !self.take(LEAVING) {
-            return Added::Full;
+    fn add_departure(&mut self, departure: Option<Departure>) -> AddOutcome {
+        let Some(departure) = departure else { return AddOutcome::Gone };
+        if !self.reserve(DEPARTURE_BYTES) {
+            return AddOutcome::Full;
         }
-        self.spread.departures.push(leaving);
-        Added::Yes
+        self.updates.departures.push(departure);
+        AddOutcome::Added
     }
 
-    fn add_mark(&mut self, mark: Option<FreshnessMark>) -> Added {
-        let Some(mark) = mark else { return Added::Gone };
-        if !self.take(MARK) {
-            return Added::Full;
+    fn add_mark(&mut self, mark: Option<FreshnessMark>) -> AddOutcome {
+        let Some(mark) = mark else { return AddOutcome::Gone };
+        if !self.reserve(MARK_BYTES) {
+            return AddOutcome::Full;
         }
-        self.spread.marks.push(mark);
-        Added::Yes
+        self.updates.marks.push(mark);
+        AddOutcome::Added
     }
 
-    fn add_member(&mut self, rumor: Option<&MemberStatus>) -> Added {
-        let Some(rumor) = rumor else { return Added::Gone };
-        if !self.take(rumor_size(rumor)) {
-            return Added::Full;
+    fn add_member(&mut self, status: Option<&MemberStatus>) -> AddOutcome {
+        let Some(status) = status else { return AddOutcome::Gone };
+        if !self.reserve(status_size(status)) {
+            return AddOutcome::Full;
         }
-        self.spread.members.push(rumor.clone());
-        Added::Yes
+        self.updates.members.push(status.clone());
+        AddOutcome::Added
     }
 
-    fn add_delta(&mut self, delta: Option<Delta>) -> Added {
-        let Some(delta) = delta else { return Added::Gone };
-        if !self.take(DELTA + ENTRY * delta.entries.len()) {
-            return Added::Full;
+    fn add_delta(&mut self, delta: Option<Delta>) -> AddOutcome {
+        let Some(delta) = delta else { return AddOutcome::Gone };
+        if !self.reserve(DELTA_BYTES + ENTRY_BYTES * delta.entries.len()) {
+            return AddOutcome::Full;
         }
-        self.spread.deltas.push(delta);
-        Added::Yes
+        self.updates.deltas.push(delta);
+        AddOutcome::Added
     }
 
-    fn add_sheet(&mut self, sheet: Option<ForwardedAnnouncement>) -> Added {
-        let Some(sheet) = sheet else { return Added::Gone };
-        if !self.take(size(&sheet)) {
-            return Added::Full;
+    fn add_announcement(&mut self, forwarded: Option<ForwardedAnnouncement>) -> AddOutcome {
+        let Some(forwarded) = forwarded else { return AddOutcome::Gone };
+        if !self.reserve(encoded_size(&forwarded)) {
+            return AddOutcome::Full;
         }
-        self.spread.announcements.push(sheet);
-        Added::Yes
+        self.updates.announcements.push(forwarded);
+        AddOutcome::Added
     }
 }
 
 /// Says whether something went into a datagram.
-enum Added {
+enum AddOutcome {
     /// It did.
-    Yes,
+    Added,
     /// It did not: the datagram is full.
     Full,
     /// It did not: there are enough of its kind, which is the last one.
-    Enough,
+    LoadsFull,
     /// There is nothing to say about it any more.
     Gone,
 }
@@ -153,102 +159,106 @@
 
 impl Source<'_> {
     /// Takes the most urgent news for one receiver, in at most so many datagrams.
-    pub(crate) fn news(
+    pub(crate) fn pack_queue(
         &self,
         queue: &mut Queue,
-        most: usize,
+        max_packets: usize,
         wanted: impl Fn(&Subject) -> bool,
     ) -> Vec<Updates> {
         let mut full = Vec::new();
-        let mut parcel = Parcel::empty();
+        let mut packet = Packet::new();
         for subject in queue.subjects().iter().filter(|subject| wanted(subject)) {
-            let mut added = parcel.add(subject, self);
-            if matches!(added, Added::Full) && full.len() + 1 < most {
-                full.push(std::mem::replace(&mut parcel, Parcel::empty()).spread);
-                added = parcel.add(subject, self);
+            let mut added = packet.add(subject, self);
+            if matches!(added, AddOutcome::Full) && full.len() + 1 < max_packets {
+                full.push(std::mem::replace(&mut packet, Packet::new()).updates);
+                added = packet.add(subject, self);
             }
             match added {
-                Added::Yes => queue.sent(subject),
-                Added::Gone => queue.drop(subject),
-                Added::Full | Added::Enough => break,
+                AddOutcome::Added => queue.record_sent(subject),
+                AddOutcome::Gone => queue.remove(subject),
+                AddOutcome::Full | AddOutcome::LoadsFull => break,
             }
         }
-        full.push(parcel.spread);
+        full.push(packet.updates);
         full
     }
 
     /// Answers what another instance lacks, in as many datagrams as it takes.
-    pub(crate) fn answer(&self, pull: &Pull) -> Vec<Updates> {
-        let mut parcels = Parcels::default();
+    pub(crate) fn pack_pull_response(&self, pull: &Pull) -> Vec<Updates> {
+        let mut packets = Packets::default();
         for handle in &pull.members {
-            let rumor = self.roster.named(*handle);
-            parcels.add(|parcel| parcel.add_member(rumor));
+            let status = self.roster.status_by_handle(*handle);
+            packets.add(|packet| packet.add_member(status));
         }
         for key in &pull.announcements {
-            parcels.add(|parcel| parcel.add_sheet(self.registry.said(*key, self.now)));
+            packets.add(|packet| {
+                packet.add_announcement(self.registry.forwarded_announcement(*key, self.now))
+            });
         }
-        for delta in pull.streams.iter().flat_map(|since| self.registry.since(since)) {
-            parcels.add(|parcel| parcel.add_delta(Some(delta.clone())));
+        for delta in pull.streams.iter().flat_map(|position| self.registry.deltas_since(position)) {
+            packets.add(|packet| packet.add_delta(Some(delta.clone())));
         }
-        parcels.done()
+        packets.finish()
     }
 
     /// Puts rumors into as many datagrams as it takes.
-    pub(crate) fn tell(&self, rumors: &[MemberStatus]) -> Vec<Updates> {
-        let mut parcels = Parcels::default();
-        for rumor in rumors {
-            parcels.add(|parcel| parcel.add_member(Some(rumor)));
+    pub(crate) fn pack_statuses(&self, statuses: &[MemberStatus]) -> Vec<Updates> {
+        let mut packets = Packets::default();
+        for status in statuses {
+            packets.add(|packet| packet.add_member(Some(status)));
         }
-        parcels.done()
+        packets.finish()
     }
 
     /// Puts marks into as many datagrams as it takes.
-    pub(crate) fn show(&self, marks: Vec<FreshnessMark>) -> Vec<Updates> {
-        let mut parcels = Parcels::default();
+    pub(crate) fn pack_marks(&self, marks: Vec<FreshnessMark>) -> Vec<Updates> {
+        let mut packets = Packets::default();
         for mark in marks {
-            parcels.add(|parcel| parcel.add_mark(Some(mark)));
+            packets.add(|packet| packet.add_mark(Some(mark)));
         }
-        parcels.done()
+        packets.finish()
     }
 }
 
 /// Fills datagrams one after the other.
 #[derive(Default)]
-struct Parcels {
+struct Packets {
     full: Vec<Updates>,
-    open: Option<Parcel>,
+    current: Option<Packet>,
 }
 
-impl Parcels {
-    fn add(&mut self, add: impl Fn(&mut Parcel) -> Added) {
-        let parcel = self.open.get_or_insert_with(Parcel::empty);
-        if !matches!(add(parcel), Added::Full) {
+impl Packets {
+    fn add(&mut self, add: impl Fn(&mut Packet) -> AddOutcome) {
+        let packet = self.current.get_or_insert_with(Packet::new);
+        if !matches!(add(packet), AddOutcome::Full) {
             return;
         }
-        self.full.push(std::mem::take(&mut parcel.spread));
-        *parcel = Parcel::empty();
-        add(parcel);
+        self.full.push(std::mem::take(&mut packet.updates));
+        *packet = Packet::new();
+        add(packet);
     }
 
-    fn done(mut self) -> Vec<Updates> {
-        self.full.extend(self.open.map(|parcel| parcel.spread));
-        self.full.retain(|spread| !spread.is_empty());
+    fn finish(mut self) -> Vec<Updates> {
+        self.full.extend(self.current.map(|packet| packet.updates));
+        self.full.retain(|updates| !updates.is_empty());
         self.full
     }
 }
 
 /// Returns how many bytes a piece of news takes.
-fn size(news: &impl Serialize) -> usize {
-    postcard::to_stdvec(news).map_or(usize::MAX, |bytes| bytes.len())
+fn encoded_size(value: &impl Serialize) -> usize {
+    postcard::to_stdvec(value).map_or(usize::MAX, |bytes| bytes.len())
 }
 
 /// Returns how many marks fit a comparison beside the rest of it.
-pub(crate) fn marks_beside(sync: &Digest) -> usize {
-    ROOM.saturating_sub(SUM * sync.checksums.len() + HEARD * sync.contacts.len()) / MARK
+pub(crate) fn digest_mark_capacity(digest: &Digest) -> usize {
+    UPDATES_BYTES.saturating_sub(
+        CHECKSUM_BYTES * digest.checksums.len() + CONTACT_BYTES * digest.contacts.len(),
+    ) / MARK_BYTES
 }
 
-fn rumor_size(rumor: &MemberStatus) -> usize {
-    let peer = &rumor.peer;
+fn status_size(status: &MemberStatus) -> usize {
+    let peer = &status.peer;
     let names = [peer.instance.as_str(), peer.zone.as_str(), peer.region.as_str()];
-    RUMOR + names.iter().map(|name| name.len()).sum::<usize>()
+    STATUS_BYTES + names.iter().map(|name| name.len()).sum::<usize>()
 }
--- a/crates/verbenaslip-gossip/src/probe.rs
+++ b/crates/verbenaslip-gossip/src/probe.rs
@@ -13,25 +13,25 @@
 use crate::roster::{Member, Roster};
 
 /// How often one neighbour is probed.
-const PERIOD: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long a direct answer may take before others are asked.
-const TIMEOUT: Duration = Duration::from_millis(300);
+const ACK_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How many others are asked to probe in this instance's place.
-const RELAYS: usize = 3;
+const INDIRECT_PROBES: usize = 3;
 
 /// The most probes done for others at once; a flood of them ends here.
 const MAX_RELAYED: usize = 64;
 
 /// How many of its last probes an instance looks at to doubt its own links.
-const WINDOW: usize = 5;
+const OUTCOME_WINDOW: usize = 5;
 
 /// How many of them must have failed.
-const FAILED: usize = 4;
+const FAILED_OUTCOMES: usize = 4;
 
 /// A datagram to a member.
-pub(crate) struct Letter {
+pub(crate) struct Outgoing {
     /// Who gets it.
     pub(crate) to: Handle,
     /// What it says.
@@ -40,126 +40,128 @@
 
 /// Probes the neighbours in turn.
 pub(crate) struct Prober {
-    turn: Vec<Instance>,
-    number: u32,
+    remaining: Vec<Instance>,
+    last_number: u32,
     current: Option<Probe>,
-    relayed: BTreeMap<u32, Relayed>,
+    relayed: BTreeMap<u32, RelayedProbe>,
     outcomes: VecDeque<bool>,
-    period: Duration,
+    next_probe: Duration,
 }
 
 struct Probe {
     instance: Instance,
     handle: Handle,
     number: u32,
-    asked: Duration,
-    relays: bool,
-    counts: bool,
+    sent_at: Duration,
+    indirect_sent: bool,
+    counted: bool,
 }
 
-struct Relayed {
-    origin: Handle,
+struct RelayedProbe {
+    requester: Handle,
     number: u32,
-    until: Duration,
+    expires_at: Duration,
 }
 
 impl Prober {
     /// Starts with the first probe due at the given time.
-    pub(crate) fn open(first: Duration) -> Self {
+    pub(crate) fn new(first: Duration) -> Self {
         Self {
-            turn: Vec::new(),
-            number: 0,
+            remaining: Vec::new(),
+            last_number: 0,
             current: None,
             relayed: BTreeMap::new(),
             outcomes: VecDeque::new(),
-            period: first,
+            next_probe: first,
         }
     }
 
     /// Returns when the next step is due.
-    pub(crate) fn wake(&self) -> Duration {
-        let relays = self.current.as_ref().filter(|probe| !probe.relays);
-        relays.map_or(self.period, |probe| self.period.min(probe.asked + TIMEOUT))
+    pub(crate) fn next_wakeup(&self) -> Duration {
+        let awaiting = self.current.as_ref().filter(|probe| !probe.indirect_sent);
+        awaiting.map_or(self.next_probe, |probe| self.next_probe.min(probe.sent_at + ACK_TIMEOUT))
     }
 
     /// Tells whether most of the last probes failed, of peers whom nobody else doubted.
-    pub(crate) fn doubtful(&self) -> bool {
-        self.outcomes.iter().filter(|answered| !**answered).count() >= FAILED
+    pub(crate) fn most_failed(&self) -> bool {
+        self.outcomes.iter().filter(|answered| !**answered).count() >= FAILED_OUTCOMES
     }
 
     /// Forgets the probe that a freeze of this instance has spoilt.
-    pub(crate) fn thaw(&mut self, now: Duration) {
+    pub(crate) fn resume_after_pause(&mut self, now: Duration) {
         self.current = None;
         self.relayed.clear();
         self.outcomes.clear();
-        self.period = now + PERIOD;
+        self.next_probe = now + PROBE_INTERVAL;
     }
 
     /// Does what is due; returns the neighbour that has not answered, if any.
-    pub(crate) fn step(
+    pub(crate) fn tick(
         &mut self,
         now: Duration,
         roster: &Roster,
         rng: &mut Pcg64,
-        letters: &mut Vec<Letter>,
+        outbox: &mut Vec<Outgoing>,
     ) -> Option<Instance> {
-        self.relayed.retain(|_, relayed| relayed.until > now);
-        self.ask_others(now, roster, rng, letters);
-        if now < self.period {
+        self.relayed.retain(|_, relayed| relayed.expires_at > now);
+        self.send_indirect_pings(now, roster, rng, outbox);
+        if now < self.next_probe {
             return None;
         }
         let failed = self.current.take().map(|probe| {
-            self.note(probe.counts, false);
+            self.record_outcome(probe.counted, false);
             probe.instance
         });
-        self.period = now + PERIOD;
-        self.ask_next(now, roster, rng, letters);
+        self.next_probe = now + PROBE_INTERVAL;
+        self.probe_next(now, roster, rng, outbox);
         failed
     }
 
-    fn note(&mut self, counts: bool, answered: bool) {
-        if !counts {
+    fn record_outcome(&mut self, counted: bool, answered: bool) {
+        if !counted {
             return;
         }
         self.outcomes.push_back(answered);
-        if self.outcomes.len() > WINDOW {
+        if self.outcomes.len() > OUTCOME_WINDOW {
             self.outcomes.pop_front();
         }
     }
 
-    fn ask_next(
+    fn probe_next(
         &mut self,
         now: Duration,
         roster: &Roster,
         rng: &mut Pcg64,
-        letters: &mut Vec<Letter>,
+        outbox: &mut Vec<Outgoing>,
     ) {
-        let Some(member) = self.pick(roster, rng) else { return };
-        self.number = self.number.wrapping_add(1);
+        let Some(member) = self.next_target(roster, rng) else { return };
+        self.last_number = self.last_number.wrapping_add(1);
         let handle = member.handle();
-        letters
-            .push(Letter { to: handle, body: Body::Ping { target: handle, probe: self.number } });
+        outbox.push(Outgoing {
+            to: handle,
+            body: Body::Ping { target: handle, probe: self.last_number },
+        });
         self.current = Some(Probe {
             instance: member.peer().instance.clone(),
             handle,
-            number: self.number,
-            asked: now,
-            relays: false,
-            counts: member.state() == State::Alive,
+            number: self.last_number,
+            sent_at: now,
+            indirect_sent: false,
+            counted: member.state() == State::Alive,
         });
     }
 
     /// Goes through the neighbours in a random order that is drawn anew when all had their turn.
-    fn pick<'a>(&mut self, roster: &'a Roster, rng: &mut Pcg64) -> Option<&'a Member> {
+    fn next_target<'a>(&mut self, roster: &'a Roster, rng: &mut Pcg64) -> Option<&'a Member> {
         for _ in 0..2 {
-            while let Some(instance) = self.turn.pop() {
-                if let Some(member) = roster.get(&instance).filter(|it| it.state().present()) {
+            while let Some(instance) = self.remaining.pop() {
+                if let Some(member) = roster.get(&instance).filter(|it| it.state().is_present()) {
                     return Some(member);
                 }
             }
-            let present = roster.neighbours().filter(|member| member.state().present());
-            self.turn = present.map(|member| member.peer().instance.clone()).collect();
-            self.turn.shuffle(rng);
+            let present = roster.neighbours().filter(|member| member.state().is_present());
+            self.remaining = present.map(|member| member.peer().instance.clone()).collect();
+            self.remaining.shuffle(rng);
         }
         None
     }
@@ -169,68 +171,71 @@
     /// A broken path between two availability zones would make each call the other dead. One would
     /// notice all of an availability zone suspected by one other only. A helper elsewhere reaches
     /// it by another path.
-    fn ask_others(
+    fn send_indirect_pings(
         &mut self,
         now: Duration,
         roster: &Roster,
         rng: &mut Pcg64,
-        letters: &mut Vec<Letter>,
+        outbox: &mut Vec<Outgoing>,
     ) {
         let Some(probe) = &mut self.current else { return };
-        if probe.relays || now < probe.asked + TIMEOUT {
+        if probe.indirect_sent || now < probe.sent_at + ACK_TIMEOUT {
             return;
         }
-        probe.relays = true;
+        probe.indirect_sent = true;
         let own = &roster.own().peer.zone;
         let target = roster.get(&probe.instance).map(|member| member.peer().zone.clone());
-        let able = |m: &&Member| m.state() == State::Alive && m.handle() != probe.handle;
-        let mut helpers: Vec<&Member> = roster.neighbours().filter(able).collect();
+        let eligible =
+            |member: &&Member| member.state() == State::Alive && member.handle() != probe.handle;
+        let mut helpers: Vec<&Member> = roster.neighbours().filter(eligible).collect();
         helpers.shuffle(rng);
-        let third = |m: &Member| m.peer().zone != *own && Some(&m.peer().zone) != target.as_ref();
-        if let Some(place) = helpers.iter().position(|member| third(member)) {
-            helpers.swap(0, place);
+        let third = |member: &Member| {
+            member.peer().zone != *own && Some(&member.peer().zone) != target.as_ref()
+        };
+        if let Some(index) = helpers.iter().position(|member| third(member)) {
+            helpers.swap(0, index);
         }
-        for helper in helpers.iter().take(RELAYS) {
+        for helper in helpers.iter().take(INDIRECT_PROBES) {
             let body = Body::IndirectPing { target: probe.handle, probe: probe.number };
-            letters.push(Letter { to: helper.handle(), body });
+            outbox.push(Outgoing { to: helper.handle(), body });
         }
     }
 
     /// Probes a target in the place of another member.
-    pub(crate) fn relay(
+    pub(crate) fn handle_indirect_ping(
         &mut self,
         now: Duration,
-        origin: Handle,
+        requester: Handle,
         target: Handle,
         probe: u32,
-        letters: &mut Vec<Letter>,
+        outbox: &mut Vec<Outgoing>,
     ) {
         if self.relayed.len() >= MAX_RELAYED {
             return;
         }
-        self.number = self.number.wrapping_add(1);
-        let relayed = Relayed { origin, number: probe, until: now + PERIOD };
-        self.relayed.insert(self.number, relayed);
-        letters.push(Letter { to: target, body: Body::Ping { target, probe: self.number } });
+        self.last_number = self.last_number.wrapping_add(1);
+        let relayed = RelayedProbe { requester, number: probe, expires_at: now + PROBE_INTERVAL };
+        self.relayed.insert(self.last_number, relayed);
+        outbox.push(Outgoing { to: target, body: Body::Ping { target, probe: self.last_number } });
     }
 
     /// Takes an answer, for this instance or for the member in whose place it had probed.
-    pub(crate) fn ack(&mut self, probe: u32, letters: &mut Vec<Letter>) {
+    pub(crate) fn handle_ack(&mut self, probe: u32, outbox: &mut Vec<Outgoing>) {
         if let Some(current) = self.current.take_if(|current| current.number == probe) {
-            self.note(current.counts, true);
+            self.record_outcome(current.counted, true);
         } else if let Some(relayed) = self.relayed.remove(&probe) {
             let body = Body::Ack { probe: relayed.number };
-            letters.push(Letter { to: relayed.origin, body });
+            outbox.push(Outgoing { to: relayed.requester, body });
         }
     }
 }
 
 /// Draws up to `count` different items.
-pub(crate) fn draw<T>(mut items: Vec<T>, count: usize, rng: &mut Pcg64) -> Vec<T> {
+pub(crate) fn sample<T>(mut items: Vec<T>, count: usize, rng: &mut Pcg64) -> Vec<T> {
     let count = count.min(items.len());
-    for place in 0..count {
-        let other = rng.random_range(place..items.len());
-        items.swap(place, other);
+    for index in 0..count {
+        let other = rng.random_range(index..items.len());
+        items.swap(index, other);
     }
     items.truncate(count);
     items
--- a/crates/verbenaslip-gossip/src/queue.rs
+++ b/crates/verbenaslip-gossip/src/queue.rs
@@ -9,16 +9,16 @@
 use crate::member::Handle;
 
 /// The most subjects waiting; beyond, the least urgent are left to the comparisons.
-const MAX_WAITING: usize = 8_192;
+const MAX_SUBJECTS: usize = 8_192;
 
 /// How many subjects wait while much changes at once.
-const CROWD: usize = 120;
+const CONGESTED_SUBJECTS: usize = 120;
 
 /// Names news, the most urgent kind first; what it says is looked up when it is sent.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Subject {
     /// An upstream that takes no new work.
-    Leaving(Key),
+    Departure(Key),
     /// The newest freshness mark of an instance.
     Mark(Handle),
     /// What is believed of a member.
@@ -26,9 +26,9 @@
     /// A version of what an instance vouches for.
     Delta(Handle, u32),
     /// A new or changed upstream.
-    Sheet(Key),
+    Announcement(Key),
     /// A changed load.
-    Gauge(Key),
+    Load(Key),
 }
 
 impl Subject {
@@ -40,13 +40,14 @@
     /// What a comparison mends soon, or what the next one replaces, goes to each neighbour once at
     /// the most. What must not be missed is repeated also among few.
     fn copies(&self, queue: &Queue) -> u8 {
-        let few = |copies: u8| copies.min(u8::try_from(queue.neighbours).unwrap_or(u8::MAX)).max(1);
+        let few =
+            |copies: u8| copies.min(u8::try_from(queue.neighbour_count).unwrap_or(u8::MAX)).max(1);
         match self {
-            Self::Leaving(_) => 8,
+            Self::Departure(_) => 8,
             Self::Member(_) => 6,
-            Self::Sheet(_) if queue.crowded() => 1,
-            Self::Sheet(_) => few(4),
-            Self::Mark(_) | Self::Delta(..) | Self::Gauge(_) => few(3),
+            Self::Announcement(_) if queue.is_congested() => 1,
+            Self::Announcement(_) => few(4),
+            Self::Mark(_) | Self::Delta(..) | Self::Load(_) => few(3),
         }
     }
 }
@@ -54,45 +55,45 @@
 /// Holds what is still to be passed on.
 #[derive(Default)]
 pub(crate) struct Queue {
-    waiting: BTreeMap<Subject, u8>,
+    remaining: BTreeMap<Subject, u8>,
     urgent: bool,
-    neighbours: usize,
-    turn: Key,
+    neighbour_count: usize,
+    last_load: Key,
 }
 
 impl Queue {
     /// Sets among how many news is passed on.
-    pub(crate) fn suit(&mut self, neighbours: usize) {
-        self.neighbours = neighbours;
+    pub(crate) fn set_neighbour_count(&mut self, neighbours: usize) {
+        self.neighbour_count = neighbours;
     }
 
     /// Passes a subject on from now, as often as its kind needs.
     pub(crate) fn push(&mut self, subject: Subject) {
         let copies = subject.copies(self);
-        self.urgent |= matches!(subject, Subject::Leaving(_));
-        self.waiting.insert(subject, copies);
-        if self.waiting.len() > MAX_WAITING {
-            self.waiting.pop_last();
+        self.urgent |= matches!(subject, Subject::Departure(_));
+        self.remaining.insert(subject, copies);
+        if self.remaining.len() > MAX_SUBJECTS {
+            self.remaining.pop_last();
         }
     }
 
     /// Tells whether so much has changed that the rest is better asked for than sent unasked.
-    fn crowded(&self) -> bool {
-        self.waiting.len() > CROWD
+    fn is_congested(&self) -> bool {
+        self.remaining.len() > CONGESTED_SUBJECTS
     }
 
     /// Tells whether there is news since the last burst that does not wait for a round.
-    pub(crate) fn urgent(&self) -> bool {
+    pub(crate) fn is_urgent(&self) -> bool {
         self.urgent
     }
 
     /// Has what an upstream has just said here for the first time not wait for a round either.
-    pub(crate) fn hurry(&mut self) {
-        self.urgent |= !self.crowded();
+    pub(crate) fn set_urgent(&mut self) {
+        self.urgent |= !self.is_congested();
     }
 
     /// Notes that a burst was sent.
-    pub(crate) fn calm(&mut self) {
+    pub(crate) fn clear_urgent(&mut self) {
         self.urgent = false;
     }
 
@@ -101,28 +102,28 @@
     /// There may always be more changed loads than fit. One would notice loads of the same
     /// upstreams that never change. So they begin where the last datagram ended.
     pub(crate) fn subjects(&self) -> Vec<Subject> {
-        let first = Subject::Gauge(Key([0; 6]));
-        let next = Subject::Gauge(self.turn);
-        let urgent = self.waiting.range(..first.clone());
+        let first = Subject::Load(Key([0; 6]));
+        let next = Subject::Load(self.last_load);
+        let urgent = self.remaining.range(..first.clone());
         let after = (Bound::Excluded(next.clone()), Bound::Unbounded);
-        let gauges = self.waiting.range(after).chain(self.waiting.range(first..=next));
-        urgent.chain(gauges).map(|(subject, _)| subject.clone()).collect()
+        let loads = self.remaining.range(after).chain(self.remaining.range(first..=next));
+        urgent.chain(loads).map(|(subject, _)| subject.clone()).collect()
     }
 
     /// Notes that a subject was sent once.
-    pub(crate) fn sent(&mut self, subject: &Subject) {
-        if let Subject::Gauge(key) = subject {
-            self.turn = *key;
+    pub(crate) fn record_sent(&mut self, subject: &Subject) {
+        if let Subject::Load(key) = subject {
+            self.last_load = *key;
         }
-        let Some(copies) = self.waiting.get_mut(subject) else { return };
+        let Some(copies) = self.remaining.get_mut(subject) else { return };
         *copies -= 1;
         if *copies == 0 {
-            self.waiting.remove(subject);
+            self.remaining.remove(subject);
         }
     }
 
     /// Drops a subject about which there is nothing to say any more.
-    pub(crate) fn drop(&mut self, subject: &Subject) {
-        self.waiting.remove(subject);
+    pub(crate) fn remove(&mut self, subject: &Subject) {
+        self.remaining.remove(subject);
     }
 }
--- a/crates/verbenaslip-gossip/src/receive.rs
+++ b/crates/verbenaslip-gossip/src/receive.rs
@@ -9,101 +9,104 @@
 use crate::gossip::{Gossip, Output};
 use crate::member::{Handle, MemberStatus, State};
 use crate::pack::Source;
-use crate::probe::Letter;
+use crate::probe::Outgoing;
 use crate::queue::{Queue, Subject};
-use crate::registry::Renew;
-use crate::roster::{Member, Merge};
+use crate::registry::RenewalOutcome;
+use crate::roster::{Member, MergeOutcome};
 
 /// The most instances named to one that joins.
-const WELCOME: usize = 8;
+const MAX_JOIN_MEMBERS: usize = 8;
 
 /// The most lists of members in answer to one comparison.
-const MAX_LISTS: usize = 3;
+const MAX_MEMBER_LISTS: usize = 3;
 
 impl Gossip {
     /// Takes one datagram.
-    pub(crate) fn receive(&mut self, from: SocketAddr, frame: Frame) {
+    pub(crate) fn handle_frame(&mut self, from: SocketAddr, frame: Frame) {
         let Frame { from: sender, body } = frame;
         if sender == self.roster.handle() {
             return;
         }
-        self.roster.heard(self.clock.now(), sender);
-        self.recognize(from, sender, &body);
+        self.roster.record_contact(self.clock.now(), sender);
+        self.identify_sender(from, sender, &body);
         match body {
-            Body::Join(rumor) => self.welcome(from, &rumor),
-            Body::Ping { target, probe } => self.pinged(from, target, probe),
-            Body::Ack { probe } => self.prober.ack(probe, &mut self.letters),
+            Body::Join(status) => self.handle_join(from, &status),
+            Body::Ping { target, probe } => self.handle_ping(from, target, probe),
+            Body::Ack { probe } => self.prober.handle_ack(probe, &mut self.outbox),
             Body::IndirectPing { target, probe } => {
                 let now = self.clock.now();
-                self.prober.relay(now, sender, target, probe, &mut self.letters);
+                self.prober.handle_indirect_ping(now, sender, target, probe, &mut self.outbox);
             }
-            Body::Updates(spread) => self.learn(from, sender, spread),
-            Body::PullResponse(mut spread) => {
-                self.fill(sender, std::mem::take(&mut spread.announcements));
-                self.learn(from, sender, spread);
+            Body::Updates(updates) => self.handle_updates(from, sender, updates),
+            Body::PullResponse(mut updates) => {
+                self.handle_requested(sender, std::mem::take(&mut updates.announcements));
+                self.handle_updates(from, sender, updates);
             }
-            Body::Digest(sync) => self.compared(from, sender, &sync),
-            Body::MemberList(list) => self.listed(from, &list),
-            Body::Pull(pull) => self.pulled(from, &pull),
-            Body::Renewals(_) if self.foreign(sender) => {}
-            Body::Renewals(renewals) => self.renewed(from, &renewals),
-            Body::Report(report) => self.reported(sender, report),
+            Body::Digest(digest) => self.handle_digest(from, sender, &digest),
+            Body::MemberList(list) => self.handle_member_list(from, &list),
+            Body::Pull(pull) => self.handle_pull(from, &pull),
+            Body::Renewals(_) if self.is_other_region(sender) => {}
+            Body::Renewals(renewals) => self.handle_renewals(from, &renewals),
+            Body::Report(report) => self.handle_report(sender, report),
         }
     }
 
     /// Asks a stranger who it is, and tells one that is held dead or replaced what is held of it.
-    fn recognize(&mut self, from: SocketAddr, sender: Handle, body: &Body) {
+    fn identify_sender(&mut self, from: SocketAddr, sender: Handle, body: &Body) {
         if matches!(body, Body::Join(_)) {
             return;
         }
-        match self.roster.find(sender).map(Member::rumor) {
+        match self.roster.by_handle(sender).map(Member::status) {
             None => {
                 let pull = Pull { members: vec![sender], ..Pull::default() };
                 self.send(from, Body::Pull(pull));
             }
-            Some(rumor) if rumor.state == State::Dead => {
-                let rumor = rumor.clone();
-                self.tell(from, &[rumor]);
+            Some(status) if status.state == State::Dead => {
+                let status = status.clone();
+                self.send_statuses(from, &[status]);
             }
             Some(_) => {}
         }
     }
 
     /// Names to one that joins whom it needs to find the rest; one that is known just greets.
-    fn welcome(&mut self, from: SocketAddr, rumor: &MemberStatus) {
-        if self.believe(from, rumor) != Merge::News {
+    fn handle_join(&mut self, from: SocketAddr, status: &MemberStatus) {
+        if self.merge_status(from, status) != MergeOutcome::Applied {
             let own = self.roster.own().clone();
-            self.tell(from, &[own]);
+            self.send_statuses(from, &[own]);
             return;
         }
-        let region = &rumor.peer.region;
-        let near = |member: &&Member| member.peer().region == *region;
+        let region = &status.peer.region;
+        let neighbours = |member: &&Member| member.peer().region == *region;
         let present = self.roster.members().filter(|member| member.state() == State::Alive);
-        let near: Vec<MemberStatus> = present.filter(near).map(|it| it.rumor().clone()).collect();
-        let mut rumors = crate::probe::draw(near, WELCOME, &mut self.rng);
+        let neighbours: Vec<MemberStatus> =
+            present.filter(neighbours).map(|it| it.status().clone()).collect();
+        let mut statuses = crate::probe::sample(neighbours, MAX_JOIN_MEMBERS, &mut self.rng);
         let contacts = self.roster.contacts(region);
-        rumors.extend(contacts.iter().filter_map(|name| self.roster.rumor(name)).cloned());
-        rumors.push(self.roster.own().clone());
-        self.tell(from, &rumors);
+        statuses.extend(contacts.iter().filter_map(|name| self.roster.status_of(name)).cloned());
+        statuses.push(self.roster.own().clone());
+        self.send_statuses(from, &statuses);
     }
 
     /// Takes in a rumor, and corrects its sender when something newer is held.
-    fn believe(&mut self, from: SocketAddr, rumor: &MemberStatus) -> Merge {
-        let name = &rumor.peer.instance;
-        let merge = self.roster.merge(self.clock.now(), rumor);
-        match merge {
-            Merge::Known => {}
-            Merge::Stale => {
-                let held = self.roster.rumor(name).cloned();
-                self.tell(from, held.as_slice());
+    fn merge_status(&mut self, from: SocketAddr, status: &MemberStatus) -> MergeOutcome {
+        let name = &status.peer.instance;
+        let outcome = self.roster.merge(self.clock.now(), status);
+        match outcome {
+            MergeOutcome::Unchanged => {}
+            MergeOutcome::Stale => {
+                let known = self.roster.status_of(name).cloned();
+                self.send_statuses(from, known.as_slice());
+            }
+            MergeOutcome::Refuted | MergeOutcome::Applied => {
+                self.queue.push(Subject::Member(name.clone()))
             }
-            Merge::Refuted | Merge::News => self.queue.push(Subject::Member(name.clone())),
         }
-        merge
+        outcome
     }
 
     /// Answers a ping that means this incarnation; another one that lived here is over.
-    fn pinged(&mut self, from: SocketAddr, target: Handle, probe: u32) {
+    fn handle_ping(&mut self, from: SocketAddr, target: Handle, probe: u32) {
         let own = self.roster.own().clone();
         if target == self.roster.handle() && own.state != State::Left {
             self.send(from, Body::Ack { probe });
@@ -112,100 +115,109 @@
         }
     }
 
-    fn learn(&mut self, from: SocketAddr, sender: Handle, spread: Updates) {
+    fn handle_updates(&mut self, from: SocketAddr, sender: Handle, updates: Updates) {
         let (now, lag) = (self.clock.now(), self.clock.lag());
         let mut pull = Pull::default();
-        for rumor in &spread.members {
-            self.believe(from, rumor);
+        for status in &updates.members {
+            self.merge_status(from, status);
         }
-        if self.foreign(sender) {
+        if self.is_other_region(sender) {
             return;
         }
-        for leaving in &spread.departures {
-            self.registry.depart(now, leaving, &mut self.queue);
+        for departure in &updates.departures {
+            self.registry.handle_departure(now, departure, &mut self.queue);
         }
-        for sheet in spread.announcements {
-            self.registry.sheet(now, lag, sheet, &mut self.queue);
+        for forwarded in updates.announcements {
+            self.registry.handle_forwarded(now, lag, forwarded, &mut self.queue);
         }
-        for delta in &spread.deltas {
-            if self.vouches(delta.voucher) {
-                self.registry.change(now, delta, &mut self.queue, &mut pull);
+        for delta in &updates.deltas {
+            if self.may_vouch(delta.voucher) {
+                self.registry.handle_delta(now, delta, &mut self.queue, &mut pull);
             }
         }
-        self.mark(&spread.marks, &mut pull);
-        for gauge in &spread.loads {
-            self.registry.measure(now, lag, gauge, &mut self.queue);
+        self.handle_marks(&updates.marks, &mut pull);
+        for load in &updates.loads {
+            self.registry.handle_load(now, lag, load, &mut self.queue);
         }
-        self.ask(sender, pull);
+        self.send_pull(sender, pull);
     }
 
     /// Takes the announcements that this instance had asked for; others know them already.
-    fn fill(&mut self, sender: Handle, sheets: Vec<ForwardedAnnouncement>) {
-        if self.foreign(sender) {
+    fn handle_requested(&mut self, sender: Handle, announcements: Vec<ForwardedAnnouncement>) {
+        if self.is_other_region(sender) {
             return;
         }
         let (now, lag) = (self.clock.now(), self.clock.lag());
         let mut unsent = Queue::default();
-        for sheet in sheets {
-            self.registry.sheet(now, lag, sheet, &mut unsent);
+        for forwarded in announcements {
+            self.registry.handle_forwarded(now, lag, forwarded, &mut unsent);
         }
     }
 
-    fn mark(&mut self, marks: &[FreshnessMark], pull: &mut Pull) {
+    fn handle_marks(&mut self, marks: &[FreshnessMark], pull: &mut Pull) {
         let (now, lag) = (self.clock.now(), self.clock.lag());
         for mark in marks {
-            if self.vouches(mark.voucher) {
-                self.registry.accept(now, lag, mark, &mut self.queue, pull);
+            if self.may_vouch(mark.voucher) {
+                self.registry.handle_mark(now, lag, mark, &mut self.queue, pull);
             }
         }
     }
 
     /// Tells whether a sender is of another region, whose upstreams are not held here.
-    fn foreign(&self, sender: Handle) -> bool {
+    fn is_other_region(&self, sender: Handle) -> bool {
         let region = &self.roster.own().peer.region;
-        self.roster.find(sender).is_some_and(|member| member.peer().region != *region)
+        self.roster.by_handle(sender).is_some_and(|member| member.peer().region != *region)
     }
 
     /// Tells whether an instance may vouch for upstreams here.
-    fn vouches(&self, voucher: Handle) -> bool {
+    fn may_vouch(&self, voucher: Handle) -> bool {
         let region = &self.roster.own().peer.region;
-        let member = self.roster.find(voucher);
-        member.is_some_and(|it| it.state().present() && it.peer().region == *region)
+        let member = self.roster.by_handle(voucher);
+        member.is_some_and(|it| it.state().is_present() && it.peer().region == *region)
     }
 
-    fn ask(&mut self, to: Handle, pull: Pull) {
+    fn send_pull(&mut self, to: Handle, pull: Pull) {
         if !pull.is_empty() {
-            self.letters.push(Letter { to, body: Body::Pull(pull) });
+            self.outbox.push(Outgoing { to, body: Body::Pull(pull) });
         }
     }
 
-    fn compared(&mut self, from: SocketAddr, sender: Handle, sync: &Digest) {
+    fn handle_digest(&mut self, from: SocketAddr, sender: Handle, digest: &Digest) {
         let (now, lag) = (self.clock.now(), self.clock.lag());
-        self.roster.merge_areas(now, lag, &sync.contacts);
-        let own = self.roster.sums().to_vec();
-        let differs = |sum: &&crate::frame::RegionChecksum| !sync.checksums.contains(sum);
-        let lists = own.iter().filter(differs).flat_map(|sum| self.roster.lists(sum.region_id));
-        for list in lists.take(MAX_LISTS).collect::<Vec<MemberList>>() {
+        self.roster.merge_contacts(now, lag, &digest.contacts);
+        let own = self.roster.checksums().to_vec();
+        let differs =
+            |checksum: &&crate::frame::RegionChecksum| !digest.checksums.contains(checksum);
+        let lists = own
+            .iter()
+            .filter(differs)
+            .flat_map(|checksum| self.roster.member_lists(checksum.region_id));
+        for list in lists.take(MAX_MEMBER_LISTS).collect::<Vec<MemberList>>() {
             self.send(from, Body::MemberList(list));
         }
-        let known = |area| own.iter().any(|sum| sum.region_id == area);
-        for sum in sync.checksums.iter().filter(|sum| !known(sum.region_id)).take(MAX_LISTS) {
-            let area = sum.region_id;
+        let known = |region_id| own.iter().any(|checksum| checksum.region_id == region_id);
+        for checksum in digest
+            .checksums
+            .iter()
+            .filter(|checksum| !known(checksum.region_id))
+            .take(MAX_MEMBER_LISTS)
+        {
+            let region_id = checksum.region_id;
             let first = Handle([0; 4]);
-            let list = MemberList { region_id: area, first, end: None, members: Vec::new() };
+            let list = MemberList { region_id, first, end: None, members: Vec::new() };
             self.send(from, Body::MemberList(list));
         }
-        if !self.vouches(sender) {
+        if !self.may_vouch(sender) {
             return;
         }
         let mut pull = Pull::default();
-        self.mark(&sync.marks, &mut pull);
-        self.ask(sender, pull);
-        self.show_newer(from, &sync.marks);
+        self.handle_marks(&digest.marks, &mut pull);
+        self.send_pull(sender, pull);
+        self.send_newer_marks(from, &digest.marks);
     }
 
     /// Answers a comparison with the marks that are newer here.
-    fn show_newer(&mut self, from: SocketAddr, theirs: &[FreshnessMark]) {
+    fn send_newer_marks(&mut self, from: SocketAddr, theirs: &[FreshnessMark]) {
         let now = self.clock.now();
         let known = |mark: &FreshnessMark| {
             theirs.iter().any(|it| it.voucher == mark.voucher && it.sequence >= mark.sequence)
@@ -213,54 +225,58 @@
         let mut marks = self.registry.marks(now);
         marks.retain(|mark| !known(mark));
         let source = Source { roster: &self.roster, registry: &self.registry, now };
-        for spread in source.show(marks) {
-            self.send(from, Body::Updates(spread));
+        for updates in source.pack_marks(marks) {
+            self.send(from, Body::Updates(updates));
         }
     }
 
-    fn listed(&mut self, from: SocketAddr, list: &MemberList) {
+    fn handle_member_list(&mut self, from: SocketAddr, list: &MemberList) {
         let difference = self.roster.compare(list);
-        self.tell(from, &difference.tell);
-        if !difference.ask.is_empty() {
-            let pull = Pull { members: difference.ask, ..Pull::default() };
+        self.send_statuses(from, &difference.to_send);
+        if !difference.to_request.is_empty() {
+            let pull = Pull { members: difference.to_request, ..Pull::default() };
             self.send(from, Body::Pull(pull));
         }
     }
 
-    fn pulled(&mut self, from: SocketAddr, pull: &Pull) {
+    fn handle_pull(&mut self, from: SocketAddr, pull: &Pull) {
         let now = self.clock.now();
         let source = Source { roster: &self.roster, registry: &self.registry, now };
-        for spread in source.answer(pull) {
-            self.send(from, Body::PullResponse(spread));
+        for updates in source.pack_pull_response(pull) {
+            self.send(from, Body::PullResponse(updates));
         }
     }
 
-    fn renewed(&mut self, from: SocketAddr, renewals: &[Renewal]) {
+    fn handle_renewals(&mut self, from: SocketAddr, renewals: &[Renewal]) {
         let (now, lag) = (self.clock.now(), self.clock.lag());
         let mut pull = Pull::default();
-        let mut spread = Updates::default();
+        let mut updates = Updates::default();
         for renewal in renewals {
-            match self.registry.renew(now, lag, renewal) {
-                Renew::Done => {}
-                Renew::Lacking => self.registry.ask_sheet(renewal.key, &mut pull),
-                Renew::Leaving => spread.departures.extend(self.registry.leaving(renewal.key, now)),
+            match self.registry.handle_renewal(now, lag, renewal) {
+                RenewalOutcome::Done => {}
+                RenewalOutcome::UnknownContent => {
+                    self.registry.request_announcement(renewal.key, &mut pull)
+                }
+                RenewalOutcome::Departed => {
+                    updates.departures.extend(self.registry.departure(renewal.key, now))
+                }
             }
         }
         if !pull.is_empty() {
             self.send(from, Body::Pull(pull));
         }
-        spread.departures.truncate(32);
-        if !spread.is_empty() {
-            self.send(from, Body::Updates(spread));
+        updates.departures.truncate(32);
+        if !updates.is_empty() {
+            self.send(from, Body::Updates(updates));
         }
     }
 
-    fn reported(&mut self, sender: Handle, report: Report) {
-        let Some(member) = self.roster.find(sender) else { return };
+    fn handle_report(&mut self, sender: Handle, report: Report) {
+        let Some(member) = self.roster.by_handle(sender) else { return };
         let name = member.peer().instance.clone();
-        let made = report.age.then(self.clock.now(), self.clock.lag());
-        if self.vouches(sender) && self.reports.take(&name, made, report) {
-            self.out.push(Output::ReportReceived(name));
+        let created_at = report.age.to_time(self.clock.now(), self.clock.lag());
+        if self.may_vouch(sender) && self.reports.handle_report(&name, created_at, report) {
+            self.outputs.push(Output::ReportReceived(name));
         }
     }
 }
--- a/crates/verbenaslip-gossip/src/registry.rs
+++ b/crates/verbenaslip-gossip/src/registry.rs
@@ -15,14 +15,14 @@
 use crate::frame::{ContentHash, ForwardedAnnouncement, Key};
 use crate::member::Handle;
 use crate::queue::{Queue, Subject};
-use crate::record::{self, Gauged, LeaseStatus, Record};
+use crate::record::{self, LeaseStatus, LoadSource, Record};
 use crate::stream::Stream;
 use crate::time::Age;
 
-pub(crate) use vouching::{Question, Renew};
+pub(crate) use vouching::{PullRequest, RenewalOutcome};
 
 /// How long a lapsed upstream is remembered, so that nothing old revives it.
-const MEMORY: Duration = Duration::from_secs(600);
+const RETENTION: Duration = Duration::from_secs(600);
 
 /// The most upstreams kept; a flood of invented ones ends here.
 const MAX_RECORDS: usize = 8_192;
@@ -79,24 +79,24 @@
     ZoneCleared(AvailabilityZone),
 }
 
-struct Gone {
+struct PastDeparture {
     incarnation: u64,
     sequence: u64,
-    since: Duration,
+    recorded_at: Duration,
 }
 
 /// An announcement that is newer than the one held.
-struct Arrival {
+struct ReceivedAnnouncement {
     announcement: Announcement,
     /// When the upstream made it.
-    at: Duration,
+    announced_at: Duration,
     /// When its notice, if it has one, began to run.
-    said: Duration,
+    notice_start: Duration,
 }
 
-struct Renewed {
-    at: Duration,
-    check: ContentHash,
+struct LatestRenewal {
+    renewed_at: Duration,
+    content_hash: ContentHash,
 }
 
 /// Holds the upstreams and what each instance vouches for.
@@ -104,38 +104,38 @@
     own: Handle,
     lease: Duration,
     records: BTreeMap<Key, Record>,
-    gone: BTreeMap<Key, Gone>,
+    departures: BTreeMap<Key, PastDeparture>,
     streams: BTreeMap<Handle, Stream>,
-    renewed: BTreeMap<Key, Renewed>,
-    loose: BTreeSet<Key>,
-    doubted: BTreeSet<AvailabilityZone>,
-    trusted: Duration,
-    asked_streams: BTreeSet<Handle>,
-    asked_sheets: BTreeSet<Key>,
+    renewals: BTreeMap<Key, LatestRenewal>,
+    unconfirmed: BTreeSet<Key>,
+    doubtful_zones: BTreeSet<AvailabilityZone>,
+    doubt_until: Duration,
+    requested_streams: BTreeSet<Handle>,
+    requested_announcements: BTreeSet<Key>,
     events: Vec<Event>,
 }
 
 impl Registry {
     /// Starts empty.
-    pub(crate) fn open(own: Handle, lease: Duration) -> Self {
+    pub(crate) fn new(own: Handle, lease: Duration) -> Self {
         Self {
             own,
             lease,
             records: BTreeMap::new(),
-            gone: BTreeMap::new(),
+            departures: BTreeMap::new(),
             streams: BTreeMap::new(),
-            renewed: BTreeMap::new(),
-            loose: BTreeSet::new(),
-            doubted: BTreeSet::new(),
-            trusted: Duration::ZERO,
-            asked_streams: BTreeSet::new(),
-            asked_sheets: BTreeSet::new(),
+            renewals: BTreeMap::new(),
+            unconfirmed: BTreeSet::new(),
+            doubtful_zones: BTreeSet::new(),
+            doubt_until: Duration::ZERO,
+            requested_streams: BTreeSet::new(),
+            requested_announcements: BTreeSet::new(),
             events: Vec::new(),
         }
     }
 
     /// Takes the events since the last call.
-    pub(crate) fn events(&mut self) -> Vec<Event> {
+    pub(crate) fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
 
@@ -152,7 +152,7 @@
     /// Goes through the upstreams that may get new work.
     pub(crate) fn usable(&self, now: Duration) -> impl Iterator<Item = &Record> {
         self.records().filter(move |record| {
-            record.announcement.phase == Phase::Ready && self.confirmed(record, now)
+            record.announcement.phase == Phase::Ready && self.is_confirmed(record, now)
         })
     }
 
@@ -167,38 +167,39 @@
 
     /// Goes through the availability zones in doubt.
     pub(crate) fn doubtful_zones(&self) -> impl Iterator<Item = &AvailabilityZone> {
-        self.doubted.iter()
+        self.doubtful_zones.iter()
     }
 
     /// Tells whether an upstream was surely renewed within the lease.
-    pub(crate) fn confirmed(&self, record: &Record, now: Duration) -> bool {
-        self.fresh(record) + self.lease > now
+    pub(crate) fn is_confirmed(&self, record: &Record, now: Duration) -> bool {
+        self.renewed_at(record) + self.lease > now
     }
 
     /// Returns since when an upstream is surely renewed, by own evidence and by vouchers' marks.
-    pub(crate) fn fresh(&self, record: &Record) -> Duration {
-        let covers = |voucher| self.streams.get(voucher)?.covers(record.key, record.check);
-        record.vouchers.iter().filter_map(covers).fold(record.fresh, Duration::max)
+    pub(crate) fn renewed_at(&self, record: &Record) -> Duration {
+        let covers =
+            |voucher| self.streams.get(voucher)?.renewed_since(record.key, record.content_hash);
+        record.vouchers.iter().filter_map(covers).fold(record.renewed_at, Duration::max)
     }
 
     /// Takes what an upstream says of itself.
-    pub(crate) fn announce(
+    pub(crate) fn handle_announcement(
         &mut self,
         now: Duration,
         lag: Duration,
         announcement: &Announcement,
         queue: &mut Queue,
     ) -> AnnouncementResult {
-        if !record::valid(announcement) {
+        if !record::is_valid(announcement) {
             return AnnouncementResult::Rejected(Rejection::InvalidSize);
         }
         let key = Key::of(&announcement.upstream);
         match self.records.get(&key) {
-            Some(held) if held.announcement.upstream != announcement.upstream => {
+            Some(existing) if existing.announcement.upstream != announcement.upstream => {
                 return AnnouncementResult::Rejected(Rejection::KeyCollision);
             }
-            Some(held) if order(announcement) < order(&held.announcement) => {
-                let Announcement { incarnation, sequence, .. } = held.announcement;
+            Some(existing) if version(announcement) < version(&existing.announcement) => {
+                let Announcement { incarnation, sequence, .. } = existing.announcement;
                 return AnnouncementResult::Stale { incarnation, sequence };
             }
             _ => {}
@@ -206,30 +207,40 @@
         if !self.records.contains_key(&key) && !self.make_room() {
             return AnnouncementResult::Rejected(Rejection::RegistryFull);
         }
-        if let Some(gone) =
-            self.gone.get(&key).filter(|it| it.incarnation > announcement.incarnation)
+        if let Some(departure) =
+            self.departures.get(&key).filter(|it| it.incarnation > announcement.incarnation)
         {
             return AnnouncementResult::Stale {
-                incarnation: gone.incarnation,
-                sequence: gone.sequence,
+                incarnation: departure.incarnation,
+                sequence: departure.sequence,
             };
         }
-        let same =
-            self.records.get(&key).is_some_and(|it| order(&it.announcement) == order(announcement));
+        let same = self
+            .records
+            .get(&key)
+            .is_some_and(|it| version(&it.announcement) == version(announcement));
         if !same {
-            let at = now.saturating_sub(lag);
-            self.gauge(now, key, announcement, queue);
-            let arrival = Arrival { announcement: announcement.clone(), at, said: at };
-            self.hold(now, key, arrival, queue);
+            let announced_at = now.saturating_sub(lag);
+            self.queue_load(now, key, announcement, queue);
+            let received = ReceivedAnnouncement {
+                announcement: announcement.clone(),
+                announced_at,
+                notice_start: announced_at,
+            };
+            self.store(now, key, received, queue);
         }
         AnnouncementResult::Accepted { lease: self.lease }
     }
 
     /// Returns the renewal that the last announcement of an upstream amounts to.
-    pub(crate) fn renewal(&self, key: Key) -> Option<Pending> {
+    pub(crate) fn renewal(&self, key: Key) -> Option<PendingRenewal> {
         let record = self.records.get(&key)?;
         let sequence = record.announcement.sequence;
-        Some(Pending { check: record.check, sequence, at: record.fresh })
+        Some(PendingRenewal {
+            content_hash: record.content_hash,
+            sequence,
+            renewed_at: record.renewed_at,
+        })
     }
 
     /// Makes room for one more upstream by forgetting the one that lapsed first.
@@ -238,128 +249,148 @@
             return true;
         }
         let lapsed = self.records.values().filter(|it| it.lease_status == LeaseStatus::Lapsed);
-        let Some(key) = lapsed.min_by_key(|it| it.fresh).map(|it| it.key) else { return false };
+        let Some(key) = lapsed.min_by_key(|it| it.renewed_at).map(|it| it.key) else {
+            return false;
+        };
         self.remove(key);
         true
     }
 
     fn remove(&mut self, key: Key) {
         self.records.remove(&key);
-        self.loose.remove(&key);
+        self.unconfirmed.remove(&key);
     }
 
     /// Holds an announcement that is newer than the one held.
-    fn hold(&mut self, now: Duration, key: Key, arrival: Arrival, queue: &mut Queue) {
-        let Arrival { mut announcement, at, said } = arrival;
-        let load_age = Duration::from_millis(u64::from(announcement.load.age));
-        let load_at = at.saturating_sub(load_age);
-        self.keep_leaving(key, &mut announcement);
-        let check = ContentHash::of(&announcement);
+    fn store(
+        &mut self,
+        now: Duration,
+        key: Key,
+        received: ReceivedAnnouncement,
+        queue: &mut Queue,
+    ) {
+        let ReceivedAnnouncement { mut announcement, announced_at, notice_start } = received;
+        let load_age_ms = Duration::from_millis(u64::from(announcement.load.age));
+        let measured_at = announced_at.saturating_sub(load_age_ms);
+        self.keep_departure(key, &mut announcement);
+        let content_hash = ContentHash::of(&announcement);
         let known = self.records.remove(&key);
-        let changed = known.as_ref().is_none_or(|record| record.check != check);
+        let changed = known.as_ref().is_none_or(|record| record.content_hash != content_hash);
         let new = known.is_none();
-        let mut record = known.unwrap_or_else(|| self.blank(key, &announcement));
+        let mut record = known.unwrap_or_else(|| self.new_record(key, &announcement));
         if record.announcement.incarnation != announcement.incarnation {
-            record.told = false;
+            record.departure_published = false;
             record.deadline = None;
-            record.gauge = Gauged::default();
+            record.load_source = LoadSource::default();
         }
-        if announcement.sequence < record.gauge.sequence {
+        if announcement.sequence < record.load_source.sequence {
             announcement.load = record.announcement.load;
         } else {
-            let Gauged { told, .. } = record.gauge;
-            record.gauge = Gauged { sequence: announcement.sequence, at: load_at, told };
+            let LoadSource { published_at, .. } = record.load_source;
+            record.load_source =
+                LoadSource { sequence: announcement.sequence, measured_at, published_at };
         }
-        record.touched = now;
-        record.fresh = self.fresh(&record).max(at);
+        record.changed_at = now;
+        record.renewed_at = self.renewed_at(&record).max(announced_at);
         record.announcement = announcement;
-        record.check = check;
+        record.content_hash = content_hash;
         if record.is_leaving() {
-            self.leave(now, &mut record, said, queue);
+            self.publish_departure(now, &mut record, notice_start, queue);
         }
         if new || (changed && !record.is_leaving()) {
-            queue.push(Subject::Sheet(key));
+            queue.push(Subject::Announcement(key));
         }
         self.records.insert(key, record);
-        self.review(now, key, changed);
+        self.update_lease(now, key, changed);
     }
 
     /// Takes an announcement that another instance passes on.
-    pub(crate) fn sheet(
+    pub(crate) fn handle_forwarded(
         &mut self,
         now: Duration,
         lag: Duration,
-        sheet: ForwardedAnnouncement,
+        forwarded: ForwardedAnnouncement,
         queue: &mut Queue,
     ) {
-        let ForwardedAnnouncement { mut announcement, age, load_age_ms: load_age } = sheet;
-        if !record::valid(&announcement) {
+        let ForwardedAnnouncement { mut announcement, age, load_age_ms } = forwarded;
+        if !record::is_valid(&announcement) {
             return;
         }
         let key = Key::of(&announcement.upstream);
-        let older = |held: &Record| {
-            held.announcement.upstream != announcement.upstream
-                || order(&held.announcement) >= order(&announcement)
+        let is_outdated = |existing: &Record| {
+            existing.announcement.upstream != announcement.upstream
+                || version(&existing.announcement) >= version(&announcement)
         };
-        let old = self.records.get(&key).is_some_and(older);
-        let gone = self.gone.get(&key).is_some_and(|it| it.incarnation > announcement.incarnation);
-        if old || gone || (!self.records.contains_key(&key) && !self.make_room()) {
+        let old = self.records.get(&key).is_some_and(is_outdated);
+        let departure =
+            self.departures.get(&key).is_some_and(|it| it.incarnation > announcement.incarnation);
+        if old || departure || (!self.records.contains_key(&key) && !self.make_room()) {
             return;
         }
-        let at = age.then(now, lag).unwrap_or_default();
-        let measured = now.saturating_sub(lag + Duration::from_millis(u64::from(load_age)));
-        let age = at.saturating_sub(measured).as_millis();
+        let announced_at = age.to_time(now, lag).unwrap_or_default();
+        let load_time = now.saturating_sub(lag + Duration::from_millis(u64::from(load_age_ms)));
+        let age = announced_at.saturating_sub(load_time).as_millis();
         announcement.load.age = u32::try_from(age).unwrap_or(u32::MAX);
-        self.hold(now, key, Arrival { announcement, at, said: now }, queue);
+        self.store(
+            now,
+            key,
+            ReceivedAnnouncement { announcement, announced_at, notice_start: now },
+            queue,
+        );
     }
 
     /// Returns an announcement as it is told now.
-    pub(crate) fn said(&self, key: Key, now: Duration) -> Option<ForwardedAnnouncement> {
+    pub(crate) fn forwarded_announcement(
+        &self,
+        key: Key,
+        now: Duration,
+    ) -> Option<ForwardedAnnouncement> {
         let record = self.records.get(&key)?;
         let mut announcement = record.announcement.clone();
         if let Phase::Leaving { notice } = &mut announcement.phase {
-            *notice = record.deadline.map(|at| at.saturating_sub(now).as_millis() as u32);
+            *notice =
+                record.deadline.map(|deadline| deadline.saturating_sub(now).as_millis() as u32);
         }
-        let load_age = now.saturating_sub(record.gauge.at).as_millis();
-        let load_age = u32::try_from(load_age).unwrap_or(u32::MAX);
+        let load_age_ms = now.saturating_sub(record.load_source.measured_at).as_millis();
+        let load_age_ms = u32::try_from(load_age_ms).unwrap_or(u32::MAX);
         Some(ForwardedAnnouncement {
             announcement,
-            age: Age::of(now, self.fresh(record)),
-            load_age_ms: load_age,
+            age: Age::since(now, self.renewed_at(record)),
+            load_age_ms,
         })
     }
 
     /// Starts a record that nothing has confirmed.
-    fn blank(&self, key: Key, announcement: &Announcement) -> Record {
-        let vouches = |(_, stream): &(&Handle, &Stream)| stream.check(key).is_some();
+    fn new_record(&self, key: Key, announcement: &Announcement) -> Record {
+        let vouches = |(_, stream): &(&Handle, &Stream)| stream.content_hash(key).is_some();
         let vouchers = self.streams.iter().filter(vouches).map(|(handle, _)| *handle).collect();
         Record {
             announcement: announcement.clone(),
             key,
-            check: ContentHash([0; 3]),
-            fresh: Duration::ZERO,
+            content_hash: ContentHash([0; 3]),
+            renewed_at: Duration::ZERO,
             vouchers,
             lease_status: LeaseStatus::Lapsed,
-            due: Duration::ZERO,
-            touched: Duration::ZERO,
-            told: false,
+            expires_at: Duration::ZERO,
+            changed_at: Duration::ZERO,
+            departure_published: false,
             deadline: None,
-            gauge: Gauged::default(),
+            load_source: LoadSource::default(),
         }
     }
 }
 
 /// Holds a renewal that waits to be passed on.
 #[derive(Clone, Copy)]
-pub(crate) struct Pending {
+pub(crate) struct PendingRenewal {
     /// The content that was announced.
-    pub(crate) check: ContentHash,
+    pub(crate) content_hash: ContentHash,
     /// The sequence of the announcement.
     pub(crate) sequence: u64,
     /// When it was made.
-    pub(crate) at: Duration,
+    pub(crate) renewed_at: Duration,
 }
 
-fn order(announcement: &Announcement) -> (u64, u64) {
+fn version(announcement: &Announcement) -> (u64, u64) {
     (announcement.incarnation, announcement.sequence)
 }
--- a/crates/verbenaslip-gossip/src/registry/lease.rs
+++ b/crates/verbenaslip-gossip/src/registry/lease.rs
@@ -3,39 +3,43 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use super::{Event, MEMORY, Registry};
+use super::{Event, RETENTION, Registry};
 use crate::frame::Key;
 use crate::member::Handle;
 use crate::record::{LeaseStatus, Record};
 
 /// How long doubtful upstreams have to be confirmed once this instance is no longer cut off.
-const GRACE: Duration = Duration::from_secs(3);
+const RECONNECT_GRACE: Duration = Duration::from_secs(3);
 
 impl Registry {
     /// Looks again at the upstreams that are not confirmed and that an instance vouches for.
-    pub(super) fn review_loose(&mut self, now: Duration, voucher: Handle) {
+    pub(super) fn review_unconfirmed(&mut self, now: Duration, voucher: Handle) {
         let Some(stream) = self.streams.get(&voucher) else { return };
-        let keys: Vec<Key> =
-            self.loose.iter().filter(|key| stream.check(**key).is_some()).copied().collect();
+        let keys: Vec<Key> = self
+            .unconfirmed
+            .iter()
+            .filter(|key| stream.content_hash(**key).is_some())
+            .copied()
+            .collect();
         for key in keys {
-            self.review(now, key, false);
+            self.update_lease(now, key, false);
         }
     }
 
     /// Tells when an upstream has become confirmed or changed.
-    pub(super) fn review(&mut self, now: Duration, key: Key, changed: bool) {
+    pub(super) fn update_lease(&mut self, now: Duration, key: Key, changed: bool) {
         let Some(record) = self.records.get(&key) else { return };
-        let due = self.fresh(record) + self.lease;
+        let expires_at = self.renewed_at(record) + self.lease;
         let before = record.lease_status;
         let upstream = record.announcement.upstream.clone();
         let Some(record) = self.records.get_mut(&key) else { return };
-        record.due = due;
-        if due <= now {
-            self.loose.insert(key);
+        record.expires_at = expires_at;
+        if expires_at <= now {
+            self.unconfirmed.insert(key);
             return;
         }
         record.lease_status = LeaseStatus::Confirmed;
-        self.loose.remove(&key);
+        self.unconfirmed.remove(&key);
         if before == LeaseStatus::Lapsed {
             self.events.push(Event::Appeared(upstream));
         } else if changed {
@@ -44,20 +48,21 @@
     }
 
     /// Looks for leases that have run out; `doubt` says that this instance may be cut off.
-    pub(crate) fn sweep(&mut self, now: Duration, doubt: bool) {
-        self.asked_streams.clear();
-        self.asked_sheets.clear();
+    pub(crate) fn expire_leases(&mut self, now: Duration, doubt: bool) {
+        self.requested_streams.clear();
+        self.requested_announcements.clear();
         if doubt {
-            self.trusted = now + GRACE;
+            self.doubt_until = now + RECONNECT_GRACE;
         }
-        let due =
-            |record: &&Record| record.due <= now && record.lease_status != LeaseStatus::Lapsed;
-        let keys: Vec<Key> = self.records().filter(due).map(|record| record.key).collect();
+        let expires_at = |record: &&Record| {
+            record.expires_at <= now && record.lease_status != LeaseStatus::Lapsed
+        };
+        let keys: Vec<Key> = self.records().filter(expires_at).map(|record| record.key).collect();
         for key in keys {
-            self.lapse(now, key);
+            self.expire_lease(now, key);
         }
-        self.clear_doubts();
-        self.forget(now);
+        self.update_doubtful_zones();
+        self.remove_expired(now);
     }
 
     /// Ends the use of an upstream whose lease has run out, unless marks renewed it meanwhile.
@@ -65,17 +70,17 @@
     /// When this instance is cut off, it sees all leases run out at once. One would notice whole
     /// availability zones vanish from its view, and streams moved off healthy upstreams. So these
     /// count as doubtful: they get no new work, but are not reported as lost.
-    pub(super) fn lapse(&mut self, now: Duration, key: Key) {
-        self.review(now, key, false);
-        let doubt = now < self.trusted;
+    pub(super) fn expire_lease(&mut self, now: Duration, key: Key) {
+        self.update_lease(now, key, false);
+        let doubt = now < self.doubt_until;
         let Some(record) = self.records.get_mut(&key) else { return };
-        if record.due > now {
+        if record.expires_at > now {
             return;
         }
         let zone = record.announcement.zone.clone();
         if doubt {
             record.lease_status = LeaseStatus::Doubtful;
-            if self.doubted.insert(zone.clone()) {
+            if self.doubtful_zones.insert(zone.clone()) {
                 self.events.push(Event::ZoneDoubtful(zone));
             }
         } else {
@@ -84,26 +89,27 @@
         }
     }
 
-    pub(super) fn clear_doubts(&mut self) {
-        if self.doubted.is_empty() {
+    pub(super) fn update_doubtful_zones(&mut self) {
+        if self.doubtful_zones.is_empty() {
             return;
         }
         let doubtful = self.records.values().filter(|it| it.lease_status == LeaseStatus::Doubtful);
         let zones: BTreeSet<_> = doubtful.map(|it| it.announcement.zone.clone()).collect();
-        for zone in self.doubted.difference(&zones) {
+        for zone in self.doubtful_zones.difference(&zones) {
             self.events.push(Event::ZoneCleared(zone.clone()));
         }
-        self.doubted = zones;
+        self.doubtful_zones = zones;
     }
 
-    pub(super) fn forget(&mut self, now: Duration) {
+    pub(super) fn remove_expired(&mut self, now: Duration) {
         let records = &self.records;
-        let old =
-            |key: &&Key| records.get(key).is_none_or(|it| it.due.max(it.touched) + MEMORY < now);
-        let old: Vec<Key> = self.loose.iter().filter(old).copied().collect();
+        let old = |key: &&Key| {
+            records.get(key).is_none_or(|it| it.expires_at.max(it.changed_at) + RETENTION < now)
+        };
+        let old: Vec<Key> = self.unconfirmed.iter().filter(old).copied().collect();
         for key in old {
             self.remove(key);
         }
-        self.gone.retain(|_, gone| gone.since + MEMORY >= now);
+        self.departures.retain(|_, gone| gone.recorded_at + RETENTION >= now);
     }
 }
--- a/crates/verbenaslip-gossip/src/registry/vouching.rs
+++ b/crates/verbenaslip-gossip/src/registry/vouching.rs
@@ -3,20 +3,20 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use super::{Registry, Renewed};
+use super::{LatestRenewal, Registry};
 use crate::frame::{
     ContentHash, Delta, DeltaEntry, FreshnessMark, Key, Pull, Renewal, StreamPosition,
 };
 use crate::member::Handle;
 use crate::queue::{Queue, Subject};
 use crate::record::Record;
-use crate::stream::{Change, Outcome, Parked, Stream};
+use crate::stream::{Change, DeferredMark, Outcome, Stream};
 
 /// After how long without a renewal an instance vouches for an upstream no longer.
-const WITHDRAW: Duration = Duration::from_secs(3);
+const WITHDRAW_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How long after a change others may be about to vouch for it.
-const SETTLE: Duration = Duration::from_secs(2);
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 
 /// In how many rounds all streams are looked through for what is lacking.
 const REPAIR_ROUNDS: u64 = 8;
@@ -25,46 +25,58 @@
 const MAX_STREAMS: usize = 1_024;
 
 /// The most that is asked for in one round.
-const MAX_ASKED: usize = 64;
+const MAX_REQUESTS: usize = 64;
 
 impl Registry {
     /// Takes a renewal that another instance passes on because this one vouches for the upstream.
     ///
     /// One that is late or doubled says less age than it has. One would notice a dead upstream
     /// vouched for again. So unless its sequence is new, it proves nothing beyond what is known.
-    pub(crate) fn renew(&mut self, now: Duration, lag: Duration, renewal: &Renewal) -> Renew {
+    pub(crate) fn handle_renewal(
+        &mut self,
+        now: Duration,
+        lag: Duration,
+        renewal: &Renewal,
+    ) -> RenewalOutcome {
         let key = renewal.key;
-        let Some(record) = self.records.get_mut(&key) else { return Renew::Lacking };
-        if record.check != renewal.content_hash {
+        let Some(record) = self.records.get_mut(&key) else {
+            return RenewalOutcome::UnknownContent;
+        };
+        if record.content_hash != renewal.content_hash {
             let leaving = record.is_leaving();
-            return if leaving { Renew::Leaving } else { Renew::Lacking };
+            return if leaving { RenewalOutcome::Departed } else { RenewalOutcome::UnknownContent };
         }
-        let Some(at) = renewal.age.then(now, lag) else { return Renew::Done };
+        let Some(renewed_at) = renewal.age.to_time(now, lag) else { return RenewalOutcome::Done };
         let new = renewal.sequence > record.announcement.sequence;
-        let at = if new { at } else { at.min(record.fresh) };
+        let renewed_at = if new { renewed_at } else { renewed_at.min(record.renewed_at) };
         record.announcement.sequence = record.announcement.sequence.max(renewal.sequence);
-        record.fresh = record.fresh.max(at);
-        let check = record.check;
-        self.vouch(key, check, at);
-        self.review(now, key, false);
-        Renew::Done
+        record.renewed_at = record.renewed_at.max(renewed_at);
+        let content_hash = record.content_hash;
+        self.vouch(key, content_hash, renewed_at);
+        self.update_lease(now, key, false);
+        RenewalOutcome::Done
     }
 
     /// Vouches for an upstream from now on, until its renewals cease.
-    pub(crate) fn vouch(&mut self, key: Key, check: ContentHash, at: Duration) {
-        let at = self.renewed.get(&key).map_or(at, |held| held.at.max(at));
-        self.renewed.insert(key, Renewed { at, check });
+    pub(crate) fn vouch(&mut self, key: Key, content_hash: ContentHash, renewed_at: Duration) {
+        let renewed_at = self
+            .renewals
+            .get(&key)
+            .map_or(renewed_at, |existing| existing.renewed_at.max(renewed_at));
+        self.renewals.insert(key, LatestRenewal { renewed_at, content_hash });
     }
 
     /// Commits what this instance vouches for anew or no longer.
-    pub(crate) fn commit(&mut self, now: Duration, queue: &mut Queue) {
-        self.renewed.retain(|_, renewed| now.saturating_sub(renewed.at) <= WITHDRAW);
+    pub(crate) fn commit_changes(&mut self, now: Duration, queue: &mut Queue) {
+        self.renewals
+            .retain(|_, renewal| now.saturating_sub(renewal.renewed_at) <= WITHDRAW_TIMEOUT);
         let stream = self.streams.entry(self.own).or_default();
-        let withdrawn = stream.keys().filter(|key| !self.renewed.contains_key(key));
-        let mut changes: Vec<Change> = withdrawn.map(|key| Change { key, check: None }).collect();
-        for (key, renewed) in &self.renewed {
-            if stream.check(*key) != Some(renewed.check) {
-                changes.push(Change { key: *key, check: Some(renewed.check) });
+        let withdrawn = stream.keys().filter(|key| !self.renewals.contains_key(key));
+        let mut changes: Vec<Change> =
+            withdrawn.map(|key| Change { key, content_hash: None }).collect();
+        for (key, renewal) in &self.renewals {
+            if stream.content_hash(*key) != Some(renewal.content_hash) {
+                changes.push(Change { key: *key, content_hash: Some(renewal.content_hash) });
             }
         }
         for version in stream.commit(&changes) {
@@ -73,27 +85,31 @@
     }
 
     /// Makes this instance's next freshness mark.
-    pub(crate) fn mark(&mut self, now: Duration, queue: &mut Queue) {
-        let born = self.renewed.values().map(|renewed| renewed.at).min().unwrap_or(now);
+    pub(crate) fn advance_mark(&mut self, now: Duration, queue: &mut Queue) {
+        let renewed_since =
+            self.renewals.values().map(|renewal| renewal.renewed_at).min().unwrap_or(now);
         let Some(stream) = self.streams.get_mut(&self.own) else { return };
         if stream.version() > 0 {
-            stream.mark(born);
+            stream.advance_mark(renewed_since);
             queue.push(Subject::Mark(self.own));
         }
     }
 
     /// Returns all newest marks as they are told now.
     pub(crate) fn marks(&self, now: Duration) -> Vec<FreshnessMark> {
-        self.streams.iter().filter_map(|(handle, stream)| stream.said(*handle, now)).collect()
+        self.streams
+            .iter()
+            .filter_map(|(handle, stream)| stream.current_mark(*handle, now))
+            .collect()
     }
 
     /// Returns the newest mark of an instance as it is told now.
-    pub(crate) fn marked(&self, voucher: Handle, now: Duration) -> Option<FreshnessMark> {
-        self.streams.get(&voucher)?.said(voucher, now)
+    pub(crate) fn mark_of(&self, voucher: Handle, now: Duration) -> Option<FreshnessMark> {
+        self.streams.get(&voucher)?.current_mark(voucher, now)
     }
 
     /// Takes the mark of another instance; what is missing first is added to what to ask for.
-    pub(crate) fn accept(
+    pub(crate) fn handle_mark(
         &mut self,
         now: Duration,
         lag: Duration,
@@ -101,41 +117,41 @@
         queue: &mut Queue,
         pull: &mut Pull,
     ) {
-        if mark.voucher == self.own || !self.admit(mark.voucher) {
+        if mark.voucher == self.own || !self.ensure_stream(mark.voucher) {
             return;
         }
         let Some(stream) = self.streams.get_mut(&mark.voucher) else { return };
-        let born = mark.age.then(now, lag);
-        match stream.weigh(mark) {
+        let renewed_since = mark.age.to_time(now, lag);
+        match stream.classify_mark(mark) {
             Outcome::Known => {}
             Outcome::Gap => {
-                stream.park(mark, born);
-                self.ask_stream(mark.voucher, pull);
+                stream.defer_mark(mark, renewed_since);
+                self.request_stream(mark.voucher, pull);
             }
-            Outcome::News => self.renew_all(now, mark, born, queue),
+            Outcome::New => self.apply_mark(now, mark, renewed_since, queue),
         }
     }
 
     /// Renews all upstreams that a mark covers.
-    pub(super) fn renew_all(
+    pub(super) fn apply_mark(
         &mut self,
         now: Duration,
         mark: &FreshnessMark,
-        born: Option<Duration>,
+        renewed_since: Option<Duration>,
         queue: &mut Queue,
     ) {
-        if self.streams.get(&mark.voucher).is_some_and(|it| mark.version > it.marked()) {
-            self.settle(mark.voucher, |_| true);
+        if self.streams.get(&mark.voucher).is_some_and(|it| mark.version > it.marked_version()) {
+            self.save_mark_evidence(mark.voucher, |_| true);
         }
         if let Some(stream) = self.streams.get_mut(&mark.voucher) {
-            stream.accept(mark, born);
+            stream.apply_mark(mark, renewed_since);
         }
         queue.push(Subject::Mark(mark.voucher));
-        self.review_loose(now, mark.voucher);
+        self.review_unconfirmed(now, mark.voucher);
     }
 
     /// Makes room for the stream of an instance.
-    pub(super) fn admit(&mut self, voucher: Handle) -> bool {
+    pub(super) fn ensure_stream(&mut self, voucher: Handle) -> bool {
         if !self.streams.contains_key(&voucher) && self.streams.len() >= MAX_STREAMS {
             return false;
         }
@@ -143,89 +159,95 @@
         true
     }
 
-    pub(super) fn ask_stream(&mut self, voucher: Handle, pull: &mut Pull) {
-        if self.asked_streams.len() < MAX_ASKED && self.asked_streams.insert(voucher) {
+    pub(super) fn request_stream(&mut self, voucher: Handle, pull: &mut Pull) {
+        if self.requested_streams.len() < MAX_REQUESTS && self.requested_streams.insert(voucher) {
             let version = self.streams.get(&voucher).map_or(0, Stream::version);
             pull.streams.push(StreamPosition { voucher, version });
         }
     }
 
     /// Adds an announcement to what to ask for, once a round.
-    pub(crate) fn ask_sheet(&mut self, key: Key, pull: &mut Pull) {
-        if self.asked_sheets.len() < MAX_ASKED && self.asked_sheets.insert(key) {
+    pub(crate) fn request_announcement(&mut self, key: Key, pull: &mut Pull) {
+        if self.requested_announcements.len() < MAX_REQUESTS
+            && self.requested_announcements.insert(key)
+        {
             pull.announcements.push(key);
         }
     }
 
     /// Takes what another instance vouches for anew or no longer.
-    pub(crate) fn change(
+    pub(crate) fn handle_delta(
         &mut self,
         now: Duration,
         delta: &Delta,
         queue: &mut Queue,
         pull: &mut Pull,
     ) {
-        if delta.voucher == self.own || !self.admit(delta.voucher) {
+        if delta.voucher == self.own || !self.ensure_stream(delta.voucher) {
             return;
         }
         let Some(stream) = self.streams.get(&delta.voucher) else { return };
-        match stream.weigh_delta(delta) {
+        match stream.classify_delta(delta) {
             Outcome::Known => return,
-            Outcome::Gap => return self.ask_stream(delta.voucher, pull),
-            Outcome::News => {}
+            Outcome::Gap => return self.request_stream(delta.voucher, pull),
+            Outcome::New => {}
         }
         if delta.base == 0 {
-            self.detach(delta.voucher);
+            self.remove_voucher(delta.voucher);
         }
-        let touched: BTreeSet<Key> = delta.entries.iter().map(|entry| entry.key).collect();
-        self.settle(delta.voucher, |key| touched.contains(&key));
+        let changed_keys: BTreeSet<Key> = delta.entries.iter().map(|entry| entry.key).collect();
+        self.save_mark_evidence(delta.voucher, |key| changed_keys.contains(&key));
         let Some(stream) = self.streams.get_mut(&delta.voucher) else { return };
-        stream.apply(delta);
-        let parked = stream.parked();
+        stream.apply_delta(delta);
+        let deferred = stream.applicable_mark();
         for entry in &delta.entries {
-            self.attach(delta.voucher, entry, pull);
+            self.update_vouchers(delta.voucher, entry, pull);
         }
         if delta.base + 1 == delta.version {
             queue.push(Subject::Delta(delta.voucher, delta.version));
         }
-        if let Some(Parked { mark, born }) = parked {
-            self.renew_all(now, &mark, born, queue);
+        if let Some(DeferredMark { mark, renewed_since }) = deferred {
+            self.apply_mark(now, &mark, renewed_since, queue);
         }
     }
 
     /// Notes who vouches, and asks for the content when it is not the one held.
-    pub(super) fn attach(&mut self, voucher: Handle, entry: &DeltaEntry, pull: &mut Pull) {
+    pub(super) fn update_vouchers(&mut self, voucher: Handle, entry: &DeltaEntry, pull: &mut Pull) {
         let known = self.records.get_mut(&entry.key).map(|record| {
-            record.vouchers.retain(|held| *held != voucher);
+            record.vouchers.retain(|existing| *existing != voucher);
             if entry.content_hash.is_some() {
                 record.vouchers.push(voucher);
             }
-            record.check
+            record.content_hash
         });
         if entry.content_hash.is_some() && entry.content_hash != known {
-            self.ask_sheet(entry.key, pull);
+            self.request_announcement(entry.key, pull);
         }
     }
 
     /// Forgets what an instance vouched for, but not what its marks had proved.
-    pub(super) fn detach(&mut self, voucher: Handle) {
-        self.settle(voucher, |_| true);
+    pub(super) fn remove_voucher(&mut self, voucher: Handle) {
+        self.save_mark_evidence(voucher, |_| true);
         let keys: Vec<Key> =
             self.streams.get(&voucher).map_or(Vec::new(), |it| it.keys().collect());
         for key in keys {
             if let Some(record) = self.records.get_mut(&key) {
-                record.vouchers.retain(|held| *held != voucher);
+                record.vouchers.retain(|existing| *existing != voucher);
             }
         }
     }
 
     /// Writes what an instance's marks have proved into the records before the stream changes.
-    pub(super) fn settle(&mut self, voucher: Handle, touched: impl Fn(Key) -> bool) {
+    pub(super) fn save_mark_evidence(
+        &mut self,
+        voucher: Handle,
+        is_affected: impl Fn(Key) -> bool,
+    ) {
         let Some(stream) = self.streams.get(&voucher) else { return };
-        for key in stream.keys().filter(|key| touched(*key)) {
+        for key in stream.keys().filter(|key| is_affected(*key)) {
             let Some(record) = self.records.get_mut(&key) else { continue };
-            if let Some(born) = stream.covers(key, record.check) {
-                record.fresh = record.fresh.max(born);
+            if let Some(renewed_since) = stream.renewed_since(key, record.content_hash) {
+                record.renewed_at = record.renewed_at.max(renewed_since);
             }
         }
     }
@@ -235,51 +257,53 @@
     /// The answer to an earlier question may be lost. One would notice an upstream that one
     /// instance alone never uses. So each round some of the streams are looked through in turn,
     /// and the instance that vouches is asked itself.
-    pub(crate) fn repair(&mut self, now: Duration, round: u64) -> Vec<Question> {
+    pub(crate) fn missing_announcements(&mut self, now: Duration, round: u64) -> Vec<PullRequest> {
         let handles: Vec<Handle> = self.streams.keys().copied().collect();
-        let part = round % REPAIR_ROUNDS;
-        let turn = (0..REPAIR_ROUNDS).cycle().zip(handles);
-        let due = turn.filter(|(place, _)| *place == part).map(|(_, handle)| handle);
-        due.filter_map(|handle| self.lacking(now, handle)).collect()
+        let due_slot = round % REPAIR_ROUNDS;
+        let slots = (0..REPAIR_ROUNDS).cycle().zip(handles);
+        let due = slots.filter(|(slot, _)| *slot == due_slot).map(|(_, handle)| handle);
+        due.filter_map(|handle| self.missing_from(now, handle)).collect()
     }
 
-    pub(super) fn lacking(&mut self, now: Duration, voucher: Handle) -> Option<Question> {
+    pub(super) fn missing_from(&mut self, now: Duration, voucher: Handle) -> Option<PullRequest> {
         let stream = self.streams.get(&voucher).filter(|_| voucher != self.own)?;
-        let settled = |record: &Record| record.touched + SETTLE < now;
-        let lacking = |key: &Key| match self.records.get(key) {
+        let settled = |record: &Record| record.changed_at + SETTLE_TIME < now;
+        let is_missing = |key: &Key| match self.records.get(key) {
             None => true,
-            Some(record) => settled(record) && stream.check(*key) != Some(record.check),
+            Some(record) => {
+                settled(record) && stream.content_hash(*key) != Some(record.content_hash)
+            }
         };
-        let keys: Vec<Key> = stream.keys().filter(lacking).collect();
+        let keys: Vec<Key> = stream.keys().filter(is_missing).collect();
         let mut pull = Pull::default();
         for key in keys {
-            self.ask_sheet(key, &mut pull);
+            self.request_announcement(key, &mut pull);
         }
-        (!pull.is_empty()).then_some(Question { voucher, pull })
+        (!pull.is_empty()).then_some(PullRequest { voucher, pull })
     }
 
     /// Drops the stream of an instance that is over or dead.
-    pub(crate) fn retire(&mut self, voucher: Handle) {
+    pub(crate) fn remove_stream(&mut self, voucher: Handle) {
         if voucher != self.own {
-            self.detach(voucher);
+            self.remove_voucher(voucher);
             self.streams.remove(&voucher);
         }
     }
 
     /// Returns the changes of a stream after a version.
-    pub(crate) fn since(&self, since: &StreamPosition) -> Vec<Delta> {
-        let stream = self.streams.get(&since.voucher);
-        stream.map_or(Vec::new(), |stream| stream.since(since.voucher, since.version))
+    pub(crate) fn deltas_since(&self, position: &StreamPosition) -> Vec<Delta> {
+        let stream = self.streams.get(&position.voucher);
+        stream.map_or(Vec::new(), |stream| stream.deltas_since(position.voucher, position.version))
     }
 
     /// Returns the change that led to a version of a stream.
-    pub(crate) fn delta(&self, voucher: Handle, version: u32) -> Option<Delta> {
-        self.streams.get(&voucher)?.step(voucher, version)
+    pub(crate) fn delta_to(&self, voucher: Handle, version: u32) -> Option<Delta> {
+        self.streams.get(&voucher)?.delta_to(voucher, version)
     }
 }
 
 /// What to ask an instance that vouches for upstreams.
-pub(crate) struct Question {
+pub(crate) struct PullRequest {
     /// The instance.
     pub(crate) voucher: Handle,
     /// What is lacking.
@@ -288,11 +312,11 @@
 
 /// Says what a renewal met.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Renew {
+pub(crate) enum RenewalOutcome {
     /// Nothing is left to do.
     Done,
     /// The content is not known here: ask for it.
-    Lacking,
+    UnknownContent,
     /// The upstream is leaving, which the sender does not know.
-    Leaving,
+    Departed,
 }
--- a/crates/verbenaslip-gossip/src/rendezvous.rs
+++ b/crates/verbenaslip-gossip/src/rendezvous.rs
@@ -28,60 +28,61 @@
 /// All instances that see the same members rank alike, whatever the order in which they came to
 /// know them. A change of one instance moves only the keys that it is a home of.
 #[derive(Default)]
-pub(crate) struct Board {
+pub(crate) struct Ranking {
     regions: BTreeMap<Region, Vec<Zone>>,
 }
 
 struct Zone {
     name: AvailabilityZone,
     weight: u64,
-    seats: Vec<Seat>,
+    candidates: Vec<Candidate>,
 }
 
 impl Zone {
-    fn of(name: AvailabilityZone, seat: Seat) -> Self {
+    fn new(name: AvailabilityZone, candidate: Candidate) -> Self {
         let weight = hash::narrow(&[b"zone", name.as_str().as_bytes()]);
-        Self { name, weight, seats: vec![seat] }
+        Self { name, weight, candidates: vec![candidate] }
     }
 }
 
-struct Seat {
+struct Candidate {
     weight: u64,
     instance: Instance,
 }
 
-impl Board {
+impl Ranking {
     /// Takes the instances that are alive, in the order of their names.
-    pub(crate) fn of<'a>(alive: impl Iterator<Item = &'a Peer>) -> Self {
-        let mut board = Self::default();
+    pub(crate) fn new<'a>(alive: impl Iterator<Item = &'a Peer>) -> Self {
+        let mut ranking = Self::default();
         for peer in alive {
             let weight = hash::narrow(&[peer.instance.as_str().as_bytes()]);
-            let seat = Seat { weight, instance: peer.instance.clone() };
-            let zones = board.regions.entry(peer.region.clone()).or_default();
+            let candidate = Candidate { weight, instance: peer.instance.clone() };
+            let zones = ranking.regions.entry(peer.region.clone()).or_default();
             match zones.iter_mut().find(|zone| zone.name == peer.zone) {
-                Some(zone) => zone.seats.push(seat),
-                None => zones.push(Zone::of(peer.zone.clone(), seat)),
+                Some(zone) => zone.candidates.push(candidate),
+                None => zones.push(Zone::new(peer.zone.clone(), candidate)),
             }
         }
-        board
+        ranking
     }
 
     /// Returns the homes of a key in a region.
-    pub(crate) fn rank(&self, region: &Region, key: u128) -> Homes {
+    pub(crate) fn homes(&self, region: &Region, key: u128) -> Homes {
         let zones = self.regions.get(region).map_or(&[][..], Vec::as_slice);
-        let (first, second) = top(zones, key, |zone| zone.weight);
+        let (first, second) = top_two(zones, key, |zone| zone.weight);
         let Some(zone) = first else {
             return Homes { first: None, second: None };
         };
-        let (seat, spare) = top(&zone.seats, key, |seat| seat.weight);
-        let other = second.and_then(|zone| top(&zone.seats, key, |seat| seat.weight).0);
-        let name = |seat: &Seat| seat.instance.clone();
-        Homes { first: seat.map(name), second: other.or(spare).map(name) }
+        let (candidate, spare) = top_two(&zone.candidates, key, |candidate| candidate.weight);
+        let other =
+            second.and_then(|zone| top_two(&zone.candidates, key, |candidate| candidate.weight).0);
+        let name = |candidate: &Candidate| candidate.instance.clone();
+        Homes { first: candidate.map(name), second: other.or(spare).map(name) }
     }
 }
 
 /// Returns the two with the highest weight for a key.
-fn top<T>(items: &[T], key: u128, weight: impl Fn(&T) -> u64) -> (Option<&T>, Option<&T>) {
+fn top_two<T>(items: &[T], key: u128, weight: impl Fn(&T) -> u64) -> (Option<&T>, Option<&T>) {
     let (mut first, mut second) = (None, None);
     for item in items {
         let score = mix(weight(item) ^ mix(key as u64 ^ mix((key >> 64) as u64)));
--- a/crates/verbenaslip-gossip/src/roster/compare.rs
+++ b/crates/verbenaslip-gossip/src/roster/compare.rs
@@ -7,49 +7,53 @@
 use crate::member::{Handle, MemberStatus, RegionId};
 
 /// The most members listed in one datagram.
-const MAX_SEATS: usize = 120;
+const MAX_LISTED_MEMBERS: usize = 120;
 
 impl Roster {
     /// Returns a checksum over who is present in each region.
-    pub(crate) fn sums(&self) -> &[RegionChecksum] {
-        &self.sums
+    pub(crate) fn checksums(&self) -> &[RegionChecksum] {
+        &self.checksums
     }
 
-    pub(super) fn sum_up(&self) -> Vec<RegionChecksum> {
-        let mut sums = BTreeMap::from([(self.area, weigh(self.handle, &self.own))]);
-        for member in self.members().filter(|member| member.state().present()) {
-            *sums.entry(member.area).or_default() ^= member.weight;
+    pub(super) fn compute_checksums(&self) -> Vec<RegionChecksum> {
+        let mut checksums =
+            BTreeMap::from([(self.region_id, member_checksum(self.handle, &self.own))]);
+        for member in self.members().filter(|member| member.state().is_present()) {
+            *checksums.entry(member.region_id).or_default() ^= member.checksum;
         }
-        sums.into_iter()
-            .map(|(area, sum)| RegionChecksum { region_id: area, checksum: sum })
+        checksums
+            .into_iter()
+            .map(|(region_id, checksum)| RegionChecksum { region_id, checksum })
             .collect()
     }
 
-    pub(super) fn seats(&self, only: Option<RegionId>) -> Vec<(RegionId, MemberSummary)> {
-        let seat = |handle, rumor: &MemberStatus| MemberSummary {
+    pub(super) fn summaries(&self, only: Option<RegionId>) -> Vec<(RegionId, MemberSummary)> {
+        let summary = |handle, status: &MemberStatus| MemberSummary {
             handle,
-            refutations: rumor.refutations,
-            state: rumor.state,
+            refutations: status.refutations,
+            state: status.state,
         };
-        let own = (self.area, seat(self.handle, &self.own));
-        let present = self.members().filter(|member| member.state().present());
-        let others = present.map(|member| (member.area, seat(member.handle, &member.rumor)));
+        let own = (self.region_id, summary(self.handle, &self.own));
+        let present = self.members().filter(|member| member.state().is_present());
+        let others =
+            present.map(|member| (member.region_id, summary(member.handle, &member.status)));
         let all = others.chain([own]);
-        let mut seats: Vec<_> = all.filter(|(area, _)| only.is_none_or(|it| it == *area)).collect();
-        seats.sort_by_key(|(_, seat)| seat.handle);
-        seats
+        let mut members: Vec<_> =
+            all.filter(|(region_id, _)| only.is_none_or(|it| it == *region_id)).collect();
+        members.sort_by_key(|(_, summary)| summary.handle);
+        members
     }
 
     /// Lists who is present in a region, in as many lists as fit datagrams.
-    pub(crate) fn lists(&self, area: RegionId) -> Vec<List> {
-        let seats: Vec<MemberSummary> =
-            self.seats(Some(area)).into_iter().map(|(_, seat)| seat).collect();
+    pub(crate) fn member_lists(&self, region_id: RegionId) -> Vec<List> {
+        let members: Vec<MemberSummary> =
+            self.summaries(Some(region_id)).into_iter().map(|(_, summary)| summary).collect();
         let mut lists: Vec<List> = Vec::new();
-        let mut next = None;
-        for part in seats.chunks(MAX_SEATS).rev() {
-            let first = part.first().map_or(Handle([0; 4]), |seat| seat.handle);
-            lists.push(List { region_id: area, first, end: next, members: part.to_vec() });
-            next = Some(first);
+        let mut end = None;
+        for chunk in members.chunks(MAX_LISTED_MEMBERS).rev() {
+            let first = chunk.first().map_or(Handle([0; 4]), |summary| summary.handle);
+            lists.push(List { region_id, first, end, members: chunk.to_vec() });
+            end = Some(first);
         }
         if let Some(list) = lists.last_mut() {
             list.first = Handle([0; 4]);
@@ -61,30 +65,33 @@
     pub(crate) fn compare(&self, list: &List) -> Difference {
         let mut difference = Difference::default();
         let theirs: BTreeMap<Handle, &MemberSummary> =
-            list.members.iter().map(|seat| (seat.handle, seat)).collect();
-        for seat in theirs.values() {
-            self.compare_seat(seat, &mut difference);
+            list.members.iter().map(|summary| (summary.handle, summary)).collect();
+        for summary in theirs.values() {
+            self.compare_summary(summary, &mut difference);
         }
-        let within = |handle| handle >= list.first && list.end.is_none_or(|next| handle < next);
-        for (_, seat) in self.seats(Some(list.region_id)) {
-            if within(seat.handle) && !theirs.contains_key(&seat.handle) {
-                difference.tell.extend(self.named(seat.handle).cloned());
+        let within = |handle| handle >= list.first && list.end.is_none_or(|end| handle < end);
+        for (_, summary) in self.summaries(Some(list.region_id)) {
+            if within(summary.handle) && !theirs.contains_key(&summary.handle) {
+                difference.to_send.extend(self.status_by_handle(summary.handle).cloned());
             }
         }
         difference
     }
 
-    pub(super) fn compare_seat(&self, seat: &MemberSummary, difference: &mut Difference) {
-        let Some(held) = self.named(seat.handle) else {
-            difference.ask.push(seat.handle);
+    pub(super) fn compare_summary(&self, summary: &MemberSummary, difference: &mut Difference) {
+        let Some(known) = self.status_by_handle(summary.handle) else {
+            difference.to_request.push(summary.handle);
             return;
         };
-        let theirs =
-            MemberStatus { refutations: seat.refutations, state: seat.state, ..held.clone() };
-        if held.overrides(&theirs) {
-            difference.tell.push(held.clone());
-        } else if theirs.overrides(held) {
-            difference.ask.push(seat.handle);
+        let theirs = MemberStatus {
+            refutations: summary.refutations,
+            state: summary.state,
+            ..known.clone()
+        };
+        if known.overrides(&theirs) {
+            difference.to_send.push(known.clone());
+        } else if theirs.overrides(known) {
+            difference.to_request.push(summary.handle);
         }
     }
 }
@@ -93,13 +100,13 @@
 #[derive(Default)]
 pub(crate) struct Difference {
     /// What the other one should know.
-    pub(crate) tell: Vec<MemberStatus>,
+    pub(crate) to_send: Vec<MemberStatus>,
     /// Whom to ask the other one for.
-    pub(crate) ask: Vec<Handle>,
+    pub(crate) to_request: Vec<Handle>,
 }
 
 /// Returns what a member adds to the checksum of its region.
-pub(super) fn weigh(handle: Handle, rumor: &MemberStatus) -> u64 {
-    let state = [rumor.state as u8];
-    verbenaslip_base::hash::narrow(&[&handle.0, &rumor.refutations.to_le_bytes(), &state])
+pub(super) fn member_checksum(handle: Handle, status: &MemberStatus) -> u64 {
+    let state = [status.state as u8];
+    verbenaslip_base::hash::narrow(&[&handle.0, &status.refutations.to_le_bytes(), &state])
 }
--- a/crates/verbenaslip-gossip/src/stream.rs
+++ b/crates/verbenaslip-gossip/src/stream.rs
@@ -8,10 +8,10 @@
 use crate::time::Age;
 
 /// The most changes in one version, so that each version fits a datagram.
-const MAX_CHANGES: usize = 48;
+const MAX_CHANGES_PER_VERSION: usize = 48;
 
 /// The most changes in one delta.
-const MAX_ENTRIES: usize = 72;
+const MAX_ENTRIES_PER_DELTA: usize = 72;
 
 /// The most upstreams in one stream; a flood of invented ones ends here.
 const MAX_KEYS: usize = 8_192;
@@ -23,28 +23,28 @@
 #[derive(Default)]
 pub(crate) struct Stream {
     version: u32,
-    head: u32,
-    floor: u32,
-    held: BTreeMap<Key, Held>,
-    tick: u32,
-    marked: u32,
-    born: Duration,
-    parked: Option<Parked>,
+    latest: u32,
+    min_base: u32,
+    items: BTreeMap<Key, Item>,
+    mark_sequence: u32,
+    marked_version: u32,
+    renewed_since: Duration,
+    deferred: Option<DeferredMark>,
 }
 
 /// A mark that can't be used before what comes between has arrived.
 #[derive(Clone, Copy)]
-pub(crate) struct Parked {
+pub(crate) struct DeferredMark {
     /// The mark.
     pub(crate) mark: FreshnessMark,
     /// Since when it renews; none when it came too late.
-    pub(crate) born: Option<Duration>,
+    pub(crate) renewed_since: Option<Duration>,
 }
 
 #[derive(Clone, Copy)]
-struct Held {
+struct Item {
     version: u32,
-    check: Option<ContentHash>,
+    content_hash: Option<ContentHash>,
 }
 
 /// A change of what this instance vouches for.
@@ -52,7 +52,7 @@
     /// The upstream.
     pub(crate) key: Key,
     /// The content vouched for; none when no longer.
-    pub(crate) check: Option<ContentHash>,
+    pub(crate) content_hash: Option<ContentHash>,
 }
 
 /// Says what a delta or mark did to a stream.
@@ -61,7 +61,7 @@
     /// Nothing: it was known.
     Known,
     /// It was new.
-    News,
+    New,
     /// It can't be used before what comes between has been asked for.
     Gap,
 }
@@ -73,140 +73,146 @@
     }
 
     /// Returns the version that the newest mark covers.
-    pub(crate) fn marked(&self) -> u32 {
-        self.marked
+    pub(crate) fn marked_version(&self) -> u32 {
+        self.marked_version
     }
 
     /// Goes through the upstreams vouched for.
     pub(crate) fn keys(&self) -> impl Iterator<Item = Key> {
-        self.held.iter().filter(|(_, held)| held.check.is_some()).map(|(key, _)| *key)
+        self.items.iter().filter(|(_, item)| item.content_hash.is_some()).map(|(key, _)| *key)
     }
 
     /// Returns the content vouched for.
-    pub(crate) fn check(&self, key: Key) -> Option<ContentHash> {
-        self.held.get(&key)?.check
+    pub(crate) fn content_hash(&self, key: Key) -> Option<ContentHash> {
+        self.items.get(&key)?.content_hash
     }
 
     /// Returns since when an upstream with this content is surely renewed, by the newest mark.
-    pub(crate) fn covers(&self, key: Key, check: ContentHash) -> Option<Duration> {
-        let held = self.held.get(&key)?;
-        (held.check == Some(check) && held.version <= self.marked).then_some(self.born)
+    pub(crate) fn renewed_since(&self, key: Key, content_hash: ContentHash) -> Option<Duration> {
+        let item = self.items.get(&key)?;
+        (item.content_hash == Some(content_hash) && item.version <= self.marked_version)
+            .then_some(self.renewed_since)
     }
 
     /// Commits changes of this instance's own, and returns the versions made.
     pub(crate) fn commit(&mut self, changes: &[Change]) -> Vec<u32> {
         let mut versions = Vec::new();
-        for part in changes.chunks(MAX_CHANGES) {
+        for part in changes.chunks(MAX_CHANGES_PER_VERSION) {
             self.version += 1;
             let version = self.version;
-            for Change { key, check } in part {
-                self.held.insert(*key, Held { version, check: *check });
+            for Change { key, content_hash } in part {
+                self.items.insert(*key, Item { version, content_hash: *content_hash });
             }
             versions.push(version);
         }
-        self.head = self.version;
-        self.prune();
+        self.latest = self.version;
+        self.prune_withdrawn();
         versions
     }
 
     /// Makes this instance's own next mark.
-    pub(crate) fn mark(&mut self, born: Duration) {
-        self.tick += 1;
-        self.marked = self.version;
-        self.born = born;
+    pub(crate) fn advance_mark(&mut self, renewed_since: Duration) {
+        self.mark_sequence += 1;
+        self.marked_version = self.version;
+        self.renewed_since = renewed_since;
     }
 
     /// Returns the newest mark as it is told now; none before the first.
-    pub(crate) fn said(&self, voucher: Handle, now: Duration) -> Option<FreshnessMark> {
-        let age = Age::of(now, self.born);
-        let mark = FreshnessMark { voucher, sequence: self.tick, version: self.marked, age };
-        (self.tick > 0).then_some(mark)
+    pub(crate) fn current_mark(&self, voucher: Handle, now: Duration) -> Option<FreshnessMark> {
+        let age = Age::since(now, self.renewed_since);
+        let mark = FreshnessMark {
+            voucher,
+            sequence: self.mark_sequence,
+            version: self.marked_version,
+            age,
+        };
+        (self.mark_sequence > 0).then_some(mark)
     }
 
     /// Tells whether a mark would change something.
-    pub(crate) fn weigh(&self, mark: &FreshnessMark) -> Outcome {
-        if mark.sequence <= self.tick {
+    pub(crate) fn classify_mark(&self, mark: &FreshnessMark) -> Outcome {
+        if mark.sequence <= self.mark_sequence {
             Outcome::Known
-        } else if mark.version > self.version || self.head > self.version {
+        } else if mark.version > self.version || self.latest > self.version {
             Outcome::Gap
         } else {
-            Outcome::News
+            Outcome::New
         }
     }
 
     /// Takes another instance's mark, which [`Stream::weigh`] found new.
     ///
     /// A mark without a usable age still counts as seen, so that it can't come again as fresh.
-    pub(crate) fn accept(&mut self, mark: &FreshnessMark, born: Option<Duration>) {
-        self.tick = mark.sequence;
-        let Some(born) = born else { return };
-        if mark.version > self.marked {
-            self.marked = mark.version;
-            self.born = born;
-        } else if mark.version == self.marked {
-            self.born = self.born.max(born);
+    pub(crate) fn apply_mark(&mut self, mark: &FreshnessMark, renewed_since: Option<Duration>) {
+        self.mark_sequence = mark.sequence;
+        let Some(renewed_since) = renewed_since else { return };
+        if mark.version > self.marked_version {
+            self.marked_version = mark.version;
+            self.renewed_since = renewed_since;
+        } else if mark.version == self.marked_version {
+            self.renewed_since = self.renewed_since.max(renewed_since);
         }
     }
 
     /// Keeps a mark for when [`Stream::weigh`] finds that it can be used.
-    pub(crate) fn park(&mut self, mark: &FreshnessMark, born: Option<Duration>) {
-        if self.parked.is_none_or(|parked| parked.mark.sequence < mark.sequence) {
-            self.parked = Some(Parked { mark: *mark, born });
+    pub(crate) fn defer_mark(&mut self, mark: &FreshnessMark, renewed_since: Option<Duration>) {
+        if self.deferred.is_none_or(|deferred| deferred.mark.sequence < mark.sequence) {
+            self.deferred = Some(DeferredMark { mark: *mark, renewed_since });
         }
     }
 
     /// Returns the kept mark once it can be used.
-    pub(crate) fn parked(&self) -> Option<Parked> {
-        self.parked.filter(|parked| self.weigh(&parked.mark) == Outcome::News)
+    pub(crate) fn applicable_mark(&self) -> Option<DeferredMark> {
+        self.deferred.filter(|deferred| self.classify_mark(&deferred.mark) == Outcome::New)
     }
 
     /// Tells whether a delta would change something.
-    pub(crate) fn weigh_delta(&self, delta: &Delta) -> Outcome {
+    pub(crate) fn classify_delta(&self, delta: &Delta) -> Outcome {
         if delta.version <= self.version {
             Outcome::Known
-        } else if delta.base > self.version || self.held.len() >= MAX_KEYS {
+        } else if delta.base > self.version || self.items.len() >= MAX_KEYS {
             Outcome::Gap
         } else {
-            Outcome::News
+            Outcome::New
         }
     }
 
-    /// Takes another instance's delta, which [`Stream::weigh_delta`] found new.
-    pub(crate) fn apply(&mut self, delta: &Delta) {
+    /// Takes another instance's delta, which [`Stream::classify_delta`] found new.
+    pub(crate) fn apply_delta(&mut self, delta: &Delta) {
         if delta.base == 0 {
-            self.held.clear();
-            self.floor = 0;
+            self.items.clear();
+            self.min_base = 0;
         }
         for entry in &delta.entries {
             let version = delta.base.saturating_add(entry.version_offset);
-            self.held.insert(entry.key, Held { version, check: entry.content_hash });
+            self.items.insert(entry.key, Item { version, content_hash: entry.content_hash });
         }
         self.version = delta.version;
-        self.head = self.head.max(delta.latest);
-        self.prune();
+        self.latest = self.latest.max(delta.latest);
+        self.prune_withdrawn();
     }
 
-    fn prune(&mut self) {
-        let withdrawn = self.held.values().filter(|held| held.check.is_none());
-        let mut versions: Vec<u32> = withdrawn.map(|held| held.version).collect();
+    fn prune_withdrawn(&mut self) {
+        let withdrawn = self.items.values().filter(|item| item.content_hash.is_none());
+        let mut versions: Vec<u32> = withdrawn.map(|item| item.version).collect();
         if versions.len() <= MAX_WITHDRAWN {
             return;
         }
         versions.sort_unstable();
-        self.floor = versions[versions.len() / 2];
-        let floor = self.floor;
-        self.held.retain(|_, held| held.check.is_some() || held.version > floor);
+        self.min_base = versions[versions.len() / 2];
+        let min_base = self.min_base;
+        self.items.retain(|_, item| item.content_hash.is_some() || item.version > min_base);
     }
 
     /// Returns the change that led to a version; what later ones override is left out.
-    pub(crate) fn step(&self, voucher: Handle, version: u32) -> Option<Delta> {
-        let base = version.checked_sub(1).filter(|base| *base >= self.floor)?;
-        let mut delta = self.piece(voucher, base);
+    pub(crate) fn delta_to(&self, voucher: Handle, version: u32) -> Option<Delta> {
+        let base = version.checked_sub(1).filter(|base| *base >= self.min_base)?;
+        let mut delta = self.empty_delta(voucher, base);
         delta.version = version;
-        let changed = self.held.iter().filter(|(_, held)| held.version == version);
-        let entry = |(key, held): (&Key, &Held)| DeltaEntry {
+        let changed = self.items.iter().filter(|(_, item)| item.version == version);
+        let entry = |(key, item): (&Key, &Item)| DeltaEntry {
             key: *key,
-            content_hash: held.check,
+            content_hash: item.content_hash,
             version_offset: 1,
         };
         delta.entries = changed.map(entry).collect();
@@ -214,27 +220,26 @@
     }
 
     /// Returns the changes after a version, in deltas that each fit a datagram.
-    pub(crate) fn since(&self, voucher: Handle, base: u32) -> Vec<Delta> {
-        let base = if base < self.floor || base > self.version { 0 } else { base };
+    pub(crate) fn deltas_since(&self, voucher: Handle, base: u32) -> Vec<Delta> {
+        let base = if base < self.min_base || base > self.version { 0 } else { base };
         let mut by_version: BTreeMap<u32, Vec<Change>> = BTreeMap::new();
-        for (key, held) in self.held.iter().filter(|(_, held)| held.version > base) {
-            let change = Change { key: *key, check: held.check };
-            by_version.entry(held.version).or_default().push(change);
+        for (key, item) in self.items.iter().filter(|(_, item)| item.version > base) {
+            let change = Change { key: *key, content_hash: item.content_hash };
+            by_version.entry(item.version).or_default().push(change);
         }
         let mut deltas: Vec<Delta> = Vec::new();
-        let mut delta = self.piece(voucher, base);
+        let mut delta = self.empty_delta(voucher, base);
         for (version, changes) in by_version {
-            if !delta.entries.is_empty() && delta.entries.len() + changes.len() > MAX_ENTRIES {
-                let next = self.piece(voucher, delta.version);
+            if !delta.entries.is_empty()
+                && delta.entries.len() + changes.len() > MAX_ENTRIES_PER_DELTA
+            {
+                let next = self.empty_delta(voucher, delta.version);
                 deltas.push(std::mem::replace(&mut delta, next));
             }
             delta.version = version;
-            let after = version - delta.base;
-            let entry = |Change { key, check }| DeltaEntry {
-                key,
-                content_hash: check,
-                version_offset: after,
-            };
+            let version_offset = version - delta.base;
+            let entry =
+                |Change { key, content_hash }| DeltaEntry { key, content_hash, version_offset };
             delta.entries.extend(changes.into_iter().map(entry));
         }
         delta.version = self.version;
@@ -242,7 +247,7 @@
         deltas
     }
 
-    fn piece(&self, voucher: Handle, base: u32) -> Delta {
+    fn empty_delta(&self, voucher: Handle, base: u32) -> Delta {
         Delta { voucher, base, version: base, latest: self.version, entries: Vec::new() }
     }
 }
--- a/crates/verbenaslip-gossip/src/time.rs
+++ b/crates/verbenaslip-gossip/src/time.rs
@@ -5,16 +5,16 @@
 use verbenaslip_base::data;
 
 /// The coarseness of an age; also what every hop adds, because travelling takes time.
-const UNIT: Duration = Duration::from_millis(25);
+const AGE_UNIT: Duration = Duration::from_millis(25);
 
 /// A gap between two steps from which the process counts as having been frozen.
-const FREEZE: Duration = Duration::from_millis(700);
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(700);
 
 /// How long after a freeze arriving data may have waited in a socket's buffer meanwhile.
-const THAW: Duration = Duration::from_millis(500);
+const BUFFER_DRAIN_TIME: Duration = Duration::from_millis(500);
 
 /// What is added to every time handed in, so that an age never reaches back before zero.
-const ORIGIN: Duration = Duration::from_secs(86_400);
+const TIME_OFFSET: Duration = Duration::from_secs(86_400);
 
 /// Says how long ago something was true, in units of 25 ms, rounded up; 255 is beyond any lease.
 ///
@@ -28,17 +28,17 @@
     pub(crate) const EXPIRED: Self = Self(u8::MAX);
 
     /// Measures the age that a datagram sent now says, with one unit for its travel.
-    pub(crate) fn of(now: Duration, then: Duration) -> Self {
-        let units = now.saturating_sub(then).as_millis().div_ceil(UNIT.as_millis()) + 1;
+    pub(crate) fn since(now: Duration, then: Duration) -> Self {
+        let units = now.saturating_sub(then).as_millis().div_ceil(AGE_UNIT.as_millis()) + 1;
         Self(u8::try_from(units).unwrap_or(u8::MAX))
     }
 
     /// Returns when it was true, for a datagram that arrives now; none when that is too long ago.
-    pub(crate) fn then(self, now: Duration, lag: Duration) -> Option<Duration> {
+    pub(crate) fn to_time(self, now: Duration, lag: Duration) -> Option<Duration> {
         if self == Self::EXPIRED {
             return None;
         }
-        now.checked_sub(UNIT * u32::from(self.0) + lag)
+        now.checked_sub(AGE_UNIT * u32::from(self.0) + lag)
     }
 }
 
@@ -46,21 +46,21 @@
 pub(crate) struct Clock {
     now: Duration,
     lag: Duration,
-    thawed: Duration,
+    lag_until: Duration,
 }
 
 /// Tells what a step of the clock found.
-pub(crate) struct Reading {
+pub(crate) struct ClockStep {
     /// The time to work with.
     pub(crate) now: Duration,
     /// How long the process had been frozen, when this step is the first after it.
-    pub(crate) frozen: Option<Duration>,
+    pub(crate) paused_for: Option<Duration>,
 }
 
 impl Clock {
     /// Starts at the given time.
-    pub(crate) fn open(now: Duration) -> Self {
-        Self { now: now + ORIGIN, lag: Duration::ZERO, thawed: Duration::ZERO }
+    pub(crate) fn new(now: Duration) -> Self {
+        Self { now: now + TIME_OFFSET, lag: Duration::ZERO, lag_until: Duration::ZERO }
     }
 
     /// Moves on to the given time.
@@ -68,21 +68,21 @@
     /// After a freeze, datagrams that waited in the socket's buffer say an age from before it. One
     /// would notice an upstream that died meanwhile coming back as fresh. So whatever arrives
     /// shortly after a freeze counts as older by the whole freeze.
-    pub(crate) fn advance(&mut self, now: Duration) -> Reading {
-        let now = self.now.max(now.saturating_add(ORIGIN));
+    pub(crate) fn advance(&mut self, now: Duration) -> ClockStep {
+        let now = self.now.max(now.saturating_add(TIME_OFFSET));
         let gap = now - self.now;
         self.now = now;
-        let frozen = (gap > FREEZE).then_some(gap);
-        if let Some(gap) = frozen {
+        let paused_for = (gap > PAUSE_THRESHOLD).then_some(gap);
+        if let Some(gap) = paused_for {
             self.lag = gap;
-            self.thawed = now + THAW;
+            self.lag_until = now + BUFFER_DRAIN_TIME;
         }
-        Reading { now, frozen }
+        ClockStep { now, paused_for }
     }
 
     /// Returns what to add to the age of whatever arrives now.
     pub(crate) fn lag(&self) -> Duration {
-        if self.now < self.thawed { self.lag } else { Duration::ZERO }
+        if self.now < self.lag_until { self.lag } else { Duration::ZERO }
     }
 
     /// Returns the time of the last step.
@@ -91,12 +91,12 @@
     }
 
     /// Translates a time handed in to one to work with.
-    pub(crate) fn inner(now: Duration) -> Duration {
-        now.saturating_add(ORIGIN)
+    pub(crate) fn to_internal(now: Duration) -> Duration {
+        now.saturating_add(TIME_OFFSET)
     }
 
     /// Translates a time to work with to one handed out.
-    pub(crate) fn outer(now: Duration) -> Duration {
-        now.saturating_sub(ORIGIN)
+    pub(crate) fn to_external(now: Duration) -> Duration {
+        now.saturating_sub(TIME_OFFSET)
     }
 }
--- a/crates/verbenaslip-request/src/input.rs
+++ b/crates/verbenaslip-request/src/input.rs
@@ -34,7 +34,7 @@
     Arrived(Arrival),
     /// Another instance wants to pass on this instance's answer to its caller.
     Subscribed {
-        /// Stands for the other instance's connection, until `Gone`.
+        /// Stands for the other instance's connection, until `PastDeparture`.
         ticket: Ticket,
         /// The request.
         request: Request,
