--- a/crates/verbenaslip-gossip/src/frame.rs
+++ b/crates/verbenaslip-gossip/src/frame.rs
@@ -1,4 +1,4 @@
-//! The datagrams between instances.
+//! Datagrams between instances.
 
 use std::time::Duration;
 
@@ -9,82 +9,82 @@
 use crate::member::{Handle, MemberStatus, RegionId};
 use crate::time::Age;
 
-/// The most bytes that a frame takes, so that with its envelope it fits 1,200 bytes.
+/// Maximum size of a frame in bytes; with its envelope it fits in 1,200 bytes.
 pub const MAX_FRAME_BYTES: usize = 1_180;
 
 /// One datagram.
 #[data]
 pub struct Frame {
-    /// Who sends it.
+    /// Handle of the sender.
     pub from: Handle,
-    /// What it says.
+    /// Content of the datagram.
     pub body: Body,
 }
 
 impl Frame {
-    /// Reads a frame; none when the bytes are not exactly one.
+    /// Decodes a frame; returns `None` unless the bytes are exactly one frame.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (frame, rest) = postcard::take_from_bytes(bytes).ok()?;
         rest.is_empty().then_some(frame)
     }
 
-    /// Writes the frame; none when it does not fit a datagram.
+    /// Encodes the frame; returns `None` if it is longer than [`MAX_FRAME_BYTES`].
     pub fn encode(&self) -> Option<Vec<u8>> {
         let bytes = postcard::to_stdvec(self).ok()?;
         (bytes.len() <= MAX_FRAME_BYTES).then_some(bytes)
     }
 }
 
-/// What a datagram says.
+/// Content of a datagram.
 #[data]
 pub enum Body {
     /// Introduces the sender to an address that may not know it.
     Join(MemberStatus),
-    /// Asks the target to answer.
+    /// Asks the target to answer with an ack.
     Ping {
-        /// Who is meant; another one that lives at the address now introduces itself instead.
+        /// Handle of the target; another incarnation at the address sends a join instead of an ack.
         target: Handle,
-        /// Comes back in the answer.
+        /// Number of the probe, repeated in the ack.
         probe: u32,
     },
     /// Answers a ping.
     Ack {
-        /// The ping's number.
+        /// Number of the probe that is answered.
         probe: u32,
     },
-    /// Asks the receiver to ping the target in the sender's place.
+    /// Asks the receiver to ping the target on behalf of the sender.
     IndirectPing {
-        /// Who is to answer.
+        /// Handle of the instance to ping.
         target: Handle,
-        /// Comes back in the answer.
+        /// Number of the probe, repeated in the ack.
         probe: u32,
     },
-    /// Passes on news.
+    /// Updates to send on.
     Updates(Updates),
-    /// Answers a question; what it says is no news to others.
+    /// Updates that answer a pull; other instances know the announcements in it already.
     PullResponse(Updates),
-    /// Compares what the sender holds with what the receiver holds.
+    /// Summary of the sender's state, for comparison with the receiver's.
     Digest(Digest),
-    /// Lists the members of one region, after a comparison had differed.
+    /// Members of one region, sent after the checksums of a digest differed.
     MemberList(MemberList),
-    /// Asks for what the sender found that it lacks.
+    /// Request for what the sender lacks.
     Pull(Pull),
-    /// Passes renewals on to an instance that vouches for the upstreams.
+    /// Renewals for an instance that vouches for the upstreams.
     Renewals(Vec<Renewal>),
-    /// Carries the sender's own report.
+    /// The sender's own report.
     Report(Report),
 }
 
-/// News of all kinds; the receiver passes on what was new to it.
+/// Updates of all kinds; the receiver sends on those that are new to it.
 #[data(default)]
 pub struct Updates {
-    /// Upstreams that take no new work.
+    /// Departures of upstreams.
     pub departures: Vec<Departure>,
-    /// Changes of what instances vouch for.
+    /// Changes of the streams of vouching instances.
     pub deltas: Vec<Delta>,
     /// Freshness marks.
     pub marks: Vec<FreshnessMark>,
-    /// Changes of members.
+    /// Changed members.
     pub members: Vec<MemberStatus>,
     /// New or changed upstreams.
     pub announcements: Vec<ForwardedAnnouncement>,
@@ -93,7 +93,7 @@
 }
 
 impl Updates {
-    /// Tells whether there is no news.
+    /// Returns whether there are no updates.
     pub(crate) fn is_empty(&self) -> bool {
         self.departures.is_empty()
             && self.deltas.is_empty()
@@ -104,14 +104,14 @@
     }
 }
 
-/// Stands for an upstream in datagrams.
+/// Hash that represents an upstream in datagrams.
 ///
-/// A new upstream whose name gives a key in use by another name is refused when it announces.
+/// An announcement of a new upstream is rejected if another upstream's name has the same key.
 #[data(copy, ord, hash, default)]
 pub struct Key(pub [u8; 6]);
 
 impl Key {
-    /// Derives it from the upstream's name.
+    /// Returns the key of an upstream, derived from its name.
     pub fn of(upstream: &Upstream) -> Self {
         let [a, b, c, d, e, f, ..] = hash::narrow(&[upstream.as_str().as_bytes()]).to_le_bytes();
         Self([a, b, c, d, e, f])
@@ -119,24 +119,24 @@
 }
 
 impl Key {
-    /// Returns the first bytes, by which loads mean it.
+    /// Returns the first bytes of the key, which identify the upstream in a [`CompactLoad`].
     pub(crate) fn prefix(self) -> [u8; 4] {
         let [a, b, c, d, ..] = self.0;
         [a, b, c, d]
     }
 
-    /// Returns the range of keys that begin with such bytes.
+    /// Returns the range of keys that start with the given bytes.
     pub(crate) fn with_prefix([a, b, c, d]: [u8; 4]) -> std::ops::RangeInclusive<Self> {
         Self([a, b, c, d, 0, 0])..=Self([a, b, c, d, u8::MAX, u8::MAX])
     }
 }
 
-/// Tells one content of an announcement from another; sequence and load are no part of it.
+/// Hash of an announcement's content without sequence number, notice and load.
 #[data(copy, ord, hash)]
 pub struct ContentHash(pub [u8; 3]);
 
 impl ContentHash {
-    /// Derives it from all that an announcement says but sequence, notice and load.
+    /// Returns the hash of an announcement without its sequence number, notice and load.
     pub fn of(announcement: &Announcement) -> Self {
         let mut content = announcement.clone();
         content.sequence = 0;
@@ -150,202 +150,202 @@
     }
 }
 
-/// Says that an upstream takes no new work.
+/// Departure of an upstream, after which it takes no new work.
 #[data(copy)]
 pub struct Departure {
-    /// The upstream.
+    /// Key of the upstream.
     pub key: Key,
-    /// The incarnation for which this is final.
+    /// Incarnation for which the departure is final.
     pub incarnation: u64,
-    /// The sequence at which it said so.
+    /// Sequence number at which the upstream departed.
     pub sequence: u64,
-    /// Milliseconds that are left until it is taken away.
+    /// Time until the upstream is taken away, in milliseconds.
     pub notice: Option<u32>,
 }
 
-/// Passes on an announcement.
+/// Announcement that one instance forwards to another.
 #[data]
 pub struct ForwardedAnnouncement {
-    /// The announcement.
+    /// Announcement of the upstream.
     pub announcement: Announcement,
-    /// How long ago it was made.
+    /// Time since the announcement was made or last renewed.
     pub age: Age,
-    /// How old its load report is, in milliseconds.
+    /// Age of the load in the announcement, in milliseconds.
     pub load_age_ms: u32,
 }
 
-/// Passes on the load of an upstream, coarsely.
+/// Load of an upstream in a compact form.
 ///
-/// Loads are the most frequent news, so all is cut short; one that is taken for another upstream's
-/// or incarnation's does no harm beyond a worse choice until the next.
+/// Loads are the most frequent updates, so all fields are truncated. A load that is taken for that
+/// of another upstream or incarnation only leads to a worse choice until the next one arrives.
 #[data(copy)]
 pub struct CompactLoad {
-    /// The first bytes of the upstream's key.
+    /// First bytes of the upstream's key.
     pub key: [u8; 4],
-    /// The low bits of the incarnation.
+    /// Low bits of the incarnation.
     pub incarnation: u8,
-    /// The low bits of the sequence of the announcement that said so.
+    /// Low bits of the sequence number of the announcement that contained the load.
     pub sequence: [u8; 2],
-    /// Requests being run.
+    /// Number of requests that the upstream runs.
     pub running: u32,
-    /// Requests waiting in the upstream.
+    /// Number of requests queued in the upstream.
     pub waiting: u32,
     /// Share of KV cache memory in use, in units of 1/250.
     pub memory: u8,
-    /// How long ago it was measured, in tenths of a second.
+    /// Time since the load was measured, in tenths of a second.
     pub age_tenths: u8,
 }
 
-/// Changes what one instance vouches for.
+/// Change of one instance's stream.
 #[data]
 pub struct Delta {
-    /// The instance that vouches.
+    /// Handle of the vouching instance.
     pub voucher: Handle,
-    /// The version that it changes; zero replaces all.
+    /// Version to which the delta applies; a delta from version zero replaces the whole stream.
     pub base: u32,
-    /// The version that it leads to.
+    /// Version that the delta leads to.
     pub version: u32,
-    /// The newest version that the sender holds; marks do not count until it is reached.
+    /// Latest version that the sender holds; marks are not applied before it is reached.
     pub latest: u32,
-    /// The changes.
+    /// Changed upstreams.
     pub entries: Vec<DeltaEntry>,
 }
 
-/// Changes what an instance vouches for about one upstream.
+/// Change of a stream for one upstream.
 #[data(copy)]
 pub struct DeltaEntry {
-    /// The upstream.
+    /// Key of the upstream.
     pub key: Key,
-    /// The content that it vouches for; none when it no longer does.
+    /// Hash of the content that is vouched for; `None` when it is no longer vouched for.
     pub content_hash: Option<ContentHash>,
-    /// By how many versions after the delta's base the voucher made this change.
+    /// Version of the change relative to the delta's base.
     ///
-    /// Every holder must know exactly which version a change belongs to. Else one receiver could
-    /// combine two holders' deltas into one with a change missing, which no later one repeats.
+    /// Each holder must know the exact version of a change. Otherwise a receiver could combine the
+    /// deltas of two holders and miss a change that no later delta repeats.
     pub version_offset: u32,
 }
 
-/// Says that all upstreams that an instance vouches for were renewed not longer ago than an age.
+/// Confirms that all upstreams of a stream were renewed within the given age.
 #[data(copy)]
 pub struct FreshnessMark {
-    /// The instance that vouches.
+    /// Handle of the vouching instance.
     pub voucher: Handle,
-    /// Rises with each mark of the voucher.
+    /// Number that is increased with each mark of the voucher.
     pub sequence: u32,
-    /// The version of what it vouches for.
+    /// Version of the stream that the mark covers.
     pub version: u32,
-    /// The age of the oldest renewal among them.
+    /// Age of the oldest renewal in the stream.
     pub age: Age,
 }
 
-/// Compares what two instances hold.
+/// Summary of an instance's state.
 #[data(default)]
 pub struct Digest {
-    /// A checksum over the members of each region.
+    /// Checksums over the members of each region.
     pub checksums: Vec<RegionChecksum>,
-    /// How long ago each other region was last heard.
+    /// Time since each other region was last heard from.
     pub contacts: Vec<RegionContact>,
-    /// All freshness marks, when both are in one region.
+    /// Freshness marks, chosen at random if not all fit; empty for a receiver in another region.
     pub marks: Vec<FreshnessMark>,
 }
 
-/// A checksum over the members of one region.
+/// Checksum over the members of one region.
 #[data(copy)]
 pub struct RegionChecksum {
-    /// The region.
+    /// Identifier of the region.
     pub region_id: RegionId,
-    /// Covers all who are present.
+    /// Checksum over all members that are present.
     pub checksum: u64,
 }
 
-/// Says how long ago a region was heard by anybody of the sender's region.
+/// Time since an instance of the sender's region last heard from another region.
 #[data(copy)]
 pub struct RegionContact {
-    /// The region.
+    /// Identifier of the other region.
     pub region_id: RegionId,
-    /// Tenths of a second.
+    /// Time since the last contact, in tenths of a second.
     pub age_tenths: u16,
 }
 
 impl RegionContact {
-    /// Measures how long ago a region was heard.
+    /// Creates an entry for a region that was last heard from at `then`.
     pub(crate) fn of(region_id: RegionId, now: Duration, then: Duration) -> Self {
         let tenths = now.saturating_sub(then).as_millis() / 100 + 1;
         Self { region_id, age_tenths: u16::try_from(tenths).unwrap_or(u16::MAX) }
     }
 }
 
-/// Lists members of one region whose handles lie in a range.
+/// Members of one region whose handles lie in a range.
 #[data]
 pub struct MemberList {
-    /// The region.
+    /// Identifier of the region.
     pub region_id: RegionId,
-    /// The first handle of the range.
+    /// First handle of the range.
     pub first: Handle,
-    /// The first handle after the range; none when it has no end.
+    /// First handle after the range; `None` when the range is unbounded.
     pub end: Option<Handle>,
-    /// All of them who are present, by handle.
+    /// All members of the range that are present, sorted by handle.
     pub members: Vec<MemberSummary>,
 }
 
-/// Lists one member.
+/// Status of one member without its identity.
 #[data(copy)]
 pub struct MemberSummary {
-    /// The member.
+    /// Handle of the member.
     pub handle: Handle,
-    /// How often it has refuted a suspicion.
+    /// Number of suspicions that the member has refuted.
     pub refutations: u32,
-    /// What is believed of it.
+    /// State of the member.
     pub state: crate::member::State,
 }
 
-/// Asks for what the sender lacks.
+/// Request for what the sender lacks.
 #[data(default)]
 pub struct Pull {
-    /// What instances vouch for, from a version on.
+    /// Streams, each from the version that the sender holds.
     pub streams: Vec<StreamPosition>,
-    /// Announcements.
+    /// Upstreams whose announcements are requested.
     pub announcements: Vec<Key>,
-    /// Members.
+    /// Members whose statuses are requested.
     pub members: Vec<Handle>,
 }
 
 impl Pull {
-    /// Tells whether nothing is asked.
+    /// Returns whether nothing is requested.
     pub(crate) fn is_empty(&self) -> bool {
         self.streams.is_empty() && self.announcements.is_empty() && self.members.is_empty()
     }
 }
 
-/// Names the version of a stream that the sender holds.
+/// Version of a stream that the sender holds.
 #[data(copy)]
 pub struct StreamPosition {
-    /// The instance that vouches.
+    /// Handle of the vouching instance.
     pub voucher: Handle,
-    /// The version held; zero for nothing.
+    /// Version that is held; zero if none is held.
     pub version: u32,
 }
 
-/// Passes on that an upstream has announced itself with unchanged content.
+/// Repeated announcement of an upstream whose content has not changed.
 #[data(copy)]
 pub struct Renewal {
-    /// The upstream.
+    /// Key of the upstream.
     pub key: Key,
-    /// The content it announced.
+    /// Hash of the announced content.
     pub content_hash: ContentHash,
-    /// The sequence of the announcement.
+    /// Sequence number of the announcement.
     pub sequence: u64,
-    /// How long ago that was.
+    /// Time since the announcement was made.
     pub age: Age,
 }
 
-/// Carries an opaque report of its sender.
+/// Opaque report of the sender.
 #[data]
 pub struct Report {
-    /// Rises with each report of the sender's incarnation.
+    /// Number that is increased with each report of the sender's incarnation.
     pub version: u64,
-    /// How long ago it was made.
+    /// Time since the report was created.
     pub age: Age,
-    /// What it says.
+    /// Content of the report.
     pub bytes: Vec<u8>,
 }
--- a/crates/verbenaslip-gossip/src/gossip.rs
+++ b/crates/verbenaslip-gossip/src/gossip.rs
@@ -1,4 +1,4 @@
-//! The composition of membership and registry, and their rounds.
+//! State machine that combines membership and registry, and its rounds.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,125 +23,135 @@
 use crate::setup::{MAX_LEASE, Setup};
 use crate::time::{Age, Clock};
 
-/// How often news is passed on.
+/// Time between two rounds of updates.
 const ROUND_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How many neighbours get news in a round.
+/// Number of neighbours that receive updates in a round.
 const FANOUT: usize = 2;
 
-/// How many datagrams a neighbour gets at most in a round while much has changed.
+/// Maximum number of datagrams with updates for one neighbour in a round.
 const MAX_DATAGRAMS: usize = 4;
 
-/// How many neighbours get urgent news at once.
+/// Number of neighbours that receive urgent updates.
 const URGENT_FANOUT: usize = 6;
 
-/// The least time between two bursts of urgent news.
+/// Minimum time between two sends of urgent updates.
 const URGENT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Every how many rounds this instance makes a mark and compares itself with a neighbour.
+/// Number of rounds between two marks and digests of this instance.
 const DIGEST_ROUNDS: u64 = 4;
 
-/// Every how many rounds it looks for instances it has lost.
+/// Number of rounds between two attempts to reach an instance that was declared dead.
 const REJOIN_ROUNDS: u64 = 20;
 
-/// Every how many rounds it greets a seed although it has neighbours.
+/// Number of rounds between two joins through a seed while there are neighbours.
 const SEED_ROUNDS: u64 = 120;
 
-/// After which silence of all neighbours an instance doubts its own links.
+/// Time without a datagram of any neighbour after which an instance counts as isolated.
 const ISOLATION_SILENCE: Duration = Duration::from_millis(2_500);
 
-/// After which silence it takes leases that run out as doubtful rather than lapsed.
+/// Time without a datagram of any neighbour after which expired leases count as doubtful.
 const DOUBT_SILENCE: Duration = Duration::from_millis(1_200);
 
-/// Which share of its neighbours, in hundredths, must be missing for an instance to doubt itself.
+/// Percentage of missing neighbours above which an instance counts as isolated.
 const ISOLATION_PERCENT: usize = 60;
 
-/// How many bytes of reports an instance sends in a round.
+/// Number of bytes of reports that an instance sends in a round.
 const REPORT_BYTES_PER_ROUND: usize = 240;
 
-/// The most datagrams with its report that an instance sends in a round.
+/// Maximum number of datagrams with its report that an instance sends in a round.
 const MAX_REPORTS_PER_ROUND: usize = 4;
 
-/// The most renewals in one datagram.
+/// Maximum number of renewals in one datagram.
 const MAX_RENEWALS_PER_FRAME: usize = 50;
 
-/// The most renewals that wait to be passed on.
+/// Maximum number of renewals that wait to be forwarded.
 const MAX_PENDING_RENEWALS: usize = 16_384;
 
-/// What happens to the machine.
+/// Input of the state machine.
 #[data]
 pub enum Input {
-    /// Time has passed; due when [`Gossip::wake`] says so, harmless at any other time.
+    /// Time has passed; due at [`Gossip::next_wakeup`] and harmless at any other time.
     Tick,
     /// A datagram has arrived.
     Received {
-        /// The address it came from.
+        /// Address of the sender.
         from: SocketAddr,
-        /// What it says.
+        /// Decoded datagram.
         frame: Box<Frame>,
     },
-    /// An upstream has announced itself here; an [`Output::Answer`] follows in the same step.
+    /// An upstream has announced itself; an [`Output::AnnouncementResult`] follows in the same
+    /// step.
     Announced(Box<Announcement>),
     /// The cloud takes an upstream away.
     Reclaimed {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: Upstream,
-        /// In how many milliseconds.
+        /// Time until the upstream is taken away, in milliseconds.
         notice: u32,
     },
-    /// This instance has a new report for its neighbours, of at most [`crate::MAX_REPORT_BYTES`] bytes.
+    /// This instance has a new report of at most [`crate::MAX_REPORT_BYTES`] bytes for its
+    /// neighbours.
     Report(Vec<u8>),
-    /// This instance drains: it takes no new duties and stays reachable. Final.
+    /// This instance drains: it takes no new duties but stays reachable. Final.
     Leave,
-    /// This instance stops: this is its last step. Final.
+    /// This instance stops after this step. Final.
     Stop,
 }
 
-/// What the machine wants done or known.
+/// Output of the state machine.
 #[data]
 pub enum Output {
-    /// A datagram is to be sent.
+    /// A datagram to send.
     Send {
-        /// Where to.
+        /// Address of the receiver.
         to: SocketAddr,
-        /// What it says.
+        /// Datagram to encode and send.
         frame: Box<Frame>,
     },
-    /// Answers the announcement of this step.
+    /// Result of the announcement in this step.
     AnnouncementResult(AnnouncementResult),
     /// A member has changed.
     Member(member::Event),
     /// An upstream has changed.
     Upstream(registry::Event),
-    /// A neighbour has a new report.
+    /// A new report of the named neighbour has arrived.
     ReportReceived(Instance),
-    /// This instance has begun or ceased to doubt its own links.
+    /// This instance has started (true) or ceased (false) to count as isolated.
     Isolated(bool),
 }
 
-/// Runs membership and registry of one instance.
+/// Membership and registry of one instance.
 pub struct Gossip {
     pub(crate) clock: Clock,
     pub(crate) rng: Pcg64,
+    /// Addresses of instances to join through.
     pub(crate) seeds: Vec<SocketAddr>,
     pub(crate) roster: Roster,
     pub(crate) prober: Prober,
     pub(crate) registry: Registry,
     pub(crate) reports: Reports,
     pub(crate) queue: Queue,
+    /// Datagrams to members, converted to outputs at the end of a step.
     pub(crate) outbox: Vec<Outgoing>,
+    /// Outputs of the current step.
     pub(crate) outputs: Vec<Output>,
+    /// Renewals that wait to be forwarded, by home.
     pending_renewals: BTreeMap<Handle, BTreeMap<Key, PendingRenewal>>,
+    /// Cached homes of upstreams, valid for `homes_revision` of the roster.
     homes: BTreeMap<Key, Homes>,
     homes_revision: u64,
+    /// Number of the current round, starting at a random number.
     round: u64,
     next_round: Duration,
+    /// Earliest time of the next urgent updates.
     next_urgent: Duration,
+    /// Whether this instance's own links may have failed.
     isolated: bool,
 }
 
 impl Gossip {
-    /// Starts at a monotonic time; the seed should differ between instances.
+    /// Creates the state machine at a monotonic time; the seed should differ between instances.
     pub fn new(setup: Setup, seed: u64, now: Duration) -> Self {
         let clock = Clock::new(now);
         let mut rng = Pcg64::seed_from_u64(seed);
@@ -170,7 +180,7 @@
         }
     }
 
-    /// Takes one input and appends what follows from it.
+    /// Handles one input and appends the resulting outputs.
     pub fn step(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
         let step = self.clock.advance(now);
         if step.paused_for.is_some() {
@@ -197,7 +207,7 @@
         out.append(&mut self.outputs);
     }
 
-    /// Returns when [`Input::Tick`] is due next.
+    /// Returns the time at which the next [`Input::Tick`] is due.
     pub fn next_wakeup(&self) -> Duration {
         let mut due = self.next_round.min(self.prober.next_wakeup());
         if self.is_urgent() {
@@ -206,44 +216,46 @@
         Clock::to_external(due)
     }
 
-    /// Returns this instance.
+    /// Returns the identity of this instance.
     pub fn own(&self) -> &Peer {
         &self.roster.own().peer
     }
 
-    /// Goes through all other instances that are remembered, gone ones included, by name.
+    /// Iterates over all other known instances by name, including those that are gone.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.roster.members()
     }
 
-    /// Finds another instance.
+    /// Returns another instance by its name.
     pub fn member(&self, instance: &Instance) -> Option<&Member> {
         self.roster.get(instance)
     }
 
-    /// Goes through the live instances of an availability zone, this one included.
+    /// Iterates over the live instances of an availability zone, including this one.
     pub fn alive_in(&self, zone: &AvailabilityZone) -> impl Iterator<Item = &Peer> {
         let own = Some(self.roster.own()).filter(|own| own.state == State::Alive);
         let others = self.members().map(Member::status).filter(|it| it.state == State::Alive);
         own.into_iter().chain(others).map(|status| &status.peer).filter(move |it| it.zone == *zone)
     }
 
-    /// Returns the homes of a key: alike at all instances of the region that see the same members.
+    /// Returns the homes of a key.
+    ///
+    /// All instances of the region that see the same members return the same homes.
     pub fn homes(&self, key: u128) -> Homes {
         self.roster.homes(key)
     }
 
-    /// Tells whether this instance doubts its own links.
+    /// Returns whether this instance counts as isolated, so that its own links may have failed.
     pub fn isolated(&self) -> bool {
         self.isolated
     }
 
-    /// Goes through the upstreams that may get new work at the given time.
+    /// Iterates over the upstreams that may get new work at the given time.
     pub fn usable(&self, now: Duration) -> impl Iterator<Item = &Record> {
         self.registry.usable(Clock::to_internal(now))
     }
 
-    /// Goes through the upstreams that offer a model and may get new work at the given time.
+    /// Iterates over the upstreams that offer a model and may get new work at the given time.
     pub fn usable_for_model<'a>(
         &'a self,
         now: Duration,
@@ -252,28 +264,28 @@
         self.registry.usable_for_model(Clock::to_internal(now), model)
     }
 
-    /// Goes through all upstreams that are remembered, lapsed and leaving ones included.
+    /// Iterates over all known upstreams, including lapsed and leaving ones.
     pub fn records(&self) -> impl Iterator<Item = &Record> {
         self.registry.records()
     }
 
-    /// Finds an upstream.
+    /// Returns what is known of an upstream.
     pub fn record(&self, upstream: &Upstream) -> Option<&Record> {
         let record = self.registry.record(Key::of(upstream))?;
         (record.announcement().upstream == *upstream).then_some(record)
     }
 
-    /// Goes through the availability zones of which some upstreams are in doubt.
+    /// Iterates over the availability zones that have doubtful upstreams.
     pub fn doubtful_zones(&self) -> impl Iterator<Item = &AvailabilityZone> {
         self.registry.doubtful_zones()
     }
 
-    /// Goes through the upstreams in doubt: they get no new work, but are not known to be lost.
+    /// Iterates over the doubtful upstreams, which get no new work but are not known to be lost.
     pub fn doubtful_upstreams(&self) -> impl Iterator<Item = &Record> {
         self.records().filter(|record| record.lease_status() == LeaseStatus::Doubtful)
     }
 
-    /// Goes through the newest report of each other instance of the region.
+    /// Iterates over the latest report of each other instance of the region.
     pub fn reports(&self, now: Duration) -> impl Iterator<Item = PeerReport<'_>> {
         let now = Clock::to_internal(now);
         self.reports.others().map(move |(instance, held)| PeerReport {
@@ -298,7 +310,7 @@
         self.outputs.push(Output::AnnouncementResult(answer));
     }
 
-    /// Has the homes of an upstream vouch for it, wherever it announced itself.
+    /// Queues the latest renewal of an upstream for its homes.
     fn forward_renewal(&mut self, key: Key, upstream: &Upstream) {
         let Some(pending) = self.registry.renewal(key) else { return };
         let homes = self.upstream_homes(key, upstream);
@@ -333,10 +345,11 @@
         self.send_urgent(|subject| *subject == Subject::Member(own.clone()));
     }
 
-    /// Starts over with what a freeze of this instance has spoilt.
+    /// Resets what a pause of the process has made unreliable.
     ///
-    /// After a freeze all neighbours seem to have been silent. One would notice a woken instance
-    /// declare healthy ones dead. So its probes start over and suspects get their full time.
+    /// After a pause all neighbours seem to have been silent, and this instance would declare
+    /// healthy ones dead. Its probes therefore start over, and suspicions get their full timeout
+    /// again.
     fn resume_after_pause(&mut self, now: Duration) {
         self.roster.resume_after_pause(now);
         self.prober.resume_after_pause(now);
@@ -344,7 +357,7 @@
         self.registry.expire_leases(now, true);
     }
 
-    /// Does what is due.
+    /// Runs everything that is due.
     fn run_due(&mut self) {
         let now = self.clock.now();
         if self.is_urgent() && now >= self.next_urgent {
@@ -374,7 +387,7 @@
         }
     }
 
-    /// Does one round.
+    /// Runs one round.
     fn run_round(&mut self, now: Duration) {
         self.update_isolation(now);
         self.roster.update_regions(now);
@@ -397,12 +410,13 @@
         }
     }
 
-    /// Doubts its own links when most neighbours look dead at once, and buries nobody meanwhile.
+    /// Updates whether this instance counts as isolated; while it does, it declares no one dead.
     ///
-    /// An instance that is cut off sees everybody else fall silent. One would notice it declare
-    /// all others dead, take over their duties, and spread that when it is back. The survivor of
-    /// two can't tell the one from the other: it doubts itself until the other is back or another
-    /// joins, and goes on with the upstreams that announce themselves to it.
+    /// An instance that is cut off sees all others fall silent. It would declare them dead, take
+    /// over their duties, and send this to the others once it is reconnected. With two instances,
+    /// the survivor cannot tell a dead peer from a broken link. It counts as isolated until the
+    /// peer is back or another instance joins, and still uses the upstreams that announce
+    /// themselves to it.
     fn update_isolation(&mut self, now: Duration) {
         let (missing, all) = self.roster.count_missing(now);
         let most = missing >= 2 && missing * 100 > all * ISOLATION_PERCENT;
@@ -423,7 +437,9 @@
         self.roster.last_heard().is_some_and(|heard| now.saturating_sub(heard) > limit)
     }
 
-    /// Passes waiting renewals on to the homes, at once when the content of one has changed.
+    /// Sends the waiting renewals to the homes of their upstreams.
+    ///
+    /// It runs in each round, and immediately when the content of an announcement has changed.
     fn flush_renewals(&mut self, now: Duration) {
         for (to, renewals) in std::mem::take(&mut self.pending_renewals) {
             let renewal = |(key, it): (&Key, &PendingRenewal)| Renewal {
@@ -439,8 +455,9 @@
         }
     }
 
-    /// Writes news to neighbours drawn at random, also where there is none: it shows that this
-    /// instance lives.
+    /// Builds datagrams with updates for randomly chosen neighbours.
+    ///
+    /// An empty datagram is built when there are no updates, to show that this instance is alive.
     fn pack_updates(&mut self, fanout: usize, wanted: impl Fn(&Subject) -> bool) -> Vec<Outgoing> {
         let neighbours = self.sample_neighbours(fanout);
         let source =
@@ -453,7 +470,7 @@
         outbox
     }
 
-    /// Sends urgent news to more neighbours than a round does.
+    /// Sends urgent updates to more neighbours than a round does.
     fn send_urgent(&mut self, wanted: impl Fn(&Subject) -> bool) {
         let mut outbox = self.pack_updates(URGENT_FANOUT, wanted);
         outbox.retain(|outgoing| !matches!(&outgoing.body, Body::Updates(it) if it.is_empty()));
@@ -464,7 +481,7 @@
         sample(self.roster.present().to_vec(), count, &mut self.rng)
     }
 
-    /// Compares itself with a neighbour and, as a contact, with another region.
+    /// Sends a digest to a neighbour and, if this instance is a contact, to another region.
     fn send_digests(&mut self, now: Duration) {
         let mut digest = Digest {
             checksums: self.roster.checksums().to_vec(),
@@ -493,7 +510,7 @@
         self.roster.get(&name).map(Member::handle)
     }
 
-    /// Sends its report to the next neighbours in turn, as many as the room for reports allows.
+    /// Sends this instance's report to the next neighbours, limited by [`REPORT_BYTES_PER_ROUND`].
     fn send_reports(&mut self, now: Duration) {
         let Some(report) = self.reports.own(now) else { return };
         let present = self.roster.present();
@@ -506,11 +523,11 @@
         }
     }
 
-    /// Looks for instances to join, and for ones that were lost and may be back.
+    /// Sends joins to seeds and to instances that were declared dead.
     ///
-    /// After a long cut both sides hold each other dead and would never talk again. One would
-    /// notice two halves of a deployment that each believe to be the whole. So each greets one of
-    /// the dead, and a seed, now and then.
+    /// After a long network partition both sides consider each other dead and would never contact
+    /// each other again, so a deployment would stay split in two halves. Each instance therefore
+    /// sends a join to a dead instance and to seeds from time to time.
     fn find_instances(&mut self) {
         let alone = self.roster.present().is_empty();
         let join = Body::Join(self.roster.own().clone());
@@ -538,7 +555,7 @@
         self.outputs.push(Output::Send { to, frame });
     }
 
-    /// Tells a rumor to an address.
+    /// Sends statuses of members to an address.
     pub(crate) fn send_statuses(&mut self, to: SocketAddr, statuses: &[MemberStatus]) {
         let now = self.clock.now();
         let source = Source { roster: &self.roster, registry: &self.registry, now };
@@ -547,7 +564,7 @@
         }
     }
 
-    /// Turns what the parts have left into outputs.
+    /// Collects the events and datagrams of the components as outputs.
     fn collect_outputs(&mut self) {
         for handle in self.roster.take_retired() {
             self.registry.remove_stream(handle);
@@ -569,12 +586,12 @@
     }
 }
 
-/// Shows a neighbour's newest report.
+/// Latest report of a neighbour.
 pub struct PeerReport<'a> {
-    /// The neighbour.
+    /// Name of the neighbour.
     pub instance: &'a Instance,
-    /// How long ago the report was made.
+    /// Time since the report was created.
     pub age: Duration,
-    /// What it says.
+    /// Content of the report.
     pub bytes: &'a [u8],
 }
--- a/crates/verbenaslip-gossip/src/lib.rs
+++ b/crates/verbenaslip-gossip/src/lib.rs
@@ -1,32 +1,36 @@
-//! Membership between instances and the registry of upstreams.
+//! Membership of instances and the registry of upstreams.
 //!
-//! [`Gossip`] composes both as one machine without sockets, threads or a clock. A driver hands it
-//! what happens as [`Input`] with the time, sends what it puts out as [`Output::Send`], and calls
-//! it again at [`Gossip::wake`]. Same inputs and same seed give the same outputs.
+//! [`Gossip`] combines both in one state machine without sockets, threads or a clock. A driver
+//! calls [`Gossip::step`] with each [`Input`] and the current time, sends every [`Output::Send`],
+//! and calls it again at [`Gossip::next_wakeup`]. The same inputs and the same seed give the same
+//! outputs.
 //!
-//! The parts follow each other like this:
+//! Modules:
 //!
-//! - `time` gives every piece of news an age that travels with it, because instances share no
-//!   clock, and notices when the process was frozen, because what waited meanwhile is older than it
-//!   says.
-//! - `member` and `roster` hold who takes part, merged from what all say of each other: a higher
-//!   incarnation overrides, then a higher refutation, then the later state. `probe` finds out who
-//!   does not answer, by one neighbour a period, directly and then through others. Only the own
-//!   region is probed; contacts compare the members of whole regions.
-//! - `rendezvous` gives each key two homes in two availability zones, alike at all instances.
-//! - `record` and `registry` hold the upstreams. Whoever receives an announcement passes a renewal
-//!   of a few bytes on to the upstream's two homes. Each home vouches for its upstreams in a
-//!   `stream`: a versioned set that changes seldom, and one freshness mark a second that renews all
-//!   of the set everywhere. A record is usable while own evidence or such a mark is younger than
-//!   the lease.
-//! - `queue` and `pack` choose what goes into the datagrams of a round, most urgent first; each
-//!   receiver to which it was news passes it on a fixed number of times. Comparisons (`Digest`) and
-//!   questions (`Pull`) mend what was lost. Leaving upstreams do not wait for a round.
-//! - `report` carries opaque reports between neighbours, at a bounded rate.
+//! - `time` attaches an age to every fact that is sent, because instances share no clock. It also
+//!   detects when the process was paused, because data that was buffered meanwhile is older than
+//!   its age says.
+//! - `member` and `roster` hold the members, merged from the statuses that all instances send: a
+//!   higher incarnation overrides, then a higher refutation count, then the later state. `probe`
+//!   detects members that do not answer. It probes one neighbour per second, directly and then
+//!   through other instances. An instance probes only its own region; contact instances compare
+//!   the members of whole regions.
+//! - `rendezvous` assigns each key two homes in two availability zones, identically on all
+//!   instances.
+//! - `record` and `registry` hold the upstreams. An instance that receives an announcement forwards
+//!   a renewal of a few bytes to the upstream's two homes. Each home vouches for its upstreams in a
+//!   `stream`: a versioned set that changes rarely, and one freshness mark per second that renews
+//!   the whole set everywhere. A record is usable while direct evidence or such a mark is younger
+//!   than the lease.
+//! - `queue` and `pack` choose what the datagrams of a round carry, most urgent first. Each
+//!   instance that did not know an update sends it on a fixed number of times. Digests (`Digest`)
+//!   and requests (`Pull`) repair losses. Departures of upstreams are sent before the next round.
+//! - `report` exchanges opaque reports between neighbours at a bounded rate.
 //!
-//! Bounds: every instance sends a fixed number of datagrams a second whatever the size of its
-//! region, but for the renewals of the upstreams that announce themselves to it. No datagram is
-//! longer than [`MAX_FRAME_BYTES`]. Members, upstreams, streams and everything that waits have caps.
+//! Bounds: each instance sends a fixed number of datagrams per second, whatever the size of its
+//! region, plus the renewals of the upstreams that announce themselves to it. No datagram is longer
+//! than [`MAX_FRAME_BYTES`]. The numbers of members, upstreams, streams and queued items are
+//! capped.
 
 mod frame;
 mod gossip;
--- a/crates/verbenaslip-gossip/src/member.rs
+++ b/crates/verbenaslip-gossip/src/member.rs
@@ -1,95 +1,97 @@
-//! Instances as their peers see them.
+//! Identity and state of instances.
 
 use std::net::SocketAddr;
 
 use verbenaslip_base::name::{AvailabilityZone, Instance, Region};
 use verbenaslip_base::{data, hash};
 
-/// The longest name that a peer may give, in bytes.
+/// Maximum length of a name of a peer, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
-/// Describes one running instance.
+/// Identifies one running instance.
 #[data(ord, hash)]
 pub struct Peer {
-    /// Its name, kept across restarts.
+    /// Name of the instance, kept across restarts.
     pub instance: Instance,
-    /// Where it runs.
+    /// Availability zone in which the instance runs.
     pub zone: AvailabilityZone,
-    /// The region of that availability zone.
+    /// Region of the availability zone.
     pub region: Region,
-    /// Where it takes datagrams from its peers.
+    /// Address at which the instance receives datagrams from its peers.
     pub address: SocketAddr,
-    /// Rises at each start of the instance.
+    /// Number that is increased at each start of the instance.
     pub incarnation: u64,
 }
 
 impl Peer {
-    /// Returns the short name by which datagrams mean this incarnation.
+    /// Returns the handle that represents this incarnation in datagrams.
     pub fn handle(&self) -> Handle {
         let parts = [self.instance.as_str().as_bytes(), &self.incarnation.to_le_bytes()];
         Handle((hash::narrow(&parts) as u32).to_le_bytes())
     }
 
-    /// Checks that the names have a sensible length.
+    /// Returns whether all names have a valid length.
     pub(crate) fn is_valid(&self) -> bool {
         let names = [self.instance.as_str(), self.zone.as_str(), self.region.as_str()];
         names.iter().all(|name| (1..=MAX_NAME_BYTES).contains(&name.len()))
     }
 }
 
-/// Stands for one incarnation of an instance in datagrams.
+/// Short hash that represents one incarnation of an instance in datagrams.
 ///
-/// Two that share a handle are told apart nowhere: the later one's datagrams are ignored, and the
-/// other home of each upstream still vouches for it.
+/// When two incarnations have the same handle, it keeps referring to the one that was known first.
+/// Upstreams that have the other incarnation as a home are still vouched for by their second home.
 #[data(copy, ord, hash)]
 pub struct Handle(pub [u8; 4]);
 
-/// Stands for a region in datagrams.
+/// Short hash that represents a region in datagrams.
 #[data(copy, ord, hash)]
 pub struct RegionId(pub [u8; 4]);
 
 impl RegionId {
-    /// Derives it from the region's name.
+    /// Returns the identifier of a region, derived from its name.
     pub(crate) fn of(region: &Region) -> Self {
         Self((hash::narrow(&[region.as_str().as_bytes()]) as u32).to_le_bytes())
     }
 }
 
-/// Says what is believed of a member; a later one overrides an earlier one of equal refutation.
+/// State of a member.
+///
+/// Between statuses with the same refutation count, the later variant overrides the earlier one.
 #[data(copy, ord, hash)]
 pub enum State {
-    /// It answers.
+    /// The member answers probes.
     Alive,
-    /// It did not answer, and may still refute that.
+    /// The member did not answer a probe and can still refute the suspicion.
     Suspect,
-    /// It did not refute in time.
+    /// The member did not refute the suspicion in time.
     Dead,
-    /// It drains and takes no new duties; final for its incarnation.
+    /// The member drains and takes no new duties; final for its incarnation.
     Leaving,
-    /// It has gone as it meant to; final for its incarnation.
+    /// The member has stopped as intended; final for its incarnation.
     Left,
 }
 
 impl State {
-    /// Tells whether datagrams to it make sense.
+    /// Returns whether a member in this state can receive datagrams.
     pub(crate) fn is_present(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect | Self::Leaving)
     }
 }
 
-/// Tells what is believed of one instance.
+/// Identity and state of an instance, as sent between instances.
 #[data]
 pub struct MemberStatus {
-    /// The instance.
+    /// Identity of the instance.
     pub peer: Peer,
-    /// How often this incarnation has refuted a suspicion.
+    /// Number of suspicions that this incarnation has refuted.
     pub refutations: u32,
-    /// What is believed.
+    /// State of the instance.
     pub state: State,
 }
 
 impl MemberStatus {
-    /// Tells whether it overrides another one of the same instance.
+    /// Returns whether this status overrides another one of the same instance.
     pub(crate) fn overrides(&self, other: &Self) -> bool {
         self.precedence() > other.precedence()
     }
@@ -99,32 +101,33 @@
     }
 }
 
-/// Tells the rest of the instance that a member has changed.
+/// Change of a member.
 #[data]
 pub enum Event {
-    /// It is new, restarted, or back from the dead.
+    /// The instance is new, has restarted, or is alive again after it was declared dead.
     Joined(Peer),
-    /// It did not answer.
+    /// The instance did not answer a probe.
     Suspected(Instance),
-    /// It has refuted a suspicion.
+    /// The instance has refuted a suspicion.
     Cleared(Instance),
-    /// It takes no new duties.
+    /// The instance drains and takes no new duties.
     Leaving(Instance),
-    /// It is dead, or replaced by its next incarnation.
+    /// The instance is dead, or replaced by its next incarnation.
     Lost(Instance),
-    /// It has gone as it meant to.
+    /// The instance has stopped as intended.
     Left(Instance),
-    /// All members of another availability zone of this region are in doubt or dead at once.
+    /// All members of another availability zone of this region are suspect or dead.
     ZoneLost(AvailabilityZone),
     /// An availability zone that was lost has a live member again.
     ZoneRecovered(AvailabilityZone),
-    /// Nothing was heard of another region for a while; its members are not declared dead.
+    /// No datagram of another region has arrived for a while; its members are not declared dead.
     RegionUnreachable(Region),
-    /// Another region is heard again.
+    /// Datagrams of another region arrive again.
     RegionRecovered(Region),
-    /// Another process runs under this instance's name with a higher incarnation: stop.
+    /// Another process runs under this instance's name with a higher incarnation; this one must
+    /// stop.
     Replaced {
-        /// The higher incarnation.
+        /// Incarnation of the other process.
         incarnation: u64,
     },
 }
--- a/crates/verbenaslip-gossip/src/pack.rs
+++ b/crates/verbenaslip-gossip/src/pack.rs
@@ -1,4 +1,4 @@
-//! Filling datagrams with news, the most urgent first.
+//! Packing of updates into datagrams, the most urgent first.
 
 use std::time::Duration;
 
@@ -12,37 +12,39 @@
 use crate::registry::Registry;
 use crate::roster::Roster;
 
-/// How many bytes of news fit a datagram: what a frame may take without its own head.
+/// Maximum size of the updates in a datagram, in bytes; the rest is the frame's own header.
 const UPDATES_BYTES: usize = crate::frame::MAX_FRAME_BYTES - 32;
 
-/// How many bytes of loads go into one datagram, so that they never crowd out the rest.
+/// Maximum size of the loads in a datagram, in bytes, so that they leave room for other updates.
 const LOADS_BYTES: usize = 96;
 
-/// The most bytes that a freshness mark takes.
+/// Maximum encoded size of a freshness mark, in bytes.
 const MARK_BYTES: usize = 15;
 
-/// The most bytes that the news of a leaving upstream takes.
+/// Maximum encoded size of a departure, in bytes.
 const DEPARTURE_BYTES: usize = 33;
 
-/// The most bytes that one change of a stream takes.
+/// Maximum encoded size of a delta entry, in bytes.
 const ENTRY_BYTES: usize = 15;
 
-/// The most bytes that a delta takes besides its changes.
+/// Maximum encoded size of a delta without its entries, in bytes.
 const DELTA_BYTES: usize = 24;
 
-/// The most bytes that a rumor takes besides its names.
+/// Maximum encoded size of a member status without its names, in bytes.
 const STATUS_BYTES: usize = 44;
 
-/// The most bytes that the checksum of a region takes.
+/// Maximum encoded size of a region checksum, in bytes.
 const CHECKSUM_BYTES: usize = 14;
 
-/// The most bytes that the silence of a region takes.
+/// Maximum encoded size of a region contact, in bytes.
 const CONTACT_BYTES: usize = 7;
 
-/// Fills one datagram.
+/// One datagram that is being filled.
 struct Packet {
     updates: Updates,
+    /// Bytes left for updates of any kind.
     free_bytes: usize,
+    /// Bytes left for loads.
     free_load_bytes: usize,
 }
 
@@ -135,30 +137,30 @@
     }
 }
 
-/// Says whether something went into a datagram.
+/// Result of adding an update to a packet.
 enum AddOutcome {
-    /// It did.
+    /// The update was added.
     Added,
-    /// It did not: the datagram is full.
+    /// The packet has no room for the update.
     Full,
-    /// It did not: there are enough of its kind, which is the last one.
+    /// The packet has no room for more loads, which are the last kind of update.
     LoadsFull,
-    /// There is nothing to say about it any more.
+    /// There is no content for the subject any more.
     Gone,
 }
 
-/// Knows what the news say.
+/// Provides the content of updates.
 pub(crate) struct Source<'a> {
-    /// The members.
+    /// Members of the deployment.
     pub(crate) roster: &'a Roster,
-    /// The upstreams.
+    /// Upstreams of the region.
     pub(crate) registry: &'a Registry,
-    /// The time.
+    /// Current internal time.
     pub(crate) now: Duration,
 }
 
 impl Source<'_> {
-    /// Takes the most urgent news for one receiver, in at most so many datagrams.
+    /// Packs the most urgent updates for one receiver into at most `max_packets` datagrams.
     pub(crate) fn pack_queue(
         &self,
         queue: &mut Queue,
@@ -183,7 +185,7 @@
         full
     }
 
-    /// Answers what another instance lacks, in as many datagrams as it takes.
+    /// Packs the response to a pull into as many datagrams as needed.
     pub(crate) fn pack_pull_response(&self, pull: &Pull) -> Vec<Updates> {
         let mut packets = Packets::default();
         for handle in &pull.members {
@@ -201,7 +203,7 @@
         packets.finish()
     }
 
-    /// Puts rumors into as many datagrams as it takes.
+    /// Packs member statuses into as many datagrams as needed.
     pub(crate) fn pack_statuses(&self, statuses: &[MemberStatus]) -> Vec<Updates> {
         let mut packets = Packets::default();
         for status in statuses {
@@ -210,7 +212,7 @@
         packets.finish()
     }
 
-    /// Puts marks into as many datagrams as it takes.
+    /// Packs marks into as many datagrams as needed.
     pub(crate) fn pack_marks(&self, marks: Vec<FreshnessMark>) -> Vec<Updates> {
         let mut packets = Packets::default();
         for mark in marks {
@@ -220,7 +222,7 @@
     }
 }
 
-/// Fills datagrams one after the other.
+/// Sequence of packets, of which the last one is being filled.
 #[derive(Default)]
 struct Packets {
     full: Vec<Updates>,
@@ -245,12 +247,12 @@
     }
 }
 
-/// Returns how many bytes a piece of news takes.
+/// Returns the encoded size of a value, in bytes.
 fn encoded_size(value: &impl Serialize) -> usize {
     postcard::to_stdvec(value).map_or(usize::MAX, |bytes| bytes.len())
 }
 
-/// Returns how many marks fit a comparison beside the rest of it.
+/// Returns the number of marks that fit in a digest beside its other content.
 pub(crate) fn digest_mark_capacity(digest: &Digest) -> usize {
     UPDATES_BYTES.saturating_sub(
         CHECKSUM_BYTES * digest.checksums.len() + CONTACT_BYTES * digest.contacts.len(),
--- a/crates/verbenaslip-gossip/src/probe.rs
+++ b/crates/verbenaslip-gossip/src/probe.rs
@@ -1,4 +1,4 @@
-//! Probing one neighbour a period, directly and then through others.
+//! Probing of one neighbour per interval, directly and then through other instances.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -12,38 +12,41 @@
 use crate::member::{Handle, State};
 use crate::roster::{Member, Roster};
 
-/// How often one neighbour is probed.
+/// Time between two probes.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a direct answer may take before others are asked.
+/// Time to wait for a direct answer before other instances are asked to probe.
 const ACK_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How many others are asked to probe in this instance's place.
+/// Number of other instances that are asked to probe on behalf of this one.
 const INDIRECT_PROBES: usize = 3;
 
-/// The most probes done for others at once; a flood of them ends here.
+/// Maximum number of concurrent probes on behalf of others; limits floods of requests.
 const MAX_RELAYED: usize = 64;
 
-/// How many of its last probes an instance looks at to doubt its own links.
+/// Number of recent probes that decide whether this instance's own links have failed.
 const OUTCOME_WINDOW: usize = 5;
 
-/// How many of them must have failed.
+/// Number of failed probes among them from which the own links count as failed.
 const FAILED_OUTCOMES: usize = 4;
 
-/// A datagram to a member.
+/// A datagram to send to a member.
 pub(crate) struct Outgoing {
-    /// Who gets it.
+    /// Handle of the receiver.
     pub(crate) to: Handle,
-    /// What it says.
+    /// Content of the datagram.
     pub(crate) body: Body,
 }
 
 /// Probes the neighbours in turn.
 pub(crate) struct Prober {
+    /// Neighbours to probe in the current cycle.
     remaining: Vec<Instance>,
     last_number: u32,
     current: Option<Probe>,
+    /// Probes on behalf of others, by their numbers here.
     relayed: BTreeMap<u32, RelayedProbe>,
+    /// Whether each of the recent probes was answered.
     outcomes: VecDeque<bool>,
     next_probe: Duration,
 }
@@ -53,18 +56,21 @@
     handle: Handle,
     number: u32,
     sent_at: Duration,
+    /// Whether other instances have been asked to probe.
     indirect_sent: bool,
+    /// Whether the outcome counts for the state of the own links.
     counted: bool,
 }
 
 struct RelayedProbe {
     requester: Handle,
+    /// Number of the requester's probe.
     number: u32,
     expires_at: Duration,
 }
 
 impl Prober {
-    /// Starts with the first probe due at the given time.
+    /// Creates a prober whose first probe is due at the given time.
     pub(crate) fn new(first: Duration) -> Self {
         Self {
             remaining: Vec::new(),
@@ -76,18 +82,18 @@
         }
     }
 
-    /// Returns when the next step is due.
+    /// Returns the time at which the next tick is due.
     pub(crate) fn next_wakeup(&self) -> Duration {
         let awaiting = self.current.as_ref().filter(|probe| !probe.indirect_sent);
         awaiting.map_or(self.next_probe, |probe| self.next_probe.min(probe.sent_at + ACK_TIMEOUT))
     }
 
-    /// Tells whether most of the last probes failed, of peers whom nobody else doubted.
+    /// Returns whether most of the recent probes failed, counting only targets that were alive.
     pub(crate) fn most_failed(&self) -> bool {
         self.outcomes.iter().filter(|answered| !**answered).count() >= FAILED_OUTCOMES
     }
 
-    /// Forgets the probe that a freeze of this instance has spoilt.
+    /// Discards all probes that were running during a pause of the process.
     pub(crate) fn resume_after_pause(&mut self, now: Duration) {
         self.current = None;
         self.relayed.clear();
@@ -95,7 +101,7 @@
         self.next_probe = now + PROBE_INTERVAL;
     }
 
-    /// Does what is due; returns the neighbour that has not answered, if any.
+    /// Sends the probes that are due, and returns the neighbour that has not answered, if any.
     pub(crate) fn tick(
         &mut self,
         now: Duration,
@@ -151,7 +157,7 @@
         });
     }
 
-    /// Goes through the neighbours in a random order that is drawn anew when all had their turn.
+    /// Returns the next neighbour in a random order, which is shuffled again after each cycle.
     fn next_target<'a>(&mut self, roster: &'a Roster, rng: &mut Pcg64) -> Option<&'a Member> {
         for _ in 0..2 {
             while let Some(instance) = self.remaining.pop() {
@@ -166,11 +172,11 @@
         None
     }
 
-    /// Asks others to probe, with at least one of them in a third availability zone if there is one.
+    /// Asks other instances to probe, at least one of them in a third availability zone if
+    /// possible.
     ///
-    /// A broken path between two availability zones would make each call the other dead. One would
-    /// notice all of an availability zone suspected by one other only. A helper elsewhere reaches
-    /// it by another path.
+    /// If the link between two availability zones fails, each would declare the other dead. A
+    /// helper in a third zone reaches the target over another path.
     fn send_indirect_pings(
         &mut self,
         now: Duration,
@@ -201,7 +207,7 @@
         }
     }
 
-    /// Probes a target in the place of another member.
+    /// Probes a target on behalf of another member.
     pub(crate) fn handle_indirect_ping(
         &mut self,
         now: Duration,
@@ -219,7 +225,7 @@
         outbox.push(Outgoing { to: target, body: Body::Ping { target, probe: self.last_number } });
     }
 
-    /// Takes an answer, for this instance or for the member in whose place it had probed.
+    /// Handles an ack for this instance, or forwards it to the member that requested the probe.
     pub(crate) fn handle_ack(&mut self, probe: u32, outbox: &mut Vec<Outgoing>) {
         if let Some(current) = self.current.take_if(|current| current.number == probe) {
             self.record_outcome(current.counted, true);
@@ -230,7 +236,7 @@
     }
 }
 
-/// Draws up to `count` different items.
+/// Returns up to `count` different items, chosen at random.
 pub(crate) fn sample<T>(mut items: Vec<T>, count: usize, rng: &mut Pcg64) -> Vec<T> {
     let count = count.min(items.len());
     for index in 0..count {
--- a/crates/verbenaslip-gossip/src/queue.rs
+++ b/crates/verbenaslip-gossip/src/queue.rs
@@ -1,4 +1,4 @@
-//! What is still to be passed on, and how often.
+//! Queue of updates to send on.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -8,37 +8,38 @@
 use crate::frame::Key;
 use crate::member::Handle;
 
-/// The most subjects waiting; beyond, the least urgent are left to the comparisons.
+/// Maximum number of queued subjects; beyond it, the least urgent are left to the digests.
 const MAX_SUBJECTS: usize = 8_192;
 
-/// How many subjects wait while much changes at once.
+/// Queue length above which the queue counts as congested.
 const CONGESTED_SUBJECTS: usize = 120;
 
-/// Names news, the most urgent kind first; what it says is looked up when it is sent.
+/// Subject of an update, in order of urgency; its content is looked up when it is sent.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Subject {
-    /// An upstream that takes no new work.
+    /// Departure of an upstream.
     Departure(Key),
-    /// The newest freshness mark of an instance.
+    /// Latest freshness mark of an instance.
     Mark(Handle),
-    /// What is believed of a member.
+    /// Status of a member.
     Member(Instance),
-    /// A version of what an instance vouches for.
+    /// Version of an instance's stream.
     Delta(Handle, u32),
-    /// A new or changed upstream.
+    /// New or changed upstream.
     Announcement(Key),
-    /// A changed load.
+    /// Changed load of an upstream.
     Load(Key),
 }
 
 impl Subject {
-    /// Returns in how many datagrams it is passed on by each instance to which it is news.
+    /// Returns how many datagrams of this instance carry the subject.
     ///
-    /// When much changes at once, such as a whole region that starts, new upstreams sent several
-    /// times would delay all the rest; who lacks one learns so from what instances vouch for.
+    /// While the queue is congested, for example when a whole region starts, sending new upstreams
+    /// several times would delay all other updates. Instances that lack such an upstream find out
+    /// from the streams of its homes.
     ///
-    /// What a comparison mends soon, or what the next one replaces, goes to each neighbour once at
-    /// the most. What must not be missed is repeated also among few.
+    /// An update that a digest soon repairs or that its successor replaces is sent at most once per
+    /// neighbour. Updates that must not be missed are repeated even with few neighbours.
     fn copies(&self, queue: &Queue) -> u8 {
         let few =
             |copies: u8| copies.min(u8::try_from(queue.neighbour_count).unwrap_or(u8::MAX)).max(1);
@@ -52,22 +53,25 @@
     }
 }
 
-/// Holds what is still to be passed on.
+/// Updates that are still to be sent.
 #[derive(Default)]
 pub(crate) struct Queue {
+    /// Number of datagrams that are still to carry each subject.
     remaining: BTreeMap<Subject, u8>,
+    /// Whether updates should be sent before the next round.
     urgent: bool,
     neighbour_count: usize,
+    /// Key of the load that was sent last.
     last_load: Key,
 }
 
 impl Queue {
-    /// Sets among how many news is passed on.
+    /// Sets the number of neighbours to which updates are sent.
     pub(crate) fn set_neighbour_count(&mut self, neighbours: usize) {
         self.neighbour_count = neighbours;
     }
 
-    /// Passes a subject on from now, as often as its kind needs.
+    /// Queues a subject, to be sent as often as its kind needs.
     pub(crate) fn push(&mut self, subject: Subject) {
         let copies = subject.copies(self);
         self.urgent |= matches!(subject, Subject::Departure(_));
@@ -77,30 +81,30 @@
         }
     }
 
-    /// Tells whether so much has changed that the rest is better asked for than sent unasked.
+    /// Returns whether so many updates are queued that some are better requested than sent unasked.
     fn is_congested(&self) -> bool {
         self.remaining.len() > CONGESTED_SUBJECTS
     }
 
-    /// Tells whether there is news since the last burst that does not wait for a round.
+    /// Returns whether updates are queued that should be sent before the next round.
     pub(crate) fn is_urgent(&self) -> bool {
         self.urgent
     }
 
-    /// Has what an upstream has just said here for the first time not wait for a round either.
+    /// Requests that updates are sent before the next round, unless the queue is congested.
     pub(crate) fn set_urgent(&mut self) {
         self.urgent |= !self.is_congested();
     }
 
-    /// Notes that a burst was sent.
+    /// Clears the request for sending before the next round.
     pub(crate) fn clear_urgent(&mut self) {
         self.urgent = false;
     }
 
-    /// Returns the subjects in the order of their urgency, the loads in turn.
+    /// Returns the subjects in order of urgency, with the loads in round-robin order.
     ///
-    /// There may always be more changed loads than fit. One would notice loads of the same
-    /// upstreams that never change. So they begin where the last datagram ended.
+    /// More loads may change than fit in the datagrams, so the loads start after the one that was
+    /// sent last. Otherwise the loads of some upstreams would never be sent.
     pub(crate) fn subjects(&self) -> Vec<Subject> {
         let first = Subject::Load(Key([0; 6]));
         let next = Subject::Load(self.last_load);
@@ -110,7 +114,7 @@
         urgent.chain(loads).map(|(subject, _)| subject.clone()).collect()
     }
 
-    /// Notes that a subject was sent once.
+    /// Records that a subject was sent once.
     pub(crate) fn record_sent(&mut self, subject: &Subject) {
         if let Subject::Load(key) = subject {
             self.last_load = *key;
@@ -122,7 +126,7 @@
         }
     }
 
-    /// Drops a subject about which there is nothing to say any more.
+    /// Removes a subject for which there is no content any more.
     pub(crate) fn remove(&mut self, subject: &Subject) {
         self.remaining.remove(subject);
     }
--- a/crates/verbenaslip-gossip/src/receive.rs
+++ b/crates/verbenaslip-gossip/src/receive.rs
@@ -1,4 +1,4 @@
-//! What each kind of datagram does.
+//! Handling of each kind of datagram.
 
 use std::net::SocketAddr;
 
@@ -14,14 +14,14 @@
 use crate::registry::RenewalOutcome;
 use crate::roster::{Member, MergeOutcome};
 
-/// The most instances named to one that joins.
+/// Maximum number of random members that are sent to a joining instance.
 const MAX_JOIN_MEMBERS: usize = 8;
 
-/// The most lists of members in answer to one comparison.
+/// Maximum number of member lists sent for one digest.
 const MAX_MEMBER_LISTS: usize = 3;
 
 impl Gossip {
-    /// Takes one datagram.
+    /// Handles one datagram.
     pub(crate) fn handle_frame(&mut self, from: SocketAddr, frame: Frame) {
         let Frame { from: sender, body } = frame;
         if sender == self.roster.handle() {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Asks a stranger who it is, and tells one that is held dead or replaced what is held of it.
+    /// Requests the status of an unknown sender, and tells a sender that it is considered dead.
     fn identify_sender(&mut self, from: SocketAddr, sender: Handle, body: &Body) {
         if matches!(body, Body::Join(_)) {
             return;
@@ -69,7 +69,9 @@
         }
     }
 
-    /// Names to one that joins whom it needs to find the rest; one that is known just greets.
+    /// Sends a new instance the members that it needs to find the others.
+    ///
+    /// A known instance only gets this instance's own status.
     fn handle_join(&mut self, from: SocketAddr, status: &MemberStatus) {
         if self.merge_status(from, status) != MergeOutcome::Applied {
             let own = self.roster.own().clone();
@@ -88,7 +90,7 @@
         self.send_statuses(from, &statuses);
     }
 
-    /// Takes in a rumor, and corrects its sender when something newer is held.
+    /// Merges a status and sends its sender the stored one if that is newer.
     fn merge_status(&mut self, from: SocketAddr, status: &MemberStatus) -> MergeOutcome {
         let name = &status.peer.instance;
         let outcome = self.roster.merge(self.clock.now(), status);
@@ -105,7 +107,7 @@
         outcome
     }
 
-    /// Answers a ping that means this incarnation; another one that lived here is over.
+    /// Answers a ping for this incarnation; a ping for an earlier one at this address gets a join.
     fn handle_ping(&mut self, from: SocketAddr, target: Handle, probe: u32) {
         let own = self.roster.own().clone();
         if target == self.roster.handle() && own.state != State::Left {
@@ -142,7 +144,7 @@
         self.send_pull(sender, pull);
     }
 
-    /// Takes the announcements that this instance had asked for; others know them already.
+    /// Stores requested announcements without sending them on, because others know them already.
     fn handle_requested(&mut self, sender: Handle, announcements: Vec<ForwardedAnnouncement>) {
         if self.is_other_region(sender) {
             return;
@@ -163,13 +165,13 @@
         }
     }
 
-    /// Tells whether a sender is of another region, whose upstreams are not held here.
+    /// Returns whether a sender is in another region, whose upstreams are not stored here.
     fn is_other_region(&self, sender: Handle) -> bool {
         let region = &self.roster.own().peer.region;
         self.roster.by_handle(sender).is_some_and(|member| member.peer().region != *region)
     }
 
-    /// Tells whether an instance may vouch for upstreams here.
+    /// Returns whether an instance may vouch for upstreams of this region.
     fn may_vouch(&self, voucher: Handle) -> bool {
         let region = &self.roster.own().peer.region;
         let member = self.roster.by_handle(voucher);
@@ -216,7 +218,7 @@
         self.send_newer_marks(from, &digest.marks);
     }
 
-    /// Answers a comparison with the marks that are newer here.
+    /// Answers a digest with the marks that are newer here.
     fn send_newer_marks(&mut self, from: SocketAddr, theirs: &[FreshnessMark]) {
         let now = self.clock.now();
         let known = |mark: &FreshnessMark| {
--- a/crates/verbenaslip-gossip/src/record.rs
+++ b/crates/verbenaslip-gossip/src/record.rs
@@ -1,4 +1,4 @@
-//! One upstream as it is known here.
+//! What this instance knows of one upstream.
 
 use std::time::Duration;
 
@@ -9,86 +9,92 @@
 use crate::member::Handle;
 use crate::time::Clock;
 
-/// The longest name of an upstream, an availability zone or a model, in bytes.
+/// Maximum length of the name of an upstream, an availability zone or a model, in bytes.
 const MAX_NAME_BYTES: usize = 96;
 
-/// The most models of one upstream.
+/// Maximum number of models that one upstream can offer.
 const MAX_MODELS: usize = 64;
 
-/// The most bytes of an announcement when it is passed on.
+/// Maximum encoded size of an announcement, in bytes.
 const MAX_ANNOUNCEMENT_BYTES: usize = 1_000;
 
-/// Says how far an upstream is confirmed.
+/// Whether an upstream's lease is current.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LeaseStatus {
-    /// It was renewed within the lease.
+    /// The upstream was renewed within the lease.
     Confirmed,
-    /// It was not, but this instance itself may be cut off.
+    /// The lease has run out, but possibly only because this instance is cut off.
     Doubtful,
-    /// It was not.
+    /// The lease has run out.
     Lapsed,
 }
 
-/// Holds one upstream.
+/// Latest announcement of an upstream and the state of its lease.
 pub struct Record {
     pub(crate) announcement: Announcement,
     pub(crate) key: Key,
     pub(crate) content_hash: ContentHash,
+    /// Time of the last renewal by direct evidence.
     pub(crate) renewed_at: Duration,
+    /// Instances that vouch for the upstream.
     pub(crate) vouchers: Vec<Handle>,
     pub(crate) lease_status: LeaseStatus,
+    /// End of the lease when it was last updated.
     pub(crate) expires_at: Duration,
+    /// Time of the last announcement or departure that was stored.
     pub(crate) changed_at: Duration,
+    /// Whether the departure of this incarnation has been published.
     pub(crate) departure_published: bool,
+    /// Time at which the upstream is taken away.
     pub(crate) deadline: Option<Duration>,
     pub(crate) load_source: LoadSource,
 }
 
-/// Holds when and how a load was learnt.
+/// Origin of the latest load of an upstream.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct LoadSource {
-    /// The sequence of the announcement that said so.
+    /// Sequence number of the announcement that contained the load.
     pub(crate) sequence: u64,
-    /// When it was measured.
+    /// Time at which the load was measured.
     pub(crate) measured_at: Duration,
-    /// When this instance last passed on a load of the upstream.
+    /// Time at which this instance last sent on a load of the upstream.
     pub(crate) published_at: Duration,
 }
 
 impl Record {
-    /// Returns what the upstream said of itself, with the newest load known here.
+    /// Returns the upstream's latest announcement, with the latest load known here.
     pub fn announcement(&self) -> &Announcement {
         &self.announcement
     }
 
-    /// Returns how far it is confirmed.
+    /// Returns whether the upstream's lease is current.
     pub fn lease_status(&self) -> LeaseStatus {
         self.lease_status
     }
 
-    /// Tells whether it takes no new work ever again in this incarnation.
+    /// Returns whether the upstream takes no new work for the rest of its incarnation.
     pub fn is_leaving(&self) -> bool {
         matches!(self.announcement.phase, Phase::Leaving { .. })
     }
 
-    /// Returns the newest load known here, with its age in milliseconds at the given time.
+    /// Returns the latest load known here, with its age in milliseconds at the given time.
     pub fn load(&self, now: Duration) -> Load {
         let age = Clock::to_internal(now).saturating_sub(self.load_source.measured_at).as_millis();
         Load { age: u32::try_from(age).unwrap_or(u32::MAX), ..self.announcement.load }
     }
 
-    /// Returns the monotonic time at which it is taken away, when it has said so.
+    /// Returns the monotonic time at which the upstream is taken away, if it has given a notice.
     pub fn deadline(&self) -> Option<Duration> {
         self.deadline.map(Clock::to_external)
     }
 
-    /// Tells whether it offers a model.
+    /// Returns whether the upstream offers a model.
     pub fn offers(&self, model: &Model) -> bool {
         self.announcement.models.contains(model)
     }
 }
 
-/// Checks that an announcement is one that can be kept and passed on.
+/// Returns whether an announcement is small enough to be stored and forwarded.
 pub(crate) fn is_valid(announcement: &Announcement) -> bool {
     let fits = |name: &str| (1..=MAX_NAME_BYTES).contains(&name.len());
     fits(announcement.upstream.as_str())
@@ -99,7 +105,7 @@
             .is_ok_and(|bytes| bytes.len() <= MAX_ANNOUNCEMENT_BYTES)
 }
 
-/// Tells whether a load differs from another by a step that matters to whoever routes.
+/// Returns whether two loads differ by a step that matters for routing.
 pub(crate) fn load_differs(slots: u32, old: &Load, new: &Load) -> bool {
     let level = |load: &Load| {
         let running = u64::from(load.running) * 8 / u64::from(slots.max(1));
--- a/crates/verbenaslip-gossip/src/registry.rs
+++ b/crates/verbenaslip-gossip/src/registry.rs
@@ -1,4 +1,4 @@
-//! The upstreams of a region, with leases by age.
+//! Upstreams of a region, with leases that depend on the age of their renewals.
 
 mod departure;
 mod lease;
@@ -21,76 +21,79 @@
 
 pub(crate) use vouching::{PullRequest, RenewalOutcome};
 
-/// How long a lapsed upstream is remembered, so that nothing old revives it.
+/// Time for which a lapsed upstream is remembered, so that stale data cannot revive it.
 const RETENTION: Duration = Duration::from_secs(600);
 
-/// The most upstreams kept; a flood of invented ones ends here.
+/// Maximum number of upstreams; limits floods of invented names.
 const MAX_RECORDS: usize = 8_192;
 
-/// Answers an announcement.
+/// Result of an announcement.
 #[data]
 pub enum AnnouncementResult {
-    /// It is held from now.
+    /// The announcement is stored.
     Accepted {
-        /// How long the upstream stays usable without the next announcement.
+        /// Time for which the upstream stays usable without another announcement.
         lease: Duration,
     },
-    /// A newer one is held.
+    /// A newer announcement is stored already.
     Stale {
-        /// The incarnation that is held.
+        /// Incarnation of the stored announcement.
         incarnation: u64,
-        /// The sequence that is held.
+        /// Sequence number of the stored announcement.
         sequence: u64,
     },
-    /// It can't be taken.
+    /// The announcement cannot be stored.
     Rejected(Rejection),
 }
 
-/// Says why an announcement can't be taken.
+/// Reason why an announcement cannot be stored.
 #[data(copy, ord, hash)]
 pub enum Rejection {
-    /// A name is empty or too long, or there are too many models: shorten them.
+    /// A name is empty or too long, or there are too many models; shorten them.
     InvalidSize,
-    /// Another upstream's name has the same key: rename one of the two.
+    /// The name of another upstream has the same key; rename one of the two.
     KeyCollision,
-    /// Too many upstreams are known: look for names that change at each start.
+    /// Too many upstreams are known; look for names that change at each start.
     RegistryFull,
 }
 
-/// Tells the rest of the instance that an upstream has changed.
+/// Change of an upstream.
 #[data]
 pub enum Event {
-    /// It is new, or confirmed again after it had lapsed.
+    /// The upstream is new, or confirmed again after its lease had lapsed.
     Appeared(Upstream),
-    /// Its content has changed: phase, address, models, price or incarnation.
+    /// The content has changed: phase, address, models, price or incarnation.
     Changed(Upstream),
-    /// It takes no new work ever again in this incarnation; told again when the notice shortens.
+    /// The upstream takes no new work for the rest of its incarnation.
+    ///
+    /// The event is repeated when the notice is shortened.
     Leaving {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: Upstream,
-        /// How long until it is taken away; none when it leaves on its own.
+        /// Time until the upstream is taken away; `None` when it leaves on its own.
         notice: Option<Duration>,
     },
-    /// It was not renewed within its lease.
+    /// The upstream was not renewed within its lease.
     Lapsed(Upstream),
-    /// Upstreams of an availability zone can't be confirmed because this instance may be cut off.
+    /// Upstreams of an availability zone cannot be confirmed, but this instance may be cut off.
     ZoneDoubtful(AvailabilityZone),
-    /// No upstream of the availability zone is in doubt any more.
+    /// No upstream of the availability zone is doubtful any more.
     ZoneCleared(AvailabilityZone),
 }
 
 struct PastDeparture {
     incarnation: u64,
     sequence: u64,
+    /// Time at which the departure was stored.
     recorded_at: Duration,
 }
 
-/// An announcement that is newer than the one held.
+/// Announcement that is newer than the stored one.
 struct ReceivedAnnouncement {
     announcement: Announcement,
-    /// When the upstream made it.
+    /// Time at which the upstream made the announcement.
     announced_at: Duration,
-    /// When its notice, if it has one, began to run.
+    /// Time at which its notice, if any, started to run.
     notice_start: Duration,
 }
 
@@ -99,24 +102,31 @@
     content_hash: ContentHash,
 }
 
-/// Holds the upstreams and what each instance vouches for.
+/// Upstreams of the region, and the streams of all vouching instances.
 pub(crate) struct Registry {
     own: Handle,
     lease: Duration,
     records: BTreeMap<Key, Record>,
+    /// Departures of upstreams without a record.
     departures: BTreeMap<Key, PastDeparture>,
+    /// Streams by vouching instance, including this one.
     streams: BTreeMap<Handle, Stream>,
+    /// Latest renewals of the upstreams for which this instance vouches.
     renewals: BTreeMap<Key, LatestRenewal>,
+    /// Upstreams whose lease has run out.
     unconfirmed: BTreeSet<Key>,
     doubtful_zones: BTreeSet<AvailabilityZone>,
+    /// Time until which expired leases count as doubtful.
     doubt_until: Duration,
+    /// Streams requested in the current round.
     requested_streams: BTreeSet<Handle>,
+    /// Announcements requested in the current round.
     requested_announcements: BTreeSet<Key>,
     events: Vec<Event>,
 }
 
 impl Registry {
-    /// Starts empty.
+    /// Creates an empty registry.
     pub(crate) fn new(own: Handle, lease: Duration) -> Self {
         Self {
             own,
@@ -134,29 +144,29 @@
         }
     }
 
-    /// Takes the events since the last call.
+    /// Returns and clears the events since the last call.
     pub(crate) fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
 
-    /// Goes through all upstreams that are remembered.
+    /// Iterates over all known upstreams.
     pub(crate) fn records(&self) -> impl Iterator<Item = &Record> {
         self.records.values()
     }
 
-    /// Finds an upstream.
+    /// Returns what is known of an upstream.
     pub(crate) fn record(&self, key: Key) -> Option<&Record> {
         self.records.get(&key)
     }
 
-    /// Goes through the upstreams that may get new work.
+    /// Iterates over the upstreams that may get new work.
     pub(crate) fn usable(&self, now: Duration) -> impl Iterator<Item = &Record> {
         self.records().filter(move |record| {
             record.announcement.phase == Phase::Ready && self.is_confirmed(record, now)
         })
     }
 
-    /// Goes through the upstreams that offer a model and may get new work.
+    /// Iterates over the upstreams that offer a model and may get new work.
     pub(crate) fn usable_for_model<'a>(
         &'a self,
         now: Duration,
@@ -165,24 +175,24 @@
         self.usable(now).filter(move |record| record.offers(model))
     }
 
-    /// Goes through the availability zones in doubt.
+    /// Iterates over the availability zones that have doubtful upstreams.
     pub(crate) fn doubtful_zones(&self) -> impl Iterator<Item = &AvailabilityZone> {
         self.doubtful_zones.iter()
     }
 
-    /// Tells whether an upstream was surely renewed within the lease.
+    /// Returns whether an upstream was renewed within the lease.
     pub(crate) fn is_confirmed(&self, record: &Record, now: Duration) -> bool {
         self.renewed_at(record) + self.lease > now
     }
 
-    /// Returns since when an upstream is surely renewed, by own evidence and by vouchers' marks.
+    /// Returns the time of an upstream's last renewal, from direct evidence or its vouchers' marks.
     pub(crate) fn renewed_at(&self, record: &Record) -> Duration {
         let covers =
             |voucher| self.streams.get(voucher)?.renewed_since(record.key, record.content_hash);
         record.vouchers.iter().filter_map(covers).fold(record.renewed_at, Duration::max)
     }
 
-    /// Takes what an upstream says of itself.
+    /// Handles the announcement of an upstream to this instance.
     pub(crate) fn handle_announcement(
         &mut self,
         now: Duration,
@@ -232,7 +242,7 @@
         AnnouncementResult::Accepted { lease: self.lease }
     }
 
-    /// Returns the renewal that the last announcement of an upstream amounts to.
+    /// Returns the renewal that corresponds to an upstream's latest announcement.
     pub(crate) fn renewal(&self, key: Key) -> Option<PendingRenewal> {
         let record = self.records.get(&key)?;
         let sequence = record.announcement.sequence;
@@ -243,7 +253,9 @@
         })
     }
 
-    /// Makes room for one more upstream by forgetting the one that lapsed first.
+    /// Makes room for one more upstream by removing the one that lapsed first.
+    ///
+    /// Returns whether there is room.
     fn make_room(&mut self) -> bool {
         if self.records.len() < MAX_RECORDS {
             return true;
@@ -261,7 +273,7 @@
         self.unconfirmed.remove(&key);
     }
 
-    /// Holds an announcement that is newer than the one held.
+    /// Stores an announcement that is newer than the stored one.
     fn store(
         &mut self,
         now: Duration,
@@ -304,7 +316,7 @@
         self.update_lease(now, key, changed);
     }
 
-    /// Takes an announcement that another instance passes on.
+    /// Handles an announcement that another instance has forwarded.
     pub(crate) fn handle_forwarded(
         &mut self,
         now: Duration,
@@ -339,7 +351,7 @@
         );
     }
 
-    /// Returns an announcement as it is told now.
+    /// Returns the latest announcement of an upstream with its current age, to be forwarded.
     pub(crate) fn forwarded_announcement(
         &self,
         key: Key,
@@ -360,7 +372,7 @@
         })
     }
 
-    /// Starts a record that nothing has confirmed.
+    /// Creates a record without any confirmation.
     fn new_record(&self, key: Key, announcement: &Announcement) -> Record {
         let vouches = |(_, stream): &(&Handle, &Stream)| stream.content_hash(key).is_some();
         let vouchers = self.streams.iter().filter(vouches).map(|(handle, _)| *handle).collect();
@@ -380,14 +392,14 @@
     }
 }
 
-/// Holds a renewal that waits to be passed on.
+/// Renewal that waits to be forwarded.
 #[derive(Clone, Copy)]
 pub(crate) struct PendingRenewal {
-    /// The content that was announced.
+    /// Hash of the announced content.
     pub(crate) content_hash: ContentHash,
-    /// The sequence of the announcement.
+    /// Sequence number of the announcement.
     pub(crate) sequence: u64,
-    /// When it was made.
+    /// Time at which the upstream was last renewed.
     pub(crate) renewed_at: Duration,
 }
 
--- a/crates/verbenaslip-gossip/src/registry/departure.rs
+++ b/crates/verbenaslip-gossip/src/registry/departure.rs
@@ -1,4 +1,4 @@
-//! What happens when an upstream is leaving.
+//! Departures of upstreams.
 
 use std::time::Duration;
 
@@ -10,18 +10,18 @@
 use crate::queue::{Queue, Subject};
 use crate::record::Record;
 
-/// By how much a notice must be shorter than the one known to be told again.
+/// Minimum time by which a notice must be shortened to be published again.
 const MIN_NOTICE_REDUCTION: Duration = Duration::from_millis(500);
 
-/// The most upstreams remembered as leaving without being known otherwise.
+/// Maximum number of stored departures of upstreams that are not known otherwise.
 const MAX_PAST_DEPARTURES: usize = 4_096;
 
 impl Registry {
-    /// Keeps an upstream leaving that had said so before in the same incarnation.
+    /// Keeps an upstream leaving if its current incarnation has departed before.
     ///
-    /// An announcement that was on its way meanwhile, or a cloud's notice of which the upstream
-    /// knows nothing, would make a leaving upstream ready again. One would notice new work sent to
-    /// a machine that is being taken. So leaving is final until the incarnation rises.
+    /// An announcement that was delayed, or that was made without knowledge of the cloud's notice,
+    /// would make a leaving upstream ready again, and new work would go to a machine that is being
+    /// taken away. A departure is therefore final until the incarnation rises.
     pub(super) fn keep_departure(&self, key: Key, announcement: &mut Announcement) {
         if matches!(announcement.phase, Phase::Leaving { .. }) {
             return;
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Tells everybody once that an upstream is leaving.
+    /// Publishes an upstream's departure once, and again when its notice is shortened.
     pub(super) fn publish_departure(
         &mut self,
         now: Duration,
@@ -63,7 +63,9 @@
         queue.push(Subject::Departure(record.key));
     }
 
-    /// Takes what the cloud says: an upstream is taken away after so many milliseconds.
+    /// Handles the cloud's notice, in milliseconds, that it takes an upstream away.
+    ///
+    /// Returns whether the upstream is known.
     pub(crate) fn handle_reclaim(
         &mut self,
         now: Duration,
@@ -79,7 +81,7 @@
         true
     }
 
-    /// Takes the news that an upstream is leaving.
+    /// Handles the departure of an upstream that another instance or the cloud reports.
     pub(crate) fn handle_departure(
         &mut self,
         now: Duration,
@@ -134,7 +136,7 @@
         queue.push(Subject::Departure(key));
     }
 
-    /// Returns the news that an upstream is leaving as it is told now.
+    /// Returns the departure of an upstream with the remaining time of its notice.
     pub(crate) fn departure(&self, key: Key, now: Duration) -> Option<Departure> {
         if let Some(record) = self.records.get(&key).filter(|record| record.is_leaving()) {
             let Announcement { incarnation, sequence, .. } = record.announcement;
--- a/crates/verbenaslip-gossip/src/registry/lease.rs
+++ b/crates/verbenaslip-gossip/src/registry/lease.rs
@@ -1,4 +1,4 @@
-//! Leases that run out, and doubt whether they have.
+//! Expiration of leases.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,11 +8,11 @@
 use crate::member::Handle;
 use crate::record::{LeaseStatus, Record};
 
-/// How long doubtful upstreams have to be confirmed once this instance is no longer cut off.
+/// Time that doubtful upstreams have to be confirmed once this instance is no longer isolated.
 const RECONNECT_GRACE: Duration = Duration::from_secs(3);
 
 impl Registry {
-    /// Looks again at the upstreams that are not confirmed and that an instance vouches for.
+    /// Updates the leases of the unconfirmed upstreams for which an instance vouches.
     pub(super) fn review_unconfirmed(&mut self, now: Duration, voucher: Handle) {
         let Some(stream) = self.streams.get(&voucher) else { return };
         let keys: Vec<Key> = self
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Tells when an upstream has become confirmed or changed.
+    /// Updates an upstream's lease and emits an event if it became confirmed or has changed.
     pub(super) fn update_lease(&mut self, now: Duration, key: Key, changed: bool) {
         let Some(record) = self.records.get(&key) else { return };
         let expires_at = self.renewed_at(record) + self.lease;
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Looks for leases that have run out; `doubt` says that this instance may be cut off.
+    /// Expires leases that have run out; `doubt` says that this instance may be cut off.
     pub(crate) fn expire_leases(&mut self, now: Duration, doubt: bool) {
         self.requested_streams.clear();
         self.requested_announcements.clear();
@@ -65,11 +65,11 @@
         self.remove_expired(now);
     }
 
-    /// Ends the use of an upstream whose lease has run out, unless marks renewed it meanwhile.
+    /// Expires the lease of an upstream, unless marks have renewed it in the meantime.
     ///
-    /// When this instance is cut off, it sees all leases run out at once. One would notice whole
-    /// availability zones vanish from its view, and streams moved off healthy upstreams. So these
-    /// count as doubtful: they get no new work, but are not reported as lost.
+    /// An instance that is cut off sees all leases run out at once. Whole availability zones would
+    /// disappear from its view, and streams would be moved off healthy upstreams. Such upstreams
+    /// therefore become doubtful: they get no new work, but are not reported as lost.
     pub(super) fn expire_lease(&mut self, now: Duration, key: Key) {
         self.update_lease(now, key, false);
         let doubt = now < self.doubt_until;
--- a/crates/verbenaslip-gossip/src/registry/load.rs
+++ b/crates/verbenaslip-gossip/src/registry/load.rs
@@ -1,4 +1,4 @@
-//! The loads of upstreams, passed on coarsely.
+//! Loads of upstreams, sent in a compact form.
 
 use std::time::Duration;
 
@@ -9,17 +9,18 @@
 use crate::queue::{Queue, Subject};
 use crate::record::{self, LoadSource};
 
-/// How often at most this instance passes on the load of one upstream.
+/// Minimum time between two loads of one upstream that this instance sends.
 const LOAD_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The unit in which the age of a load travels.
+/// Unit of the age of a load in a datagram.
 const LOAD_AGE_UNIT: Duration = Duration::from_millis(100);
 
-/// The unit in which the memory in use travels, in thousandths.
+/// Unit of the memory in use in a datagram, in thousandths.
 const LOAD_MEMORY_UNIT: u16 = 4;
 
 impl Registry {
-    /// Passes on a load that differs by a step from the one known, but not too often.
+    /// Queues a load that differs noticeably from the known one, at most once per
+    /// [`LOAD_INTERVAL`].
     pub(super) fn queue_load(
         &mut self,
         now: Duration,
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Takes the load of an upstream that another instance passes on.
+    /// Handles the load of an upstream that another instance sends.
     pub(crate) fn handle_load(
         &mut self,
         now: Duration,
@@ -68,7 +69,7 @@
         queue.push(Subject::Load(*key));
     }
 
-    /// Returns the load of an upstream as it is told now.
+    /// Returns the load of an upstream with its current age, to be sent.
     pub(crate) fn compact_load(&self, key: Key, now: Duration) -> Option<CompactLoad> {
         let record = self.records.get(&key)?;
         let Load { running, waiting, memory, .. } = record.announcement.load;
--- a/crates/verbenaslip-gossip/src/registry/vouching.rs
+++ b/crates/verbenaslip-gossip/src/registry/vouching.rs
@@ -1,4 +1,4 @@
-//! Who vouches for which upstreams, here and at others.
+//! Streams of the vouching instances, including this one.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,26 +12,27 @@
 use crate::record::Record;
 use crate::stream::{Change, DeferredMark, Outcome, Stream};
 
-/// After how long without a renewal an instance vouches for an upstream no longer.
+/// Time without a renewal after which an instance stops vouching for an upstream.
 const WITHDRAW_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long after a change others may be about to vouch for it.
+/// Time after a change during which other instances may not have vouched for it yet.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// In how many rounds all streams are looked through for what is lacking.
+/// Number of rounds in which all streams are checked for missing announcements.
 const REPAIR_ROUNDS: u64 = 8;
 
-/// The most streams kept.
+/// Maximum number of streams.
 const MAX_STREAMS: usize = 1_024;
 
-/// The most that is asked for in one round.
+/// Maximum number of streams, and of announcements, requested in one round.
 const MAX_REQUESTS: usize = 64;
 
 impl Registry {
-    /// Takes a renewal that another instance passes on because this one vouches for the upstream.
+    /// Handles a renewal that another instance forwards because this one is a home of the upstream.
     ///
-    /// One that is late or doubled says less age than it has. One would notice a dead upstream
-    /// vouched for again. So unless its sequence is new, it proves nothing beyond what is known.
+    /// The age of a delayed or duplicated renewal is too low, and a dead upstream would be vouched
+    /// for again. A renewal without a new sequence number therefore proves nothing beyond what is
+    /// known.
     pub(crate) fn handle_renewal(
         &mut self,
         now: Duration,
@@ -57,7 +58,7 @@
         RenewalOutcome::Done
     }
 
-    /// Vouches for an upstream from now on, until its renewals cease.
+    /// Vouches for an upstream until its renewals stop.
     pub(crate) fn vouch(&mut self, key: Key, content_hash: ContentHash, renewed_at: Duration) {
         let renewed_at = self
             .renewals
@@ -66,7 +67,7 @@
         self.renewals.insert(key, LatestRenewal { renewed_at, content_hash });
     }
 
-    /// Commits what this instance vouches for anew or no longer.
+    /// Commits the upstreams for which this instance newly vouches or no longer vouches.
     pub(crate) fn commit_changes(&mut self, now: Duration, queue: &mut Queue) {
         self.renewals
             .retain(|_, renewal| now.saturating_sub(renewal.renewed_at) <= WITHDRAW_TIMEOUT);
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Makes this instance's next freshness mark.
+    /// Creates this instance's next freshness mark.
     pub(crate) fn advance_mark(&mut self, now: Duration, queue: &mut Queue) {
         let renewed_since =
             self.renewals.values().map(|renewal| renewal.renewed_at).min().unwrap_or(now);
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Returns all newest marks as they are told now.
+    /// Returns the latest marks of all streams with their current ages.
     pub(crate) fn marks(&self, now: Duration) -> Vec<FreshnessMark> {
         self.streams
             .iter()
@@ -103,12 +104,12 @@
             .collect()
     }
 
-    /// Returns the newest mark of an instance as it is told now.
+    /// Returns the latest mark of an instance with its current age.
     pub(crate) fn mark_of(&self, voucher: Handle, now: Duration) -> Option<FreshnessMark> {
         self.streams.get(&voucher)?.current_mark(voucher, now)
     }
 
-    /// Takes the mark of another instance; what is missing first is added to what to ask for.
+    /// Handles the mark of another instance, and requests versions that must be applied first.
     pub(crate) fn handle_mark(
         &mut self,
         now: Duration,
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Renews all upstreams that a mark covers.
+    /// Applies a mark, which renews all upstreams that it covers.
     pub(super) fn apply_mark(
         &mut self,
         now: Duration,
@@ -150,7 +151,7 @@
         self.review_unconfirmed(now, mark.voucher);
     }
 
-    /// Makes room for the stream of an instance.
+    /// Creates the stream of an instance if there is room; returns whether the stream exists.
     pub(super) fn ensure_stream(&mut self, voucher: Handle) -> bool {
         if !self.streams.contains_key(&voucher) && self.streams.len() >= MAX_STREAMS {
             return false;
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Adds an announcement to what to ask for, once a round.
+    /// Requests an announcement, at most once per round.
     pub(crate) fn request_announcement(&mut self, key: Key, pull: &mut Pull) {
         if self.requested_announcements.len() < MAX_REQUESTS
             && self.requested_announcements.insert(key)
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Takes what another instance vouches for anew or no longer.
+    /// Handles a change of another instance's stream.
     pub(crate) fn handle_delta(
         &mut self,
         now: Duration,
@@ -211,7 +212,7 @@
         }
     }
 
-    /// Notes who vouches, and asks for the content when it is not the one held.
+    /// Updates the vouchers of an upstream, and requests its announcement if the content differs.
     pub(super) fn update_vouchers(&mut self, voucher: Handle, entry: &DeltaEntry, pull: &mut Pull) {
         let known = self.records.get_mut(&entry.key).map(|record| {
             record.vouchers.retain(|existing| *existing != voucher);
@@ -225,7 +226,7 @@
         }
     }
 
-    /// Forgets what an instance vouched for, but not what its marks had proved.
+    /// Removes an instance as voucher of all upstreams, but keeps what its marks have proved.
     pub(super) fn remove_voucher(&mut self, voucher: Handle) {
         self.save_mark_evidence(voucher, |_| true);
         let keys: Vec<Key> =
@@ -237,7 +238,7 @@
         }
     }
 
-    /// Writes what an instance's marks have proved into the records before the stream changes.
+    /// Saves what an instance's marks have proved in the records, before its stream changes.
     pub(super) fn save_mark_evidence(
         &mut self,
         voucher: Handle,
@@ -252,11 +253,11 @@
         }
     }
 
-    /// Asks for announcements that instances vouch for and that are not held as such.
+    /// Returns requests for announcements that are missing or outdated according to a stream.
     ///
-    /// The answer to an earlier question may be lost. One would notice an upstream that one
-    /// instance alone never uses. So each round some of the streams are looked through in turn,
-    /// and the instance that vouches is asked itself.
+    /// The response to an earlier request may be lost, and the upstream would never be used by this
+    /// instance. Each round therefore checks some of the streams in turn, and the vouching instance
+    /// itself is asked.
     pub(crate) fn missing_announcements(&mut self, now: Duration, round: u64) -> Vec<PullRequest> {
         let handles: Vec<Handle> = self.streams.keys().copied().collect();
         let due_slot = round % REPAIR_ROUNDS;
@@ -282,7 +283,7 @@
         (!pull.is_empty()).then_some(PullRequest { voucher, pull })
     }
 
-    /// Drops the stream of an instance that is over or dead.
+    /// Removes the stream of an instance that has stopped or died.
     pub(crate) fn remove_stream(&mut self, voucher: Handle) {
         if voucher != self.own {
             self.remove_voucher(voucher);
@@ -296,26 +297,26 @@
         stream.map_or(Vec::new(), |stream| stream.deltas_since(position.voucher, position.version))
     }
 
-    /// Returns the change that led to a version of a stream.
+    /// Returns the changes of one version of a stream.
     pub(crate) fn delta_to(&self, voucher: Handle, version: u32) -> Option<Delta> {
         self.streams.get(&voucher)?.delta_to(voucher, version)
     }
 }
 
-/// What to ask an instance that vouches for upstreams.
+/// Request to an instance that vouches for upstreams.
 pub(crate) struct PullRequest {
-    /// The instance.
+    /// Handle of the vouching instance.
     pub(crate) voucher: Handle,
-    /// What is lacking.
+    /// What to request.
     pub(crate) pull: Pull,
 }
 
-/// Says what a renewal met.
+/// Result of a renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RenewalOutcome {
-    /// Nothing is left to do.
+    /// The renewal needs no further action.
     Done,
-    /// The content is not known here: ask for it.
+    /// The announced content is unknown here and must be requested.
     UnknownContent,
     /// The upstream is leaving, which the sender does not know.
     Departed,
--- a/crates/verbenaslip-gossip/src/rendezvous.rs
+++ b/crates/verbenaslip-gossip/src/rendezvous.rs
@@ -7,17 +7,20 @@
 
 use crate::member::Peer;
 
-/// Names the two instances that share a duty, in different availability zones where there are two.
+/// The two instances that share responsibility for a key.
+///
+/// They are in different availability zones if at least two zones have live instances.
 #[data]
 pub struct Homes {
-    /// The top-ranked instance of the top-ranked availability zone; none when nobody is alive.
+    /// Top-ranked instance of the top-ranked availability zone; `None` when no instance is alive.
     pub first: Option<Instance>,
-    /// The top-ranked instance of the next availability zone, or the next one of the only zone.
+    /// Top-ranked instance of the second availability zone, or the second instance of a single
+    /// zone.
     pub second: Option<Instance>,
 }
 
 impl Homes {
-    /// Goes through the homes, the first one first.
+    /// Iterates over the homes, the first one first.
     pub fn iter(&self) -> impl Iterator<Item = &Instance> {
         self.first.iter().chain(self.second.iter())
     }
@@ -25,8 +28,8 @@
 
 /// Ranks the live instances of each region for any key.
 ///
-/// All instances that see the same members rank alike, whatever the order in which they came to
-/// know them. A change of one instance moves only the keys that it is a home of.
+/// All instances that see the same members compute the same ranking, in whatever order they learned
+/// of them. A change of one instance moves only the keys of which it is a home.
 #[derive(Default)]
 pub(crate) struct Ranking {
     regions: BTreeMap<Region, Vec<Zone>>,
@@ -51,7 +54,7 @@
 }
 
 impl Ranking {
-    /// Takes the instances that are alive, in the order of their names.
+    /// Creates a ranking of the given live instances, which must be sorted.
     pub(crate) fn new<'a>(alive: impl Iterator<Item = &'a Peer>) -> Self {
         let mut ranking = Self::default();
         for peer in alive {
@@ -81,7 +84,7 @@
     }
 }
 
-/// Returns the two with the highest weight for a key.
+/// Returns the two items with the highest weights for a key.
 fn top_two<T>(items: &[T], key: u128, weight: impl Fn(&T) -> u64) -> (Option<&T>, Option<&T>) {
     let (mut first, mut second) = (None, None);
     for item in items {
@@ -96,7 +99,7 @@
     (first.map(|(_, item)| item), second.map(|(_, item)| item))
 }
 
-/// Spreads the bits of a word (the finalizer of splitmix64).
+/// Mixes the bits of a word with the finalizer of splitmix64.
 fn mix(word: u64) -> u64 {
     let word = (word ^ (word >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let word = (word ^ (word >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/verbenaslip-gossip/src/report.rs
+++ b/crates/verbenaslip-gossip/src/report.rs
@@ -1,4 +1,4 @@
-//! Opaque reports that instances of a region give each other.
+//! Opaque reports that the instances of a region exchange.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,13 +9,13 @@
 use crate::frame::Report;
 use crate::time::Age;
 
-/// The most bytes in a report.
+/// Maximum size of a report, in bytes.
 pub const MAX_REPORT_BYTES: usize = 224;
 
-/// How old a report of another instance may get before it is dropped.
+/// Age at which a report of another instance is dropped.
 const MAX_AGE: Duration = Duration::from_secs(60);
 
-/// Holds the newest report of an instance.
+/// Latest report of an instance.
 pub struct StoredReport {
     version: u64,
     created_at: Duration,
@@ -23,27 +23,28 @@
 }
 
 impl StoredReport {
-    /// Returns what it says.
+    /// Returns the content of the report.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// Returns when it was made, by the clock of [`crate::Gossip::reports`].
+    /// Returns the internal time at which the report was created.
     pub(crate) fn created_at(&self) -> Duration {
         self.created_at
     }
 }
 
-/// Holds this instance's own report and the newest one of each other instance.
+/// This instance's own report and the latest report of each other instance.
 #[derive(Default)]
 pub(crate) struct Reports {
     own: Option<StoredReport>,
     others: BTreeMap<Instance, StoredReport>,
+    /// Counter of the round-robin order.
     last_index: usize,
 }
 
 impl Reports {
-    /// Replaces this instance's own report; one that is too long is cut away whole.
+    /// Replaces this instance's own report; returns false when the new one is too long.
     pub(crate) fn publish(&mut self, now: Duration, bytes: Vec<u8>) -> bool {
         if bytes.len() > MAX_REPORT_BYTES {
             return false;
@@ -53,20 +54,22 @@
         true
     }
 
-    /// Returns this instance's own report as it is told now.
+    /// Returns this instance's own report with its current age.
     pub(crate) fn own(&self, now: Duration) -> Option<Report> {
         let stored = self.own.as_ref()?;
         let age = Age::since(now, stored.created_at);
         Some(Report { version: stored.version, age, bytes: stored.bytes.to_vec() })
     }
 
-    /// Returns whose turn it is among so many, and goes on.
+    /// Returns the next index below `count` in round-robin order.
     pub(crate) fn next_index(&mut self, count: usize) -> usize {
         self.last_index = self.last_index.wrapping_add(1);
         self.last_index % count.max(1)
     }
 
-    /// Takes another instance's report when it is newer than the one held.
+    /// Stores another instance's report if it is newer than the stored one.
+    ///
+    /// Returns whether the report was stored.
     pub(crate) fn handle_report(
         &mut self,
         from: &Instance,
@@ -86,17 +89,17 @@
         true
     }
 
-    /// Drops the report of an instance that is over.
+    /// Removes the report of an instance that has stopped or died.
     pub(crate) fn remove(&mut self, instance: &Instance) {
         self.others.remove(instance);
     }
 
-    /// Drops reports that are too old to say anything.
+    /// Removes reports that are older than [`MAX_AGE`].
     pub(crate) fn remove_expired(&mut self, now: Duration) {
         self.others.retain(|_, stored| now.saturating_sub(stored.created_at) <= MAX_AGE);
     }
 
-    /// Goes through the reports of the others.
+    /// Iterates over the reports of the other instances.
     pub(crate) fn others(&self) -> impl Iterator<Item = (&Instance, &StoredReport)> {
         self.others.iter()
     }
--- a/crates/verbenaslip-gossip/src/roster.rs
+++ b/crates/verbenaslip-gossip/src/roster.rs
@@ -1,4 +1,4 @@
-//! Who takes part, merged from what all say of each other.
+//! Members of the deployment, merged from the statuses that instances send.
 
 mod compare;
 
@@ -13,91 +13,101 @@
 
 use compare::member_checksum;
 
-/// How long a suspect has to refute before it counts as dead.
+/// Time that a suspect has to refute the suspicion before it is declared dead.
 pub(crate) const SUSPICION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long one who is gone is remembered, so that a stale rumor can't revive it.
+/// Time for which a gone member is remembered, so that a stale status cannot revive it.
 const GONE_RETENTION: Duration = Duration::from_secs(3_600);
 
-/// How long a death counts as recent when it is asked whether many went at once.
+/// Time for which a death counts as recent when missing neighbours are counted.
 const RECENT_DEATH: Duration = Duration::from_secs(30);
 
-/// After which silence another region counts as out of reach.
+/// Time without contact after which another region counts as unreachable.
 const REGION_SILENCE: Duration = Duration::from_secs(30);
 
-/// The most members kept, gone ones included; a flood of invented names ends here.
+/// Maximum number of members, including gone ones; limits floods of invented names.
 const MAX_MEMBERS: usize = 4_096;
 
-/// The most of them who are gone; the longest gone is forgotten first.
+/// Maximum number of gone members; the one that has been gone longest is removed first.
 const MAX_GONE: usize = 1_024;
 
-/// The most availability zones known as lost.
+/// Maximum number of availability zones recorded as lost.
 const MAX_LOST_ZONES: usize = 64;
 
-/// The most other regions kept.
+/// Maximum number of other regions.
 const MAX_REGIONS: usize = 24;
 
-/// Holds one member.
+/// Another instance and its state.
 pub struct Member {
     status: MemberStatus,
     handle: Handle,
     region_id: RegionId,
+    /// Contribution to the checksum of the member's region.
     checksum: u64,
+    /// Time of the last change of the status, or of the last restart of a suspicion.
     changed_at: Duration,
 }
 
 impl Member {
-    /// Returns who it is.
+    /// Returns the identity of the member.
     pub fn peer(&self) -> &Peer {
         &self.status.peer
     }
 
-    /// Returns what is believed of it.
+    /// Returns the state of the member.
     pub fn state(&self) -> State {
         self.status.state
     }
 
-    /// Returns its handle.
+    /// Returns the handle of the member.
     pub(crate) fn handle(&self) -> Handle {
         self.handle
     }
 
-    /// Returns the rumor to pass on.
+    /// Returns the status to send to other instances.
     pub(crate) fn status(&self) -> &MemberStatus {
         &self.status
     }
 }
 
-/// Says what became of a rumor.
+/// Result of merging a status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MergeOutcome {
-    /// It was known or could not be taken.
+    /// The status was known already or could not be stored.
     Unchanged,
-    /// What is held overrides it.
+    /// The stored status overrides the given one.
     Stale,
-    /// It was false and about this instance, which has refuted it.
+    /// The status was wrong about this instance, which has refuted it.
     Refuted,
-    /// It was new and is held now.
+    /// The status was new and is stored now.
     Applied,
 }
 
-/// Holds all members.
+/// All members and this instance's own status.
 pub(crate) struct Roster {
     own: MemberStatus,
     handle: Handle,
     region_id: RegionId,
+    /// Neighbours that can receive datagrams.
     present: Vec<Handle>,
     members: BTreeMap<Instance, Member>,
+    /// Names by handle; the first name keeps a handle.
     handles: BTreeMap<Handle, Instance>,
     ranking: Ranking,
     regions: BTreeMap<RegionId, OtherRegion>,
+    /// Availability zones of this region without a live member.
     lost_zones: BTreeSet<AvailabilityZone>,
     events: Vec<Event>,
+    /// Handles of incarnations that have ended since the last call of `take_retired`.
     retired: Vec<Handle>,
     checksums: Vec<RegionChecksum>,
+    /// Time of the last datagram of a neighbour.
     last_heard: Duration,
+    /// Whether no member is suspect, dead or left.
     all_healthy: bool,
+    /// Number of recomputations of the ranking.
     revision: u64,
+    /// Whether the ranking has to be recomputed.
     changed: bool,
 }
 
@@ -108,7 +118,7 @@
 }
 
 impl Roster {
-    /// Starts with this instance alone.
+    /// Creates a roster that contains only this instance.
     pub(crate) fn new(own: Peer) -> Self {
         let (handle, region_id) = (own.handle(), RegionId::of(&own.region));
         let own = MemberStatus { peer: own, refutations: 0, state: State::Alive };
@@ -134,7 +144,7 @@
         roster
     }
 
-    /// Returns what this instance says of itself.
+    /// Returns this instance's own status.
     pub(crate) fn own(&self) -> &MemberStatus {
         &self.own
     }
@@ -144,37 +154,37 @@
         self.handle
     }
 
-    /// Rises whenever the ranking may have changed.
+    /// Returns a number that is increased whenever the ranking may have changed.
     pub(crate) fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Goes through all others.
+    /// Iterates over all other instances.
     pub(crate) fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Goes through all others of this region.
+    /// Iterates over all other instances of this region.
     pub(crate) fn neighbours(&self) -> impl Iterator<Item = &Member> {
         self.members().filter(|member| member.region_id == self.region_id)
     }
 
-    /// Returns the others of this region to whom datagrams make sense.
+    /// Returns the other instances of this region that can receive datagrams.
     pub(crate) fn present(&self) -> &[Handle] {
         &self.present
     }
 
-    /// Finds another one by name.
+    /// Returns another instance by its name.
     pub(crate) fn get(&self, instance: &Instance) -> Option<&Member> {
         self.members.get(instance)
     }
 
-    /// Finds another one by handle.
+    /// Returns another instance by its handle.
     pub(crate) fn by_handle(&self, handle: Handle) -> Option<&Member> {
         self.members.get(self.handles.get(&handle)?)
     }
 
-    /// Returns the rumor about anybody, this instance included.
+    /// Returns the status of any instance, including this one.
     pub(crate) fn status_of(&self, instance: &Instance) -> Option<&MemberStatus> {
         if *instance == self.own.peer.instance {
             return Some(&self.own);
@@ -187,28 +197,29 @@
         self.ranking.homes(&self.own.peer.region, key)
     }
 
-    /// Returns the two instances of a region that talk with other regions.
+    /// Returns the two instances of a region that communicate with other regions.
     pub(crate) fn contacts(&self, region: &Region) -> Homes {
         let key = verbenaslip_base::hash::wide(&[b"contact", region.as_str().as_bytes()]);
         self.ranking.homes(region, key)
     }
 
-    /// Returns the other regions that are known.
+    /// Returns the other known regions.
     pub(crate) fn regions(&self) -> Vec<Region> {
         self.regions.values().map(|other| other.region.clone()).collect()
     }
 
-    /// Takes the events since the last call.
+    /// Returns and clears the events since the last call.
     pub(crate) fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
 
-    /// Takes the handles whose incarnations are over or dead since the last call.
+    /// Returns and clears the handles of incarnations that have ended since the last call.
     pub(crate) fn take_retired(&mut self) -> Vec<Handle> {
         std::mem::take(&mut self.retired)
     }
 
-    /// Changes what this instance says of itself; it does not come back from a final state.
+    /// Changes this instance's own state, unless a final state has been set; returns whether it
+    /// did.
     pub(crate) fn set_own_state(&mut self, state: State) -> bool {
         let status = MemberStatus { state, ..self.own.clone() };
         let overrides = status.overrides(&self.own);
@@ -219,7 +230,7 @@
         overrides
     }
 
-    /// Takes in what somebody says of an instance.
+    /// Merges a status that another instance has sent.
     pub(crate) fn merge(&mut self, now: Duration, status: &MemberStatus) -> MergeOutcome {
         if status.peer.instance == self.own.peer.instance {
             return self.handle_own_status(status);
@@ -246,10 +257,11 @@
             || self.regions.contains_key(&RegionId::of(region))
     }
 
-    /// Refutes what is false about this instance.
+    /// Refutes a wrong status of this instance.
     ///
-    /// A peer that could not reach this instance calls it suspect or dead. One would notice a
-    /// healthy instance that loses its duties. A higher refutation overrides that everywhere.
+    /// A peer that could not reach this instance declares it suspect or dead, and a healthy
+    /// instance would lose its duties. A higher refutation count overrides that status on all
+    /// instances.
     fn handle_own_status(&mut self, status: &MemberStatus) -> MergeOutcome {
         let own = &self.own;
         if status.peer.incarnation > own.peer.incarnation {
@@ -337,7 +349,7 @@
         self.regions.entry(RegionId::of(region)).or_insert_with(other);
     }
 
-    /// Forgets the longest gone while too many are remembered.
+    /// Removes the member that has been gone longest when too many gone members are stored.
     fn evict_gone(&mut self) {
         let gone = |member: &&Member| !member.state().is_present();
         if self.members().filter(gone).count() <= MAX_GONE {
@@ -356,7 +368,7 @@
         }
     }
 
-    /// Ranks and lists the members anew, once for all changes of a step.
+    /// Recomputes the ranking, the neighbours and the checksums, once for all changes of a step.
     pub(crate) fn refresh(&mut self) {
         if !std::mem::take(&mut self.changed) {
             return;
@@ -375,7 +387,7 @@
         self.update_zones();
     }
 
-    /// Notes that a datagram of a member has arrived.
+    /// Records that a datagram of a member has arrived.
     pub(crate) fn record_contact(&mut self, now: Duration, handle: Handle) {
         let Some(name) = self.handles.get(&handle) else { return };
         let Some(member) = self.members.get(name) else { return };
@@ -387,12 +399,12 @@
         }
     }
 
-    /// Returns when anybody of this region was last heard; none when nobody is there.
+    /// Returns when a neighbour was last heard from; `None` without present neighbours.
     pub(crate) fn last_heard(&self) -> Option<Duration> {
         (!self.present.is_empty()).then_some(self.last_heard)
     }
 
-    /// Counts the neighbours who went or are in doubt recently, and all who were there.
+    /// Counts the neighbours that are suspect or died recently, and all neighbours including those.
     pub(crate) fn count_missing(&self, now: Duration) -> (usize, usize) {
         if self.all_healthy {
             return (0, self.present.len());
@@ -407,7 +419,9 @@
         (missing, all)
     }
 
-    /// Doubts a neighbour that did not answer a probe; one that was leaving has left.
+    /// Marks a neighbour that did not answer a probe as suspect, or as left if it was leaving.
+    ///
+    /// Returns whether the state has changed.
     pub(crate) fn handle_probe_failure(&mut self, now: Duration, instance: &Instance) -> bool {
         let Some(member) = self.members.get(instance) else { return false };
         let state = match member.state() {
@@ -420,7 +434,7 @@
         true
     }
 
-    /// Gives all suspects the full time again, for while this instance doubts itself.
+    /// Restarts the timeout of all suspicions, while this instance counts as isolated.
     pub(crate) fn restart_suspicions(&mut self, now: Duration) {
         for member in self.members.values_mut() {
             if member.state() == State::Suspect {
@@ -429,7 +443,7 @@
         }
     }
 
-    /// Makes up for a freeze of this instance, during which nobody could be heard.
+    /// Restarts all timeouts after a pause of the process, during which no member could be heard.
     pub(crate) fn resume_after_pause(&mut self, now: Duration) {
         self.last_heard = now;
         for member in self.members.values_mut() {
@@ -442,7 +456,9 @@
         }
     }
 
-    /// Declares suspects dead whose time is over, and returns them.
+    /// Declares suspects dead whose timeout has passed, and returns their names.
+    ///
+    /// It also removes members that have been gone longer than [`GONE_RETENTION`].
     pub(crate) fn expire(&mut self, now: Duration) -> Vec<Instance> {
         if self.all_healthy {
             return Vec::new();
@@ -469,7 +485,7 @@
         dead.into_iter().map(|status| status.peer.instance).collect()
     }
 
-    /// Tells of availability zones that are lost or back as a whole.
+    /// Emits events for availability zones that are lost or have recovered as a whole.
     fn update_zones(&mut self) {
         let mut zones: BTreeMap<AvailabilityZone, bool> = BTreeMap::new();
         for member in self.neighbours().filter(|member| member.state() != State::Left) {
@@ -489,7 +505,7 @@
         }
     }
 
-    /// Tells of regions that have fallen silent or are heard again.
+    /// Emits events for regions that have become unreachable or reachable.
     pub(crate) fn update_regions(&mut self, now: Duration) {
         for other in self.regions.values_mut() {
             let silent = now.saturating_sub(other.last_heard) > REGION_SILENCE;
@@ -506,7 +522,7 @@
         }
     }
 
-    /// Returns how long ago each other region was heard.
+    /// Returns the time since the last contact with each other region.
     pub(crate) fn region_contacts(&self, now: Duration) -> Vec<RegionContact> {
         self.regions
             .iter()
@@ -514,7 +530,7 @@
             .collect()
     }
 
-    /// Takes in when somebody of this region heard another region.
+    /// Merges the times at which other instances of this region heard from other regions.
     pub(crate) fn merge_contacts(
         &mut self,
         now: Duration,
@@ -529,7 +545,7 @@
         }
     }
 
-    /// Returns the rumor about whoever a handle means, this instance included.
+    /// Returns the status of the instance with a handle, including this one.
     pub(crate) fn status_by_handle(&self, handle: Handle) -> Option<&MemberStatus> {
         if handle == self.handle {
             return Some(&self.own);
--- a/crates/verbenaslip-gossip/src/roster/compare.rs
+++ b/crates/verbenaslip-gossip/src/roster/compare.rs
@@ -1,4 +1,4 @@
-//! Comparing who takes part with what others hold.
+//! Comparison of the members with those that another instance knows.
 
 use std::collections::BTreeMap;
 
@@ -6,11 +6,11 @@
 use crate::frame::{MemberList as List, MemberSummary, RegionChecksum};
 use crate::member::{Handle, MemberStatus, RegionId};
 
-/// The most members listed in one datagram.
+/// Maximum number of members listed in one datagram.
 const MAX_LISTED_MEMBERS: usize = 120;
 
 impl Roster {
-    /// Returns a checksum over who is present in each region.
+    /// Returns checksums over the present members of each region.
     pub(crate) fn checksums(&self) -> &[RegionChecksum] {
         &self.checksums
     }
@@ -44,7 +44,7 @@
         members
     }
 
-    /// Lists who is present in a region, in as many lists as fit datagrams.
+    /// Returns the present members of a region, in as many lists as needed to fit in datagrams.
     pub(crate) fn member_lists(&self, region_id: RegionId) -> Vec<List> {
         let members: Vec<MemberSummary> =
             self.summaries(Some(region_id)).into_iter().map(|(_, summary)| summary).collect();
@@ -61,7 +61,7 @@
         lists
     }
 
-    /// Compares a list with what is held: whom the sender lacks or has wrong, and whom to ask for.
+    /// Compares a received list with the stored members.
     pub(crate) fn compare(&self, list: &List) -> Difference {
         let mut difference = Difference::default();
         let theirs: BTreeMap<Handle, &MemberSummary> =
@@ -96,16 +96,16 @@
     }
 }
 
-/// Says how two rosters differ.
+/// Difference between a received list and the stored members.
 #[derive(Default)]
 pub(crate) struct Difference {
-    /// What the other one should know.
+    /// Statuses that the sender of the list lacks or has in an older version.
     pub(crate) to_send: Vec<MemberStatus>,
-    /// Whom to ask the other one for.
+    /// Handles of members to request, which are unknown or older here.
     pub(crate) to_request: Vec<Handle>,
 }
 
-/// Returns what a member adds to the checksum of its region.
+/// Returns the contribution of a member to the checksum of its region.
 pub(super) fn member_checksum(handle: Handle, status: &MemberStatus) -> u64 {
     let state = [status.state as u8];
     verbenaslip_base::hash::narrow(&[&handle.0, &status.refutations.to_le_bytes(), &state])
--- a/crates/verbenaslip-gossip/src/stream.rs
+++ b/crates/verbenaslip-gossip/src/stream.rs
@@ -1,4 +1,4 @@
-//! What one instance vouches for, as a versioned stream of changes.
+//! Versioned set of the upstreams for which one instance vouches.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,94 +7,108 @@
 use crate::member::Handle;
 use crate::time::Age;
 
-/// The most changes in one version, so that each version fits a datagram.
+/// Maximum number of changes in one version, so that each version fits in a datagram.
 const MAX_CHANGES_PER_VERSION: usize = 48;
 
-/// The most changes in one delta.
+/// Maximum number of entries in one delta.
 const MAX_ENTRIES_PER_DELTA: usize = 72;
 
-/// The most upstreams in one stream; a flood of invented ones ends here.
+/// Maximum number of upstreams in one stream; limits floods of invented names.
 const MAX_KEYS: usize = 8_192;
 
-/// The most withdrawn upstreams remembered; beyond, late receivers get the whole stream anew.
+/// Maximum number of withdrawn upstreams that are remembered.
+///
+/// Receivers that lag behind the removed ones get the whole stream.
 const MAX_WITHDRAWN: usize = 256;
 
-/// Holds what one instance vouches for.
+/// Versioned set of the upstreams for which one instance vouches, and its latest mark.
 #[derive(Default)]
 pub(crate) struct Stream {
+    /// Stored version.
     version: u32,
+    /// Highest version known to exist.
     latest: u32,
+    /// Lowest version from which deltas can still be computed.
     min_base: u32,
+    /// Upstreams by key, including remembered withdrawn ones.
     items: BTreeMap<Key, Item>,
+    /// Sequence number of the latest mark.
     mark_sequence: u32,
+    /// Version that the latest mark covers.
     marked_version: u32,
+    /// Time since which all upstreams of the marked version are renewed.
     renewed_since: Duration,
+    /// Latest mark that could not be applied yet.
     deferred: Option<DeferredMark>,
 }
 
-/// A mark that can't be used before what comes between has arrived.
+/// Mark that cannot be applied before missing versions have arrived.
 #[derive(Clone, Copy)]
 pub(crate) struct DeferredMark {
-    /// The mark.
+    /// The deferred mark.
     pub(crate) mark: FreshnessMark,
-    /// Since when it renews; none when it came too late.
+    /// Time since which the mark renews the stream; `None` when its age is too high.
     pub(crate) renewed_since: Option<Duration>,
 }
 
 #[derive(Clone, Copy)]
 struct Item {
+    /// Version of the last change.
     version: u32,
+    /// Hash of the content that is vouched for; `None` after a withdrawal.
     content_hash: Option<ContentHash>,
 }
 
-/// A change of what this instance vouches for.
+/// Change of this instance's own stream.
 pub(crate) struct Change {
-    /// The upstream.
+    /// Key of the upstream.
     pub(crate) key: Key,
-    /// The content vouched for; none when no longer.
+    /// Hash of the content that is vouched for; `None` when it is no longer vouched for.
     pub(crate) content_hash: Option<ContentHash>,
 }
 
-/// Says what a delta or mark did to a stream.
+/// How a delta or mark relates to the stored stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// Nothing: it was known.
+    /// The delta or mark is known already.
     Known,
-    /// It was new.
+    /// The delta or mark is new and can be applied.
     New,
-    /// It can't be used before what comes between has been asked for.
+    /// The delta or mark cannot be applied before missing versions have been requested.
     Gap,
 }
 
 impl Stream {
-    /// Returns the version that is held.
+    /// Returns the stored version.
     pub(crate) fn version(&self) -> u32 {
         self.version
     }
 
-    /// Returns the version that the newest mark covers.
+    /// Returns the version that the latest mark covers.
     pub(crate) fn marked_version(&self) -> u32 {
         self.marked_version
     }
 
-    /// Goes through the upstreams vouched for.
+    /// Iterates over the keys of the upstreams that are vouched for.
     pub(crate) fn keys(&self) -> impl Iterator<Item = Key> {
         self.items.iter().filter(|(_, item)| item.content_hash.is_some()).map(|(key, _)| *key)
     }
 
-    /// Returns the content vouched for.
+    /// Returns the hash of the content that is vouched for.
     pub(crate) fn content_hash(&self, key: Key) -> Option<ContentHash> {
         self.items.get(&key)?.content_hash
     }
 
-    /// Returns since when an upstream with this content is surely renewed, by the newest mark.
+    /// Returns the time of an upstream's last renewal according to the latest mark.
+    ///
+    /// Returns `None` if the mark does not cover the upstream with this content.
     pub(crate) fn renewed_since(&self, key: Key, content_hash: ContentHash) -> Option<Duration> {
         let item = self.items.get(&key)?;
         (item.content_hash == Some(content_hash) && item.version <= self.marked_version)
             .then_some(self.renewed_since)
     }
 
-    /// Commits changes of this instance's own, and returns the versions made.
+    /// Commits changes of this instance's own stream, and returns the new versions.
     pub(crate) fn commit(&mut self, changes: &[Change]) -> Vec<u32> {
         let mut versions = Vec::new();
         for part in changes.chunks(MAX_CHANGES_PER_VERSION) {
@@ -110,14 +124,14 @@
         versions
     }
 
-    /// Makes this instance's own next mark.
+    /// Advances this instance's own mark to the current version.
     pub(crate) fn advance_mark(&mut self, renewed_since: Duration) {
         self.mark_sequence += 1;
         self.marked_version = self.version;
         self.renewed_since = renewed_since;
     }
 
-    /// Returns the newest mark as it is told now; none before the first.
+    /// Returns the latest mark with its current age; `None` before the first mark.
     pub(crate) fn current_mark(&self, voucher: Handle, now: Duration) -> Option<FreshnessMark> {
         let age = Age::since(now, self.renewed_since);
         let mark = FreshnessMark {
@@ -129,7 +143,7 @@
         (self.mark_sequence > 0).then_some(mark)
     }
 
-    /// Tells whether a mark would change something.
+    /// Returns whether a mark is new and can be applied.
     pub(crate) fn classify_mark(&self, mark: &FreshnessMark) -> Outcome {
         if mark.sequence <= self.mark_sequence {
             Outcome::Known
@@ -140,9 +154,9 @@
         }
     }
 
-    /// Takes another instance's mark, which [`Stream::weigh`] found new.
+    /// Applies another instance's mark that [`Stream::classify_mark`] found to be new.
     ///
-    /// A mark without a usable age still counts as seen, so that it can't come again as fresh.
+    /// A mark without a usable age still counts as seen, so that a duplicate cannot pass as fresh.
     pub(crate) fn apply_mark(&mut self, mark: &FreshnessMark, renewed_since: Option<Duration>) {
         self.mark_sequence = mark.sequence;
         let Some(renewed_since) = renewed_since else { return };
@@ -154,19 +168,19 @@
         }
     }
 
-    /// Keeps a mark for when [`Stream::weigh`] finds that it can be used.
+    /// Stores a mark until [`Stream::classify_mark`] finds that it can be applied.
     pub(crate) fn defer_mark(&mut self, mark: &FreshnessMark, renewed_since: Option<Duration>) {
         if self.deferred.is_none_or(|deferred| deferred.mark.sequence < mark.sequence) {
             self.deferred = Some(DeferredMark { mark: *mark, renewed_since });
         }
     }
 
-    /// Returns the kept mark once it can be used.
+    /// Returns the deferred mark once it can be applied.
     pub(crate) fn applicable_mark(&self) -> Option<DeferredMark> {
         self.deferred.filter(|deferred| self.classify_mark(&deferred.mark) == Outcome::New)
     }
 
-    /// Tells whether a delta would change something.
+    /// Returns whether a delta is new and can be applied.
     pub(crate) fn classify_delta(&self, delta: &Delta) -> Outcome {
         if delta.version <= self.version {
             Outcome::Known
@@ -177,7 +191,7 @@
         }
     }
 
-    /// Takes another instance's delta, which [`Stream::classify_delta`] found new.
+    /// Applies another instance's delta that [`Stream::classify_delta`] found to be new.
     pub(crate) fn apply_delta(&mut self, delta: &Delta) {
         if delta.base == 0 {
             self.items.clear();
@@ -204,7 +218,7 @@
         self.items.retain(|_, item| item.content_hash.is_some() || item.version > min_base);
     }
 
-    /// Returns the change that led to a version; what later ones override is left out.
+    /// Returns the changes of one version, except those that later versions override.
     pub(crate) fn delta_to(&self, voucher: Handle, version: u32) -> Option<Delta> {
         let base = version.checked_sub(1).filter(|base| *base >= self.min_base)?;
         let mut delta = self.empty_delta(voucher, base);
@@ -219,7 +233,7 @@
         Some(delta)
     }
 
-    /// Returns the changes after a version, in deltas that each fit a datagram.
+    /// Returns the changes after a version, in deltas that each fit in a datagram.
     pub(crate) fn deltas_since(&self, voucher: Handle, base: u32) -> Vec<Delta> {
         let base = if base < self.min_base || base > self.version { 0 } else { base };
         let mut by_version: BTreeMap<u32, Vec<Change>> = BTreeMap::new();
--- a/crates/verbenaslip-gossip/src/time.rs
+++ b/crates/verbenaslip-gossip/src/time.rs
@@ -1,39 +1,41 @@
-//! Time as the decisions see it: ages that travel, and a clock that notices a freeze.
+//! Ages that are sent between instances, and a clock that detects pauses of the process.
 
 use std::time::Duration;
 
 use verbenaslip_base::data;
 
-/// The coarseness of an age; also what every hop adds, because travelling takes time.
+/// Resolution of an age; also added at every hop to account for the transmission time.
 const AGE_UNIT: Duration = Duration::from_millis(25);
 
-/// A gap between two steps from which the process counts as having been frozen.
+/// Gap between two steps beyond which the process counts as having been paused.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(700);
 
-/// How long after a freeze arriving data may have waited in a socket's buffer meanwhile.
+/// Time after a pause during which arriving datagrams may have waited in the socket buffer.
 const BUFFER_DRAIN_TIME: Duration = Duration::from_millis(500);
 
-/// What is added to every time handed in, so that an age never reaches back before zero.
+/// Offset added to every time from the caller, so that subtracting an age cannot go below zero.
 const TIME_OFFSET: Duration = Duration::from_secs(86_400);
 
-/// Says how long ago something was true, in units of 25 ms, rounded up; 255 is beyond any lease.
+/// Time since a fact was true, in units of 25 ms, rounded up; 255 is longer than any lease.
 ///
-/// Ages travel in place of times because instances share no clock. What a datagram waits on its way
-/// beyond one unit is not counted, nor is a freeze of less than 0.7 s.
+/// Ages are sent instead of timestamps because instances share no clock. Transmission time beyond
+/// one unit is not counted, nor is a process pause of less than 0.7 s.
 #[data(copy, ord, hash)]
 pub struct Age(pub u8);
 
 impl Age {
-    /// The age that nothing can be confirmed with.
+    /// Age that is too high to confirm anything.
     pub(crate) const EXPIRED: Self = Self(u8::MAX);
 
-    /// Measures the age that a datagram sent now says, with one unit for its travel.
+    /// Returns the age of `then` for a datagram sent at `now`, plus one unit for transmission.
     pub(crate) fn since(now: Duration, then: Duration) -> Self {
         let units = now.saturating_sub(then).as_millis().div_ceil(AGE_UNIT.as_millis()) + 1;
         Self(u8::try_from(units).unwrap_or(u8::MAX))
     }
 
-    /// Returns when it was true, for a datagram that arrives now; none when that is too long ago.
+    /// Returns the time that the age refers to, for a datagram that arrives at `now`.
+    ///
+    /// `lag` is added to the age. Returns `None` when the age is [`Age::EXPIRED`].
     pub(crate) fn to_time(self, now: Duration, lag: Duration) -> Option<Duration> {
         if self == Self::EXPIRED {
             return None;
@@ -42,32 +44,34 @@
     }
 }
 
-/// Keeps time from falling and notices freezes.
+/// Clock that never goes back and detects pauses of the process.
 pub(crate) struct Clock {
     now: Duration,
+    /// Length of the last pause.
     lag: Duration,
+    /// Time until which the pause is added to ages.
     lag_until: Duration,
 }
 
-/// Tells what a step of the clock found.
+/// Result of advancing the clock.
 pub(crate) struct ClockStep {
-    /// The time to work with.
+    /// Current internal time.
     pub(crate) now: Duration,
-    /// How long the process had been frozen, when this step is the first after it.
+    /// Length of the pause when this step is the first one after a pause.
     pub(crate) paused_for: Option<Duration>,
 }
 
 impl Clock {
-    /// Starts at the given time.
+    /// Creates a clock at the given time.
     pub(crate) fn new(now: Duration) -> Self {
         Self { now: now + TIME_OFFSET, lag: Duration::ZERO, lag_until: Duration::ZERO }
     }
 
-    /// Moves on to the given time.
+    /// Advances the clock to the given time.
     ///
-    /// After a freeze, datagrams that waited in the socket's buffer say an age from before it. One
-    /// would notice an upstream that died meanwhile coming back as fresh. So whatever arrives
-    /// shortly after a freeze counts as older by the whole freeze.
+    /// Datagrams that waited in the socket buffer during a pause carry ages from before it, so an
+    /// upstream that died during the pause would look fresh. The ages of all datagrams that arrive
+    /// shortly after a pause are therefore increased by the length of the pause.
     pub(crate) fn advance(&mut self, now: Duration) -> ClockStep {
         let now = self.now.max(now.saturating_add(TIME_OFFSET));
         let gap = now - self.now;
@@ -80,7 +84,7 @@
         ClockStep { now, paused_for }
     }
 
-    /// Returns what to add to the age of whatever arrives now.
+    /// Returns the time to add to the ages of datagrams that arrive now.
     pub(crate) fn lag(&self) -> Duration {
         if self.now < self.lag_until { self.lag } else { Duration::ZERO }
     }
@@ -90,12 +94,12 @@
         self.now
     }
 
-    /// Translates a time handed in to one to work with.
+    /// Converts a time from the caller to internal time.
     pub(crate) fn to_internal(now: Duration) -> Duration {
         now.saturating_add(TIME_OFFSET)
     }
 
-    /// Translates a time to work with to one handed out.
+    /// Converts an internal time to the caller's time.
     pub(crate) fn to_external(now: Duration) -> Duration {
         now.saturating_sub(TIME_OFFSET)
     }
