--- a/crates/verbenaslip-gossip/tests/schedule.rs
+++ b/crates/verbenaslip-gossip/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! Random schedules of faults with fixed seeds, with invariants checked all along.
+//! Tests with random schedules of faults from fixed seeds, in which invariants are checked.
 
 mod support;
 
@@ -7,7 +7,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
-use support::{FAIR, LOSSY, Net, Weather, ms, s};
+use support::{LOSSY, LinkConditions, Network, RELIABLE, ms, s};
 use verbenaslip_base::announce::Phase;
 use verbenaslip_base::name::Upstream;
 use verbenaslip_gossip::{MAX_LEASE, State};
@@ -15,49 +15,54 @@
 const INSTANCES: usize = 7;
 const UPSTREAMS: usize = 14;
 
-/// What the way of the news may add to an age without being counted.
-const SLACK: Duration = ms(1_000);
+/// Time that network delays may add to an age without being counted.
+const UNCOUNTED_DELAY: Duration = ms(1_000);
 
-/// How soon a leaving upstream gets no new work while nothing else goes wrong.
-const SPREAD: Duration = ms(2_000);
+/// Time within which a leaving upstream must get no new work while there is no other fault.
+const PROPAGATION_LIMIT: Duration = ms(2_000);
 
-/// Loses, delays, doubles and reorders.
-const STORM: Weather = Weather { loss: 1_500, doubled: 1_000, fastest: 1, slowest: 120 };
+/// Conditions with heavy loss, delays, duplicates and reordering.
+const UNRELIABLE: LinkConditions = LinkConditions {
+    loss_per_10_000: 1_500,
+    duplicates_per_10_000: 1_000,
+    min_delay_ms: 1,
+    max_delay_ms: 120,
+};
 
-/// Runs one schedule and remembers what must never fall.
+/// One random schedule and the state against which invariants are checked.
 struct Schedule {
     seed: u64,
     rng: Pcg64,
-    calm: Duration,
-    left: BTreeMap<usize, Departure>,
-    orders: BTreeMap<Seen, (u64, u64)>,
-    checked: Duration,
+    last_fault: Duration,
+    departures: BTreeMap<usize, Departure>,
+    versions: BTreeMap<RecordId, (u64, u64)>,
+    last_check: Duration,
 }
 
-/// When and in which incarnation an upstream said that it was leaving.
+/// Time and incarnation of an upstream's departure.
 #[derive(Clone, Copy)]
 struct Departure {
     at: Duration,
     incarnation: u64,
 }
 
-/// One upstream as one run of an instance holds it.
+/// Record of an upstream at one incarnation of an instance.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
-struct Seen {
+struct RecordId {
     at: usize,
     run: u64,
     upstream: Upstream,
 }
 
 impl Schedule {
-    fn open(seed: u64) -> Self {
+    fn new(seed: u64) -> Self {
         Self {
             seed,
             rng: Pcg64::seed_from_u64(seed ^ 0x5eed),
-            calm: Duration::ZERO,
-            left: BTreeMap::new(),
-            orders: BTreeMap::new(),
-            checked: Duration::ZERO,
+            last_fault: Duration::ZERO,
+            departures: BTreeMap::new(),
+            versions: BTreeMap::new(),
+            last_check: Duration::ZERO,
         }
     }
 
@@ -65,124 +70,133 @@
         self.rng.random_range(0..count)
     }
 
-    /// Does something that an instance, the network or an upstream may do.
-    fn act(&mut self, net: &mut Net) {
+    /// Applies a random action of an instance, the network or an upstream.
+    fn apply_random_action(&mut self, net: &mut Network) {
         let (index, other) = (self.pick(INSTANCES), self.pick(INSTANCES));
-        let fake = self.pick(UPSTREAMS);
+        let upstream_index = self.pick(UPSTREAMS);
         let choice = self.pick(16);
         match choice {
             0 => net.kill(index),
             1 | 2 => net.restart(index),
             3 => {
                 let time = ms(self.rng.random_range(100..12_000));
-                net.freeze(index, time);
+                net.pause(index, time);
             }
-            4 => drop(net.cuts.insert((index, other))),
+            4 => drop(net.blocked_links.insert((index, other))),
             5 => net.isolate(&[index]),
             6 => {
                 let zone = index % 3;
                 let group: Vec<usize> = (0..INSTANCES).filter(|it| it % 3 == zone).collect();
                 net.isolate(&group);
             }
-            7 | 8 => net.cuts.clear(),
-            9 => net.weather = STORM,
-            10 => net.weather = LOSSY,
-            11 => net.weather = FAIR,
-            12 => net.fakes[fake].alive = false,
-            13 => self.start(net, fake),
+            7 | 8 => net.blocked_links.clear(),
+            9 => net.conditions = UNRELIABLE,
+            10 => net.conditions = LOSSY,
+            11 => net.conditions = RELIABLE,
+            12 => net.upstreams[upstream_index].alive = false,
+            13 => self.restart_upstream(net, upstream_index),
             _ => {
-                self.leave(net, fake);
+                self.announce_departure(net, upstream_index);
                 return;
             }
         }
-        self.calm = net.now;
+        self.last_fault = net.now;
     }
 
     /// Starts the next incarnation of an upstream.
-    fn start(&mut self, net: &mut Net, fake: usize) {
-        let it = &mut net.fakes[fake];
-        it.alive = true;
-        it.announcement.incarnation += 1;
-        it.announcement.sequence = 0;
-        it.announcement.phase = Phase::Ready;
-        self.left.remove(&fake);
+    fn restart_upstream(&mut self, net: &mut Network, upstream_index: usize) {
+        let upstream = &mut net.upstreams[upstream_index];
+        upstream.alive = true;
+        upstream.announcement.incarnation += 1;
+        upstream.announcement.sequence = 0;
+        upstream.announcement.phase = Phase::Ready;
+        self.departures.remove(&upstream_index);
     }
 
-    /// Has an upstream say that it is leaving, to an instance that can hear it.
-    fn leave(&mut self, net: &mut Net, fake: usize) {
-        let able: Vec<usize> = net.running().map(|(index, _)| index).collect();
-        let awake = |at: &usize| net.nodes[*at].frozen.is_none_or(|until| until <= net.now);
-        let able: Vec<usize> = able.into_iter().filter(awake).collect();
-        if able.is_empty() || !net.fakes[fake].alive || self.left.contains_key(&fake) {
+    /// Announces the departure of an upstream through an instance that is running and not paused.
+    fn announce_departure(&mut self, net: &mut Network, upstream_index: usize) {
+        let eligible: Vec<usize> = net.running().map(|(index, _)| index).collect();
+        let is_running =
+            |at: &usize| net.nodes[*at].paused_until.is_none_or(|until| until <= net.now);
+        let eligible: Vec<usize> = eligible.into_iter().filter(is_running).collect();
+        if eligible.is_empty()
+            || !net.upstreams[upstream_index].alive
+            || self.departures.contains_key(&upstream_index)
+        {
             return;
         }
-        let through = able[self.pick(able.len())];
-        let announcement = &mut net.fakes[fake].announcement;
+        let through = eligible[self.pick(eligible.len())];
+        let announcement = &mut net.upstreams[upstream_index].announcement;
         announcement.phase = Phase::Leaving { notice: None };
         announcement.sequence += 1;
         let incarnation = announcement.incarnation;
-        net.announce(fake, through);
-        self.left.insert(fake, Departure { at: net.now, incarnation });
+        net.announce(upstream_index, through);
+        self.departures.insert(upstream_index, Departure { at: net.now, incarnation });
     }
 
-    fn check(&mut self, net: &Net) {
-        if net.now < self.checked + ms(40) {
+    fn check(&mut self, net: &Network) {
+        if net.now < self.last_check + ms(40) {
             return;
         }
-        self.checked = net.now;
+        self.last_check = net.now;
         for (at, gossip) in net.running() {
-            if net.nodes[at].frozen.is_some_and(|until| until > net.now) {
+            if net.nodes[at].paused_until.is_some_and(|until| until > net.now) {
                 continue;
             }
             assert!(gossip.records().count() <= UPSTREAMS);
             assert!(gossip.members().count() < INSTANCES);
-            self.check_orders(net, at);
-            self.check_use(net, at);
+            self.check_versions(net, at);
+            self.check_usable(net, at);
         }
     }
 
-    /// Checks that what an instance holds of an upstream never becomes older.
-    fn check_orders(&mut self, net: &Net, at: usize) {
+    /// Checks that the stored announcement of an upstream never becomes older.
+    fn check_versions(&mut self, net: &Network, at: usize) {
         let run = net.nodes[at].peer.incarnation;
         for record in net.gossip(at).records() {
-            let said = record.announcement();
-            let order = (said.incarnation, said.sequence);
-            let seen = Seen { at, run, upstream: said.upstream.clone() };
-            let before = self.orders.insert(seen, order);
-            assert!(before.is_none_or(|it| it <= order), "seed {}: {before:?}", self.seed);
+            let announcement = record.announcement();
+            let version = (announcement.incarnation, announcement.sequence);
+            let id = RecordId { at, run, upstream: announcement.upstream.clone() };
+            let before = self.versions.insert(id, version);
+            assert!(before.is_none_or(|it| it <= version), "seed {}: {before:?}", self.seed);
         }
     }
 
-    /// Checks that no upstream is used that has left, or that nothing has confirmed for long.
-    fn check_use(&self, net: &Net, at: usize) {
+    /// Checks that no instance uses an upstream that has left or has not been confirmed for long.
+    fn check_usable(&self, net: &Network, at: usize) {
         let seed = self.seed;
         for record in net.gossip(at).usable(net.now) {
-            let said = record.announcement();
-            let mut fakes = net.fakes.iter().enumerate();
-            let (index, fake) = fakes
-                .find(|(_, fake)| fake.announcement.upstream == said.upstream)
+            let announcement = record.announcement();
+            let mut upstreams = net.upstreams.iter().enumerate();
+            let (index, upstream) = upstreams
+                .find(|(_, upstream)| upstream.announcement.upstream == announcement.upstream)
                 .expect("only upstreams that exist are known");
-            let last = fake.announced.last().map_or(Duration::ZERO, |(when, ..)| *when);
-            let late = net.now.saturating_sub(last + MAX_LEASE + SLACK);
-            assert_eq!(late, Duration::ZERO, "seed {seed}: {index} at {at} after its lease");
-            let Some(departure) = self.left.get(&index) else { continue };
-            if said.incarnation != departure.incarnation {
+            let last = upstream.accepted.last().map_or(Duration::ZERO, |(when, ..)| *when);
+            let late = net.now.saturating_sub(last + MAX_LEASE + UNCOUNTED_DELAY);
+            assert_eq!(late, Duration::ZERO, "seed {seed}: {index} used at {at} after its lease");
+            let Some(departure) = self.departures.get(&index) else { continue };
+            if announcement.incarnation != departure.incarnation {
                 continue;
             }
-            let calm = self.calm + s(15) < departure.at;
-            let limit = if calm { SPREAD } else { MAX_LEASE + SLACK };
+            let undisturbed = self.last_fault + s(15) < departure.at;
+            let limit = if undisturbed { PROPAGATION_LIMIT } else { MAX_LEASE + UNCOUNTED_DELAY };
             let late = net.now.saturating_sub(departure.at + limit);
-            assert_eq!(late, Duration::ZERO, "seed {seed}: {index} left, used at {at}, {calm}");
+            assert_eq!(
+                late,
+                Duration::ZERO,
+                "seed {seed}: {index} departed, used at {at}, undisturbed: {undisturbed}"
+            );
         }
     }
 
-    /// Heals everything and checks that all agree in the end.
-    fn heal(&mut self, net: &mut Net) {
-        net.cuts.clear();
-        net.weather = LOSSY;
-        let frozen = net.nodes.iter().filter_map(|node| node.frozen).max();
-        let thawed = frozen.map_or(Duration::ZERO, |until| until.saturating_sub(net.now));
-        net.run_checked(thawed, |net| self.check(net));
+    /// Removes all faults and checks that all instances agree in the end.
+    fn heal_and_check(&mut self, net: &mut Network) {
+        net.blocked_links.clear();
+        net.conditions = LOSSY;
+        let paused_until = net.nodes.iter().filter_map(|node| node.paused_until).max();
+        let remaining_pause =
+            paused_until.map_or(Duration::ZERO, |until| until.saturating_sub(net.now));
+        net.run_checked(remaining_pause, |net| self.check(net));
         for index in 0..INSTANCES {
             if net.nodes[index].gossip.is_none() {
                 net.restart(index);
@@ -194,32 +208,36 @@
             for of in (0..INSTANCES).filter(|of| *of != at) {
                 assert_eq!(net.state(at, of), Some(State::Alive), "seed {seed}: {of} at {at}");
             }
-            assert!(!net.gossip(at).isolated(), "seed {seed}: {at} doubts itself");
-            for fake in 0..UPSTREAMS {
-                let ready = net.fakes[fake].announcement.phase == Phase::Ready;
-                let expected = net.fakes[fake].alive && ready;
-                assert_eq!(net.usable(at, fake), expected, "seed {seed}: {fake} at {at}");
+            assert!(!net.gossip(at).isolated(), "seed {seed}: {at} counts as isolated");
+            for upstream_index in 0..UPSTREAMS {
+                let ready = net.upstreams[upstream_index].announcement.phase == Phase::Ready;
+                let expected = net.upstreams[upstream_index].alive && ready;
+                assert_eq!(
+                    net.usable(at, upstream_index),
+                    expected,
+                    "seed {seed}: {upstream_index} at {at}"
+                );
             }
         }
     }
 }
 
-fn run(seeds: std::ops::Range<u64>) {
+fn run_schedules(seeds: std::ops::Range<u64>) {
     for seed in seeds {
-        let mut schedule = Schedule::open(seed);
-        let mut net = Net::region(seed, INSTANCES, 3);
-        net.coded = seed % 8 == 0;
-        net.weather = LOSSY;
-        net.upstreams(UPSTREAMS, 3, "r0");
+        let mut schedule = Schedule::new(seed);
+        let mut net = Network::region(seed, INSTANCES, 3);
+        net.encode_frames = seed % 8 == 0;
+        net.conditions = LOSSY;
+        net.add_upstreams(UPSTREAMS, 3, "r0");
         net.run(s(5));
         for _ in 0..14 {
-            schedule.act(&mut net);
+            schedule.apply_random_action(&mut net);
             let pause = schedule.rng.random_range(50..3_000);
             net.run_checked(ms(pause), |net| schedule.check(net));
         }
-        schedule.heal(&mut net);
-        let fake = schedule.pick(UPSTREAMS);
-        schedule.leave(&mut net, fake);
+        schedule.heal_and_check(&mut net);
+        let upstream_index = schedule.pick(UPSTREAMS);
+        schedule.announce_departure(&mut net, upstream_index);
         net.run_checked(s(4), |net| schedule.check(net));
     }
 }
@@ -228,7 +246,7 @@
     ($($name:ident: $seeds:expr,)*) => {$(
         #[test]
         fn $name() {
-            run($seeds);
+            run_schedules($seeds);
         }
     )*};
 }
--- a/crates/verbenaslip-gossip/tests/support/mod.rs
+++ b/crates/verbenaslip-gossip/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! An in-memory datagram network with faults, on which tests step many instances.
+//! Simulated datagram network with faults, in which tests run many instances.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,80 +15,90 @@
     State, Updates, UpstreamEvent,
 };
 
-/// The first port of the instances.
+/// Port of the first instance.
 const PORT: u16 = 10_000;
 
-/// Returns so many milliseconds.
+/// Returns a duration in milliseconds.
 pub const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// Returns so many seconds.
+/// Returns a duration in seconds.
 pub const fn s(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
 }
 
-/// Says what the network does to datagrams.
+/// Loss, duplication and delay of datagrams.
 #[derive(Clone, Copy)]
-pub struct Weather {
-    /// Lost datagrams in 10,000.
-    pub loss: u32,
-    /// Doubled datagrams in 10,000.
-    pub doubled: u32,
-    /// The shortest way, in milliseconds.
-    pub fastest: u64,
-    /// The longest way, in milliseconds.
-    pub slowest: u64,
+pub struct LinkConditions {
+    /// Number of lost datagrams per 10,000.
+    pub loss_per_10_000: u32,
+    /// Number of duplicated datagrams per 10,000.
+    pub duplicates_per_10_000: u32,
+    /// Minimum delay of a datagram, in milliseconds.
+    pub min_delay_ms: u64,
+    /// Maximum delay of a datagram, in milliseconds.
+    pub max_delay_ms: u64,
 }
 
-/// A network that does no harm.
-pub const FAIR: Weather = Weather { loss: 0, doubled: 0, fastest: 1, slowest: 3 };
+/// Conditions without loss and duplicates.
+pub const RELIABLE: LinkConditions = LinkConditions {
+    loss_per_10_000: 0,
+    duplicates_per_10_000: 0,
+    min_delay_ms: 1,
+    max_delay_ms: 3,
+};
 
-/// A network that loses one datagram in a hundred.
-pub const LOSSY: Weather = Weather { loss: 100, doubled: 20, fastest: 1, slowest: 8 };
+/// Conditions with a loss of one datagram in a hundred.
+pub const LOSSY: LinkConditions = LinkConditions {
+    loss_per_10_000: 100,
+    duplicates_per_10_000: 20,
+    min_delay_ms: 1,
+    max_delay_ms: 8,
+};
 
-/// One instance and what the test knows of it.
+/// One instance, its state in the simulation and its events.
 pub struct Node {
     pub peer: Peer,
     pub gossip: Option<Gossip>,
-    pub frozen: Option<Duration>,
+    pub paused_until: Option<Duration>,
     pub sent: Traffic,
     pub received: Traffic,
-    pub members: Vec<(Duration, MemberEvent)>,
-    pub upstreams: Vec<(Duration, UpstreamEvent)>,
-    pub isolations: Vec<(Duration, bool)>,
-    run: u64,
-    wake: Duration,
+    pub member_events: Vec<(Duration, MemberEvent)>,
+    pub upstream_events: Vec<(Duration, UpstreamEvent)>,
+    pub isolation_events: Vec<(Duration, bool)>,
+    process_run: u64,
+    next_wakeup: Duration,
 }
 
-/// Counts datagrams.
+/// Number and size of datagrams.
 #[derive(Clone, Copy, Default, Debug)]
 pub struct Traffic {
     pub messages: u64,
     pub bytes: u64,
 }
 
-/// An upstream that announces itself through a random instance once a second.
-pub struct Fake {
+/// Upstream that announces itself through a random instance once a second.
+pub struct SimulatedUpstream {
     pub announcement: Announcement,
     pub alive: bool,
     pub region: Region,
-    /// The instances that the balancer picks from; empty for all live ones of the region.
-    pub through: Vec<usize>,
-    /// Whether its load changes by a step with each announcement.
-    pub restless: bool,
-    /// When it last announced itself with success, by incarnation and sequence.
-    pub announced: Vec<(Duration, u64, u64)>,
+    /// Instances that it announces itself through; empty for all running ones of its region.
+    pub entry_points: Vec<usize>,
+    /// Whether its load changes noticeably with each announcement.
+    pub varies_load: bool,
+    /// Times, incarnations and sequence numbers of its accepted announcements.
+    pub accepted: Vec<(Duration, u64, u64)>,
 }
 
 enum Event {
-    Wake(usize),
+    Wakeup(usize),
     Datagram {
         to: usize,
         from: SocketAddr,
         frame: Box<Frame>,
     },
-    /// A datagram in the buffer of a frozen process, which dies with the process.
+    /// Datagram in the socket buffer of a paused process, which is lost if the process dies.
     Buffered {
         run: u64,
         to: usize,
@@ -98,70 +108,70 @@
     Announce(usize),
 }
 
-type Recorded = (usize, Vec<Letter>);
+type Recording = (usize, Vec<SentDatagram>);
 
-/// A datagram on its way.
+/// Datagram that was sent to an instance.
 #[derive(Clone)]
-pub struct Letter {
+pub struct SentDatagram {
     pub to: usize,
     pub from: SocketAddr,
     pub frame: Box<Frame>,
 }
 
-/// The network with everything on it.
-pub struct Net {
+/// Network with its instances and upstreams.
+pub struct Network {
     pub now: Duration,
     pub nodes: Vec<Node>,
-    pub fakes: Vec<Fake>,
-    pub weather: Weather,
-    /// Pairs between which nothing passes, in this direction.
-    pub cuts: BTreeSet<(usize, usize)>,
-    /// Whether every datagram goes through its encoding.
-    pub coded: bool,
-    /// Whether the parts of news are counted apart.
-    pub detailed: bool,
-    /// The longest datagram so far.
-    pub longest: usize,
-    /// Bytes sent by kind of body.
-    pub kinds: BTreeMap<&'static str, u64>,
-    recorded: Option<Recorded>,
+    pub upstreams: Vec<SimulatedUpstream>,
+    pub conditions: LinkConditions,
+    /// Pairs of sender and receiver between which all datagrams are dropped.
+    pub blocked_links: BTreeSet<(usize, usize)>,
+    /// Whether every datagram is encoded and decoded.
+    pub encode_frames: bool,
+    /// Whether the bytes of the parts of updates are counted separately.
+    pub count_parts: bool,
+    /// Size of the longest datagram so far, in bytes.
+    pub longest_frame: usize,
+    /// Number of bytes sent by kind of body.
+    pub bytes_by_kind: BTreeMap<&'static str, u64>,
+    recording: Option<Recording>,
     rng: Pcg64,
     events: BTreeMap<(Duration, u64), Event>,
-    serial: u64,
+    event_number: u64,
     seed: u64,
 }
 
-impl Net {
-    /// Starts a network without anybody on it.
-    pub fn open(seed: u64) -> Self {
+impl Network {
+    /// Creates a network without instances.
+    pub fn new(seed: u64) -> Self {
         Self {
             now: s(1_000),
             nodes: Vec::new(),
-            fakes: Vec::new(),
-            weather: FAIR,
-            cuts: BTreeSet::new(),
-            coded: true,
-            detailed: false,
-            longest: 0,
-            kinds: BTreeMap::new(),
-            recorded: None,
+            upstreams: Vec::new(),
+            conditions: RELIABLE,
+            blocked_links: BTreeSet::new(),
+            encode_frames: true,
+            count_parts: false,
+            longest_frame: 0,
+            bytes_by_kind: BTreeMap::new(),
+            recording: None,
             rng: Pcg64::seed_from_u64(seed),
             events: BTreeMap::new(),
-            serial: 0,
+            event_number: 0,
             seed,
         }
     }
 
-    /// Starts a region of so many instances, dealt to so many availability zones.
+    /// Creates a network with one region of `count` instances, distributed over `zones` zones.
     pub fn region(seed: u64, count: usize, zones: usize) -> Self {
-        let mut net = Self::open(seed);
+        let mut net = Self::new(seed);
         for index in 0..count {
             net.add(&format!("z{}", index % zones), "r0");
         }
         net
     }
 
-    /// Adds and starts an instance that knows the first three as seeds.
+    /// Adds and starts an instance that has the first three instances as seeds.
     pub fn add(&mut self, zone: &str, region: &str) -> usize {
         let index = self.nodes.len();
         let peer = Peer {
@@ -174,14 +184,14 @@
         self.nodes.push(Node {
             peer,
             gossip: None,
-            frozen: None,
+            paused_until: None,
             sent: Traffic::default(),
             received: Traffic::default(),
-            members: Vec::new(),
-            upstreams: Vec::new(),
-            isolations: Vec::new(),
-            run: 0,
-            wake: Duration::MAX,
+            member_events: Vec::new(),
+            upstream_events: Vec::new(),
+            isolation_events: Vec::new(),
+            process_run: 0,
+            next_wakeup: Duration::MAX,
         });
         self.start(index);
         index
@@ -194,52 +204,53 @@
         let seed = self.seed.wrapping_mul(1_000_003) + index as u64;
         let gossip = Gossip::new(setup, seed, self.now);
         self.nodes[index].gossip = Some(gossip);
-        self.plan(index);
+        self.schedule_wakeup(index);
     }
 
     /// Kills an instance without notice.
     pub fn kill(&mut self, index: usize) {
         self.nodes[index].gossip = None;
-        self.nodes[index].frozen = None;
-        self.nodes[index].run += 1;
-        self.nodes[index].wake = Duration::MAX;
+        self.nodes[index].paused_until = None;
+        self.nodes[index].process_run += 1;
+        self.nodes[index].next_wakeup = Duration::MAX;
     }
 
-    /// Kills an instance and starts it with the next incarnation.
+    /// Kills an instance and starts its next incarnation.
     pub fn restart(&mut self, index: usize) {
         self.kill(index);
         self.nodes[index].peer.incarnation += 1;
         self.start(index);
     }
 
-    /// Stops an instance for a while; what it is sent waits in its buffer.
-    pub fn freeze(&mut self, index: usize, time: Duration) {
-        let frozen = &mut self.nodes[index].frozen;
-        *frozen = Some(self.now + time).max(*frozen);
+    /// Pauses an instance; datagrams to it wait in its buffer.
+    pub fn pause(&mut self, index: usize, time: Duration) {
+        let paused_until = &mut self.nodes[index].paused_until;
+        *paused_until = Some(self.now + time).max(*paused_until);
     }
 
-    /// Cuts a group of instances off from all others, both ways.
+    /// Blocks all links between a group of instances and all others, in both directions.
     pub fn isolate(&mut self, group: &[usize]) {
         for inside in group {
             for outside in (0..self.nodes.len()).filter(|index| !group.contains(index)) {
-                self.cuts.insert((*inside, outside));
-                self.cuts.insert((outside, *inside));
+                self.blocked_links.insert((*inside, outside));
+                self.blocked_links.insert((outside, *inside));
             }
         }
     }
 
-    /// Adds upstreams of a region that announce themselves from now on.
-    pub fn upstreams(&mut self, count: usize, zones: usize, region: &str) -> usize {
-        let first = self.fakes.len();
+    /// Adds upstreams of a region that announce themselves from now on, and returns the first
+    /// index.
+    pub fn add_upstreams(&mut self, count: usize, zones: usize, region: &str) -> usize {
+        let first = self.upstreams.len();
         for index in first..first + count {
             let zone = format!("z{}", index % zones);
-            self.fakes.push(Fake {
+            self.upstreams.push(SimulatedUpstream {
                 announcement: announcement(&format!("{region}-u{index}"), &zone),
                 alive: true,
                 region: Region::from(region),
-                through: Vec::new(),
-                restless: false,
-                announced: Vec::new(),
+                entry_points: Vec::new(),
+                varies_load: false,
+                accepted: Vec::new(),
             });
             let at = self.now + ms(self.rng.random_range(0..1_000));
             self.schedule(at, Event::Announce(index));
@@ -247,18 +258,22 @@
         first
     }
 
-    /// Lets an upstream announce itself now, through an instance; returns the answer.
-    pub fn announce(&mut self, fake: usize, through: usize) -> Option<AnnouncementResult> {
-        let announcement = self.fakes[fake].announcement.clone();
+    /// Announces an upstream through an instance now, and returns the result.
+    pub fn announce(
+        &mut self,
+        upstream_index: usize,
+        through: usize,
+    ) -> Option<AnnouncementResult> {
+        let announcement = self.upstreams[upstream_index].announcement.clone();
         let answer = self.announce_as(&announcement, through);
         if matches!(answer, Some(AnnouncementResult::Accepted { .. })) {
             let Announcement { incarnation, sequence, .. } = announcement;
-            self.fakes[fake].announced.push((self.now, incarnation, sequence));
+            self.upstreams[upstream_index].accepted.push((self.now, incarnation, sequence));
         }
         answer
     }
 
-    /// Hands an instance any announcement.
+    /// Announces any announcement through an instance, and returns the result.
     pub fn announce_as(
         &mut self,
         announcement: &Announcement,
@@ -266,19 +281,19 @@
     ) -> Option<AnnouncementResult> {
         let mut answer = None;
         for output in self.step(through, Input::Announced(Box::new(announcement.clone()))) {
-            if let Output::AnnouncementResult(given) = output {
-                answer = Some(given);
+            if let Output::AnnouncementResult(result) = output {
+                answer = Some(result);
             }
         }
         answer
     }
 
-    /// Lets time pass.
+    /// Runs the simulation for the given time.
     pub fn run(&mut self, time: Duration) {
         self.run_checked(time, |_| {});
     }
 
-    /// Lets time pass and checks after every event.
+    /// Runs the simulation for the given time, and calls `check` after every event.
     pub fn run_checked(&mut self, time: Duration, mut check: impl FnMut(&Self)) {
         let end = self.now + time;
         while let Some(entry) = self.events.first_entry() {
@@ -288,68 +303,71 @@
             let (at, _) = *entry.key();
             let event = entry.remove();
             self.now = self.now.max(at);
-            self.happen(event);
+            self.handle_event(event);
             check(self);
         }
         self.now = end;
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Wake(index) if self.nodes[index].wake > self.now => {}
-            Event::Wake(index) => {
-                self.nodes[index].wake = Duration::MAX;
-                if let Some(until) = self.thawing(index) {
-                    self.nodes[index].wake = until;
-                    self.schedule(until, Event::Wake(index));
+            Event::Wakeup(index) if self.nodes[index].next_wakeup > self.now => {}
+            Event::Wakeup(index) => {
+                self.nodes[index].next_wakeup = Duration::MAX;
+                if let Some(until) = self.paused_until(index) {
+                    self.nodes[index].next_wakeup = until;
+                    self.schedule(until, Event::Wakeup(index));
                     return;
                 }
                 self.step(index, Input::Tick);
             }
             Event::Datagram { to, from, frame } => {
-                if let Some(until) = self.thawing(to) {
-                    let run = self.nodes[to].run;
+                if let Some(until) = self.paused_until(to) {
+                    let run = self.nodes[to].process_run;
                     self.schedule(until, Event::Buffered { run, to, from, frame });
                     return;
                 }
                 self.deliver(to, from, frame);
             }
             Event::Buffered { run, to, from, frame } => {
-                if self.nodes[to].run == run {
-                    self.happen(Event::Datagram { to, from, frame });
+                if self.nodes[to].process_run == run {
+                    self.handle_event(Event::Datagram { to, from, frame });
                 }
             }
             Event::Announce(index) => self.announce_next(index),
         }
     }
 
-    fn thawing(&self, index: usize) -> Option<Duration> {
-        self.nodes[index].frozen.filter(|until| *until > self.now)
+    fn paused_until(&self, index: usize) -> Option<Duration> {
+        self.nodes[index].paused_until.filter(|until| *until > self.now)
     }
 
     fn announce_next(&mut self, index: usize) {
         let jitter = self.rng.random_range(950..1_050);
         self.schedule(self.now + ms(jitter), Event::Announce(index));
-        if !self.fakes[index].alive {
+        if !self.upstreams[index].alive {
             return;
         }
-        let able = |node: usize| self.nodes[node].gossip.is_some() && self.thawing(node).is_none();
-        let near = |node: &usize| self.nodes[*node].peer.region == self.fakes[index].region;
-        let through = &self.fakes[index].through;
-        let picks: Vec<usize> = if through.is_empty() {
-            (0..self.nodes.len()).filter(near).filter(|node| able(*node)).collect()
+        let is_available =
+            |node: usize| self.nodes[node].gossip.is_some() && self.paused_until(node).is_none();
+        let in_region =
+            |node: &usize| self.nodes[*node].peer.region == self.upstreams[index].region;
+        let through = &self.upstreams[index].entry_points;
+        let candidates: Vec<usize> = if through.is_empty() {
+            (0..self.nodes.len()).filter(in_region).filter(|node| is_available(*node)).collect()
         } else {
-            through.iter().copied().filter(|node| able(*node)).collect()
+            through.iter().copied().filter(|node| is_available(*node)).collect()
         };
-        if picks.is_empty() {
+        if candidates.is_empty() {
             return;
         }
-        let through = picks[self.rng.random_range(0..picks.len())];
-        let fake = &mut self.fakes[index];
-        fake.announcement.sequence += 1;
-        if fake.restless {
-            let slots = u64::from(fake.announcement.slots);
-            fake.announcement.load.running = (fake.announcement.sequence * 3 % (slots + 1)) as u32;
+        let through = candidates[self.rng.random_range(0..candidates.len())];
+        let upstream = &mut self.upstreams[index];
+        upstream.announcement.sequence += 1;
+        if upstream.varies_load {
+            let slots = u64::from(upstream.announcement.slots);
+            upstream.announcement.load.running =
+                (upstream.announcement.sequence * 3 % (slots + 1)) as u32;
         }
         self.announce(index, through);
     }
@@ -361,14 +379,14 @@
         self.step(to, Input::Received { from, frame });
     }
 
-    /// Lets time pass and returns what one instance sent meanwhile, as it reached the others.
-    pub fn record(&mut self, index: usize, time: Duration) -> Vec<Letter> {
-        self.recorded = Some((index, Vec::new()));
+    /// Runs the simulation and returns the datagrams of one instance that were not lost.
+    pub fn record_sent(&mut self, index: usize, time: Duration) -> Vec<SentDatagram> {
+        self.recording = Some((index, Vec::new()));
         self.run(time);
-        self.recorded.take().map_or(Vec::new(), |(_, frames)| frames)
+        self.recording.take().map_or(Vec::new(), |(_, frames)| frames)
     }
 
-    /// Steps one instance; what it sends goes onto the network.
+    /// Steps one instance and sends its datagrams over the network.
     pub fn step(&mut self, index: usize, input: Input) -> Vec<Output> {
         let mut outputs = Vec::new();
         let now = self.now;
@@ -377,58 +395,62 @@
         for output in &outputs {
             match output {
                 Output::Send { to, frame } => self.send(index, *to, frame),
-                Output::Member(event) => self.nodes[index].members.push((now, event.clone())),
-                Output::Upstream(event) => self.nodes[index].upstreams.push((now, event.clone())),
-                Output::Isolated(it) => self.nodes[index].isolations.push((now, *it)),
+                Output::Member(event) => self.nodes[index].member_events.push((now, event.clone())),
+                Output::Upstream(event) => {
+                    self.nodes[index].upstream_events.push((now, event.clone()))
+                }
+                Output::Isolated(it) => self.nodes[index].isolation_events.push((now, *it)),
                 Output::AnnouncementResult(_) | Output::ReportReceived(_) => {}
             }
         }
-        self.plan(index);
+        self.schedule_wakeup(index);
         outputs
     }
 
-    fn plan(&mut self, index: usize) {
+    fn schedule_wakeup(&mut self, index: usize) {
         let Some(gossip) = &self.nodes[index].gossip else { return };
         let wake = gossip.next_wakeup().max(self.now);
-        if wake < self.nodes[index].wake {
-            self.nodes[index].wake = wake;
-            self.schedule(wake, Event::Wake(index));
+        if wake < self.nodes[index].next_wakeup {
+            self.nodes[index].next_wakeup = wake;
+            self.schedule(wake, Event::Wakeup(index));
         }
     }
 
     fn send(&mut self, index: usize, to: SocketAddr, frame: &Frame) {
         let bytes = frame.encode().expect("every frame fits a datagram");
-        self.longest = self.longest.max(bytes.len());
+        self.longest_frame = self.longest_frame.max(bytes.len());
         count(&mut self.nodes[index].sent, bytes.len());
-        *self.kinds.entry(kind(&frame.body)).or_default() += bytes.len() as u64;
+        *self.bytes_by_kind.entry(kind(&frame.body)).or_default() += bytes.len() as u64;
         if let Body::Updates(spread) = &frame.body
-            && self.detailed
+            && self.count_parts
         {
             self.count_parts(spread);
         }
         let to = usize::from(to.port() - PORT);
-        let lost = self.rng.random_range(0..10_000) < self.weather.loss;
-        if to >= self.nodes.len() || lost || self.cuts.contains(&(index, to)) {
+        let lost = self.rng.random_range(0..10_000) < self.conditions.loss_per_10_000;
+        if to >= self.nodes.len() || lost || self.blocked_links.contains(&(index, to)) {
             return;
         }
-        if let Some((from, frames)) = &mut self.recorded
+        if let Some((from, frames)) = &mut self.recording
             && *from == index
         {
             let frame = Box::new(frame.clone());
-            frames.push(Letter { to, from: address(index), frame });
+            frames.push(SentDatagram { to, from: address(index), frame });
         }
-        let copies = 1 + u32::from(self.rng.random_range(0..10_000) < self.weather.doubled);
+        let copies =
+            1 + u32::from(self.rng.random_range(0..10_000) < self.conditions.duplicates_per_10_000);
         for _ in 0..copies {
             count(&mut self.nodes[to].received, bytes.len());
-            let way = self.rng.random_range(self.weather.fastest..=self.weather.slowest);
-            let frame = if self.coded {
-                Frame::decode(&bytes).expect("what was encoded can be decoded")
+            let delay_ms =
+                self.rng.random_range(self.conditions.min_delay_ms..=self.conditions.max_delay_ms);
+            let frame = if self.encode_frames {
+                Frame::decode(&bytes).expect("an encoded frame can be decoded")
             } else {
                 frame.clone()
             };
             let frame = Box::new(frame);
             let event = Event::Datagram { to, from: address(index), frame };
-            self.schedule(self.now + ms(way), event);
+            self.schedule(self.now + ms(delay_ms), event);
         }
     }
 
@@ -442,51 +464,51 @@
             ("spread: sheets", encoded(&spread.announcements)),
         ];
         for (name, size) in parts {
-            *self.kinds.entry(name).or_default() += size;
+            *self.bytes_by_kind.entry(name).or_default() += size;
         }
     }
 
     fn schedule(&mut self, at: Duration, event: Event) {
-        self.serial += 1;
-        self.events.insert((at, self.serial), event);
+        self.event_number += 1;
+        self.events.insert((at, self.event_number), event);
     }
 
-    /// Returns a running instance.
+    /// Returns an instance, which must be running.
     pub fn gossip(&self, index: usize) -> &Gossip {
         self.nodes[index].gossip.as_ref().expect("the instance runs")
     }
 
-    /// Goes through the running instances.
+    /// Iterates over the running instances.
     pub fn running(&self) -> impl Iterator<Item = (usize, &Gossip)> {
         let nodes = self.nodes.iter().enumerate();
         nodes.filter_map(|(index, node)| Some((index, node.gossip.as_ref()?)))
     }
 
-    /// Returns what one instance believes of another.
+    /// Returns the state of the instance `of` as known at the instance `at`.
     pub fn state(&self, at: usize, of: usize) -> Option<State> {
         let name = &self.nodes[of].peer.instance;
         self.gossip(at).member(name).map(|member| member.state())
     }
 
-    /// Tells whether an instance would give an upstream new work now.
-    pub fn usable(&self, at: usize, fake: usize) -> bool {
-        let name = &self.fakes[fake].announcement.upstream;
+    /// Returns whether an upstream may get new work from an instance now.
+    pub fn usable(&self, at: usize, upstream_index: usize) -> bool {
+        let name = &self.upstreams[upstream_index].announcement.upstream;
         let now = self.now;
         self.gossip(at).usable(now).any(|it| it.announcement().upstream == *name)
     }
 
-    /// Counts the upstreams to which an instance would give new work now.
+    /// Returns the number of upstreams that may get new work from an instance now.
     pub fn usable_count(&self, at: usize) -> usize {
         self.gossip(at).usable(self.now).count()
     }
 
-    /// Forgets the traffic so far.
+    /// Resets all traffic counters.
     pub fn reset_traffic(&mut self) {
         for node in &mut self.nodes {
             node.sent = Traffic::default();
             node.received = Traffic::default();
         }
-        self.kinds.clear();
+        self.bytes_by_kind.clear();
     }
 }
 
@@ -519,12 +541,12 @@
     }
 }
 
-/// Returns how many bytes a part of the news takes.
+/// Returns the encoded size of a part of the updates, in bytes.
 fn encoded(part: &impl Serialize) -> u64 {
-    postcard::to_stdvec(part).expect("news can be encoded").len() as u64
+    postcard::to_stdvec(part).expect("updates can be encoded").len() as u64
 }
 
-/// Names the kind of a body.
+/// Returns the name of a kind of body.
 fn kind(body: &Body) -> &'static str {
     match body {
         Body::Join(_) => "join",
--- a/crates/verbenaslip-gossip/tests/voucher.rs
+++ b/crates/verbenaslip-gossip/tests/voucher.rs
@@ -1,4 +1,4 @@
-//! One instance and a voucher that is made by hand, datagram by datagram.
+//! Tests of one instance with a scripted voucher.
 
 mod support;
 
@@ -13,16 +13,16 @@
     State, Updates,
 };
 
-/// The instance under test and the time.
-struct Bench {
+/// The instance under test, the current time and the scripted voucher.
+struct TestBed {
     gossip: Gossip,
     now: Duration,
     voucher: Peer,
 }
 
-impl Bench {
-    /// Starts an instance that knows the voucher as alive and one upstream that is not vouched for.
-    fn open() -> Self {
+impl TestBed {
+    /// Starts an instance that knows the voucher as alive, but no upstream.
+    fn new() -> Self {
         let peer = |index: usize| Peer {
             instance: Instance::new(format!("i{index}")),
             zone: AvailabilityZone::from("z"),
@@ -32,13 +32,13 @@
         };
         let setup = Setup { own: peer(0), seeds: Vec::new(), lease: MAX_LEASE };
         let now = s(50);
-        let mut bench = Self { gossip: Gossip::new(setup, 1, now), now, voucher: peer(1) };
-        let peer = bench.voucher.clone();
-        bench.say(Body::Join(MemberStatus { peer, refutations: 0, state: State::Alive }));
-        bench
+        let mut bed = Self { gossip: Gossip::new(setup, 1, now), now, voucher: peer(1) };
+        let peer = bed.voucher.clone();
+        bed.receive(Body::Join(MemberStatus { peer, refutations: 0, state: State::Alive }));
+        bed
     }
 
-    fn say(&mut self, body: Body) -> Vec<Output> {
+    fn receive(&mut self, body: Body) -> Vec<Output> {
         let frame = Box::new(Frame { from: self.voucher.handle(), body });
         self.input(Input::Received { from: self.voucher.address, frame })
     }
@@ -49,11 +49,11 @@
         outputs
     }
 
-    fn spread(&mut self, spread: Updates) -> Vec<Output> {
-        self.say(Body::Updates(spread))
+    fn receive_updates(&mut self, updates: Updates) -> Vec<Output> {
+        self.receive(Body::Updates(updates))
     }
 
-    /// Lets time pass; the voucher answers each ping.
+    /// Runs the instance for the given time; the voucher answers each ping.
     fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.gossip.next_wakeup() <= end {
@@ -62,7 +62,7 @@
                 if let Output::Send { frame, .. } = output
                     && let Body::Ping { probe, .. } = frame.body
                 {
-                    self.say(Body::Ack { probe });
+                    self.receive(Body::Ack { probe });
                 }
             }
         }
@@ -74,22 +74,22 @@
         self.gossip.usable(self.now).count() == 1
     }
 
-    fn delta(&self, base: u32, version: u32, head: u32, entries: &[DeltaEntry]) -> Updates {
+    fn delta(&self, base: u32, version: u32, latest: u32, entries: &[DeltaEntry]) -> Updates {
         let voucher = self.voucher.handle();
-        let delta = Delta { voucher, base, version, latest: head, entries: entries.to_vec() };
+        let delta = Delta { voucher, base, version, latest, entries: entries.to_vec() };
         Updates { deltas: vec![delta], ..Updates::default() }
     }
 
-    fn mark(&self, tick: u32, version: u32, age: Age) -> Updates {
-        let mark = FreshnessMark { voucher: self.voucher.handle(), sequence: tick, version, age };
+    fn mark(&self, sequence: u32, version: u32, age: Age) -> Updates {
+        let mark = FreshnessMark { voucher: self.voucher.handle(), sequence, version, age };
         Updates { marks: vec![mark], ..Updates::default() }
     }
 
-    /// Makes the upstream known and vouched for, and its first mark.
+    /// Sends the upstream's announcement, the voucher's first version and its first mark.
     fn vouch(&mut self) {
-        self.spread(sheet(1, Age(0)));
-        self.spread(self.delta(0, 1, 1, &[held()]));
-        self.spread(self.mark(1, 1, Age(0)));
+        self.receive_updates(announced(1, Age(0)));
+        self.receive_updates(self.delta(0, 1, 1, &[entry_for_upstream()]));
+        self.receive_updates(self.mark(1, 1, Age(0)));
         assert!(self.usable());
     }
 }
@@ -102,11 +102,11 @@
     Key::of(&Upstream::from("u"))
 }
 
-fn held() -> DeltaEntry {
+fn entry_for_upstream() -> DeltaEntry {
     DeltaEntry { key: key(), content_hash: Some(ContentHash::of(&upstream())), version_offset: 1 }
 }
 
-fn sheet(sequence: u64, age: Age) -> Updates {
+fn announced(sequence: u64, age: Age) -> Updates {
     let announcement = Announcement { sequence, ..upstream() };
     Updates {
         announcements: vec![ForwardedAnnouncement { announcement, age, load_age_ms: 0 }],
@@ -114,34 +114,34 @@
     }
 }
 
-type Said = fn(&Bench) -> Vec<Updates>;
+type UpdatesSource = fn(&TestBed) -> Vec<Updates>;
 
-/// One thing that a voucher says long after the upstream's last renewal.
+/// Updates that a voucher sends long after the upstream's last renewal.
 struct Case {
     name: &'static str,
-    said: Said,
+    updates: UpdatesSource,
     usable: bool,
 }
 
 const CASES: [Case; 12] = [
-    Case { name: "nothing", said: |_| Vec::new(), usable: false },
-    Case { name: "a new mark", said: |it| vec![it.mark(2, 1, Age(9))], usable: true },
-    Case { name: "the old mark again", said: |it| vec![it.mark(1, 1, Age(9))], usable: false },
+    Case { name: "nothing", updates: |_| Vec::new(), usable: false },
+    Case { name: "a new mark", updates: |it| vec![it.mark(2, 1, Age(9))], usable: true },
+    Case { name: "the old mark again", updates: |it| vec![it.mark(1, 1, Age(9))], usable: false },
     Case {
         name: "a new mark that is too old",
-        said: |it| vec![it.mark(2, 1, Age(255))],
+        updates: |it| vec![it.mark(2, 1, Age(255))],
         usable: false,
     },
     Case {
         name: "an old mark after a new one that is too old",
-        said: |it| vec![it.mark(3, 1, Age(255)), it.mark(2, 1, Age(1))],
+        updates: |it| vec![it.mark(3, 1, Age(255)), it.mark(2, 1, Age(1))],
         usable: false,
     },
     Case {
-        name: "a mark of a version that withdraws it",
-        said: |it| {
+        name: "a mark of a version that withdraws the upstream",
+        updates: |it| {
             vec![
-                it.delta(1, 2, 2, &[DeltaEntry { content_hash: None, ..held() }]),
+                it.delta(1, 2, 2, &[DeltaEntry { content_hash: None, ..entry_for_upstream() }]),
                 it.mark(2, 2, Age(1)),
             ]
         },
@@ -149,24 +149,24 @@
     },
     Case {
         name: "a mark ahead of its change",
-        said: |it| vec![it.mark(2, 2, Age(1)), it.delta(1, 2, 2, &[])],
+        updates: |it| vec![it.mark(2, 2, Age(1)), it.delta(1, 2, 2, &[])],
         usable: true,
     },
     Case {
-        name: "a mark of a version that is not held",
-        said: |it| vec![it.mark(2, 2, Age(1))],
+        name: "a mark of a version that is not stored",
+        updates: |it| vec![it.mark(2, 2, Age(1))],
         usable: false,
     },
     Case {
-        // The change that withdrew it is left out, because a later one overrides it.
-        name: "a mark of a version on the way to a newer one",
-        said: |it| vec![it.delta(1, 5, 9, &[]), it.mark(2, 5, Age(1))],
+        // The delta omits the change that withdrew the upstream, because a later one overrides it.
+        name: "a mark of a version before the latest known one",
+        updates: |it| vec![it.delta(1, 5, 9, &[]), it.mark(2, 5, Age(1))],
         usable: false,
     },
     Case {
         name: "vouched for again, not yet marked",
-        said: |it| {
-            let entry = |check| DeltaEntry { content_hash: check, ..held() };
+        updates: |it| {
+            let entry = |content_hash| DeltaEntry { content_hash, ..entry_for_upstream() };
             vec![
                 it.delta(1, 2, 2, &[entry(None)]),
                 it.mark(2, 2, Age(1)),
@@ -175,252 +175,255 @@
         },
         usable: false,
     },
-    Case { name: "the announcement again", said: |_| vec![sheet(1, Age(0))], usable: false },
-    Case { name: "a newer announcement", said: |_| vec![sheet(2, Age(0))], usable: true },
+    Case { name: "the announcement again", updates: |_| vec![announced(1, Age(0))], usable: false },
+    Case { name: "a newer announcement", updates: |_| vec![announced(2, Age(0))], usable: true },
 ];
 
 #[test]
 fn only_new_evidence_renews() {
-    // Symptom: an upstream that nobody renews is used again. Sequence: it was vouched for and its
-    // lease ran out; then a datagram comes. Cause: evidence that is old, doubled, early, or about a
-    // set of upstreams that is not the one held.
-    for Case { name, said, usable } in CASES {
-        let mut bench = Bench::open();
-        bench.vouch();
-        bench.run(MAX_LEASE + ms(500));
-        assert!(!bench.usable(), "{name}: the lease has run out");
-        for spread in said(&bench) {
-            bench.spread(spread);
+    // Guards against the use of an upstream that nobody renews. Its lease runs out, and then
+    // evidence arrives that is old, duplicated, early, or about a set of upstreams other than the
+    // stored one.
+    for Case { name, updates: source, usable } in CASES {
+        let mut bed = TestBed::new();
+        bed.vouch();
+        bed.run(MAX_LEASE + ms(500));
+        assert!(!bed.usable(), "{name}: usable after the lease");
+        for updates in source(&bed) {
+            bed.receive_updates(updates);
         }
-        assert_eq!(bench.usable(), usable, "{name}");
-        bench.run(MAX_LEASE + ms(500));
-        assert!(!bench.usable(), "{name}: not for ever");
+        assert_eq!(bed.usable(), usable, "{name}");
+        bed.run(MAX_LEASE + ms(500));
+        assert!(!bed.usable(), "{name}: still usable after another lease");
     }
 }
 
 #[test]
-fn a_late_renewal_is_no_evidence() {
-    // Symptom: a home vouches for a dead upstream. Sequence: a renewal is delayed by the network
-    // beyond the lease, or doubled; it says a small age. Cause: ages do not count the way.
+fn a_delayed_renewal_is_no_evidence() {
+    // Guards against a home that vouches for a dead upstream, because ages do not include the
+    // network delay. A renewal with a low age is duplicated, or delayed beyond the lease.
     let renewal = |sequence| {
-        let check = ContentHash::of(&upstream());
-        Body::Renewals(vec![Renewal { key: key(), content_hash: check, sequence, age: Age(1) }])
+        let content_hash = ContentHash::of(&upstream());
+        Body::Renewals(vec![Renewal { key: key(), content_hash, sequence, age: Age(1) }])
     };
-    for (name, sequence, usable) in [("doubled", 1, false), ("older", 0, false), ("new", 2, true)] {
-        let mut bench = Bench::open();
-        bench.vouch();
-        bench.run(MAX_LEASE + s(1));
-        bench.say(renewal(sequence));
-        assert_eq!(bench.usable(), usable, "{name}");
+    for (name, sequence, usable) in
+        [("duplicated", 1, false), ("older", 0, false), ("new", 2, true)]
+    {
+        let mut bed = TestBed::new();
+        bed.vouch();
+        bed.run(MAX_LEASE + s(1));
+        bed.receive(renewal(sequence));
+        assert_eq!(bed.usable(), usable, "{name}");
     }
 }
 
 #[test]
-fn what_the_dead_vouch_for_expires() {
-    // Symptom: upstreams of a dead voucher stay usable. Sequence: it is declared dead; its marks go
-    // round further. Cause: marks of an incarnation that is over.
+fn upstreams_of_a_dead_voucher_expire() {
+    // Guards against upstreams that stay usable through marks of an ended incarnation. The voucher
+    // is declared dead while its marks are still being sent on.
     for state in [State::Dead, State::Left] {
-        let mut bench = Bench::open();
-        bench.vouch();
-        bench.run(s(4));
-        bench.spread(bench.mark(2, 1, Age(0)));
-        let peer = bench.voucher.clone();
-        let rumor = MemberStatus { peer, refutations: 0, state };
-        bench.spread(Updates { members: vec![rumor], ..Updates::default() });
-        bench.run(s(4));
-        assert!(bench.usable(), "what was proved stays proved");
-        bench.spread(bench.mark(3, 1, Age(0)));
-        bench.run(s(3));
-        assert!(!bench.usable(), "{state:?}");
+        let mut bed = TestBed::new();
+        bed.vouch();
+        bed.run(s(4));
+        bed.receive_updates(bed.mark(2, 1, Age(0)));
+        let peer = bed.voucher.clone();
+        let status = MemberStatus { peer, refutations: 0, state };
+        bed.receive_updates(Updates { members: vec![status], ..Updates::default() });
+        bed.run(s(4));
+        assert!(bed.usable(), "earlier evidence was lost");
+        bed.receive_updates(bed.mark(3, 1, Age(0)));
+        bed.run(s(3));
+        assert!(!bed.usable(), "{state:?}");
     }
 }
 
 #[test]
-fn leaving_comes_before_everything() {
-    // Symptom: an upstream that is leaving is used where its announcement comes later. Sequence:
-    // the news of its end overtakes all else, in any order. Cause: nothing kept of the unknown.
-    let end = |incarnation| {
-        let leaving = Departure { key: key(), incarnation, sequence: 5, notice: Some(1_000) };
-        Updates { departures: vec![leaving], ..Updates::default() }
+fn a_departure_overrides_announcements() {
+    // Guards against the use of a leaving upstream where its departure arrives before its
+    // announcement, because departures of unknown upstreams are not stored. The departure arrives
+    // in any order.
+    let departure_of = |incarnation| {
+        let departure = Departure { key: key(), incarnation, sequence: 5, notice: Some(1_000) };
+        Updates { departures: vec![departure], ..Updates::default() }
     };
-    let mut bench = Bench::open();
-    bench.spread(end(1));
-    bench.spread(sheet(9, Age(0)));
-    assert!(!bench.usable());
-    bench.input(Input::Announced(Box::new(Announcement { sequence: 10, ..upstream() })));
-    assert!(!bench.usable());
+    let mut bed = TestBed::new();
+    bed.receive_updates(departure_of(1));
+    bed.receive_updates(announced(9, Age(0)));
+    assert!(!bed.usable());
+    bed.input(Input::Announced(Box::new(Announcement { sequence: 10, ..upstream() })));
+    assert!(!bed.usable());
     let next = Announcement { incarnation: 2, ..upstream() };
-    bench.input(Input::Announced(Box::new(next.clone())));
-    assert!(bench.usable(), "the next incarnation is another matter");
-    bench.spread(end(1));
-    assert!(bench.usable(), "the end of the last one changes nothing");
-    bench.spread(end(2));
-    assert!(!bench.usable());
-    bench.input(Input::Announced(Box::new(Announcement { sequence: 11, ..next })));
-    assert!(!bench.usable());
+    bed.input(Input::Announced(Box::new(next.clone())));
+    assert!(bed.usable(), "the next incarnation is not usable");
+    bed.receive_updates(departure_of(1));
+    assert!(bed.usable(), "the departure of the previous incarnation has an effect");
+    bed.receive_updates(departure_of(2));
+    assert!(!bed.usable());
+    bed.input(Input::Announced(Box::new(Announcement { sequence: 11, ..next })));
+    assert!(!bed.usable());
 }
 
 #[test]
-fn a_freeze_ages_what_waited() {
-    // Symptom: after a freeze a dead upstream is used. Sequence: the process stands still; the
-    // datagrams that waited say ages from before. Cause: nobody counted the wait.
-    for (freeze, usable) in [(ms(900), true), (s(7), false), (s(3_600), false)] {
-        let mut bench = Bench::open();
-        bench.vouch();
-        bench.now += freeze;
-        bench.spread(bench.mark(2, 1, Age(0)));
-        bench.spread(sheet(2, Age(0)));
+fn a_pause_ages_buffered_datagrams() {
+    // Guards against the use of a dead upstream after a pause, because the time that datagrams
+    // waited in the buffer is not counted. Their ages date from before the pause.
+    for (pause, usable) in [(ms(900), true), (s(7), false), (s(3_600), false)] {
+        let mut bed = TestBed::new();
+        bed.vouch();
+        bed.now += pause;
+        bed.receive_updates(bed.mark(2, 1, Age(0)));
+        bed.receive_updates(announced(2, Age(0)));
         let again = Announcement { sequence: 3, phase: Phase::Ready, ..upstream() };
-        bench.input(Input::Announced(Box::new(again)));
-        assert_eq!(bench.usable(), usable, "{freeze:?}");
-        bench.run(s(1));
-        bench.spread(bench.mark(3, 1, Age(0)));
-        assert!(bench.usable(), "{freeze:?}: what comes later counts");
+        bed.input(Input::Announced(Box::new(again)));
+        assert_eq!(bed.usable(), usable, "{pause:?}");
+        bed.run(s(1));
+        bed.receive_updates(bed.mark(3, 1, Age(0)));
+        assert!(bed.usable(), "{pause:?}: later evidence does not count");
     }
 }
 
 #[test]
-fn a_clock_that_falls_stands_still() {
-    let mut bench = Bench::open();
-    bench.vouch();
-    bench.now = s(10);
-    bench.input(Input::Tick);
-    bench.spread(bench.mark(2, 1, Age(0)));
-    bench.now = s(50) + MAX_LEASE + s(1);
-    bench.input(Input::Tick);
-    assert!(!bench.usable());
+fn a_clock_that_goes_back_stands_still() {
+    let mut bed = TestBed::new();
+    bed.vouch();
+    bed.now = s(10);
+    bed.input(Input::Tick);
+    bed.receive_updates(bed.mark(2, 1, Age(0)));
+    bed.now = s(50) + MAX_LEASE + s(1);
+    bed.input(Input::Tick);
+    assert!(!bed.usable());
 }
 
 #[test]
-fn strangers_vouch_for_nothing() {
-    let mut bench = Bench::open();
-    bench.spread(sheet(1, Age(0)));
-    let mut delta = bench.delta(0, 1, 1, &[held()]);
-    let mut mark = bench.mark(1, 1, Age(0));
-    let stranger = Peer { incarnation: 9, ..bench.voucher.clone() }.handle();
-    delta.deltas[0].voucher = stranger;
-    mark.marks[0].voucher = stranger;
-    bench.run(MAX_LEASE + s(1));
-    bench.spread(delta);
-    bench.spread(mark);
-    assert!(!bench.usable());
+fn unknown_incarnations_vouch_for_nothing() {
+    let mut bed = TestBed::new();
+    bed.receive_updates(announced(1, Age(0)));
+    let mut delta = bed.delta(0, 1, 1, &[entry_for_upstream()]);
+    let mut mark = bed.mark(1, 1, Age(0));
+    let unknown = Peer { incarnation: 9, ..bed.voucher.clone() }.handle();
+    delta.deltas[0].voucher = unknown;
+    mark.marks[0].voucher = unknown;
+    bed.run(MAX_LEASE + s(1));
+    bed.receive_updates(delta);
+    bed.receive_updates(mark);
+    assert!(!bed.usable());
 }
 
 #[test]
-fn answers_fit_datagrams() {
-    // Symptom: an answer is lost for good. Sequence: an instance asks for a stream of thousands of
-    // upstreams. Cause: a frame beyond the size of a datagram.
-    let mut bench = Bench::open();
+fn pull_responses_fit_datagrams() {
+    // Guards against a response that is longer than a datagram and therefore never arrives. An
+    // instance requests a stream of thousands of upstreams.
+    let mut bed = TestBed::new();
     let entry = |index: u32| {
         let key = Key::of(&Upstream::new(format!("u{index}")));
-        DeltaEntry { key, ..held() }
+        DeltaEntry { key, ..entry_for_upstream() }
     };
     for part in 0..50 {
         let entries: Vec<DeltaEntry> = (part * 40..part * 40 + 40).map(entry).collect();
-        bench.spread(bench.delta(part, part + 1, part + 1, &entries));
+        bed.receive_updates(bed.delta(part, part + 1, part + 1, &entries));
     }
-    let since = verbenaslip_gossip::StreamPosition { voucher: bench.voucher.handle(), version: 0 };
-    let outputs = bench.say(Body::Pull(Pull { streams: vec![since], ..Pull::default() }));
+    let position = verbenaslip_gossip::StreamPosition { voucher: bed.voucher.handle(), version: 0 };
+    let outputs = bed.receive(Body::Pull(Pull { streams: vec![position], ..Pull::default() }));
     let mut found = 0;
     for output in outputs {
         let Output::Send { frame, .. } = output else { continue };
-        assert!(frame.encode().is_some(), "too long");
-        if let Body::PullResponse(spread) = frame.body {
-            found += spread.deltas.iter().map(|delta| delta.entries.len()).sum::<usize>();
+        assert!(frame.encode().is_some(), "the frame is too long");
+        if let Body::PullResponse(updates) = frame.body {
+            found += updates.deltas.iter().map(|delta| delta.entries.len()).sum::<usize>();
         }
     }
     assert_eq!(found, 2_000);
 }
 
 #[test]
-fn a_voucher_may_restart_for_ever() {
-    // Symptom: after weeks the upstreams of restarted instances are not confirmed any more.
-    // Sequence: instances restart a thousand times, each time as another voucher. Cause: what the
-    // incarnations that are over vouched for is kept, up to the cap.
-    let mut bench = Bench::open();
+fn a_voucher_may_restart_without_limit() {
+    // Guards against streams of ended incarnations that fill the cap, so that upstreams of
+    // restarted instances are not confirmed any more after weeks. The voucher restarts a thousand
+    // times, each time as another incarnation.
+    let mut bed = TestBed::new();
     for incarnation in 2..1_200 {
-        bench.voucher.incarnation = incarnation;
-        let peer = bench.voucher.clone();
-        bench.say(Body::Join(MemberStatus { peer, refutations: 0, state: State::Alive }));
-        bench.spread(bench.delta(0, 1, 1, &[held()]));
+        bed.voucher.incarnation = incarnation;
+        let peer = bed.voucher.clone();
+        bed.receive(Body::Join(MemberStatus { peer, refutations: 0, state: State::Alive }));
+        bed.receive_updates(bed.delta(0, 1, 1, &[entry_for_upstream()]));
     }
-    bench.spread(sheet(1, Age(0)));
-    bench.run(MAX_LEASE + s(1));
-    assert!(!bench.usable());
-    bench.spread(bench.mark(1, 1, Age(0)));
-    assert!(bench.usable());
+    bed.receive_updates(announced(1, Age(0)));
+    bed.run(MAX_LEASE + s(1));
+    assert!(!bed.usable());
+    bed.receive_updates(bed.mark(1, 1, Age(0)));
+    assert!(bed.usable());
 }
 
 #[test]
 fn loads_take_turns() {
-    // Symptom: the loads of some upstreams are never told. Sequence: more loads change than fit
-    // the datagrams, all the time. Cause: those with the lowest keys always go first.
-    let mut bench = Bench::open();
-    let mut told = std::collections::BTreeSet::new();
+    // Guards against loads that are never sent because those with the lowest keys always go first.
+    // More loads change than fit in the datagrams, all the time.
+    let mut bed = TestBed::new();
+    let mut sent = std::collections::BTreeSet::new();
     for round in 0..25_u32 {
         for index in 0..200 {
-            let mut said = announcement(&format!("u{index}"), "z");
-            said.sequence = u64::from(round) + 1;
-            said.load.running = (round * 7 + index) % 33;
-            bench.input(Input::Announced(Box::new(said)));
+            let mut announcement = support::announcement(&format!("u{index}"), "z");
+            announcement.sequence = u64::from(round) + 1;
+            announcement.load.running = (round * 7 + index) % 33;
+            bed.input(Input::Announced(Box::new(announcement)));
         }
-        let end = bench.now + s(1);
-        while bench.gossip.next_wakeup() <= end {
-            bench.now = bench.gossip.next_wakeup().max(bench.now);
-            for output in bench.input(Input::Tick) {
+        let end = bed.now + s(1);
+        while bed.gossip.next_wakeup() <= end {
+            bed.now = bed.gossip.next_wakeup().max(bed.now);
+            for output in bed.input(Input::Tick) {
                 let Output::Send { frame, .. } = output else { continue };
                 match frame.body {
-                    Body::Updates(spread) => told.extend(spread.loads.iter().map(|it| it.key)),
-                    Body::Ping { probe, .. } => drop(bench.say(Body::Ack { probe })),
+                    Body::Updates(updates) => sent.extend(updates.loads.iter().map(|it| it.key)),
+                    Body::Ping { probe, .. } => drop(bed.receive(Body::Ack { probe })),
                     _ => {}
                 }
             }
         }
-        bench.now = end;
+        bed.now = end;
     }
-    assert_eq!(told.len(), 200);
+    assert_eq!(sent.len(), 200);
 }
 
 #[test]
 fn a_ping_for_another_incarnation_is_not_answered() {
-    // Symptom: an incarnation that is over counts as alive. Sequence: the instance restarts at the
-    // same address; probes of the one before arrive. Cause: an answer by whoever lives there now.
-    let mut bench = Bench::open();
-    let own = bench.gossip.own().clone();
-    let before = Peer { incarnation: 0, ..own.clone() };
-    for (target, acked) in [(own.handle(), true), (before.handle(), false)] {
-        let outputs = bench.say(Body::Ping { target, probe: 7 });
+    // Guards against an ended incarnation that counts as alive, because the instance that now has
+    // its address answers for it. The instance restarts at the same address, and old probes arrive.
+    let mut bed = TestBed::new();
+    let own = bed.gossip.own().clone();
+    let previous = Peer { incarnation: 0, ..own.clone() };
+    for (target, answered) in [(own.handle(), true), (previous.handle(), false)] {
+        let outputs = bed.receive(Body::Ping { target, probe: 7 });
         let answers = outputs.iter().filter_map(|output| match output {
             Output::Send { frame, .. } => Some(&frame.body),
             _ => None,
         });
         let ack = |body: &&Body| matches!(body, Body::Ack { probe: 7 });
         let (acks, others): (Vec<_>, Vec<_>) = answers.partition(ack);
-        assert_eq!(acks.len(), usize::from(acked));
+        assert_eq!(acks.len(), usize::from(answered));
         let introduced = others.iter().any(|body| matches!(body, Body::Join(_)));
-        assert_eq!(introduced, !acked);
+        assert_eq!(introduced, !answered);
     }
 }
 
 #[test]
-fn one_that_is_held_dead_is_told_so() {
-    // Symptom: an instance that is back waits for its turn to be searched for. Sequence: it was
-    // declared dead while it was cut off; it speaks. Cause: nobody tells it what to refute.
-    let mut bench = Bench::open();
-    let peer = bench.voucher.clone();
+fn an_instance_considered_dead_is_notified() {
+    // Guards against a long wait until an instance that is back refutes its death. It was declared
+    // dead while it was cut off, and must be told so as soon as it sends a datagram.
+    let mut bed = TestBed::new();
+    let peer = bed.voucher.clone();
     let dead = MemberStatus { peer: peer.clone(), refutations: 0, state: State::Dead };
-    bench.spread(Updates { members: vec![dead.clone()], ..Updates::default() });
-    let told = bench.say(Body::Report(verbenaslip_gossip::Report {
+    bed.receive_updates(Updates { members: vec![dead.clone()], ..Updates::default() });
+    let sent = bed.receive(Body::Report(verbenaslip_gossip::Report {
         version: 1,
         age: Age(0),
         bytes: Vec::new(),
     }));
-    let tells = |output: &Output| {
+    let is_notice = |output: &Output| {
         matches!(output, Output::Send { to, frame } if *to == peer.address
-            && matches!(&frame.body, Body::Updates(it) if it.members.contains(&dead)))
+            && matches!(&frame.body, Body::Updates(updates) if updates.members.contains(&dead)))
     };
-    assert!(told.iter().any(tells));
-    bench.say(Body::Join(MemberStatus { refutations: 1, state: State::Alive, ..dead }));
-    let state = bench.gossip.member(&peer.instance).map(|member| member.state());
+    assert!(sent.iter().any(is_notice));
+    bed.receive(Body::Join(MemberStatus { refutations: 1, state: State::Alive, ..dead }));
+    let state = bed.gossip.member(&peer.instance).map(|member| member.state());
     assert_eq!(state, Some(State::Alive));
 }
