--- a/crates/verbenaslip-gossip/src/gossip.rs
+++ b/crates/verbenaslip-gossip/src/gossip.rs
@@ -288,10 +288,10 @@
     /// Iterates over the latest report of each other instance of the region.
     pub fn reports(&self, now: Duration) -> impl Iterator<Item = PeerReport<'_>> {
         let now = Clock::to_internal(now);
-        self.reports.others().map(move |(instance, held)| PeerReport {
+        self.reports.others().map(move |(instance, report)| PeerReport {
             instance,
-            age: now.saturating_sub(held.created_at()),
-            bytes: held.bytes(),
+            age: now.saturating_sub(report.created_at()),
+            bytes: report.bytes(),
         })
     }
 
@@ -299,15 +299,15 @@
         let (now, lag) = (self.clock.now(), self.clock.lag());
         let key = Key::of(&announcement.upstream);
         let before = self.registry.renewal(key).map(|it| it.content_hash);
-        let answer = self.registry.handle_announcement(now, lag, announcement, &mut self.queue);
-        if matches!(answer, AnnouncementResult::Accepted { .. }) {
+        let result = self.registry.handle_announcement(now, lag, announcement, &mut self.queue);
+        if matches!(result, AnnouncementResult::Accepted { .. }) {
             self.forward_renewal(key, &announcement.upstream);
         }
         if self.registry.renewal(key).map(|it| it.content_hash) != before {
             self.flush_renewals(now);
             self.queue.set_urgent();
         }
-        self.outputs.push(Output::AnnouncementResult(answer));
+        self.outputs.push(Output::AnnouncementResult(result));
     }
 
     /// Queues the latest renewal of an upstream for its homes.
@@ -332,8 +332,8 @@
             self.homes_revision = self.roster.revision();
             self.homes.clear();
         }
-        let rank = || self.roster.homes(hash::wide(&[upstream.as_str().as_bytes()]));
-        self.homes.entry(key).or_insert_with(rank).clone()
+        let compute = || self.roster.homes(hash::wide(&[upstream.as_str().as_bytes()]));
+        self.homes.entry(key).or_insert_with(compute).clone()
     }
 
     fn set_own_state(&mut self, state: State) {
--- a/crates/verbenaslip-gossip/src/registry.rs
+++ b/crates/verbenaslip-gossip/src/registry.rs
@@ -107,7 +107,7 @@
     own: Handle,
     lease: Duration,
     records: BTreeMap<Key, Record>,
-    /// Departures of upstreams without a record.
+    /// Departures that arrived before any announcement of the upstream.
     departures: BTreeMap<Key, PastDeparture>,
     /// Streams by vouching instance, including this one.
     streams: BTreeMap<Handle, Stream>,
@@ -282,8 +282,8 @@
         queue: &mut Queue,
     ) {
         let ReceivedAnnouncement { mut announcement, announced_at, notice_start } = received;
-        let load_age_ms = Duration::from_millis(u64::from(announcement.load.age));
-        let measured_at = announced_at.saturating_sub(load_age_ms);
+        let load_age = Duration::from_millis(u64::from(announcement.load.age));
+        let measured_at = announced_at.saturating_sub(load_age);
         self.keep_departure(key, &mut announcement);
         let content_hash = ContentHash::of(&announcement);
         let known = self.records.remove(&key);
--- a/crates/verbenaslip-gossip/src/registry/lease.rs
+++ b/crates/verbenaslip-gossip/src/registry/lease.rs
@@ -47,17 +47,17 @@
         }
     }
 
-    /// Expires leases that have run out; `doubt` says that this instance may be cut off.
-    pub(crate) fn expire_leases(&mut self, now: Duration, doubt: bool) {
+    /// Expires leases that have run out, as doubtful if this instance may be cut off.
+    pub(crate) fn expire_leases(&mut self, now: Duration, may_be_cut_off: bool) {
         self.requested_streams.clear();
         self.requested_announcements.clear();
-        if doubt {
+        if may_be_cut_off {
             self.doubt_until = now + RECONNECT_GRACE;
         }
-        let expires_at = |record: &&Record| {
+        let has_expired = |record: &&Record| {
             record.expires_at <= now && record.lease_status != LeaseStatus::Lapsed
         };
-        let keys: Vec<Key> = self.records().filter(expires_at).map(|record| record.key).collect();
+        let keys: Vec<Key> = self.records().filter(has_expired).map(|record| record.key).collect();
         for key in keys {
             self.expire_lease(now, key);
         }
@@ -72,13 +72,13 @@
     /// therefore become doubtful: they get no new work, but are not reported as lost.
     pub(super) fn expire_lease(&mut self, now: Duration, key: Key) {
         self.update_lease(now, key, false);
-        let doubt = now < self.doubt_until;
+        let is_doubtful = now < self.doubt_until;
         let Some(record) = self.records.get_mut(&key) else { return };
         if record.expires_at > now {
             return;
         }
         let zone = record.announcement.zone.clone();
-        if doubt {
+        if is_doubtful {
             record.lease_status = LeaseStatus::Doubtful;
             if self.doubtful_zones.insert(zone.clone()) {
                 self.events.push(Event::ZoneDoubtful(zone));
--- a/crates/verbenaslip-gossip/src/rendezvous.rs
+++ b/crates/verbenaslip-gossip/src/rendezvous.rs
@@ -76,11 +76,11 @@
         let Some(zone) = first else {
             return Homes { first: None, second: None };
         };
-        let (candidate, spare) = top_two(&zone.candidates, key, |candidate| candidate.weight);
+        let (candidate, runner_up) = top_two(&zone.candidates, key, |candidate| candidate.weight);
         let other =
             second.and_then(|zone| top_two(&zone.candidates, key, |candidate| candidate.weight).0);
         let name = |candidate: &Candidate| candidate.instance.clone();
-        Homes { first: candidate.map(name), second: other.or(spare).map(name) }
+        Homes { first: candidate.map(name), second: other.or(runner_up).map(name) }
     }
 }
 
