--- a/crates/verbenaslip-gossip/src/gossip.rs
+++ b/crates/verbenaslip-gossip/src/gossip.rs
@@ -1,4 +1,4 @@
-//! The composition of membership and registry, and their rounds.
+//! State machine that combines membership and registry, and its rounds.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,156 +13,166 @@
 use crate::frame::{Body, Digest, Frame, Key, Renewal};
 use crate::member::{self, Handle, MemberStatus, Peer, State};
 use crate::pack::{self, Source};
-use crate::probe::{Letter, Prober, draw};
+use crate::probe::{Outgoing, Prober, sample};
 use crate::queue::{Queue, Subject};
-use crate::rank::Homes;
 use crate::record::{LeaseStatus, Record};
-use crate::registry::{self, AnnouncementResult, Pending, Question, Registry};
+use crate::registry::{self, AnnouncementResult, PendingRenewal, PullRequest, Registry};
+use crate::rendezvous::Homes;
 use crate::report::Reports;
 use crate::roster::{Member, Roster};
 use crate::setup::{MAX_LEASE, Setup};
 use crate::time::{Age, Clock};
 
-/// How often news is passed on.
-const ROUND: Duration = Duration::from_millis(250);
+/// Time between two rounds of updates.
+const ROUND_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How many neighbours get news in a round.
+/// Number of neighbours that receive updates in a round.
 const FANOUT: usize = 2;
 
-/// How many datagrams a neighbour gets at most in a round while much has changed.
-const BURST: usize = 4;
+/// Maximum number of datagrams with updates for one neighbour in a round.
+const MAX_DATAGRAMS: usize = 4;
 
-/// How many neighbours get urgent news at once.
+/// Number of neighbours that receive urgent updates.
 const URGENT_FANOUT: usize = 6;
 
-/// The least time between two bursts of urgent news.
-const URGENT_GAP: Duration = Duration::from_millis(50);
+/// Minimum time between two sends of urgent updates.
+const URGENT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Every how many rounds this instance makes a mark and compares itself with a neighbour.
-const SYNC_ROUNDS: u64 = 4;
+/// Number of rounds between two marks and digests of this instance.
+const DIGEST_ROUNDS: u64 = 4;
 
-/// Every how many rounds it looks for instances it has lost.
-const SEARCH_ROUNDS: u64 = 20;
+/// Number of rounds between two attempts to reach an instance that was declared dead.
+const REJOIN_ROUNDS: u64 = 20;
 
-/// Every how many rounds it greets a seed although it has neighbours.
-const GREET_ROUNDS: u64 = 120;
+/// Number of rounds between two joins through a seed while there are neighbours.
+const SEED_ROUNDS: u64 = 120;
 
-/// After which silence of all neighbours an instance doubts its own links.
-const SILENCE: Duration = Duration::from_millis(2_500);
+/// Time without a datagram of any neighbour after which an instance counts as isolated.
+const ISOLATION_SILENCE: Duration = Duration::from_millis(2_500);
 
-/// After which silence it takes leases that run out as doubtful rather than lapsed.
-const HUSH: Duration = Duration::from_millis(1_200);
+/// Time without a datagram of any neighbour after which expired leases count as doubtful.
+const DOUBT_SILENCE: Duration = Duration::from_millis(1_200);
 
-/// Which share of its neighbours, in hundredths, must be missing for an instance to doubt itself.
-const MOST: usize = 60;
+/// Percentage of missing neighbours above which an instance counts as isolated.
+const ISOLATION_PERCENT: usize = 60;
 
-/// How many bytes of reports an instance sends in a round.
-const REPORT_ROOM: usize = 240;
+/// Number of bytes of reports that an instance sends in a round.
+const REPORT_BYTES_PER_ROUND: usize = 240;
 
-/// The most datagrams with its report that an instance sends in a round.
-const REPORTS: usize = 4;
+/// Maximum number of datagrams with its report that an instance sends in a round.
+const MAX_REPORTS_PER_ROUND: usize = 4;
 
-/// The most renewals in one datagram.
-const MAX_RENEWALS: usize = 50;
+/// Maximum number of renewals in one datagram.
+const MAX_RENEWALS_PER_FRAME: usize = 50;
 
-/// The most renewals that wait to be passed on.
-const MAX_PENDING: usize = 16_384;
+/// Maximum number of renewals that wait to be forwarded.
+const MAX_PENDING_RENEWALS: usize = 16_384;
 
-/// What happens to the machine.
+/// Input of the state machine.
 #[data]
 pub enum Input {
-    /// Time has passed; due when [`Gossip::wake`] says so, harmless at any other time.
+    /// Time has passed; due at [`Gossip::next_wakeup`] and harmless at any other time.
     Tick,
     /// A datagram has arrived.
     Received {
-        /// The address it came from.
+        /// Address of the sender.
         from: SocketAddr,
-        /// What it says.
+        /// Decoded datagram.
         frame: Box<Frame>,
     },
-    /// An upstream has announced itself here; an [`Output::Answer`] follows in the same step.
+    /// An upstream has announced itself; an [`Output::AnnouncementResult`] follows in the same
+    /// step.
     Announced(Box<Announcement>),
     /// The cloud takes an upstream away.
     Reclaimed {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: Upstream,
-        /// In how many milliseconds.
+        /// Time until the upstream is taken away, in milliseconds.
         notice: u32,
     },
-    /// This instance has a new report for its neighbours, of at most [`crate::MAX_REPORT_BYTES`] bytes.
+    /// This instance has a new report of at most [`crate::MAX_REPORT_BYTES`] bytes for its
+    /// neighbours.
     Report(Vec<u8>),
-    /// This instance drains: it takes no new duties and stays reachable. Final.
+    /// This instance drains: it takes no new duties but stays reachable. Final.
     Leave,
-    /// This instance stops: this is its last step. Final.
+    /// This instance stops after this step. Final.
     Stop,
 }
 
-/// What the machine wants done or known.
+/// Output of the state machine.
 #[data]
 pub enum Output {
-    /// A datagram is to be sent.
+    /// A datagram to send.
     Send {
-        /// Where to.
+        /// Address of the receiver.
         to: SocketAddr,
-        /// What it says.
+        /// Datagram to encode and send.
         frame: Box<Frame>,
     },
-    /// Answers the announcement of this step.
+    /// Result of the announcement in this step.
     AnnouncementResult(AnnouncementResult),
     /// A member has changed.
     Member(member::Event),
     /// An upstream has changed.
     Upstream(registry::Event),
-    /// A neighbour has a new report.
+    /// A new report of the named neighbour has arrived.
     ReportReceived(Instance),
-    /// This instance has begun or ceased to doubt its own links.
+    /// This instance has started (true) or ceased (false) to count as isolated.
     Isolated(bool),
 }
 
-/// Runs membership and registry of one instance.
+/// Membership and registry of one instance.
 pub struct Gossip {
     pub(crate) clock: Clock,
     pub(crate) rng: Pcg64,
+    /// Addresses of instances to join through.
     pub(crate) seeds: Vec<SocketAddr>,
     pub(crate) roster: Roster,
     pub(crate) prober: Prober,
     pub(crate) registry: Registry,
     pub(crate) reports: Reports,
     pub(crate) queue: Queue,
-    pub(crate) letters: Vec<Letter>,
-    pub(crate) out: Vec<Output>,
-    pending: BTreeMap<Handle, BTreeMap<Key, Pending>>,
+    /// Datagrams to members, converted to outputs at the end of a step.
+    pub(crate) outbox: Vec<Outgoing>,
+    /// Outputs of the current step.
+    pub(crate) outputs: Vec<Output>,
+    /// Renewals that wait to be forwarded, by home.
+    pending_renewals: BTreeMap<Handle, BTreeMap<Key, PendingRenewal>>,
+    /// Cached homes of upstreams, valid for `homes_revision` of the roster.
     homes: BTreeMap<Key, Homes>,
     homes_revision: u64,
+    /// Number of the current round, starting at a random number.
     round: u64,
-    due: Duration,
-    burst: Duration,
+    next_round: Duration,
+    /// Earliest time of the next urgent updates.
+    next_urgent: Duration,
+    /// Whether this instance's own links may have failed.
     isolated: bool,
 }
 
 impl Gossip {
-    /// Starts at a monotonic time; the seed should differ between instances.
+    /// Creates the state machine at a monotonic time; the seed should differ between instances.
     pub fn new(setup: Setup, seed: u64, now: Duration) -> Self {
-        let clock = Clock::open(now);
+        let clock = Clock::new(now);
         let mut rng = Pcg64::seed_from_u64(seed);
-        let first = clock.now() + ROUND * rng.random_range(0..1_000) / 1_000;
+        let first = clock.now() + ROUND_INTERVAL * rng.random_range(0..1_000) / 1_000;
         let handle = setup.own.handle();
         let mut queue = Queue::default();
         queue.push(Subject::Member(setup.own.instance.clone()));
         Self {
-            roster: Roster::open(setup.own),
-            prober: Prober::open(first + ROUND),
-            registry: Registry::open(handle, setup.lease.min(MAX_LEASE)),
+            roster: Roster::new(setup.own),
+            prober: Prober::new(first + ROUND_INTERVAL),
+            registry: Registry::new(handle, setup.lease.min(MAX_LEASE)),
             reports: Reports::default(),
             seeds: setup.seeds,
-            letters: Vec::new(),
-            out: Vec::new(),
-            pending: BTreeMap::new(),
+            outbox: Vec::new(),
+            outputs: Vec::new(),
+            pending_renewals: BTreeMap::new(),
             homes: BTreeMap::new(),
             homes_revision: 0,
-            round: rng.random_range(0..GREET_ROUNDS),
-            due: first,
-            burst: Duration::ZERO,
+            round: rng.random_range(0..SEED_ROUNDS),
+            next_round: first,
+            next_urgent: Duration::ZERO,
             isolated: false,
             queue,
             rng,
@@ -170,363 +180,371 @@
         }
     }
 
-    /// Takes one input and appends what follows from it.
+    /// Handles one input and appends the resulting outputs.
     pub fn step(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
-        let reading = self.clock.advance(now);
-        if reading.frozen.is_some() {
-            self.thaw(reading.now);
+        let step = self.clock.advance(now);
+        if step.paused_for.is_some() {
+            self.resume_after_pause(step.now);
         }
         match input {
             Input::Tick => {}
-            Input::Received { from, frame } => self.receive(from, *frame),
-            Input::Announced(announcement) => self.announced(&announcement),
+            Input::Received { from, frame } => self.handle_frame(from, *frame),
+            Input::Announced(announcement) => self.handle_announcement(&announcement),
             Input::Reclaimed { upstream, notice } => {
                 let now = self.clock.now();
-                self.registry.reclaim(now, &upstream, notice, &mut self.queue);
+                self.registry.handle_reclaim(now, &upstream, notice, &mut self.queue);
             }
             Input::Report(bytes) => {
                 self.reports.publish(self.clock.now(), bytes);
             }
-            Input::Leave => self.declare(State::Leaving),
-            Input::Stop => self.declare(State::Left),
+            Input::Leave => self.set_own_state(State::Leaving),
+            Input::Stop => self.set_own_state(State::Left),
         }
-        self.roster.arrange();
-        self.run();
-        self.roster.arrange();
-        self.settle();
-        out.append(&mut self.out);
+        self.roster.refresh();
+        self.run_due();
+        self.roster.refresh();
+        self.collect_outputs();
+        out.append(&mut self.outputs);
     }
 
-    /// Returns when [`Input::Tick`] is due next.
+    /// Returns the time at which the next [`Input::Tick`] is due.
     pub fn next_wakeup(&self) -> Duration {
-        let mut due = self.due.min(self.prober.wake());
-        if self.urgent() {
-            due = due.min(self.burst);
+        let mut due = self.next_round.min(self.prober.next_wakeup());
+        if self.is_urgent() {
+            due = due.min(self.next_urgent);
         }
-        Clock::outer(due)
+        Clock::to_external(due)
     }
 
-    /// Returns this instance.
+    /// Returns the identity of this instance.
     pub fn own(&self) -> &Peer {
         &self.roster.own().peer
     }
 
-    /// Goes through all other instances that are remembered, gone ones included, by name.
+    /// Iterates over all other known instances by name, including those that are gone.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.roster.members()
     }
 
-    /// Finds another instance.
+    /// Returns another instance by its name.
     pub fn member(&self, instance: &Instance) -> Option<&Member> {
         self.roster.get(instance)
     }
 
-    /// Goes through the live instances of an availability zone, this one included.
+    /// Iterates over the live instances of an availability zone, including this one.
     pub fn alive_in(&self, zone: &AvailabilityZone) -> impl Iterator<Item = &Peer> {
         let own = Some(self.roster.own()).filter(|own| own.state == State::Alive);
-        let others = self.members().map(Member::rumor).filter(|it| it.state == State::Alive);
-        own.into_iter().chain(others).map(|rumor| &rumor.peer).filter(move |it| it.zone == *zone)
+        let others = self.members().map(Member::status).filter(|it| it.state == State::Alive);
+        own.into_iter().chain(others).map(|status| &status.peer).filter(move |it| it.zone == *zone)
     }
 
-    /// Returns the homes of a key: alike at all instances of the region that see the same members.
+    /// Returns the homes of a key.
+    ///
+    /// All instances of the region that see the same members return the same homes.
     pub fn homes(&self, key: u128) -> Homes {
-        self.roster.rank(key)
+        self.roster.homes(key)
     }
 
-    /// Tells whether this instance doubts its own links.
+    /// Returns whether this instance counts as isolated, so that its own links may have failed.
     pub fn isolated(&self) -> bool {
         self.isolated
     }
 
-    /// Goes through the upstreams that may get new work at the given time.
+    /// Iterates over the upstreams that may get new work at the given time.
     pub fn usable(&self, now: Duration) -> impl Iterator<Item = &Record> {
-        self.registry.usable(Clock::inner(now))
+        self.registry.usable(Clock::to_internal(now))
     }
 
-    /// Goes through the upstreams that offer a model and may get new work at the given time.
+    /// Iterates over the upstreams that offer a model and may get new work at the given time.
     pub fn usable_for_model<'a>(
         &'a self,
         now: Duration,
         model: &'a Model,
     ) -> impl Iterator<Item = &'a Record> {
-        self.registry.usable_for_model(Clock::inner(now), model)
+        self.registry.usable_for_model(Clock::to_internal(now), model)
     }
 
-    /// Goes through all upstreams that are remembered, lapsed and leaving ones included.
+    /// Iterates over all known upstreams, including lapsed and leaving ones.
     pub fn records(&self) -> impl Iterator<Item = &Record> {
         self.registry.records()
     }
 
-    /// Finds an upstream.
+    /// Returns what is known of an upstream.
     pub fn record(&self, upstream: &Upstream) -> Option<&Record> {
         let record = self.registry.record(Key::of(upstream))?;
         (record.announcement().upstream == *upstream).then_some(record)
     }
 
-    /// Goes through the availability zones of which some upstreams are in doubt.
+    /// Iterates over the availability zones that have doubtful upstreams.
     pub fn doubtful_zones(&self) -> impl Iterator<Item = &AvailabilityZone> {
         self.registry.doubtful_zones()
     }
 
-    /// Goes through the upstreams in doubt: they get no new work, but are not known to be lost.
+    /// Iterates over the doubtful upstreams, which get no new work but are not known to be lost.
     pub fn doubtful_upstreams(&self) -> impl Iterator<Item = &Record> {
         self.records().filter(|record| record.lease_status() == LeaseStatus::Doubtful)
     }
 
-    /// Goes through the newest report of each other instance of the region.
+    /// Iterates over the latest report of each other instance of the region.
     pub fn reports(&self, now: Duration) -> impl Iterator<Item = PeerReport<'_>> {
-        let now = Clock::inner(now);
-        self.reports.others().map(move |(instance, held)| PeerReport {
+        let now = Clock::to_internal(now);
+        self.reports.others().map(move |(instance, report)| PeerReport {
             instance,
-            age: now.saturating_sub(held.made()),
-            bytes: held.bytes(),
+            age: now.saturating_sub(report.created_at()),
+            bytes: report.bytes(),
         })
     }
 
-    fn announced(&mut self, announcement: &Announcement) {
+    fn handle_announcement(&mut self, announcement: &Announcement) {
         let (now, lag) = (self.clock.now(), self.clock.lag());
         let key = Key::of(&announcement.upstream);
-        let before = self.registry.renewal(key).map(|it| it.check);
-        let answer = self.registry.announce(now, lag, announcement, &mut self.queue);
-        if matches!(answer, AnnouncementResult::Accepted { .. }) {
-            self.forward(key, &announcement.upstream);
+        let before = self.registry.renewal(key).map(|it| it.content_hash);
+        let result = self.registry.handle_announcement(now, lag, announcement, &mut self.queue);
+        if matches!(result, AnnouncementResult::Accepted { .. }) {
+            self.forward_renewal(key, &announcement.upstream);
         }
-        if self.registry.renewal(key).map(|it| it.check) != before {
-            self.flush(now);
-            self.queue.hurry();
+        if self.registry.renewal(key).map(|it| it.content_hash) != before {
+            self.flush_renewals(now);
+            self.queue.set_urgent();
         }
-        self.out.push(Output::AnnouncementResult(answer));
+        self.outputs.push(Output::AnnouncementResult(result));
     }
 
-    /// Has the homes of an upstream vouch for it, wherever it announced itself.
-    fn forward(&mut self, key: Key, upstream: &Upstream) {
+    /// Queues the latest renewal of an upstream for its homes.
+    fn forward_renewal(&mut self, key: Key, upstream: &Upstream) {
         let Some(pending) = self.registry.renewal(key) else { return };
-        let homes = self.homes_of(key, upstream);
+        let homes = self.upstream_homes(key, upstream);
         for home in homes.iter() {
             if *home == self.roster.own().peer.instance {
-                self.registry.vouch(key, pending.check, pending.at);
+                self.registry.vouch(key, pending.content_hash, pending.renewed_at);
                 continue;
             }
             let Some(handle) = self.roster.get(home).map(Member::handle) else { continue };
-            let waiting: usize = self.pending.values().map(BTreeMap::len).sum();
-            if waiting < MAX_PENDING {
-                self.pending.entry(handle).or_default().insert(key, pending);
+            let waiting: usize = self.pending_renewals.values().map(BTreeMap::len).sum();
+            if waiting < MAX_PENDING_RENEWALS {
+                self.pending_renewals.entry(handle).or_default().insert(key, pending);
             }
         }
     }
 
-    fn homes_of(&mut self, key: Key, upstream: &Upstream) -> Homes {
+    fn upstream_homes(&mut self, key: Key, upstream: &Upstream) -> Homes {
         if self.homes_revision != self.roster.revision() {
             self.homes_revision = self.roster.revision();
             self.homes.clear();
         }
-        let rank = || self.roster.rank(hash::wide(&[upstream.as_str().as_bytes()]));
-        self.homes.entry(key).or_insert_with(rank).clone()
+        let compute = || self.roster.homes(hash::wide(&[upstream.as_str().as_bytes()]));
+        self.homes.entry(key).or_insert_with(compute).clone()
     }
 
-    fn declare(&mut self, state: State) {
-        if !self.roster.declare(state) {
+    fn set_own_state(&mut self, state: State) {
+        if !self.roster.set_own_state(state) {
             return;
         }
         let own = self.roster.own().peer.instance.clone();
         self.queue.push(Subject::Member(own.clone()));
-        self.hasten(|subject| *subject == Subject::Member(own.clone()));
+        self.send_urgent(|subject| *subject == Subject::Member(own.clone()));
     }
 
-    /// Starts over with what a freeze of this instance has spoilt.
+    /// Resets what a pause of the process has made unreliable.
     ///
-    /// After a freeze all neighbours seem to have been silent. One would notice a woken instance
-    /// declare healthy ones dead. So its probes start over and suspects get their full time.
-    fn thaw(&mut self, now: Duration) {
-        self.roster.thaw(now);
-        self.prober.thaw(now);
-        self.registry.commit(now, &mut self.queue);
-        self.registry.sweep(now, true);
-    }
-
-    /// Does what is due.
-    fn run(&mut self) {
+    /// After a pause all neighbours seem to have been silent, and this instance would declare
+    /// healthy ones dead. Its probes therefore start over, and suspicions get their full timeout
+    /// again.
+    fn resume_after_pause(&mut self, now: Duration) {
+        self.roster.resume_after_pause(now);
+        self.prober.resume_after_pause(now);
+        self.registry.commit_changes(now, &mut self.queue);
+        self.registry.expire_leases(now, true);
+    }
+
+    /// Runs everything that is due.
+    fn run_due(&mut self) {
         let now = self.clock.now();
-        if self.urgent() && now >= self.burst {
-            self.burst = now + URGENT_GAP;
-            self.hasten(|it| matches!(it, Subject::Leaving(_) | Subject::Sheet(_)));
-            self.queue.calm();
+        if self.is_urgent() && now >= self.next_urgent {
+            self.next_urgent = now + URGENT_INTERVAL;
+            self.send_urgent(|it| matches!(it, Subject::Departure(_) | Subject::Announcement(_)));
+            self.queue.clear_urgent();
         }
-        if now >= self.prober.wake() {
+        if now >= self.prober.next_wakeup() {
             self.probe(now);
         }
-        if now >= self.due {
-            self.due = now + ROUND;
+        if now >= self.next_round {
+            self.next_round = now + ROUND_INTERVAL;
             self.round += 1;
-            self.turn(now);
+            self.run_round(now);
         }
     }
 
-    fn urgent(&self) -> bool {
-        self.queue.urgent()
+    fn is_urgent(&self) -> bool {
+        self.queue.is_urgent()
     }
 
     fn probe(&mut self, now: Duration) {
-        let failed = self.prober.step(now, &self.roster, &mut self.rng, &mut self.letters);
+        let failed = self.prober.tick(now, &self.roster, &mut self.rng, &mut self.outbox);
         let Some(failed) = failed else { return };
-        if self.roster.fail(now, &failed) {
+        if self.roster.handle_probe_failure(now, &failed) {
             self.queue.push(Subject::Member(failed));
         }
     }
 
-    /// Does one round.
-    fn turn(&mut self, now: Duration) {
-        self.doubt(now);
-        self.roster.watch_areas(now);
-        self.queue.suit(self.roster.near().len());
-        self.flush(now);
-        self.registry.commit(now, &mut self.queue);
-        if self.round.is_multiple_of(SYNC_ROUNDS) {
-            self.registry.mark(now, &mut self.queue);
-            self.compare(now);
+    /// Runs one round.
+    fn run_round(&mut self, now: Duration) {
+        self.update_isolation(now);
+        self.roster.update_regions(now);
+        self.queue.set_neighbour_count(self.roster.present().len());
+        self.flush_renewals(now);
+        self.registry.commit_changes(now, &mut self.queue);
+        if self.round.is_multiple_of(DIGEST_ROUNDS) {
+            self.registry.advance_mark(now, &mut self.queue);
+            self.send_digests(now);
         }
-        let mut letters = self.write(FANOUT, |_| true);
-        self.letters.append(&mut letters);
+        let mut outbox = self.pack_updates(FANOUT, |_| true);
+        self.outbox.append(&mut outbox);
         self.send_reports(now);
-        self.search();
-        let hush = self.quiet(now, HUSH);
-        self.registry.sweep(now, self.isolated || hush);
-        self.reports.age(now);
-        for Question { voucher, pull } in self.registry.repair(now, self.round) {
-            self.letters.push(Letter { to: voucher, body: Body::Pull(pull) });
+        self.find_instances();
+        let silent = self.is_silent(now, DOUBT_SILENCE);
+        self.registry.expire_leases(now, self.isolated || silent);
+        self.reports.remove_expired(now);
+        for PullRequest { voucher, pull } in self.registry.missing_announcements(now, self.round) {
+            self.outbox.push(Outgoing { to: voucher, body: Body::Pull(pull) });
         }
     }
 
-    /// Doubts its own links when most neighbours look dead at once, and buries nobody meanwhile.
+    /// Updates whether this instance counts as isolated; while it does, it declares no one dead.
     ///
-    /// An instance that is cut off sees everybody else fall silent. One would notice it declare
-    /// all others dead, take over their duties, and spread that when it is back. The survivor of
-    /// two can't tell the one from the other: it doubts itself until the other is back or another
-    /// joins, and goes on with the upstreams that announce themselves to it.
-    fn doubt(&mut self, now: Duration) {
-        let (missing, all) = self.roster.missing(now);
-        let most = missing >= 2 && missing * 100 > all * MOST;
-        let isolated = most || self.quiet(now, SILENCE) || self.prober.doubtful();
+    /// An instance that is cut off sees all others fall silent. It would declare them dead, take
+    /// over their duties, and send this to the others once it is reconnected. With two instances,
+    /// the survivor cannot tell a dead peer from a broken link. It counts as isolated until the
+    /// peer is back or another instance joins, and still uses the upstreams that announce
+    /// themselves to it.
+    fn update_isolation(&mut self, now: Duration) {
+        let (missing, all) = self.roster.count_missing(now);
+        let most = missing >= 2 && missing * 100 > all * ISOLATION_PERCENT;
+        let isolated = most || self.is_silent(now, ISOLATION_SILENCE) || self.prober.most_failed();
         if isolated != self.isolated {
             self.isolated = isolated;
-            self.out.push(Output::Isolated(isolated));
+            self.outputs.push(Output::Isolated(isolated));
         }
         if isolated {
-            self.roster.hold(now);
+            self.roster.restart_suspicions(now);
         }
-        for name in self.roster.bury(now) {
+        for name in self.roster.expire(now) {
             self.queue.push(Subject::Member(name));
         }
     }
 
-    fn quiet(&self, now: Duration, limit: Duration) -> bool {
+    fn is_silent(&self, now: Duration, limit: Duration) -> bool {
         self.roster.last_heard().is_some_and(|heard| now.saturating_sub(heard) > limit)
     }
 
-    /// Passes waiting renewals on to the homes, at once when the content of one has changed.
-    fn flush(&mut self, now: Duration) {
-        for (to, renewals) in std::mem::take(&mut self.pending) {
-            let told = |(key, it): (&Key, &Pending)| Renewal {
+    /// Sends the waiting renewals to the homes of their upstreams.
+    ///
+    /// It runs in each round, and immediately when the content of an announcement has changed.
+    fn flush_renewals(&mut self, now: Duration) {
+        for (to, renewals) in std::mem::take(&mut self.pending_renewals) {
+            let renewal = |(key, it): (&Key, &PendingRenewal)| Renewal {
                 key: *key,
-                content_hash: it.check,
+                content_hash: it.content_hash,
                 sequence: it.sequence,
-                age: Age::of(now, it.at),
+                age: Age::since(now, it.renewed_at),
             };
-            let renewals: Vec<Renewal> = renewals.iter().map(told).collect();
-            for part in renewals.chunks(MAX_RENEWALS) {
-                self.letters.push(Letter { to, body: Body::Renewals(part.to_vec()) });
+            let renewals: Vec<Renewal> = renewals.iter().map(renewal).collect();
+            for chunk in renewals.chunks(MAX_RENEWALS_PER_FRAME) {
+                self.outbox.push(Outgoing { to, body: Body::Renewals(chunk.to_vec()) });
             }
         }
     }
 
-    /// Writes news to neighbours drawn at random, also where there is none: it shows that this
-    /// instance lives.
-    fn write(&mut self, fanout: usize, wanted: impl Fn(&Subject) -> bool) -> Vec<Letter> {
-        let neighbours = self.draw_neighbours(fanout);
+    /// Builds datagrams with updates for randomly chosen neighbours.
+    ///
+    /// An empty datagram is built when there are no updates, to show that this instance is alive.
+    fn pack_updates(&mut self, fanout: usize, wanted: impl Fn(&Subject) -> bool) -> Vec<Outgoing> {
+        let neighbours = self.sample_neighbours(fanout);
         let source =
             Source { roster: &self.roster, registry: &self.registry, now: self.clock.now() };
-        let mut letters = Vec::new();
+        let mut outbox = Vec::new();
         for to in neighbours {
-            let news = source.news(&mut self.queue, BURST, &wanted);
-            letters.extend(news.into_iter().map(|it| Letter { to, body: Body::Updates(it) }));
+            let updates = source.pack_queue(&mut self.queue, MAX_DATAGRAMS, &wanted);
+            outbox.extend(updates.into_iter().map(|it| Outgoing { to, body: Body::Updates(it) }));
         }
-        letters
+        outbox
     }
 
-    /// Sends urgent news to more neighbours than a round does.
-    fn hasten(&mut self, wanted: impl Fn(&Subject) -> bool) {
-        let mut letters = self.write(URGENT_FANOUT, wanted);
-        letters.retain(|letter| !matches!(&letter.body, Body::Updates(it) if it.is_empty()));
-        self.letters.append(&mut letters);
+    /// Sends urgent updates to more neighbours than a round does.
+    fn send_urgent(&mut self, wanted: impl Fn(&Subject) -> bool) {
+        let mut outbox = self.pack_updates(URGENT_FANOUT, wanted);
+        outbox.retain(|outgoing| !matches!(&outgoing.body, Body::Updates(it) if it.is_empty()));
+        self.outbox.append(&mut outbox);
     }
 
-    fn draw_neighbours(&mut self, count: usize) -> Vec<Handle> {
-        draw(self.roster.near().to_vec(), count, &mut self.rng)
+    fn sample_neighbours(&mut self, count: usize) -> Vec<Handle> {
+        sample(self.roster.present().to_vec(), count, &mut self.rng)
     }
 
-    /// Compares itself with a neighbour and, as a contact, with another region.
-    fn compare(&mut self, now: Duration) {
-        let mut sync = Digest {
-            checksums: self.roster.sums().to_vec(),
-            contacts: self.roster.areas(now),
+    /// Sends a digest to a neighbour and, if this instance is a contact, to another region.
+    fn send_digests(&mut self, now: Duration) {
+        let mut digest = Digest {
+            checksums: self.roster.checksums().to_vec(),
+            contacts: self.roster.region_contacts(now),
             marks: Vec::new(),
         };
-        if let Some(to) = self.draw_contact() {
-            self.letters.push(Letter { to, body: Body::Digest(sync.clone()) });
+        if let Some(to) = self.sample_contact() {
+            self.outbox.push(Outgoing { to, body: Body::Digest(digest.clone()) });
         }
-        let Some(to) = self.draw_neighbours(1).pop() else { return };
+        let Some(to) = self.sample_neighbours(1).pop() else { return };
         let marks = self.registry.marks(now);
-        let room = pack::marks_beside(&sync);
-        sync.marks = draw(marks, room, &mut self.rng);
-        self.letters.push(Letter { to, body: Body::Digest(sync) });
+        let capacity = pack::digest_mark_capacity(&digest);
+        digest.marks = sample(marks, capacity, &mut self.rng);
+        self.outbox.push(Outgoing { to, body: Body::Digest(digest) });
     }
 
-    fn draw_contact(&mut self) -> Option<Handle> {
+    fn sample_contact(&mut self) -> Option<Handle> {
         let own = &self.roster.own().peer;
         let contacts = self.roster.contacts(&own.region);
         if !contacts.iter().any(|name| *name == own.instance) {
             return None;
         }
-        let region = draw(self.roster.regions(), 1, &mut self.rng).pop()?;
+        let region = sample(self.roster.regions(), 1, &mut self.rng).pop()?;
         let theirs: Vec<Instance> = self.roster.contacts(&region).iter().cloned().collect();
-        let name = draw(theirs, 1, &mut self.rng).pop()?;
+        let name = sample(theirs, 1, &mut self.rng).pop()?;
         self.roster.get(&name).map(Member::handle)
     }
 
-    /// Sends its report to the next neighbours in turn, as many as the room for reports allows.
+    /// Sends this instance's report to the next neighbours, limited by [`REPORT_BYTES_PER_ROUND`].
     fn send_reports(&mut self, now: Duration) {
         let Some(report) = self.reports.own(now) else { return };
-        let present = self.roster.near();
+        let present = self.roster.present();
         let size = report.bytes.len().max(1);
-        let count = (REPORT_ROOM / size).clamp(1, REPORTS).min(present.len());
+        let count =
+            (REPORT_BYTES_PER_ROUND / size).clamp(1, MAX_REPORTS_PER_ROUND).min(present.len());
         for _ in 0..count {
-            let turn = self.reports.next(present.len());
-            self.letters.push(Letter { to: present[turn], body: Body::Report(report.clone()) });
+            let index = self.reports.next_index(present.len());
+            self.outbox.push(Outgoing { to: present[index], body: Body::Report(report.clone()) });
         }
     }
 
-    /// Looks for instances to join, and for ones that were lost and may be back.
+    /// Sends joins to seeds and to instances that were declared dead.
     ///
-    /// After a long cut both sides hold each other dead and would never talk again. One would
-    /// notice two halves of a deployment that each believe to be the whole. So each greets one of
-    /// the dead, and a seed, now and then.
-    fn search(&mut self) {
-        let alone = self.roster.near().is_empty();
+    /// After a long network partition both sides consider each other dead and would never contact
+    /// each other again, so a deployment would stay split in two halves. Each instance therefore
+    /// sends a join to a dead instance and to seeds from time to time.
+    fn find_instances(&mut self) {
+        let alone = self.roster.present().is_empty();
         let join = Body::Join(self.roster.own().clone());
-        let greets = self.round.is_multiple_of(GREET_ROUNDS)
-            || (self.isolated && self.round.is_multiple_of(SYNC_ROUNDS))
-            || (alone && self.round.is_multiple_of(SYNC_ROUNDS));
-        if greets {
-            for to in draw(self.seeds.clone(), FANOUT, &mut self.rng) {
+        let contact_seeds = self.round.is_multiple_of(SEED_ROUNDS)
+            || (self.isolated && self.round.is_multiple_of(DIGEST_ROUNDS))
+            || (alone && self.round.is_multiple_of(DIGEST_ROUNDS));
+        if contact_seeds {
+            for to in sample(self.seeds.clone(), FANOUT, &mut self.rng) {
                 self.send(to, join.clone());
             }
         }
-        if !self.round.is_multiple_of(SEARCH_ROUNDS) {
+        if !self.round.is_multiple_of(REJOIN_ROUNDS) {
             return;
         }
         let dead = self.roster.members().filter(|member| member.state() == State::Dead);
         let dead: Vec<SocketAddr> = dead.map(|member| member.peer().address).collect();
-        if let Some(to) = draw(dead, 1, &mut self.rng).pop() {
+        if let Some(to) = sample(dead, 1, &mut self.rng).pop() {
             self.send(to, join);
         }
     }
@@ -534,45 +552,46 @@
     /// Sends a body to an address.
     pub(crate) fn send(&mut self, to: SocketAddr, body: Body) {
         let frame = Box::new(Frame { from: self.roster.handle(), body });
-        self.out.push(Output::Send { to, frame });
+        self.outputs.push(Output::Send { to, frame });
     }
 
-    /// Tells a rumor to an address.
-    pub(crate) fn tell(&mut self, to: SocketAddr, rumors: &[MemberStatus]) {
+    /// Sends statuses of members to an address.
+    pub(crate) fn send_statuses(&mut self, to: SocketAddr, statuses: &[MemberStatus]) {
         let now = self.clock.now();
         let source = Source { roster: &self.roster, registry: &self.registry, now };
-        for spread in source.tell(rumors) {
-            self.send(to, Body::Updates(spread));
+        for updates in source.pack_statuses(statuses) {
+            self.send(to, Body::Updates(updates));
         }
     }
 
-    /// Turns what the parts have left into outputs.
-    fn settle(&mut self) {
-        for handle in self.roster.retired() {
-            self.registry.retire(handle);
-            self.pending.remove(&handle);
+    /// Collects the events and datagrams of the components as outputs.
+    fn collect_outputs(&mut self) {
+        for handle in self.roster.take_retired() {
+            self.registry.remove_stream(handle);
+            self.pending_renewals.remove(&handle);
         }
-        for event in self.roster.events() {
+        for event in self.roster.take_events() {
             if let member::Event::Lost(name) | member::Event::Left(name) = &event {
-                self.reports.forget(name);
+                self.reports.remove(name);
             }
-            self.out.push(Output::Member(event));
+            self.outputs.push(Output::Member(event));
         }
-        self.out.extend(self.registry.events().into_iter().map(Output::Upstream));
-        for letter in std::mem::take(&mut self.letters) {
-            if let Some(to) = self.roster.find(letter.to).map(|member| member.peer().address) {
-                self.send(to, letter.body);
+        self.outputs.extend(self.registry.take_events().into_iter().map(Output::Upstream));
+        for outgoing in std::mem::take(&mut self.outbox) {
+            if let Some(to) = self.roster.by_handle(outgoing.to).map(|member| member.peer().address)
+            {
+                self.send(to, outgoing.body);
             }
         }
     }
 }
 
-/// Shows a neighbour's newest report.
+/// Latest report of a neighbour.
 pub struct PeerReport<'a> {
-    /// The neighbour.
+    /// Name of the neighbour.
     pub instance: &'a Instance,
-    /// How long ago the report was made.
+    /// Time since the report was created.
     pub age: Duration,
-    /// What it says.
+    /// Content of the report.
     pub bytes: &'a [u8],
 }
--- a/crates/verbenaslip-gossip/src/stream.rs
+++ b/crates/verbenaslip-gossip/src/stream.rs
@@ -1,4 +1,4 @@
-//! What one instance vouches for, as a versioned stream of changes.
+//! Versioned set of the upstreams for which one instance vouches.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,234 +7,253 @@
 use crate::member::Handle;
 use crate::time::Age;
 
-/// The most changes in one version, so that each version fits a datagram.
-const MAX_CHANGES: usize = 48;
+/// Maximum number of changes in one version, so that each version fits in a datagram.
+const MAX_CHANGES_PER_VERSION: usize = 48;
 
-/// The most changes in one delta.
-const MAX_ENTRIES: usize = 72;
+/// Maximum number of entries in one delta.
+const MAX_ENTRIES_PER_DELTA: usize = 72;
 
-/// The most upstreams in one stream; a flood of invented ones ends here.
+/// Maximum number of upstreams in one stream; limits floods of invented names.
 const MAX_KEYS: usize = 8_192;
 
-/// The most withdrawn upstreams remembered; beyond, late receivers get the whole stream anew.
+/// Maximum number of withdrawn upstreams that are remembered.
+///
+/// Receivers that lag behind the removed ones get the whole stream.
 const MAX_WITHDRAWN: usize = 256;
 
-/// Holds what one instance vouches for.
+/// Versioned set of the upstreams for which one instance vouches, and its latest mark.
 #[derive(Default)]
 pub(crate) struct Stream {
+    /// Stored version.
     version: u32,
-    head: u32,
-    floor: u32,
-    held: BTreeMap<Key, Held>,
-    tick: u32,
-    marked: u32,
-    born: Duration,
-    parked: Option<Parked>,
+    /// Highest version known to exist.
+    latest: u32,
+    /// Lowest version from which deltas can still be computed.
+    min_base: u32,
+    /// Upstreams by key, including remembered withdrawn ones.
+    items: BTreeMap<Key, Item>,
+    /// Sequence number of the latest mark.
+    mark_sequence: u32,
+    /// Version that the latest mark covers.
+    marked_version: u32,
+    /// Time since which all upstreams of the marked version are renewed.
+    renewed_since: Duration,
+    /// Latest mark that could not be applied yet.
+    deferred: Option<DeferredMark>,
 }
 
-/// A mark that can't be used before what comes between has arrived.
+/// Mark that cannot be applied before missing versions have arrived.
 #[derive(Clone, Copy)]
-pub(crate) struct Parked {
-    /// The mark.
+pub(crate) struct DeferredMark {
+    /// The deferred mark.
     pub(crate) mark: FreshnessMark,
-    /// Since when it renews; none when it came too late.
-    pub(crate) born: Option<Duration>,
+    /// Time since which the mark renews the stream; `None` when its age is too high.
+    pub(crate) renewed_since: Option<Duration>,
 }
 
 #[derive(Clone, Copy)]
-struct Held {
+struct Item {
+    /// Version of the last change.
     version: u32,
-    check: Option<ContentHash>,
+    /// Hash of the content that is vouched for; `None` after a withdrawal.
+    content_hash: Option<ContentHash>,
 }
 
-/// A change of what this instance vouches for.
+/// Change of this instance's own stream.
 pub(crate) struct Change {
-    /// The upstream.
+    /// Key of the upstream.
     pub(crate) key: Key,
-    /// The content vouched for; none when no longer.
-    pub(crate) check: Option<ContentHash>,
+    /// Hash of the content that is vouched for; `None` when it is no longer vouched for.
+    pub(crate) content_hash: Option<ContentHash>,
 }
 
-/// Says what a delta or mark did to a stream.
+/// How a delta or mark relates to the stored stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// Nothing: it was known.
+    /// The delta or mark is known already.
     Known,
-    /// It was new.
-    News,
-    /// It can't be used before what comes between has been asked for.
+    /// The delta or mark is new and can be applied.
+    New,
+    /// The delta or mark cannot be applied before missing versions have been requested.
     Gap,
 }
 
 impl Stream {
-    /// Returns the version that is held.
+    /// Returns the stored version.
     pub(crate) fn version(&self) -> u32 {
         self.version
     }
 
-    /// Returns the version that the newest mark covers.
-    pub(crate) fn marked(&self) -> u32 {
-        self.marked
+    /// Returns the version that the latest mark covers.
+    pub(crate) fn marked_version(&self) -> u32 {
+        self.marked_version
     }
 
-    /// Goes through the upstreams vouched for.
+    /// Iterates over the keys of the upstreams that are vouched for.
     pub(crate) fn keys(&self) -> impl Iterator<Item = Key> {
-        self.held.iter().filter(|(_, held)| held.check.is_some()).map(|(key, _)| *key)
+        self.items.iter().filter(|(_, item)| item.content_hash.is_some()).map(|(key, _)| *key)
     }
 
-    /// Returns the content vouched for.
-    pub(crate) fn check(&self, key: Key) -> Option<ContentHash> {
-        self.held.get(&key)?.check
+    /// Returns the hash of the content that is vouched for.
+    pub(crate) fn content_hash(&self, key: Key) -> Option<ContentHash> {
+        self.items.get(&key)?.content_hash
     }
 
-    /// Returns since when an upstream with this content is surely renewed, by the newest mark.
-    pub(crate) fn covers(&self, key: Key, check: ContentHash) -> Option<Duration> {
-        let held = self.held.get(&key)?;
-        (held.check == Some(check) && held.version <= self.marked).then_some(self.born)
+    /// Returns the time of an upstream's last renewal according to the latest mark.
+    ///
+    /// Returns `None` if the mark does not cover the upstream with this content.
+    pub(crate) fn renewed_since(&self, key: Key, content_hash: ContentHash) -> Option<Duration> {
+        let item = self.items.get(&key)?;
+        (item.content_hash == Some(content_hash) && item.version <= self.marked_version)
+            .then_some(self.renewed_since)
     }
 
-    /// Commits changes of this instance's own, and returns the versions made.
+    /// Commits changes of this instance's own stream, and returns the new versions.
     pub(crate) fn commit(&mut self, changes: &[Change]) -> Vec<u32> {
         let mut versions = Vec::new();
-        for part in changes.chunks(MAX_CHANGES) {
+        for part in changes.chunks(MAX_CHANGES_PER_VERSION) {
             self.version += 1;
             let version = self.version;
-            for Change { key, check } in part {
-                self.held.insert(*key, Held { version, check: *check });
+            for Change { key, content_hash } in part {
+                self.items.insert(*key, Item { version, content_hash: *content_hash });
             }
             versions.push(version);
         }
-        self.head = self.version;
-        self.prune();
+        self.latest = self.version;
+        self.prune_withdrawn();
         versions
     }
 
-    /// Makes this instance's own next mark.
-    pub(crate) fn mark(&mut self, born: Duration) {
-        self.tick += 1;
-        self.marked = self.version;
-        self.born = born;
+    /// Advances this instance's own mark to the current version.
+    pub(crate) fn advance_mark(&mut self, renewed_since: Duration) {
+        self.mark_sequence += 1;
+        self.marked_version = self.version;
+        self.renewed_since = renewed_since;
     }
 
-    /// Returns the newest mark as it is told now; none before the first.
-    pub(crate) fn said(&self, voucher: Handle, now: Duration) -> Option<FreshnessMark> {
-        let age = Age::of(now, self.born);
-        let mark = FreshnessMark { voucher, sequence: self.tick, version: self.marked, age };
-        (self.tick > 0).then_some(mark)
+    /// Returns the latest mark with its current age; `None` before the first mark.
+    pub(crate) fn current_mark(&self, voucher: Handle, now: Duration) -> Option<FreshnessMark> {
+        let age = Age::since(now, self.renewed_since);
+        let mark = FreshnessMark {
+            voucher,
+            sequence: self.mark_sequence,
+            version: self.marked_version,
+            age,
+        };
+        (self.mark_sequence > 0).then_some(mark)
     }
 
-    /// Tells whether a mark would change something.
-    pub(crate) fn weigh(&self, mark: &FreshnessMark) -> Outcome {
-        if mark.sequence <= self.tick {
+    /// Returns whether a mark is new and can be applied.
+    pub(crate) fn classify_mark(&self, mark: &FreshnessMark) -> Outcome {
+        if mark.sequence <= self.mark_sequence {
             Outcome::Known
-        } else if mark.version > self.version || self.head > self.version {
+        } else if mark.version > self.version || self.latest > self.version {
             Outcome::Gap
         } else {
-            Outcome::News
+            Outcome::New
         }
     }
 
-    /// Takes another instance's mark, which [`Stream::weigh`] found new.
+    /// Applies another instance's mark that [`Stream::classify_mark`] found to be new.
     ///
-    /// A mark without a usable age still counts as seen, so that it can't come again as fresh.
-    pub(crate) fn accept(&mut self, mark: &FreshnessMark, born: Option<Duration>) {
-        self.tick = mark.sequence;
-        let Some(born) = born else { return };
-        if mark.version > self.marked {
-            self.marked = mark.version;
-            self.born = born;
-        } else if mark.version == self.marked {
-            self.born = self.born.max(born);
+    /// A mark without a usable age still counts as seen, so that a duplicate cannot pass as fresh.
+    pub(crate) fn apply_mark(&mut self, mark: &FreshnessMark, renewed_since: Option<Duration>) {
+        self.mark_sequence = mark.sequence;
+        let Some(renewed_since) = renewed_since else { return };
+        if mark.version > self.marked_version {
+            self.marked_version = mark.version;
+            self.renewed_since = renewed_since;
+        } else if mark.version == self.marked_version {
+            self.renewed_since = self.renewed_since.max(renewed_since);
         }
     }
 
-    /// Keeps a mark for when [`Stream::weigh`] finds that it can be used.
-    pub(crate) fn park(&mut self, mark: &FreshnessMark, born: Option<Duration>) {
-        if self.parked.is_none_or(|parked| parked.mark.sequence < mark.sequence) {
-            self.parked = Some(Parked { mark: *mark, born });
+    /// Stores a mark until [`Stream::classify_mark`] finds that it can be applied.
+    pub(crate) fn defer_mark(&mut self, mark: &FreshnessMark, renewed_since: Option<Duration>) {
+        if self.deferred.is_none_or(|deferred| deferred.mark.sequence < mark.sequence) {
+            self.deferred = Some(DeferredMark { mark: *mark, renewed_since });
         }
     }
 
-    /// Returns the kept mark once it can be used.
-    pub(crate) fn parked(&self) -> Option<Parked> {
-        self.parked.filter(|parked| self.weigh(&parked.mark) == Outcome::News)
+    /// Returns the deferred mark once it can be applied.
+    pub(crate) fn applicable_mark(&self) -> Option<DeferredMark> {
+        self.deferred.filter(|deferred| self.classify_mark(&deferred.mark) == Outcome::New)
     }
 
-    /// Tells whether a delta would change something.
-    pub(crate) fn weigh_delta(&self, delta: &Delta) -> Outcome {
+    /// Returns whether a delta is new and can be applied.
+    pub(crate) fn classify_delta(&self, delta: &Delta) -> Outcome {
         if delta.version <= self.version {
             Outcome::Known
-        } else if delta.base > self.version || self.held.len() >= MAX_KEYS {
+        } else if delta.base > self.version || self.items.len() >= MAX_KEYS {
             Outcome::Gap
         } else {
-            Outcome::News
+            Outcome::New
         }
     }
 
-    /// Takes another instance's delta, which [`Stream::weigh_delta`] found new.
-    pub(crate) fn apply(&mut self, delta: &Delta) {
+    /// Applies another instance's delta that [`Stream::classify_delta`] found to be new.
+    pub(crate) fn apply_delta(&mut self, delta: &Delta) {
         if delta.base == 0 {
-            self.held.clear();
-            self.floor = 0;
+            self.items.clear();
+            self.min_base = 0;
         }
         for entry in &delta.entries {
             let version = delta.base.saturating_add(entry.version_offset);
-            self.held.insert(entry.key, Held { version, check: entry.content_hash });
+            self.items.insert(entry.key, Item { version, content_hash: entry.content_hash });
         }
         self.version = delta.version;
-        self.head = self.head.max(delta.latest);
-        self.prune();
+        self.latest = self.latest.max(delta.latest);
+        self.prune_withdrawn();
     }
 
-    fn prune(&mut self) {
-        let withdrawn = self.held.values().filter(|held| held.check.is_none());
-        let mut versions: Vec<u32> = withdrawn.map(|held| held.version).collect();
+    fn prune_withdrawn(&mut self) {
+        let withdrawn = self.items.values().filter(|item| item.content_hash.is_none());
+        let mut versions: Vec<u32> = withdrawn.map(|item| item.version).collect();
         if versions.len() <= MAX_WITHDRAWN {
             return;
         }
         versions.sort_unstable();
-        self.floor = versions[versions.len() / 2];
-        let floor = self.floor;
-        self.held.retain(|_, held| held.check.is_some() || held.version > floor);
+        self.min_base = versions[versions.len() / 2];
+        let min_base = self.min_base;
+        self.items.retain(|_, item| item.content_hash.is_some() || item.version > min_base);
     }
 
-    /// Returns the change that led to a version; what later ones override is left out.
-    pub(crate) fn step(&self, voucher: Handle, version: u32) -> Option<Delta> {
-        let base = version.checked_sub(1).filter(|base| *base >= self.floor)?;
-        let mut delta = self.piece(voucher, base);
+    /// Returns the changes of one version, except those that later versions override.
+    pub(crate) fn delta_to(&self, voucher: Handle, version: u32) -> Option<Delta> {
+        let base = version.checked_sub(1).filter(|base| *base >= self.min_base)?;
+        let mut delta = self.empty_delta(voucher, base);
         delta.version = version;
-        let changed = self.held.iter().filter(|(_, held)| held.version == version);
-        let entry = |(key, held): (&Key, &Held)| DeltaEntry {
+        let changed = self.items.iter().filter(|(_, item)| item.version == version);
+        let entry = |(key, item): (&Key, &Item)| DeltaEntry {
             key: *key,
-            content_hash: held.check,
+            content_hash: item.content_hash,
             version_offset: 1,
         };
         delta.entries = changed.map(entry).collect();
         Some(delta)
     }
 
-    /// Returns the changes after a version, in deltas that each fit a datagram.
-    pub(crate) fn since(&self, voucher: Handle, base: u32) -> Vec<Delta> {
-        let base = if base < self.floor || base > self.version { 0 } else { base };
+    /// Returns the changes after a version, in deltas that each fit in a datagram.
+    pub(crate) fn deltas_since(&self, voucher: Handle, base: u32) -> Vec<Delta> {
+        let base = if base < self.min_base || base > self.version { 0 } else { base };
         let mut by_version: BTreeMap<u32, Vec<Change>> = BTreeMap::new();
-        for (key, held) in self.held.iter().filter(|(_, held)| held.version > base) {
-            let change = Change { key: *key, check: held.check };
-            by_version.entry(held.version).or_default().push(change);
+        for (key, item) in self.items.iter().filter(|(_, item)| item.version > base) {
+            let change = Change { key: *key, content_hash: item.content_hash };
+            by_version.entry(item.version).or_default().push(change);
         }
         let mut deltas: Vec<Delta> = Vec::new();
-        let mut delta = self.piece(voucher, base);
+        let mut delta = self.empty_delta(voucher, base);
         for (version, changes) in by_version {
-            if !delta.entries.is_empty() && delta.entries.len() + changes.len() > MAX_ENTRIES {
-                let next = self.piece(voucher, delta.version);
+            if !delta.entries.is_empty()
+                && delta.entries.len() + changes.len() > MAX_ENTRIES_PER_DELTA
+            {
+                let next = self.empty_delta(voucher, delta.version);
                 deltas.push(std::mem::replace(&mut delta, next));
             }
             delta.version = version;
-            let after = version - delta.base;
-            let entry = |Change { key, check }| DeltaEntry {
-                key,
-                content_hash: check,
-                version_offset: after,
-            };
+            let version_offset = version - delta.base;
+            let entry =
+                |Change { key, content_hash }| DeltaEntry { key, content_hash, version_offset };
             delta.entries.extend(changes.into_iter().map(entry));
         }
         delta.version = self.version;
@@ -242,7 +261,7 @@
         deltas
     }
 
-    fn piece(&self, voucher: Handle, base: u32) -> Delta {
+    fn empty_delta(&self, voucher: Handle, base: u32) -> Delta {
         Delta { voucher, base, version: base, latest: self.version, entries: Vec::new() }
     }
 }
