--- a/crates/verbenaslip-policy/tests/plan.rs
+++ b/crates/verbenaslip-policy/tests/plan.rs
@@ -85,27 +85,27 @@
     fn execute(&mut self, order: Order) {
         self.orders.push(order.clone());
         match order {
-            Order::Start { id: request, zone, class: machine, market, model } => {
-                let offer = Offer { zone: zone.clone(), class: machine.clone(), market, price: 0 };
+            Order::Start { id, zone, class, market, model } => {
+                let offer = Offer { zone: zone.clone(), class: class.clone(), market, price: 0 };
                 if (self.is_refused)(&offer) {
                     self.planner.record_refused(
                         Duration::from_secs(self.now),
-                        request,
+                        id,
                         &mut rng(self.now),
                     );
                     return;
                 }
-                if !self.granted.contains_key(&request) {
+                if !self.granted.contains_key(&id) {
                     let name = Upstream::new(format!("m{}", self.granted.len()));
                     let state = MachineState::Starting;
                     let models = vec![model];
                     self.ready_at.insert(name.clone(), self.now + 90);
-                    self.granted.insert(request, name.clone());
+                    self.granted.insert(id, name.clone());
                     let running = 0;
                     self.view.machines.push(Machine {
                         name,
                         zone,
-                        class: machine,
+                        class,
                         market,
                         state,
                         models,
@@ -113,7 +113,7 @@
                     });
                 }
                 if !self.drop_answers {
-                    self.planner.record_started(request, &self.granted[&request]);
+                    self.planner.record_started(id, &self.granted[&id]);
                 }
             }
             Order::Drain { name } => {
--- a/crates/verbenaslip-relay/src/forward/crash.rs
+++ b/crates/verbenaslip-relay/src/forward/crash.rs
@@ -130,8 +130,8 @@
 }
 
 fn observed_crash(request: InterruptedRequest) -> Option<ObservedCrash> {
-    let InterruptedRequest { fingerprint, run, sent_at: sent, ended_at: ended, .. } = request;
-    Some(ObservedCrash { fingerprint: fingerprint?, run, sent, ended })
+    let InterruptedRequest { fingerprint, run, sent_at: sent, ended_at, .. } = request;
+    Some(ObservedCrash { fingerprint: fingerprint?, run, sent, ended: ended_at })
 }
 
 fn log_interruption(
--- a/crates/verbenaslip-relay/src/shared.rs
+++ b/crates/verbenaslip-relay/src/shared.rs
@@ -199,24 +199,16 @@
     /// Builds the next report.
     pub fn take_report(&self) -> Report {
         let refunds = self.take_refunds();
-        let work = lock(&self.engine_ms);
-        let work = work
+        let engine_work = lock(&self.engine_ms);
+        let engine_work = engine_work
             .iter()
             .map(|(service, total)| WorkReport { service: service.clone(), total_ms: *total })
             .collect();
         let rollouts = self.versions().report(monotonic::now());
         let limits = self.unshared_limits();
         let counts = lock(&self.usage).counts();
-        let leaving = self.unshared_departures();
-        Report {
-            counts,
-            refunds,
-            engine_work: work,
-            rollouts,
-            limits,
-            departing: leaving,
-            ..Report::default()
-        }
+        let departing = self.unshared_departures();
+        Report { counts, refunds, engine_work, rollouts, limits, departing, ..Report::default() }
     }
 
     /// Starts the planned stop: readiness probes fail from now on, so that no new connections
--- a/crates/verbenaslip/src/control/cloud.rs
+++ b/crates/verbenaslip/src/control/cloud.rs
@@ -117,9 +117,9 @@
 
     fn order(&self, order: plan::Order) {
         match order {
-            plan::Order::Start { id: request, zone, class: machine, market, model } => {
-                let identity: Arc<str> = format!("{request:032x}").into();
-                let order = cloud::Order { request: identity, zone, machine, market, model };
+            plan::Order::Start { id, zone, class, market, model } => {
+                let identity: Arc<str> = format!("{id:032x}").into();
+                let order = cloud::Order { request: identity, zone, machine: class, market, model };
                 // Without an answer nobody knows whether it starts; the plan sends it again.
                 let Ok(started) = self.cloud.start(&order) else { return };
                 let name = match started {
@@ -129,7 +129,7 @@
                         None
                     }
                 };
-                self.tell(Input::Started { request, name });
+                self.tell(Input::Started { request: id, name });
             }
             plan::Order::Stop { name } => {
                 if let Err(error) = self.cloud.stop(name.as_str()) {
