--- a/crates/verbenaslip-node/src/node.rs
+++ b/crates/verbenaslip-node/src/node.rs
@@ -144,7 +144,7 @@
     pub fn wake(&self) -> Duration {
         let mut wake = self.beat.min(self.gossip.next_wakeup());
         wake = wake.min(self.voter.as_ref().map_or(wake, Voter::wake));
-        wake = wake.min(self.requests.wake().unwrap_or(wake));
+        wake = wake.min(self.requests.next_wakeup().unwrap_or(wake));
         wake = wake.min(self.proposals.wake().unwrap_or(wake));
         wake.max(self.now)
     }
@@ -289,7 +289,7 @@
         if self.voter.as_ref().is_some_and(|voter| self.now >= voter.wake()) {
             self.push(Todo::Log(log::Input::Tick));
         }
-        if self.requests.wake().is_some_and(|wake| self.now >= wake) {
+        if self.requests.next_wakeup().is_some_and(|wake| self.now >= wake) {
             self.push(Todo::Request(request::Input::Tick));
         }
         if self.now >= self.beat {
--- a/crates/verbenaslip-node/src/output.rs
+++ b/crates/verbenaslip-node/src/output.rs
@@ -8,7 +8,7 @@
 use verbenaslip_policy::plan;
 use verbenaslip_replica::storage::Write;
 use verbenaslip_request::caller::{Ticket, Verdict};
-use verbenaslip_request::message::Live;
+use verbenaslip_request::message::ActiveRun;
 use verbenaslip_request::run::Run;
 use verbenaslip_state::order::dispatcher::Give;
 
@@ -54,7 +54,7 @@
     /// Runs a request at an upstream.
     Run(Run),
     /// Stops a run at its upstream and drops its late tokens.
-    Cancel(Live),
+    Cancel(ActiveRun),
     /// Copies the answer, and all that is added to it, to the second holder; none stops it.
     Mirror {
         /// The request.
--- a/crates/verbenaslip-node/src/serve.rs
+++ b/crates/verbenaslip-node/src/serve.rs
@@ -12,8 +12,8 @@
 use verbenaslip_policy::route::Choice;
 use verbenaslip_request::caller::Arrival;
 use verbenaslip_request::claim::{self as asked, Ruling};
-use verbenaslip_request::input::{self as request, Place};
-use verbenaslip_request::output::{Outcome, Output as Wants, Wanted};
+use verbenaslip_request::input::{self as request, Placement};
+use verbenaslip_request::output::{Outcome, Output as Wants, PlacementRequest};
 use verbenaslip_request::run::{Cause, Event, Failure};
 use verbenaslip_request::setup as requests;
 use verbenaslip_state::claim::{Claim, Ending, Release, Settle, Verdict};
@@ -51,7 +51,7 @@
     /// Whether it waits for an upstream that the queue shall give it.
     wanted: bool,
     /// What the queue gave it before it asked.
-    early: Option<Place>,
+    early: Option<Placement>,
     /// Why the queue gave it up before it asked.
     given: Option<Refusal>,
     /// What became of its last run.
@@ -290,7 +290,7 @@
         self.propose(Command::Settle(settle), Purpose::Nobody, SETTLE);
     }
 
-    fn place(&mut self, wanted: &Wanted) {
+    fn place(&mut self, wanted: &PlacementRequest) {
         let request = wanted.head.request;
         self.remember(wanted.head.clone(), 0);
         if wanted.from.is_some() {
@@ -360,9 +360,9 @@
         }
     }
 
-    fn place_of(&self, choice: &Choice, priority: i32) -> Option<Place> {
+    fn place_of(&self, choice: &Choice, priority: i32) -> Option<Placement> {
         let announcement = self.gossip.record(&choice.upstream)?.announcement();
-        Some(Place {
+        Some(Placement {
             upstream: choice.upstream.clone(),
             address: announcement.address,
             kind: announcement.kind,
--- a/crates/verbenaslip-node/src/status.rs
+++ b/crates/verbenaslip-node/src/status.rs
@@ -227,7 +227,7 @@
     }
 
     fn work(&self) -> Work {
-        let count = self.requests.count();
+        let count = self.requests.counts();
         Work {
             waiting: self.dispatcher.waiting(),
             running: self.dispatcher.running(),
--- a/crates/verbenaslip-node/tests/hostile.rs
+++ b/crates/verbenaslip-node/tests/hostile.rs
@@ -268,7 +268,7 @@
         epoch: u16::MAX,
         remaining: Duration::MAX,
     };
-    let note = request::Note {
+    let note = request::Progress {
         request: Request(7),
         epoch: u16::MAX,
         sequence: u32::MAX,
@@ -367,7 +367,7 @@
         world.step(2, Input::Peer { from: peer(4), message });
     }
     let full = |said: &&Said| {
-        use request::Found::Full;
+        use request::KeyStatus::Full;
         let Input::Peer { message: Message::Request(message), .. } = &said.input else {
             return false;
         };
--- a/crates/verbenaslip-node/tests/wire.rs
+++ b/crates/verbenaslip-node/tests/wire.rs
@@ -130,15 +130,15 @@
     messages.into_iter().map(Message::Watch).collect()
 }
 
-fn note(outcome: Option<output::Outcome>) -> request::Note {
-    let live = request::Live {
+fn note(outcome: Option<output::Outcome>) -> request::Progress {
+    let live = request::ActiveRun {
         attempt: attempt(),
         upstream: Upstream::from("u"),
         address: address(),
         kind: Kind::Engine,
         priority: -1,
     };
-    request::Note {
+    request::Progress {
         request: Request(300),
         epoch: 1,
         sequence: 2,
@@ -168,7 +168,7 @@
         prefix: vec![1, u64::MAX],
     };
     let body = Body { path: "/".into(), content: "text/plain".into(), bytes: vec![1] };
-    let copy = request::Copy {
+    let copy = request::RequestCopy {
         head,
         body: Some(Arc::new(body)),
         digest: 7,
@@ -177,24 +177,24 @@
     };
     let remaining = Duration::from_millis(2_500);
     let reserve = request::Reserve { request, digest: 7, boot: 8, epoch: 1, remaining };
-    let held = request::Found::Held { owner: name("a"), epoch: 1, digest: 7 };
+    let held = request::KeyStatus::Held { owner: name("a"), epoch: 1, digest: 7 };
     let found = |found| request::Message::Reserved { request, found };
     let refused = Refusal { reason: Reason::Limit, retry: Some(remaining) };
     let attempt = Some(attempt());
-    let taken = request::Taken { request, owner: name("a"), epoch: 2, attempt, lineage: 5 };
+    let taken = request::Takeover { request, owner: name("a"), epoch: 2, attempt, lineage: 5 };
     let messages = vec![
         request::Message::Reserve(reserve),
-        found(request::Found::Free),
+        found(request::KeyStatus::Free),
         found(held),
-        found(request::Found::Between { digest: 7 }),
-        found(request::Found::Doubtful),
-        found(request::Found::Full),
+        found(request::KeyStatus::Between { digest: 7 }),
+        found(request::KeyStatus::Doubtful),
+        found(request::KeyStatus::Full),
         request::Message::Put(Box::new(copy)),
         request::Message::Note(note(Some(output::Outcome::Refused(refused)))),
         request::Message::Note(note(Some(output::Outcome::Unknown(Unknown::Deadline)))),
         request::Message::Note(note(Some(output::Outcome::Abandoned))),
         request::Message::Note(note(Some(output::Outcome::Moved { owner: name("b") }))),
-        request::Message::Kept(request::Kept { request, epoch: 1, sequence: 2 }),
+        request::Message::Kept(request::Ack { request, epoch: 1, sequence: 2 }),
         request::Message::Full { request, epoch: 1 },
         request::Message::Taken(taken),
         request::Message::Yielded { request, epoch: 2 },
--- a/crates/verbenaslip-request/src/answer.rs
+++ b/crates/verbenaslip-request/src/answer.rs
@@ -13,8 +13,8 @@
 pub struct Answer {
     epoch: u16,
     number: u32,
-    pieces: Vec<Piece>,
-    whole: Option<Whole>,
+    pieces: Vec<TokenBatch>,
+    whole: Option<ServiceResponse>,
     end: Option<End>,
     position: u32,
     bytes: usize,
@@ -31,7 +31,7 @@
 
 /// Holds the tokens of one event.
 #[data]
-pub struct Piece {
+pub struct TokenBatch {
     /// The position of its last token, from 1.
     pub position: u32,
     /// How many tokens it holds.
@@ -42,7 +42,7 @@
 
 /// Holds the answer of a plain service.
 #[data]
-pub struct Whole {
+pub struct ServiceResponse {
     /// The status.
     pub status: u16,
     /// The content type.
@@ -62,7 +62,7 @@
 
 /// Says what became of something delivered.
 #[data(copy)]
-pub enum Added {
+pub enum AppendResult {
     /// It was the next and is taken.
     Appended,
     /// It is of an attempt or epoch that no longer counts, or came after the end.
@@ -95,19 +95,25 @@
     }
 
     /// Makes an attempt the live one; those before it are late from now on.
-    pub fn begin(&mut self, attempt: Attempt) {
+    pub fn begin_attempt(&mut self, attempt: Attempt) {
         self.number = self.number.max(attempt.number);
     }
 
     /// Makes this instance the owner in an epoch; copies of earlier epochs are late from now on.
-    pub fn own(&mut self, epoch: u16) {
+    pub fn take_ownership(&mut self, epoch: u16) {
         self.epoch = self.epoch.max(epoch);
     }
 
     /// Takes tokens from a run: `count` of them, the last one at `position`.
-    pub fn append(&mut self, attempt: Attempt, position: u32, count: u32, text: &str) -> Added {
+    pub fn append(
+        &mut self,
+        attempt: Attempt,
+        position: u32,
+        count: u32,
+        text: &str,
+    ) -> AppendResult {
         if attempt.number != self.number {
-            return Added::Late;
+            return AppendResult::Late;
         }
         self.push(position, count, text)
     }
@@ -116,42 +122,42 @@
     ///
     /// An answer of a later epoch may differ after the position at which the new owner took over.
     /// One would notice a sentence that changes halfway; so a later epoch starts from nothing.
-    pub fn copy(&mut self, epoch: u16, position: u32, count: u32, text: &str) -> Added {
+    pub fn copy(&mut self, epoch: u16, position: u32, count: u32, text: &str) -> AppendResult {
         match self.renew(epoch) {
             true => self.push(position, count, text),
-            false => Added::Late,
+            false => AppendResult::Late,
         }
     }
 
     /// Takes the end mark of a run.
-    pub fn end(&mut self, attempt: Attempt, position: u32, reason: &str) -> Added {
+    pub fn end(&mut self, attempt: Attempt, position: u32, reason: &str) -> AppendResult {
         if attempt.number != self.number {
-            return Added::Late;
+            return AppendResult::Late;
         }
         self.finish(position, reason)
     }
 
     /// Takes the end mark that the owner of an epoch has mirrored here.
-    pub fn copy_end(&mut self, epoch: u16, position: u32, reason: &str) -> Added {
+    pub fn copy_end(&mut self, epoch: u16, position: u32, reason: &str) -> AppendResult {
         match self.renew(epoch) {
             true => self.finish(position, reason),
-            false => Added::Late,
+            false => AppendResult::Late,
         }
     }
 
     /// Takes the whole answer of a plain service from a run.
-    pub fn fill(&mut self, attempt: Attempt, whole: Whole) -> Added {
+    pub fn set_response(&mut self, attempt: Attempt, whole: ServiceResponse) -> AppendResult {
         if attempt.number != self.number {
-            return Added::Late;
+            return AppendResult::Late;
         }
         self.store(whole)
     }
 
     /// Takes the whole answer of a plain service that the owner of an epoch has mirrored here.
-    pub fn copy_fill(&mut self, epoch: u16, whole: Whole) -> Added {
+    pub fn copy_response(&mut self, epoch: u16, whole: ServiceResponse) -> AppendResult {
         match self.renew(epoch) {
             true => self.store(whole),
-            false => Added::Late,
+            false => AppendResult::Late,
         }
     }
 
@@ -159,12 +165,12 @@
     ///
     /// A token that the caller has and the second holder lacks could come out otherwise when that
     /// one takes over, and the caller would have halves of two answers.
-    pub fn mirror(&mut self, on: bool) {
+    pub fn set_mirroring(&mut self, on: bool) {
         self.mirrored = on.then(Mirrored::default);
     }
 
     /// Notes how far the second holder has got, and whether it has the end as well.
-    pub fn mirrored(&mut self, position: u32, ended: bool) {
+    pub fn record_mirrored(&mut self, position: u32, ended: bool) {
         if let Some(mirrored) = &mut self.mirrored {
             mirrored.position = position.max(mirrored.position);
             mirrored.ended |= ended;
@@ -172,28 +178,28 @@
     }
 
     /// Returns whether there is a second holder that lacks something.
-    pub fn unmirrored(&self) -> bool {
+    pub fn is_mirror_behind(&self) -> bool {
         let whole = self.end.is_some() || self.whole.is_some();
         self.mirrored
             .is_some_and(|mirrored| mirrored.position < self.position || (whole && !mirrored.ended))
     }
 
     /// Returns the events after a position that a caller may have, oldest first.
-    pub fn events(&self, after: u32) -> impl Iterator<Item = &Piece> {
+    pub fn released_batches(&self, after: u32) -> impl Iterator<Item = &TokenBatch> {
         let start = self.pieces.partition_point(|piece| piece.position <= after);
-        let until = self.released();
+        let until = self.released_position();
         self.pieces[start..].iter().take_while(move |piece| piece.position <= until)
     }
 
     /// Returns the pieces after a position, also those that callers may not have yet.
-    pub fn pieces(&self, after: u32) -> &[Piece] {
+    pub fn batches(&self, after: u32) -> &[TokenBatch] {
         let start = self.pieces.partition_point(|piece| piece.position <= after);
         &self.pieces[start..]
     }
 
     /// Returns the end mark, once every token before it may be given to callers.
-    pub fn ended(&self) -> Option<&End> {
-        self.end.as_ref().filter(|end| end.position <= self.released())
+    pub fn released_end(&self) -> Option<&End> {
+        self.end.as_ref().filter(|end| end.position <= self.released_position())
     }
 
     /// Returns the end mark, also when callers may not have it yet.
@@ -202,7 +208,7 @@
     }
 
     /// Returns a plain service's answer.
-    pub fn filled(&self) -> Option<&Whole> {
+    pub fn response(&self) -> Option<&ServiceResponse> {
         self.whole.as_ref()
     }
 
@@ -212,7 +218,7 @@
     }
 
     /// Returns the last position that callers may have.
-    pub fn released(&self) -> u32 {
+    pub fn released_position(&self) -> u32 {
         self.mirrored.map_or(self.position, |mirrored| mirrored.position.min(self.position))
     }
 
@@ -239,53 +245,53 @@
         epoch == self.epoch
     }
 
-    fn push(&mut self, position: u32, count: u32, text: &str) -> Added {
+    fn push(&mut self, position: u32, count: u32, text: &str) -> AppendResult {
         if self.end.is_some() || self.whole.is_some() {
-            return Added::Late;
+            return AppendResult::Late;
         }
         if position <= self.position {
-            return Added::Duplicate;
+            return AppendResult::Duplicate;
         }
         let first = position.checked_sub(count);
         if count == 0 || first != Some(self.position) {
-            return Added::Gap { expected: self.position.saturating_add(1) };
+            return AppendResult::Gap { expected: self.position.saturating_add(1) };
         }
         let Some(bytes) = self.room(text.len()) else {
-            return Added::Full;
+            return AppendResult::Full;
         };
         self.bytes = bytes;
         self.position = position;
-        self.pieces.push(Piece { position, count, text: text.into() });
-        Added::Appended
+        self.pieces.push(TokenBatch { position, count, text: text.into() });
+        AppendResult::Appended
     }
 
-    fn finish(&mut self, position: u32, reason: &str) -> Added {
+    fn finish(&mut self, position: u32, reason: &str) -> AppendResult {
         if self.whole.is_some() {
-            return Added::Late;
+            return AppendResult::Late;
         }
         if self.end.is_some() {
-            return Added::Duplicate;
+            return AppendResult::Duplicate;
         }
         if position != self.position {
-            return Added::Gap { expected: self.position.saturating_add(1) };
+            return AppendResult::Gap { expected: self.position.saturating_add(1) };
         }
         self.end = Some(End { position, reason: reason.into() });
-        Added::Appended
+        AppendResult::Appended
     }
 
-    fn store(&mut self, whole: Whole) -> Added {
+    fn store(&mut self, whole: ServiceResponse) -> AppendResult {
         if self.whole.is_some() {
-            return Added::Duplicate;
+            return AppendResult::Duplicate;
         }
         if self.position > 0 || self.end.is_some() {
-            return Added::Late;
+            return AppendResult::Late;
         }
         let Some(bytes) = self.room(whole.bytes.len()) else {
-            return Added::Full;
+            return AppendResult::Full;
         };
         self.bytes = bytes;
         self.whole = Some(whole);
-        Added::Appended
+        AppendResult::Appended
     }
 
     fn room(&self, bytes: usize) -> Option<usize> {
--- a/crates/verbenaslip-request/src/entry.rs
+++ b/crates/verbenaslip-request/src/entry.rs
@@ -12,9 +12,9 @@
 
 use crate::caller::{Body, Ticket};
 use crate::hold::Held;
-use crate::input::Place;
+use crate::input::Placement;
 use crate::lookup::Lookup;
-use crate::message::{Live, Note, Taken};
+use crate::message::{ActiveRun, Progress, Takeover};
 use crate::output::Outcome;
 use crate::setup::Timing;
 
@@ -74,7 +74,7 @@
     /// The run that goes on.
     pub(crate) flight: Option<Flight>,
     /// The newest run, also after its end.
-    pub(crate) last: Option<Live>,
+    pub(crate) last: Option<ActiveRun>,
     /// The last position assembled.
     pub(crate) position: u32,
     /// The last position that the second holder has.
@@ -186,7 +186,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Flight {
     /// The run.
-    pub(crate) live: Live,
+    pub(crate) live: ActiveRun,
     /// How it began.
     pub(crate) begun: Begun,
     /// New connections to the same run since it last made progress.
@@ -209,9 +209,9 @@
     /// From a KV cache exported at another run.
     Imported {
         /// Where it was exported.
-        from: Live,
+        from: ActiveRun,
         /// Where it is imported.
-        place: Place,
+        place: Placement,
     },
 }
 
@@ -315,8 +315,8 @@
     }
 
     /// Says that this entry's owner is the one that goes on with the request.
-    pub(crate) fn taken_by(&self, owner: Instance) -> Taken {
-        Taken {
+    pub(crate) fn taken_by(&self, owner: Instance) -> Takeover {
+        Takeover {
             request: self.request(),
             owner,
             epoch: self.epoch,
@@ -329,7 +329,7 @@
     ///
     /// The new owner goes on from what it had as second holder, perhaps in other words than this
     /// one. So they can only if it had all that they were given.
-    pub(crate) fn continues_in(&self, taken: &Taken) -> bool {
+    pub(crate) fn continues_in(&self, taken: &Takeover) -> bool {
         let begun = self.served && self.position > 0;
         !begun || (self.lineage == taken.lineage && !self.loose)
     }
@@ -353,13 +353,13 @@
     }
 
     /// Returns how far it has got, for the second holder.
-    pub(crate) fn note(&self) -> Note {
+    pub(crate) fn note(&self) -> Progress {
         let outcome = match &self.phase {
             Phase::Finished { outcome, .. } => Some(outcome.clone()),
             Phase::Close { refusal, .. } => Some(Outcome::Refused(refusal.clone())),
             _ => None,
         };
-        Note {
+        Progress {
             request: self.request(),
             epoch: self.epoch,
             sequence: self.sequence,
--- a/crates/verbenaslip-request/src/follow.rs
+++ b/crates/verbenaslip-request/src/follow.rs
@@ -8,7 +8,7 @@
 use verbenaslip_base::refusal::{Reason, Refusal, Unknown};
 
 use crate::entry::{Begun, Entry, Flight, Phase};
-use crate::message::Live;
+use crate::message::ActiveRun;
 use crate::output::{Outcome, Output};
 use crate::requests::{Requests, Turn};
 use crate::run::{Cause, Failure, Start, Step};
@@ -122,7 +122,13 @@
     }
 
     /// Runs the request again where that does no harm, and ends it where it would.
-    fn run_again(&mut self, turn: &mut Turn<'_>, mut entry: Entry, live: &Live, failure: &Failure) {
+    fn run_again(
+        &mut self,
+        turn: &mut Turn<'_>,
+        mut entry: Entry,
+        live: &ActiveRun,
+        failure: &Failure,
+    ) {
         if entry.head.idempotent && entry.ends_upstreams() {
             self.finish(turn, entry, Outcome::Unknown(Unknown::UpstreamLost));
             return;
@@ -249,7 +255,7 @@
 
 /// Tells whether an upstream seems to have ended while it ran the request: nobody listens there any more when the
 /// run is joined again, or a plain service, where no run can be, closed without an answer.
-fn has_ended(live: &Live, failure: &Failure, rejoined: bool) -> bool {
+fn has_ended(live: &ActiveRun, failure: &Failure, rejoined: bool) -> bool {
     let closed = failure.cause == Cause::Closed;
     match live.kind {
         Kind::Engine => closed && rejoined && failure.step == Step::Connect,
--- a/crates/verbenaslip-request/src/hold.rs
+++ b/crates/verbenaslip-request/src/hold.rs
@@ -11,7 +11,7 @@
 
 use crate::arrive::Relay;
 use crate::caller::{Body, Ticket, Verdict};
-use crate::message::{Copy, Found, Kept, Message, Note, Reserve, Taken};
+use crate::message::{Ack, KeyStatus, Message, Progress, RequestCopy, Reserve, Takeover};
 use crate::output::{Outcome, Output};
 use crate::requests::{Requests, Turn};
 use crate::timer::Timer;
@@ -33,7 +33,7 @@
     /// The owner's start.
     pub(crate) boot: u64,
     /// How far the owner has got.
-    pub(crate) note: Note,
+    pub(crate) note: Progress,
     /// The last position held here.
     pub(crate) mirrored: u32,
     /// Whether the end is held here as well.
@@ -69,8 +69,8 @@
 
 impl Held {
     /// Says that this copy's owner is the one that goes on with the request.
-    pub(crate) fn taken(&self) -> Taken {
-        Taken {
+    pub(crate) fn taken(&self) -> Takeover {
+        Takeover {
             request: self.head.request,
             owner: self.owner.clone(),
             epoch: self.note.epoch,
@@ -109,21 +109,21 @@
     }
 
     /// Returns what is known of a key, and reserves it if that is nothing.
-    pub(crate) fn find(&mut self, now: Duration, asker: &Instance, reserve: &Reserve) -> Found {
+    pub(crate) fn find(&mut self, now: Duration, asker: &Instance, reserve: &Reserve) -> KeyStatus {
         let request = reserve.request;
         if let Some(entry) = self.entries.get(&request) {
             let owner = self.setup.instance.clone();
-            return Found::Held { owner, epoch: entry.told_epoch(), digest: entry.digest };
+            return KeyStatus::Held { owner, epoch: entry.told_epoch(), digest: entry.digest };
         }
         let mut doubtful = false;
         if let Some(copy) = self.copies.get(&request) {
             let (owner, digest) = (copy.owner.clone(), copy.digest);
             if copy.lost.is_none() {
                 let epoch = if copy.active() { copy.note.epoch } else { 0 };
-                return Found::Held { owner, epoch, digest };
+                return KeyStatus::Held { owner, epoch, digest };
             }
             if copy.active() {
-                return Found::Between { digest };
+                return KeyStatus::Between { digest };
             }
             doubtful = true;
         }
@@ -136,7 +136,7 @@
         asker: &Instance,
         reserve: &Reserve,
         mut doubtful: bool,
-    ) -> Found {
+    ) -> KeyStatus {
         let request = reserve.request;
         let known = self.reservations.get(&request);
         if let Some(known) = known {
@@ -144,10 +144,10 @@
             doubtful |= known.doubtful || (known.lost && !same);
             if !same && !known.lost && reserve.epoch <= known.epoch {
                 let (owner, epoch) = (known.owner.clone(), known.epoch);
-                return Found::Held { owner, epoch, digest: known.digest };
+                return KeyStatus::Held { owner, epoch, digest: known.digest };
             }
         } else if self.reservations.len() >= self.setup.limit.reservations {
-            return Found::Full;
+            return KeyStatus::Full;
         }
         let reservation = Reservation {
             owner: asker.clone(),
@@ -160,7 +160,7 @@
         self.reservations.insert(request, reservation);
         let until = now.saturating_add(reserve.remaining).saturating_add(RESERVATION);
         self.timers.set(Timer::Reserved(request), Some(until));
-        if doubtful { Found::Doubtful } else { Found::Free }
+        if doubtful { KeyStatus::Doubtful } else { KeyStatus::Free }
     }
 
     /// Forgets a reserved key.
@@ -172,7 +172,7 @@
     }
 
     /// Takes a copy to hold.
-    pub(crate) fn keep(&mut self, turn: &mut Turn<'_>, from: &Instance, copy: Copy) {
+    pub(crate) fn keep(&mut self, turn: &mut Turn<'_>, from: &Instance, copy: RequestCopy) {
         self.rebooted(turn, from, copy.boot);
         let request = copy.head.request;
         if copy.note.request != request || !self.admits(turn, from, &copy) {
@@ -210,7 +210,7 @@
     }
 
     /// Returns whether a copy may be held here; answers its owner if not.
-    fn admits(&mut self, turn: &mut Turn<'_>, from: &Instance, copy: &Copy) -> bool {
+    fn admits(&mut self, turn: &mut Turn<'_>, from: &Instance, copy: &RequestCopy) -> bool {
         let (request, epoch) = (copy.head.request, copy.note.epoch);
         let full = Message::Full { request, epoch };
         if self.stopping.is_some() {
@@ -228,7 +228,7 @@
             }
             if entry.epoch == epoch {
                 let (digest, epoch) = (entry.digest, entry.told_epoch());
-                let found = Found::Held { owner: self.setup.instance.clone(), epoch, digest };
+                let found = KeyStatus::Held { owner: self.setup.instance.clone(), epoch, digest };
                 turn.send(from, Message::Reserved { request, found });
                 turn.send(from, full);
                 return false;
@@ -239,7 +239,7 @@
             }
             let attempt = copy.note.live.as_ref().map(|live| live.attempt);
             let (owner, lineage) = (from.clone(), copy.note.lineage);
-            self.taken(turn, from, &Taken { request, owner, epoch, attempt, lineage });
+            self.taken(turn, from, &Takeover { request, owner, epoch, attempt, lineage });
             return !self.entries.contains_key(&request);
         }
         let Some(known) = self.copies.get(&request) else {
@@ -252,7 +252,7 @@
         if known.note.epoch == epoch && known.owner != *from && known.lost.is_none() {
             let (owner, digest) = (known.owner.clone(), known.digest);
             let epoch = if known.active() { epoch } else { 0 };
-            let found = Found::Held { owner, epoch, digest };
+            let found = KeyStatus::Held { owner, epoch, digest };
             turn.send(from, Message::Reserved { request, found });
             turn.send(from, full);
             return false;
@@ -260,7 +260,7 @@
         true
     }
 
-    fn hold(&mut self, turn: &mut Turn<'_>, from: &Instance, copy: Copy) {
+    fn hold(&mut self, turn: &mut Turn<'_>, from: &Instance, copy: RequestCopy) {
         let request = copy.head.request;
         let (epoch, sequence) = (copy.note.epoch, copy.note.sequence);
         let mut head = copy.head;
@@ -283,11 +283,11 @@
         };
         self.copies.insert(request, held);
         self.arm_copy(request);
-        turn.send(from, Message::Kept(Kept { request, epoch, sequence }));
+        turn.send(from, Message::Kept(Ack { request, epoch, sequence }));
     }
 
     /// Takes a note of how far an owner has got.
-    pub(crate) fn noted(&mut self, turn: &mut Turn<'_>, from: &Instance, note: Note) {
+    pub(crate) fn noted(&mut self, turn: &mut Turn<'_>, from: &Instance, note: Progress) {
         let (request, epoch) = (note.request, note.epoch);
         let refused = matches!(note.outcome, Some(Outcome::Refused(_)));
         if let Some(entry) = self.entries.get(&request) {
@@ -300,7 +300,7 @@
             match refused || matches!(note.outcome, Some(Outcome::Abandoned)) {
                 true => {
                     let sequence = note.sequence;
-                    turn.send(from, Message::Kept(Kept { request, epoch, sequence }));
+                    turn.send(from, Message::Kept(Ack { request, epoch, sequence }));
                 }
                 false => turn.send(from, Message::Full { request, epoch }),
             }
@@ -318,7 +318,7 @@
             copy.note = note;
         }
         let sequence = copy.note.sequence;
-        turn.send(from, Message::Kept(Kept { request, epoch, sequence }));
+        turn.send(from, Message::Kept(Ack { request, epoch, sequence }));
         self.settle_copy(turn, request);
     }
 
--- a/crates/verbenaslip-request/src/input.rs
+++ b/crates/verbenaslip-request/src/input.rs
@@ -73,7 +73,7 @@
         /// The request.
         request: Request,
         /// Where it goes.
-        place: Place,
+        place: Placement,
     },
     /// The router has found no upstream.
     NoPlace {
@@ -146,7 +146,7 @@
 
 /// Says where a request goes.
 #[data]
-pub struct Place {
+pub struct Placement {
     /// The upstream.
     pub upstream: Upstream,
     /// Its address.
--- a/crates/verbenaslip-request/src/journal.rs
+++ b/crates/verbenaslip-request/src/journal.rs
@@ -7,7 +7,7 @@
 use verbenaslip_base::refusal::{Reason, Refusal};
 
 use crate::entry::{Entry, Holder, Phase};
-use crate::message::{Copy, Kept, Message, Reserve};
+use crate::message::{Ack, Message, RequestCopy, Reserve};
 use crate::output::Output;
 use crate::requests::{Requests, Turn};
 use crate::setup::Journal;
@@ -105,7 +105,7 @@
         holder.tries += 1;
         holder.due = Some(turn.now.saturating_add(self.setup.timing.resend));
         let (body, digest, boot) = (entry.body.clone(), entry.digest, self.setup.boot);
-        let copy = Box::new(Copy { head, body, digest, boot, note });
+        let copy = Box::new(RequestCopy { head, body, digest, boot, note });
         turn.send(&holder.instance, Message::Put(copy));
     }
 
@@ -126,7 +126,7 @@
     }
 
     /// Takes a holder's word that it has the request.
-    pub(crate) fn kept(&mut self, turn: &mut Turn<'_>, from: &Instance, kept: Kept) {
+    pub(crate) fn kept(&mut self, turn: &mut Turn<'_>, from: &Instance, kept: Ack) {
         let Some(mut entry) = self.take(kept.request) else {
             return;
         };
--- a/crates/verbenaslip-request/src/launch.rs
+++ b/crates/verbenaslip-request/src/launch.rs
@@ -11,9 +11,9 @@
 use crate::caller::Verdict;
 use crate::claim::{Claim, Ruling};
 use crate::entry::{Begun, Entry, Flight, Moving, Phase};
-use crate::input::Place;
-use crate::message::Live;
-use crate::output::{Outcome, Output, Wanted};
+use crate::input::Placement;
+use crate::message::ActiveRun;
+use crate::output::{Outcome, Output, PlacementRequest};
 use crate::requests::{Requests, Turn};
 use crate::run::{Run, Start};
 use crate::timer::Timer;
@@ -172,7 +172,7 @@
 
     pub(crate) fn want(&self, turn: &mut Turn<'_>, entry: &Entry, from: Option<Upstream>) {
         let leaving = self.leaving.keys().filter(|upstream| !entry.without.contains(*upstream));
-        turn.out.push(Output::Place(Wanted {
+        turn.out.push(Output::Place(PlacementRequest {
             head: entry.head.clone(),
             position: entry.position,
             without: entry.without.iter().chain(leaving).cloned().collect(),
@@ -181,7 +181,7 @@
     }
 
     /// Takes the router's choice.
-    pub(crate) fn placed(&mut self, turn: &mut Turn<'_>, request: Request, place: Place) {
+    pub(crate) fn placed(&mut self, turn: &mut Turn<'_>, request: Request, place: Placement) {
         let Some(entry) = self.take(request) else {
             return;
         };
@@ -203,7 +203,7 @@
     }
 
     /// Begins a run from prompt and tokens.
-    pub(crate) fn begin(&mut self, turn: &mut Turn<'_>, mut entry: Entry, place: &Place) {
+    pub(crate) fn begin(&mut self, turn: &mut Turn<'_>, mut entry: Entry, place: &Placement) {
         let Some(attempt) = entry.next_attempt() else {
             self.finish(turn, entry, Outcome::Unknown(Unknown::UpstreamLost));
             return;
@@ -222,7 +222,7 @@
         &mut self,
         turn: &mut Turn<'_>,
         entry: &mut Entry,
-        live: Live,
+        live: ActiveRun,
         start: Start,
         begun: Begun,
     ) {
@@ -311,8 +311,8 @@
 }
 
 /// Names a run at a place.
-pub(crate) fn live_at(attempt: Attempt, place: &Place) -> Live {
-    Live {
+pub(crate) fn live_at(attempt: Attempt, place: &Placement) -> ActiveRun {
+    ActiveRun {
         attempt,
         upstream: place.upstream.clone(),
         address: place.address,
--- a/crates/verbenaslip-request/src/lib.rs
+++ b/crates/verbenaslip-request/src/lib.rs
@@ -41,4 +41,4 @@
 mod takeover;
 mod timer;
 
-pub use requests::{Count, Requests};
+pub use requests::{Counts, Requests};
--- a/crates/verbenaslip-request/src/lookup.rs
+++ b/crates/verbenaslip-request/src/lookup.rs
@@ -8,7 +8,7 @@
 use verbenaslip_base::refusal::{Refusal, Unknown};
 
 use crate::entry::{Entry, Phase};
-use crate::message::{Found, Message, Reserve};
+use crate::message::{KeyStatus, Message, Reserve};
 use crate::output::Outcome;
 use crate::requests::{Requests, Turn};
 use crate::timer::Timer;
@@ -37,11 +37,11 @@
     /// When it was last asked.
     at: Duration,
     /// Its answer.
-    found: Option<Found>,
+    found: Option<KeyStatus>,
 }
 
 impl Lookup {
-    fn found(&self) -> impl Iterator<Item = &Found> {
+    fn found(&self) -> impl Iterator<Item = &KeyStatus> {
         self.asked.values().filter_map(|asked| asked.found.as_ref())
     }
 
@@ -141,16 +141,16 @@
         turn: &mut Turn<'_>,
         from: &Instance,
         request: Request,
-        found: Found,
+        found: KeyStatus,
     ) {
         let Some(mut entry) = self.take(request) else {
             return;
         };
         if let Phase::Lookup(lookup) = &mut entry.phase {
-            if matches!(found, Found::Between { .. } | Found::Held { .. }) {
+            if matches!(found, KeyStatus::Between { .. } | KeyStatus::Held { .. }) {
                 lookup.tries = 0;
             }
-            let accepted = matches!(found, Found::Held { epoch, .. } if epoch > 0);
+            let accepted = matches!(found, KeyStatus::Held { epoch, .. } if epoch > 0);
             lookup.doubt |= accepted;
             if accepted || lookup.asked.contains_key(from) {
                 let asked = Asked { at: turn.now, found: None };
@@ -168,9 +168,9 @@
     ///
     /// An instance that was frozen after its lookup comes back with an answer that is no longer
     /// true; one would notice a second run.
-    fn heed(&mut self, turn: &mut Turn<'_>, mut entry: Entry, found: Found) {
+    fn heed(&mut self, turn: &mut Turn<'_>, mut entry: Entry, found: KeyStatus) {
         let early = matches!(entry.phase, Phase::Admit | Phase::Journal { .. });
-        let Found::Held { owner, epoch, digest } = found else {
+        let KeyStatus::Held { owner, epoch, digest } = found else {
             self.put(entry);
             return;
         };
@@ -207,7 +207,7 @@
             return;
         }
         for asked in lookup.asked.values_mut() {
-            if matches!(asked.found, Some(Found::Between { .. } | Found::Held { .. })) {
+            if matches!(asked.found, Some(KeyStatus::Between { .. } | KeyStatus::Held { .. })) {
                 asked.found = None;
             }
         }
@@ -226,9 +226,9 @@
             return;
         }
         let waits = lookup.found().any(|found| match found {
-            Found::Between { .. } => true,
-            Found::Held { owner, epoch, .. } => *epoch > 0 && !self.view.alive(owner),
-            Found::Free | Found::Doubtful | Found::Full => false,
+            KeyStatus::Between { .. } => true,
+            KeyStatus::Held { owner, epoch, .. } => *epoch > 0 && !self.view.alive(owner),
+            KeyStatus::Free | KeyStatus::Doubtful | KeyStatus::Full => false,
         });
         let answered = lookup.answered(&self.setup.instance);
         let tired = lookup.tries > self.setup.timing.tries && answered;
@@ -275,7 +275,8 @@
         }
         let complete = self.is_complete(turn.now, &entry, lookup);
         let refusal = lookup.refusal.clone();
-        let knows = |asked: &Asked| matches!(asked.found, Some(Found::Free | Found::Doubtful));
+        let knows =
+            |asked: &Asked| matches!(asked.found, Some(KeyStatus::Free | KeyStatus::Doubtful));
         let informed = lookup.asked.iter().filter(|(_, asked)| knows(asked));
         entry.informed = informed.map(|(home, _)| home.clone()).collect();
         entry.looked = turn.now;
@@ -295,9 +296,9 @@
     fn is_complete(&self, now: Duration, entry: &Entry, lookup: &Lookup) -> bool {
         let doubt = lookup.doubt
             || lookup.found().any(|found| match found {
-                Found::Doubtful => true,
-                Found::Held { owner, .. } => *owner != self.setup.instance,
-                Found::Free | Found::Between { .. } | Found::Full => false,
+                KeyStatus::Doubtful => true,
+                KeyStatus::Held { owner, .. } => *owner != self.setup.instance,
+                KeyStatus::Free | KeyStatus::Between { .. } | KeyStatus::Full => false,
             });
         let since = now.saturating_sub(self.setup.timing.retention);
         let misses = self.view.misses(entry.request(), since);
@@ -306,7 +307,9 @@
 
     fn accepted_owner(&self, lookup: &Lookup) -> Option<(Instance, u128)> {
         let held = lookup.found().filter_map(|found| match found {
-            Found::Held { owner, epoch, digest } if *epoch > 0 => Some((*epoch, owner, *digest)),
+            KeyStatus::Held { owner, epoch, digest } if *epoch > 0 => {
+                Some((*epoch, owner, *digest))
+            }
             _ => None,
         });
         let (_, owner, digest) = held
@@ -323,7 +326,7 @@
         let homes = self.view.homes(entry.request());
         let mut answers = homes.iter().filter_map(|home| lookup.asked.get(home));
         match answers.find_map(|asked| asked.found.as_ref())? {
-            Found::Held { owner, epoch: 0, digest } if *owner != self.setup.instance => {
+            KeyStatus::Held { owner, epoch: 0, digest } if *owner != self.setup.instance => {
                 self.view.alive(owner).then(|| (owner.clone(), *digest))
             }
             _ => None,
--- a/crates/verbenaslip-request/src/message.rs
+++ b/crates/verbenaslip-request/src/message.rs
@@ -26,14 +26,14 @@
         /// The request asked about.
         request: Request,
         /// What the home knows.
-        found: Found,
+        found: KeyStatus,
     },
     /// Gives a home the whole request to hold.
-    Put(Box<Copy>),
+    Put(Box<RequestCopy>),
     /// Tells the second holder how far its owner has got.
-    Note(Note),
+    Note(Progress),
     /// Answers a put or a note.
-    Kept(Kept),
+    Kept(Ack),
     /// Answers a put: the home has no room.
     Full {
         /// The request that was not kept.
@@ -42,7 +42,7 @@
         epoch: u16,
     },
     /// Tells a former owner that it no longer owns the request.
-    Taken(Taken),
+    Taken(Takeover),
     /// Answers that the former owner has given the request up.
     Yielded {
         /// The request.
@@ -51,7 +51,7 @@
         epoch: u16,
     },
     /// Asks the second holder to take the request over at once, because its owner stops.
-    HandOver(Note),
+    HandOver(Progress),
     /// Tells a home to forget the request: it was surely not run, or nobody wants it any more.
     Drop {
         /// The request.
@@ -97,7 +97,7 @@
 
 /// Says what a home knows of a key.
 #[data]
-pub enum Found {
+pub enum KeyStatus {
     /// It was unknown and is now reserved for the asker.
     Free,
     /// Another instance owns it.
@@ -123,7 +123,7 @@
 
 /// Holds all that a second holder needs to take a request over.
 #[data]
-pub struct Copy {
+pub struct RequestCopy {
     /// The request; its deadline counts from zero as the time that remains.
     pub head: Head,
     /// What is sent to the upstream; none when the request is finished.
@@ -133,12 +133,12 @@
     /// The owner's start.
     pub boot: u64,
     /// How far the owner has got.
-    pub note: Note,
+    pub note: Progress,
 }
 
 /// Says how far an owner has got with a request.
 #[data]
-pub struct Note {
+pub struct Progress {
     /// The request.
     pub request: Request,
     /// The owner's epoch.
@@ -146,7 +146,7 @@
     /// Rises with each note of one epoch.
     pub sequence: u32,
     /// The run that goes on, if any.
-    pub live: Option<Live>,
+    pub live: Option<ActiveRun>,
     /// The highest attempt number given so far.
     pub number: u32,
     /// Whether any attempt may have run.
@@ -163,7 +163,7 @@
 
 /// Says where a run goes on, so that a new owner can join it.
 #[data]
-pub struct Live {
+pub struct ActiveRun {
     /// The run.
     pub attempt: Attempt,
     /// The upstream.
@@ -178,7 +178,7 @@
 
 /// Answers that a copy is held up to a note.
 #[data(copy)]
-pub struct Kept {
+pub struct Ack {
     /// The request.
     pub request: Request,
     /// The owner's epoch.
@@ -189,7 +189,7 @@
 
 /// Says who owns a request from now on.
 #[data]
-pub struct Taken {
+pub struct Takeover {
     /// The request.
     pub request: Request,
     /// The new owner.
--- a/crates/verbenaslip-request/src/output.rs
+++ b/crates/verbenaslip-request/src/output.rs
@@ -8,7 +8,7 @@
 
 use crate::caller::{Ticket, Verdict};
 use crate::claim::Claim;
-use crate::message::{Live, Message};
+use crate::message::{ActiveRun, Message};
 use crate::run::Run;
 
 /// Wants one thing done.
@@ -38,7 +38,7 @@
         outcome: Outcome,
     },
     /// Asks the router for an upstream; answered by `Placed` or `NoPlace`.
-    Place(Wanted),
+    Place(PlacementRequest),
     /// Asks the retry budget; answered by `Retry`.
     Retry {
         /// The request.
@@ -49,7 +49,7 @@
     /// Runs a request at an upstream.
     Run(Run),
     /// Stops a run at its upstream and drops its late tokens.
-    Cancel(Live),
+    Cancel(ActiveRun),
     /// Copies the answer, and all that is added to it, to the second holder; none stops it.
     /// While there is one, callers get only what it has.
     Mirror {
@@ -94,7 +94,7 @@
 
 /// Says what an upstream is wanted for.
 #[data]
-pub struct Wanted {
+pub struct PlacementRequest {
     /// The request.
     pub head: Head,
     /// Tokens of the answer that are there already.
--- a/crates/verbenaslip-request/src/relocate.rs
+++ b/crates/verbenaslip-request/src/relocate.rs
@@ -7,9 +7,9 @@
 use verbenaslip_base::refusal::Unknown;
 
 use crate::entry::{Begun, Entry, Flight, Moving};
-use crate::input::Place;
+use crate::input::Placement;
 use crate::launch::live_at;
-use crate::message::Live;
+use crate::message::ActiveRun;
 use crate::output::{Outcome, Output};
 use crate::requests::{Requests, Turn};
 use crate::run::{Start, Step};
@@ -101,7 +101,7 @@
     }
 
     /// Moves a run to the place that the router has found.
-    pub(crate) fn relocate(&mut self, turn: &mut Turn<'_>, mut entry: Entry, place: Place) {
+    pub(crate) fn relocate(&mut self, turn: &mut Turn<'_>, mut entry: Entry, place: Placement) {
         let Some(flight) = &mut entry.flight else {
             self.put(entry);
             return;
@@ -129,7 +129,13 @@
     }
 
     /// Returns whether a KV cache can be moved in time and for less than computing it again.
-    fn import_pays(&self, now: Duration, entry: &Entry, from: &Live, place: &Place) -> bool {
+    fn import_pays(
+        &self,
+        now: Duration,
+        entry: &Entry,
+        from: &ActiveRun,
+        place: &Placement,
+    ) -> bool {
         if from.kind != Kind::Engine || place.kind != Kind::Engine || !place.imports {
             return false;
         }
@@ -149,7 +155,7 @@
         fits && (transfer <= compute || !entry.head.idempotent)
     }
 
-    fn import(&mut self, turn: &mut Turn<'_>, mut entry: Entry, from: Live, place: Place) {
+    fn import(&mut self, turn: &mut Turn<'_>, mut entry: Entry, from: ActiveRun, place: Placement) {
         let Some(attempt) = entry.next_attempt() else {
             self.put(entry);
             return;
@@ -167,8 +173,8 @@
         turn: &mut Turn<'_>,
         mut entry: Entry,
         step: Step,
-        from: Live,
-        place: &Place,
+        from: ActiveRun,
+        place: &Placement,
     ) {
         if entry.head.idempotent {
             turn.out.push(Output::Cancel(from));
--- a/crates/verbenaslip-request/src/requests.rs
+++ b/crates/verbenaslip-request/src/requests.rs
@@ -63,7 +63,7 @@
 
 /// Counts what an instance holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Count {
+pub struct Counts {
     /// Requests owned and not finished.
     pub owned: usize,
     /// Copies held for other owners and not finished.
@@ -114,15 +114,15 @@
     }
 
     /// Returns when `step` must be called at the latest.
-    pub fn wake(&self) -> Option<Duration> {
+    pub fn next_wakeup(&self) -> Option<Duration> {
         self.timers.next()
     }
 
     /// Counts what is held.
-    pub fn count(&self) -> Count {
+    pub fn counts(&self) -> Counts {
         let owned = self.entries.values().filter(|entry| !entry.finished()).count();
         let copies = self.copies.values().filter(|copy| !copy.finished()).count();
-        Count {
+        Counts {
             owned,
             copies,
             finished: self.entries.len() + self.copies.len() - owned - copies,
--- a/crates/verbenaslip-request/src/takeover.rs
+++ b/crates/verbenaslip-request/src/takeover.rs
@@ -10,7 +10,7 @@
 use crate::caller::Verdict;
 use crate::entry::{Begun, Entry, Ousted, Phase};
 use crate::hold::Held;
-use crate::message::{Message, Note, Taken};
+use crate::message::{Message, Progress, Takeover};
 use crate::output::{Outcome, Output};
 use crate::requests::{Requests, Turn};
 use crate::run::Start;
@@ -370,7 +370,7 @@
     ///
     /// This instance was frozen or cut off, others believed it dead, and the second holder took the
     /// request over. Had both go on, a caller could get halves of two answers.
-    pub(crate) fn taken(&mut self, turn: &mut Turn<'_>, from: &Instance, taken: &Taken) {
+    pub(crate) fn taken(&mut self, turn: &mut Turn<'_>, from: &Instance, taken: &Takeover) {
         let (request, epoch) = (taken.request, taken.epoch);
         let outranked = self.entries.get(&request).is_none_or(|entry| entry.epoch < epoch);
         if taken.owner == self.setup.instance || !outranked {
@@ -415,7 +415,7 @@
     }
 
     /// Takes over from an owner that stops.
-    pub(crate) fn handed(&mut self, turn: &mut Turn<'_>, from: &Instance, note: Note) {
+    pub(crate) fn handed(&mut self, turn: &mut Turn<'_>, from: &Instance, note: Progress) {
         let (request, epoch) = (note.request, note.epoch);
         if self.entries.get(&request).is_some_and(|entry| entry.epoch > epoch) {
             self.oust(turn, request, from);
--- a/crates/verbenaslip-request/tests/answer.rs
+++ b/crates/verbenaslip-request/tests/answer.rs
@@ -1,7 +1,7 @@
 //! The assembler of answers: what is taken, what is dropped, what callers may have.
 
 use verbenaslip_base::attempt::{Attempt, Request};
-use verbenaslip_request::answer::{Added, Answer, Whole};
+use verbenaslip_request::answer::{Answer, AppendResult, ServiceResponse};
 
 const LIMIT: usize = 64;
 
@@ -10,7 +10,7 @@
 }
 
 /// One case: its name, what is delivered, what becomes of the last, and the text then.
-type Case = (&'static str, &'static [Delivery], Added, &'static str);
+type Case = (&'static str, &'static [Delivery], AppendResult, &'static str);
 
 /// One delivery: attempt, last position, tokens, text.
 type Delivery = (u32, u32, u32, &'static str);
@@ -20,26 +20,26 @@
     // A moved stream and the old one both send, late, twice and out of order. Were a position taken
     // twice or from the wrong attempt, the caller would read words of two runs.
     let cases: [Case; 9] = [
-        ("next", &[(2, 1, 1, "a"), (2, 3, 2, "bc")], Added::Appended, "abc"),
-        ("old attempt", &[(2, 1, 1, "a"), (1, 2, 1, "x")], Added::Late, "a"),
-        ("later attempt not begun", &[(2, 1, 1, "a"), (3, 2, 1, "x")], Added::Late, "a"),
-        ("twice", &[(2, 1, 1, "a"), (2, 1, 1, "a")], Added::Duplicate, "a"),
-        ("overlap", &[(2, 2, 2, "ab"), (2, 3, 2, "bc")], Added::Gap { expected: 3 }, "ab"),
-        ("skipped", &[(2, 1, 1, "a"), (2, 3, 1, "c")], Added::Gap { expected: 2 }, "a"),
-        ("no tokens", &[(2, 1, 1, "a"), (2, 2, 0, "")], Added::Gap { expected: 2 }, "a"),
-        ("more tokens than positions", &[(2, 1, 9, "a")], Added::Gap { expected: 1 }, ""),
-        ("too large", &[(2, 1, 1, "a"), (2, 2, 1, TEXT)], Added::Full, "a"),
+        ("next", &[(2, 1, 1, "a"), (2, 3, 2, "bc")], AppendResult::Appended, "abc"),
+        ("old attempt", &[(2, 1, 1, "a"), (1, 2, 1, "x")], AppendResult::Late, "a"),
+        ("later attempt not begun", &[(2, 1, 1, "a"), (3, 2, 1, "x")], AppendResult::Late, "a"),
+        ("twice", &[(2, 1, 1, "a"), (2, 1, 1, "a")], AppendResult::Duplicate, "a"),
+        ("overlap", &[(2, 2, 2, "ab"), (2, 3, 2, "bc")], AppendResult::Gap { expected: 3 }, "ab"),
+        ("skipped", &[(2, 1, 1, "a"), (2, 3, 1, "c")], AppendResult::Gap { expected: 2 }, "a"),
+        ("no tokens", &[(2, 1, 1, "a"), (2, 2, 0, "")], AppendResult::Gap { expected: 2 }, "a"),
+        ("more tokens than positions", &[(2, 1, 9, "a")], AppendResult::Gap { expected: 1 }, ""),
+        ("too large", &[(2, 1, 1, "a"), (2, 2, 1, TEXT)], AppendResult::Full, "a"),
     ];
     for (name, deliveries, last, text) in cases {
         let mut answer = Answer::open(LIMIT);
-        answer.begin(attempt(2));
-        let mut added = Added::Late;
+        answer.begin_attempt(attempt(2));
+        let mut added = AppendResult::Late;
         for (number, position, count, text) in deliveries {
             added = answer.append(attempt(*number), *position, *count, text);
         }
         assert_eq!(added, last, "{name}");
         assert_eq!(answer.text(), text, "{name}");
-        assert!(answer.ended().is_none(), "{name}");
+        assert!(answer.released_end().is_none(), "{name}");
         assert!(answer.bytes() <= LIMIT, "{name}");
     }
 }
@@ -49,34 +49,40 @@
 #[test]
 fn only_the_end_mark_after_all_tokens_ends_an_answer() {
     let cases = [
-        ("right", 2, 2, Added::Appended),
-        ("before the last token", 2, 3, Added::Gap { expected: 3 }),
-        ("of an old attempt", 1, 2, Added::Late),
+        ("right", 2, 2, AppendResult::Appended),
+        ("before the last token", 2, 3, AppendResult::Gap { expected: 3 }),
+        ("of an old attempt", 1, 2, AppendResult::Late),
     ];
     for (name, number, position, expected) in cases {
         let mut answer = Answer::open(LIMIT);
-        answer.begin(attempt(2));
+        answer.begin_attempt(attempt(2));
         answer.append(attempt(2), 2, 2, "ab");
         assert_eq!(answer.end(attempt(number), position, "stop"), expected, "{name}");
-        let ended = expected == Added::Appended;
-        assert_eq!(answer.ended().is_some(), ended, "{name}");
+        let ended = expected == AppendResult::Appended;
+        assert_eq!(answer.released_end().is_some(), ended, "{name}");
         let more = answer.append(attempt(2), 3, 1, "c");
-        assert_eq!(more, if ended { Added::Late } else { Added::Appended }, "{name}");
+        assert_eq!(more, if ended { AppendResult::Late } else { AppendResult::Appended }, "{name}");
     }
 }
 
 #[test]
 fn a_whole_body_is_taken_once_and_not_beside_tokens() {
-    let whole =
-        |text: &[u8]| Whole { status: 200, content: "text/plain".into(), bytes: text.into() };
+    let whole = |text: &[u8]| ServiceResponse {
+        status: 200,
+        content: "text/plain".into(),
+        bytes: text.into(),
+    };
     let mut answer = Answer::open(LIMIT);
-    answer.begin(attempt(1));
-    assert_eq!(answer.fill(attempt(2), whole(b"x")), Added::Late);
-    assert_eq!(answer.fill(attempt(1), whole(TEXT.repeat(2).as_bytes())), Added::Full);
-    assert_eq!(answer.fill(attempt(1), whole(b"ok")), Added::Appended);
-    assert_eq!(answer.fill(attempt(1), whole(b"no")), Added::Duplicate);
-    assert_eq!(answer.append(attempt(1), 1, 1, "a"), Added::Late);
-    assert_eq!(answer.filled().map(|whole| whole.bytes.to_vec()), Some(b"ok".to_vec()));
+    answer.begin_attempt(attempt(1));
+    assert_eq!(answer.set_response(attempt(2), whole(b"x")), AppendResult::Late);
+    assert_eq!(
+        answer.set_response(attempt(1), whole(TEXT.repeat(2).as_bytes())),
+        AppendResult::Full
+    );
+    assert_eq!(answer.set_response(attempt(1), whole(b"ok")), AppendResult::Appended);
+    assert_eq!(answer.set_response(attempt(1), whole(b"no")), AppendResult::Duplicate);
+    assert_eq!(answer.append(attempt(1), 1, 1, "a"), AppendResult::Late);
+    assert_eq!(answer.response().map(|whole| whole.bytes.to_vec()), Some(b"ok".to_vec()));
 }
 
 #[test]
@@ -84,34 +90,36 @@
     // The owner dies after the caller has read tokens that the second holder lacks. It goes on from
     // what it has, in other words perhaps, and the caller would have halves of two answers.
     let mut answer = Answer::open(LIMIT);
-    answer.begin(attempt(1));
-    answer.mirror(true);
+    answer.begin_attempt(attempt(1));
+    answer.set_mirroring(true);
     for position in 1..=4 {
         answer.append(attempt(1), position, 1, "a");
     }
     answer.end(attempt(1), 4, "stop");
-    assert_eq!(answer.events(0).count(), 0);
-    answer.mirrored(3, false);
-    answer.mirrored(2, false);
-    assert_eq!(answer.events(1).map(|piece| piece.position).collect::<Vec<_>>(), [2, 3]);
-    assert!(answer.ended().is_none() && answer.end_mark().is_some() && answer.unmirrored());
-    answer.mirrored(4, false);
-    assert!(answer.ended().is_some() && answer.unmirrored());
-    answer.mirrored(4, true);
-    assert!(!answer.unmirrored());
-    assert_eq!(answer.events(u32::MAX).count(), 0);
+    assert_eq!(answer.released_batches(0).count(), 0);
+    answer.record_mirrored(3, false);
+    answer.record_mirrored(2, false);
+    assert_eq!(answer.released_batches(1).map(|piece| piece.position).collect::<Vec<_>>(), [2, 3]);
+    assert!(
+        answer.released_end().is_none() && answer.end_mark().is_some() && answer.is_mirror_behind()
+    );
+    answer.record_mirrored(4, false);
+    assert!(answer.released_end().is_some() && answer.is_mirror_behind());
+    answer.record_mirrored(4, true);
+    assert!(!answer.is_mirror_behind());
+    assert_eq!(answer.released_batches(u32::MAX).count(), 0);
 }
 
 #[test]
 fn copies_of_a_later_epoch_begin_anew_and_those_of_an_earlier_are_late() {
     let mut answer = Answer::open(LIMIT);
-    assert_eq!(answer.copy(1, 2, 2, "ab"), Added::Appended);
-    assert_eq!(answer.copy(2, 3, 1, "c"), Added::Gap { expected: 1 });
-    assert_eq!(answer.copy(2, 1, 1, "x"), Added::Appended);
-    assert_eq!(answer.copy(1, 2, 1, "b"), Added::Late);
-    answer.own(3);
-    assert_eq!(answer.copy_end(2, 1, "stop"), Added::Late);
-    answer.begin(attempt(5));
-    assert_eq!(answer.append(attempt(5), 2, 1, "y"), Added::Appended);
+    assert_eq!(answer.copy(1, 2, 2, "ab"), AppendResult::Appended);
+    assert_eq!(answer.copy(2, 3, 1, "c"), AppendResult::Gap { expected: 1 });
+    assert_eq!(answer.copy(2, 1, 1, "x"), AppendResult::Appended);
+    assert_eq!(answer.copy(1, 2, 1, "b"), AppendResult::Late);
+    answer.take_ownership(3);
+    assert_eq!(answer.copy_end(2, 1, "stop"), AppendResult::Late);
+    answer.begin_attempt(attempt(5));
+    assert_eq!(answer.append(attempt(5), 2, 1, "y"), AppendResult::Appended);
     assert_eq!((answer.text().as_str(), answer.epoch()), ("xy", 3));
 }
--- a/crates/verbenaslip-request/tests/cost.rs
+++ b/crates/verbenaslip-request/tests/cost.rs
@@ -86,7 +86,7 @@
     // the run: had nobody, the caller's tokens would be gone with both.
     for first in ["owner", "holder"] {
         let mut world = world(20, PROMPT, CHAT);
-        let holder = (1..3).find(|at| world.nodes[*at].requests.count().copies > 0);
+        let holder = (1..3).find(|at| world.nodes[*at].requests.counts().copies > 0);
         let lost = if first == "owner" { 0 } else { holder.expect("it is held") };
         let now = world.now;
         world.at(now, Event::Fault(Fault::Kill(lost)));
--- a/crates/verbenaslip-request/tests/garbage.rs
+++ b/crates/verbenaslip-request/tests/garbage.rs
@@ -13,8 +13,10 @@
 use verbenaslip_request::Requests;
 use verbenaslip_request::caller::{Arrival, Body, Ticket};
 use verbenaslip_request::claim::Ruling;
-use verbenaslip_request::input::{Input, Member, Place};
-use verbenaslip_request::message::{Copy, Found, Kept, Live, Message, Note, Reserve, Taken};
+use verbenaslip_request::input::{Input, Member, Placement};
+use verbenaslip_request::message::{
+    Ack, ActiveRun, KeyStatus, Message, Progress, RequestCopy, Reserve, Takeover,
+};
 use verbenaslip_request::output::{Outcome, Output};
 use verbenaslip_request::run::{Cause, Event, Failure, Step};
 use verbenaslip_request::setup::Setup;
@@ -81,8 +83,8 @@
         if self.flip() { Kind::Engine } else { Kind::Service }
     }
 
-    fn live(&mut self) -> Live {
-        Live {
+    fn live(&mut self) -> ActiveRun {
+        ActiveRun {
             attempt: self.attempt(),
             upstream: "u".into(),
             address: ([127, 0, 0, 1], 1).into(),
@@ -105,8 +107,8 @@
         }
     }
 
-    fn note(&mut self, request: Request) -> Note {
-        Note {
+    fn note(&mut self, request: Request) -> Progress {
+        Progress {
             request,
             epoch: self.epoch(),
             sequence: self.number(),
@@ -120,14 +122,14 @@
         }
     }
 
-    fn found(&mut self) -> Found {
+    fn found(&mut self) -> KeyStatus {
         let digest = self.body().digest();
         match self.pick(5) {
-            0 => Found::Free,
-            1 => Found::Held { owner: self.instance(), epoch: self.epoch(), digest },
-            2 => Found::Between { digest },
-            3 => Found::Doubtful,
-            _ => Found::Full,
+            0 => KeyStatus::Free,
+            1 => KeyStatus::Held { owner: self.instance(), epoch: self.epoch(), digest },
+            2 => KeyStatus::Between { digest },
+            3 => KeyStatus::Doubtful,
+            _ => KeyStatus::Full,
         }
     }
 
@@ -142,15 +144,15 @@
                 let head = self.head();
                 let note = self.note(head.request);
                 let body = self.flip().then(|| self.body().into());
-                Message::Put(Box::new(Copy { head, body, digest, boot, note }))
+                Message::Put(Box::new(RequestCopy { head, body, digest, boot, note }))
             }
             3 => Message::Note(self.note(request)),
-            4 => Message::Kept(Kept { request, epoch, sequence: self.number() }),
+            4 => Message::Kept(Ack { request, epoch, sequence: self.number() }),
             5 => Message::Full { request, epoch },
             6 => {
                 let attempt = self.flip().then(|| self.attempt());
                 let (owner, lineage) = (self.instance(), self.pick(3));
-                Message::Taken(Taken { request, owner, epoch, attempt, lineage })
+                Message::Taken(Takeover { request, owner, epoch, attempt, lineage })
             }
             7 => Message::Yielded { request, epoch },
             8 => Message::HandOver(self.note(request)),
@@ -224,8 +226,8 @@
         Input::Claimed { request, claimant, ruling }
     }
 
-    fn place(&mut self) -> Place {
-        Place {
+    fn place(&mut self) -> Placement {
+        Placement {
             upstream: "u".into(),
             address: ([127, 0, 0, 1], 1).into(),
             kind: self.kind(),
@@ -264,7 +266,7 @@
                     _ => {}
                 }
             }
-            let count = requests.count();
+            let count = requests.counts();
             assert!(count.owned <= limit.owned + limit.copies, "seed {seed}: {count:?}");
             assert!(count.copies <= limit.copies, "seed {seed}: {count:?}");
             assert!(count.bytes <= limit.bytes, "seed {seed}: {count:?}");
--- a/crates/verbenaslip-request/tests/single.rs
+++ b/crates/verbenaslip-request/tests/single.rs
@@ -9,8 +9,8 @@
 use verbenaslip_request::Requests;
 use verbenaslip_request::caller::{Arrival, Body, Ticket, Verdict};
 use verbenaslip_request::claim::Ruling;
-use verbenaslip_request::input::{Input, Member, Place};
-use verbenaslip_request::message::{Found, Kept, Message, Note, Taken};
+use verbenaslip_request::input::{Input, Member, Placement};
+use verbenaslip_request::message::{Ack, KeyStatus, Message, Progress, Takeover};
 use verbenaslip_request::output::{Outcome, Output};
 use verbenaslip_request::run::{Cause, Event, Failure, Start, Step};
 use verbenaslip_request::setup::{Journal, Setup};
@@ -94,7 +94,7 @@
             Output::Retry { .. } => self.step(Input::Retry { request: R, granted: None }),
             Output::Run(run) => self.attempt = Some(run.attempt),
             Output::Send { to, message: Message::Reserve(_) } => {
-                let message = Message::Reserved { request: R, found: Found::Free };
+                let message = Message::Reserved { request: R, found: KeyStatus::Free };
                 self.step(Input::Heard { from: to, message });
             }
             Output::Send { to, message: Message::Put(copy) } => self.keep(to, &copy.note),
@@ -103,9 +103,9 @@
         }
     }
 
-    fn keep(&mut self, from: verbenaslip_base::name::Instance, note: &Note) {
+    fn keep(&mut self, from: verbenaslip_base::name::Instance, note: &Progress) {
         let (request, epoch, sequence) = (note.request, note.epoch, note.sequence);
-        let message = Message::Kept(Kept { request, epoch, sequence });
+        let message = Message::Kept(Ack { request, epoch, sequence });
         self.step(Input::Heard { from, message });
     }
 
@@ -121,7 +121,7 @@
     /// Follows the timers until nothing is due before a time.
     fn sleep(&mut self, until: Duration) {
         for _ in 0..10_000 {
-            let Some(at) = self.requests.wake().filter(|at| *at <= until) else {
+            let Some(at) = self.requests.next_wakeup().filter(|at| *at <= until) else {
                 self.now = until;
                 return;
             };
@@ -147,10 +147,10 @@
     }
 }
 
-fn place() -> Place {
+fn place() -> Placement {
     let address = ([127, 0, 0, 1], 1).into();
     let (upstream, kind, priority) = ("u".into(), Kind::Engine, 0);
-    Place { upstream, address, kind, priority, cached: 0, imports: true }
+    Placement { upstream, address, kind, priority, cached: 0, imports: true }
 }
 
 fn refused(reason: Reason) -> impl Fn(&Verdict) -> bool {
@@ -267,12 +267,12 @@
 fn a_caller_without_a_key_frees_everything_when_it_leaves() {
     let mut driver = Driver::open("", |_| {});
     driver.call(false, true);
-    assert!(driver.requests.count().bytes > 0);
+    assert!(driver.requests.counts().bytes > 0);
     driver.step(Input::Gone(TICKET));
     assert!(driver.log.iter().any(|output| matches!(output, Output::Cancel(_))));
     assert!(driver.log.iter().any(|output| matches!(output, Output::Forget { .. })));
-    assert_eq!(driver.requests.count(), verbenaslip_request::Count::default());
-    assert_eq!(driver.requests.wake(), None);
+    assert_eq!(driver.requests.counts(), verbenaslip_request::Counts::default());
+    assert_eq!(driver.requests.next_wakeup(), None);
 }
 
 #[test]
@@ -325,7 +325,7 @@
     assert_eq!(driver.runs().len(), 1);
     driver.step(Input::Gone(TICKET));
     driver.sleep(Duration::from_secs(700));
-    assert_eq!(driver.requests.count().finished, 0);
+    assert_eq!(driver.requests.counts().finished, 0);
     let done = driver.log.iter().filter(|output| {
         matches!(output, Output::Done { outcome: Outcome::Whole { position: 3 }, .. })
     });
@@ -339,12 +339,12 @@
     let refusal = Refusal { reason: Reason::Limit, retry: Some(Duration::from_millis(1234)) };
     driver.step(Input::Declined { request: R, refusal: refusal.clone() });
     assert_eq!(driver.verdict(), Some(&Verdict::Refused(refusal)));
-    assert_eq!(driver.requests.count().owned, 0);
+    assert_eq!(driver.requests.counts().owned, 0);
 }
 
 fn taken(epoch: u16) -> Input {
     let (owner, attempt, lineage) = ("i2".into(), None, 0);
-    let message = Message::Taken(Taken { request: R, owner, epoch, attempt, lineage });
+    let message = Message::Taken(Takeover { request: R, owner, epoch, attempt, lineage });
     Input::Heard { from: "i2".into(), message }
 }
 
--- a/crates/verbenaslip-request/tests/steps.rs
+++ b/crates/verbenaslip-request/tests/steps.rs
@@ -35,7 +35,7 @@
 fn holder(world: &World) -> usize {
     let owner = owner(world);
     (0..world.nodes.len())
-        .find(|at| *at != owner && world.nodes[*at].requests.count().copies > 0)
+        .find(|at| *at != owner && world.nodes[*at].requests.counts().copies > 0)
         .unwrap_or((owner + 1) % world.nodes.len())
 }
 
--- a/crates/verbenaslip-request/tests/world/mod.rs
+++ b/crates/verbenaslip-request/tests/world/mod.rs
@@ -16,10 +16,10 @@
 use verbenaslip_base::name::{Instance, Team, Upstream};
 use verbenaslip_base::refusal::{Reason, Refusal};
 use verbenaslip_request::Requests;
-use verbenaslip_request::answer::{Added, Answer, Whole};
+use verbenaslip_request::answer::{Answer, AppendResult, ServiceResponse};
 use verbenaslip_request::caller::{Arrival, Body, Ticket, Verdict};
 use verbenaslip_request::claim::Ruling;
-use verbenaslip_request::input::{Input, Member, Place};
+use verbenaslip_request::input::{Input, Member, Placement};
 use verbenaslip_request::message::Message;
 use verbenaslip_request::output::{Outcome, Output};
 use verbenaslip_request::run::{self, Cause, Failure, Start, Step};
@@ -282,7 +282,7 @@
             .iter()
             .enumerate()
             .filter(|(_, node)| node.alive && !node.frozen)
-            .filter_map(|(index, node)| Some((node.requests.wake()?, index)))
+            .filter_map(|(index, node)| Some((node.requests.next_wakeup()?, index)))
             .min();
         let Some(at) = event.into_iter().chain(wake.map(|(at, _)| at)).min() else {
             return false;
@@ -404,7 +404,7 @@
             }
             Output::Mirror { request, epoch, to } => self.mirror(at, request, epoch, to),
             Output::Own { request, epoch } => {
-                self.nodes[at].answers.entry(request).or_insert_with(open).own(epoch);
+                self.nodes[at].answers.entry(request).or_insert_with(open).take_ownership(epoch);
             }
             Output::Forget { request, epoch } => {
                 let node = &mut self.nodes[at];
@@ -460,7 +460,7 @@
         self.at(self.now + HOP * 2, Event::Input(at, input));
     }
 
-    fn route(&mut self, wanted: &verbenaslip_request::output::Wanted) -> Input {
+    fn route(&mut self, wanted: &verbenaslip_request::output::PlacementRequest) -> Input {
         let request = wanted.head.request;
         let kind =
             if wanted.head.model.as_str() == "service" { Kind::Service } else { Kind::Engine };
@@ -475,7 +475,7 @@
             let refusal = Refusal { reason: Reason::NoUpstream, retry: None };
             return Input::NoPlace { request, wait: Some(ms(100)), refusal };
         };
-        let place = Place {
+        let place = Placement {
             upstream: self.backs[found].name.clone(),
             address: SocketAddr::from(([127, 0, 0, 1], 1000)),
             kind,
@@ -503,9 +503,9 @@
         node.readers.retain(|_, old| old.attempt.request != run.attempt.request);
         node.readers.insert(id, reader);
         let answer = node.answers.entry(run.attempt.request).or_insert_with(open);
-        answer.begin(run.attempt);
+        answer.begin_attempt(run.attempt);
         let position = answer.position();
-        let text = answer.pieces(0).iter().map(|piece| piece.text.to_string()).collect();
+        let text = answer.batches(0).iter().map(|piece| piece.text.to_string()).collect();
         if !self.backs[upstream].up {
             let (step, not_run) = (Step::Connect, true);
             let vanished = self.backs[upstream].vanished;
@@ -607,8 +607,8 @@
         };
         if self.backs[upstream].kind == Kind::Service {
             let bytes = texts.join(" ").into_bytes().into();
-            let whole = Whole { status: 200, content: "text/plain".into(), bytes };
-            answer.fill(attempt, whole);
+            let whole = ServiceResponse { status: 200, content: "text/plain".into(), bytes };
+            answer.set_response(attempt, whole);
             node.readers.remove(&id);
             let event = run::Event::Ended { position: 0 };
             self.input(to, Input::Ran { attempt, event });
@@ -616,12 +616,12 @@
         }
         for at in answer.position() + 1..=position {
             let added = answer.append(attempt, at, 1, &texts[at as usize - 1]);
-            if !matches!(added, Added::Appended | Added::Late) {
+            if !matches!(added, AppendResult::Appended | AppendResult::Late) {
                 self.broken = Some(format!("{added:?}"));
             }
         }
         let held = answer.position();
-        let ended = end && answer.end(attempt, position, "stop") == Added::Appended;
+        let ended = end && answer.end(attempt, position, "stop") == AppendResult::Appended;
         let event = match ended {
             true => run::Event::Ended { position },
             false => run::Event::Tokens { position: held },
@@ -689,7 +689,7 @@
     fn mirror(&mut self, at: usize, request: Request, epoch: u16, to: Option<Instance>) {
         let node = &mut self.nodes[at];
         let answer = node.answers.entry(request).or_insert_with(open);
-        answer.mirror(to.is_some());
+        answer.set_mirroring(to.is_some());
         match to {
             Some(to) => {
                 node.mirrors.insert(request, Mirror { to: index(&to), epoch });
@@ -710,12 +710,12 @@
             return;
         };
         let target = self.nodes[to].answers.entry(request).or_insert_with(open);
-        for piece in source.pieces(0).to_vec() {
+        for piece in source.batches(0).to_vec() {
             target.copy(epoch, piece.position, piece.count, &piece.text);
         }
         let mut position = target.position();
-        if let Some(whole) = source.filled() {
-            target.copy_fill(epoch, whole.clone());
+        if let Some(whole) = source.response() {
+            target.copy_response(epoch, whole.clone());
         }
         if epoch < target.epoch() {
             position = 0;
@@ -723,7 +723,7 @@
         if let Some(end) = source.end_mark() {
             target.copy_end(epoch, end.position, &end.reason);
         }
-        let ended = target.ended().is_some() || target.filled().is_some();
+        let ended = target.released_end().is_some() || target.response().is_some();
         if position > 0 || ended {
             self.input(to, Input::Mirrored { request, position });
             if ended {
@@ -740,7 +740,7 @@
             return;
         }
         if let Some(answer) = node.answers.get_mut(&request) {
-            answer.mirrored(position, ended);
+            answer.record_mirrored(position, ended);
         }
         self.input(to, Input::Mirrored { request, position });
         if ended {
@@ -756,7 +756,7 @@
             let Some(answer) = node.answers.get(request) else {
                 continue;
             };
-            if answer.unmirrored() {
+            if answer.is_mirror_behind() {
                 copies.push((mirror.to, *request, mirror.epoch));
             }
         }
@@ -787,18 +787,18 @@
             };
             let caller = &mut self.callers[caller];
             let after = caller.texts.len() as u32;
-            caller.texts.extend(answer.events(after).map(|piece| piece.text.to_string()));
-            let end = answer.ended().map(|end| end.position);
+            caller.texts.extend(answer.released_batches(after).map(|piece| piece.text.to_string()));
+            let end = answer.released_end().map(|end| end.position);
             if end.is_some_and(|end| end as usize == caller.texts.len()) {
                 let all: Vec<_> =
-                    answer.pieces(0).iter().map(|piece| piece.text.to_string()).collect();
+                    answer.batches(0).iter().map(|piece| piece.text.to_string()).collect();
                 if caller.texts != all {
                     let request = caller.request;
                     self.broken = Some(format!("halves of two answers: {request}"));
                 }
                 caller.whole = true;
             }
-            if let Some(whole) = answer.filled() {
+            if let Some(whole) = answer.response() {
                 caller.texts = vec![String::from_utf8_lossy(&whole.bytes).into_owned()];
                 caller.whole = true;
             }
--- a/crates/verbenaslip-table/src/row.rs
+++ b/crates/verbenaslip-table/src/row.rs
@@ -45,7 +45,7 @@
     pub reserve_percent: u32,
     /// See [`Column::Prefer`].
     pub prefer: Preference,
-    /// See [`Column::Note`].
+    /// See [`Column::Progress`].
     pub note: Arc<str>,
 }
 
--- a/crates/verbenaslip/src/peers/wire.rs
+++ b/crates/verbenaslip/src/peers/wire.rs
@@ -10,7 +10,7 @@
 use verbenaslip_base::attempt::Request;
 use verbenaslip_base::data;
 use verbenaslip_base::name::Instance;
-use verbenaslip_request::answer::{End, Piece, Whole};
+use verbenaslip_request::answer::{End, ServiceResponse, TokenBatch};
 use verbenaslip_request::caller::Verdict;
 
 /// The bytes before a frame's content: its length and its CRC-32, both little-endian.
@@ -77,11 +77,11 @@
         epoch: u16,
     },
     /// Carries a piece of an answer.
-    Piece(Piece),
+    Piece(TokenBatch),
     /// Ends a model's answer.
     End(End),
     /// Carries a plain service's whole answer.
-    Whole(Whole),
+    Whole(ServiceResponse),
     /// Says what the caller gets in place of the answer.
     Verdict(Verdict),
     /// Says how far a copy is.
--- a/crates/verbenaslip/src/traffic.rs
+++ b/crates/verbenaslip/src/traffic.rs
@@ -47,7 +47,7 @@
 use verbenaslip_base::data;
 use verbenaslip_base::name::Instance;
 use verbenaslip_request::caller::{Ticket, Verdict};
-use verbenaslip_request::message::Live;
+use verbenaslip_request::message::ActiveRun;
 use verbenaslip_request::run::Run;
 
 use crate::keys::Keys;
@@ -134,7 +134,7 @@
     }
 
     /// Ends a run and tells its upstream; no more events of it come from here on.
-    pub fn cancel(&self, live: &Live) {
+    pub fn cancel(&self, live: &ActiveRun) {
         client::cancel(&self.shared, live);
     }
 
--- a/crates/verbenaslip/src/traffic/client.rs
+++ b/crates/verbenaslip/src/traffic/client.rs
@@ -13,8 +13,8 @@
 use serde_json::{Value, json};
 use verbenaslip_base::announce::Kind;
 use verbenaslip_base::attempt::Attempt;
-use verbenaslip_request::answer::{Added, Piece, Whole};
-use verbenaslip_request::message::Live;
+use verbenaslip_request::answer::{AppendResult, ServiceResponse, TokenBatch};
+use verbenaslip_request::message::ActiveRun;
 use verbenaslip_request::run::{Cause, Event, Failure, Run, Start, Step};
 
 use crate::traffic::Report;
@@ -51,8 +51,8 @@
 }
 
 /// Ends a run and tells its upstream.
-pub(crate) fn cancel(shared: &Arc<Shared>, live: &Live) {
-    let Live { attempt, address, kind, .. } = *live;
+pub(crate) fn cancel(shared: &Arc<Shared>, live: &ActiveRun) {
+    let ActiveRun { attempt, address, kind, .. } = *live;
     shared.runs.stop(&attempt);
     if kind == Kind::Service {
         // A plain service has no call for it, and any path may mean something there.
@@ -259,18 +259,18 @@
         Ok(false)
     }
 
-    fn piece(&mut self, piece: &Piece) -> Result<(), Halt> {
+    fn piece(&mut self, piece: &TokenBatch) -> Result<(), Halt> {
         match self.shelf.add(self.run.attempt, piece) {
-            Added::Appended => {
+            AppendResult::Appended => {
                 self.tell_position();
                 Ok(())
             }
-            Added::Late | Added::Duplicate => {
+            AppendResult::Late | AppendResult::Duplicate => {
                 self.shared.dropped.fetch_add(1, Ordering::Relaxed);
                 Ok(())
             }
-            Added::Gap { .. } => Err(Cause::Gap.into()),
-            Added::Full => Err(Cause::Error.into()),
+            AppendResult::Gap { .. } => Err(Cause::Gap.into()),
+            AppendResult::Full => Err(Cause::Error.into()),
         }
     }
 
@@ -278,7 +278,7 @@
     fn end(&mut self, reason: Option<String>) -> Result<u32, Halt> {
         let reason = reason.ok_or(Cause::Cut)?;
         match self.shelf.end(self.run.attempt, &reason) {
-            Added::Appended | Added::Duplicate => Ok(self.shelf.position()),
+            AppendResult::Appended | AppendResult::Duplicate => Ok(self.shelf.position()),
             _ => Err(Cause::Forgotten.into()),
         }
     }
@@ -302,11 +302,11 @@
             }
             bytes.extend_from_slice(&data);
         }
-        let whole = Whole { status: status.as_u16(), content, bytes: bytes.into() };
+        let whole = ServiceResponse { status: status.as_u16(), content, bytes: bytes.into() };
         match self.shelf.fill(self.run.attempt, whole) {
-            Added::Appended | Added::Duplicate => Ok(0),
-            Added::Full => Err(Cause::Error.into()),
-            Added::Late | Added::Gap { .. } => Err(Cause::Forgotten.into()),
+            AppendResult::Appended | AppendResult::Duplicate => Ok(0),
+            AppendResult::Full => Err(Cause::Error.into()),
+            AppendResult::Late | AppendResult::Gap { .. } => Err(Cause::Forgotten.into()),
         }
     }
 
--- a/crates/verbenaslip/src/traffic/plane.rs
+++ b/crates/verbenaslip/src/traffic/plane.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 use verbenaslip_base::attempt::Request;
-use verbenaslip_request::answer::Added;
+use verbenaslip_request::answer::AppendResult;
 
 use crate::peers::wire::{self, Error, Frame, Purpose};
 use crate::traffic::Report;
@@ -116,10 +116,10 @@
 }
 
 /// Passes what was taken, and an error for what was not.
-pub(crate) fn taken(added: Added) -> io::Result<()> {
+pub(crate) fn taken(added: AppendResult) -> io::Result<()> {
     match added {
-        Added::Appended | Added::Duplicate => Ok(()),
-        Added::Late | Added::Gap { .. } | Added::Full => Err(declined()),
+        AppendResult::Appended | AppendResult::Duplicate => Ok(()),
+        AppendResult::Late | AppendResult::Gap { .. } | AppendResult::Full => Err(declined()),
     }
 }
 
--- a/crates/verbenaslip/src/traffic/shelf.rs
+++ b/crates/verbenaslip/src/traffic/shelf.rs
@@ -5,7 +5,7 @@
 
 use tokio::sync::watch;
 use verbenaslip_base::attempt::Attempt;
-use verbenaslip_request::answer::{Added, Answer, End, Piece, Whole};
+use verbenaslip_request::answer::{Answer, AppendResult, End, ServiceResponse, TokenBatch};
 
 use crate::traffic::shared::lock;
 
@@ -26,11 +26,11 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Rest {
     /// The pieces after the position.
-    pub pieces: Vec<Piece>,
+    pub pieces: Vec<TokenBatch>,
     /// How a model's answer ended; none while it goes on.
     pub end: Option<End>,
     /// A plain service's answer.
-    pub whole: Option<Whole>,
+    pub whole: Option<ServiceResponse>,
 }
 
 impl Rest {
@@ -40,7 +40,7 @@
     /// be held a second time, outside the answer's bound, for as long as the reader takes it.
     fn new<'a>(
         answer: &Answer,
-        pieces: impl Iterator<Item = &'a Piece>,
+        pieces: impl Iterator<Item = &'a TokenBatch>,
         end: Option<&End>,
     ) -> Self {
         let (mut taken, mut size) = (Vec::new(), 0);
@@ -51,7 +51,7 @@
             size += piece.text.len();
             taken.push(piece.clone());
         }
-        Self { pieces: taken, end: end.cloned(), whole: answer.filled().cloned() }
+        Self { pieces: taken, end: end.cloned(), whole: answer.response().cloned() }
     }
 
     /// Says whether the answer has its end.
@@ -84,29 +84,29 @@
     }
 
     /// Adds the next piece of an answer that is passed on.
-    pub(crate) fn pass(&self, piece: &Piece) -> Added {
+    pub(crate) fn pass(&self, piece: &TokenBatch) -> AppendResult {
         self.copy(PASSED, piece)
     }
 
     /// Ends an answer that is passed on.
-    pub(crate) fn pass_end(&self, end: &End) -> Added {
+    pub(crate) fn pass_end(&self, end: &End) -> AppendResult {
         self.copy_end(PASSED, end)
     }
 
     /// Takes a plain service's answer that is passed on.
-    pub(crate) fn pass_whole(&self, whole: Whole) -> Added {
+    pub(crate) fn pass_whole(&self, whole: ServiceResponse) -> AppendResult {
         self.copy_whole(PASSED, whole)
     }
 
     /// Makes a run the live one.
     pub(crate) fn begin(&self, attempt: Attempt) {
-        lock(&self.answer).begin(attempt);
+        lock(&self.answer).begin_attempt(attempt);
     }
 
     /// Makes this instance the owner in an epoch.
     pub(crate) fn own(&self, epoch: u16) {
         self.owned.store(true, Ordering::Release);
-        lock(&self.answer).own(epoch);
+        lock(&self.answer).take_ownership(epoch);
     }
 
     /// Says whether this instance owns the answer.
@@ -115,45 +115,45 @@
     }
 
     /// Adds the live run's next piece.
-    pub(crate) fn add(&self, attempt: Attempt, piece: &Piece) -> Added {
-        let Piece { position, count, text } = piece;
+    pub(crate) fn add(&self, attempt: Attempt, piece: &TokenBatch) -> AppendResult {
+        let TokenBatch { position, count, text } = piece;
         self.change(|answer| answer.append(attempt, *position, *count, text))
     }
 
     /// Ends the live run's answer.
-    pub(crate) fn end(&self, attempt: Attempt, reason: &str) -> Added {
+    pub(crate) fn end(&self, attempt: Attempt, reason: &str) -> AppendResult {
         self.change(|answer| answer.end(attempt, answer.position(), reason))
     }
 
     /// Takes a plain service's answer.
-    pub(crate) fn fill(&self, attempt: Attempt, whole: Whole) -> Added {
-        self.change(|answer| answer.fill(attempt, whole))
+    pub(crate) fn fill(&self, attempt: Attempt, whole: ServiceResponse) -> AppendResult {
+        self.change(|answer| answer.set_response(attempt, whole))
     }
 
     /// Adds the next piece of a copy.
-    pub(crate) fn copy(&self, epoch: u16, piece: &Piece) -> Added {
-        let Piece { position, count, text } = piece;
+    pub(crate) fn copy(&self, epoch: u16, piece: &TokenBatch) -> AppendResult {
+        let TokenBatch { position, count, text } = piece;
         self.change(|answer| answer.copy(epoch, *position, *count, text))
     }
 
     /// Ends a copy.
-    pub(crate) fn copy_end(&self, epoch: u16, end: &End) -> Added {
+    pub(crate) fn copy_end(&self, epoch: u16, end: &End) -> AppendResult {
         self.change(|answer| answer.copy_end(epoch, end.position, &end.reason))
     }
 
     /// Takes a copy of a plain service's answer.
-    pub(crate) fn copy_whole(&self, epoch: u16, whole: Whole) -> Added {
-        self.change(|answer| answer.copy_fill(epoch, whole))
+    pub(crate) fn copy_whole(&self, epoch: u16, whole: ServiceResponse) -> AppendResult {
+        self.change(|answer| answer.copy_response(epoch, whole))
     }
 
     /// Says whether callers wait for the second holder.
     pub(crate) fn mirror(&self, on: bool) {
-        self.change(|answer| answer.mirror(on));
+        self.change(|answer| answer.set_mirroring(on));
     }
 
     /// Notes how far the second holder has got, and whether it has the end.
     pub(crate) fn mirrored(&self, position: u32, ended: bool) {
-        self.change(|answer| answer.mirrored(position, ended));
+        self.change(|answer| answer.record_mirrored(position, ended));
     }
 
     /// Returns the last position held.
@@ -174,7 +174,7 @@
     /// Says whether the answer has its end.
     pub(crate) fn ended(&self) -> bool {
         let answer = lock(&self.answer);
-        answer.ended().is_some() || answer.filled().is_some()
+        answer.released_end().is_some() || answer.response().is_some()
     }
 
     /// Says whether there is something of the answer.
@@ -191,7 +191,7 @@
     /// Returns what callers may have after a position; none when the position is within a piece.
     pub(crate) fn after(&self, position: u32) -> Option<Rest> {
         let answer = lock(&self.answer);
-        let rest = Rest::new(&answer, answer.events(position), answer.ended());
+        let rest = Rest::new(&answer, answer.released_batches(position), answer.released_end());
         let first = rest.pieces.first();
         let first = first.map_or(position, |piece| piece.position.saturating_sub(piece.count));
         (first >= position).then_some(rest)
@@ -200,7 +200,7 @@
     /// Returns what the second holder lacks after a position.
     pub(crate) fn missing(&self, position: u32) -> Rest {
         let answer = lock(&self.answer);
-        Rest::new(&answer, answer.pieces(position).iter(), answer.end_mark())
+        Rest::new(&answer, answer.batches(position).iter(), answer.end_mark())
     }
 
     /// Returns a receiver that is told of each change from now on.
--- a/crates/verbenaslip/src/traffic/stream.rs
+++ b/crates/verbenaslip/src/traffic/stream.rs
@@ -7,7 +7,7 @@
 use hyper::body::Bytes;
 use hyper::header::{CACHE_CONTROL, CONTENT_TYPE};
 use verbenaslip_base::refusal::Unknown;
-use verbenaslip_request::answer::Whole;
+use verbenaslip_request::answer::ServiceResponse;
 
 use crate::traffic::Report;
 use crate::traffic::body::Form;
@@ -129,7 +129,7 @@
     }
 
     /// Passes on a plain service's answer.
-    fn pass(self, whole: &Whole) -> Response<Payload> {
+    fn pass(self, whole: &ServiceResponse) -> Response<Payload> {
         let bytes = Bytes::from_owner(whole.bytes.clone());
         Response::builder()
             .status(whole.status)
--- a/crates/verbenaslip/src/traffic/token.rs
+++ b/crates/verbenaslip/src/traffic/token.rs
@@ -2,7 +2,7 @@
 
 use serde::Deserialize;
 use verbenaslip_base::attempt::Attempt;
-use verbenaslip_request::answer::Piece;
+use verbenaslip_request::answer::TokenBatch;
 
 /// Holds a chunk of an engine's answer.
 #[derive(Deserialize)]
@@ -44,9 +44,9 @@
     }
 
     /// Returns its tokens with their text; none when it has none.
-    pub(crate) fn piece(&self, text: &str) -> Option<Piece> {
+    pub(crate) fn piece(&self, text: &str) -> Option<TokenBatch> {
         let count = self.tokens.unwrap_or(u32::from(!text.is_empty()));
         let position = self.position?;
-        (count > 0).then(|| Piece { position, count, text: text.into() })
+        (count > 0).then(|| TokenBatch { position, count, text: text.into() })
     }
 }
--- a/crates/verbenaslip/tests/traffic/bench.rs
+++ b/crates/verbenaslip/tests/traffic/bench.rs
@@ -14,7 +14,7 @@
 use verbenaslip_base::attempt::Attempt;
 use verbenaslip_base::name::{Instance, Upstream};
 use verbenaslip_request::caller::{Arrival, Verdict};
-use verbenaslip_request::message::Live;
+use verbenaslip_request::message::ActiveRun;
 use verbenaslip_request::run::{Event, Run, Start};
 
 /// Longer than anything here takes, so that no test depends on how fast the machine is.
@@ -157,9 +157,9 @@
 }
 
 /// Says where a run goes on.
-pub fn live(attempt: Attempt, address: SocketAddr) -> Live {
+pub fn live(attempt: Attempt, address: SocketAddr) -> ActiveRun {
     let upstream = Upstream::from("up");
-    Live { attempt, upstream, address, kind: Kind::Engine, priority: 3 }
+    ActiveRun { attempt, upstream, address, kind: Kind::Engine, priority: 3 }
 }
 
 /// Opens a connection whose reads end at last.
