--- a/crates/verbenaslip-fleet/src/crash_report.rs
+++ b/crates/verbenaslip-fleet/src/crash_report.rs
@@ -1,4 +1,5 @@
-//! What an entry tells the leader of requests under which upstreams ended, and of answers to suspected ones.
+//! Reports of entries to the leader: crashes of upstreams during requests, and answers to suspected
+//! requests.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -10,83 +11,86 @@
 use crate::quarantine::{Answer, Crash};
 use crate::registry::Run;
 
-/// How long what happens together is gathered. An upstream that ends breaks off many requests at once.
-const GATHER: Duration = Duration::from_millis(20);
+/// Time for which observations are collected into one report; an upstream that crashes breaks off
+/// many requests at once.
+const BATCH_DELAY: Duration = Duration::from_millis(20);
 
-/// After how long what the leader has not confirmed is told again.
-const AGAIN: Duration = Duration::from_millis(250);
+/// Time after which unconfirmed observations are reported again.
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long it is remembered, to tell a later leader: as long as it takes to elect one, many times over, and to
-/// see a request come again that does so every few seconds.
-const MEMORY: Duration = Duration::from_secs(60);
+/// How long an observation is kept, so that a later leader can be told: many times as long as an
+/// election takes, and long enough to see a request again that is repeated every few seconds.
+const RETENTION: Duration = Duration::from_secs(60);
 
-/// The most that is remembered of each kind; an entry has some 50 requests at the upstreams that a lost
-/// availability zone takes.
-const REMEMBERED: usize = 256;
+/// Maximum number of kept observations of each kind. An entry has some 50 requests at the upstreams
+/// of an availability zone that is lost.
+const MAX_KEPT: usize = 256;
 
-/// The most that one account tells of each kind: under 2 kB.
-const TOLD: usize = 32;
+/// Maximum number of observations of each kind in one report, which keeps it under 2 kB.
+const MAX_PER_REPORT: usize = 32;
 
-/// Tells the leader what requests met.
+/// Tells the leader what an entry observed about its requests.
 #[data]
 pub struct CrashReport {
-    /// The entry.
+    /// The address of the entry.
     pub from: SocketAddr,
-    /// Counts the accounts of this life of the entry.
+    /// The number of the report within this run of the entry.
     pub number: u64,
-    /// Upstreams that ended.
+    /// The crashes of upstreams.
     pub crashes: Vec<Crash>,
-    /// Answers to requests that are suspected or held back.
+    /// The answers to requests that are suspected or quarantined.
     pub answers: Vec<Answer>,
 }
 
-/// Notes that an upstream ended while it ran a request.
+/// Records that an upstream crashed while it ran a request.
 #[derive(Clone, Debug)]
 pub struct ObservedCrash {
-    /// The request.
+    /// The fingerprint of the request.
     pub fingerprint: Fingerprint,
     /// The run of the upstream.
     pub run: Run,
-    /// When the request was sent there.
+    /// When the request was sent to the upstream.
     pub sent: Duration,
-    /// When it broke off.
+    /// When the request broke off.
     pub ended: Duration,
 }
 
-/// Notes that a request was answered which is suspected or held back.
+/// Records that a suspected or quarantined request was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ObservedAnswer {
-    /// The request.
+    /// The fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// When the answer was whole.
+    /// When the answer was complete.
     pub at: Duration,
 }
 
-/// Remembers what is to be told, until the leader has it and beyond.
+/// Keeps observations until the leader has confirmed them, and for a while after that.
 ///
-/// What a leader was told is lost with it. A request that ends upstreams would go on doing so under the next
-/// one, from the beginning; so that one is told again of the last minute.
+/// What a leader was told is lost with the leader. The next leader would have to find a poison
+/// request from the start, while upstreams continue to crash, so it is told the observations of the
+/// last minute again.
 #[derive(Debug, Default)]
 pub struct CrashReporter {
     term: u64,
     number: u64,
     due: Option<Duration>,
-    crashes: VecDeque<Item<ObservedCrash>>,
-    answers: VecDeque<Item<ObservedAnswer>>,
+    crashes: VecDeque<Kept<ObservedCrash>>,
+    answers: VecDeque<Kept<ObservedAnswer>>,
 }
 
+/// Holds one observation, and whether the leader has confirmed it.
 #[derive(Debug)]
-struct Item<T> {
-    what: T,
-    at: Duration,
-    /// The account that told it last; zero before the first.
-    told: u64,
-    /// Whether the leader of this term has confirmed it.
+struct Kept<T> {
+    observation: T,
+    recorded_at: Duration,
+    /// The number of the last report that contained the observation; zero before the first one.
+    last_report: u64,
+    /// Whether the leader of this term has confirmed the observation.
     confirmed: bool,
 }
 
 impl CrashReporter {
-    /// Takes what requests met.
+    /// Records what was observed about requests.
     pub fn record(
         &mut self,
         now: Duration,
@@ -96,12 +100,12 @@
         if crashes.is_empty() && answers.is_empty() {
             return;
         }
-        put(&mut self.crashes, now, crashes);
-        put(&mut self.answers, now, answers);
-        self.soon(now + GATHER);
+        append(&mut self.crashes, now, crashes);
+        append(&mut self.answers, now, answers);
+        self.schedule(now + BATCH_DELAY);
     }
 
-    /// Begins anew with a leader of a later term.
+    /// Starts to report all observations again if the leader has a later term.
     pub fn set_term(&mut self, now: Duration, term: u64) {
         if term <= self.term {
             return;
@@ -111,11 +115,11 @@
         let answers = self.answers.iter_mut().map(|it| &mut it.confirmed);
         crashes.chain(answers).for_each(|confirmed| *confirmed = false);
         if !self.crashes.is_empty() || !self.answers.is_empty() {
-            self.soon(now);
+            self.schedule(now);
         }
     }
 
-    /// Takes the leader's word that it has an account.
+    /// Handles the confirmation of a report by the leader.
     pub fn confirm(&mut self, term: u64, number: u64) {
         if term != self.term {
             return;
@@ -124,72 +128,79 @@
         confirm(&mut self.answers, number);
     }
 
-    /// Returns when an account is due; none while there is nothing to tell.
+    /// Returns when a report is due; none while there is nothing to report.
     pub fn next_due(&self) -> Option<Duration> {
         self.due
     }
 
-    /// Makes the account that is due.
+    /// Returns the report if one is due.
     pub fn next_report(&mut self, now: Duration, from: SocketAddr) -> Option<CrashReport> {
         self.due.filter(|due| now >= *due)?;
         self.due = None;
-        forget(&mut self.crashes, now);
-        forget(&mut self.answers, now);
+        remove_expired(&mut self.crashes, now);
+        remove_expired(&mut self.answers, now);
         self.number += 1;
         let millis = |at: Duration| u64::try_from(now.saturating_sub(at).as_millis());
         let ago = |at: Duration| millis(at).unwrap_or(u64::MAX);
-        let crash = |met: &ObservedCrash| Crash {
-            fingerprint: met.fingerprint,
-            run: met.run.clone(),
-            sent_ms_ago: ago(met.sent),
-            ended_ms_ago: ago(met.ended),
+        let crash = |observed: &ObservedCrash| Crash {
+            fingerprint: observed.fingerprint,
+            run: observed.run.clone(),
+            sent_ms_ago: ago(observed.sent),
+            ended_ms_ago: ago(observed.ended),
         };
         let answer =
             |it: &ObservedAnswer| Answer { fingerprint: it.fingerprint, ms_ago: ago(it.at) };
-        let crashes: Vec<Crash> = tell(&mut self.crashes, self.number).map(crash).collect();
-        let answers: Vec<Answer> = tell(&mut self.answers, self.number).map(answer).collect();
+        let crashes: Vec<Crash> =
+            mark_reported(&mut self.crashes, self.number).map(crash).collect();
+        let answers: Vec<Answer> =
+            mark_reported(&mut self.answers, self.number).map(answer).collect();
         if crashes.is_empty() && answers.is_empty() {
             return None;
         }
-        // Response again unless it is confirmed, and the rest with it.
-        self.due = Some(now + AGAIN);
+        // The report is repeated unless it is confirmed, together with what did not fit into it.
+        self.due = Some(now + RETRY_INTERVAL);
         Some(CrashReport { from, number: self.number, crashes, answers })
     }
 
-    /// Puts off what is due, since no leader is known.
+    /// Postpones the next report because no leader is known.
     pub fn postpone(&mut self, now: Duration) {
-        self.due = Some(now + GATHER);
+        self.due = Some(now + BATCH_DELAY);
     }
 
-    fn soon(&mut self, at: Duration) {
+    fn schedule(&mut self, at: Duration) {
         self.due = Some(self.due.map_or(at, |due| due.min(at)));
     }
 }
 
-fn put<T>(items: &mut VecDeque<Item<T>>, at: Duration, new: Vec<T>) {
-    let new = new.into_iter().map(|what| Item { what, at, told: 0, confirmed: false });
+fn append<T>(items: &mut VecDeque<Kept<T>>, recorded_at: Duration, new: Vec<T>) {
+    let new = new.into_iter().map(|observation| Kept {
+        observation,
+        recorded_at,
+        last_report: 0,
+        confirmed: false,
+    });
     items.extend(new);
-    while items.len() > REMEMBERED {
+    while items.len() > MAX_KEPT {
         items.pop_front();
     }
 }
 
-fn confirm<T>(items: &mut VecDeque<Item<T>>, number: u64) {
-    for item in items.iter_mut().filter(|item| item.told == number) {
+fn confirm<T>(items: &mut VecDeque<Kept<T>>, number: u64) {
+    for item in items.iter_mut().filter(|item| item.last_report == number) {
         item.confirmed = true;
     }
 }
 
-fn forget<T>(items: &mut VecDeque<Item<T>>, now: Duration) {
-    while items.front().is_some_and(|it| now.saturating_sub(it.at) > MEMORY) {
+fn remove_expired<T>(items: &mut VecDeque<Kept<T>>, now: Duration) {
+    while items.front().is_some_and(|it| now.saturating_sub(it.recorded_at) > RETENTION) {
         items.pop_front();
     }
 }
 
-/// Goes through what an account tells, the oldest first.
-fn tell<T>(items: &mut VecDeque<Item<T>>, number: u64) -> impl Iterator<Item = &T> {
-    items.iter_mut().filter(|it| !it.confirmed).take(TOLD).map(move |it| {
-        it.told = number;
-        &it.what
+/// Returns the observations of a report, the oldest first.
+fn mark_reported<T>(items: &mut VecDeque<Kept<T>>, number: u64) -> impl Iterator<Item = &T> {
+    items.iter_mut().filter(|it| !it.confirmed).take(MAX_PER_REPORT).map(move |it| {
+        it.last_report = number;
+        &it.observation
     })
 }
--- a/crates/verbenaslip-fleet/src/registry.rs
+++ b/crates/verbenaslip-fleet/src/registry.rs
@@ -1,4 +1,4 @@
-//! The upstreams that have announced themselves, as the leader holds them.
+//! The upstreams that have announced themselves, as the leader knows them.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -9,148 +9,164 @@
 
 use crate::departure::{Departure, Departures};
 use crate::history::History;
-use crate::upstream::differs;
+use crate::upstream::differs_for_others;
 pub use crate::upstream::{Announcement, Record, Run, Status};
 use crate::voucher::RenewalMark;
 
-/// After this silence an upstream counts as lost. As long again its record is kept, as that of one that is
-/// gone, so that instances that were away are told of its end and not of all upstreams anew.
-const MEMORY: Duration = Duration::from_secs(60);
+/// Time of silence after which an upstream counts as lost. Records of lost and gone upstreams are
+/// kept for as long again, so that instances that were unreachable receive the end of an upstream
+/// as a change and need not receive all upstreams again.
+const LOST_AFTER: Duration = Duration::from_secs(60);
 
-/// How many announcements an upstream may miss before it counts as silent.
-const MISSED: u32 = 4;
+/// Number of announcements that a ready upstream may miss before it counts as silent.
+const MAX_MISSED_ANNOUNCEMENTS: u32 = 4;
 
-/// Up to this sequence number an unknown upstream is taken for one that has just started; above it,
-/// at an address that is in use, for one whose announcement was held up for long.
-const YOUNG: u64 = 4;
+/// Highest sequence number at which an unknown upstream counts as just started. If its address is
+/// in use and the number is higher, its announcement was delayed for long.
+const MAX_FIRST_SEQUENCE: u64 = 4;
 
-/// Holds the upstreams.
+/// Tracks the upstreams and the number of the last change of each one.
 #[derive(Debug)]
 pub struct Registry {
-    period: Duration,
-    records: BTreeMap<Upstream, Entry>,
-    /// The upstream that was last known at each address.
+    announcement_period: Duration,
+    records: BTreeMap<Upstream, TrackedUpstream>,
+    /// The last upstream known at each address.
     addresses: BTreeMap<SocketAddr, Upstream>,
     departures: Departures,
-    stamp: u64,
-    purged: u64,
+    last_change: u64,
+    /// The last change that was forgotten; only later changes are known individually.
+    forgotten_change: u64,
 }
 
+/// Holds the record of an upstream, the number of its last change, and when it was last heard.
 #[derive(Debug)]
-struct Entry {
+struct TrackedUpstream {
     record: Record,
-    stamp: u64,
-    heard: Duration,
+    change: u64,
+    last_heard: Duration,
 }
 
-/// Says up to where the leader before had told, as its successor knows.
+/// Says which changes the previous leader had propagated, as far as its successor knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Propagation {
-    /// Its last change.
+    /// The number of the previous leader's last change.
     pub last_change: u64,
-    /// The change since which all others are known one by one.
+    /// The number of the change after which all changes are known individually.
     pub oldest_change: u64,
 }
 
-/// Says what has come of the silence of upstreams.
+/// Lists what followed from the silence of upstreams.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Expirations {
-    /// Whether anything changed that others should know.
+    /// Whether any status changed that other instances should know.
     pub changed: bool,
-    /// Upstreams that have fallen silent.
+    /// The upstreams that became silent.
     pub silent: Vec<Upstream>,
-    /// Runs that are lost.
+    /// The runs that are lost.
     pub lost: Vec<Run>,
 }
 
-/// Tells of an announcement that was passed over, since what is known is newer.
+/// Describes an announcement that was ignored because newer information is known.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StaleAnnouncement {
-    /// The run that it is of.
+    /// The run that sent the announcement.
     pub run: Run,
-    /// Its number.
+    /// The sequence number of the announcement.
     pub sequence: u64,
-    /// The run that its upstream's name stands for, and the number of that one's last announcement.
+    /// The incarnation of the current run with the upstream's name, and the sequence number of that
+    /// run's last announcement.
     pub known: Option<(u64, u64)>,
-    /// How its run goes or has gone, and how long ago that was last heard.
+    /// The status of the run if it is leaving or gone, and the time since that was last heard.
     pub departed: Option<(Status, Duration)>,
 }
 
-/// Says what an announcement has changed.
+/// Says what an announcement changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing that others must know at once.
+    /// Nothing that other instances must know at once.
     Unchanged,
-    /// Something that others should know.
+    /// Something that other instances should know.
     Updated,
-    /// The upstream leaves: acknowledged only when those that route know it, and whoever may lead.
+    /// The upstream is leaving. This is acknowledged only once all instances that route requests,
+    /// and any future leader, know it.
     Leaving,
-    /// Nothing: it names a service that no route table knows, and would take the name or address of an
-    /// upstream that serves.
+    /// Nothing: the announcement names a service that is in no route table, and would take the name
+    /// or address of an upstream that serves.
     UnknownService,
 }
 
 impl Registry {
-    /// Starts empty; upstreams announce themselves once per `period`.
+    /// Creates an empty registry; upstreams announce themselves once per `period`.
     pub fn new(period: Duration) -> Self {
         let departures = Departures::default();
         let (records, addresses) = (BTreeMap::new(), BTreeMap::new());
-        Self { period, records, addresses, departures, stamp: 0, purged: 0 }
+        Self {
+            announcement_period: period,
+            records,
+            addresses,
+            departures,
+            last_change: 0,
+            forgotten_change: 0,
+        }
     }
 
-    /// Starts from what an earlier leader had told, and from all departures that are remembered here.
+    /// Starts from what an earlier leader had propagated, and from all departures that this
+    /// instance remembers.
     ///
-    /// Without these, a late announcement would make an upstream ready again that has said to an earlier
-    /// leader that it goes: entries would send requests there that it no longer takes.
+    /// Without the departures, a delayed announcement would make an upstream ready again that has
+    /// told an earlier leader that it is leaving. Entries would then send requests that the
+    /// upstream no longer accepts.
     pub fn restore(
         &mut self,
         now: Duration,
-        told: Propagation,
+        propagated: Propagation,
         records: impl Iterator<Item = (u64, Record)>,
         departures: Departures,
     ) {
         self.records.clear();
         self.addresses.clear();
         self.departures = departures;
-        self.stamp = told.last_change + 1;
-        self.purged = told.oldest_change;
-        for (change, mut record) in records {
-            let standing = record.status;
+        self.last_change = propagated.last_change + 1;
+        self.forgotten_change = propagated.oldest_change;
+        for (known_change, mut record) in records {
+            let status = record.status;
             let run = &record.announcement.run;
-            record.status = self.departures.status(run).unwrap_or(standing);
-            let changed = record.status != standing;
-            let stamp = if changed { self.stamp } else { change.min(self.stamp) };
-            self.hold(now, stamp, record);
+            record.status = self.departures.status(run).unwrap_or(status);
+            let changed = record.status != status;
+            let change =
+                if changed { self.last_change } else { known_change.min(self.last_change) };
+            self.insert_record(now, change, record);
         }
     }
 
-    /// Returns by which change each upstream has changed, for the time after this leader.
+    /// Returns the number of the last change of each upstream, for use after this leader's term.
     pub(crate) fn history(&self) -> History {
-        let mut history = History::new(self.purged);
-        for held in self.records.values() {
-            match held.record.status {
+        let mut history = History::new(self.forgotten_change);
+        for tracked in self.records.values() {
+            match tracked.record.status {
                 Status::Gone | Status::Lost => {
-                    history.record_removal(held.stamp, held.record.clone());
+                    history.record_removal(tracked.change, tracked.record.clone());
                 }
                 Status::Ready | Status::Silent | Status::Leaving => {
-                    history.told(&held.record.announcement.run.upstream, held.stamp);
+                    history
+                        .record_change(&tracked.record.announcement.run.upstream, tracked.change);
                 }
             }
         }
         history
     }
 
-    /// Holds a record that has changed by the change with this number.
-    fn hold(&mut self, now: Duration, stamp: u64, record: Record) {
+    /// Stores a record that was changed by the change with this number.
+    fn insert_record(&mut self, now: Duration, change: u64, record: Record) {
         let Announcement { run, address, .. } = &record.announcement;
         let upstream = run.upstream.clone();
         self.addresses.insert(*address, upstream.clone());
-        self.records.insert(upstream, Entry { stamp, heard: now, record });
+        self.records.insert(upstream, TrackedUpstream { change, last_heard: now, record });
     }
 
     /// Returns the time between two announcements of an upstream.
     pub fn announcement_period(&self) -> Duration {
-        self.period
+        self.announcement_period
     }
 
     /// Returns the departures that are remembered.
@@ -158,61 +174,62 @@
         &self.departures
     }
 
-    /// Returns the run that an upstream's name stands for now.
+    /// Returns the run that currently has an upstream's name.
     pub fn current_run(&self, upstream: &Upstream) -> Option<&Run> {
-        self.records.get(upstream).map(|held| &held.record.announcement.run)
+        self.records.get(upstream).map(|tracked| &tracked.record.announcement.run)
     }
 
-    /// Returns what is known of an upstream.
+    /// Returns the record of an upstream.
     pub fn record(&self, upstream: &Upstream) -> Option<&Record> {
-        self.records.get(upstream).map(|held| &held.record)
+        self.records.get(upstream).map(|tracked| &tracked.record)
     }
 
     /// Returns the number of the last change.
     pub fn last_change(&self) -> u64 {
-        self.stamp
+        self.last_change
     }
 
-    /// Goes through the upstreams.
+    /// Iterates over the records of all upstreams.
     pub fn records(&self) -> impl Iterator<Item = &Record> {
-        self.records.values().map(|held| &held.record)
+        self.records.values().map(|tracked| &tracked.record)
     }
 
-    /// Goes through the upstreams of a service.
+    /// Iterates over the records of a service's upstreams.
     pub fn service_records<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Record> {
         self.records().filter(move |record| &*record.announcement.service == service)
     }
 
-    /// Tells whether what changed after a stamp is still known.
-    pub fn has_changes_since(&self, stamp: u64) -> bool {
-        stamp >= self.purged
+    /// Returns whether all changes after the given one are still known.
+    pub fn has_changes_since(&self, change: u64) -> bool {
+        change >= self.forgotten_change
     }
 
-    /// Returns what changed after a stamp; none when it is so old that everything must be told.
-    pub fn changes_since(&self, stamp: u64) -> Option<Vec<Record>> {
-        if !self.has_changes_since(stamp) {
+    /// Returns the records that changed after the given change; none if it is so old that all
+    /// records must be sent.
+    pub fn changes_since(&self, change: u64) -> Option<Vec<Record>> {
+        if !self.has_changes_since(change) {
             return None;
         }
-        let newer = self.records.values().filter(|held| held.stamp > stamp);
-        Some(newer.map(|held| held.record.clone()).collect())
+        let newer = self.records.values().filter(|tracked| tracked.change > change);
+        Some(newer.map(|tracked| tracked.record.clone()).collect())
     }
 
-    /// Takes an announcement; `served` tells whether the route table knows its service.
+    /// Handles an announcement; `served` says whether the route table contains its service.
     pub fn announce(&mut self, now: Duration, announcement: Announcement, served: bool) -> Change {
         let run = &announcement.run;
         let departed = self.departures.status(run);
         if departed == Some(Status::Gone) {
             return Change::Unchanged;
         }
-        let Some(held) = self.records.get(&run.upstream) else {
-            return self.welcome(now, announcement, served);
+        let Some(tracked) = self.records.get(&run.upstream) else {
+            return self.register(now, announcement, served);
         };
-        let known = &held.record.announcement;
+        let known = &tracked.record.announcement;
         if !served && known.service != announcement.service {
             return Change::UnknownService;
         }
         match known.run.incarnation.cmp(&run.incarnation) {
-            Ordering::Less => self.welcome(now, announcement, served),
+            Ordering::Less => self.register(now, announcement, served),
             Ordering::Equal if known.sequence < announcement.sequence => {
                 self.renew(now, announcement)
             }
@@ -224,204 +241,228 @@
         }
     }
 
-    /// Takes a core's word that a run has announced itself with nothing new; returns what that changes.
+    /// Renews a run that a core vouches for, since it announced itself unchanged; returns the
+    /// effect.
     ///
-    /// The core may know less than this leader: that the run goes, or that another one has its name. So a mark
-    /// renews what is held, and makes nothing ready but a run that was only silent.
+    /// The core may know less than this leader, for example that the run is leaving or that another
+    /// run has its name. A renewal mark therefore only renews the current run, and makes a run
+    /// ready only if it was merely silent.
     pub fn vouch(&mut self, now: Duration, mark: &RenewalMark) -> Change {
-        let Some(held) = self.records.get_mut(&mark.run.upstream) else { return Change::Unchanged };
-        let known = &mut held.record.announcement;
-        let stays = matches!(held.record.status, Status::Ready | Status::Silent);
+        let Some(tracked) = self.records.get_mut(&mark.run.upstream) else {
+            return Change::Unchanged;
+        };
+        let known = &mut tracked.record.announcement;
+        let stays = matches!(tracked.record.status, Status::Ready | Status::Silent);
         if !stays || known.run != mark.run || known.sequence >= mark.sequence {
             return Change::Unchanged;
         }
         known.sequence = mark.sequence;
-        held.heard = now;
-        if held.record.status == Status::Ready {
+        tracked.last_heard = now;
+        if tracked.record.status == Status::Ready {
             return Change::Unchanged;
         }
-        held.record.status = Status::Ready;
-        self.stamp += 1;
-        held.stamp = self.stamp;
+        tracked.record.status = Status::Ready;
+        self.last_change += 1;
+        tracked.change = self.last_change;
         Change::Updated
     }
 
-    /// Counts a change of something else that is told with the upstreams; returns its number.
+    /// Counts a change of other state that is propagated together with the upstreams; returns its
+    /// number.
     pub fn record_external_change(&mut self) -> u64 {
-        self.stamp += 1;
-        self.stamp
+        self.last_change += 1;
+        self.last_change
     }
 
-    /// Tells why an announcement was not taken; none for the one that is held now.
+    /// Explains why an announcement was ignored; returns none for the announcement that is
+    /// currently stored.
     pub fn stale_announcement(
         &self,
         now: Duration,
         run: &Run,
         sequence: u64,
     ) -> Option<StaleAnnouncement> {
-        let held = self.records.get(&run.upstream).map(|held| &held.record.announcement);
-        if held.is_some_and(|it| it.run == *run && it.sequence == sequence) {
+        let tracked = self.records.get(&run.upstream).map(|tracked| &tracked.record.announcement);
+        if tracked.is_some_and(|it| it.run == *run && it.sequence == sequence) {
             return None;
         }
-        let known = held.map(|it| (it.run.incarnation, it.sequence));
+        let known = tracked.map(|it| (it.run.incarnation, it.sequence));
         let departed = self.departures.status(run).zip(self.departures.age(now, run));
         Some(StaleAnnouncement { run: run.clone(), sequence, known, departed })
     }
 
-    /// Takes a later announcement of a run that is known.
+    /// Handles a newer announcement of the current run.
     fn renew(&mut self, now: Duration, announcement: Announcement) -> Change {
         let departed = self.departures.status(&announcement.run);
-        let Some(held) = self.records.get_mut(&announcement.run.upstream) else {
+        let Some(tracked) = self.records.get_mut(&announcement.run.upstream) else {
             return Change::Unchanged;
         };
-        held.heard = now;
-        let before = held.record.status;
-        let standing = standing(&announcement, departed.unwrap_or(before));
-        let changed = differs(&held.record.announcement, &announcement) || standing != before;
-        if held.record.announcement.address != announcement.address {
+        tracked.last_heard = now;
+        let before = tracked.record.status;
+        let status = status_after_announcement(&announcement, departed.unwrap_or(before));
+        let changed =
+            differs_for_others(&tracked.record.announcement, &announcement) || status != before;
+        if tracked.record.announcement.address != announcement.address {
             self.addresses.insert(announcement.address, announcement.run.upstream.clone());
         }
-        held.record.announcement = announcement;
-        held.record.status = standing;
+        tracked.record.announcement = announcement;
+        tracked.record.status = status;
         if changed {
-            self.stamp += 1;
-            held.stamp = self.stamp;
+            self.last_change += 1;
+            tracked.change = self.last_change;
         }
-        if standing == Status::Leaving {
-            self.departures.record(now, &held.record.announcement.run, standing);
+        if status == Status::Leaving {
+            self.departures.record(now, &tracked.record.announcement.run, status);
         }
-        match (standing == Status::Leaving && before != standing, changed) {
+        match (status == Status::Leaving && before != status, changed) {
             (true, _) => Change::Leaving,
             (false, true) => Change::Updated,
             (false, false) => Change::Unchanged,
         }
     }
 
-    /// Takes the word of a run that it goes or has gone, whatever else is known of it.
+    /// Handles the departure of a run, whatever else is known of the run.
     ///
-    /// A run says it once and for all, so neither a later number nor a missing record speaks against it. Passed
-    /// over here, it would be acknowledged by the log, which holds it, while entries go on sending requests.
+    /// A departure is final for a run, so neither a higher sequence number nor a missing record
+    /// contradicts it. If the departure were ignored here, it would still be acknowledged, because
+    /// the log holds it, while entries continue to send requests.
     pub fn depart(&mut self, now: Duration, departure: &Departure) -> Change {
-        let Departure { run, status: standing } = departure;
-        if !self.departures.record(now, run, *standing) {
+        let Departure { run, status } = departure;
+        if !self.departures.record(now, run, *status) {
             return Change::Unchanged;
         }
-        let Some(held) = self.records.get_mut(&run.upstream) else { return Change::Leaving };
-        if held.record.announcement.run.incarnation <= run.incarnation {
-            // This leader may have heard of an earlier run only. Response as that one's end, the word would
-            // leave the run that goes in use at entries that know it from an earlier leader.
-            held.record.announcement.run = run.clone();
-            held.record.status = *standing;
-            self.stamp += 1;
-            held.stamp = self.stamp;
+        let Some(tracked) = self.records.get_mut(&run.upstream) else { return Change::Leaving };
+        if tracked.record.announcement.run.incarnation <= run.incarnation {
+            // This leader may only know an earlier run of the upstream. If the departure were
+            // recorded for that run, entries that know the departing run from an earlier leader
+            // would continue to use it.
+            tracked.record.announcement.run = run.clone();
+            tracked.record.status = *status;
+            self.last_change += 1;
+            tracked.change = self.last_change;
         }
         Change::Leaving
     }
 
-    /// Takes the word of a run that it has gone.
+    /// Handles the final departure of a run.
     pub fn withdraw(&mut self, now: Duration, run: &Run) -> Change {
         self.depart(now, &Departure { run: run.clone(), status: Status::Gone })
     }
 
-    /// Counts upstreams as silent that have missed announcements, later as lost, and forgets those long gone.
+    /// Marks upstreams that missed announcements as silent and later as lost, and removes those
+    /// that ended long ago.
     pub fn tick(&mut self, now: Duration) -> Expirations {
-        let mut lapse = Expirations::default();
-        for held in self.records.values_mut() {
-            let silence = now.saturating_sub(held.heard);
-            let Some(standing) = after(held.record.status, silence, self.period * MISSED) else {
+        let mut expirations = Expirations::default();
+        for tracked in self.records.values_mut() {
+            let silence = now.saturating_sub(tracked.last_heard);
+            let Some(status) = status_after_silence(
+                tracked.record.status,
+                silence,
+                self.announcement_period * MAX_MISSED_ANNOUNCEMENTS,
+            ) else {
                 continue;
             };
-            held.record.status = standing;
-            self.stamp += 1;
-            held.stamp = self.stamp;
-            lapse.changed = true;
-            let run = &held.record.announcement.run;
-            match standing {
-                Status::Silent => lapse.silent.push(run.upstream.clone()),
-                Status::Lost => lapse.lost.push(run.clone()),
+            tracked.record.status = status;
+            self.last_change += 1;
+            tracked.change = self.last_change;
+            expirations.changed = true;
+            let run = &tracked.record.announcement.run;
+            match status {
+                Status::Silent => expirations.silent.push(run.upstream.clone()),
+                Status::Lost => expirations.lost.push(run.clone()),
                 Status::Ready | Status::Leaving | Status::Gone => {}
             }
         }
         self.departures.remove_expired(now);
-        self.forget(now);
-        lapse
+        self.remove_expired(now);
+        expirations
     }
 
-    /// Forgets upstreams that are gone or lost once every instance has been told.
-    fn forget(&mut self, now: Duration) {
-        let forgotten = |held: &Entry| {
-            matches!(held.record.status, Status::Gone | Status::Lost)
-                && now.saturating_sub(held.heard) >= MEMORY * 2
+    /// Removes upstreams that are gone or lost once every instance has learned it.
+    fn remove_expired(&mut self, now: Duration) {
+        let is_expired = |tracked: &TrackedUpstream| {
+            matches!(tracked.record.status, Status::Gone | Status::Lost)
+                && now.saturating_sub(tracked.last_heard) >= LOST_AFTER * 2
         };
-        let last =
-            self.records.values().filter(|held| forgotten(held)).map(|held| held.stamp).max();
-        if let Some(last) = last {
-            self.purged = self.purged.max(last);
-            self.records.retain(|_, held| !forgotten(held));
+        let last_removed = self
+            .records
+            .values()
+            .filter(|tracked| is_expired(tracked))
+            .map(|tracked| tracked.change)
+            .max();
+        if let Some(last_removed) = last_removed {
+            self.forgotten_change = self.forgotten_change.max(last_removed);
+            self.records.retain(|_, tracked| !is_expired(tracked));
             self.addresses.retain(|_, upstream| self.records.contains_key(upstream));
         }
     }
 
-    /// Takes a run that is not known.
+    /// Adds a run that is not known yet.
     ///
-    /// It ends the record of an earlier run under its name, and that of whoever had its address: an
-    /// address is used again once its last user has ended. But an announcement that was held up may come
-    /// after its sender has ended and another run has registered at the address: taken for a new run, it
-    /// would turn requests to an upstream that no longer exists. It shows by an earlier start or, where
-    /// upstreams don't say when they started, by a high sequence number.
-    fn welcome(&mut self, now: Duration, announcement: Announcement, served: bool) -> Change {
+    /// The new run ends the record of an earlier run with its name, and of any other upstream at
+    /// its address, since an address is reused only after its last user has ended. However, a
+    /// delayed announcement may arrive after its sender has ended and another run has registered at
+    /// the address. If it were taken for a new run, requests would go to an upstream that no longer
+    /// exists. Such an announcement is recognized by an earlier start time or, where upstreams
+    /// don't report when they started, by a high sequence number.
+    fn register(&mut self, now: Duration, announcement: Announcement, served: bool) -> Change {
         let Announcement { run, address, sequence, .. } = &announcement;
-        let at_address = |held: &&mut Entry| {
-            let other = &held.record.announcement;
+        let is_active_at_address = |tracked: &&mut TrackedUpstream| {
+            let other = &tracked.record.announcement;
             other.address == *address
                 && other.run.upstream != run.upstream
-                && !matches!(held.record.status, Status::Gone | Status::Lost)
+                && !matches!(tracked.record.status, Status::Gone | Status::Lost)
         };
         let other = self.addresses.get(address).and_then(|other| self.records.get_mut(other));
-        if let Some(old) = other.filter(at_address) {
-            let before = old.record.announcement.run.incarnation;
-            let late = if before > 0 && run.incarnation > 0 {
+        if let Some(replaced) = other.filter(is_active_at_address) {
+            let before = replaced.record.announcement.run.incarnation;
+            let is_stale = if before > 0 && run.incarnation > 0 {
                 run.incarnation < before
             } else {
-                now.saturating_sub(old.heard) <= self.period * 2 && *sequence > YOUNG
+                now.saturating_sub(replaced.last_heard) <= self.announcement_period * 2
+                    && *sequence > MAX_FIRST_SEQUENCE
             };
             if !served {
                 return Change::UnknownService;
             }
-            if late {
+            if is_stale {
                 return Change::Unchanged;
             }
-            old.record.status = Status::Gone;
-            self.stamp += 1;
-            old.stamp = self.stamp;
-            self.departures.record(now, &old.record.announcement.run, Status::Gone);
+            replaced.record.status = Status::Gone;
+            self.last_change += 1;
+            replaced.change = self.last_change;
+            self.departures.record(now, &replaced.record.announcement.run, Status::Gone);
         }
-        self.stamp += 1;
+        self.last_change += 1;
         let departed = self.departures.status(run);
-        let standing = standing(&announcement, departed.unwrap_or(Status::Ready));
-        if standing == Status::Leaving {
-            self.departures.record(now, run, standing);
+        let status = status_after_announcement(&announcement, departed.unwrap_or(Status::Ready));
+        if status == Status::Leaving {
+            self.departures.record(now, run, status);
         }
-        self.hold(now, self.stamp, Record { announcement, status: standing });
-        if standing == Status::Leaving { Change::Leaving } else { Change::Updated }
+        self.insert_record(now, self.last_change, Record { announcement, status });
+        if status == Status::Leaving { Change::Leaving } else { Change::Updated }
     }
 }
 
-/// Returns what a silence makes of an upstream, if anything; `patience` is for how long one that is ready
-/// may be silent.
+/// Returns the status that follows from a silence if it differs; `max_silence` is how long a ready
+/// upstream may be silent.
 ///
-/// Entries hold what the leader told them last. An upstream that was only forgotten at the leader would stay in
-/// use at all of them, as the last resort, for as long as they run.
-fn after(standing: Status, silence: Duration, patience: Duration) -> Option<Status> {
-    match standing {
-        Status::Ready if silence > patience => Some(Status::Silent),
-        Status::Silent if silence > MEMORY => Some(Status::Lost),
-        Status::Leaving if silence > MEMORY => Some(Status::Gone),
+/// Entries keep what the leader sent them last. An upstream that the leader merely forgot would
+/// stay in use at all entries, as the last resort, for as long as they run.
+fn status_after_silence(
+    status: Status,
+    silence: Duration,
+    max_silence: Duration,
+) -> Option<Status> {
+    match status {
+        Status::Ready if silence > max_silence => Some(Status::Silent),
+        Status::Silent if silence > LOST_AFTER => Some(Status::Lost),
+        Status::Leaving if silence > LOST_AFTER => Some(Status::Gone),
         _ => None,
     }
 }
 
-/// Returns the standing after an announcement; leaving is final for a run.
-fn standing(announcement: &Announcement, before: Status) -> Status {
+/// Returns the status after an announcement; leaving is final for a run.
+fn status_after_announcement(announcement: &Announcement, before: Status) -> Status {
     if announcement.draining || before == Status::Leaving { Status::Leaving } else { Status::Ready }
 }
--- a/crates/verbenaslip-fleet/tests/history.rs
+++ b/crates/verbenaslip-fleet/tests/history.rs
@@ -1,4 +1,4 @@
-//! What instances know of upstreams once leaders have followed each other while upstreams come and go.
+//! Views of upstreams after several changes of the leader while upstreams come and go.
 
 mod net;
 
@@ -14,19 +14,19 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const CORES: usize = 5;
-/// More than a dozen, so that updates go by way of other cores.
+/// More than 12, so that updates go through parent cores.
 const ENTRIES: usize = 16;
 const STEPS: usize = 14;
-/// Seeds that CI plays; others are played by hand: `HISTORY_SEEDS=0..400`.
+/// Seeds that CI runs; run others with `HISTORY_SEEDS=0..400`.
 const SEEDS: Range<u64> = 0..12;
 
-/// Plays upstreams that announce themselves, and go with or without a word.
+/// Simulates upstreams that announce themselves, and that depart or crash.
 struct World {
     net: Network,
     random: Pcg64,
-    /// The last announcement of each upstream that is there.
-    there: BTreeMap<usize, u64>,
-    next: usize,
+    /// Last announcement sequence of each running upstream.
+    running: BTreeMap<usize, u64>,
+    last_upstream: usize,
 }
 
 impl World {
@@ -36,54 +36,55 @@
     }
 
     fn announce_at(&mut self, upstream: usize, draining: bool, core: usize) {
-        let sequence = self.there.get(&upstream).map_or(1, |it| it + 1);
-        self.there.insert(upstream, sequence);
-        let [high, low] = u16::try_from(upstream).expect("few").to_be_bytes();
+        let sequence = self.running.get(&upstream).map_or(1, |it| it + 1);
+        self.running.insert(upstream, sequence);
+        let [high, low] =
+            u16::try_from(upstream).expect("upstream index fits in u16").to_be_bytes();
         let named = announcement(&name(upstream), sequence, draining);
-        let announced = Announcement { address: ([10, 9, high, low], 80).into(), ..named };
-        self.net.start_call(core, Request::Announce(Box::new(announced)));
+        let moved = Announcement { address: ([10, 9, high, low], 80).into(), ..named };
+        self.net.start_call(core, Request::Announce(Box::new(moved)));
     }
 
     fn announce_all(&mut self) {
-        let there: Vec<usize> = self.there.keys().copied().collect();
-        there.into_iter().for_each(|upstream| self.announce(upstream, false));
+        let running: Vec<usize> = self.running.keys().copied().collect();
+        running.into_iter().for_each(|upstream| self.announce(upstream, false));
     }
 
-    /// Has some upstreams come and some go.
-    fn change(&mut self) {
+    /// Starts some upstreams and ends others.
+    fn change_upstreams(&mut self) {
         for _ in 0..self.random.random_range(0..4) {
-            self.next += 1;
-            self.announce(self.next, false);
+            self.last_upstream += 1;
+            self.announce(self.last_upstream, false);
         }
-        let there: Vec<usize> = self.there.keys().copied().collect();
-        for upstream in there {
+        let running: Vec<usize> = self.running.keys().copied().collect();
+        for upstream in running {
             match self.random.random_range(0..12) {
                 0 => {
-                    self.there.remove(&upstream);
-                    let withdrawn = net::withdraw(&name(upstream));
+                    self.running.remove(&upstream);
+                    let withdrawal = net::withdraw(&name(upstream));
                     let core = self.random.random_range(0..CORES);
-                    self.net.start_call(core, withdrawn);
+                    self.net.start_call(core, withdrawal);
                 }
-                // It ends without a word.
-                1 => drop(self.there.remove(&upstream)),
+                // The upstream crashes without an announcement.
+                1 => drop(self.running.remove(&upstream)),
                 _ => {}
             }
         }
     }
 
-    /// Has upstreams come of which entries hear, and no core but the leader does.
-    fn change_past_cores(&mut self, leader: usize) {
+    /// Adds upstreams that the leader and entries know, but no other core.
+    fn add_upstreams_unknown_to_cores(&mut self, leader: usize) {
         self.net.drop_updates(true);
         for _ in 0..3 {
-            self.next += 1;
-            self.announce_at(self.next, false, leader);
+            self.last_upstream += 1;
+            self.announce_at(self.last_upstream, false, leader);
         }
         self.net.run(Duration::from_millis(60));
         self.net.drop_updates(false);
     }
 
-    /// Has the leader, another core or an entry be lost for a while.
-    fn harm(&mut self) {
+    /// Causes a temporary fault of the leader, another core or entries.
+    fn cause_fault(&mut self) {
         let leaders = self.net.leaders();
         let leader = leaders.first().copied().unwrap_or(0);
         let core = self.random.random_range(0..CORES);
@@ -108,7 +109,7 @@
                 self.net.reconnect_entry(entry);
             }
             5 => self.net.restart_entry(entries[0]),
-            // Some entries lack the last changes of a leader that is lost.
+            // Some entries lack the last changes of the lost leader.
             6 | 7 => {
                 entries.iter().for_each(|entry| self.net.disconnect_entry(*entry));
                 self.run(SECOND);
@@ -116,9 +117,9 @@
                 self.run(SECOND);
                 entries.iter().for_each(|entry| self.net.reconnect_entry(*entry));
             }
-            // So do all cores but that one, which entries hear.
+            // All cores except the lost leader lack its last changes, which entries have.
             _ => {
-                self.change_past_cores(leader);
+                self.add_upstreams_unknown_to_cores(leader);
                 self.net.stop(leader);
                 self.run(SECOND * 2);
                 self.net.restart(leader);
@@ -127,9 +128,9 @@
     }
 
     fn run(&mut self, time: Duration) {
-        let until = self.net.now() + time;
-        while self.net.now() < until {
-            self.change();
+        let end = self.net.now() + time;
+        while self.net.now() < end {
+            self.change_upstreams();
             self.announce_all();
             self.net.run(Duration::from_millis(400));
         }
@@ -141,8 +142,9 @@
 }
 
 #[test]
-fn all_entries_know_the_same_upstreams_whoever_has_led() {
-    // Guards against an upstream that some entries keep, or never learn of, as leaders tell what has changed alone.
+fn all_entries_know_the_same_upstreams_after_leader_changes() {
+    // Guards against an upstream that some entries keep or never learn of, since leaders send only
+    // changes.
     let seeds = std::env::var("HISTORY_SEEDS").ok();
     let bounds = seeds.as_deref().and_then(|text| text.split_once(".."));
     let parse = |text: &str| text.parse::<u64>().expect("a number");
@@ -150,28 +152,32 @@
         let mut world = World {
             net: Network::with_voters(CORES, ENTRIES, CORES),
             random: Pcg64::seed_from_u64(seed),
-            there: BTreeMap::new(),
-            next: 0,
+            running: BTreeMap::new(),
+            last_upstream: 0,
         };
         world.net.run(SECOND * 4);
         world.net.call(0, Request::AdoptRouteTable(Box::new(route_table_with_service(1))));
         for _ in 0..STEPS {
             world.run(SECOND);
-            world.harm();
+            world.cause_fault();
         }
-        // What has ended without a word is lost after a minute of silence.
+        // A crashed upstream counts as lost after a minute of silence.
         for _ in 0..56 {
             world.announce_all();
             world.net.run(Duration::from_millis(1_200));
         }
-        let there: BTreeSet<String> = world.there.keys().map(|it| name(*it)).collect();
+        let running: BTreeSet<String> = world.running.keys().map(|it| name(*it)).collect();
         for (entry, view) in world.net.entries().enumerate() {
             let ready = view.upstreams.values().filter(|it| it.status == Status::Ready);
             let ready: BTreeSet<String> =
                 ready.map(|it| it.announcement.run.upstream.as_str().to_owned()).collect();
-            assert_eq!(ready, there, "seed {seed}, entry {entry}: those that are ready");
+            assert_eq!(ready, running, "seed {seed}, entry {entry}: ready upstreams");
             let known = view.upstreams.len();
-            assert_eq!(known, there.len(), "seed {seed}, entry {entry}: all that are known");
+            assert_eq!(
+                known,
+                running.len(),
+                "seed {seed}, entry {entry}: number of known upstreams"
+            );
         }
     }
 }
--- a/crates/verbenaslip-fleet/tests/hub.rs
+++ b/crates/verbenaslip-fleet/tests/hub.rs
@@ -1,4 +1,4 @@
-//! What the leader tells all others, and how often it is made.
+//! Building of updates and loan grants in the hub.
 
 mod net;
 
@@ -8,7 +8,7 @@
 
 use verbenaslip_base::name::{AvailabilityZone, Instance};
 use verbenaslip_fleet::frame::{Heartbeat, Peer};
-use verbenaslip_fleet::hub::{Changes, Hub, UpdateSource};
+use verbenaslip_fleet::hub::{ChangeNumbers, Hub, UpdateSource};
 use verbenaslip_fleet::quota::LoanRequest;
 use verbenaslip_fleet::registry::{Announcement, Registry};
 use verbenaslip_fleet::replicated_state::{Command, ReplicatedState, RouteTableRevision};
@@ -55,19 +55,24 @@
 }
 
 #[test]
-fn a_change_is_told_to_all_that_lack_the_same_at_once() {
-    // Symptom: with hundreds of entries, reports go unanswered and routes come into force seconds late
-    // while upstreams start. Sequence: dozens of upstreams a second announce themselves; each push is
-    // made and written for each entry. Cause: the same update made as often as there are entries.
+fn instances_that_lack_the_same_changes_share_one_update() {
+    // Guards against building and encoding the same update once per entry: with hundreds of entries
+    // and dozens of new upstreams a second, heartbeats remained unanswered and routes came into
+    // force seconds late.
     let now = Duration::from_secs(1);
     let (mut hub, mut registry) = (Hub::default(), Registry::new(Duration::from_millis(1_200)));
     registry.announce(now, announcement(1), true);
-    let first = registry.last_change();
+    let first_change = registry.last_change();
     let hosts = 1..=200;
     let all: Vec<SocketAddr> = hosts.clone().map(address).collect();
     for host in hosts {
-        // One has nothing yet; the others have the first upstream.
-        hub.handle_heartbeat(now, TERM, 0, heartbeat(host, if host == 7 { 0 } else { first }));
+        // One instance has no upstreams yet; the others have the first one.
+        hub.handle_heartbeat(
+            now,
+            TERM,
+            0,
+            heartbeat(host, if host == 7 { 0 } else { first_change }),
+        );
     }
     registry.announce(now, announcement(2), true);
     let registry = &registry;
@@ -81,20 +86,25 @@
         blocklist: &Arc::default(),
         rollout_plans: &Arc::default(),
         limits: &Arc::default(),
-        changes: Changes::default(),
+        changes: ChangeNumbers::default(),
         ack_requested: false,
         unix_ms: 0,
     };
     let pushes = hub.push_updates(now, &all, &source);
     let sizes: Vec<(usize, usize)> =
         pushes.iter().map(|push| (push.to.len(), push.update.records.len())).collect();
-    assert_eq!(sizes, [(1, 2), (199, 1)], "all upstreams to one, the new one to the others");
+    assert_eq!(
+        sizes,
+        [(1, 2), (199, 1)],
+        "expected all upstreams for one instance and the new one for the others"
+    );
     assert!(hub.lagging_subscribers(now, registry.last_change(), 0).is_empty());
 }
 
 #[test]
-fn limits_are_lent_from_the_first_request_after_a_power_loss_of_all() {
-    // Guards against buckets that are opened with the first sweep of a new leader, and begin half empty.
+fn loans_are_granted_from_the_first_request_after_a_power_loss() {
+    // Guards against buckets that are created only in the first maintenance pass of a new leader,
+    // or start half empty.
     let now = Duration::from_secs(9);
     let team = TeamConfig {
         name: "red".into(),
@@ -102,15 +112,15 @@
         priority: None,
         quota: Some(Quota { rate: 900.0, burst: 900.0, default_tokens: None }),
     };
-    let sheet = Arc::new(RouteTable { revision: 1, teams: vec![team], ..RouteTable::default() });
-    let mut ledger = ReplicatedState::default();
+    let table = Arc::new(RouteTable { revision: 1, teams: vec![team], ..RouteTable::default() });
+    let mut state = ReplicatedState::default();
     let document = b"table 1"[..].into();
-    ledger.apply(Command::SetRouteTable(Box::new(RouteTableRevision { table: sheet, document })));
+    state.apply(Command::SetRouteTable(Box::new(RouteTableRevision { table, document })));
     let mut hub = Hub::default();
     hub.start_leading(now, 9, true);
-    hub.refresh(now, ledger.current_table().map(|edition| &*edition.table));
+    hub.refresh(now, state.current_table().map(|current| &*current.table));
     let loan = |id| LoanRequest { id, team: "red".into(), required: 100.0, prefetch: 0.0 };
-    let loans: Vec<LoanRequest> = (1..=9).map(loan).collect();
-    let lent: Vec<f64> = hub.grant_loans(&loans).iter().map(|it| it.units).collect();
-    assert_eq!(lent, [100.0; 9], "the whole bucket, from the first request on");
+    let requests: Vec<LoanRequest> = (1..=9).map(loan).collect();
+    let granted: Vec<f64> = hub.grant_loans(&requests).iter().map(|it| it.units).collect();
+    assert_eq!(granted, [100.0; 9], "the whole bucket must be available from the first request on");
 }
--- a/crates/verbenaslip-policy/src/plan/offer.rs
+++ b/crates/verbenaslip-policy/src/plan/offer.rs
@@ -1,4 +1,4 @@
-//! What the cloud offers, and which of it was refused a short while ago.
+//! Tracks the cloud's offers and their recent refusals.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,63 +9,63 @@
 use verbenaslip_base::data;
 use verbenaslip_base::name::AvailabilityZone;
 
-/// How long an offer is left alone after its first refusal.
-const FIRST: Duration = Duration::from_secs(20);
-/// How long it is left alone at most.
-const LONGEST: Duration = Duration::from_secs(600);
-/// What the losses of reclaimable machines add to their price.
-const LOSSES: f64 = 1.1;
+/// The cooldown of an offer after its first refusal.
+const FIRST_COOLDOWN: Duration = Duration::from_secs(20);
+/// The longest cooldown of an offer, before jitter.
+const MAX_COOLDOWN: Duration = Duration::from_secs(600);
+/// The factor by which reclaims increase the effective price of reclaimable machines.
+const RECLAIM_COST_FACTOR: f64 = 1.1;
 
-/// Offers a machine class in a zone and market at a price.
+/// Describes a machine class that the cloud offers in a zone and market at a price.
 #[data]
 pub struct Offer {
-    /// The zone.
+    /// The availability zone.
     pub zone: AvailabilityZone,
-    /// The machine class.
+    /// The cloud's name of the machine class.
     pub class: Arc<str>,
-    /// How it is paid for.
+    /// The market: reclaimable or on-demand.
     pub market: Market,
-    /// Price in millionths of the currency unit for an hour.
+    /// The price per hour, in millionths of the currency unit.
     pub price: u64,
 }
 
 impl Offer {
-    /// Returns what a slot costs, with what is lost through reclaims.
-    pub(crate) fn unit(&self, slots: u32) -> f64 {
-        let losses = if self.market == Market::Reclaimable { LOSSES } else { 1.0 };
-        self.price as f64 * losses / f64::from(slots.max(1))
+    /// Returns the price per slot and hour, including the expected cost of reclaims.
+    pub(crate) fn price_per_slot(&self, slots: u32) -> f64 {
+        let factor = if self.market == Market::Reclaimable { RECLAIM_COST_FACTOR } else { 1.0 };
+        self.price as f64 * factor / f64::from(slots.max(1))
     }
 
-    fn key(&self) -> Key {
+    fn key(&self) -> OfferKey {
         (self.zone.clone(), self.class.clone(), self.market)
     }
 }
 
-/// Identifies an offer whatever its price.
-type Key = (AvailabilityZone, Arc<str>, Market);
+/// Identifies an offer regardless of its price.
+type OfferKey = (AvailabilityZone, Arc<str>, Market);
 
-/// Remembers refusals, so that the next best offer is tried instead of the same one again.
+/// Tracks refused offers, so that the next best offer is tried instead of the same one.
 #[derive(Debug, Default)]
-pub struct Offers {
-    refused: BTreeMap<Key, (u32, Duration)>,
+pub struct OfferBackoff {
+    refused: BTreeMap<OfferKey, (u32, Duration)>,
 }
 
-impl Offers {
-    /// Notes that a start was refused.
-    pub fn refused(&mut self, now: Duration, offer: &Offer, rng: &mut impl Rng) {
+impl OfferBackoff {
+    /// Records that a start was refused.
+    pub fn record_refusal(&mut self, now: Duration, offer: &Offer, rng: &mut impl Rng) {
         let entry = self.refused.entry(offer.key()).or_default();
         entry.0 = entry.0.saturating_add(1);
-        let rest = FIRST.saturating_mul(1 << (entry.0 - 1).min(8)).min(LONGEST);
-        entry.1 = now.saturating_add(rest.mul_f64(rng.random_range(0.75..=1.25)));
+        let cooldown = FIRST_COOLDOWN.saturating_mul(1 << (entry.0 - 1).min(8)).min(MAX_COOLDOWN);
+        entry.1 = now.saturating_add(cooldown.mul_f64(rng.random_range(0.75..=1.25)));
     }
 
-    /// Notes that a start succeeded.
-    pub fn granted(&mut self, offer: &Offer) {
+    /// Records that a start was granted.
+    pub fn record_grant(&mut self, offer: &Offer) {
         self.refused.remove(&offer.key());
     }
 
     /// Returns whether an offer may be tried.
-    pub fn may(&self, now: Duration, offer: &Offer) -> bool {
+    pub fn is_available(&self, now: Duration, offer: &Offer) -> bool {
         self.refused.get(&offer.key()).is_none_or(|(_, until)| now >= *until)
     }
 }
--- a/crates/verbenaslip-policy/tests/common/mod.rs
+++ b/crates/verbenaslip-policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Values that the tests of several modules start from.
+//! Provides values shared by several test files.
 
 #![allow(dead_code)]
 
@@ -10,34 +10,34 @@
 use verbenaslip_base::attempt::Request;
 use verbenaslip_base::head::Head;
 use verbenaslip_base::name::{Instance, Model};
-use verbenaslip_policy::admit::Item;
+use verbenaslip_policy::admit::QueuedRequest;
 use verbenaslip_policy::pool::Pool;
-use verbenaslip_policy::row::Terms;
+use verbenaslip_policy::row::RowParams;
 use verbenaslip_table::{Key, Row};
 
-/// Returns a generator with a fixed seed.
+/// Returns a random generator with a fixed seed.
 pub fn rng(seed: u64) -> Pcg64Mcg {
     Pcg64Mcg::seed_from_u64(seed)
 }
 
-/// Returns a time in milliseconds.
+/// Returns a duration in milliseconds.
 pub fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// Returns a row's key.
+/// Returns the key of a row.
 pub fn key(team: &str, class: &str) -> Key {
     Key { team: team.into(), class: class.into() }
 }
 
-/// Returns the terms of a usual row, changed.
-pub fn terms(change: impl FnOnce(&mut Row)) -> Terms {
+/// Returns the parameters of a default row after `change`.
+pub fn params(change: impl FnOnce(&mut Row)) -> RowParams {
     let mut row = Row::new("team", "class");
     change(&mut row);
-    Terms::from(&row)
+    RowParams::from(&row)
 }
 
-/// Returns a small request that is due 30 s from zero.
+/// Returns the head of a small request whose deadline is 30 s after time zero.
 pub fn head(id: u128, team: &str) -> Head {
     Head {
         request: Request(id),
@@ -54,23 +54,23 @@
     }
 }
 
-/// Returns an offered request.
-pub fn item(id: u128, team: &str, terms: Terms) -> Item {
-    Item {
+/// Returns a small request for a queue.
+pub fn queued(id: u128, team: &str, params: RowParams) -> QueuedRequest {
+    QueuedRequest {
         head: head(id, team),
         key: key(team, "class"),
         arrived: Duration::ZERO,
-        terms,
-        cached: 0,
+        params,
+        cached_tokens: 0,
         avoid: Vec::new(),
-        begun: false,
+        may_have_run: false,
     }
 }
 
-/// Returns a pool with slots, of which some are free.
-pub fn pool(slots: u32, free: u32) -> Pool {
-    let share = f64::from(slots);
-    Pool { upstreams: 1, slots, free, share, running: 4.0, ..Pool::default() }
+/// Returns a pool with `slots` slots of which `free` are free.
+pub fn pool(slots: u32, free_slots: u32) -> Pool {
+    let slot_share = f64::from(slots);
+    Pool { upstreams: 1, slots, free_slots, slot_share, mean_running: 4.0, ..Pool::default() }
 }
 
 /// Returns an announcement of a ready engine.
@@ -92,7 +92,7 @@
     }
 }
 
-/// Returns the names of so many instances.
+/// Returns `count` instance names.
 pub fn instances(count: usize) -> Vec<Instance> {
     (0..count).map(|index| Instance::new(format!("instance-{index:03}"))).collect()
 }
--- a/crates/verbenaslip-relay/src/forward/answer.rs
+++ b/crates/verbenaslip-relay/src/forward/answer.rs
@@ -1,101 +1,101 @@
-//! Answers of this instance's own, and the heads of those passed on.
+//! Answers that this instance makes itself, and the heads of forwarded answers.
 
 use std::time::Duration;
 
 use crate::dialect::Dialect;
 use crate::http::{Framing, MessageError, ResponseHead, head};
 
-/// Says why a request is not passed on, or gets no upstream's answer.
+/// Describes why a request is not forwarded, or gets no upstream's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// The request is malformed.
     Malformed,
-    /// The key is missing or belongs to no team.
+    /// The API key is missing or belongs to no team.
     UnknownKey,
-    /// No route leads there.
+    /// No route matches the request.
     NoRoute,
     /// The request did not arrive in time.
-    SlowCaller,
+    RequestTimeout,
     /// The body is larger than allowed.
-    TooLarge,
+    BodyTooLarge,
     /// The head is larger than allowed.
-    LongHead,
-    /// The team asked for more than its limit; it was not run.
-    BeyondLimit,
-    /// This instance is about to stop; it was not run.
+    HeadTooLarge,
+    /// The team has exceeded its limit; the request was not run.
+    QuotaExceeded,
+    /// This instance is about to stop; the request was not run.
     Stopping,
-    /// No route table is known here yet; it was not run.
-    NoTable,
-    /// No upstream may get it now; it was not run.
+    /// This instance has no route table yet; the request was not run.
+    NoRouteTable,
+    /// No upstream can take the request now; it was not run.
     NoUpstream,
-    /// All upstreams are busy; it was not run.
+    /// All upstreams are busy; the request was not run.
     Busy,
-    /// All upstreams limit the requests that they take; it was not run.
-    Limited,
-    /// All upstreams have asked this instance for rest; it was not run.
-    Resting,
-    /// Upstreams have ended that ran such a request; this one was not run.
-    HeldBack,
-    /// Every upstream that got it said that it did not run it.
-    TurnedAway,
-    /// An upstream failed; it may have run.
+    /// All upstreams limit their request rate; the request was not run.
+    RateLimited,
+    /// All upstreams have asked this instance for a cooldown; the request was not run.
+    CoolingDown,
+    /// Upstreams have crashed during such a request; this one was not run.
+    Quarantined,
+    /// Every upstream that received the request stated that it did not run it.
+    NotRun,
+    /// An upstream failed; the request may have run.
     Failed,
-    /// The time ran out after it was sent; it may have run.
+    /// The time ran out after the request was sent; it may have run.
     TimedOut,
-    /// The time ran out before it was sent anywhere; it was not run.
-    Expired,
+    /// The time ran out before the request was sent; it was not run.
+    DeadlineExpired,
 }
 
 impl Refusal {
-    /// Returns the status.
+    /// Returns the HTTP status.
     pub fn status(self) -> u16 {
         match self {
             Self::Malformed => 400,
             Self::UnknownKey => 401,
             Self::NoRoute => 404,
-            Self::SlowCaller => 408,
-            Self::TooLarge => 413,
-            Self::BeyondLimit => 429,
-            Self::LongHead => 431,
+            Self::RequestTimeout => 408,
+            Self::BodyTooLarge => 413,
+            Self::QuotaExceeded => 429,
+            Self::HeadTooLarge => 431,
             Self::Failed => 502,
-            Self::NoTable
+            Self::NoRouteTable
             | Self::NoUpstream
             | Self::Busy
-            | Self::Limited
-            | Self::Resting
-            | Self::HeldBack
-            | Self::TurnedAway
+            | Self::RateLimited
+            | Self::CoolingDown
+            | Self::Quarantined
+            | Self::NotRun
             | Self::Stopping
-            | Self::Expired => 503,
+            | Self::DeadlineExpired => 503,
             Self::TimedOut => 504,
         }
     }
 
-    /// Returns its name, for logs, metrics and the answer's body.
+    /// Returns the name for logs, metrics and the body of the answer.
     pub fn name(self) -> &'static str {
         match self {
             Self::Malformed => "malformed",
             Self::UnknownKey => "unknown_key",
             Self::NoRoute => "no_route",
-            Self::SlowCaller => "slow_caller",
-            Self::TooLarge => "too_large",
-            Self::LongHead => "long_head",
-            Self::BeyondLimit => "beyond_limit",
+            Self::RequestTimeout => "slow_caller",
+            Self::BodyTooLarge => "too_large",
+            Self::HeadTooLarge => "long_head",
+            Self::QuotaExceeded => "beyond_limit",
             Self::Stopping => "stopping",
-            Self::NoTable => "no_table",
+            Self::NoRouteTable => "no_table",
             Self::NoUpstream => "no_upstream",
             Self::Busy => "busy",
-            Self::Limited => "limited",
-            Self::Resting => "resting",
-            Self::HeldBack => "held_back",
-            Self::TurnedAway => "turned_away",
+            Self::RateLimited => "limited",
+            Self::CoolingDown => "resting",
+            Self::Quarantined => "held_back",
+            Self::NotRun => "turned_away",
             Self::Failed => "failed",
             Self::TimedOut => "timed_out",
-            Self::Expired => "expired",
+            Self::DeadlineExpired => "expired",
         }
     }
 
-    fn reason(self) -> &'static str {
+    fn reason_phrase(self) -> &'static str {
         match self.status() {
             400 => "Bad Request",
             401 => "Unauthorized",
@@ -114,71 +114,73 @@
 impl From<MessageError> for Refusal {
     fn from(fault: MessageError) -> Self {
         match fault {
-            MessageError::TooLong => Self::LongHead,
-            MessageError::TooLarge => Self::TooLarge,
-            MessageError::Slow => Self::SlowCaller,
+            MessageError::HeadTooLong => Self::HeadTooLarge,
+            MessageError::BodyTooLarge => Self::BodyTooLarge,
+            MessageError::Timeout => Self::RequestTimeout,
             _ => Self::Malformed,
         }
     }
 }
 
-/// Writes an answer of this instance's own; `back` is when the caller may come again.
-pub fn write(
+/// Writes an answer that this instance makes itself; `retry_after` is when the caller may retry.
+pub fn write_refusal(
     dialect: &dyn Dialect,
     refusal: Refusal,
     id: &str,
-    back: Option<Duration>,
+    retry_after: Option<Duration>,
     close: bool,
 ) -> Vec<u8> {
     let body = format!("{{\"error\":\"{}\"}}\n", refusal.name());
     let mut out = Vec::with_capacity(256);
-    let line = format!("HTTP/1.1 {} {}\r\n", refusal.status(), refusal.reason());
+    let line = format!("HTTP/1.1 {} {}\r\n", refusal.status(), refusal.reason_phrase());
     out.extend_from_slice(line.as_bytes());
-    dialect.write_answer(id, back, &mut |name, value| put(&mut out, name, value.as_bytes()));
-    put(&mut out, "Content-Type", b"application/json");
-    put(&mut out, "Content-Length", body.len().to_string().as_bytes());
+    dialect.write_answer(id, retry_after, &mut |name, value| {
+        write_field(&mut out, name, value.as_bytes())
+    });
+    write_field(&mut out, "Content-Type", b"application/json");
+    write_field(&mut out, "Content-Length", body.len().to_string().as_bytes());
     if close {
-        put(&mut out, "Connection", b"close");
+        write_field(&mut out, "Connection", b"close");
     }
     out.extend_from_slice(b"\r\n");
     out.extend_from_slice(body.as_bytes());
     out
 }
 
-/// Writes the head of an upstream's answer for the caller; only what concerns the connection
-/// differs.
+/// Writes the head of an upstream's answer for the caller; only the fields about the connection
+/// differ.
 pub fn write_head(response: &ResponseHead, framing: Framing, close: bool) -> Vec<u8> {
     let mut out = Vec::with_capacity(512);
     let line = format!("HTTP/1.1 {} {}\r\n", response.status, response.reason);
     out.extend_from_slice(line.as_bytes());
     for field in &response.fields {
-        let length = field.name.eq_ignore_ascii_case("content-length");
-        if !head::is_hop(&response.fields, &field.name) && !length {
-            put(&mut out, &field.name, &field.value);
+        let is_length = field.name.eq_ignore_ascii_case("content-length");
+        if !head::is_hop_by_hop(&response.fields, &field.name) && !is_length {
+            write_field(&mut out, &field.name, &field.value);
         }
     }
     match framing {
         Framing::Empty => {
-            // An answer without a body may still say how long it would be.
-            if let Some(length) = response.text("content-length") {
-                put(&mut out, "Content-Length", length.as_bytes());
+            // An answer without a body may still state its length.
+            if let Some(is_length) = response.text("content-length") {
+                write_field(&mut out, "Content-Length", is_length.as_bytes());
             }
         }
-        Framing::Length(length) => {
-            put(&mut out, "Content-Length", length.to_string().as_bytes());
+        Framing::Length(is_length) => {
+            write_field(&mut out, "Content-Length", is_length.to_string().as_bytes());
         }
-        Framing::Chunked => put(&mut out, "Transfer-Encoding", b"chunked"),
-        Framing::Close => {}
+        Framing::Chunked => write_field(&mut out, "Transfer-Encoding", b"chunked"),
+        Framing::UntilClose => {}
     }
     if close {
-        put(&mut out, "Connection", b"close");
+        write_field(&mut out, "Connection", b"close");
     }
     out.extend_from_slice(b"\r\n");
     out
 }
 
 /// Writes one header field.
-pub fn put(out: &mut Vec<u8>, name: &str, value: &[u8]) {
+pub fn write_field(out: &mut Vec<u8>, name: &str, value: &[u8]) {
     out.extend_from_slice(name.as_bytes());
     out.extend_from_slice(b": ");
     out.extend_from_slice(value);
--- /dev/null
+++ b/crates/verbenaslip-relay/src/forward/lifecycle.rs
@@ -0,0 +1,465 @@
+//! Runs one request: where it goes, whether it is retried, and what its caller gets.
+
+use std::time::Duration;
+
+use tokio::time::Instant;
+use verbenaslip_fleet::clock;
+use verbenaslip_fleet::registry::Run;
+use verbenaslip_fleet::route_table::RequestKind;
+
+use crate::dialect::ResponseInfo;
+use crate::forward::admission::{self, AdmittedRequest, Rejection};
+use crate::forward::answer::{self, Refusal};
+use crate::forward::context::Context;
+use crate::forward::delivery::{Delivery, Outcome};
+use crate::forward::exchange::{self, Failure, Response};
+use crate::forward::failover::Failover;
+use crate::forward::request_log::{self, Trace, ViewInfo};
+use crate::forward::upstream_choice;
+use crate::forward::upstream_request;
+use crate::http::{Connection, Message};
+use crate::monotonic;
+use crate::policy::placement::{Choice, Ending};
+use crate::policy::quarantine;
+
+/// Retry time for a caller whose request was refused by full upstreams. A full upstream is also
+/// slower, so callers that retry sooner would keep it full. By this time the next update of the
+/// fleet has arrived.
+const RETRY_AFTER_FULL: Duration = Duration::from_millis(300);
+
+/// Retry time for a caller that was refused because no upstream was available: half of the
+/// interval in which every upstream announces itself once.
+const RETRY_AFTER_NO_UPSTREAM: Duration = Duration::from_millis(600);
+
+/// Time that a request waits at an entry without a route table: as long as cores take to start, to
+/// elect a leader and to send the table.
+const ROUTE_TABLE_WAIT: Duration = Duration::from_millis(1_300);
+
+/// Time after its start within which an entry is likely to get a route table. An entry without one
+/// after that is cut off from the cores and refuses requests at once.
+const STARTUP_PERIOD: Duration = Duration::from_secs(2);
+
+/// Fraction by which retry times are spread at random; callers that all retried at once would be
+/// refused again.
+const RETRY_JITTER: f64 = 0.25;
+
+/// Limit on the unreachable upstreams tried for one request. An unreachable upstream has received
+/// nothing of the request.
+const MAX_UNREACHABLE: usize = 4;
+
+/// Shortest and longest silence after which a request that may be repeated is sent to another
+/// upstream.
+const SILENCE: (Duration, Duration) = (Duration::from_millis(400), Duration::from_secs(2));
+
+/// Longest silence within a stream, as a multiple of the route's longest regular pause.
+const PAUSE_FACTOR: u32 = 4;
+
+/// Describes what happens to the caller's connection after a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Disposition {
+    /// The connection takes the next request.
+    KeepOpen,
+    /// The connection is closed.
+    Close,
+}
+
+/// Serves one request.
+pub async fn serve(
+    context: &Context,
+    caller: &mut Connection,
+    message: &Message,
+    closes_connection: bool,
+) -> Disposition {
+    let mut trace = Trace::default();
+    let info = context.dialect.request_info(&message.head);
+    let id = info.as_ref().map_or_else(|| "".into(), |info| info.id.clone());
+    let starting = context.shared.view().routes.is_none();
+    let caller_left = starting && wait_for_route_table(context, caller, message).await;
+    let view = context.refresh_view();
+    trace.view_info = ViewInfo::of(&view);
+    if caller_left {
+        trace.outcome = "caller_gone";
+        request_log::log_request(&view, &id, None, &trace, message.received_at);
+        return Disposition::Close;
+    }
+    let admitted = admission::admit(context, &view, message, info.as_ref(), closes_connection);
+    let disposition = match &admitted {
+        Ok(request) => match admission::charge_quota(context, &view, request).await {
+            Ok(()) => run_attempts(context, caller, request, &mut trace).await,
+            Err(rejection) => {
+                send_refusal(context, caller, &id, rejection, closes_connection, &mut trace).await
+            }
+        },
+        Err(rejection) => {
+            send_refusal(context, caller, &id, *rejection, closes_connection, &mut trace).await
+        }
+    };
+    let request = admitted.as_ref().ok();
+    request_log::log_request(&view, &id, request, &trace, message.received_at);
+    if closes_connection { Disposition::Close } else { disposition }
+}
+
+/// Waits a short time for a route table; returns whether the caller has left meanwhile.
+///
+/// After a power loss of the whole fleet, entries are back before the cores have elected a leader.
+/// A caller that is refused then retries after its objective has passed. Many callers have already
+/// retried once, after an entry that was down, and do not retry again. The table arrives a moment
+/// later.
+async fn wait_for_route_table(
+    context: &Context,
+    caller: &mut Connection,
+    message: &Message,
+) -> bool {
+    let deadline =
+        (message.received_at + ROUTE_TABLE_WAIT).min(context.started_at + STARTUP_PERIOD);
+    tokio::select! {
+        () = context.shared.wait_for_routes() => false,
+        () = tokio::time::sleep_until(deadline) => false,
+        () = caller.closed_by_peer() => true,
+    }
+}
+
+/// Runs an admitted request until it is answered or refused.
+async fn run_attempts(
+    context: &Context,
+    caller: &mut Connection,
+    request: &AdmittedRequest<'_>,
+    trace: &mut Trace,
+) -> Disposition {
+    let mut attempts = Attempts::default();
+    let rejection = loop {
+        let next = try_upstream(context, caller, request, &mut attempts, trace).await;
+        trace.first_piece_after = attempts
+            .delivery
+            .first_byte_at
+            .map(|first_byte_at| first_byte_at - request.received_at);
+        trace.longest_pause = attempts.delivery.longest_pause;
+        match next {
+            Next::Retry => {}
+            Next::Done(disposition) => return disposition,
+            Next::Refuse(rejection) => break rejection,
+        }
+    };
+    if attempts.delivery.has_started() {
+        // The caller can only see that the answer is incomplete if the connection ends without an
+        // end mark.
+        trace.outcome = "cut";
+        return Disposition::Close;
+    }
+    if attempts.sends == 0 {
+        admission::refund_quota(context, request);
+    }
+    send_refusal(context, caller, &request.info.id, rejection, request.closes_connection, trace)
+        .await
+}
+
+/// Tracks the attempts of one request.
+#[derive(Default)]
+pub(super) struct Attempts {
+    delivery: Delivery,
+    /// Runs of upstreams that received the request or could not be reached.
+    pub(super) tried_runs: Vec<Run>,
+    /// Number of upstreams that received the request.
+    pub(super) sends: u32,
+    /// Number of upstreams that could not be reached.
+    unreachable_count: usize,
+    /// Whether the request may have run at an upstream.
+    pub(super) may_have_run: bool,
+    /// Whether the retry budget has already paid for the next attempt.
+    retry_paid: bool,
+    /// Whether the request was counted for its team's usage.
+    usage_counted: bool,
+}
+
+enum Next {
+    Retry,
+    Done(Disposition),
+    Refuse(Rejection),
+}
+
+/// Tries one upstream.
+async fn try_upstream(
+    context: &Context,
+    caller: &mut Connection,
+    request: &AdmittedRequest<'_>,
+    attempts: &mut Attempts,
+    trace: &mut Trace,
+) -> Next {
+    let remaining = request.deadline.saturating_duration_since(Instant::now());
+    if remaining.is_zero() {
+        return Next::Refuse(timeout_rejection(attempts));
+    }
+    if let Some(retry_after) = context.quarantined_for(request) {
+        return Next::Refuse(quarantine_rejection(attempts, retry_after));
+    }
+    if attempts.sends > 0 {
+        let may_switch = attempts.sends < request.route.max_attempts
+            && (std::mem::take(&mut attempts.retry_paid) || context.spend_retry(request));
+        if !may_switch {
+            return Next::Refuse(exhausted_rejection(attempts));
+        }
+    }
+    let mut choice =
+        match upstream_choice::choose_upstream(context, request, attempts, remaining, trace) {
+            Ok(choice) => choice,
+            Err(rejection) => return Next::Refuse(rejection),
+        };
+    (trace.expected_ms, trace.lag_ms, trace.rate_limit) =
+        (choice.expected_ms, choice.lag_ms, choice.rate_limit);
+    attempts.tried_runs.push(choice.run.clone());
+    let is_last_attempt = attempts.sends + 1 >= request.route.max_attempts;
+    let silence_limit = (!is_last_attempt && request.route.kind.may_repeat())
+        .then(|| silence_limit(request, &choice));
+    let bytes = upstream_request::write(
+        context,
+        request,
+        &choice,
+        remaining,
+        attempts.delivery.last_event_id(),
+    );
+    context.record_sent(request, &mut choice);
+    let sent = Instant::now();
+    let may_switch = || context.may_switch(request, &attempts.tried_runs, &mut attempts.retry_paid);
+    let failover = Failover { silence_limit, may_switch };
+    let response = exchange::send(context, caller, request, &choice, &bytes, failover).await;
+    if !matches!(response, Err(Failure::Unreachable)) {
+        attempts.sends += 1;
+        let upstream = choice.run.upstream.clone();
+        trace
+            .attempts
+            .push(request_log::Attempt { upstream, sent_after: sent - request.received_at });
+    }
+    match response {
+        Ok(response) => {
+            handle_response(
+                context,
+                caller,
+                request,
+                attempts,
+                trace,
+                SentRequest { choice, response, sent_at: sent },
+            )
+            .await
+        }
+        Err(failure) => handle_failure(context, request, attempts, trace, (&choice, sent), failure),
+    }
+}
+
+/// Holds the answer of an upstream to a request.
+struct SentRequest {
+    choice: Choice,
+    response: Response,
+    sent_at: Instant,
+}
+
+/// Continues after the head of an answer has arrived.
+async fn handle_response(
+    context: &Context,
+    caller: &mut Connection,
+    request: &AdmittedRequest<'_>,
+    attempts: &mut Attempts,
+    trace: &mut Trace,
+    sent: SentRequest,
+) -> Next {
+    let SentRequest { choice, mut response, sent_at } = sent;
+    context.handle_response_info(request, &choice, sent_at, &response.info);
+    if response.info.not_run {
+        // A run that is no longer at its address gets no requests for a while, like an unreachable
+        // one.
+        let (cause, ending) = match response.info {
+            ResponseInfo { other_run: true, .. } => ("other_run", Ending::Unreachable),
+            ResponseInfo { cooldown: Some(_), .. } => ("resting", Ending::CoolingDown),
+            _ => ("not_run", Ending::Full),
+        };
+        trace.causes.push(cause);
+        context.record_end(&choice, ending, None);
+        exchange::drain_and_keep(context, request, &choice, response).await;
+        return Next::Retry;
+    }
+    count_usage(context, request, attempts);
+    attempts.may_have_run = true;
+    let status = response.head.status;
+    let failed = status >= 500 || response.info.unrequested_encoding;
+    let continues = attempts.delivery.has_started();
+    let retry =
+        failed && request.route.kind.may_repeat() && attempts.sends < request.route.max_attempts;
+    if retry || response.info.unrequested_encoding || (continues && status != 200) {
+        trace.causes.push(if failed { "upstream_failed" } else { "no_resume" });
+        context.record_end(&choice, Ending::Failed, None);
+        exchange::drain_and_keep(context, request, &choice, response).await;
+        return if retry || continues {
+            Next::Retry
+        } else {
+            Next::Refuse((Refusal::Failed, None))
+        };
+    }
+    let silence_limit = match request.route.kind {
+        RequestKind::Stream { resumable: true } if attempts.sends < request.route.max_attempts => {
+            Some((request.route.max_event_gap * PAUSE_FACTOR).clamp(SILENCE.0 * 2, SILENCE.1))
+        }
+        _ => None,
+    };
+    let first_byte_before = attempts.delivery.first_byte_at;
+    let proves_execution =
+        quarantine::proves_execution(status, response.head.framing(&request.head.method).ok());
+    let may_switch = || context.may_switch(request, &attempts.tried_runs, &mut attempts.retry_paid);
+    let failover = Failover { silence_limit, may_switch };
+    let outcome = attempts.delivery.deliver(caller, request, &mut response, failover).await;
+    let first_byte_at = attempts.delivery.first_byte_at.filter(|_| first_byte_before.is_none());
+    if let Some(first_byte_at) = first_byte_at {
+        context.record_first_event(&choice, first_byte_at - sent_at);
+    }
+    trace.status = status;
+    let ending = match outcome {
+        Outcome::Complete if status >= 500 => Ending::Failed,
+        Outcome::Complete => Ending::Complete,
+        Outcome::Broken | Outcome::Unresponsive => Ending::Failed,
+        Outcome::TimedOut | Outcome::CallerGone => Ending::Abandoned,
+    };
+    context.record_end(&choice, ending, Some(sent_at.elapsed()));
+    match outcome {
+        Outcome::Complete if proves_execution => context.record_answer(request),
+        Outcome::Broken => context.signal_interrupted(request, &choice, sent_at),
+        Outcome::CallerGone => context.signal_caller_left(request, &choice, sent_at),
+        Outcome::Complete | Outcome::Unresponsive | Outcome::TimedOut => {}
+    }
+    match outcome {
+        Outcome::Complete => {
+            exchange::keep_connection(context, request, &choice, response);
+            trace.outcome = "answered";
+            Next::Done(Disposition::KeepOpen)
+        }
+        Outcome::Broken | Outcome::Unresponsive => {
+            trace.causes.push(if outcome == Outcome::Broken { "broke_off" } else { "went_silent" });
+            if request.is_resumable() { Next::Retry } else { Next::Refuse((Refusal::Failed, None)) }
+        }
+        Outcome::TimedOut => Next::Refuse((Refusal::TimedOut, None)),
+        Outcome::CallerGone => {
+            trace.outcome = "caller_gone";
+            Next::Done(Disposition::Close)
+        }
+    }
+}
+
+/// Continues after an upstream gave no answer.
+fn handle_failure(
+    context: &Context,
+    request: &AdmittedRequest<'_>,
+    attempts: &mut Attempts,
+    trace: &mut Trace,
+    (choice, sent): (&Choice, Instant),
+    failure: Failure,
+) -> Next {
+    let (ending, cause) = match failure {
+        Failure::Unreachable => (Ending::Unreachable, "unreached"),
+        Failure::Broken => (Ending::Failed, "broken"),
+        Failure::Unresponsive => (Ending::Failed, "silent"),
+        Failure::CallerGone => (Ending::Abandoned, "caller_gone"),
+    };
+    context.record_end(choice, ending, None);
+    match failure {
+        Failure::Broken => context.signal_interrupted(request, choice, sent),
+        Failure::CallerGone => context.signal_caller_left(request, choice, sent),
+        Failure::Unreachable => context.signal_unreachable(choice),
+        Failure::Unresponsive => {}
+    }
+    trace.causes.push(cause);
+    match failure {
+        Failure::CallerGone => {
+            trace.outcome = "caller_gone";
+            Next::Done(Disposition::Close)
+        }
+        Failure::Unreachable => {
+            attempts.unreachable_count += 1;
+            if attempts.unreachable_count < MAX_UNREACHABLE {
+                Next::Retry
+            } else {
+                Next::Refuse(exhausted_rejection(attempts))
+            }
+        }
+        Failure::Broken | Failure::Unresponsive => {
+            attempts.may_have_run = true;
+            if request.route.kind.may_repeat() {
+                Next::Retry
+            } else {
+                Next::Refuse(failure_rejection(failure))
+            }
+        }
+    }
+}
+
+fn failure_rejection(failure: Failure) -> Rejection {
+    let refusal =
+        if failure == Failure::Unresponsive { Refusal::TimedOut } else { Refusal::Failed };
+    (refusal, None)
+}
+
+/// Returns the refusal for a request that cannot be retried; it states "not run" only if that is
+/// certain.
+pub(super) fn exhausted_rejection(attempts: &Attempts) -> Rejection {
+    match (attempts.may_have_run, attempts.sends) {
+        (true, _) => (Refusal::Failed, None),
+        (false, 0) => (Refusal::NoUpstream, Some(RETRY_AFTER_NO_UPSTREAM)),
+        (false, _) => (Refusal::NotRun, Some(RETRY_AFTER_FULL)),
+    }
+}
+
+/// Returns the refusal for a quarantined request; it states "not run" only if that is certain.
+fn quarantine_rejection(attempts: &Attempts, retry_after: Duration) -> Rejection {
+    if attempts.may_have_run {
+        (Refusal::Failed, None)
+    } else {
+        (Refusal::Quarantined, Some(retry_after))
+    }
+}
+
+fn timeout_rejection(attempts: &Attempts) -> Rejection {
+    if attempts.may_have_run { (Refusal::TimedOut, None) } else { (Refusal::DeadlineExpired, None) }
+}
+
+/// Returns how long an upstream may be silent before the request is sent to another one.
+fn silence_limit(request: &AdmittedRequest<'_>, choice: &Choice) -> Duration {
+    let expected = Duration::from_secs_f64(choice.expected_ms.max(0.0) / 1_000.0);
+    let limit = request.route.objective.max(expected * 2) * 2;
+    limit.clamp(SILENCE.0, SILENCE.1.max(expected * 2))
+}
+
+/// Counts a request for its team's usage, at most once.
+fn count_usage(context: &Context, request: &AdmittedRequest<'_>, attempts: &mut Attempts) {
+    if std::mem::replace(&mut attempts.usage_counted, true) {
+        return;
+    }
+    let Some(team) = request.team else { return };
+    let unix = clock::unix_ms(monotonic::now(), context.shared.view().time_offset_ms);
+    context.shared.count_request(&team.name, unix, context.usage_window);
+}
+
+async fn send_refusal(
+    context: &Context,
+    caller: &mut Connection,
+    id: &str,
+    rejection: Rejection,
+    closes_connection: bool,
+    trace: &mut Trace,
+) -> Disposition {
+    let (refusal, retry_after) = rejection;
+    let retry_after = retry_after.map(|retry_after| add_jitter(context, retry_after));
+    trace.status = refusal.status();
+    trace.outcome = refusal.name();
+    trace.retry_after = retry_after;
+    let bytes =
+        answer::write_refusal(&*context.dialect, refusal, id, retry_after, closes_connection);
+    match caller.send(&bytes).await {
+        Ok(()) => Disposition::KeepOpen,
+        Err(_) => Disposition::Close,
+    }
+}
+
+/// Spreads a retry time at random.
+fn add_jitter(context: &Context, retry_after: Duration) -> Duration {
+    /// Number of steps between the shortest and the longest time.
+    const STEPS: u32 = 1_000;
+    let step = u32::try_from(context.next_random() % u64::from(STEPS)).unwrap_or(0);
+    let part = f64::from(step) / f64::from(STEPS) * 2.0 - 1.0;
+    retry_after.mul_f64(1.0 + part * RETRY_JITTER)
+}
--- a/crates/verbenaslip-relay/tests/rollout.rs
+++ b/crates/verbenaslip-relay/tests/rollout.rs
@@ -1,4 +1,5 @@
-//! Roll-outs played in virtual time: real decisions of a leader and of entries, upstreams that only answer.
+//! Rollouts in virtual time, with the real decisions of a leader and of entries, and simulated
+//! upstreams.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -11,51 +12,52 @@
 use verbenaslip_fleet::View;
 use verbenaslip_fleet::rollout::verdict::{Fleet, Reason};
 use verbenaslip_fleet::rollout::{Cohort, Controller, Order, Plan, Rollout, State};
-use verbenaslip_relay::policy::site::Ending;
+use verbenaslip_relay::policy::upstream_state::Ending;
 use verbenaslip_relay::policy::versions::{Ticket, Track, Versions};
 
-const TICK: u64 = 10;
-const REPORT: u64 = 250;
-const PUSH: u64 = 60;
-/// Names a route with its part of the requests and the usual latency in milliseconds.
+const TICK_MS: u64 = 10;
+const REPORT_INTERVAL_MS: u64 = 250;
+const PUSH_DELAY_MS: u64 = 60;
+/// Holds the name of a route, its fraction of the requests and its usual latency in milliseconds.
 type Route = (&'static str, f64, f64);
 
 const ROUTES: [Route; 3] =
     [("draft", 0.32, 130.0), ("check", 0.60, 100.0), ("explain", 0.08, 90.0)];
 
-/// Says how a candidate answers.
+/// Describes how a candidate answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Version {
     Good,
-    /// Fails a part of its requests.
+    /// Fails a fraction of its requests.
     Failing(f64),
-    /// Answers a part of them five times slower.
+    /// Answers a fraction of its requests five times slower.
     Slow(f64),
-    /// Fails a part of them from a time on.
+    /// Fails a fraction of its requests from a time on, in milliseconds.
     Late(f64, u64),
-    /// Fails a part of them on the route with the fewest.
+    /// Fails a fraction of its requests on the route with the fewest requests.
     OneRoute(f64),
-    /// Fails a part of them at upstreams with more than a part of the usual load.
+    /// Fails a fraction of its requests at upstreams with more than a fraction of the usual load.
     Loaded(f64, f64),
 }
 
-/// Says what else goes wrong.
+/// Describes other faults during a rollout.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Trouble {
-    /// Part of the upstreams of both versions that fail two requests in five.
+    /// Fraction of the upstreams of both versions that fail two requests in five.
     grey: f64,
-    /// When a third of all upstreams break off what they run and fail for a while.
+    /// When a third of all upstreams break off their requests and fail for a while, in
+    /// milliseconds.
     crash: Option<u64>,
-    /// When the leader is lost; the next one begins three seconds later.
+    /// When the leader is lost, in milliseconds; the next one starts three seconds later.
     leader: Option<u64>,
-    /// Part of the requests that fail by nature.
+    /// Fraction of the requests that fail with any version.
     natural: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Setup {
     entries: usize,
-    /// Requests a second.
+    /// Requests per second.
     rate: f64,
     upstreams: usize,
     duration: u64,
@@ -64,12 +66,12 @@
     seed: u64,
 }
 
-/// Says what came of a roll-out.
+/// Describes the result of a rollout.
 #[derive(Debug)]
 struct Outcome {
     state: State,
     decided: u64,
-    /// Requests between the order and its time limit, and those to the candidate.
+    /// Requests between the order and its time limit, and those to the candidate among them.
     sent: (u64, u64),
     /// When the candidate gave its fiftieth bad answer.
     fiftieth: Option<u64>,
@@ -87,13 +89,14 @@
     }
 }
 
-/// Names a request that is under way: its end, entry, ticket, latency, and how it ends.
+/// Holds a request in progress: its end, entry, number, latency, whether it fails, and whether the
+/// version is the cause.
 type Active = (u64, usize, u64, u64, bool, bool);
 
 struct World {
     setup: Setup,
     now: u64,
-    draws: u64,
+    draw_count: u64,
     entries: Vec<Versions>,
     tickets: BTreeMap<u64, Ticket>,
     active: BinaryHeap<Reverse<Active>>,
@@ -104,36 +107,37 @@
 
 impl World {
     fn draw(&mut self) -> f64 {
-        self.draws += 1;
-        let bits =
-            hash::mix(self.setup.seed.wrapping_mul(0x9e37_79b9).wrapping_add(self.draws) << 20);
+        self.draw_count += 1;
+        let bits = hash::mix(
+            self.setup.seed.wrapping_mul(0x9e37_79b9).wrapping_add(self.draw_count) << 20,
+        );
         f64::from(u32::try_from(bits >> 32).expect("32 bits")) / f64::from(u32::MAX)
     }
 
-    fn pick(&mut self, count: usize) -> usize {
-        let drawn = (self.draw() * count as f64) as usize;
-        drawn.min(count - 1)
+    fn random_index(&mut self, count: usize) -> usize {
+        let sample = (self.draw() * count as f64) as usize;
+        sample.min(count - 1)
     }
 
     fn time(millis: u64) -> Duration {
         Duration::from_secs(60) + Duration::from_millis(millis)
     }
 
-    /// Sends what callers ask for within one tick.
+    /// Sends the requests that arrive within one tick.
     fn arrive(&mut self, plan: &Plan, outcome: &mut Outcome) {
-        let mean = self.setup.rate * TICK as f64 / 1_000.0;
+        let mean = self.setup.rate * TICK_MS as f64 / 1_000.0;
         let mut count = mean as usize;
         if self.draw() < mean.fract() {
             count += 1;
         }
         for _ in 0..count {
-            let drawn = self.draw();
-            let route = match drawn {
+            let sample = self.draw();
+            let route = match sample {
                 it if it < ROUTES[0].1 => 0,
                 it if it < ROUTES[0].1 + ROUTES[1].1 => 1,
                 _ => 2,
             };
-            let entry = self.pick(self.setup.entries);
+            let entry = self.random_index(self.setup.entries);
             self.send(plan, entry, route, outcome);
         }
     }
@@ -141,18 +145,18 @@
     fn send(&mut self, plan: &Plan, entry: usize, route: usize, outcome: &mut Outcome) {
         let (now, draw) = (Self::time(self.now), self.draw());
         let (name, _, usual) = ROUTES[route];
-        let tracks = self.entries[entry].tracks(now, "pool", name, false, draw);
+        let tracks = self.entries[entry].choose_tracks(now, "pool", name, false, draw);
         let canaries = plan.canaries.as_ref().map_or(self.candidates, BTreeSet::len);
-        let candidate = tracks.first == Track::Candidate && canaries > 0;
+        let candidate = tracks.preferred == Track::Candidate && canaries > 0;
         let (cohort, at) = match (candidate, &plan.canaries) {
-            (true, None) => (Cohort::Candidate, self.pick(self.candidates)),
+            (true, None) => (Cohort::Candidate, self.random_index(self.candidates)),
             (true, Some(canaries)) => {
-                let at = self.pick(canaries.len());
-                let name = canaries.iter().nth(at).expect("it is there").as_str();
+                let at = self.random_index(canaries.len());
+                let name = canaries.iter().nth(at).expect("the index is in range").as_str();
                 let cohort = if plan.shifting { Cohort::Candidate } else { Cohort::Canary };
-                (cohort, name[1..].parse().expect("its number"))
+                (cohort, name[1..].parse().expect("a number"))
             }
-            (false, _) => (Cohort::Stable, self.pick(self.setup.upstreams)),
+            (false, _) => (Cohort::Stable, self.random_index(self.setup.upstreams)),
         };
         let limit = self.setup.duration;
         if self.now <= limit {
@@ -163,28 +167,28 @@
             outcome.last = self.now;
             self.load[at] += 1.0;
         }
-        let (bad, slow, own) = self.treat(candidate, at, route);
+        let (bad, slow, own) = self.sample_outcome(candidate, at, route);
         let spread = 0.6 + self.draw() * 0.9;
         let took = (usual * spread * if slow { 5.0 } else { 1.0 }) as u64;
         let name: Arc<str> = name.into();
-        let ticket = self.entries[entry].sent(now, "pool", &name, cohort, at as u64);
+        let ticket = self.entries[entry].record_sent(now, "pool", &name, cohort, at as u64);
         let Some(ticket) = ticket else { return };
         self.next += 1;
         self.tickets.insert(self.next, ticket);
         self.active.push(Reverse((self.now + took, entry, self.next, took, bad, own)));
     }
 
-    /// Says whether an answer is bad, is slow, and is so because of the version.
-    fn treat(&mut self, candidate: bool, at: usize, route: usize) -> (bool, bool, bool) {
+    /// Returns whether an answer is bad, whether it is slow, and whether the version is the cause.
+    fn sample_outcome(&mut self, candidate: bool, at: usize, route: usize) -> (bool, bool, bool) {
         let trouble = self.setup.trouble;
-        let (drawn, other) = (self.draw(), self.draw());
+        let (sample, other) = (self.draw(), self.draw());
         let crashed = trouble.crash.is_some_and(|it| (it..it + 300).contains(&self.now))
             && at.is_multiple_of(3);
         let grey = trouble.grey > 0.0
             && (hash::mix(self.setup.seed ^ (at as u64 * 2 + u64::from(candidate)) << 7) % 1_000)
                 as f64
                 <= trouble.grey * 1_000.0;
-        let other = crashed || (grey && other < 0.4) || drawn < trouble.natural;
+        let other = crashed || (grey && other < 0.4) || sample < trouble.natural;
         let version = self.draw();
         let (bad, slow) = match self.setup.version {
             _ if !candidate => (false, false),
@@ -210,8 +214,8 @@
             };
             let Some(ticket) = self.tickets.remove(&number) else { continue };
             let ending = if bad { Ending::Failed } else { Ending::Complete };
-            self.entries[entry].first("pool", ticket, Duration::from_millis(took));
-            self.entries[entry].end(Self::time(at), "pool", ticket, ending);
+            self.entries[entry].record_first_event("pool", ticket, Duration::from_millis(took));
+            self.entries[entry].record_end(Self::time(at), "pool", ticket, ending);
             outcome.bad += u64::from(own);
             if outcome.bad >= 50 && outcome.fiftieth.is_none() {
                 outcome.fiftieth = Some(at);
@@ -231,19 +235,19 @@
     ([10, 2, high, low], 7_000).into()
 }
 
-/// Conducts a roll-out at a leader that may be lost.
+/// Runs a rollout at a leader that may be lost.
 struct Leader {
     rollout: Rollout,
     controller: Option<Controller>,
     began: u64,
-    /// The plan of the moment at the leader, and when entries get it.
+    /// The leader's current plan, and when entries get it.
     newest: (u64, Plan),
     /// The plan that entries follow.
     shown: Plan,
 }
 
 impl Leader {
-    fn open(setup: &Setup) -> Self {
+    fn new(setup: &Setup) -> Self {
         let rollout = rollout(setup);
         let controller = Controller::new(rollout.clone(), BTreeSet::new());
         let plan = controller.plan();
@@ -251,7 +255,7 @@
         Self { rollout, controller: Some(controller), began: 0, newest, shown: plan }
     }
 
-    /// Loses the leader, or has the next one begin.
+    /// Removes the leader, or starts the next one.
     fn change(&mut self, now: u64, lost: Option<u64>) {
         if lost == Some(now) {
             self.controller = None;
@@ -292,7 +296,7 @@
         controller.update_rollout(&self.rollout, &BTreeSet::new());
         let plan = controller.plan();
         if self.newest.1 != plan {
-            self.newest = (world.now + PUSH, plan);
+            self.newest = (world.now + PUSH_DELAY_MS, plan);
         }
     }
 
@@ -308,12 +312,12 @@
     }
 }
 
-/// Plays a roll-out until four seconds after its time limit or verdict.
+/// Simulates a rollout until four seconds after its time limit or its verdict, whichever is later.
 fn play(setup: Setup) -> Outcome {
     let mut world = World {
         setup,
         now: 0,
-        draws: 0,
+        draw_count: 0,
         entries: (0..setup.entries).map(|_| Versions::default()).collect(),
         tickets: BTreeMap::new(),
         active: BinaryHeap::new(),
@@ -324,9 +328,9 @@
     let (state, sent) = (State::Serving, (0, 0));
     let mut outcome =
         Outcome { state, decided: 0, sent, fiftieth: None, last: 0, bad: 0, reason: None };
-    let mut leader = Leader::open(&setup);
+    let mut leader = Leader::new(&setup);
     while world.now < outcome.decided.max(setup.duration) + 4_000 {
-        world.now += TICK;
+        world.now += TICK_MS;
         leader.change(world.now, setup.trouble.leader);
         let booted = world.now.saturating_sub(4_000) / 50;
         world.candidates = usize::try_from(booted).expect("few").min(setup.upstreams);
@@ -334,8 +338,8 @@
         world.arrive(&leader.shown, &mut outcome);
         world.finish(&mut outcome);
         for entry in 0..setup.entries {
-            let phase = entry as u64 * 7 % (REPORT / TICK) * TICK;
-            if world.now % REPORT == phase {
+            let phase = entry as u64 * 7 % (REPORT_INTERVAL_MS / TICK_MS) * TICK_MS;
+            if world.now % REPORT_INTERVAL_MS == phase {
                 leader.report(&mut world, entry);
             }
         }
@@ -365,7 +369,7 @@
     Setup { entries: 54, rate: 620.0, upstreams: 45, duration: 12_000, version, trouble, seed }
 }
 
-const BAD: [Version; 9] = [
+const BAD_VERSIONS: [Version; 9] = [
     Version::Failing(1.0),
     Version::Failing(0.5),
     Version::Failing(0.2),
@@ -390,7 +394,7 @@
 
 #[test]
 fn a_bad_version_is_rolled_back_before_too_many_requests_reach_it() {
-    for version in BAD {
+    for version in BAD_VERSIONS {
         for duration in [12_000, 24_000] {
             for seed in 0..6 {
                 let outcome = play(Setup { duration, ..setup(version, seed) });
@@ -405,7 +409,7 @@
 #[test]
 fn a_bad_version_is_rolled_back_at_few_and_at_hundreds_of_entries() {
     for (entries, rate) in [(5, 150.0), (300, 3_000.0)] {
-        for version in BAD {
+        for version in BAD_VERSIONS {
             let upstreams = if entries == 5 { 12 } else { 160 };
             let outcome = play(Setup { entries, rate, upstreams, ..setup(version, 1) });
             let context = format!("{entries} {version:?} {outcome:?}");
@@ -417,7 +421,7 @@
 
 #[test]
 fn a_bad_version_stays_within_its_bounds_when_the_leader_is_lost() {
-    for version in BAD {
+    for version in BAD_VERSIONS {
         for at in [5_000, 7_500, 9_000] {
             let trouble = Trouble { leader: Some(at), ..Trouble::default() };
             let outcome = play(Setup { trouble, duration: 20_000, ..setup(version, 3) });
@@ -446,6 +450,6 @@
             }
         }
     }
-    // One in a thousand at most; the short run allows none.
+    // At most one rollback in a thousand runs is allowed; the short run allows none.
     assert!(rolled_back.len() <= seeds as usize * troubles.len() / 1_000, "{rolled_back:?}");
 }
