--- a/crates/verbenaslip-cli/src/command/table/apply.rs
+++ b/crates/verbenaslip-cli/src/command/table/apply.rs
@@ -73,7 +73,7 @@
 
 impl Edit {
     fn new(args: &Apply, base: u64, table: &Table) -> Result<Self, Error> {
-        let csv = table.print();
+        let csv = table.to_csv();
         let id = match &args.edit {
             Some(id) => Id::new(id),
             // The same file on the same base is the same edit, also from another terminal after
--- a/crates/verbenaslip-cli/src/command/table/read.rs
+++ b/crates/verbenaslip-cli/src/command/table/read.rs
@@ -34,7 +34,7 @@
 
 /// Says what the file would change, row by row.
 pub(super) fn differences(old: &Table, new: &Table) -> Vec<Difference> {
-    changes(old, new).iter().map(|change: &Change| change.against(old)).collect()
+    changes(old, new).iter().map(|change: &Change| change.difference(old)).collect()
 }
 
 /// Writes differences one a line.
--- a/crates/verbenaslip-cli/tests/operator.rs
+++ b/crates/verbenaslip-cli/tests/operator.rs
@@ -96,7 +96,7 @@
 /// Writes a table file without a note of its base and returns its path.
 fn sheet(name: &str, table: &Table) -> String {
     let path = path(name);
-    fs::write(&path, table.print()).expect("the table can be written");
+    fs::write(&path, table.to_csv()).expect("the table can be written");
     let _ = fs::remove_file(self::path(&format!("{name}.base")));
     path.display().to_string()
 }
@@ -109,13 +109,13 @@
 
 #[test]
 fn file_is_applied_on_the_newest_revision() {
-    let instance = StandIn::spawn([table(5, &rows(100).print()), json(200, ACCEPTED)]);
+    let instance = StandIn::spawn([table(5, &rows(100).to_csv()), json(200, ACCEPTED)]);
     let file = sheet("plain.csv", &rows(300));
     let done = at(&[instance.address], &["table", "apply", &file]);
     let seen = instance.seen();
     let id = edit(&seen[1]).to_owned();
     assert!(seen[1].starts_with("POST /v1/table?base=5&edit="), "{}", seen[1]);
-    assert!(seen[1].ends_with(&format!("with key {}", rows(300).print().trim_end())));
+    assert!(seen[1].ends_with(&format!("with key {}", rows(300).to_csv().trim_end())));
     insta::assert_snapshot!(done.shown(&[(id, "ID")]));
 }
 
@@ -124,7 +124,7 @@
 /// operator runs it again. Cause: a new identity for each try.
 #[test]
 fn lost_answer_is_asked_for_again_under_the_same_identity() {
-    let tables = || table(5, &rows(100).print());
+    let tables = || table(5, &rows(100).to_csv());
     let cases = [
         ("closed without an answer", Step::HangUp),
         ("cut off in its body", Step::Cut),
@@ -151,7 +151,7 @@
 fn another_base_or_content_is_another_edit() {
     let mut identities = std::collections::BTreeSet::new();
     for (base, weight) in [("5", 300), ("4", 300), ("5", 301)] {
-        let instance = StandIn::spawn([table(5, &rows(100).print()), json(200, ACCEPTED)]);
+        let instance = StandIn::spawn([table(5, &rows(100).to_csv()), json(200, ACCEPTED)]);
         let file = sheet("other.csv", &rows(weight));
         at(&[instance.address], &["table", "apply", &file, "--base", base]);
         identities.insert(edit(&instance.seen()[1]).to_owned());
@@ -164,7 +164,7 @@
 /// before and after the request was sent are told alike.
 #[test]
 fn each_failure_of_apply_says_what_is_known() {
-    let newest = || table(5, &rows(100).print());
+    let newest = || table(5, &rows(100).to_csv());
     let cases = [
         ("no table", vec![], Exit::Unreachable),
         ("lost for good", vec![newest()], Exit::Unknown),
@@ -193,7 +193,7 @@
 #[test]
 fn without_quorum_not_run_is_told_as_nothing_changed() {
     let steps: Vec<Step> = vec![json(503, NO_QUORUM_NOT_RUN); 100];
-    let newest = table(5, &rows(100).print());
+    let newest = table(5, &rows(100).to_csv());
     let instance = StandIn::spawn([vec![newest], steps].concat());
     let file = sheet("quorum.csv", &rows(300));
     let done = at(&[instance.address], &["table", "apply", &file, "--timeout", "700ms"]);
@@ -266,7 +266,7 @@
 
 #[test]
 fn unchanged_file_is_no_edit() {
-    let instance = StandIn::spawn([table(5, &rows(100).print())]);
+    let instance = StandIn::spawn([table(5, &rows(100).to_csv())]);
     let file = sheet("same.csv", &rows(100));
     let done = at(&[instance.address], &["table", "apply", &file]);
     assert_eq!(done.exit, Exit::Done);
@@ -281,7 +281,7 @@
         json(200, &body.replace("NAMES", names))
     };
     let both = || waiting(r#""entry-2","entry-3""#);
-    let newest = table(5, &rows(100).print());
+    let newest = table(5, &rows(100).to_csv());
     let steps = [newest.clone(), both(), both(), waiting(r#""entry-3""#), json(200, ACCEPTED)];
     let instance = StandIn::spawn(steps);
     let file = sheet("wait.csv", &rows(300));
@@ -300,7 +300,7 @@
 fn accepted_edit_stays_accepted_when_the_wait_ends_badly() {
     let body = r#"{"revision":6,"unchanged":false,"in_force":false,"waiting":["entry-2"]}"#;
     let file = sheet("late.csv", &rows(300));
-    let newest = table(5, &rows(100).print());
+    let newest = table(5, &rows(100).to_csv());
     let many = vec![json(200, body); 50];
     let lost = vec![json(200, body), Step::HangUp];
     for (name, steps) in [("still waiting", many), ("answers lost", lost)] {
@@ -321,13 +321,13 @@
 fn base_is_the_revision_that_was_fetched() {
     let file = sheet("fetched.csv", &rows(100));
     let instance = StandIn::spawn([
-        table(5, &rows(100).print()),
-        table(6, &rows(200).print()),
+        table(5, &rows(100).to_csv()),
+        table(6, &rows(200).to_csv()),
         json(409, CONFLICT),
     ]);
     let shown = at(&[instance.address], &["table", "show", "--to", &file]);
     assert_eq!(shown.exit, Exit::Done, "{}", shown.remarks);
-    fs::write(&file, rows(300).print()).expect("the table can be written");
+    fs::write(&file, rows(300).to_csv()).expect("the table can be written");
     let done = at(&[instance.address], &["table", "apply", &file]);
     assert_eq!(done.exit, Exit::Refused, "{}", done.remarks);
     assert!(instance.seen()[2].contains("?base=5&"), "{:?}", instance.seen());
@@ -337,12 +337,12 @@
 fn base_of_a_file_goes_on_with_its_edits() {
     let file = sheet("advanced.csv", &rows(300));
     fs::write(format!("{file}.base"), "5\n").expect("the base can be written");
-    let instance = StandIn::spawn([table(5, &rows(100).print()), json(200, ACCEPTED)]);
+    let instance = StandIn::spawn([table(5, &rows(100).to_csv()), json(200, ACCEPTED)]);
     at(&[instance.address], &["table", "apply", &file]);
     let base = fs::read_to_string(format!("{file}.base")).expect("the base can be read");
     assert_eq!(base, "6\n");
     fs::write(format!("{file}.base"), "six\n").expect("the base can be written");
-    let instance = StandIn::spawn([table(6, &rows(100).print())]);
+    let instance = StandIn::spawn([table(6, &rows(100).to_csv())]);
     let done = at(&[instance.address], &["table", "apply", &file]);
     assert_eq!(done.exit, Exit::Input, "{}", done.remarks);
 }
@@ -350,9 +350,9 @@
 #[test]
 fn bad_files_are_found_without_an_instance() {
     let cases = [
-        ("good.csv", rows(100).print()),
-        ("value.csv", rows(100).print().replace(",100,5,", ",none,5,")),
-        ("header.csv", rows(100).print().replace("weight", "wait")),
+        ("good.csv", rows(100).to_csv()),
+        ("value.csv", rows(100).to_csv().replace(",100,5,", ",none,5,")),
+        ("header.csv", rows(100).to_csv().replace("weight", "wait")),
         ("empty.csv", String::new()),
     ];
     let mut report = String::new();
@@ -370,7 +370,7 @@
 #[test]
 fn faults_that_an_instance_finds_are_listed() {
     let body = r#"{"error":{"message":"m","type":"invalid_request_error","code":"table","hint":"h"},"problems":[{"row":2,"column":"weight","value":"0","allowed":"a whole number from 1 to 1000"}]}"#;
-    let instance = StandIn::spawn([table(5, &rows(100).print()), json(422, body)]);
+    let instance = StandIn::spawn([table(5, &rows(100).to_csv()), json(422, body)]);
     let file = sheet("faulty.csv", &rows(300));
     let done = at(&[instance.address], &["table", "apply", &file]);
     assert_eq!(done.exit, Exit::Input);
@@ -380,7 +380,7 @@
 #[test]
 fn diff_shows_rows_and_cells() {
     let file = sheet("diff.csv", &rows(300));
-    let newest = || StandIn::spawn([table(5, &rows(100).print())]);
+    let newest = || StandIn::spawn([table(5, &rows(100).to_csv())]);
     let text = at(&[newest().address], &["table", "diff", &file, "--exit-code"]);
     assert_eq!(text.exit, Exit::Refused);
     let json = at(&[newest().address], &["--json", "table", "diff", &file]);
--- a/crates/verbenaslip-node/src/edits.rs
+++ b/crates/verbenaslip-node/src/edits.rs
@@ -49,8 +49,8 @@
         let edit = Edit {
             id: apply.id.clone(),
             base: apply.base,
-            by: apply.by.clone(),
-            at: self.unix(),
+            operator: apply.by.clone(),
+            unix_ms: self.unix(),
             changes,
         };
         let made = Made {
--- a/crates/verbenaslip-node/src/lead.rs
+++ b/crates/verbenaslip-node/src/lead.rs
@@ -173,8 +173,8 @@
         let edit = Edit {
             id,
             base: Revision::default(),
-            by: Operator::from("settings"),
-            at: self.unix(),
+            operator: Operator::from("settings"),
+            unix_ms: self.unix(),
             changes,
         };
         self.propose(Command::Edit(edit), Purpose::Nobody, QUIET);
--- a/crates/verbenaslip-node/tests/wire.rs
+++ b/crates/verbenaslip-node/tests/wire.rs
@@ -222,8 +222,8 @@
     let edit = Edit {
         id: edit::Id::new("edit-1").expect("a good identity"),
         base: Revision(1),
-        by: by(),
-        at,
+        operator: by(),
+        unix_ms: at,
         changes: vec![change::Change::Put(Row::new("office", "*"))],
     };
     let swap = |change| Command::Voters(Voters { by: by(), change, at });
--- a/crates/verbenaslip-node/tests/world/mod.rs
+++ b/crates/verbenaslip-node/tests/world/mod.rs
@@ -311,7 +311,7 @@
         let apply = Apply {
             base: Revision(base),
             id: edit::Id::new(id).expect("a good identity"),
-            csv: table(weight).print().into(),
+            csv: table(weight).to_csv().into(),
             wait,
             dry: false,
             by: Operator::from("anna"),
--- a/crates/verbenaslip-state/src/audit.rs
+++ b/crates/verbenaslip-state/src/audit.rs
@@ -190,7 +190,7 @@
 
 fn by(command: &Command) -> Arc<str> {
     match command {
-        Command::Edit(edit) => edit.by.as_str(),
+        Command::Edit(edit) => edit.operator.as_str(),
         Command::Claim(claim) => claim.instance.as_str(),
         Command::Settle(settle) => settle.by.as_str(),
         Command::Release(release) => release.claim.instance.as_str(),
--- a/crates/verbenaslip-state/src/command.rs
+++ b/crates/verbenaslip-state/src/command.rs
@@ -36,7 +36,7 @@
     /// Returns when the command was proposed, in Unix milliseconds.
     pub fn at(&self) -> u64 {
         match self {
-            Self::Edit(edit) => edit.at,
+            Self::Edit(edit) => edit.unix_ms,
             Self::Claim(claim) => claim.at,
             Self::Settle(settle) => settle.at,
             Self::Release(release) => release.at,
@@ -131,7 +131,7 @@
     let keys = edit.changes.iter().map(Change::key);
     let overlong =
         |key: Key| first_overlong(&[("team", key.team.as_str()), ("class", key.class.as_str())]);
-    let texts = [("operator", edit.by.as_str()), ("edit id", edit.id.as_str())];
+    let texts = [("operator", edit.operator.as_str()), ("edit id", edit.id.as_str())];
     first_overlong(&texts).or_else(|| keys.into_iter().find_map(overlong))
 }
 
--- a/crates/verbenaslip-state/src/history.rs
+++ b/crates/verbenaslip-state/src/history.rs
@@ -203,8 +203,8 @@
         Self {
             revision,
             edit: edit.id.clone(),
-            by: edit.by.clone(),
-            at: edit.at,
+            by: edit.operator.clone(),
+            at: edit.unix_ms,
             base: edit.base,
             rows,
             count: u32::try_from(edit.changes.len()).unwrap_or(u32::MAX),
--- a/crates/verbenaslip-state/tests/common/mod.rs
+++ b/crates/verbenaslip-state/tests/common/mod.rs
@@ -41,7 +41,7 @@
 pub fn edit(id: &str, base: u64, by: &str, changes: &[Change]) -> Command {
     let id = Id::new(id).expect("id is good");
     let changes = changes.to_vec();
-    Command::Edit(Edit { id, base: Revision(base), by: by.into(), at: NOW, changes })
+    Command::Edit(Edit { id, base: Revision(base), operator: by.into(), unix_ms: NOW, changes })
 }
 
 pub fn claim(number: u32, instance: &str, nonce: u64) -> Claim {
--- a/crates/verbenaslip-table/src/change.rs
+++ b/crates/verbenaslip-table/src/change.rs
@@ -29,7 +29,7 @@
     }
 
     /// Compares the change with the table that it is made to, column by column.
-    pub fn against(&self, table: &Table) -> Difference {
+    pub fn difference(&self, table: &Table) -> Difference {
         let key = self.key();
         let old = table.get(&key);
         let new = match self {
--- a/crates/verbenaslip-table/src/edit.rs
+++ b/crates/verbenaslip-table/src/edit.rs
@@ -59,9 +59,9 @@
     /// The revision from which the operator made the changes.
     pub base: Revision,
     /// Who asks.
-    pub by: Operator,
+    pub operator: Operator,
     /// When it was asked, in Unix milliseconds.
-    pub at: u64,
+    pub unix_ms: u64,
     /// The changes, which are made all at once or not at all.
     pub changes: Vec<Change>,
 }
--- a/crates/verbenaslip-table/src/sheet.rs
+++ b/crates/verbenaslip-table/src/sheet.rs
@@ -30,7 +30,7 @@
     }
 
     /// Writes the table in its canonical form: columns and rows in fixed order, `\n` line ends.
-    pub fn print(&self) -> String {
+    pub fn to_csv(&self) -> String {
         let mut writer =
             WriterBuilder::new().quote_style(QuoteStyle::Necessary).from_writer(vec![]);
         let header = Column::ALL.map(Column::name);
--- a/crates/verbenaslip-table/src/table.rs
+++ b/crates/verbenaslip-table/src/table.rs
@@ -48,7 +48,7 @@
 
     /// Returns a number that differs when the tables differ.
     pub fn digest(&self) -> u128 {
-        hash::wide(&[self.print().as_bytes()])
+        hash::wide(&[self.to_csv().as_bytes()])
     }
 
     /// Sorts rows that were checked one by one, and adds to the problems what is wrong among them.
--- a/crates/verbenaslip-table/tests/change.rs
+++ b/crates/verbenaslip-table/tests/change.rs
@@ -13,7 +13,7 @@
     heavier.rate = Some(20);
     let removed = Key { team: "agents".into(), class: "check".into() };
     let shown = [Change::Put(heavier), Change::Remove(removed)]
-        .map(|change| change.against(&table).to_string());
+        .map(|change| change.difference(&table).to_string());
     insta::assert_snapshot!(shown.join("\n"), @r#"
     ~ agents/check weight:"100"→"200" rate:""→"20"
     - agents/check
@@ -85,7 +85,7 @@
 #[test]
 fn reads_back_what_it_prints() {
     let check = |table: Table| {
-        prop_assert_eq!(Table::parse(table.print().as_bytes()), Ok(table));
+        prop_assert_eq!(Table::parse(table.to_csv().as_bytes()), Ok(table));
         Ok(())
     };
     runner().run(&table(), check).expect("every table is read back");
@@ -107,14 +107,14 @@
     let noise = proptest::collection::vec(any::<u8>(), 0..200);
     let torn =
         (table(), any::<prop::sample::Index>(), any::<u8>()).prop_map(|(table, at, byte)| {
-            let mut bytes = table.print().into_bytes();
+            let mut bytes = table.to_csv().into_bytes();
             let at = at.index(bytes.len());
             bytes[at] = byte;
             bytes
         });
     let check = |bytes: Vec<u8>| {
         if let Ok(table) = Table::parse(&bytes) {
-            prop_assert_eq!(Table::parse(table.print().as_bytes()), Ok(table));
+            prop_assert_eq!(Table::parse(table.to_csv().as_bytes()), Ok(table));
         }
         Ok(())
     };
--- a/crates/verbenaslip-table/tests/sheet.rs
+++ b/crates/verbenaslip-table/tests/sheet.rs
@@ -15,7 +15,7 @@
 
 fn problems(file: impl AsRef<[u8]>) -> String {
     match Table::parse(file.as_ref()) {
-        Ok(table) => format!("accepted:\n{}", table.print()),
+        Ok(table) => format!("accepted:\n{}", table.to_csv()),
         Err(problems) => problems.to_string(),
     }
 }
--- a/crates/verbenaslip/src/control/call.rs
+++ b/crates/verbenaslip/src/control/call.rs
@@ -77,7 +77,7 @@
     match told {
         Told::Announced(answer) => announced(&answer),
         Told::Table(version) => {
-            Reply::Table { revision: version.revision.0, csv: version.table.print() }
+            Reply::Table { revision: version.revision.0, csv: version.table.to_csv() }
         }
         Told::Missing { oldest, newest } => Reply::Missing { oldest: oldest.0, newest: newest.0 },
         Told::Edited(edited) => edited_reply(edited),
