--- a/crates/verbenaslip-macros/src/lib.rs
+++ b/crates/verbenaslip-macros/src/lib.rs
@@ -12,11 +12,12 @@
 ///
 /// Panics at compile time when a word is not one of `copy`, `ord`, `hash`, `default`, `float`.
 #[proc_macro_attribute]
-pub fn data(words: TokenStream, item: TokenStream) -> TokenStream {
+pub fn data(options: TokenStream, item: TokenStream) -> TokenStream {
     let mut traits =
         vec!["Clone", "Debug", "PartialEq", "Eq", "::serde::Serialize", "::serde::Deserialize"];
-    for word in words.to_string().split(',').map(str::trim).filter(|word| !word.is_empty()) {
-        match word {
+    for option in options.to_string().split(',').map(str::trim).filter(|option| !option.is_empty())
+    {
+        match option {
             "copy" => traits.push("Copy"),
             "ord" => traits.extend(["PartialOrd", "Ord"]),
             "hash" => traits.push("Hash"),
--- a/crates/verbenaslip-table/src/change.rs
+++ b/crates/verbenaslip-table/src/change.rs
@@ -36,7 +36,12 @@
             Self::Put(row) => Some(row),
             Self::Remove(_) => None,
         };
-        Difference { cells: cells(old, new), added: old.is_none(), removed: new.is_none(), key }
+        Difference {
+            cells: changed_cells(old, new),
+            added: old.is_none(),
+            removed: new.is_none(),
+            key,
+        }
     }
 }
 
@@ -93,7 +98,7 @@
     }
     for row in new.rows() {
         match old.get(&row.key()) {
-            Some(same) if same == row => changes.remove(&row.key()),
+            Some(previous) if previous == row => changes.remove(&row.key()),
             _ => changes.insert(row.key(), Change::Put(row.clone())),
         };
     }
@@ -109,10 +114,10 @@
     let mut rows: BTreeMap<Key, Row> =
         table.rows().iter().map(|row| (row.key(), row.clone())).collect();
     let mut problems = Vec::new();
-    let mut seen = BTreeMap::new();
+    let mut first_numbers = BTreeMap::new();
     for (number, change) in (1..).zip(changes) {
         let key = change.key();
-        if let Some(first) = seen.insert(key.clone(), number) {
+        if let Some(first) = first_numbers.insert(key.clone(), number) {
             let allowed = format!("one change for each row; see change {first}");
             problems.push(Problem::new(number, "", &key.to_string(), allowed));
         }
@@ -127,7 +132,7 @@
     if problems.is_empty() { Table::new(rows.into_values()) } else { Err(Problems(problems)) }
 }
 
-fn cells(old: Option<&Row>, new: Option<&Row>) -> Vec<Cell> {
+fn changed_cells(old: Option<&Row>, new: Option<&Row>) -> Vec<Cell> {
     let text = |row: Option<&Row>, column| row.map(|row| row.cell(column)).unwrap_or_default();
     let cell = |column| Cell { column, old: text(old, column), new: text(new, column) };
     Column::ALL.into_iter().map(cell).filter(|cell| cell.old != cell.new).collect()
--- a/crates/verbenaslip-table/src/column.rs
+++ b/crates/verbenaslip-table/src/column.rs
@@ -85,7 +85,7 @@
     }
 
     /// Returns the column with that name in the header.
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|column| column.name() == name)
     }
 
@@ -94,19 +94,19 @@
         match (self, self.bounds()) {
             (_, Some(bounds)) => bounds.to_string(),
             (Self::Team, _) => {
-                format!("1 to {MAX_NAME} letters, digits, '.', '_' or '-'")
+                format!("1 to {MAX_NAME_BYTES} letters, digits, '.', '_' or '-'")
             }
             (Self::Class, _) => {
-                format!("'*', or 1 to {MAX_NAME} letters, digits, '.', '_' or '-'")
+                format!("'*', or 1 to {MAX_NAME_BYTES} letters, digits, '.', '_' or '-'")
             }
             (Self::Prefer, _) => "cost or latency".to_owned(),
-            _ => format!("up to {MAX_NOTE} bytes on one line, without control characters"),
+            _ => format!("up to {MAX_NOTE_BYTES} bytes on one line, without control characters"),
         }
     }
 
     /// Returns the bounds of a column that holds a number.
     pub(crate) fn bounds(self) -> Option<Bounds> {
-        let (least, most) = match self {
+        let (min, max) = match self {
             Self::Weight => (1, 1_000),
             Self::Priority => (0, 9),
             Self::Rate | Self::Burst => (1, 1_000_000),
@@ -120,7 +120,7 @@
             Self::Team | Self::Class | Self::Prefer | Self::Note => return None,
         };
         let optional = matches!(self, Self::Rate | Self::TokensPerS);
-        Some(Bounds { least, most, optional })
+        Some(Bounds { min, max, optional })
     }
 }
 
@@ -133,21 +133,21 @@
 /// Holds the least and the greatest value of a number, and whether it may be left out.
 #[derive(Clone, Copy)]
 pub(crate) struct Bounds {
-    pub(crate) least: u32,
-    pub(crate) most: u32,
+    pub(crate) min: u32,
+    pub(crate) max: u32,
     pub(crate) optional: bool,
 }
 
 impl Bounds {
     /// Says whether a number lies within the bounds.
-    pub(crate) fn hold(self, number: u32) -> bool {
-        (self.least..=self.most).contains(&number)
+    pub(crate) fn contains(self, number: u32) -> bool {
+        (self.min..=self.max).contains(&number)
     }
 }
 
 impl fmt::Display for Bounds {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "a whole number from {} to {}", self.least, self.most)?;
+        write!(f, "a whole number from {} to {}", self.min, self.max)?;
         if self.optional {
             f.write_str(", or empty for no limit")?;
         }
@@ -156,10 +156,10 @@
 }
 
 /// Bounds a team's or class's name, in bytes.
-pub(crate) const MAX_NAME: usize = 64;
+pub(crate) const MAX_NAME_BYTES: usize = 64;
 
 /// Bounds a note, in bytes.
-pub(crate) const MAX_NOTE: usize = 200;
+pub(crate) const MAX_NOTE_BYTES: usize = 200;
 
 /// One day in milliseconds.
 const DAY_MS: u32 = 24 * 60 * 60 * 1_000;
--- a/crates/verbenaslip-table/src/edit.rs
+++ b/crates/verbenaslip-table/src/edit.rs
@@ -31,12 +31,13 @@
 
 impl Id {
     /// Bounds an identity, in bytes.
-    pub const MAX: usize = 64;
+    pub const MAX_BYTES: usize = 64;
 
     /// Takes an identity of 1 to 64 visible ASCII characters, such as a commit hash.
     pub fn new(text: &str) -> Option<Self> {
-        let fits = (1..=Self::MAX).contains(&text.len());
-        (fits && text.bytes().all(|byte| byte.is_ascii_graphic())).then(|| Self(text.into()))
+        let valid_length = (1..=Self::MAX_BYTES).contains(&text.len());
+        (valid_length && text.bytes().all(|byte| byte.is_ascii_graphic()))
+            .then(|| Self(text.into()))
     }
 
     /// Shows the identity as text.
--- a/crates/verbenaslip-table/src/problem.rs
+++ b/crates/verbenaslip-table/src/problem.rs
@@ -63,10 +63,10 @@
 impl std::error::Error for Problems {}
 
 /// Bounds how much of a wrong value is shown, in characters.
-const MAX_SHOWN: usize = 60;
+const MAX_VALUE_CHARS: usize = 60;
 
 fn shorten(value: &str) -> String {
-    let mut shown: String = value.chars().take(MAX_SHOWN).collect();
+    let mut shown: String = value.chars().take(MAX_VALUE_CHARS).collect();
     if shown.len() < value.len() {
         shown.push('…');
     }
--- a/crates/verbenaslip-table/src/row.rs
+++ b/crates/verbenaslip-table/src/row.rs
@@ -6,11 +6,11 @@
 use verbenaslip_base::data;
 use verbenaslip_base::name::{Class, Team};
 
-use crate::column::{Column, MAX_NAME, MAX_NOTE};
+use crate::column::{Column, MAX_NAME_BYTES, MAX_NOTE_BYTES};
 use crate::problem::Problem;
 
 /// The class whose row serves every class of the team that has no row of its own.
-pub const FALLBACK: &str = "*";
+pub const FALLBACK_CLASS: &str = "*";
 
 /// Holds what the operators ask for one team and request class; [`Column`] explains each field.
 #[data]
@@ -90,33 +90,35 @@
 
     /// Returns everything that is wrong with the row, each problem with the given row number.
     pub fn check(&self, number: u32) -> Vec<Problem> {
-        let problems = Column::ALL.into_iter().filter(|column| !self.fits(*column));
+        let problems = Column::ALL.into_iter().filter(|column| !self.is_cell_valid(*column));
         let mut problems: Vec<Problem> = problems
             .map(|column| Problem::cell(number, column, &self.cell(column), column.allowed()))
             .collect();
         if problems.is_empty() {
-            problems.extend(self.compare(number));
+            problems.extend(self.check_deadline(number));
         }
         problems
     }
 
     /// Returns what is wrong between cells that are each allowed by themselves.
-    pub(crate) fn compare(&self, number: u32) -> Vec<Problem> {
+    pub(crate) fn check_deadline(&self, number: u32) -> Vec<Problem> {
         let columns = [Column::FirstTokenMs, Column::MaxWaitMs].into_iter();
-        let late = columns.filter(|column| self.number(*column) > Some(self.deadline_ms));
+        let exceeding = columns.filter(|column| self.number(*column) > Some(self.deadline_ms));
         let allowed = format!("at most the row's deadline_ms, {}", self.deadline_ms);
-        late.map(|column| Problem::cell(number, column, &self.cell(column), &*allowed)).collect()
+        exceeding
+            .map(|column| Problem::cell(number, column, &self.cell(column), &*allowed))
+            .collect()
     }
 
     /// Says whether one cell's value is allowed by itself.
-    pub(crate) fn fits(&self, column: Column) -> bool {
+    pub(crate) fn is_cell_valid(&self, column: Column) -> bool {
         match column {
             Column::Team => is_name(self.team.as_str()),
-            Column::Class => self.class.as_str() == FALLBACK || is_name(self.class.as_str()),
+            Column::Class => self.class.as_str() == FALLBACK_CLASS || is_name(self.class.as_str()),
             Column::Prefer => true,
             Column::Note => is_note(&self.note),
             _ => column.bounds().is_none_or(|bounds| match self.number(column) {
-                Some(number) => bounds.hold(number),
+                Some(number) => bounds.contains(number),
                 None => bounds.optional,
             }),
         }
@@ -169,7 +171,7 @@
 
 impl Preference {
     /// Returns the preference of that name.
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         match name {
             "cost" => Some(Self::Cost),
             "latency" => Some(Self::Latency),
@@ -188,10 +190,10 @@
 }
 
 fn is_name(name: &str) -> bool {
-    let fits = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
-    (1..=MAX_NAME).contains(&name.len()) && name.bytes().all(fits)
+    let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
+    (1..=MAX_NAME_BYTES).contains(&name.len()) && name.bytes().all(allowed)
 }
 
 fn is_note(note: &str) -> bool {
-    note.len() <= MAX_NOTE && note.trim() == note && !note.chars().any(char::is_control)
+    note.len() <= MAX_NOTE_BYTES && note.trim() == note && !note.chars().any(char::is_control)
 }
--- a/crates/verbenaslip-table/src/table.rs
+++ b/crates/verbenaslip-table/src/table.rs
@@ -5,7 +5,7 @@
 use verbenaslip_base::name::{Class, Team};
 
 use crate::problem::{Problem, Problems};
-use crate::row::{FALLBACK, Key, Row};
+use crate::row::{FALLBACK_CLASS, Key, Row};
 
 /// Bounds the rows of a table, so that a copy of it fits every instance and message.
 pub const MAX_ROWS: usize = 4_096;
@@ -24,21 +24,23 @@
     ///
     /// Returns every problem of every row; the row numbers count from 2 in the order given.
     pub fn new(rows: impl IntoIterator<Item = Row>) -> Result<Self, Problems> {
-        let lines = rows.into_iter().zip(2..).map(|(row, number)| Line { number, row });
-        let lines: Vec<Line> = lines.collect();
-        let mut problems = lines.iter().flat_map(|line| line.row.check(line.number)).collect();
-        let table = Self::gather(lines, &mut problems);
+        let numbered_rows =
+            rows.into_iter().zip(2..).map(|(row, number)| NumberedRow { number, row });
+        let numbered_rows: Vec<NumberedRow> = numbered_rows.collect();
+        let mut problems =
+            numbered_rows.iter().flat_map(|numbered| numbered.row.check(numbered.number)).collect();
+        let table = Self::from_numbered_rows(numbered_rows, &mut problems);
         if problems.is_empty() { Ok(table) } else { Err(Problems(problems)) }
     }
 
     /// Returns the row for a class of a team: its own, else the team's fallback row.
     pub fn row(&self, team: &Team, class: &Class) -> Option<&Row> {
-        self.exact(team, class.as_str()).or_else(|| self.exact(team, FALLBACK))
+        self.find(team, class.as_str()).or_else(|| self.find(team, FALLBACK_CLASS))
     }
 
     /// Returns the row with exactly that key.
     pub fn get(&self, key: &Key) -> Option<&Row> {
-        self.exact(&key.team, key.class.as_str())
+        self.find(&key.team, key.class.as_str())
     }
 
     /// Returns the rows in the order of team and class.
@@ -52,13 +54,16 @@
     }
 
     /// Sorts rows that were checked one by one, and adds to the problems what is wrong among them.
-    pub(crate) fn gather(mut lines: Vec<Line>, problems: &mut Vec<Problem>) -> Self {
-        if lines.len() > MAX_ROWS {
+    pub(crate) fn from_numbered_rows(
+        mut numbered_rows: Vec<NumberedRow>,
+        problems: &mut Vec<Problem>,
+    ) -> Self {
+        if numbered_rows.len() > MAX_ROWS {
             let allowed = format!("at most {MAX_ROWS} rows below the header");
-            problems.push(Problem::new(0, "", &format!("{} rows", lines.len()), allowed));
+            problems.push(Problem::new(0, "", &format!("{} rows", numbered_rows.len()), allowed));
         }
-        lines.sort_by_cached_key(|line| (line.row.key(), line.number));
-        for pair in lines.windows(2) {
+        numbered_rows.sort_by_cached_key(|numbered| (numbered.row.key(), numbered.number));
+        for pair in numbered_rows.windows(2) {
             if let [first, second] = pair
                 && first.row.key() == second.row.key()
             {
@@ -68,10 +73,10 @@
             }
         }
         problems.sort_by_key(|problem| problem.row);
-        Self { rows: lines.into_iter().map(|line| line.row).collect() }
+        Self { rows: numbered_rows.into_iter().map(|numbered| numbered.row).collect() }
     }
 
-    fn exact(&self, team: &Team, class: &str) -> Option<&Row> {
+    fn find(&self, team: &Team, class: &str) -> Option<&Row> {
         let wanted = (team.as_str(), class);
         let found = self.rows.binary_search_by(|row| {
             let key = (row.team.as_str(), row.class.as_str());
@@ -96,7 +101,7 @@
 }
 
 /// Holds a row and where it stands.
-pub(crate) struct Line {
+pub(crate) struct NumberedRow {
     pub(crate) number: u32,
     pub(crate) row: Row,
 }
--- a/crates/verbenaslip-table/tests/change.rs
+++ b/crates/verbenaslip-table/tests/change.rs
@@ -6,7 +6,7 @@
 use verbenaslip_table::{Change, Key, Row, Table};
 
 #[test]
-fn shows_a_change_cell_by_cell() {
+fn shows_each_changed_cell() {
     let table = Table::new([Row::new("agents", "check")]).expect("row is good");
     let mut heavier = Row::new("agents", "check");
     heavier.weight = 200;
@@ -21,13 +21,13 @@
 }
 
 #[test]
-fn makes_all_changes_or_none() {
+fn applies_all_changes_or_none() {
     let table = Table::new([Row::new("agents", "check")]).expect("row is good");
-    let mut bad = Row::new("owners", "draft");
-    bad.weight = 0;
-    bad.first_token_ms = 0;
-    let twice = Row::new("agents", "draft");
-    let changes = [Change::Put(bad), Change::Put(twice.clone()), Change::Put(twice)];
+    let mut invalid = Row::new("owners", "draft");
+    invalid.weight = 0;
+    invalid.first_token_ms = 0;
+    let duplicate = Row::new("agents", "draft");
+    let changes = [Change::Put(invalid), Change::Put(duplicate.clone()), Change::Put(duplicate)];
     let problems = apply(&table, &changes).expect_err("changes are bad");
     insta::assert_snapshot!(problems, @r#"
     3 problems in the table, nothing was changed
@@ -40,11 +40,11 @@
 /// Symptom: a table in which one key stands twice, of which only one row is ever found.
 /// Sequence: bytes of a snapshot or message are decoded. Cause: decoding skipped the checks.
 #[test]
-fn decoding_checks_the_rows() {
+fn decoding_rejects_invalid_rows() {
     let row = Row::new("agents", "check");
-    let mut bad = Row::new("agents", "draft");
-    bad.priority = 10;
-    let cases = [vec![row.clone(), row.clone()], vec![bad]];
+    let mut invalid = Row::new("agents", "draft");
+    invalid.priority = 10;
+    let cases = [vec![row.clone(), row.clone()], vec![invalid]];
     for rows in cases {
         let bytes = postcard::to_stdvec(&rows).expect("rows are encoded");
         assert!(postcard::from_bytes::<Table>(&bytes).is_err(), "{rows:?}");
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn reads_back_what_it_prints() {
+fn csv_round_trip_preserves_the_table() {
     let check = |table: Table| {
         prop_assert_eq!(Table::parse(table.to_csv().as_bytes()), Ok(table));
         Ok(())
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn differences_lead_from_one_table_to_the_other() {
+fn applying_a_diff_yields_the_new_table() {
     let check = |(old, new): (Table, Table)| {
         let changes = diff(&old, &new);
         prop_assert_eq!(changes.is_empty(), old == new);
@@ -103,9 +103,9 @@
 }
 
 #[test]
-fn no_bytes_make_the_reader_panic() {
-    let noise = proptest::collection::vec(any::<u8>(), 0..200);
-    let torn =
+fn parsing_arbitrary_bytes_never_panics() {
+    let random_bytes = proptest::collection::vec(any::<u8>(), 0..200);
+    let corrupted =
         (table(), any::<prop::sample::Index>(), any::<u8>()).prop_map(|(table, at, byte)| {
             let mut bytes = table.to_csv().into_bytes();
             let at = at.index(bytes.len());
@@ -118,5 +118,7 @@
         }
         Ok(())
     };
-    runner().run(&prop_oneof![noise, torn], check).expect("any bytes are read or refused");
+    runner()
+        .run(&prop_oneof![random_bytes, corrupted], check)
+        .expect("any bytes are read or refused");
 }
