--- a/crates/verbenaslip-base/src/announce.rs
+++ b/crates/verbenaslip-base/src/announce.rs
@@ -1,82 +1,83 @@
-//! What an upstream says about itself.
+//! Announcements, which upstreams send about themselves.
 
 use std::net::SocketAddr;
 
 use crate::data;
 use crate::name::{AvailabilityZone, Model, Upstream};
 
-/// Says what an upstream is, where it is and how it does; the newest one replaces all before it.
+/// Describes an upstream and its state; a newer announcement replaces all earlier ones.
 #[data]
 pub struct Announcement {
     /// The upstream's name, kept across restarts.
     pub upstream: Upstream,
-    /// Where it takes requests.
+    /// The address at which it accepts requests.
     pub address: SocketAddr,
-    /// Where it runs.
+    /// The availability zone in which it runs.
     pub zone: AvailabilityZone,
-    /// What kind of back end it is.
+    /// The kind of back end.
     pub kind: Kind,
-    /// Rises at each start of the upstream.
+    /// The incarnation number, which increases at each start of the upstream.
     pub incarnation: u64,
-    /// Rises at each announcement of one incarnation.
+    /// The sequence number, which increases with each announcement of one incarnation.
     pub sequence: u64,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub phase: Phase,
-    /// The models or services it has loaded.
+    /// The models or plain services that it offers.
     pub models: Vec<Model>,
-    /// How it is paid for.
+    /// How its machine is paid for.
     pub market: Market,
-    /// Price in millionths of the currency unit for an hour.
+    /// The price per hour in millionths of the currency unit.
     pub price: u64,
-    /// Whether it refuses an order with an old fencing number; false when it did not say.
+    /// Whether it rejects an order with an outdated fencing number; false when it did not say.
     pub fenced: bool,
-    /// How many requests it runs at once.
+    /// The number of requests that it can run at once.
     pub slots: u32,
-    /// Its last load report.
+    /// Its latest load report.
     pub load: Load,
 }
 
-/// Tells model engines from plain services.
+/// Distinguishes model engines from plain services.
 #[data(copy, ord, hash)]
 pub enum Kind {
     /// Generates tokens and streams them.
     Engine,
-    /// Answers whole, and may not know how to resume or cancel.
+    /// Returns each answer in one piece, and may not support resuming or canceling a request.
     Service,
 }
 
-/// Says whether an upstream takes new work.
+/// Tells whether an upstream accepts new requests.
 #[data(copy, ord, hash)]
 pub enum Phase {
-    /// Alive but not yet able to serve.
+    /// Running, but not yet able to serve requests.
     Warming,
-    /// Takes new work.
+    /// Accepts new requests.
     Ready,
-    /// Takes no new work ever again in this incarnation.
+    /// Accepts no new requests for the rest of this incarnation.
     Leaving {
-        /// Milliseconds from the announcement until it is taken away; none when it leaves on its own.
+        /// Milliseconds from the announcement until the machine is reclaimed; none when the
+        /// upstream stops on its own.
         notice: Option<u32>,
     },
 }
 
-/// Says how an instance or upstream is paid for.
+/// Tells how the machine of an instance or upstream is paid for.
 #[data(copy, ord, hash)]
 pub enum Market {
-    /// Cheaper, and may be taken back at any moment.
+    /// Cheaper, but can be reclaimed by the cloud at any time.
     Reclaimable,
-    /// Kept until given back.
+    /// Kept until it is given back.
     OnDemand,
 }
 
-/// Reports what an upstream was doing a little while ago.
+/// Reports the load of an upstream as measured shortly before the announcement.
 #[data(copy, default)]
 pub struct Load {
-    /// Requests being run.
+    /// The number of requests that are running.
     pub running: u32,
-    /// Requests waiting in the upstream.
+    /// The number of requests that are queued in the upstream.
     pub waiting: u32,
-    /// Share of KV cache memory in use, in thousandths.
+    /// The fraction of KV cache memory in use, in thousandths.
     pub memory: u16,
-    /// Milliseconds between the measurement and the announcement.
+    /// The time between the measurement and the announcement, in milliseconds.
     pub age: u32,
 }
--- a/crates/verbenaslip-base/src/attempt.rs
+++ b/crates/verbenaslip-base/src/attempt.rs
@@ -1,4 +1,4 @@
-//! The identity of a request and of each of its runs.
+//! Identifiers of requests and of their runs.
 
 use std::fmt;
 
@@ -6,12 +6,13 @@
 use crate::hash;
 use crate::name::Team;
 
-/// Identifies a request everywhere: derived from team and idempotency key, or drawn when none came.
+/// Identifies a request on all instances: derived from the team and the idempotency key, or random
+/// when the caller sent no key.
 #[data(copy, ord, hash)]
 pub struct Request(pub u128);
 
 impl Request {
-    /// Derives the identity that every instance computes alike for a team's idempotency key.
+    /// Returns the identifier for a team's idempotency key, which is the same on every instance.
     pub fn of_key(team: &Team, key: &str) -> Self {
         Self(hash::wide(&[team.as_str().as_bytes(), key.as_bytes()]))
     }
@@ -28,6 +29,7 @@
 pub struct Attempt {
     /// The request that is run.
     pub request: Request,
-    /// Counts runs from 1; the high 16 bits tell apart the instances that own the request in turn.
+    /// The run number, counted from 1; its high 16 bits distinguish the successive instances that
+    /// own the request.
     pub number: u32,
 }
--- a/crates/verbenaslip-base/src/fence.rs
+++ b/crates/verbenaslip-base/src/fence.rs
@@ -1,11 +1,12 @@
-//! Fencing numbers: the order of the leaders and of what each has said.
+//! Fencing numbers, by which a newer order is told from an older one.
 
 use crate::data;
 
-/// Orders all orders ever given: a later leader's, or a later one of the same leader, is greater.
+/// Numbers the orders that leaders give; an order from a later leader, or a later order from the
+/// same leader, has a greater number.
 #[data(copy, ord, hash, default)]
 pub struct Fence {
-    /// The leader's term.
+    /// The term of the leader that gave the order.
     pub term: u64,
     /// The log index at which the order was committed.
     pub index: u64,
--- a/crates/verbenaslip-base/src/hash.rs
+++ b/crates/verbenaslip-base/src/hash.rs
@@ -1,14 +1,14 @@
-//! The stable hash that every instance computes alike.
+//! Stable hash functions, which give the same result on every instance.
 
 use siphasher::sip128::{Hasher128, SipHasher13};
 use std::hash::Hasher;
 
-/// Hashes parts, each with its length, to 128 bits.
+/// Returns a 128-bit hash of the parts; each part is hashed together with its length.
 pub fn wide(parts: &[&[u8]]) -> u128 {
     keyed(0, parts)
 }
 
-/// Hashes parts to 128 bits that nobody can foresee who doesn't know the key.
+/// Returns a 128-bit hash of the parts that cannot be predicted without the key.
 pub fn keyed(key: u128, parts: &[&[u8]]) -> u128 {
     let mut hasher = SipHasher13::new_with_key(&key.to_le_bytes());
     for part in parts {
@@ -18,12 +18,12 @@
     hasher.finish128().as_u128()
 }
 
-/// Hashes parts to 64 bits.
+/// Returns a 64-bit hash of the parts: the low half of [`wide`].
 pub fn narrow(parts: &[&[u8]]) -> u64 {
     wide(parts) as u64
 }
 
-/// Spreads a number over all bits (the finalizer of SplitMix64), the same on every instance.
+/// Mixes the bits of a number with the finalizer of SplitMix64, the same on every instance.
 pub fn mix(value: u64) -> u64 {
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/verbenaslip-base/src/head.rs
+++ b/crates/verbenaslip-base/src/head.rs
@@ -1,4 +1,4 @@
-//! One request as far as decisions need it.
+//! The properties of a request on which decisions are based.
 
 use std::time::Duration;
 
@@ -9,26 +9,26 @@
 /// Describes a request without its text.
 #[data]
 pub struct Head {
-    /// The identity shared by all resends of the same idempotency key.
+    /// The identifier, shared by all resends with the same idempotency key.
     pub request: Request,
-    /// The team whose key the caller showed.
+    /// The team to which the caller's API key belongs.
     pub team: Team,
-    /// The request class, which selects the table's row.
+    /// The request class, which together with the team selects the row of the table.
     pub class: Class,
-    /// What the request asks for: a model or a plain service.
+    /// The requested model or plain service.
     pub model: Model,
-    /// Whether a second run does no harm.
+    /// Whether a second run is harmless.
     pub idempotent: bool,
-    /// Whether the caller gave an idempotency key, so that a resend can be told.
+    /// Whether the caller sent an idempotency key, by which a resend is recognized.
     pub keyed: bool,
-    /// When the key was first used, in Unix milliseconds; none for a request without a key.
+    /// The first use of the idempotency key, in Unix milliseconds; none without a key.
     pub issued: Option<u64>,
-    /// Monotonic time by which the whole answer is due, on the clock of the instance that holds it.
+    /// The deadline of the whole answer, as monotonic time on the instance that holds the request.
     pub deadline: Duration,
-    /// Estimated tokens of the prompt.
+    /// The estimated number of tokens in the prompt.
     pub prompt: u32,
-    /// The most tokens the answer may have.
+    /// The maximum number of tokens in the answer.
     pub output: u32,
-    /// Hashes of the prompt's blocks from its start, each covering all before it.
+    /// The hashes of the prompt's blocks in order; each covers its block and all earlier ones.
     pub prefix: Vec<u64>,
 }
--- a/crates/verbenaslip-base/src/lib.rs
+++ b/crates/verbenaslip-base/src/lib.rs
@@ -1,12 +1,14 @@
-//! The words that every part of verbenaslip shares.
+//! Types that all other crates of verbenaslip share.
 //!
-//! [`name`] holds the names of machines, zones, teams and back ends. [`head`] describes one request
-//! as far as decisions need it: never its text. [`announce`] is what an upstream says about itself.
-//! [`fence`] orders the leaders that may give orders. [`attempt`] names one run of one request.
-//! [`refusal`] separates what was surely not run from what may have run. [`hash`] gives the one
-//! stable hash that every instance computes alike.
+//! - [`name`]: names of instances, availability zones, teams, upstreams and others
+//! - [`head`]: the properties of a request on which decisions are based, without its text
+//! - [`announce`]: announcements, which upstreams send about themselves
+//! - [`fence`]: fencing numbers, by which a newer order is told from an older one
+//! - [`attempt`]: identifiers of requests and of their runs
+//! - [`refusal`]: reasons why a request was not run, or why it is unknown whether it ran
+//! - [`hash`]: stable hash functions, which give the same result on every instance
 //!
-//! Nothing here does input or output, reads a clock or draws a random number.
+//! Nothing in this crate does input or output, reads a clock or generates random numbers.
 
 pub mod announce;
 pub mod attempt;
--- a/crates/verbenaslip-base/src/name.rs
+++ b/crates/verbenaslip-base/src/name.rs
@@ -13,12 +13,12 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Takes the name as it is written.
+            /// Creates the name without checking it.
             pub fn new(name: impl Into<Arc<str>>) -> Self {
                 Self(name.into())
             }
 
-            /// Shows the name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -45,19 +45,19 @@
 }
 
 names! {
-    /// Names one instance of verbenaslip, unique in the deployment.
+    /// Names an instance of verbenaslip; the name is unique in the deployment.
     Instance;
     /// Names a group of availability zones that are near each other.
     Region;
-    /// Names a part of a region that can be lost as a whole.
+    /// Names a part of a region that can fail as a whole.
     AvailabilityZone;
-    /// Names a group of callers that shares keys and limits.
+    /// Names a group of callers that share API keys and limits.
     Team;
-    /// Names a request class of a team; with the team it selects one row of the table.
+    /// Names a request class of a team; team and class together select a row of the table.
     Class;
-    /// Names one back end: a model engine or a plain service.
+    /// Names a back end, which is a model engine or a plain service.
     Upstream;
-    /// Names a model or plain service that upstreams offer and requests ask for.
+    /// Names a model or plain service that upstreams offer and callers request.
     Model;
     /// Names a person or program that edits the table.
     Operator;
--- a/crates/verbenaslip-macros/src/lib.rs
+++ b/crates/verbenaslip-macros/src/lib.rs
@@ -1,16 +1,17 @@
-//! The common derives of verbenaslip's own types, so that each type names its set once.
+//! The `#[data]` attribute, which derives the common traits of verbenaslip's types.
 //!
-//! `#[data]` stands for clone, debug, equality and serialization. Words in brackets add to or take
-//! from that set: `copy`, `ord`, `hash`, `default`, and `float` for a type that holds floating
-//! point numbers and so has no total equality. A crate that uses it depends on `serde`.
+//! `#[data]` derives `Clone`, `Debug`, `PartialEq`, `Eq`, `Serialize` and `Deserialize`. Options in
+//! parentheses change this set: `copy`, `ord`, `hash` and `default` add traits, and `float` removes
+//! `Eq` for a type that holds floating-point numbers. A crate that uses the attribute must depend
+//! on `serde`.
 
 use proc_macro::TokenStream;
 
-/// Derives the common set of traits, changed by the words in brackets.
+/// Derives the common set of traits, changed by the options in parentheses.
 ///
 /// # Panics
 ///
-/// Panics at compile time when a word is not one of `copy`, `ord`, `hash`, `default`, `float`.
+/// Panics at compile time when an option is not one of `copy`, `ord`, `hash`, `default`, `float`.
 #[proc_macro_attribute]
 pub fn data(options: TokenStream, item: TokenStream) -> TokenStream {
     let mut traits =
@@ -23,7 +24,7 @@
             "hash" => traits.push("Hash"),
             "default" => traits.push("Default"),
             "float" => traits.retain(|name| *name != "Eq"),
-            other => panic!("`{other}` is no derive set: use copy, ord, hash, default or float"),
+            other => panic!("unknown option `{other}`: use copy, ord, hash, default or float"),
         }
     }
     let mut output: TokenStream =
--- a/crates/verbenaslip-table/src/change.rs
+++ b/crates/verbenaslip-table/src/change.rs
@@ -1,4 +1,4 @@
-//! What tells two tables apart, row by row.
+//! Differences between two tables, row by row.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,17 +10,17 @@
 use crate::row::{Key, Row};
 use crate::table::Table;
 
-/// Changes one row.
+/// Adds, replaces or removes one row.
 #[data]
 pub enum Change {
-    /// Adds the row or replaces the one with its key.
+    /// Adds the row, or replaces the row with the same key.
     Put(Row),
-    /// Takes the row away; does nothing where there is none.
+    /// Removes the row; has no effect if there is none.
     Remove(Key),
 }
 
 impl Change {
-    /// Returns which row is changed.
+    /// Returns the key of the changed row.
     pub fn key(&self) -> Key {
         match self {
             Self::Put(row) => row.key(),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Compares the change with the table that it is made to, column by column.
+    /// Returns the difference that the change makes to a table, column by column.
     pub fn difference(&self, table: &Table) -> Difference {
         let key = self.key();
         let old = table.get(&key);
@@ -45,16 +45,16 @@
     }
 }
 
-/// Shows one row's change to a person.
+/// Describes the change of one row for display.
 #[data]
 pub struct Difference {
-    /// Which row.
+    /// The key of the row.
     pub key: Key,
-    /// Whether the row was not there before.
+    /// Whether the row does not exist before the change.
     pub added: bool,
-    /// Whether the row is not there afterwards.
+    /// Whether the row does not exist after the change.
     pub removed: bool,
-    /// The cells that change, in the order of the columns.
+    /// The cells that change, in column order.
     pub cells: Vec<Cell>,
 }
 
@@ -73,14 +73,14 @@
     }
 }
 
-/// Holds one cell before and after a change.
+/// Holds the text of one cell before and after a change.
 #[data]
 pub struct Cell {
-    /// The column.
+    /// The column of the cell.
     pub column: Column,
-    /// The text before; empty for a row that was not there.
+    /// The text before the change; empty if the row did not exist.
     pub old: String,
-    /// The text after; empty for a row that is gone.
+    /// The text after the change; empty if the row is removed.
     pub new: String,
 }
 
@@ -90,7 +90,7 @@
     }
 }
 
-/// Returns the least changes that make the new table of the old one, in the order of the rows.
+/// Returns the smallest list of changes that turns the old table into the new one, in row order.
 pub fn diff(old: &Table, new: &Table) -> Vec<Change> {
     let mut changes = BTreeMap::new();
     for row in old.rows() {
@@ -105,11 +105,12 @@
     changes.into_values().collect()
 }
 
-/// Makes all changes at once.
+/// Applies all changes at once and returns the changed table.
 ///
 /// # Errors
 ///
-/// Returns every problem of every changed row; then none of the changes is made.
+/// Returns all problems found in the changed rows; no change is applied then. A problem gives the
+/// number of its change, counted from 1, as the row.
 pub fn apply(table: &Table, changes: &[Change]) -> Result<Table, Problems> {
     let mut rows: BTreeMap<Key, Row> =
         table.rows().iter().map(|row| (row.key(), row.clone())).collect();
--- a/crates/verbenaslip-table/src/column.rs
+++ b/crates/verbenaslip-table/src/column.rs
@@ -1,48 +1,48 @@
-//! The columns of the table and the values that each takes.
+//! The columns of the table and their allowed values.
 
 use std::fmt;
 
 use verbenaslip_base::data;
 
-/// Names a column, in the order of the file.
+/// Names a column; the variants are in the order of the columns in the file.
 #[data(copy, ord, hash)]
 pub enum Column {
-    /// The team whose key the caller shows.
+    /// The team to which the caller's API key belongs.
     Team,
-    /// The request class; `*` stands for every class of the team without a row of its own.
+    /// The request class; `*` stands for all classes of the team that have no row of their own.
     Class,
-    /// The share of a busy system, against the weights of other rows of the same priority.
+    /// The share of capacity under load, relative to the weights of rows with the same priority.
     Weight,
-    /// Which work goes first when there is too much; higher goes first.
+    /// The priority under load: requests with a higher priority go first.
     Priority,
-    /// The most requests a second, over all instances; empty for no limit.
+    /// The maximum number of requests per second over all instances; empty for no limit.
     Rate,
-    /// How many requests may come at once before the rate counts.
+    /// The number of requests that may arrive at once before the rate limit applies.
     Burst,
-    /// The most requests in progress, over all instances.
+    /// The maximum number of requests in progress over all instances.
     Concurrency,
-    /// The most tokens a second, prompts and answers together; empty for no limit.
+    /// The maximum number of tokens per second, in prompts and answers; empty for no limit.
     TokensPerS,
-    /// The time for the whole answer, in milliseconds, where the caller sets none.
+    /// The time in milliseconds for the whole answer, used when the caller sets none.
     DeadlineMs,
-    /// The time aimed at for the first token, in milliseconds.
+    /// The target time until the first token, in milliseconds.
     FirstTokenMs,
-    /// The most tokens of an answer.
+    /// The maximum number of tokens in an answer.
     MaxOutputTokens,
-    /// The longest wait before a request is given up, in milliseconds.
+    /// The maximum time in milliseconds that a request waits before it is given up.
     MaxWaitMs,
-    /// The retries allowed, in percent of the requests.
+    /// The number of retries allowed, in percent of the requests.
     RetriesPercent,
-    /// The share of capacity kept on on-demand instances, in percent.
+    /// The share of capacity that is kept on on-demand instances, in percent.
     ReservePercent,
-    /// What to spare when both can't be had: `cost` or `latency`.
+    /// What to minimize when cost and latency conflict: `cost` or `latency`.
     Prefer,
-    /// A remark of the operators.
+    /// A note by the operators.
     Note,
 }
 
 impl Column {
-    /// Lists the columns in the order of the file.
+    /// The columns in the order of the file.
     pub const ALL: [Self; 16] = [
         Self::Team,
         Self::Class,
@@ -62,7 +62,7 @@
         Self::Note,
     ];
 
-    /// Returns the name that stands in the header.
+    /// Returns the column's name in the header of the file.
     pub fn name(self) -> &'static str {
         match self {
             Self::Team => "team",
@@ -84,12 +84,12 @@
         }
     }
 
-    /// Returns the column with that name in the header.
+    /// Returns the column with the given name in the header.
     pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|column| column.name() == name)
     }
 
-    /// Says which values are allowed, in the words of an error message.
+    /// Returns the allowed values as text for an error message.
     pub fn allowed(self) -> String {
         match (self, self.bounds()) {
             (_, Some(bounds)) => bounds.to_string(),
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Returns the bounds of a column that holds a number.
+    /// Returns the bounds of a numeric column, or none for a column of text.
     pub(crate) fn bounds(self) -> Option<Bounds> {
         let (min, max) = match self {
             Self::Weight => (1, 1_000),
@@ -130,7 +130,7 @@
     }
 }
 
-/// Holds the least and the greatest value of a number, and whether it may be left out.
+/// Holds the smallest and largest allowed value of a number, and whether a cell may be empty.
 #[derive(Clone, Copy)]
 pub(crate) struct Bounds {
     pub(crate) min: u32,
@@ -139,7 +139,7 @@
 }
 
 impl Bounds {
-    /// Says whether a number lies within the bounds.
+    /// Returns whether the number lies within the bounds.
     pub(crate) fn contains(self, number: u32) -> bool {
         (self.min..=self.max).contains(&number)
     }
@@ -155,10 +155,10 @@
     }
 }
 
-/// Bounds a team's or class's name, in bytes.
+/// The maximum length of a team or class name.
 pub(crate) const MAX_NAME_BYTES: usize = 64;
 
-/// Bounds a note, in bytes.
+/// The maximum length of a note.
 pub(crate) const MAX_NOTE_BYTES: usize = 200;
 
 /// One day in milliseconds.
--- a/crates/verbenaslip-table/src/csv_file.rs
+++ b/crates/verbenaslip-table/src/csv_file.rs
@@ -1,4 +1,4 @@
-//! The table as a CSV file.
+//! Reads and writes the table as a CSV file.
 
 use std::collections::BTreeMap;
 
@@ -9,18 +9,18 @@
 use crate::row::{Preference, Row};
 use crate::table::{NumberedRow, Table};
 
-/// Bounds a file, in bytes.
+/// The maximum size of a file.
 pub const MAX_FILE_BYTES: usize = 1 << 20;
 
 impl Table {
     /// Reads a table from a CSV file.
     ///
-    /// The columns may stand in any order. A byte order mark, Windows line ends, blank around
-    /// values and empty lines do no harm, since spreadsheets leave them.
+    /// The columns may be in any order. A byte order mark, Windows line ends, whitespace around
+    /// values and empty lines are accepted, since spreadsheets write them.
     ///
     /// # Errors
     ///
-    /// Returns every problem in the file at once.
+    /// Returns all problems in the file at once.
     pub fn parse(file: &[u8]) -> Result<Self, Problems> {
         let text = decode(file).map_err(|problem| Problems(vec![problem]))?;
         let mut parser = CsvParser::default();
@@ -29,13 +29,13 @@
         if parser.problems.is_empty() { Ok(table) } else { Err(Problems(parser.problems)) }
     }
 
-    /// Writes the table in its canonical form: columns and rows in fixed order, `\n` line ends.
+    /// Returns the table as CSV in canonical form: fixed order of columns and rows, `\n` line ends.
     pub fn to_csv(&self) -> String {
         let mut writer =
             WriterBuilder::new().quote_style(QuoteStyle::Necessary).from_writer(vec![]);
         let header = Column::ALL.map(Column::name);
         let rows = self.rows().iter().map(|row| Column::ALL.map(|column| row.cell(column)));
-        // Writing to memory fails only on records of unequal length, and all have one cell a column.
+        // Writing to memory fails only if records differ in length; here all have the same length.
         let _ = writer.write_record(header);
         for row in rows {
             let _ = writer.write_record(row);
@@ -45,18 +45,18 @@
     }
 }
 
-/// Reads one file and gathers what is wrong with it.
+/// Parses a CSV file and collects its problems.
 #[derive(Default)]
 struct CsvParser {
-    /// Where each column stands.
+    /// The index of each column in a record.
     columns: BTreeMap<Column, usize>,
-    /// How many cells a row has.
+    /// The number of cells in the header, which every row must have.
     column_count: usize,
     problems: Vec<Problem>,
 }
 
 impl CsvParser {
-    /// Reads header and rows; a row whose key can't be read is left out.
+    /// Parses the header and the rows; a row whose key cannot be read is left out.
     fn parse_rows(&mut self, text: &str) -> Vec<NumberedRow> {
         let mut reader =
             ReaderBuilder::new().has_headers(false).flexible(true).from_reader(text.as_bytes());
@@ -86,7 +86,7 @@
         rows
     }
 
-    /// Finds the columns; each must stand exactly once.
+    /// Finds the index of each column and reports unknown, duplicate and missing columns.
     fn parse_header(&mut self, number: u32, record: &StringRecord) {
         self.column_count = record.len();
         if !record.iter().any(|name| Column::from_name(name.trim()).is_some()) {
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Reads one row, or notes why it can't be read.
+    /// Parses one row and reports its problems; returns none if the key cannot be read.
     fn parse_row(&mut self, number: u32, record: &StringRecord) -> Option<Row> {
         if let Some(cell) = record.iter().find(|cell| cell.contains('\n')) {
             let allowed = "cells of one line; a quote may have been left open";
@@ -142,7 +142,7 @@
     }
 }
 
-/// Reads the cells of one row.
+/// Parses the cells of one row.
 struct RowParser<'a> {
     number: u32,
     record: &'a StringRecord,
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Notes the cells of a row that hold text which is not allowed.
+    /// Reports cells whose text is not allowed.
     fn check_texts(&mut self, row: &Row) {
         for column in [Column::Team, Column::Class, Column::Note] {
             if !row.is_cell_valid(column) {
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Returns a cell without blank around it; empty where the header lacks the column.
+    /// Returns a cell's text without surrounding whitespace; empty if the column is missing.
     fn text(&self, column: Column) -> &str {
         let index = self.parser.columns.get(&column);
         index.and_then(|index| self.record.get(*index)).unwrap_or_default().trim()
@@ -194,7 +194,7 @@
         })
     }
 
-    /// Returns a number that may be left out.
+    /// Returns a number, or none if the cell is empty.
     fn optional_number(&mut self, column: Column) -> Option<u32> {
         if self.text(column).is_empty() {
             return None;
@@ -214,7 +214,7 @@
         })
     }
 
-    /// Notes a cell whose value is not allowed; a missing column has been noted once already.
+    /// Reports a cell whose value is not allowed; a missing column was already reported once.
     fn report(&mut self, column: Column) {
         if self.parser.columns.contains_key(&column) {
             let problem = Problem::cell(self.number, column, self.text(column), column.allowed());
@@ -223,16 +223,16 @@
     }
 }
 
-/// Returns the line at which a record began, from the line after its end.
+/// Returns the line at which a record starts, given the number of the line after its end.
 fn start_line(record: &StringRecord, next_line: u64) -> u32 {
     let line_breaks: usize = record.iter().map(|cell| cell.matches('\n').count()).sum();
-    // A quote left open swallows the line end of the file, so that no line follows.
+    // An unclosed quote takes in the last line end of the file, so that no line follows the record.
     let open_quote = record.iter().next_back().is_some_and(|cell| cell.ends_with('\n'));
     let lines = line_breaks as u64 + u64::from(!open_quote);
     u32::try_from(next_line.saturating_sub(lines)).unwrap_or(u32::MAX)
 }
 
-/// Decodes a file and gives every line the same end, the last one too.
+/// Decodes UTF-8 and makes every line end with `\n`, the last one included.
 fn decode(file: &[u8]) -> Result<String, Problem> {
     if file.len() > MAX_FILE_BYTES {
         let value = format!("{} bytes", file.len());
--- a/crates/verbenaslip-table/src/edit.rs
+++ b/crates/verbenaslip-table/src/edit.rs
@@ -1,4 +1,4 @@
-//! An edit of the table and what identifies it.
+//! Edits of the table and their identifiers.
 
 use std::fmt;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 
 use crate::change::Change;
 
-/// Counts the accepted edits; 0 is the empty table before the first.
+/// Counts the accepted edits; revision 0 is the empty table before the first edit.
 #[data(copy, ord, hash, default)]
 pub struct Revision(pub u64);
 
@@ -25,22 +25,24 @@
     }
 }
 
-/// Identifies an edit, so that a resend of it after a lost answer is the same edit.
+/// Identifies an edit, so that an edit that is sent again after a lost answer counts as the same.
 #[data(ord, hash)]
 pub struct Id(Arc<str>);
 
 impl Id {
-    /// Bounds an identity, in bytes.
+    /// The maximum length of an identifier.
     pub const MAX_BYTES: usize = 64;
 
-    /// Takes an identity of 1 to 64 visible ASCII characters, such as a commit hash.
+    /// Creates an identifier from a text such as a commit hash.
+    ///
+    /// Returns none unless the text has 1 to 64 printable ASCII characters without spaces.
     pub fn new(text: &str) -> Option<Self> {
         let valid_length = (1..=Self::MAX_BYTES).contains(&text.len());
         (valid_length && text.bytes().all(|byte| byte.is_ascii_graphic()))
             .then(|| Self(text.into()))
     }
 
-    /// Shows the identity as text.
+    /// Returns the identifier as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -52,17 +54,17 @@
     }
 }
 
-/// Asks for changes to the table.
+/// Requests changes to the table.
 #[data]
 pub struct Edit {
-    /// The identity; a resend carries the same.
+    /// The identifier, which is the same when the edit is sent again.
     pub id: Id,
-    /// The revision from which the operator made the changes.
+    /// The revision on which the changes are based.
     pub base: Revision,
-    /// Who asks.
+    /// The operator who requests the changes.
     pub operator: Operator,
-    /// When it was asked, in Unix milliseconds.
+    /// The time of the request in Unix milliseconds.
     pub unix_ms: u64,
-    /// The changes, which are made all at once or not at all.
+    /// The changes, which are applied all together or not at all.
     pub changes: Vec<Change>,
 }
--- a/crates/verbenaslip-table/src/lib.rs
+++ b/crates/verbenaslip-table/src/lib.rs
@@ -1,13 +1,14 @@
 //! The operators' table: rows, edits, checks, differences, CSV.
 //!
-//! A [`Table`] holds one [`Row`] for each team and request class; [`mod@column`] says what each column
-//! means and which values it takes. [`csv_file`] reads a table from CSV and writes it in one canonical
-//! form, so that a file under version control changes only where the table does; whatever is wrong
-//! with a file comes back as [`problem::Problems`], all at once. [`change`] tells two tables apart
-//! row by row and applies the result to another. [`edit`] wraps changes with who made them, from
-//! which [`edit::Revision`], under which identity, which is what the replicated log takes.
+//! A [`Table`] holds one [`Row`] for each team and request class. [`mod@column`] defines the
+//! columns and their allowed values. [`csv_file`] reads a table from CSV and writes it in one
+//! canonical form, so that a file under version control changes only when the table changes; all
+//! errors in a file are reported at once as [`problem::Problems`]. [`change`] computes the
+//! differences between two tables and applies changes to a table. [`edit`] adds to a list of
+//! changes the operator, the [`edit::Revision`] on which they are based and an identifier; the
+//! replicated log stores edits.
 //!
-//! Nothing here does input or output, reads a clock or draws a random number.
+//! Nothing in this crate does input or output, reads a clock or generates random numbers.
 
 pub mod change;
 pub mod column;
--- a/crates/verbenaslip-table/src/problem.rs
+++ b/crates/verbenaslip-table/src/problem.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a table.
+//! Problems found in a table.
 
 use std::fmt;
 
@@ -6,26 +6,26 @@
 
 use crate::column::Column;
 
-/// Names one thing that is wrong, where it stands and what is allowed there.
+/// Describes one invalid value, its place and what is allowed there.
 #[data(ord, hash)]
 pub struct Problem {
-    /// The line of the file, as a spreadsheet numbers it: the header is 1; 0 for the whole file.
+    /// The line in the file, where the header is line 1; 0 stands for the whole file.
     pub row: u32,
-    /// The column's name; empty when the whole row is meant.
+    /// The column's name; empty if the problem concerns the whole row.
     pub column: String,
-    /// What stands there, shortened.
+    /// The invalid value, shortened.
     pub value: String,
-    /// What may stand there.
+    /// The allowed values.
     pub allowed: String,
 }
 
 impl Problem {
-    /// Tells of one cell.
+    /// Creates a problem of one cell.
     pub(crate) fn cell(row: u32, column: Column, value: &str, allowed: impl Into<String>) -> Self {
         Self::new(row, column.name(), value, allowed)
     }
 
-    /// Tells of a place in the file; a long value is shortened.
+    /// Creates a problem of a place in the file; a long value is shortened.
     pub(crate) fn new(
         row: u32,
         column: impl Into<String>,
@@ -47,7 +47,7 @@
     }
 }
 
-/// Holds all that is wrong with a table, in the order of the file; nothing was changed.
+/// Lists all problems of a table in file order; the table was not changed.
 #[data]
 pub struct Problems(pub Vec<Problem>);
 
@@ -62,7 +62,7 @@
 
 impl std::error::Error for Problems {}
 
-/// Bounds how much of a wrong value is shown, in characters.
+/// The maximum length of an invalid value in a problem.
 const MAX_VALUE_CHARS: usize = 60;
 
 fn shorten(value: &str) -> String {
--- a/crates/verbenaslip-table/src/row.rs
+++ b/crates/verbenaslip-table/src/row.rs
@@ -1,4 +1,4 @@
-//! One row of the table.
+//! Rows of the table.
 
 use std::fmt;
 use std::sync::Arc;
@@ -9,10 +9,10 @@
 use crate::column::{Column, MAX_NAME_BYTES, MAX_NOTE_BYTES};
 use crate::problem::Problem;
 
-/// The class whose row serves every class of the team that has no row of its own.
+/// The class whose row applies to all classes of the team that have no row of their own.
 pub const FALLBACK_CLASS: &str = "*";
 
-/// Holds what the operators ask for one team and request class; [`Column`] explains each field.
+/// Holds the operators' settings for one team and request class; [`Column`] describes each field.
 #[data]
 pub struct Row {
     /// See [`Column::Team`].
@@ -45,12 +45,12 @@
     pub reserve_percent: u32,
     /// See [`Column::Prefer`].
     pub prefer: Preference,
-    /// See [`Column::Progress`].
+    /// See [`Column::Note`].
     pub note: Arc<str>,
 }
 
 impl Row {
-    /// Returns a moderate row to start from: no rate limits, 30 s for the whole answer.
+    /// Returns a row with default settings: no rate limits, and 30 s for the whole answer.
     pub fn new(team: impl Into<Team>, class: impl Into<Class>) -> Self {
         Self {
             team: team.into(),
@@ -72,12 +72,12 @@
         }
     }
 
-    /// Returns what the row is found by.
+    /// Returns the row's key.
     pub fn key(&self) -> Key {
         Key { team: self.team.clone(), class: self.class.clone() }
     }
 
-    /// Returns the text of one cell, as the file has it.
+    /// Returns the text of one cell as it is written to the file.
     pub fn cell(&self, column: Column) -> String {
         match column {
             Column::Team => self.team.to_string(),
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Returns everything that is wrong with the row, each problem with the given row number.
+    /// Returns all problems of the row, each with the given row number.
     pub fn check(&self, number: u32) -> Vec<Problem> {
         let problems = Column::ALL.into_iter().filter(|column| !self.is_cell_valid(*column));
         let mut problems: Vec<Problem> = problems
@@ -100,7 +100,7 @@
         problems
     }
 
-    /// Returns what is wrong between cells that are each allowed by themselves.
+    /// Returns the cells that exceed the row's deadline, as problems with the given row number.
     pub(crate) fn check_deadline(&self, number: u32) -> Vec<Problem> {
         let columns = [Column::FirstTokenMs, Column::MaxWaitMs].into_iter();
         let exceeding = columns.filter(|column| self.number(*column) > Some(self.deadline_ms));
@@ -110,7 +110,7 @@
             .collect()
     }
 
-    /// Says whether one cell's value is allowed by itself.
+    /// Returns whether a cell's value is allowed, regardless of the other cells.
     pub(crate) fn is_cell_valid(&self, column: Column) -> bool {
         match column {
             Column::Team => is_name(self.team.as_str()),
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Returns the value of a column that holds a number.
+    /// Returns the value of a numeric column; none for a column of text or an empty cell.
     fn number(&self, column: Column) -> Option<u32> {
         match column {
             Column::Weight => Some(self.weight),
@@ -144,7 +144,7 @@
     }
 }
 
-/// Names one row by what it is found by.
+/// Identifies a row by its team and request class.
 #[data(ord, hash)]
 pub struct Key {
     /// The team.
@@ -159,18 +159,18 @@
     }
 }
 
-/// Says what to spare when both can't be had.
+/// Tells what to minimize when cost and latency conflict.
 #[data(copy, ord, hash, default)]
 pub enum Preference {
-    /// Spares money.
+    /// Minimizes cost.
     #[default]
     Cost,
-    /// Spares time.
+    /// Minimizes latency.
     Latency,
 }
 
 impl Preference {
-    /// Returns the preference of that name.
+    /// Returns the preference with the given name.
     pub fn from_name(name: &str) -> Option<Self> {
         match name {
             "cost" => Some(Self::Cost),
--- a/crates/verbenaslip-table/src/table.rs
+++ b/crates/verbenaslip-table/src/table.rs
@@ -1,4 +1,4 @@
-//! The table as a whole.
+//! The table of all rows.
 
 use verbenaslip_base::data;
 use verbenaslip_base::hash;
@@ -7,10 +7,10 @@
 use crate::problem::{Problem, Problems};
 use crate::row::{FALLBACK_CLASS, Key, Row};
 
-/// Bounds the rows of a table, so that a copy of it fits every instance and message.
+/// The maximum number of rows, so that a copy of the table fits on every instance and in a message.
 pub const MAX_ROWS: usize = 4_096;
 
-/// Holds the rows in the order of team and class, each allowed and each key once.
+/// Holds valid rows with unique keys, sorted by team and class.
 #[data(default)]
 #[serde(try_from = "Vec<Row>", into = "Vec<Row>")]
 pub struct Table {
@@ -18,11 +18,11 @@
 }
 
 impl Table {
-    /// Takes rows in any order.
+    /// Creates a table from rows in any order.
     ///
     /// # Errors
     ///
-    /// Returns every problem of every row; the row numbers count from 2 in the order given.
+    /// Returns all problems of all rows; rows are numbered from 2 in the given order, as in a file.
     pub fn new(rows: impl IntoIterator<Item = Row>) -> Result<Self, Problems> {
         let numbered_rows =
             rows.into_iter().zip(2..).map(|(row, number)| NumberedRow { number, row });
@@ -33,27 +33,27 @@
         if problems.is_empty() { Ok(table) } else { Err(Problems(problems)) }
     }
 
-    /// Returns the row for a class of a team: its own, else the team's fallback row.
+    /// Returns the row of the team's class, or else the team's fallback row.
     pub fn row(&self, team: &Team, class: &Class) -> Option<&Row> {
         self.find(team, class.as_str()).or_else(|| self.find(team, FALLBACK_CLASS))
     }
 
-    /// Returns the row with exactly that key.
+    /// Returns the row with exactly this key, without the fallback.
     pub fn get(&self, key: &Key) -> Option<&Row> {
         self.find(&key.team, key.class.as_str())
     }
 
-    /// Returns the rows in the order of team and class.
+    /// Returns the rows, sorted by team and class.
     pub fn rows(&self) -> &[Row] {
         &self.rows
     }
 
-    /// Returns a number that differs when the tables differ.
+    /// Returns a hash of the table's content, which differs between different tables.
     pub fn digest(&self) -> u128 {
         hash::wide(&[self.to_csv().as_bytes()])
     }
 
-    /// Sorts rows that were checked one by one, and adds to the problems what is wrong among them.
+    /// Sorts rows that were already checked one by one, and adds the problems between rows.
     pub(crate) fn from_numbered_rows(
         mut numbered_rows: Vec<NumberedRow>,
         problems: &mut Vec<Problem>,
@@ -100,7 +100,7 @@
     }
 }
 
-/// Holds a row and where it stands.
+/// Holds a row and its line number in the file.
 pub(crate) struct NumberedRow {
     pub(crate) number: u32,
     pub(crate) row: Row,
