--- a/crates/verbenaslip-table/tests/change.rs
+++ b/crates/verbenaslip-table/tests/change.rs
@@ -1,4 +1,4 @@
-//! Differences between tables and the changes made of them.
+//! Tests of differences between tables and of applying changes.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -7,7 +7,7 @@
 
 #[test]
 fn shows_each_changed_cell() {
-    let table = Table::new([Row::new("agents", "check")]).expect("row is good");
+    let table = Table::new([Row::new("agents", "check")]).expect("row is valid");
     let mut heavier = Row::new("agents", "check");
     heavier.weight = 200;
     heavier.rate = Some(20);
@@ -22,13 +22,13 @@
 
 #[test]
 fn applies_all_changes_or_none() {
-    let table = Table::new([Row::new("agents", "check")]).expect("row is good");
+    let table = Table::new([Row::new("agents", "check")]).expect("row is valid");
     let mut invalid = Row::new("owners", "draft");
     invalid.weight = 0;
     invalid.first_token_ms = 0;
     let duplicate = Row::new("agents", "draft");
     let changes = [Change::Put(invalid), Change::Put(duplicate.clone()), Change::Put(duplicate)];
-    let problems = apply(&table, &changes).expect_err("changes are bad");
+    let problems = apply(&table, &changes).expect_err("changes are invalid");
     insta::assert_snapshot!(problems, @r#"
     3 problems in the table, nothing was changed
     row 1, column weight: "0" is not allowed here; allowed: a whole number from 1 to 1000
@@ -37,8 +37,8 @@
     "#);
 }
 
-/// Symptom: a table in which one key stands twice, of which only one row is ever found.
-/// Sequence: bytes of a snapshot or message are decoded. Cause: decoding skipped the checks.
+/// Guards against a decoded table with invalid rows, or with one key twice, so that only one of the
+/// two rows is ever found. It comes about if decoding a snapshot or message skips the checks.
 #[test]
 fn decoding_rejects_invalid_rows() {
     let row = Row::new("agents", "check");
@@ -46,11 +46,11 @@
     invalid.priority = 10;
     let cases = [vec![row.clone(), row.clone()], vec![invalid]];
     for rows in cases {
-        let bytes = postcard::to_stdvec(&rows).expect("rows are encoded");
+        let bytes = postcard::to_stdvec(&rows).expect("rows can be encoded");
         assert!(postcard::from_bytes::<Table>(&bytes).is_err(), "{rows:?}");
     }
-    let table = Table::new([row]).expect("row is good");
-    let bytes = postcard::to_stdvec(&table).expect("table is encoded");
+    let table = Table::new([row]).expect("row is valid");
+    let bytes = postcard::to_stdvec(&table).expect("table can be encoded");
     assert_eq!(postcard::from_bytes(&bytes), Ok(table));
 }
 
@@ -76,7 +76,7 @@
     proptest::collection::vec(row(), 0..8).prop_map(|rows| {
         let mut table = Table::default();
         for row in rows {
-            table = apply(&table, &[Change::Put(row)]).expect("row is good");
+            table = apply(&table, &[Change::Put(row)]).expect("row is valid");
         }
         table
     })
@@ -88,7 +88,7 @@
         prop_assert_eq!(Table::parse(table.to_csv().as_bytes()), Ok(table));
         Ok(())
     };
-    runner().run(&table(), check).expect("every table is read back");
+    runner().run(&table(), check).expect("every table survives the round trip");
 }
 
 #[test]
@@ -99,7 +99,7 @@
         prop_assert_eq!(apply(&old, &changes), Ok(new));
         Ok(())
     };
-    runner().run(&(table(), table()), check).expect("every difference is made");
+    runner().run(&(table(), table()), check).expect("every difference can be applied");
 }
 
 #[test]
@@ -120,5 +120,5 @@
     };
     runner()
         .run(&prop_oneof![random_bytes, corrupted], check)
-        .expect("any bytes are read or refused");
+        .expect("any bytes are accepted or rejected");
 }
--- a/crates/verbenaslip-table/tests/sheet.rs
+++ b/crates/verbenaslip-table/tests/sheet.rs
@@ -1,4 +1,4 @@
-//! Reading and writing the table as CSV.
+//! Tests of reading and writing the table as CSV.
 
 use verbenaslip_base::name::{Class, Team};
 use verbenaslip_table::{Row, Table};
@@ -38,7 +38,7 @@
 fn prefers_the_class_row_over_the_fallback() {
     let mut own = Row::new("agents", "check");
     own.weight = 7;
-    let table = Table::new([Row::new("agents", "*"), own]).expect("rows are good");
+    let table = Table::new([Row::new("agents", "*"), own]).expect("rows are valid");
     let weight = |team: &str, class: &str| {
         table.row(&Team::from(team), &Class::from(class)).map(|row| row.weight)
     };
@@ -49,7 +49,7 @@
 
 #[test]
 fn accepts_spreadsheet_export_variants() {
-    let plain = Table::parse(csv_file(&[VALID_ROW]).as_bytes()).expect("file is good");
+    let plain = Table::parse(csv_file(&[VALID_ROW]).as_bytes()).expect("file is valid");
     let with_byte_order_mark = format!("\u{feff}{}", csv_file(&[VALID_ROW]));
     let windows_line_ends = csv_file(&[VALID_ROW]).replace('\n', "\r\n");
     let carriage_returns = csv_file(&[VALID_ROW]).replace('\n', "\r");
