--- a/crates/verbenaslip-table/src/column.rs
+++ b/crates/verbenaslip-table/src/column.rs
@@ -1,48 +1,48 @@
-//! The columns of the table and the values that each takes.
+//! The columns of the table and their allowed values.
 
 use std::fmt;
 
 use verbenaslip_base::data;
 
-/// Names a column, in the order of the file.
+/// Names a column; the variants are in the order of the columns in the file.
 #[data(copy, ord, hash)]
 pub enum Column {
-    /// The team whose key the caller shows.
+    /// The team to which the caller's API key belongs.
     Team,
-    /// The request class; `*` stands for every class of the team without a row of its own.
+    /// The request class; `*` stands for all classes of the team that have no row of their own.
     Class,
-    /// The share of a busy system, against the weights of other rows of the same priority.
+    /// The share of capacity under load, relative to the weights of rows with the same priority.
     Weight,
-    /// Which work goes first when there is too much; higher goes first.
+    /// The priority under load: requests with a higher priority go first.
     Priority,
-    /// The most requests a second, over all instances; empty for no limit.
+    /// The maximum number of requests per second over all instances; empty for no limit.
     Rate,
-    /// How many requests may come at once before the rate counts.
+    /// The number of requests that may arrive at once before the rate limit applies.
     Burst,
-    /// The most requests in progress, over all instances.
+    /// The maximum number of requests in progress over all instances.
     Concurrency,
-    /// The most tokens a second, prompts and answers together; empty for no limit.
+    /// The maximum number of tokens per second, in prompts and answers; empty for no limit.
     TokensPerS,
-    /// The time for the whole answer, in milliseconds, where the caller sets none.
+    /// The time in milliseconds for the whole answer, used when the caller sets none.
     DeadlineMs,
-    /// The time aimed at for the first token, in milliseconds.
+    /// The target time until the first token, in milliseconds.
     FirstTokenMs,
-    /// The most tokens of an answer.
+    /// The maximum number of tokens in an answer.
     MaxOutputTokens,
-    /// The longest wait before a request is given up, in milliseconds.
+    /// The maximum time in milliseconds that a request waits before it is given up.
     MaxWaitMs,
-    /// The retries allowed, in percent of the requests.
+    /// The number of retries allowed, in percent of the requests.
     RetriesPercent,
-    /// The share of capacity kept on on-demand instances, in percent.
+    /// The share of capacity that is kept on on-demand instances, in percent.
     ReservePercent,
-    /// What to spare when both can't be had: `cost` or `latency`.
+    /// What to minimize when cost and latency conflict: `cost` or `latency`.
     Prefer,
-    /// A remark of the operators.
+    /// A note by the operators.
     Note,
 }
 
 impl Column {
-    /// Lists the columns in the order of the file.
+    /// The columns in the order of the file.
     pub const ALL: [Self; 16] = [
         Self::Team,
         Self::Class,
@@ -62,7 +62,7 @@
         Self::Note,
     ];
 
-    /// Returns the name that stands in the header.
+    /// Returns the column's name in the header of the file.
     pub fn name(self) -> &'static str {
         match self {
             Self::Team => "team",
@@ -84,29 +84,29 @@
         }
     }
 
-    /// Returns the column with that name in the header.
-    pub fn named(name: &str) -> Option<Self> {
+    /// Returns the column with the given name in the header.
+    pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|column| column.name() == name)
     }
 
-    /// Says which values are allowed, in the words of an error message.
+    /// Returns the allowed values as text for an error message.
     pub fn allowed(self) -> String {
         match (self, self.bounds()) {
             (_, Some(bounds)) => bounds.to_string(),
             (Self::Team, _) => {
-                format!("1 to {MAX_NAME} letters, digits, '.', '_' or '-'")
+                format!("1 to {MAX_NAME_BYTES} letters, digits, '.', '_' or '-'")
             }
             (Self::Class, _) => {
-                format!("'*', or 1 to {MAX_NAME} letters, digits, '.', '_' or '-'")
+                format!("'*', or 1 to {MAX_NAME_BYTES} letters, digits, '.', '_' or '-'")
             }
             (Self::Prefer, _) => "cost or latency".to_owned(),
-            _ => format!("up to {MAX_NOTE} bytes on one line, without control characters"),
+            _ => format!("up to {MAX_NOTE_BYTES} bytes on one line, without control characters"),
         }
     }
 
-    /// Returns the bounds of a column that holds a number.
+    /// Returns the bounds of a numeric column, or none for a column of text.
     pub(crate) fn bounds(self) -> Option<Bounds> {
-        let (least, most) = match self {
+        let (min, max) = match self {
             Self::Weight => (1, 1_000),
             Self::Priority => (0, 9),
             Self::Rate | Self::Burst => (1, 1_000_000),
@@ -120,7 +120,7 @@
             Self::Team | Self::Class | Self::Prefer | Self::Note => return None,
         };
         let optional = matches!(self, Self::Rate | Self::TokensPerS);
-        Some(Bounds { least, most, optional })
+        Some(Bounds { min, max, optional })
     }
 }
 
@@ -130,24 +130,24 @@
     }
 }
 
-/// Holds the least and the greatest value of a number, and whether it may be left out.
+/// Holds the smallest and largest allowed value of a number, and whether a cell may be empty.
 #[derive(Clone, Copy)]
 pub(crate) struct Bounds {
-    pub(crate) least: u32,
-    pub(crate) most: u32,
+    pub(crate) min: u32,
+    pub(crate) max: u32,
     pub(crate) optional: bool,
 }
 
 impl Bounds {
-    /// Says whether a number lies within the bounds.
-    pub(crate) fn hold(self, number: u32) -> bool {
-        (self.least..=self.most).contains(&number)
+    /// Returns whether the number lies within the bounds.
+    pub(crate) fn contains(self, number: u32) -> bool {
+        (self.min..=self.max).contains(&number)
     }
 }
 
 impl fmt::Display for Bounds {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "a whole number from {} to {}", self.least, self.most)?;
+        write!(f, "a whole number from {} to {}", self.min, self.max)?;
         if self.optional {
             f.write_str(", or empty for no limit")?;
         }
@@ -155,11 +155,11 @@
     }
 }
 
-/// Bounds a team's or class's name, in bytes.
-pub(crate) const MAX_NAME: usize = 64;
+/// The maximum length of a team or class name.
+pub(crate) const MAX_NAME_BYTES: usize = 64;
 
-/// Bounds a note, in bytes.
-pub(crate) const MAX_NOTE: usize = 200;
+/// The maximum length of a note.
+pub(crate) const MAX_NOTE_BYTES: usize = 200;
 
 /// One day in milliseconds.
 const DAY_MS: u32 = 24 * 60 * 60 * 1_000;
--- a/crates/verbenaslip-table/src/row.rs
+++ b/crates/verbenaslip-table/src/row.rs
@@ -1,4 +1,4 @@
-//! One row of the table.
+//! Rows of the table.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,13 +6,13 @@
 use verbenaslip_base::data;
 use verbenaslip_base::name::{Class, Team};
 
-use crate::column::{Column, MAX_NAME, MAX_NOTE};
+use crate::column::{Column, MAX_NAME_BYTES, MAX_NOTE_BYTES};
 use crate::problem::Problem;
 
-/// The class whose row serves every class of the team that has no row of its own.
-pub const FALLBACK: &str = "*";
+/// The class whose row applies to all classes of the team that have no row of their own.
+pub const FALLBACK_CLASS: &str = "*";
 
-/// Holds what the operators ask for one team and request class; [`Column`] explains each field.
+/// Holds the operators' settings for one team and request class; [`Column`] describes each field.
 #[data]
 pub struct Row {
     /// See [`Column::Team`].
@@ -50,7 +50,7 @@
 }
 
 impl Row {
-    /// Returns a moderate row to start from: no rate limits, 30 s for the whole answer.
+    /// Returns a row with default settings: no rate limits, and 30 s for the whole answer.
     pub fn new(team: impl Into<Team>, class: impl Into<Class>) -> Self {
         Self {
             team: team.into(),
@@ -72,12 +72,12 @@
         }
     }
 
-    /// Returns what the row is found by.
+    /// Returns the row's key.
     pub fn key(&self) -> Key {
         Key { team: self.team.clone(), class: self.class.clone() }
     }
 
-    /// Returns the text of one cell, as the file has it.
+    /// Returns the text of one cell as it is written to the file.
     pub fn cell(&self, column: Column) -> String {
         match column {
             Column::Team => self.team.to_string(),
@@ -88,41 +88,43 @@
         }
     }
 
-    /// Returns everything that is wrong with the row, each problem with the given row number.
+    /// Returns all problems of the row, each with the given row number.
     pub fn check(&self, number: u32) -> Vec<Problem> {
-        let problems = Column::ALL.into_iter().filter(|column| !self.fits(*column));
+        let problems = Column::ALL.into_iter().filter(|column| !self.is_cell_valid(*column));
         let mut problems: Vec<Problem> = problems
             .map(|column| Problem::cell(number, column, &self.cell(column), column.allowed()))
             .collect();
         if problems.is_empty() {
-            problems.extend(self.compare(number));
+            problems.extend(self.check_deadline(number));
         }
         problems
     }
 
-    /// Returns what is wrong between cells that are each allowed by themselves.
-    pub(crate) fn compare(&self, number: u32) -> Vec<Problem> {
+    /// Returns the cells that exceed the row's deadline, as problems with the given row number.
+    pub(crate) fn check_deadline(&self, number: u32) -> Vec<Problem> {
         let columns = [Column::FirstTokenMs, Column::MaxWaitMs].into_iter();
-        let late = columns.filter(|column| self.number(*column) > Some(self.deadline_ms));
+        let exceeding = columns.filter(|column| self.number(*column) > Some(self.deadline_ms));
         let allowed = format!("at most the row's deadline_ms, {}", self.deadline_ms);
-        late.map(|column| Problem::cell(number, column, &self.cell(column), &*allowed)).collect()
+        exceeding
+            .map(|column| Problem::cell(number, column, &self.cell(column), &*allowed))
+            .collect()
     }
 
-    /// Says whether one cell's value is allowed by itself.
-    pub(crate) fn fits(&self, column: Column) -> bool {
+    /// Returns whether a cell's value is allowed, regardless of the other cells.
+    pub(crate) fn is_cell_valid(&self, column: Column) -> bool {
         match column {
             Column::Team => is_name(self.team.as_str()),
-            Column::Class => self.class.as_str() == FALLBACK || is_name(self.class.as_str()),
+            Column::Class => self.class.as_str() == FALLBACK_CLASS || is_name(self.class.as_str()),
             Column::Prefer => true,
             Column::Note => is_note(&self.note),
             _ => column.bounds().is_none_or(|bounds| match self.number(column) {
-                Some(number) => bounds.hold(number),
+                Some(number) => bounds.contains(number),
                 None => bounds.optional,
             }),
         }
     }
 
-    /// Returns the value of a column that holds a number.
+    /// Returns the value of a numeric column; none for a column of text or an empty cell.
     fn number(&self, column: Column) -> Option<u32> {
         match column {
             Column::Weight => Some(self.weight),
@@ -142,7 +144,7 @@
     }
 }
 
-/// Names one row by what it is found by.
+/// Identifies a row by its team and request class.
 #[data(ord, hash)]
 pub struct Key {
     /// The team.
@@ -157,19 +159,19 @@
     }
 }
 
-/// Says what to spare when both can't be had.
+/// Tells what to minimize when cost and latency conflict.
 #[data(copy, ord, hash, default)]
 pub enum Preference {
-    /// Spares money.
+    /// Minimizes cost.
     #[default]
     Cost,
-    /// Spares time.
+    /// Minimizes latency.
     Latency,
 }
 
 impl Preference {
-    /// Returns the preference of that name.
-    pub fn named(name: &str) -> Option<Self> {
+    /// Returns the preference with the given name.
+    pub fn from_name(name: &str) -> Option<Self> {
         match name {
             "cost" => Some(Self::Cost),
             "latency" => Some(Self::Latency),
@@ -188,10 +190,10 @@
 }
 
 fn is_name(name: &str) -> bool {
-    let fits = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
-    (1..=MAX_NAME).contains(&name.len()) && name.bytes().all(fits)
+    let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
+    (1..=MAX_NAME_BYTES).contains(&name.len()) && name.bytes().all(allowed)
 }
 
 fn is_note(note: &str) -> bool {
-    note.len() <= MAX_NOTE && note.trim() == note && !note.chars().any(char::is_control)
+    note.len() <= MAX_NOTE_BYTES && note.trim() == note && !note.chars().any(char::is_control)
 }
--- a/crates/verbenaslip-table/src/table.rs
+++ b/crates/verbenaslip-table/src/table.rs
@@ -1,16 +1,16 @@
-//! The table as a whole.
+//! The table of all rows.
 
 use verbenaslip_base::data;
 use verbenaslip_base::hash;
 use verbenaslip_base::name::{Class, Team};
 
 use crate::problem::{Problem, Problems};
-use crate::row::{FALLBACK, Key, Row};
+use crate::row::{FALLBACK_CLASS, Key, Row};
 
-/// Bounds the rows of a table, so that a copy of it fits every instance and message.
+/// The maximum number of rows, so that a copy of the table fits on every instance and in a message.
 pub const MAX_ROWS: usize = 4_096;
 
-/// Holds the rows in the order of team and class, each allowed and each key once.
+/// Holds valid rows with unique keys, sorted by team and class.
 #[data(default)]
 #[serde(try_from = "Vec<Row>", into = "Vec<Row>")]
 pub struct Table {
@@ -18,47 +18,52 @@
 }
 
 impl Table {
-    /// Takes rows in any order.
+    /// Creates a table from rows in any order.
     ///
     /// # Errors
     ///
-    /// Returns every problem of every row; the row numbers count from 2 in the order given.
+    /// Returns all problems of all rows; rows are numbered from 2 in the given order, as in a file.
     pub fn new(rows: impl IntoIterator<Item = Row>) -> Result<Self, Problems> {
-        let lines = rows.into_iter().zip(2..).map(|(row, number)| Line { number, row });
-        let lines: Vec<Line> = lines.collect();
-        let mut problems = lines.iter().flat_map(|line| line.row.check(line.number)).collect();
-        let table = Self::gather(lines, &mut problems);
+        let numbered_rows =
+            rows.into_iter().zip(2..).map(|(row, number)| NumberedRow { number, row });
+        let numbered_rows: Vec<NumberedRow> = numbered_rows.collect();
+        let mut problems =
+            numbered_rows.iter().flat_map(|numbered| numbered.row.check(numbered.number)).collect();
+        let table = Self::from_numbered_rows(numbered_rows, &mut problems);
         if problems.is_empty() { Ok(table) } else { Err(Problems(problems)) }
     }
 
-    /// Returns the row for a class of a team: its own, else the team's fallback row.
+    /// Returns the row of the team's class, or else the team's fallback row.
     pub fn row(&self, team: &Team, class: &Class) -> Option<&Row> {
-        self.exact(team, class.as_str()).or_else(|| self.exact(team, FALLBACK))
+        self.find(team, class.as_str()).or_else(|| self.find(team, FALLBACK_CLASS))
     }
 
-    /// Returns the row with exactly that key.
+    /// Returns the row with exactly this key, without the fallback.
     pub fn get(&self, key: &Key) -> Option<&Row> {
-        self.exact(&key.team, key.class.as_str())
+        self.find(&key.team, key.class.as_str())
     }
 
-    /// Returns the rows in the order of team and class.
+    /// Returns the rows, sorted by team and class.
     pub fn rows(&self) -> &[Row] {
         &self.rows
     }
 
-    /// Returns a number that differs when the tables differ.
+    /// Returns a hash of the table's content, which differs between different tables.
     pub fn digest(&self) -> u128 {
-        hash::wide(&[self.print().as_bytes()])
+        hash::wide(&[self.to_csv().as_bytes()])
     }
 
-    /// Sorts rows that were checked one by one, and adds to the problems what is wrong among them.
-    pub(crate) fn gather(mut lines: Vec<Line>, problems: &mut Vec<Problem>) -> Self {
-        if lines.len() > MAX_ROWS {
+    /// Sorts rows that were already checked one by one, and adds the problems between rows.
+    pub(crate) fn from_numbered_rows(
+        mut numbered_rows: Vec<NumberedRow>,
+        problems: &mut Vec<Problem>,
+    ) -> Self {
+        if numbered_rows.len() > MAX_ROWS {
             let allowed = format!("at most {MAX_ROWS} rows below the header");
-            problems.push(Problem::new(0, "", &format!("{} rows", lines.len()), allowed));
+            problems.push(Problem::new(0, "", &format!("{} rows", numbered_rows.len()), allowed));
         }
-        lines.sort_by_cached_key(|line| (line.row.key(), line.number));
-        for pair in lines.windows(2) {
+        numbered_rows.sort_by_cached_key(|numbered| (numbered.row.key(), numbered.number));
+        for pair in numbered_rows.windows(2) {
             if let [first, second] = pair
                 && first.row.key() == second.row.key()
             {
@@ -68,10 +73,10 @@
             }
         }
         problems.sort_by_key(|problem| problem.row);
-        Self { rows: lines.into_iter().map(|line| line.row).collect() }
+        Self { rows: numbered_rows.into_iter().map(|numbered| numbered.row).collect() }
     }
 
-    fn exact(&self, team: &Team, class: &str) -> Option<&Row> {
+    fn find(&self, team: &Team, class: &str) -> Option<&Row> {
         let wanted = (team.as_str(), class);
         let found = self.rows.binary_search_by(|row| {
             let key = (row.team.as_str(), row.class.as_str());
@@ -95,8 +100,8 @@
     }
 }
 
-/// Holds a row and where it stands.
-pub(crate) struct Line {
+/// Holds a row and its line number in the file.
+pub(crate) struct NumberedRow {
     pub(crate) number: u32,
     pub(crate) row: Row,
 }
--- a/crates/verbenaslip-table/tests/change.rs
+++ b/crates/verbenaslip-table/tests/change.rs
@@ -1,4 +1,4 @@
-//! Differences between tables and the changes made of them.
+//! Tests of differences between tables and of applying changes.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -6,14 +6,14 @@
 use verbenaslip_table::{Change, Key, Row, Table};
 
 #[test]
-fn shows_a_change_cell_by_cell() {
-    let table = Table::new([Row::new("agents", "check")]).expect("row is good");
+fn shows_each_changed_cell() {
+    let table = Table::new([Row::new("agents", "check")]).expect("row is valid");
     let mut heavier = Row::new("agents", "check");
     heavier.weight = 200;
     heavier.rate = Some(20);
     let removed = Key { team: "agents".into(), class: "check".into() };
     let shown = [Change::Put(heavier), Change::Remove(removed)]
-        .map(|change| change.against(&table).to_string());
+        .map(|change| change.difference(&table).to_string());
     insta::assert_snapshot!(shown.join("\n"), @r#"
     ~ agents/check weight:"100"→"200" rate:""→"20"
     - agents/check
@@ -21,14 +21,14 @@
 }
 
 #[test]
-fn makes_all_changes_or_none() {
-    let table = Table::new([Row::new("agents", "check")]).expect("row is good");
-    let mut bad = Row::new("owners", "draft");
-    bad.weight = 0;
-    bad.first_token_ms = 0;
-    let twice = Row::new("agents", "draft");
-    let changes = [Change::Put(bad), Change::Put(twice.clone()), Change::Put(twice)];
-    let problems = apply(&table, &changes).expect_err("changes are bad");
+fn applies_all_changes_or_none() {
+    let table = Table::new([Row::new("agents", "check")]).expect("row is valid");
+    let mut invalid = Row::new("owners", "draft");
+    invalid.weight = 0;
+    invalid.first_token_ms = 0;
+    let duplicate = Row::new("agents", "draft");
+    let changes = [Change::Put(invalid), Change::Put(duplicate.clone()), Change::Put(duplicate)];
+    let problems = apply(&table, &changes).expect_err("changes are invalid");
     insta::assert_snapshot!(problems, @r#"
     3 problems in the table, nothing was changed
     row 1, column weight: "0" is not allowed here; allowed: a whole number from 1 to 1000
@@ -37,20 +37,20 @@
     "#);
 }
 
-/// Symptom: a table in which one key stands twice, of which only one row is ever found.
-/// Sequence: bytes of a snapshot or message are decoded. Cause: decoding skipped the checks.
+/// Guards against a decoded table with invalid rows, or with one key twice, so that only one of the
+/// two rows is ever found. It comes about if decoding a snapshot or message skips the checks.
 #[test]
-fn decoding_checks_the_rows() {
+fn decoding_rejects_invalid_rows() {
     let row = Row::new("agents", "check");
-    let mut bad = Row::new("agents", "draft");
-    bad.priority = 10;
-    let cases = [vec![row.clone(), row.clone()], vec![bad]];
+    let mut invalid = Row::new("agents", "draft");
+    invalid.priority = 10;
+    let cases = [vec![row.clone(), row.clone()], vec![invalid]];
     for rows in cases {
-        let bytes = postcard::to_stdvec(&rows).expect("rows are encoded");
+        let bytes = postcard::to_stdvec(&rows).expect("rows can be encoded");
         assert!(postcard::from_bytes::<Table>(&bytes).is_err(), "{rows:?}");
     }
-    let table = Table::new([row]).expect("row is good");
-    let bytes = postcard::to_stdvec(&table).expect("table is encoded");
+    let table = Table::new([row]).expect("row is valid");
+    let bytes = postcard::to_stdvec(&table).expect("table can be encoded");
     assert_eq!(postcard::from_bytes(&bytes), Ok(table));
 }
 
@@ -76,47 +76,49 @@
     proptest::collection::vec(row(), 0..8).prop_map(|rows| {
         let mut table = Table::default();
         for row in rows {
-            table = apply(&table, &[Change::Put(row)]).expect("row is good");
+            table = apply(&table, &[Change::Put(row)]).expect("row is valid");
         }
         table
     })
 }
 
 #[test]
-fn reads_back_what_it_prints() {
+fn csv_round_trip_preserves_the_table() {
     let check = |table: Table| {
-        prop_assert_eq!(Table::parse(table.print().as_bytes()), Ok(table));
+        prop_assert_eq!(Table::parse(table.to_csv().as_bytes()), Ok(table));
         Ok(())
     };
-    runner().run(&table(), check).expect("every table is read back");
+    runner().run(&table(), check).expect("every table survives the round trip");
 }
 
 #[test]
-fn differences_lead_from_one_table_to_the_other() {
+fn applying_a_diff_yields_the_new_table() {
     let check = |(old, new): (Table, Table)| {
         let changes = diff(&old, &new);
         prop_assert_eq!(changes.is_empty(), old == new);
         prop_assert_eq!(apply(&old, &changes), Ok(new));
         Ok(())
     };
-    runner().run(&(table(), table()), check).expect("every difference is made");
+    runner().run(&(table(), table()), check).expect("every difference can be applied");
 }
 
 #[test]
-fn no_bytes_make_the_reader_panic() {
-    let noise = proptest::collection::vec(any::<u8>(), 0..200);
-    let torn =
+fn parsing_arbitrary_bytes_never_panics() {
+    let random_bytes = proptest::collection::vec(any::<u8>(), 0..200);
+    let corrupted =
         (table(), any::<prop::sample::Index>(), any::<u8>()).prop_map(|(table, at, byte)| {
-            let mut bytes = table.print().into_bytes();
+            let mut bytes = table.to_csv().into_bytes();
             let at = at.index(bytes.len());
             bytes[at] = byte;
             bytes
         });
     let check = |bytes: Vec<u8>| {
         if let Ok(table) = Table::parse(&bytes) {
-            prop_assert_eq!(Table::parse(table.print().as_bytes()), Ok(table));
+            prop_assert_eq!(Table::parse(table.to_csv().as_bytes()), Ok(table));
         }
         Ok(())
     };
-    runner().run(&prop_oneof![noise, torn], check).expect("any bytes are read or refused");
+    runner()
+        .run(&prop_oneof![random_bytes, corrupted], check)
+        .expect("any bytes are accepted or rejected");
 }
