--- a/crates/verbenaslip-request/src/arrive.rs
+++ b/crates/verbenaslip-request/src/arrival.rs
@@ -9,8 +9,8 @@
 use verbenaslip_base::refusal::{Reason, Refusal, Unknown};
 
 use crate::caller::{Arrival, Body, Ticket, Verdict};
-use crate::entry::{Caller, Entry, Phase};
 use crate::output::{Outcome, Output};
+use crate::owned::{Caller, Entry, Phase};
 use crate::requests::{Requests, Turn};
 use crate::timer::Timer;
 
--- a/crates/verbenaslip-request/src/hold.rs
+++ b/crates/verbenaslip-request/src/copies.rs
@@ -9,7 +9,7 @@
 use verbenaslip_base::name::Instance;
 use verbenaslip_base::refusal::Unknown;
 
-use crate::arrive::Relay;
+use crate::arrival::Relay;
 use crate::caller::{Body, Ticket, Verdict};
 use crate::message::{Ack, KeyStatus, Message, Progress, RequestCopy, Reserve, Takeover};
 use crate::output::{Outcome, Output};
--- a/crates/verbenaslip-request/src/drain.rs
+++ b/crates/verbenaslip-request/src/drain.rs
@@ -5,9 +5,9 @@
 use verbenaslip_base::attempt::Request;
 use verbenaslip_base::refusal::{Reason, Refusal, Unknown};
 
-use crate::entry::{Entry, Phase};
 use crate::message::Message;
 use crate::output::{Outcome, Output};
+use crate::owned::{Entry, Phase};
 use crate::requests::{Requests, Turn};
 use crate::timer::Timer;
 
--- a/crates/verbenaslip-request/src/finish.rs
+++ b/crates/verbenaslip-request/src/finish.rs
@@ -9,9 +9,9 @@
 use verbenaslip_base::refusal::{Refusal, Unknown};
 
 use crate::caller::{Body, Ticket, Verdict};
-use crate::entry::{Entry, Phase};
 use crate::message::Message;
 use crate::output::{Outcome, Output};
+use crate::owned::{Entry, Phase};
 use crate::requests::{Requests, Turn};
 use crate::timer::Timer;
 
--- a/crates/verbenaslip-request/src/journal.rs
+++ b/crates/verbenaslip-request/src/journal.rs
@@ -6,9 +6,9 @@
 use verbenaslip_base::name::Instance;
 use verbenaslip_base::refusal::{Reason, Refusal};
 
-use crate::entry::{Entry, Holder, Phase};
 use crate::message::{Ack, Message, RequestCopy, Reserve};
 use crate::output::Output;
+use crate::owned::{Entry, Holder, Phase};
 use crate::requests::{Requests, Turn};
 use crate::setup::Journal;
 
--- a/crates/verbenaslip-request/src/lib.rs
+++ b/crates/verbenaslip-request/src/lib.rs
@@ -26,18 +26,18 @@
 pub mod run;
 pub mod setup;
 
-mod arrive;
+mod arrival;
+mod copies;
 mod drain;
-mod entry;
 mod finish;
-mod follow;
-mod hold;
-mod home;
 mod journal;
-mod launch;
 mod lookup;
+mod membership;
+mod owned;
 mod relocate;
 mod requests;
+mod run_event;
+mod start;
 mod takeover;
 mod timer;
 
--- a/crates/verbenaslip-request/src/lookup.rs
+++ b/crates/verbenaslip-request/src/lookup.rs
@@ -7,9 +7,9 @@
 use verbenaslip_base::name::Instance;
 use verbenaslip_base::refusal::{Refusal, Unknown};
 
-use crate::entry::{Entry, Phase};
 use crate::message::{KeyStatus, Message, Reserve};
 use crate::output::Outcome;
+use crate::owned::{Entry, Phase};
 use crate::requests::{Requests, Turn};
 use crate::timer::Timer;
 
--- a/crates/verbenaslip-request/src/entry.rs
+++ b/crates/verbenaslip-request/src/owned.rs
@@ -11,7 +11,7 @@
 use verbenaslip_base::refusal::Refusal;
 
 use crate::caller::{Body, Ticket};
-use crate::hold::Held;
+use crate::copies::Held;
 use crate::input::Placement;
 use crate::lookup::Lookup;
 use crate::message::{ActiveRun, Progress, Takeover};
--- a/crates/verbenaslip-request/src/relocate.rs
+++ b/crates/verbenaslip-request/src/relocate.rs
@@ -6,13 +6,13 @@
 use verbenaslip_base::name::Upstream;
 use verbenaslip_base::refusal::Unknown;
 
-use crate::entry::{Begun, Entry, Flight, Moving};
 use crate::input::Placement;
-use crate::launch::live_at;
 use crate::message::ActiveRun;
 use crate::output::{Outcome, Output};
+use crate::owned::{Begun, Entry, Flight, Moving};
 use crate::requests::{Requests, Turn};
 use crate::run::{Start, Step};
+use crate::start::live_at;
 
 impl Requests {
     /// Takes notice that an upstream leaves.
--- a/crates/verbenaslip-request/src/follow.rs
+++ b/crates/verbenaslip-request/src/run_event.rs
@@ -7,9 +7,9 @@
 use verbenaslip_base::name::Upstream;
 use verbenaslip_base::refusal::{Reason, Refusal, Unknown};
 
-use crate::entry::{Begun, Entry, Flight, Phase};
 use crate::message::ActiveRun;
 use crate::output::{Outcome, Output};
+use crate::owned::{Begun, Entry, Flight, Phase};
 use crate::requests::{Requests, Turn};
 use crate::run::{Cause, Failure, Start, Step};
 
--- a/crates/verbenaslip-request/src/launch.rs
+++ b/crates/verbenaslip-request/src/start.rs
@@ -10,10 +10,10 @@
 
 use crate::caller::Verdict;
 use crate::claim::{Claim, Ruling};
-use crate::entry::{Begun, Entry, Flight, Moving, Phase};
 use crate::input::Placement;
 use crate::message::ActiveRun;
 use crate::output::{Outcome, Output, PlacementRequest};
+use crate::owned::{Begun, Entry, Flight, Moving, Phase};
 use crate::requests::{Requests, Turn};
 use crate::run::{Run, Start};
 use crate::timer::Timer;
--- a/crates/verbenaslip-request/src/takeover.rs
+++ b/crates/verbenaslip-request/src/takeover.rs
@@ -8,10 +8,10 @@
 use verbenaslip_base::refusal::Unknown;
 
 use crate::caller::Verdict;
-use crate::entry::{Begun, Entry, Ousted, Phase};
-use crate::hold::Held;
+use crate::copies::Held;
 use crate::message::{Message, Progress, Takeover};
 use crate::output::{Outcome, Output};
+use crate::owned::{Begun, Entry, Ousted, Phase};
 use crate::requests::{Requests, Turn};
 use crate::run::Start;
 use crate::timer::Timer;
@@ -223,7 +223,7 @@
         let request = copy.head.request;
         self.release(copy.body);
         turn.out.push(Output::Forget { request, epoch: copy.note.epoch });
-        let reservation = crate::hold::Reservation {
+        let reservation = crate::copies::Reservation {
             owner: copy.owner,
             boot: copy.boot,
             epoch: 0,
