--- a/crates/verbenaslip-fleet/src/limit.rs
+++ b/crates/verbenaslip-fleet/src/limit.rs
@@ -1,7 +1,7 @@
 //! Limits on the rate of requests that upstreams name, over all entries together.
 //!
 //! An upstream in need tells whoever it answers how many requests a second it takes from all entries. The
-//! entry passes that on to the leader, which tells all others. Each entry then sends in its own [`Turn`], so
+//! entry passes that on to the leader, which tells all others. Each entry then sends in its own [`StepContext`], so
 //! that the sum is right without a word for each request, also while there is no leader.
 
 use std::collections::BTreeMap;
--- a/crates/verbenaslip-request/src/answer.rs
+++ b/crates/verbenaslip-request/src/answer.rs
@@ -13,18 +13,18 @@
 pub struct Answer {
     epoch: u16,
     number: u32,
-    pieces: Vec<TokenBatch>,
-    whole: Option<ServiceResponse>,
+    batches: Vec<TokenBatch>,
+    response: Option<ServiceResponse>,
     end: Option<End>,
     position: u32,
     bytes: usize,
     limit: usize,
-    mirrored: Option<Mirrored>,
+    mirror: Option<MirrorState>,
 }
 
 /// Says what the second holder has.
 #[derive(Clone, Copy, Debug, Default)]
-struct Mirrored {
+struct MirrorState {
     position: u32,
     ended: bool,
 }
@@ -84,13 +84,13 @@
         Self {
             epoch: 0,
             number: 0,
-            pieces: Vec::new(),
-            whole: None,
+            batches: Vec::new(),
+            response: None,
             end: None,
             position: 0,
             bytes: 0,
             limit,
-            mirrored: None,
+            mirror: None,
         }
     }
 
@@ -115,7 +115,7 @@
         if attempt.number != self.number {
             return AppendResult::Late;
         }
-        self.push(position, count, text)
+        self.push_batch(position, count, text)
     }
 
     /// Takes tokens that the owner of an epoch has mirrored here.
@@ -123,8 +123,8 @@
     /// An answer of a later epoch may differ after the position at which the new owner took over.
     /// One would notice a sentence that changes halfway; so a later epoch starts from nothing.
     pub fn copy(&mut self, epoch: u16, position: u32, count: u32, text: &str) -> AppendResult {
-        match self.renew(epoch) {
-            true => self.push(position, count, text),
+        match self.enter_epoch(epoch) {
+            true => self.push_batch(position, count, text),
             false => AppendResult::Late,
         }
     }
@@ -134,29 +134,29 @@
         if attempt.number != self.number {
             return AppendResult::Late;
         }
-        self.finish(position, reason)
+        self.set_end(position, reason)
     }
 
     /// Takes the end mark that the owner of an epoch has mirrored here.
     pub fn copy_end(&mut self, epoch: u16, position: u32, reason: &str) -> AppendResult {
-        match self.renew(epoch) {
-            true => self.finish(position, reason),
+        match self.enter_epoch(epoch) {
+            true => self.set_end(position, reason),
             false => AppendResult::Late,
         }
     }
 
     /// Takes the whole answer of a plain service from a run.
-    pub fn set_response(&mut self, attempt: Attempt, whole: ServiceResponse) -> AppendResult {
+    pub fn set_response(&mut self, attempt: Attempt, response: ServiceResponse) -> AppendResult {
         if attempt.number != self.number {
             return AppendResult::Late;
         }
-        self.store(whole)
+        self.store_response(response)
     }
 
     /// Takes the whole answer of a plain service that the owner of an epoch has mirrored here.
-    pub fn copy_response(&mut self, epoch: u16, whole: ServiceResponse) -> AppendResult {
-        match self.renew(epoch) {
-            true => self.store(whole),
+    pub fn copy_response(&mut self, epoch: u16, response: ServiceResponse) -> AppendResult {
+        match self.enter_epoch(epoch) {
+            true => self.store_response(response),
             false => AppendResult::Late,
         }
     }
@@ -166,12 +166,12 @@
     /// A token that the caller has and the second holder lacks could come out otherwise when that
     /// one takes over, and the caller would have halves of two answers.
     pub fn set_mirroring(&mut self, on: bool) {
-        self.mirrored = on.then(Mirrored::default);
+        self.mirror = on.then(MirrorState::default);
     }
 
     /// Notes how far the second holder has got, and whether it has the end as well.
     pub fn record_mirrored(&mut self, position: u32, ended: bool) {
-        if let Some(mirrored) = &mut self.mirrored {
+        if let Some(mirrored) = &mut self.mirror {
             mirrored.position = position.max(mirrored.position);
             mirrored.ended |= ended;
         }
@@ -179,22 +179,23 @@
 
     /// Returns whether there is a second holder that lacks something.
     pub fn is_mirror_behind(&self) -> bool {
-        let whole = self.end.is_some() || self.whole.is_some();
-        self.mirrored
-            .is_some_and(|mirrored| mirrored.position < self.position || (whole && !mirrored.ended))
+        let complete = self.end.is_some() || self.response.is_some();
+        self.mirror.is_some_and(|mirrored| {
+            mirrored.position < self.position || (complete && !mirrored.ended)
+        })
     }
 
     /// Returns the events after a position that a caller may have, oldest first.
     pub fn released_batches(&self, after: u32) -> impl Iterator<Item = &TokenBatch> {
-        let start = self.pieces.partition_point(|piece| piece.position <= after);
+        let start = self.batches.partition_point(|batch| batch.position <= after);
         let until = self.released_position();
-        self.pieces[start..].iter().take_while(move |piece| piece.position <= until)
+        self.batches[start..].iter().take_while(move |batch| batch.position <= until)
     }
 
     /// Returns the pieces after a position, also those that callers may not have yet.
     pub fn batches(&self, after: u32) -> &[TokenBatch] {
-        let start = self.pieces.partition_point(|piece| piece.position <= after);
-        &self.pieces[start..]
+        let start = self.batches.partition_point(|batch| batch.position <= after);
+        &self.batches[start..]
     }
 
     /// Returns the end mark, once every token before it may be given to callers.
@@ -209,7 +210,7 @@
 
     /// Returns a plain service's answer.
     pub fn response(&self) -> Option<&ServiceResponse> {
-        self.whole.as_ref()
+        self.response.as_ref()
     }
 
     /// Returns the last position held.
@@ -219,7 +220,7 @@
 
     /// Returns the last position that callers may have.
     pub fn released_position(&self) -> u32 {
-        self.mirrored.map_or(self.position, |mirrored| mirrored.position.min(self.position))
+        self.mirror.map_or(self.position, |mirrored| mirrored.position.min(self.position))
     }
 
     /// Returns the epoch of the owner whose answer it is.
@@ -234,10 +235,10 @@
 
     /// Returns the text so far, from which an engine can go on.
     pub fn text(&self) -> String {
-        self.pieces.iter().map(|piece| piece.text.as_ref()).collect()
+        self.batches.iter().map(|batch| batch.text.as_ref()).collect()
     }
 
-    fn renew(&mut self, epoch: u16) -> bool {
+    fn enter_epoch(&mut self, epoch: u16) -> bool {
         if epoch > self.epoch {
             let limit = self.limit;
             *self = Self { epoch, ..Self::open(limit) };
@@ -245,8 +246,8 @@
         epoch == self.epoch
     }
 
-    fn push(&mut self, position: u32, count: u32, text: &str) -> AppendResult {
-        if self.end.is_some() || self.whole.is_some() {
+    fn push_batch(&mut self, position: u32, count: u32, text: &str) -> AppendResult {
+        if self.end.is_some() || self.response.is_some() {
             return AppendResult::Late;
         }
         if position <= self.position {
@@ -256,17 +257,17 @@
         if count == 0 || first != Some(self.position) {
             return AppendResult::Gap { expected: self.position.saturating_add(1) };
         }
-        let Some(bytes) = self.room(text.len()) else {
+        let Some(bytes) = self.bytes_after(text.len()) else {
             return AppendResult::Full;
         };
         self.bytes = bytes;
         self.position = position;
-        self.pieces.push(TokenBatch { position, count, text: text.into() });
+        self.batches.push(TokenBatch { position, count, text: text.into() });
         AppendResult::Appended
     }
 
-    fn finish(&mut self, position: u32, reason: &str) -> AppendResult {
-        if self.whole.is_some() {
+    fn set_end(&mut self, position: u32, reason: &str) -> AppendResult {
+        if self.response.is_some() {
             return AppendResult::Late;
         }
         if self.end.is_some() {
@@ -279,22 +280,22 @@
         AppendResult::Appended
     }
 
-    fn store(&mut self, whole: ServiceResponse) -> AppendResult {
-        if self.whole.is_some() {
+    fn store_response(&mut self, response: ServiceResponse) -> AppendResult {
+        if self.response.is_some() {
             return AppendResult::Duplicate;
         }
         if self.position > 0 || self.end.is_some() {
             return AppendResult::Late;
         }
-        let Some(bytes) = self.room(whole.bytes.len()) else {
+        let Some(bytes) = self.bytes_after(response.bytes.len()) else {
             return AppendResult::Full;
         };
         self.bytes = bytes;
-        self.whole = Some(whole);
+        self.response = Some(response);
         AppendResult::Appended
     }
 
-    fn room(&self, bytes: usize) -> Option<usize> {
+    fn bytes_after(&self, bytes: usize) -> Option<usize> {
         self.bytes.checked_add(bytes).filter(|sum| *sum <= self.limit)
     }
 }
--- a/crates/verbenaslip-request/src/copies.rs
+++ b/crates/verbenaslip-request/src/copies.rs
@@ -9,19 +9,19 @@
 use verbenaslip_base::name::Instance;
 use verbenaslip_base::refusal::Unknown;
 
-use crate::arrival::Relay;
+use crate::arrival::RelayedCaller;
 use crate::caller::{Body, Ticket, Verdict};
 use crate::message::{Ack, KeyStatus, Message, Progress, RequestCopy, Reserve, Takeover};
 use crate::output::{Outcome, Output};
-use crate::requests::{Requests, Turn};
+use crate::requests::{Requests, StepContext};
 use crate::timer::Timer;
 
 /// How long a reservation stands after the request's deadline.
-const RESERVATION: Duration = Duration::from_secs(10);
+const RESERVATION_GRACE: Duration = Duration::from_secs(10);
 
 /// Holds the second copy of a request.
 #[derive(Clone, Debug)]
-pub(crate) struct Held {
+pub(crate) struct HeldCopy {
     /// The request, with its deadline on this instance's clock.
     pub(crate) head: Head,
     /// What is sent to the upstream.
@@ -37,17 +37,17 @@
     /// The last position held here.
     pub(crate) mirrored: u32,
     /// Whether the end is held here as well.
-    pub(crate) ended: bool,
+    pub(crate) mirror_ended: bool,
     /// When the owner was lost.
-    pub(crate) lost: Option<Duration>,
+    pub(crate) owner_lost_at: Option<Duration>,
     /// When it is taken over, or dropped when nobody can come back for it.
-    pub(crate) due: Option<Duration>,
+    pub(crate) takeover_at: Option<Duration>,
     /// When it need not be kept any more.
     pub(crate) until: Duration,
     /// Whether it can't be taken over: it may have run, and must not run again.
-    pub(crate) barred: bool,
+    pub(crate) takeover_blocked: bool,
     /// Callers that wait for the take-over.
-    pub(crate) waiting: BTreeMap<Ticket, Relay>,
+    pub(crate) waiting_callers: BTreeMap<Ticket, RelayedCaller>,
 }
 
 /// Holds a key that an instance has asked about.
@@ -67,9 +67,9 @@
     pub(crate) lost: bool,
 }
 
-impl Held {
+impl HeldCopy {
     /// Says that this copy's owner is the one that goes on with the request.
-    pub(crate) fn taken(&self) -> Takeover {
+    pub(crate) fn takeover(&self) -> Takeover {
         Takeover {
             request: self.head.request,
             owner: self.owner.clone(),
@@ -84,45 +84,55 @@
     /// An owner that finds no second holder refuses the request as not run. A copy that it had sent
     /// out and given up on must then never run, also when the owner is lost later: so a copy counts
     /// only from the first note on.
-    pub(crate) fn active(&self) -> bool {
+    pub(crate) fn is_accepted(&self) -> bool {
         self.note.sequence > 0
     }
 
     /// Returns whether the request has ended.
-    pub(crate) fn finished(&self) -> bool {
+    pub(crate) fn is_finished(&self) -> bool {
         self.note.outcome.is_some()
     }
 
     /// Returns the next moment at which it must be looked at.
-    pub(crate) fn next(&self) -> Option<Duration> {
-        Some(self.due.map_or(self.until, |due| due.min(self.until)))
+    pub(crate) fn next_wakeup(&self) -> Option<Duration> {
+        Some(self.takeover_at.map_or(self.until, |due| due.min(self.until)))
     }
 }
 
 impl Requests {
     /// Answers an instance that asks about a key.
-    pub(crate) fn reserve(&mut self, turn: &mut Turn<'_>, from: &Instance, reserve: &Reserve) {
-        self.rebooted(turn, from, reserve.boot);
-        let found = self.find(turn.now, from, reserve);
+    pub(crate) fn handle_reserve(
+        &mut self,
+        ctx: &mut StepContext<'_>,
+        from: &Instance,
+        reserve: &Reserve,
+    ) {
+        self.detect_restart(ctx, from, reserve.boot);
+        let found = self.find_key(ctx.now, from, reserve);
         let request = reserve.request;
-        turn.send(from, Message::Reserved { request, found });
+        ctx.send(from, Message::Reserved { request, found });
     }
 
     /// Returns what is known of a key, and reserves it if that is nothing.
-    pub(crate) fn find(&mut self, now: Duration, asker: &Instance, reserve: &Reserve) -> KeyStatus {
+    pub(crate) fn find_key(
+        &mut self,
+        now: Duration,
+        asker: &Instance,
+        reserve: &Reserve,
+    ) -> KeyStatus {
         let request = reserve.request;
         if let Some(entry) = self.entries.get(&request) {
             let owner = self.setup.instance.clone();
-            return KeyStatus::Held { owner, epoch: entry.told_epoch(), digest: entry.digest };
+            return KeyStatus::Held { owner, epoch: entry.announced_epoch(), digest: entry.digest };
         }
         let mut doubtful = false;
         if let Some(copy) = self.copies.get(&request) {
             let (owner, digest) = (copy.owner.clone(), copy.digest);
-            if copy.lost.is_none() {
-                let epoch = if copy.active() { copy.note.epoch } else { 0 };
+            if copy.owner_lost_at.is_none() {
+                let epoch = if copy.is_accepted() { copy.note.epoch } else { 0 };
                 return KeyStatus::Held { owner, epoch, digest };
             }
-            if copy.active() {
+            if copy.is_accepted() {
                 return KeyStatus::Between { digest };
             }
             doubtful = true;
@@ -158,7 +168,7 @@
             lost: false,
         };
         self.reservations.insert(request, reservation);
-        let until = now.saturating_add(reserve.remaining).saturating_add(RESERVATION);
+        let until = now.saturating_add(reserve.remaining).saturating_add(RESERVATION_GRACE);
         self.timers.set(Timer::Reserved(request), Some(until));
         if doubtful { KeyStatus::Doubtful } else { KeyStatus::Free }
     }
@@ -172,10 +182,15 @@
     }
 
     /// Takes a copy to hold.
-    pub(crate) fn keep(&mut self, turn: &mut Turn<'_>, from: &Instance, copy: RequestCopy) {
-        self.rebooted(turn, from, copy.boot);
+    pub(crate) fn handle_put(
+        &mut self,
+        ctx: &mut StepContext<'_>,
+        from: &Instance,
+        copy: RequestCopy,
+    ) {
+        self.detect_restart(ctx, from, copy.boot);
         let request = copy.head.request;
-        if copy.note.request != request || !self.admits(turn, from, &copy) {
+        if copy.note.request != request || !self.admit_copy(ctx, from, &copy) {
             return;
         }
         let known = self.copies.remove(&request);
@@ -184,37 +199,43 @@
         });
         if let Some(mut known) = known {
             if same {
-                known.lost = None;
-                known.due = None;
+                known.owner_lost_at = None;
+                known.takeover_at = None;
                 self.copies.insert(request, known);
-                self.noted(turn, from, copy.note);
+                self.handle_progress(ctx, from, copy.note);
                 return;
             }
-            self.release(known.body.take());
+            self.release_body(known.body.take());
             self.copies.insert(request, known);
         }
-        let fits = copy.body.as_ref().is_none_or(|body| self.charge(body));
+        let fits = copy.body.as_ref().is_none_or(|body| self.reserve_bytes(body));
         let room = self.copies.len() < self.setup.limit.copies + self.retention.copied();
-        let waiting = self.copies.remove(&request).map(|known| known.waiting).unwrap_or_default();
+        let waiting =
+            self.copies.remove(&request).map(|known| known.waiting_callers).unwrap_or_default();
         if !fits || !room {
             if fits {
-                self.release(copy.body);
+                self.release_body(copy.body);
             }
             self.timers.set(Timer::Copied(request), None);
-            self.resume_waiting(turn, waiting);
-            turn.send(from, Message::Full { request, epoch: copy.note.epoch });
+            self.resume_waiting(ctx, waiting);
+            ctx.send(from, Message::Full { request, epoch: copy.note.epoch });
             return;
         }
-        self.hold(turn, from, copy);
-        self.resume_waiting(turn, waiting);
+        self.store_copy(ctx, from, copy);
+        self.resume_waiting(ctx, waiting);
     }
 
     /// Returns whether a copy may be held here; answers its owner if not.
-    fn admits(&mut self, turn: &mut Turn<'_>, from: &Instance, copy: &RequestCopy) -> bool {
+    fn admit_copy(
+        &mut self,
+        ctx: &mut StepContext<'_>,
+        from: &Instance,
+        copy: &RequestCopy,
+    ) -> bool {
         let (request, epoch) = (copy.head.request, copy.note.epoch);
         let full = Message::Full { request, epoch };
         if self.stopping.is_some() {
-            turn.send(from, full);
+            ctx.send(from, full);
             return false;
         }
         if let Some(entry) = self.entries.get(&request) {
@@ -223,50 +244,50 @@
                     return false;
                 };
                 self.timers.set(Timer::Owned(request), None);
-                self.join(turn, entry, from, copy.digest);
+                self.join_owner(ctx, entry, from, copy.digest);
                 return true;
             }
             if entry.epoch == epoch {
-                let (digest, epoch) = (entry.digest, entry.told_epoch());
+                let (digest, epoch) = (entry.digest, entry.announced_epoch());
                 let found = KeyStatus::Held { owner: self.setup.instance.clone(), epoch, digest };
-                turn.send(from, Message::Reserved { request, found });
-                turn.send(from, full);
+                ctx.send(from, Message::Reserved { request, found });
+                ctx.send(from, full);
                 return false;
             }
             if entry.epoch > epoch {
-                self.oust(turn, request, from);
+                self.send_takeover(ctx, request, from);
                 return false;
             }
             let attempt = copy.note.live.as_ref().map(|live| live.attempt);
             let (owner, lineage) = (from.clone(), copy.note.lineage);
-            self.taken(turn, from, &Takeover { request, owner, epoch, attempt, lineage });
+            self.handle_takeover(ctx, from, &Takeover { request, owner, epoch, attempt, lineage });
             return !self.entries.contains_key(&request);
         }
         let Some(known) = self.copies.get(&request) else {
             return true;
         };
         if known.note.epoch > epoch {
-            turn.send(from, Message::Taken(known.taken()));
+            ctx.send(from, Message::Taken(known.takeover()));
             return false;
         }
-        if known.note.epoch == epoch && known.owner != *from && known.lost.is_none() {
+        if known.note.epoch == epoch && known.owner != *from && known.owner_lost_at.is_none() {
             let (owner, digest) = (known.owner.clone(), known.digest);
-            let epoch = if known.active() { epoch } else { 0 };
+            let epoch = if known.is_accepted() { epoch } else { 0 };
             let found = KeyStatus::Held { owner, epoch, digest };
-            turn.send(from, Message::Reserved { request, found });
-            turn.send(from, full);
+            ctx.send(from, Message::Reserved { request, found });
+            ctx.send(from, full);
             return false;
         }
         true
     }
 
-    fn hold(&mut self, turn: &mut Turn<'_>, from: &Instance, copy: RequestCopy) {
+    fn store_copy(&mut self, ctx: &mut StepContext<'_>, from: &Instance, copy: RequestCopy) {
         let request = copy.head.request;
         let (epoch, sequence) = (copy.note.epoch, copy.note.sequence);
         let mut head = copy.head;
-        head.deadline = turn.now.saturating_add(head.deadline);
+        head.deadline = ctx.now.saturating_add(head.deadline);
         let until = head.deadline.saturating_add(self.setup.timing.retention);
-        let held = Held {
+        let held = HeldCopy {
             head,
             body: copy.body,
             digest: copy.digest,
@@ -274,25 +295,30 @@
             boot: copy.boot,
             note: copy.note,
             mirrored: 0,
-            ended: false,
-            lost: None,
-            due: None,
+            mirror_ended: false,
+            owner_lost_at: None,
+            takeover_at: None,
             until,
-            barred: false,
-            waiting: BTreeMap::new(),
+            takeover_blocked: false,
+            waiting_callers: BTreeMap::new(),
         };
         self.copies.insert(request, held);
-        self.arm_copy(request);
-        turn.send(from, Message::Kept(Ack { request, epoch, sequence }));
+        self.set_copy_timer(request);
+        ctx.send(from, Message::Kept(Ack { request, epoch, sequence }));
     }
 
     /// Takes a note of how far an owner has got.
-    pub(crate) fn noted(&mut self, turn: &mut Turn<'_>, from: &Instance, note: Progress) {
+    pub(crate) fn handle_progress(
+        &mut self,
+        ctx: &mut StepContext<'_>,
+        from: &Instance,
+        note: Progress,
+    ) {
         let (request, epoch) = (note.request, note.epoch);
         let refused = matches!(note.outcome, Some(Outcome::Refused(_)));
         if let Some(entry) = self.entries.get(&request) {
-            if entry.epoch > epoch && entry.former.is_none() {
-                self.oust(turn, request, from);
+            if entry.epoch > epoch && entry.former_copy.is_none() {
+                self.send_takeover(ctx, request, from);
             }
             return;
         }
@@ -300,81 +326,81 @@
             match refused || matches!(note.outcome, Some(Outcome::Abandoned)) {
                 true => {
                     let sequence = note.sequence;
-                    turn.send(from, Message::Kept(Ack { request, epoch, sequence }));
+                    ctx.send(from, Message::Kept(Ack { request, epoch, sequence }));
                 }
-                false => turn.send(from, Message::Full { request, epoch }),
+                false => ctx.send(from, Message::Full { request, epoch }),
             }
             return;
         };
         if copy.note.epoch > epoch {
-            turn.send(from, Message::Taken(copy.taken()));
+            ctx.send(from, Message::Taken(copy.takeover()));
             return;
         }
         if copy.owner != *from || copy.note.epoch != epoch {
-            turn.send(from, Message::Full { request, epoch });
+            ctx.send(from, Message::Full { request, epoch });
             return;
         }
         if note.sequence > copy.note.sequence {
             copy.note = note;
         }
         let sequence = copy.note.sequence;
-        turn.send(from, Message::Kept(Ack { request, epoch, sequence }));
-        self.settle_copy(turn, request);
+        ctx.send(from, Message::Kept(Ack { request, epoch, sequence }));
+        self.finish_copy(ctx, request);
     }
 
     /// Frees what a finished copy no longer needs.
-    fn settle_copy(&mut self, turn: &mut Turn<'_>, request: Request) {
+    fn finish_copy(&mut self, ctx: &mut StepContext<'_>, request: Request) {
         let Some(copy) = self.copies.get_mut(&request) else {
             return;
         };
         match &copy.note.outcome {
             None => return,
             Some(Outcome::Refused(_) | Outcome::Abandoned | Outcome::Moved { .. }) => {
-                self.drop_copy(turn, request);
+                self.drop_copy(ctx, request);
                 return;
             }
-            Some(Outcome::Whole { .. }) if !copy.ended => {}
+            Some(Outcome::Whole { .. }) if !copy.mirror_ended => {}
             Some(Outcome::Whole { .. } | Outcome::Unknown(_)) => {
                 let body = copy.body.take();
-                self.release(body);
+                self.release_body(body);
             }
         }
-        let until = turn.now.saturating_add(self.setup.timing.retention);
+        let until = ctx.now.saturating_add(self.setup.timing.retention);
         if let Some(copy) = self.copies.get_mut(&request) {
             copy.until = copy.until.min(until);
             self.retention.add(request, copy.until, copy.mirrored, true);
         }
-        self.arm_copy(request);
+        self.set_copy_timer(request);
     }
 
     /// Forgets a copy; its waiting callers look again.
-    pub(crate) fn drop_copy(&mut self, turn: &mut Turn<'_>, request: Request) {
+    pub(crate) fn drop_copy(&mut self, ctx: &mut StepContext<'_>, request: Request) {
         let Some(copy) = self.copies.remove(&request) else {
             return;
         };
         self.retention.remove(request);
         self.timers.set(Timer::Copied(request), None);
-        self.release(copy.body);
-        turn.out.push(Output::Forget { request, epoch: copy.note.epoch });
-        self.resume_waiting(turn, copy.waiting);
+        self.release_body(copy.body);
+        ctx.out.push(Output::Forget { request, epoch: copy.note.epoch });
+        self.resume_waiting(ctx, copy.waiting_callers);
     }
 
     /// Removes a copy that was never accepted, because this instance now owns the request.
     ///
     /// Were it kept until its time came, it would free the answer that is assembled here by then.
-    pub(crate) fn supersede(&mut self, request: Request) {
+    pub(crate) fn remove_superseded_copy(&mut self, request: Request) {
         let Some(copy) = self.copies.remove(&request) else {
             return;
         };
         self.retention.remove(request);
         self.timers.set(Timer::Copied(request), None);
-        self.release(copy.body);
+        self.release_body(copy.body);
     }
 
     /// Forgets what an owner wants forgotten.
-    pub(crate) fn dropped(
+    pub(crate) fn handle_drop(
         &mut self,
-        turn: &mut Turn<'_>,
+        ctx: &mut StepContext<'_>,
         from: &Instance,
         request: Request,
         epoch: u16,
@@ -387,15 +413,20 @@
             return;
         };
         if copy.owner == *from && copy.note.epoch <= epoch {
-            self.drop_copy(turn, request);
+            self.drop_copy(ctx, request);
         }
     }
 
     /// Notes how far the second holder has got, at either end.
-    pub(crate) fn mirrored(&mut self, turn: &Turn<'_>, request: Request, position: u32) {
+    pub(crate) fn handle_mirrored(
+        &mut self,
+        ctx: &StepContext<'_>,
+        request: Request,
+        position: u32,
+    ) {
         if let Some(mut entry) = self.take(request) {
             entry.mirrored = entry.mirrored.max(position);
-            entry.watch_mirror(turn.now);
+            entry.update_lag(ctx.now);
             self.put(entry);
             return;
         }
@@ -405,29 +436,29 @@
     }
 
     /// Notes that the second holder has the end as well, at either end.
-    pub(crate) fn mirror_ended(&mut self, turn: &Turn<'_>, request: Request) {
+    pub(crate) fn handle_mirror_ended(&mut self, ctx: &StepContext<'_>, request: Request) {
         if let Some(mut entry) = self.take(request) {
-            entry.ended = true;
-            entry.watch_mirror(turn.now);
+            entry.mirror_ended = true;
+            entry.update_lag(ctx.now);
             self.put(entry);
             return;
         }
         let Some(copy) = self.copies.get_mut(&request) else {
             return;
         };
-        copy.ended = true;
-        if copy.finished() {
+        copy.mirror_ended = true;
+        if copy.is_finished() {
             let body = copy.body.take();
-            self.release(body);
+            self.release_body(body);
         }
     }
 
     /// Lets a caller in whose request this instance holds a copy of.
-    pub(crate) fn attach_copy(
+    pub(crate) fn attach_to_copy(
         &mut self,
-        turn: &mut Turn<'_>,
+        ctx: &mut StepContext<'_>,
         ticket: Ticket,
-        mut relay: Relay,
+        mut relay: RelayedCaller,
         body: Arc<Body>,
     ) {
         let request = relay.head.request;
@@ -435,56 +466,60 @@
             return;
         };
         if copy.digest != relay.digest {
-            turn.tell(ticket, Verdict::Conflict);
+            ctx.send_verdict(ticket, Verdict::Conflict);
             return;
         }
-        if copy.barred {
-            turn.tell(ticket, Verdict::Unknown(Unknown::InstanceLost));
+        if copy.takeover_blocked {
+            ctx.send_verdict(ticket, Verdict::Unknown(Unknown::InstanceLost));
             return;
         }
         relay.owner = copy.owner.clone();
-        let lost = copy.lost.is_some();
-        relay.body = self.charge(&body).then_some(body);
+        let lost = copy.owner_lost_at.is_some();
+        relay.body = self.reserve_bytes(&body).then_some(body);
         if !lost {
-            self.relay(turn, ticket, relay);
+            self.relay_caller(ctx, ticket, relay);
             return;
         }
         self.tickets.insert(ticket, request);
-        let ready = copy_ready(turn.now, self.copies.get(&request));
+        let ready = is_takeover_due(ctx.now, self.copies.get(&request));
         if let Some(copy) = self.copies.get_mut(&request) {
-            copy.waiting.insert(ticket, relay);
+            copy.waiting_callers.insert(ticket, relay);
         }
         if ready {
-            self.take_over(turn, request, false);
+            self.take_over(ctx, request, false);
         }
     }
 
     /// Lets callers look again for the owner of their request.
-    pub(crate) fn resume_waiting(&mut self, turn: &mut Turn<'_>, waiting: BTreeMap<Ticket, Relay>) {
+    pub(crate) fn resume_waiting(
+        &mut self,
+        ctx: &mut StepContext<'_>,
+        waiting: BTreeMap<Ticket, RelayedCaller>,
+    ) {
         for (ticket, relay) in waiting {
             self.tickets.remove(&ticket);
             self.relays.insert(ticket, relay);
-            self.seek_owner(turn, ticket);
+            self.retry_relay(ctx, ticket);
         }
     }
 
     /// Takes a copy over or drops it when its time has come.
-    pub(crate) fn tick_copy(&mut self, turn: &mut Turn<'_>, request: Request) {
+    pub(crate) fn tick_copy(&mut self, ctx: &mut StepContext<'_>, request: Request) {
         let Some(copy) = self.copies.get(&request) else {
             return;
         };
-        if turn.now >= copy.until {
-            self.drop_copy(turn, request);
+        if ctx.now >= copy.until {
+            self.drop_copy(ctx, request);
             return;
         }
-        if copy_ready(turn.now, Some(copy)) {
-            self.take_over(turn, request, false);
+        if is_takeover_due(ctx.now, Some(copy)) {
+            self.take_over(ctx, request, false);
         } else {
-            self.arm_copy(request);
+            self.set_copy_timer(request);
         }
     }
 }
 
-fn copy_ready(now: Duration, copy: Option<&Held>) -> bool {
-    copy.and_then(|copy| copy.due).is_some_and(|due| now >= due)
+fn is_takeover_due(now: Duration, copy: Option<&HeldCopy>) -> bool {
+    copy.and_then(|copy| copy.takeover_at).is_some_and(|due| now >= due)
 }
--- a/crates/verbenaslip-request/src/drain.rs
+++ b/crates/verbenaslip-request/src/drain.rs
@@ -7,139 +7,142 @@
 
 use crate::message::Message;
 use crate::output::{Outcome, Output};
-use crate::owned::{Entry, Phase};
-use crate::requests::{Requests, Turn};
+use crate::owned::{OwnedRequest, Phase};
+use crate::requests::{Requests, StepContext};
 use crate::timer::Timer;
 
 impl Requests {
     /// Begins to stop; a second order can only shorten the time.
-    pub(crate) fn stop(&mut self, turn: &mut Turn<'_>, remaining: Duration) {
-        let end = turn.now.saturating_add(remaining);
+    pub(crate) fn handle_stop(&mut self, ctx: &mut StepContext<'_>, remaining: Duration) {
+        let end = ctx.now.saturating_add(remaining);
         let end = self.stopping.map_or(end, |known| known.min(end));
         self.stopping = Some(end);
-        for request in self.owned() {
+        for request in self.owned_requests() {
             let Some(entry) = self.take(request) else {
                 continue;
             };
             match entry.phase {
-                Phase::Admit | Phase::Journal { .. } => self.refuse_stopping(turn, entry),
+                Phase::Admit | Phase::Journal { .. } => self.refuse_stopping(ctx, entry),
                 _ => self.put(entry),
             }
         }
-        self.give_back(turn);
-        self.stop_due(turn);
+        self.return_copies(ctx);
+        self.tick_stop(ctx);
     }
 
-    fn owned(&self) -> Vec<Request> {
+    fn owned_requests(&self) -> Vec<Request> {
         self.entries.keys().copied().collect()
     }
 
-    fn refuse_stopping(&mut self, turn: &mut Turn<'_>, entry: Entry) {
+    fn refuse_stopping(&mut self, ctx: &mut StepContext<'_>, entry: OwnedRequest) {
         let refusal = Refusal { reason: Reason::Stopping, retry: Some(Duration::ZERO) };
-        self.refuse(turn, entry, refusal);
+        self.refuse(ctx, entry, refusal);
     }
 
     /// Tells the owners of all copies held here to find another holder while there is time.
-    fn give_back(&self, turn: &mut Turn<'_>) {
+    fn return_copies(&self, ctx: &mut StepContext<'_>) {
         for (request, copy) in &self.copies {
             let (request, epoch) = (*request, copy.note.epoch);
-            if copy.lost.is_none() && !copy.finished() {
-                turn.send(&copy.owner, Message::Full { request, epoch });
+            if copy.owner_lost_at.is_none() && !copy.is_finished() {
+                ctx.send(&copy.owner, Message::Full { request, epoch });
             }
         }
     }
 
     /// Hands over what will not end in time, and ends all at the end.
-    pub(crate) fn stop_due(&mut self, turn: &mut Turn<'_>) {
+    pub(crate) fn tick_stop(&mut self, ctx: &mut StepContext<'_>) {
         let Some(end) = self.stopping else {
             return;
         };
         let handover = end.saturating_sub(self.setup.timing.handover);
-        if turn.now < handover {
+        if ctx.now < handover {
             self.timers.set(Timer::Stop, Some(handover));
             return;
         }
-        if turn.now < end {
-            self.hand_over(turn);
-            let again = turn.now.saturating_add(self.setup.timing.resend);
+        if ctx.now < end {
+            self.hand_over(ctx);
+            let again = ctx.now.saturating_add(self.setup.timing.resend);
             self.timers.set(Timer::Stop, Some(again.min(end)));
             return;
         }
-        for request in self.owned() {
+        for request in self.owned_requests() {
             if let Some(entry) = self.take(request) {
-                self.end(turn, entry);
+                self.end_request(ctx, entry);
             }
         }
     }
 
-    fn hand_over(&mut self, turn: &mut Turn<'_>) {
-        for request in self.owned() {
+    fn hand_over(&mut self, ctx: &mut StepContext<'_>) {
+        for request in self.owned_requests() {
             let Some(mut entry) = self.take(request) else {
                 continue;
             };
-            let again = turn.now.saturating_sub(self.setup.timing.resend);
-            let fresh = entry.handed.is_some_and(|at| at > again);
-            if fresh || !can_hand_over(&entry) {
+            let again = ctx.now.saturating_sub(self.setup.timing.resend);
+            let recent = entry.handed_over_at.is_some_and(|at| at > again);
+            if recent || !can_hand_over(&entry) {
                 self.put(entry);
                 continue;
             }
-            let Some(holder) = entry.kept().cloned() else {
+            let Some(holder) = entry.confirmed_holder().cloned() else {
                 if entry.holder.is_none() {
-                    entry.tried.clear();
-                    self.seek_holder(turn, &mut entry);
+                    entry.tried_holders.clear();
+                    self.choose_holder(ctx, &mut entry);
                 }
                 self.put(entry);
                 continue;
             };
             entry.sequence += 1;
-            entry.handed = Some(turn.now);
+            entry.handed_over_at = Some(ctx.now);
             // The second holder may run it from now on, so "not run" can't be said any more.
             entry.complete = false;
-            turn.send(&holder, Message::HandOver(entry.note()));
+            ctx.send(&holder, Message::HandOver(entry.progress()));
             self.put(entry);
         }
     }
 
     /// Ends what is left when the time is over.
-    fn end(&mut self, turn: &mut Turn<'_>, entry: Entry) {
-        if entry.finished() {
+    fn end_request(&mut self, ctx: &mut StepContext<'_>, entry: OwnedRequest) {
+        if entry.is_finished() {
             self.put(entry);
             return;
         }
         if matches!(entry.phase, Phase::Lookup(_)) || entry.may_have_run() {
             // The second holder carries on with what can be: the run must not be cancelled.
             let mut entry = entry;
-            entry.flight = None;
-            self.finish(turn, entry, Outcome::Unknown(Unknown::InstanceLost));
+            entry.run_state = None;
+            self.finish(ctx, entry, Outcome::Unknown(Unknown::InstanceLost));
             return;
         }
-        self.refuse_stopping(turn, entry);
+        self.refuse_stopping(ctx, entry);
     }
 
     /// Tells once that nothing is left.
-    pub(crate) fn check_drained(&mut self, turn: &mut Turn<'_>) {
+    pub(crate) fn check_drained(&mut self, ctx: &mut StepContext<'_>) {
         let Some(end) = self.stopping else {
             return;
         };
-        if self.drained || (turn.now < end && !self.empty()) {
+        if self.drained || (ctx.now < end && !self.is_drained()) {
             return;
         }
         self.drained = true;
-        turn.out.push(Output::Drained);
+        ctx.out.push(Output::Drained);
     }
 
-    fn empty(&self) -> bool {
-        let owned =
-            self.entries.values().all(|entry| entry.finished() && Self::holder_knows(entry));
-        let held = self.copies.values().all(|copy| copy.finished() || copy.lost.is_some());
+    fn is_drained(&self) -> bool {
+        let owned = self
+            .entries
+            .values()
+            .all(|entry| entry.is_finished() && Self::is_holder_current(entry));
+        let held =
+            self.copies.values().all(|copy| copy.is_finished() || copy.owner_lost_at.is_some());
         owned && held && self.tickets.is_empty() && self.relays.is_empty()
     }
 }
 
 /// Returns whether a second holder can go on with a request.
-fn can_hand_over(entry: &Entry) -> bool {
+fn can_hand_over(entry: &OwnedRequest) -> bool {
     match entry.phase {
-        Phase::Run => entry.head.idempotent || entry.flight_is_engine(),
+        Phase::Run => entry.head.idempotent || entry.runs_on_engine(),
         Phase::Pause | Phase::Place | Phase::Budget => entry.head.idempotent,
         _ => false,
     }
--- a/crates/verbenaslip-request/src/finish.rs
+++ b/crates/verbenaslip-request/src/finish.rs
@@ -11,21 +11,21 @@
 use crate::caller::{Body, Ticket, Verdict};
 use crate::message::Message;
 use crate::output::{Outcome, Output};
-use crate::owned::{Entry, Phase};
-use crate::requests::{Requests, Turn};
+use crate::owned::{OwnedRequest, Phase};
+use crate::requests::{Requests, StepContext};
 use crate::timer::Timer;
 
 /// Knows the finished answers, the ones to be forgotten first before the others.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Retention {
-    order: BTreeSet<(Duration, Request)>,
-    known: BTreeMap<Request, Kept>,
+    by_expiry: BTreeSet<(Duration, Request)>,
+    answers: BTreeMap<Request, Retained>,
     tokens: u64,
     copied: usize,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Kept {
+struct Retained {
     until: Duration,
     tokens: u32,
     copied: bool,
@@ -35,25 +35,25 @@
     /// Adds or replaces a finished answer.
     pub(crate) fn add(&mut self, request: Request, until: Duration, tokens: u32, copied: bool) {
         self.remove(request);
-        self.order.insert((until, request));
-        self.known.insert(request, Kept { until, tokens, copied });
+        self.by_expiry.insert((until, request));
+        self.answers.insert(request, Retained { until, tokens, copied });
         self.tokens += u64::from(tokens);
         self.copied += usize::from(copied);
     }
 
     /// Removes an answer.
     pub(crate) fn remove(&mut self, request: Request) {
-        let Some(kept) = self.known.remove(&request) else {
+        let Some(retained) = self.answers.remove(&request) else {
             return;
         };
-        self.order.remove(&(kept.until, request));
-        self.tokens -= u64::from(kept.tokens);
-        self.copied -= usize::from(kept.copied);
+        self.by_expiry.remove(&(retained.until, request));
+        self.tokens -= u64::from(retained.tokens);
+        self.copied -= usize::from(retained.copied);
     }
 
     /// Returns how many are of owned requests.
     pub(crate) fn owned(&self) -> usize {
-        self.known.len() - self.copied
+        self.answers.len() - self.copied
     }
 
     /// Returns how many are of copies.
@@ -61,131 +61,163 @@
         self.copied
     }
 
-    fn over(&self, answers: usize, tokens: u64) -> bool {
-        self.known.len() > answers || self.tokens > tokens
+    fn exceeds(&self, answers: usize, tokens: u64) -> bool {
+        self.answers.len() > answers || self.tokens > tokens
     }
 }
 
 impl Requests {
     /// Ends a request that was surely not run, unless that can't be said for sure.
-    pub(crate) fn refuse(&mut self, turn: &mut Turn<'_>, mut entry: Entry, refusal: Refusal) {
+    pub(crate) fn refuse(
+        &mut self,
+        ctx: &mut StepContext<'_>,
+        mut entry: OwnedRequest,
+        refusal: Refusal,
+    ) {
         if entry.may_have_run() {
-            self.finish(turn, entry, Outcome::Unknown(Unknown::UpstreamLost));
+            self.finish(ctx, entry, Outcome::Unknown(Unknown::UpstreamLost));
             return;
         }
         if !entry.complete {
-            self.finish(turn, entry, Outcome::Unknown(Unknown::Unreachable));
+            self.finish(ctx, entry, Outcome::Unknown(Unknown::Unreachable));
             return;
         }
-        let old = turn.now.saturating_sub(entry.looked) > self.setup.timing.fresh;
-        if entry.head.keyed && old && !entry.accepted() && entry.epoch > 0 {
-            self.look_up_before(turn, entry, refusal);
+        let old = ctx.now.saturating_sub(entry.looked_up_at) > self.setup.timing.fresh;
+        if entry.head.keyed && old && !entry.is_accepted() && entry.epoch > 0 {
+            self.look_up_before_refusal(ctx, entry, refusal);
             return;
         }
-        let until = turn.now.saturating_add(self.setup.timing.resend * self.setup.timing.tries);
+        let until = ctx.now.saturating_add(self.setup.timing.resend * self.setup.timing.tries);
         entry.phase = Phase::Close { refusal, until };
-        entry.due = None;
-        if entry.accepted() {
-            self.note(turn, &mut entry);
+        entry.phase_due = None;
+        if entry.is_accepted() {
+            self.send_progress(ctx, &mut entry);
         }
-        self.closed(turn, entry);
+        self.tick_close(ctx, entry);
     }
 
     /// Tells callers that a request was not run, once no other instance can run it.
     ///
     /// Were the caller told before the second holder knows, and this instance lost right after, the
     /// holder would take the request over and run what was said not to have run.
-    pub(crate) fn closed(&mut self, turn: &mut Turn<'_>, mut entry: Entry) {
+    pub(crate) fn tick_close(&mut self, ctx: &mut StepContext<'_>, mut entry: OwnedRequest) {
         let Phase::Close { refusal, until } = &entry.phase else {
             self.put(entry);
             return;
         };
         let refusal = refusal.clone();
-        let accepted = entry.accepted();
-        let active = entry.holder.is_some() || !entry.stale.is_empty();
-        let told = match &entry.holder {
-            Some(holder) => holder.acked >= Some(entry.sequence) && entry.stale.is_empty(),
-            None => entry.stale.is_empty(),
+        let accepted = entry.is_accepted();
+        let active = entry.holder.is_some() || !entry.former_holders.is_empty();
+        let notified = match &entry.holder {
+            Some(holder) => {
+                holder.acked_sequence >= Some(entry.sequence) && entry.former_holders.is_empty()
+            }
+            None => entry.former_holders.is_empty(),
         };
-        let late = turn.now >= *until;
-        if !accepted || !active || (told && !late) {
-            self.conclude_refusal(turn, entry, refusal);
+        let late = ctx.now >= *until;
+        if !accepted || !active || (notified && !late) {
+            self.conclude_refusal(ctx, entry, refusal);
             return;
         }
         if !late {
-            entry.due = Some(turn.now.saturating_add(self.setup.timing.resend));
+            entry.phase_due = Some(ctx.now.saturating_add(self.setup.timing.resend));
             self.put(entry);
             return;
         }
-        self.finish(turn, entry, Outcome::Unknown(Unknown::Unreachable));
+        self.finish(ctx, entry, Outcome::Unknown(Unknown::Unreachable));
     }
 
-    fn conclude_refusal(&mut self, turn: &mut Turn<'_>, mut entry: Entry, refusal: Refusal) {
+    fn conclude_refusal(
+        &mut self,
+        ctx: &mut StepContext<'_>,
+        mut entry: OwnedRequest,
+        refusal: Refusal,
+    ) {
         for ticket in std::mem::take(&mut entry.callers).into_keys() {
             self.tickets.remove(&ticket);
-            turn.tell(ticket, Verdict::Refused(refusal.clone()));
+            ctx.send_verdict(ticket, Verdict::Refused(refusal.clone()));
         }
-        self.forget_elsewhere(turn, &entry);
-        self.done(turn, &entry, Outcome::Refused(refusal));
-        self.discard(turn, entry);
+        self.send_drops(ctx, &entry);
+        self.report_done(ctx, &entry, Outcome::Refused(refusal));
+        self.discard(ctx, entry);
     }
 
     /// Ends a request.
-    pub(crate) fn finish(&mut self, turn: &mut Turn<'_>, mut entry: Entry, outcome: Outcome) {
-        if let Some(flight) = entry.flight.take() {
-            turn.out.push(Output::Cancel(flight.live));
+    pub(crate) fn finish(
+        &mut self,
+        ctx: &mut StepContext<'_>,
+        mut entry: OwnedRequest,
+        outcome: Outcome,
+    ) {
+        if let Some(run_state) = entry.run_state.take() {
+            ctx.out.push(Output::Cancel(run_state.live));
         }
         if entry.epoch == 0 {
             // Only the lookup has failed: there is nothing to keep.
-            self.conclude_unknown(turn, entry, &outcome);
+            self.conclude_unknown(ctx, entry, &outcome);
             return;
         }
-        self.done(turn, &entry, outcome.clone());
-        let told = entry.served && matches!(outcome, Outcome::Whole { .. });
-        self.settle(turn, &mut entry, outcome);
-        if !told {
-            self.welcome_all(turn, &mut entry);
+        self.report_done(ctx, &entry, outcome.clone());
+        let already_served = entry.served && matches!(outcome, Outcome::Whole { .. });
+        self.retain_outcome(ctx, &mut entry, outcome);
+        if !already_served {
+            self.answer_callers(ctx, &mut entry);
         }
         self.put(entry);
-        self.sweep(turn);
+        self.enforce_retention_limits(ctx);
     }
 
-    fn conclude_unknown(&mut self, turn: &mut Turn<'_>, mut entry: Entry, outcome: &Outcome) {
+    fn conclude_unknown(
+        &mut self,
+        ctx: &mut StepContext<'_>,
+        mut entry: OwnedRequest,
+        outcome: &Outcome,
+    ) {
         let unknown = match outcome {
             Outcome::Unknown(unknown) => *unknown,
             _ => Unknown::Unreachable,
         };
         for ticket in std::mem::take(&mut entry.callers).into_keys() {
             self.tickets.remove(&ticket);
-            turn.tell(ticket, Verdict::Unknown(unknown));
+            ctx.send_verdict(ticket, Verdict::Unknown(unknown));
         }
-        self.forget_elsewhere(turn, &entry);
-        self.discard(turn, entry);
+        self.send_drops(ctx, &entry);
+        self.discard(ctx, entry);
     }
 
     /// Keeps a finished answer for its retention, and tells the second holder.
-    pub(crate) fn settle(&mut self, turn: &mut Turn<'_>, entry: &mut Entry, outcome: Outcome) {
-        let until = turn.now.saturating_add(self.setup.timing.retention);
+    pub(crate) fn retain_outcome(
+        &mut self,
+        ctx: &mut StepContext<'_>,
+        entry: &mut OwnedRequest,
+        outcome: Outcome,
+    ) {
+        let until = ctx.now.saturating_add(self.setup.timing.retention);
         entry.phase = Phase::Finished { outcome, until };
-        entry.due = None;
-        entry.absent = None;
-        self.release(entry.body.take());
+        entry.phase_due = None;
+        entry.abandon_at = None;
+        self.release_body(entry.body.take());
         self.retention.add(entry.request(), until, entry.position, false);
-        entry.watch_mirror(turn.now);
-        self.note(turn, entry);
+        entry.update_lag(ctx.now);
+        self.send_progress(ctx, entry);
     }
 
     /// Tells all callers of a request that has ended.
-    pub(crate) fn welcome_all(&mut self, turn: &mut Turn<'_>, entry: &mut Entry) {
+    pub(crate) fn answer_callers(&mut self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) {
         entry.served = true;
         let tickets: Vec<_> = entry.callers.keys().copied().collect();
         for ticket in tickets {
-            self.welcome(turn, entry, ticket);
+            self.answer_caller(ctx, entry, ticket);
         }
     }
 
     /// Tells the policy, and the quorum where there is a claim, how a request ended.
-    pub(crate) fn done(&self, turn: &mut Turn<'_>, entry: &Entry, outcome: Outcome) {
+    pub(crate) fn report_done(
+        &self,
+        ctx: &mut StepContext<'_>,
+        entry: &OwnedRequest,
+        outcome: Outcome,
+    ) {
         let request = entry.request();
         if let Some(claimant) = entry.claimant
             && !matches!(outcome, Outcome::Moved { .. })
@@ -198,107 +230,107 @@
                 }
                 other => other.clone(),
             };
-            turn.out.push(Output::Settle { request, claimant, outcome });
+            ctx.out.push(Output::Settle { request, claimant, outcome });
         }
-        turn.out.push(Output::Done { request, outcome });
+        ctx.out.push(Output::Done { request, outcome });
     }
 
     /// Frees all that is held of a request.
-    pub(crate) fn discard(&mut self, turn: &mut Turn<'_>, mut entry: Entry) {
+    pub(crate) fn discard(&mut self, ctx: &mut StepContext<'_>, mut entry: OwnedRequest) {
         let request = entry.request();
         self.timers.set(Timer::Owned(request), None);
         self.retention.remove(request);
-        self.release(entry.body.take());
+        self.release_body(entry.body.take());
         for ticket in entry.callers.keys() {
             self.tickets.remove(ticket);
         }
         if entry.served {
-            turn.out.push(Output::Forget { request, epoch: entry.epoch });
+            ctx.out.push(Output::Forget { request, epoch: entry.epoch });
         }
     }
 
     /// Takes it that a caller's connection is closed.
-    pub(crate) fn gone(&mut self, turn: &mut Turn<'_>, ticket: Ticket) {
+    pub(crate) fn handle_gone(&mut self, ctx: &mut StepContext<'_>, ticket: Ticket) {
         if let Some(relay) = self.relays.remove(&ticket) {
             self.timers.set(Timer::Parked(ticket), None);
-            self.release(relay.body);
+            self.release_body(relay.body);
             return;
         }
         let Some(request) = self.tickets.remove(&ticket) else {
             return;
         };
         if let Some(copy) = self.copies.get_mut(&request) {
-            let relay = copy.waiting.remove(&ticket);
-            self.release(relay.and_then(|relay| relay.body));
+            let relay = copy.waiting_callers.remove(&ticket);
+            self.release_body(relay.and_then(|relay| relay.body));
         }
         let Some(mut entry) = self.take(request) else {
             return;
         };
         entry.callers.remove(&ticket);
         match entry.callers.is_empty() {
-            true => self.deserted(turn, entry),
+            true => self.handle_last_caller_gone(ctx, entry),
             false => self.put(entry),
         }
     }
 
     /// Decides what becomes of a request whose last caller has left.
-    fn deserted(&mut self, turn: &mut Turn<'_>, mut entry: Entry) {
+    fn handle_last_caller_gone(&mut self, ctx: &mut StepContext<'_>, mut entry: OwnedRequest) {
         if entry.epoch == 0 {
-            self.forget_elsewhere(turn, &entry);
-            self.discard(turn, entry);
+            self.send_drops(ctx, &entry);
+            self.discard(ctx, entry);
             return;
         }
-        if entry.finished() {
+        if entry.is_finished() {
             if !entry.head.keyed {
-                self.forget_elsewhere(turn, &entry);
-                self.discard(turn, entry);
+                self.send_drops(ctx, &entry);
+                self.discard(ctx, entry);
                 return;
             }
             self.put(entry);
             return;
         }
         if !entry.head.keyed {
-            self.abandon(turn, entry);
+            self.abandon(ctx, entry);
             return;
         }
-        entry.absent = Some(turn.now.saturating_add(self.setup.timing.absence));
+        entry.abandon_at = Some(ctx.now.saturating_add(self.setup.timing.absence));
         self.put(entry);
     }
 
     /// Gives up a request that nobody waits for.
-    fn abandon(&mut self, turn: &mut Turn<'_>, mut entry: Entry) {
-        entry.absent = None;
+    fn abandon(&mut self, ctx: &mut StepContext<'_>, mut entry: OwnedRequest) {
+        entry.abandon_at = None;
         if !entry.head.idempotent && entry.head.keyed {
             // Whether a cancelled non-idempotent run had its effect could not be told any more.
             self.put(entry);
             return;
         }
         if !entry.head.keyed {
-            if let Some(flight) = entry.flight.take() {
-                turn.out.push(Output::Cancel(flight.live));
+            if let Some(run_state) = entry.run_state.take() {
+                ctx.out.push(Output::Cancel(run_state.live));
             }
-            self.done(turn, &entry, Outcome::Abandoned);
-            self.forget_elsewhere(turn, &entry);
-            self.discard(turn, entry);
+            self.report_done(ctx, &entry, Outcome::Abandoned);
+            self.send_drops(ctx, &entry);
+            self.discard(ctx, entry);
             return;
         }
-        self.finish(turn, entry, Outcome::Abandoned);
+        self.finish(ctx, entry, Outcome::Abandoned);
     }
 
     /// Returns whether a finished request runs again for a caller that comes back.
-    pub(crate) fn revives(&self, entry: &Entry) -> bool {
+    pub(crate) fn can_revive(&self, entry: &OwnedRequest) -> bool {
         let unfinished = matches!(
             entry.phase,
             Phase::Finished { outcome: Outcome::Unknown(_) | Outcome::Abandoned, .. }
         );
-        unfinished && entry.head.idempotent && !entry.ends_upstreams() && self.stopping.is_none()
+        unfinished && entry.head.idempotent && !entry.is_poison() && self.stopping.is_none()
     }
 
     /// Runs a request again that had ended without a whole answer, from the tokens that are there.
     pub(crate) fn revive(
         &mut self,
-        turn: &mut Turn<'_>,
-        mut entry: Entry,
+        ctx: &mut StepContext<'_>,
+        mut entry: OwnedRequest,
         head: &Head,
         body: Arc<Body>,
     ) {
@@ -307,108 +339,108 @@
         entry.head.deadline = head.deadline;
         entry.ran = true;
         entry.served = false;
-        entry.absent = None;
-        entry.without.clear();
-        entry.tried.clear();
+        entry.abandon_at = None;
+        entry.excluded.clear();
+        entry.tried_holders.clear();
         if let Some(holder) = entry.holder.take() {
             // The holder has freed the body, and is given the request anew.
-            entry.stale.remove(&holder.instance);
+            entry.former_holders.remove(&holder.instance);
             let (request, epoch) = (entry.request(), entry.epoch);
-            turn.send(&holder.instance, Message::Drop { request, epoch, key: false });
+            ctx.send(&holder.instance, Message::Drop { request, epoch, key: false });
         }
         entry.sequence += 1;
-        self.own(turn, entry);
+        self.take_ownership(ctx, entry);
     }
 
     /// Looks at an owned request whose time has come.
-    pub(crate) fn tick_entry(&mut self, turn: &mut Turn<'_>, request: Request) {
+    pub(crate) fn tick_entry(&mut self, ctx: &mut StepContext<'_>, request: Request) {
         let Some(mut entry) = self.take(request) else {
             return;
         };
-        self.tell_ousted(turn, &mut entry);
-        self.tick_holder(turn, &mut entry);
-        self.tick_mirror(turn, &mut entry);
-        self.tick_inform(turn, &mut entry);
-        self.tick_moving(turn, &mut entry);
+        self.notify_former_owner(ctx, &mut entry);
+        self.tick_holder(ctx, &mut entry);
+        self.tick_mirror(ctx, &mut entry);
+        self.tick_inform(ctx, &mut entry);
+        self.tick_moving(ctx, &mut entry);
         if let Phase::Finished { until, .. } = entry.phase {
-            match turn.now >= until && entry.callers.is_empty() {
+            match ctx.now >= until && entry.callers.is_empty() {
                 true => {
-                    self.forget_elsewhere(turn, &entry);
-                    self.discard(turn, entry);
+                    self.send_drops(ctx, &entry);
+                    self.discard(ctx, entry);
                 }
-                false => self.keep_longer(turn, entry),
+                false => self.extend_retention(ctx, entry),
             }
             return;
         }
         if matches!(entry.phase, Phase::Close { .. }) {
-            self.closed(turn, entry);
+            self.tick_close(ctx, entry);
             return;
         }
         if let Phase::Lookup(lookup) = &entry.phase
             && lookup.refusal.is_some()
         {
-            match turn.now >= lookup.until {
-                true => self.tick_lookup(turn, entry),
-                false => self.tick_phase(turn, entry),
+            match ctx.now >= lookup.until {
+                true => self.tick_lookup(ctx, entry),
+                false => self.tick_phase(ctx, entry),
             }
             return;
         }
         let lookup = matches!(entry.phase, Phase::Lookup(_));
-        if turn.now >= entry.head.deadline && !lookup {
-            self.expired(turn, entry);
+        if ctx.now >= entry.head.deadline && !lookup {
+            self.handle_deadline(ctx, entry);
             return;
         }
-        if turn.now >= entry.head.deadline {
-            self.finish(turn, entry, Outcome::Unknown(Unknown::Unreachable));
+        if ctx.now >= entry.head.deadline {
+            self.finish(ctx, entry, Outcome::Unknown(Unknown::Unreachable));
             return;
         }
-        if entry.absent.is_some_and(|at| turn.now >= at) {
-            self.abandon(turn, entry);
+        if entry.abandon_at.is_some_and(|at| ctx.now >= at) {
+            self.abandon(ctx, entry);
             return;
         }
-        self.tick_phase(turn, entry);
+        self.tick_phase(ctx, entry);
     }
 
-    fn tick_phase(&mut self, turn: &mut Turn<'_>, mut entry: Entry) {
-        if entry.due.is_none_or(|due| turn.now < due) {
+    fn tick_phase(&mut self, ctx: &mut StepContext<'_>, mut entry: OwnedRequest) {
+        if entry.phase_due.is_none_or(|due| ctx.now < due) {
             match entry.phase {
-                Phase::Journal { .. } => self.tick_journal(turn, entry),
+                Phase::Journal { .. } => self.tick_journal(ctx, entry),
                 _ => self.put(entry),
             }
             return;
         }
-        entry.due = None;
+        entry.phase_due = None;
         match entry.phase {
-            Phase::Lookup(_) => self.tick_lookup(turn, entry),
-            Phase::Journal { .. } => self.tick_journal(turn, entry),
-            Phase::Claim { .. } => self.tick_claim(turn, entry),
-            Phase::Pause => self.place(turn, entry),
+            Phase::Lookup(_) => self.tick_lookup(ctx, entry),
+            Phase::Journal { .. } => self.tick_journal(ctx, entry),
+            Phase::Claim { .. } => self.tick_claim(ctx, entry),
+            Phase::Pause => self.request_placement(ctx, entry),
             _ => self.put(entry),
         }
     }
 
-    fn keep_longer(&mut self, turn: &Turn<'_>, mut entry: Entry) {
+    fn extend_retention(&mut self, ctx: &StepContext<'_>, mut entry: OwnedRequest) {
         if let Phase::Finished { until, .. } = &mut entry.phase
-            && turn.now >= *until
+            && ctx.now >= *until
         {
-            *until = turn.now.saturating_add(self.setup.timing.absence);
+            *until = ctx.now.saturating_add(self.setup.timing.absence);
         }
         self.put(entry);
     }
 
     /// Forgets the oldest finished answers that nobody reads, until the limits are kept.
-    pub(crate) fn sweep(&mut self, turn: &mut Turn<'_>) {
+    pub(crate) fn enforce_retention_limits(&mut self, ctx: &mut StepContext<'_>) {
         let (answers, tokens) = (self.setup.limit.finished, self.setup.limit.tokens);
-        if !self.retention.over(answers, tokens) {
+        if !self.retention.exceeds(answers, tokens) {
             return;
         }
-        let oldest: Vec<_> = self.retention.order.iter().map(|(_, request)| *request).collect();
+        let oldest: Vec<_> = self.retention.by_expiry.iter().map(|(_, request)| *request).collect();
         for request in oldest {
-            if !self.retention.over(answers, tokens) {
+            if !self.retention.exceeds(answers, tokens) {
                 return;
             }
             if self.copies.contains_key(&request) {
-                self.drop_copy(turn, request);
+                self.drop_copy(ctx, request);
                 continue;
             }
             let read = self.entries.get(&request).is_some_and(|entry| !entry.callers.is_empty());
@@ -416,8 +448,8 @@
                 continue;
             }
             if let Some(entry) = self.take(request) {
-                self.forget_elsewhere(turn, &entry);
-                self.discard(turn, entry);
+                self.send_drops(ctx, &entry);
+                self.discard(ctx, entry);
             }
         }
     }
--- a/crates/verbenaslip-request/src/lookup.rs
+++ b/crates/verbenaslip-request/src/lookup.rs
@@ -9,31 +9,31 @@
 
 use crate::message::{KeyStatus, Message, Reserve};
 use crate::output::Outcome;
-use crate::owned::{Entry, Phase};
-use crate::requests::{Requests, Turn};
+use crate::owned::{OwnedRequest, Phase};
+use crate::requests::{Requests, StepContext};
 use crate::timer::Timer;
 
 /// After how many lost relays a mere reservation of another instance no longer counts.
-const LOSSES: u32 = 3;
+const MAX_RELAY_LOSSES: u32 = 3;
 
 /// Holds what the homes have said of a key.
 #[derive(Clone, Debug)]
 pub(crate) struct Lookup {
     /// What each has said.
-    pub(crate) asked: BTreeMap<Instance, Asked>,
+    pub(crate) queries: BTreeMap<Instance, HomeQuery>,
     /// How often they were asked without an answer.
     pub(crate) tries: u32,
     /// Until when they are asked.
     pub(crate) until: Duration,
     /// Whether anyone has said that another instance was accepted with the key.
-    pub(crate) doubt: bool,
+    pub(crate) accepted_elsewhere: bool,
     /// What the caller is told if the key is still unknown everywhere; none when it is let in then.
     pub(crate) refusal: Option<Refusal>,
 }
 
 /// Holds what one home has said.
 #[derive(Clone, Debug)]
-pub(crate) struct Asked {
+pub(crate) struct HomeQuery {
     /// When it was last asked.
     at: Duration,
     /// Its answer.
@@ -41,26 +41,26 @@
 }
 
 impl Lookup {
-    fn found(&self) -> impl Iterator<Item = &KeyStatus> {
-        self.asked.values().filter_map(|asked| asked.found.as_ref())
+    fn answers(&self) -> impl Iterator<Item = &KeyStatus> {
+        self.queries.values().filter_map(|query| query.found.as_ref())
     }
 
     /// Returns whether another home than `own` has answered, if there is one.
-    fn answered(&self, own: &Instance) -> bool {
-        let mut others = self.asked.iter().filter(|(home, _)| *home != own).peekable();
-        others.peek().is_none() || others.any(|(_, asked)| asked.found.is_some())
+    fn has_answer_beyond(&self, own: &Instance) -> bool {
+        let mut others = self.queries.iter().filter(|(home, _)| *home != own).peekable();
+        others.peek().is_none() || others.any(|(_, query)| query.found.is_some())
     }
 
-    fn missing(&self) -> bool {
-        self.asked.values().any(|asked| asked.found.is_none())
+    fn is_answer_missing(&self) -> bool {
+        self.queries.values().any(|query| query.found.is_none())
     }
 }
 
 impl Requests {
     /// Asks the homes whether they know the key.
-    pub(crate) fn look_up(&mut self, turn: &mut Turn<'_>, mut entry: Entry) {
-        self.open_lookup(turn, &mut entry, None);
-        self.conclude(turn, entry);
+    pub(crate) fn look_up(&mut self, ctx: &mut StepContext<'_>, mut entry: OwnedRequest) {
+        self.open_lookup(ctx, &mut entry, None);
+        self.try_decide(ctx, entry);
     }
 
     /// Asks the homes again before a caller is told that its request was not run.
@@ -68,77 +68,83 @@
     /// An instance that was frozen or queued the request for long was perhaps believed dead by the
     /// others, and the request was sent again and run elsewhere. One would notice "not run" said of
     /// a request that ran; so the word is given only on answers that are fresh.
-    pub(crate) fn look_up_before(
+    pub(crate) fn look_up_before_refusal(
         &mut self,
-        turn: &mut Turn<'_>,
-        mut entry: Entry,
+        ctx: &mut StepContext<'_>,
+        mut entry: OwnedRequest,
         refusal: Refusal,
     ) {
-        self.open_lookup(turn, &mut entry, Some(refusal));
-        self.conclude(turn, entry);
+        self.open_lookup(ctx, &mut entry, Some(refusal));
+        self.try_decide(ctx, entry);
     }
 
     /// Asks the homes of now, when the instances have changed.
-    pub(crate) fn look_up_again(&mut self, turn: &mut Turn<'_>, mut entry: Entry) {
+    pub(crate) fn look_up_again(&mut self, ctx: &mut StepContext<'_>, mut entry: OwnedRequest) {
         let Phase::Lookup(lookup) = &mut entry.phase else {
             self.put(entry);
             return;
         };
         // Views differ for a moment after each change, so one that was a home before may know.
-        lookup.asked.retain(|home, _| self.view.answers(home));
+        lookup.queries.retain(|home, _| self.view.answers(home));
         // What was true before the change need not be now: the copy may just have been placed.
-        lookup.asked.values_mut().for_each(|asked| asked.found = None);
+        lookup.queries.values_mut().for_each(|query| query.found = None);
         for home in self.view.homes(entry.head.request) {
-            let at = turn.now;
-            lookup.asked.entry(home).or_insert(Asked { at, found: None });
+            let at = ctx.now;
+            lookup.queries.entry(home).or_insert(HomeQuery { at, found: None });
         }
-        self.ask(turn, &mut entry);
-        self.conclude(turn, entry);
+        self.query_homes(ctx, &mut entry);
+        self.try_decide(ctx, entry);
     }
 
-    fn open_lookup(&mut self, turn: &mut Turn<'_>, entry: &mut Entry, refusal: Option<Refusal>) {
+    fn open_lookup(
+        &mut self,
+        ctx: &mut StepContext<'_>,
+        entry: &mut OwnedRequest,
+        refusal: Option<Refusal>,
+    ) {
         let timing = &self.setup.timing;
-        let long = match refusal {
+        let duration = match refusal {
             Some(_) => timing.resend * timing.tries,
             None => timing.lookup,
         };
-        let until = turn.now.saturating_add(long);
+        let until = ctx.now.saturating_add(duration);
         let homes = self.view.homes(entry.request()).into_iter();
-        let asked = homes.map(|home| (home, Asked { at: turn.now, found: None })).collect();
-        entry.phase = Phase::Lookup(Lookup { asked, tries: 0, until, doubt: false, refusal });
-        self.ask(turn, entry);
+        let queries = homes.map(|home| (home, HomeQuery { at: ctx.now, found: None })).collect();
+        entry.phase =
+            Phase::Lookup(Lookup { queries, tries: 0, until, accepted_elsewhere: false, refusal });
+        self.query_homes(ctx, entry);
     }
 
     /// Sends the question to each home that has not answered it, and answers it here if this
     /// instance is one.
-    fn ask(&mut self, turn: &mut Turn<'_>, entry: &mut Entry) {
+    fn query_homes(&mut self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) {
         let reserve = Reserve {
             request: entry.request(),
             digest: entry.digest,
             boot: self.setup.boot,
-            epoch: entry.told_epoch(),
-            remaining: entry.head.deadline.saturating_sub(turn.now),
+            epoch: entry.announced_epoch(),
+            remaining: entry.head.deadline.saturating_sub(ctx.now),
         };
         let Phase::Lookup(lookup) = &mut entry.phase else {
             return;
         };
         lookup.tries += 1;
-        entry.due = Some(turn.now.saturating_add(self.setup.timing.resend));
+        entry.phase_due = Some(ctx.now.saturating_add(self.setup.timing.resend));
         let own = self.setup.instance.clone();
-        for (home, asked) in lookup.asked.iter_mut().filter(|(_, asked)| asked.found.is_none()) {
-            asked.at = turn.now;
+        for (home, query) in lookup.queries.iter_mut().filter(|(_, query)| query.found.is_none()) {
+            query.at = ctx.now;
             if *home == own {
-                asked.found = Some(self.find(turn.now, &own, &reserve));
+                query.found = Some(self.find_key(ctx.now, &own, &reserve));
             } else {
-                turn.send(home, Message::Reserve(reserve.clone()));
+                ctx.send(home, Message::Reserve(reserve.clone()));
             }
         }
     }
 
     /// Takes a home's answer.
-    pub(crate) fn reserved(
+    pub(crate) fn handle_reserved(
         &mut self,
-        turn: &mut Turn<'_>,
+        ctx: &mut StepContext<'_>,
         from: &Instance,
         request: Request,
         found: KeyStatus,
@@ -151,30 +157,35 @@
                 lookup.tries = 0;
             }
             let accepted = matches!(found, KeyStatus::Held { epoch, .. } if epoch > 0);
-            lookup.doubt |= accepted;
-            if accepted || lookup.asked.contains_key(from) {
-                let asked = Asked { at: turn.now, found: None };
-                let asked = lookup.asked.entry(from.clone()).or_insert(asked);
-                asked.found = Some(found);
+            lookup.accepted_elsewhere |= accepted;
+            if accepted || lookup.queries.contains_key(from) {
+                let query = HomeQuery { at: ctx.now, found: None };
+                let query = lookup.queries.entry(from.clone()).or_insert(query);
+                query.found = Some(found);
             }
-            self.conclude(turn, entry);
+            self.try_decide(ctx, entry);
             return;
         }
-        entry.informed.insert(from.clone());
-        self.heed(turn, entry, found);
+        entry.informed_homes.insert(from.clone());
+        self.yield_to_accepted_owner(ctx, entry, found);
     }
 
     /// Yields to another owner of the key, if that one was accepted and this one not yet.
     ///
     /// An instance that was frozen after its lookup comes back with an answer that is no longer
     /// true; one would notice a second run.
-    fn heed(&mut self, turn: &mut Turn<'_>, mut entry: Entry, found: KeyStatus) {
+    fn yield_to_accepted_owner(
+        &mut self,
+        ctx: &mut StepContext<'_>,
+        mut entry: OwnedRequest,
+        found: KeyStatus,
+    ) {
         let early = matches!(entry.phase, Phase::Admit | Phase::Journal { .. });
         let KeyStatus::Held { owner, epoch, digest } = found else {
             self.put(entry);
             return;
         };
-        if entry.accepted() || !early || owner == self.setup.instance {
+        if entry.is_accepted() || !early || owner == self.setup.instance {
             self.put(entry);
             return;
         }
@@ -183,130 +194,136 @@
             self.put(entry);
             return;
         }
-        self.withdraw(turn, entry, &owner, digest);
+        self.withdraw(ctx, entry, &owner, digest);
     }
 
     /// Gives up a request that this instance had entered for another owner's.
-    fn withdraw(&mut self, turn: &mut Turn<'_>, entry: Entry, owner: &Instance, digest: u128) {
-        self.forget_elsewhere(turn, &entry);
+    fn withdraw(
+        &mut self,
+        ctx: &mut StepContext<'_>,
+        entry: OwnedRequest,
+        owner: &Instance,
+        digest: u128,
+    ) {
+        self.send_drops(ctx, &entry);
         if entry.epoch > 0 {
-            self.done(turn, &entry, Outcome::Moved { owner: owner.clone() });
+            self.report_done(ctx, &entry, Outcome::Moved { owner: owner.clone() });
         }
         self.timers.set(Timer::Owned(entry.request()), None);
-        self.join(turn, entry, owner, digest);
+        self.join_owner(ctx, entry, owner, digest);
     }
 
     /// Asks again, or gives up, when a lookup's time has come.
-    pub(crate) fn tick_lookup(&mut self, turn: &mut Turn<'_>, mut entry: Entry) {
+    pub(crate) fn tick_lookup(&mut self, ctx: &mut StepContext<'_>, mut entry: OwnedRequest) {
         let Phase::Lookup(lookup) = &mut entry.phase else {
             self.put(entry);
             return;
         };
-        if turn.now >= lookup.until {
-            self.finish(turn, entry, Outcome::Unknown(Unknown::Unreachable));
+        if ctx.now >= lookup.until {
+            self.finish(ctx, entry, Outcome::Unknown(Unknown::Unreachable));
             return;
         }
-        for asked in lookup.asked.values_mut() {
-            if matches!(asked.found, Some(KeyStatus::Between { .. } | KeyStatus::Held { .. })) {
-                asked.found = None;
+        for query in lookup.queries.values_mut() {
+            if matches!(query.found, Some(KeyStatus::Between { .. } | KeyStatus::Held { .. })) {
+                query.found = None;
             }
         }
-        self.ask(turn, &mut entry);
-        self.conclude(turn, entry);
+        self.query_homes(ctx, &mut entry);
+        self.try_decide(ctx, entry);
     }
 
     /// Decides a lookup as soon as the answers allow.
-    fn conclude(&mut self, turn: &mut Turn<'_>, mut entry: Entry) {
+    fn try_decide(&mut self, ctx: &mut StepContext<'_>, mut entry: OwnedRequest) {
         let Phase::Lookup(lookup) = &entry.phase else {
             self.put(entry);
             return;
         };
         if let Some((owner, digest)) = self.accepted_owner(lookup) {
-            self.withdraw(turn, entry, &owner, digest);
+            self.withdraw(ctx, entry, &owner, digest);
             return;
         }
-        let waits = lookup.found().any(|found| match found {
+        let must_wait = lookup.answers().any(|found| match found {
             KeyStatus::Between { .. } => true,
             KeyStatus::Held { owner, epoch, .. } => *epoch > 0 && !self.view.alive(owner),
             KeyStatus::Free | KeyStatus::Doubtful | KeyStatus::Full => false,
         });
-        let answered = lookup.answered(&self.setup.instance);
-        let tired = lookup.tries > self.setup.timing.tries && answered;
-        if waits || (lookup.missing() && !tired) || !answered {
+        let answered = lookup.has_answer_beyond(&self.setup.instance);
+        let exhausted = lookup.tries > self.setup.timing.tries && answered;
+        if must_wait || (lookup.is_answer_missing() && !exhausted) || !answered {
             self.put(entry);
             return;
         }
-        if self.refresh(turn, &mut entry) {
+        if self.requery_stale_homes(ctx, &mut entry) {
             self.put(entry);
             return;
         }
-        self.decide(turn, entry);
+        self.decide(ctx, entry);
     }
 
     /// Asks those homes again whose answers are too old to go by; returns whether there were any.
-    fn refresh(&mut self, turn: &mut Turn<'_>, entry: &mut Entry) -> bool {
+    fn requery_stale_homes(&mut self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) -> bool {
         let fresh = self.setup.timing.fresh;
         let Phase::Lookup(lookup) = &mut entry.phase else {
             return false;
         };
-        let mut old = false;
-        for (home, asked) in &mut lookup.asked {
-            let stale = turn.now.saturating_sub(asked.at) > fresh && asked.found.is_some();
+        let mut found_stale = false;
+        for (home, query) in &mut lookup.queries {
+            let stale = ctx.now.saturating_sub(query.at) > fresh && query.found.is_some();
             if stale && *home != self.setup.instance {
-                asked.found = None;
-                old = true;
+                query.found = None;
+                found_stale = true;
             }
         }
-        if old {
-            self.ask(turn, entry);
+        if found_stale {
+            self.query_homes(ctx, entry);
         }
-        old
+        found_stale
     }
 
     /// Lets a request in, passes it on or refuses it, by the answers of its homes.
-    fn decide(&mut self, turn: &mut Turn<'_>, mut entry: Entry) {
+    fn decide(&mut self, ctx: &mut StepContext<'_>, mut entry: OwnedRequest) {
         let Phase::Lookup(lookup) = &entry.phase else {
             self.put(entry);
             return;
         };
         if let Some((owner, digest)) = self.reserved_owner(&entry, lookup) {
-            self.withdraw(turn, entry, &owner, digest);
+            self.withdraw(ctx, entry, &owner, digest);
             return;
         }
-        let complete = self.is_complete(turn.now, &entry, lookup);
+        let complete = self.is_complete(ctx.now, &entry, lookup);
         let refusal = lookup.refusal.clone();
         let knows =
-            |asked: &Asked| matches!(asked.found, Some(KeyStatus::Free | KeyStatus::Doubtful));
-        let informed = lookup.asked.iter().filter(|(_, asked)| knows(asked));
-        entry.informed = informed.map(|(home, _)| home.clone()).collect();
-        entry.looked = turn.now;
+            |query: &HomeQuery| matches!(query.found, Some(KeyStatus::Free | KeyStatus::Doubtful));
+        let informed = lookup.queries.iter().filter(|(_, query)| knows(query));
+        entry.informed_homes = informed.map(|(home, _)| home.clone()).collect();
+        entry.looked_up_at = ctx.now;
         match refusal {
             None => {
                 entry.complete = complete;
-                self.own(turn, entry);
+                self.take_ownership(ctx, entry);
             }
             Some(refusal) => {
                 entry.complete &= complete;
-                self.refuse(turn, entry, refusal);
+                self.refuse(ctx, entry, refusal);
             }
         }
     }
 
     /// Returns whether the answers show that nobody else can have run the request.
-    fn is_complete(&self, now: Duration, entry: &Entry, lookup: &Lookup) -> bool {
-        let doubt = lookup.doubt
-            || lookup.found().any(|found| match found {
+    fn is_complete(&self, now: Duration, entry: &OwnedRequest, lookup: &Lookup) -> bool {
+        let doubtful = lookup.accepted_elsewhere
+            || lookup.answers().any(|found| match found {
                 KeyStatus::Doubtful => true,
                 KeyStatus::Held { owner, .. } => *owner != self.setup.instance,
                 KeyStatus::Free | KeyStatus::Between { .. } | KeyStatus::Full => false,
             });
         let since = now.saturating_sub(self.setup.timing.retention);
-        let misses = self.view.misses(entry.request(), since);
-        !lookup.missing() && !doubt && !misses
+        let misses = self.view.is_home_missing(entry.request(), since);
+        !lookup.is_answer_missing() && !doubtful && !misses
     }
 
     fn accepted_owner(&self, lookup: &Lookup) -> Option<(Instance, u128)> {
-        let held = lookup.found().filter_map(|found| match found {
+        let held = lookup.answers().filter_map(|found| match found {
             KeyStatus::Held { owner, epoch, digest } if *epoch > 0 => {
                 Some((*epoch, owner, *digest))
             }
@@ -319,13 +336,13 @@
     }
 
     /// Returns who has reserved the key, by the word of the first home that has answered.
-    fn reserved_owner(&self, entry: &Entry, lookup: &Lookup) -> Option<(Instance, u128)> {
-        if entry.losses >= LOSSES || lookup.refusal.is_some() {
+    fn reserved_owner(&self, entry: &OwnedRequest, lookup: &Lookup) -> Option<(Instance, u128)> {
+        if entry.relay_losses >= MAX_RELAY_LOSSES || lookup.refusal.is_some() {
             return None;
         }
         let homes = self.view.homes(entry.request());
-        let mut answers = homes.iter().filter_map(|home| lookup.asked.get(home));
-        match answers.find_map(|asked| asked.found.as_ref())? {
+        let mut answers = homes.iter().filter_map(|home| lookup.queries.get(home));
+        match answers.find_map(|query| query.found.as_ref())? {
             KeyStatus::Held { owner, epoch: 0, digest } if *owner != self.setup.instance => {
                 self.view.alive(owner).then(|| (owner.clone(), *digest))
             }
--- a/crates/verbenaslip-request/src/membership.rs
+++ b/crates/verbenaslip-request/src/membership.rs
@@ -8,17 +8,17 @@
 use verbenaslip_base::name::{AvailabilityZone, Instance};
 
 /// How many homes are asked whether they know a key, each in another availability zone.
-pub(crate) const HOMES: usize = 2;
+pub(crate) const HOME_COUNT: usize = 2;
 
 /// Knows the instances and which of them seem alive.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct View {
-    members: BTreeMap<Instance, Seen>,
+pub(crate) struct Membership {
+    members: BTreeMap<Instance, MemberState>,
 }
 
 /// Holds what is known of one instance.
 #[derive(Clone, Debug)]
-pub(crate) struct Seen {
+pub(crate) struct MemberState {
     /// Its availability zone.
     pub(crate) zone: AvailabilityZone,
     /// Its start, zero when not known.
@@ -28,13 +28,13 @@
     /// Whether it has stopped to answer and may still turn out to be alive.
     pub(crate) suspected: bool,
     /// When it was lost, if it was.
-    pub(crate) lost: Option<Duration>,
+    pub(crate) lost_at: Option<Duration>,
 }
 
-impl Seen {
+impl MemberState {
     /// Describes an instance that is there.
     pub(crate) fn alive(zone: AvailabilityZone, boot: u64) -> Self {
-        Self { zone, boot, alive: true, suspected: false, lost: None }
+        Self { zone, boot, alive: true, suspected: false, lost_at: None }
     }
 
     /// Returns whether it seems alive and answers.
@@ -43,72 +43,73 @@
     }
 }
 
-impl View {
+impl Membership {
     /// Notes an instance.
-    pub(crate) fn insert(&mut self, instance: Instance, seen: Seen) {
-        self.members.insert(instance, seen);
+    pub(crate) fn insert(&mut self, instance: Instance, member: MemberState) {
+        self.members.insert(instance, member);
     }
 
     /// Notes that an instance seems dead; returns whether it seemed alive before.
-    pub(crate) fn lose(&mut self, instance: &Instance, now: Duration) -> bool {
-        let Some(seen) = self.members.get_mut(instance) else {
+    pub(crate) fn mark_lost(&mut self, instance: &Instance, now: Duration) -> bool {
+        let Some(member) = self.members.get_mut(instance) else {
             return false;
         };
-        seen.lost.get_or_insert(now);
-        std::mem::replace(&mut seen.alive, false)
+        member.lost_at.get_or_insert(now);
+        std::mem::replace(&mut member.alive, false)
     }
 
     /// Notes that an instance does not answer, or does again.
-    pub(crate) fn suspect(&mut self, instance: &Instance, suspected: bool) {
-        if let Some(seen) = self.members.get_mut(instance) {
-            seen.suspected = suspected;
+    pub(crate) fn set_suspected(&mut self, instance: &Instance, suspected: bool) {
+        if let Some(member) = self.members.get_mut(instance) {
+            member.suspected = suspected;
         }
     }
 
     /// Removes an instance that has stopped for good; returns whether it seemed alive before.
     pub(crate) fn remove(&mut self, instance: &Instance) -> bool {
-        self.members.remove(instance).is_some_and(|seen| seen.alive)
+        self.members.remove(instance).is_some_and(|member| member.alive)
     }
 
     /// Returns what is known of an instance.
-    pub(crate) fn get(&self, instance: &Instance) -> Option<&Seen> {
+    pub(crate) fn get(&self, instance: &Instance) -> Option<&MemberState> {
         self.members.get(instance)
     }
 
     /// Returns whether an instance seems alive.
     pub(crate) fn alive(&self, instance: &Instance) -> bool {
-        self.get(instance).is_some_and(|seen| seen.alive)
+        self.get(instance).is_some_and(|member| member.alive)
     }
 
     /// Returns whether an instance seems alive and answers.
     pub(crate) fn answers(&self, instance: &Instance) -> bool {
-        self.get(instance).is_some_and(Seen::answers)
+        self.get(instance).is_some_and(MemberState::answers)
     }
 
     /// Returns the homes of a request: the best instance of each of the best availability zones.
     pub(crate) fn homes(&self, request: Request) -> Vec<Instance> {
-        self.best(request, Seen::answers).into_iter().take(HOMES).collect()
+        self.best_per_zone(request, MemberState::answers).into_iter().take(HOME_COUNT).collect()
     }
 
     /// Returns whether an instance that was lost since `after` would be a home if it were there.
     ///
     /// It may be cut off rather than dead, and hold what the others know nothing of.
-    pub(crate) fn misses(&self, request: Request, after: Duration) -> bool {
-        let recent = |seen: &Seen| seen.alive || seen.lost.is_some_and(|lost| lost >= after);
-        let homes = self.best(request, recent);
-        homes.iter().take(HOMES).any(|home| !self.answers(home))
+    pub(crate) fn is_home_missing(&self, request: Request, after: Duration) -> bool {
+        let recent =
+            |member: &MemberState| member.alive || member.lost_at.is_some_and(|lost| lost >= after);
+        let homes = self.best_per_zone(request, recent);
+        homes.iter().take(HOME_COUNT).any(|home| !self.answers(home))
     }
 
     /// Returns where a request can be held besides `own`, best first: other availability zones
     /// first, the homes before all.
     pub(crate) fn holders(&self, request: Request, own: &Instance) -> Vec<Instance> {
-        let zone = self.get(own).map(|seen| &seen.zone);
-        let homes = self.best(request, Seen::answers);
-        let rest = self.ranked(request, Seen::answers);
+        let zone = self.get(own).map(|member| &member.zone);
+        let homes = self.best_per_zone(request, MemberState::answers);
+        let rest = self.ranked(request, MemberState::answers);
         let all = homes.into_iter().chain(rest).filter(|instance| instance != own);
         let (mut far, mut near, mut known) = (Vec::new(), Vec::new(), BTreeSet::new());
         for instance in all.filter(|instance| known.insert(instance.clone())) {
-            match self.get(&instance).map(|seen| &seen.zone) == zone {
+            match self.get(&instance).map(|member| &member.zone) == zone {
                 true => near.push(instance),
                 false => far.push(instance),
             }
@@ -118,21 +119,25 @@
     }
 
     /// Returns whether two instances are in different availability zones.
-    pub(crate) fn apart(&self, one: &Instance, other: &Instance) -> bool {
-        self.get(one).map(|seen| &seen.zone) != self.get(other).map(|seen| &seen.zone)
+    pub(crate) fn in_different_zones(&self, one: &Instance, other: &Instance) -> bool {
+        self.get(one).map(|member| &member.zone) != self.get(other).map(|member| &member.zone)
     }
 
-    fn best(&self, request: Request, counts: impl Fn(&Seen) -> bool) -> Vec<Instance> {
+    fn best_per_zone(
+        &self,
+        request: Request,
+        counts: impl Fn(&MemberState) -> bool,
+    ) -> Vec<Instance> {
         let mut zones = BTreeSet::new();
         let mut best = self.ranked(request, counts);
         best.retain(|instance| {
-            self.get(instance).is_some_and(|seen| zones.insert(seen.zone.clone()))
+            self.get(instance).is_some_and(|member| zones.insert(member.zone.clone()))
         });
         best
     }
 
-    fn ranked(&self, request: Request, counts: impl Fn(&Seen) -> bool) -> Vec<Instance> {
-        let counted = self.members.iter().filter(|(_, seen)| counts(seen));
+    fn ranked(&self, request: Request, counts: impl Fn(&MemberState) -> bool) -> Vec<Instance> {
+        let counted = self.members.iter().filter(|(_, member)| counts(member));
         let mut ranked: Vec<_> =
             counted.map(|(instance, _)| (score(request, instance), instance)).collect();
         ranked.sort_unstable_by(|one, other| other.cmp(one));
--- a/crates/verbenaslip-request/src/relocate.rs
+++ b/crates/verbenaslip-request/src/relocate.rs
@@ -9,20 +9,20 @@
 use crate::input::Placement;
 use crate::message::ActiveRun;
 use crate::output::{Outcome, Output};
-use crate::owned::{Begun, Entry, Flight, Moving};
-use crate::requests::{Requests, Turn};
+use crate::owned::{Moving, OwnedRequest, RunOrigin, RunState};
+use crate::requests::{Requests, StepContext};
 use crate::run::{Start, Step};
-use crate::start::live_at;
+use crate::start::run_at;
 
 impl Requests {
     /// Takes notice that an upstream leaves.
-    pub(crate) fn leaving(
+    pub(crate) fn handle_leaving(
         &mut self,
-        turn: &mut Turn<'_>,
+        ctx: &mut StepContext<'_>,
         upstream: &Upstream,
         notice: Option<Duration>,
     ) {
-        let until = notice.map(|notice| turn.now.saturating_add(notice));
+        let until = notice.map(|notice| ctx.now.saturating_add(notice));
         let known = self.leaving.get(upstream).copied().flatten();
         // A repeated notice may come late, with less precision; only the earliest end is safe.
         let until = match (known, until) {
@@ -34,66 +34,71 @@
             let Some(mut entry) = self.take(request) else {
                 continue;
             };
-            if let Some(flight) = &mut entry.flight
-                && matches!(flight.moving, Moving::Watched { .. })
+            if let Some(run_state) = &mut entry.run_state
+                && matches!(run_state.moving, Moving::Watched { .. })
             {
-                flight.moving = Moving::Still;
+                run_state.moving = Moving::Idle;
             }
-            self.consider(turn, &mut entry);
+            self.plan_move(ctx, &mut entry);
             self.put(entry);
         }
     }
 
     /// Decides whether a run must be moved, and asks for a place if so.
-    pub(crate) fn consider(&self, turn: &mut Turn<'_>, entry: &mut Entry) {
-        let Some(flight) = &entry.flight else {
+    pub(crate) fn plan_move(&self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) {
+        let Some(run_state) = &entry.run_state else {
             return;
         };
-        let Some(Some(until)) = self.leaving.get(&flight.live.upstream) else {
+        let Some(Some(until)) = self.leaving.get(&run_state.live.upstream) else {
             return;
         };
-        if !matches!(flight.moving, Moving::Still) {
+        if !matches!(run_state.moving, Moving::Idle) {
             return;
         }
         let last = until.saturating_sub(self.setup.timing.margin);
-        let ends = turn.now.saturating_add(self.remaining(turn.now, entry, flight));
+        let ends = ctx.now.saturating_add(self.remaining_run_time(ctx.now, entry, run_state));
         let moving = match ends < last {
             true => Moving::Watched { at: last },
-            false if can_move(entry, flight) => Moving::Asked,
-            false => Moving::Bound,
+            false if can_move(entry, run_state) => Moving::Requested,
+            false => Moving::Pinned,
         };
-        let asked = matches!(moving, Moving::Asked);
-        if let Some(flight) = &mut entry.flight {
-            flight.moving = moving;
+        let asked = matches!(moving, Moving::Requested);
+        if let Some(run_state) = &mut entry.run_state {
+            run_state.moving = moving;
         }
         if asked {
             let from = entry.upstream().cloned();
-            self.want(turn, entry, from);
+            self.send_placement_request(ctx, entry, from);
         }
     }
 
     /// Looks again at a run whose upstream leaves.
-    pub(crate) fn tick_moving(&self, turn: &mut Turn<'_>, entry: &mut Entry) {
-        let Some(flight) = &mut entry.flight else {
+    pub(crate) fn tick_moving(&self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) {
+        let Some(run_state) = &mut entry.run_state else {
             return;
         };
-        let due = match flight.moving {
-            Moving::Watched { at } | Moving::Paused { at } => turn.now >= at,
-            Moving::Still | Moving::Asked | Moving::Bound => false,
+        let due = match run_state.moving {
+            Moving::Watched { at } | Moving::Paused { at } => ctx.now >= at,
+            Moving::Idle | Moving::Requested | Moving::Pinned => false,
         };
         if due {
-            flight.moving = Moving::Still;
-            self.consider(turn, entry);
+            run_state.moving = Moving::Idle;
+            self.plan_move(ctx, entry);
         }
     }
 
     /// Estimates how long a run still takes.
-    fn remaining(&self, now: Duration, entry: &Entry, flight: &Flight) -> Duration {
-        if flight.live.kind == Kind::Service {
+    fn remaining_run_time(
+        &self,
+        now: Duration,
+        entry: &OwnedRequest,
+        run_state: &RunState,
+    ) -> Duration {
+        if run_state.live.kind == Kind::Service {
             return Duration::ZERO;
         }
         let left = entry.head.output.saturating_sub(entry.position);
-        let pace = flight.first.and_then(|(at, position)| {
+        let pace = run_state.first_tokens.and_then(|(at, position)| {
             let tokens = entry.position.checked_sub(position).filter(|tokens| *tokens > 0)?;
             Some(now.saturating_sub(at) / tokens)
         });
@@ -101,38 +106,43 @@
     }
 
     /// Moves a run to the place that the router has found.
-    pub(crate) fn relocate(&mut self, turn: &mut Turn<'_>, mut entry: Entry, place: Placement) {
-        let Some(flight) = &mut entry.flight else {
+    pub(crate) fn move_run(
+        &mut self,
+        ctx: &mut StepContext<'_>,
+        mut entry: OwnedRequest,
+        place: Placement,
+    ) {
+        let Some(run_state) = &mut entry.run_state else {
             self.put(entry);
             return;
         };
-        if self.leaving.contains_key(&place.upstream) || place.upstream == flight.live.upstream {
-            let at = turn.now.saturating_add(self.setup.timing.resend);
-            flight.moving = Moving::Paused { at };
+        if self.leaving.contains_key(&place.upstream) || place.upstream == run_state.live.upstream {
+            let at = ctx.now.saturating_add(self.setup.timing.resend);
+            run_state.moving = Moving::Paused { at };
             self.put(entry);
             return;
         }
-        let from = flight.live.clone();
-        if self.import_pays(turn.now, &entry, &from, &place) {
-            self.import(turn, entry, from, place);
+        let from = run_state.live.clone();
+        if self.should_import(ctx.now, &entry, &from, &place) {
+            self.import(ctx, entry, from, place);
         } else if entry.head.idempotent {
-            turn.out.push(Output::Cancel(from));
+            ctx.out.push(Output::Cancel(from));
             entry.ran = true;
-            entry.flight = None;
-            self.begin(turn, entry, &place);
+            entry.run_state = None;
+            self.begin_run(ctx, entry, &place);
         } else {
-            if let Some(flight) = &mut entry.flight {
-                flight.moving = Moving::Bound;
+            if let Some(run_state) = &mut entry.run_state {
+                run_state.moving = Moving::Pinned;
             }
             self.put(entry);
         }
     }
 
     /// Returns whether a KV cache can be moved in time and for less than computing it again.
-    fn import_pays(
+    fn should_import(
         &self,
         now: Duration,
-        entry: &Entry,
+        entry: &OwnedRequest,
         from: &ActiveRun,
         place: &Placement,
     ) -> bool {
@@ -155,53 +165,59 @@
         fits && (transfer <= compute || !entry.head.idempotent)
     }
 
-    fn import(&mut self, turn: &mut Turn<'_>, mut entry: Entry, from: ActiveRun, place: Placement) {
+    fn import(
+        &mut self,
+        ctx: &mut StepContext<'_>,
+        mut entry: OwnedRequest,
+        from: ActiveRun,
+        place: Placement,
+    ) {
         let Some(attempt) = entry.next_attempt() else {
             self.put(entry);
             return;
         };
         entry.ran = true;
         let start = Start::Import { from: from.attempt, source: from.address };
-        let live = live_at(attempt, &place);
-        self.launch(turn, &mut entry, live, start, Begun::Imported { from, place });
+        let live = run_at(attempt, &place);
+        self.launch_run(ctx, &mut entry, live, start, RunOrigin::Imported { from, place });
         self.put(entry);
     }
 
     /// Goes on after a KV cache could not be moved.
     pub(crate) fn import_failed(
         &mut self,
-        turn: &mut Turn<'_>,
-        mut entry: Entry,
+        ctx: &mut StepContext<'_>,
+        mut entry: OwnedRequest,
         step: Step,
         from: ActiveRun,
         place: &Placement,
     ) {
         if entry.head.idempotent {
-            turn.out.push(Output::Cancel(from));
+            ctx.out.push(Output::Cancel(from));
             match step {
                 // The old upstream failed; nothing speaks against the new one.
-                Step::Export => self.begin(turn, entry, place),
+                Step::Export => self.begin_run(ctx, entry, place),
                 _ => {
-                    entry.without.insert(place.upstream.clone());
-                    self.place(turn, entry);
+                    entry.excluded.insert(place.upstream.clone());
+                    self.request_placement(ctx, entry);
                 }
             }
             return;
         }
         if step == Step::Export {
             // The stream may not have stopped at the old upstream, and is the one run there is.
-            self.launch(turn, &mut entry, from, Start::Rejoin, Begun::Rejoined);
-            if let Some(flight) = &mut entry.flight {
-                flight.moving = Moving::Bound;
+            self.launch_run(ctx, &mut entry, from, Start::Rejoin, RunOrigin::Rejoined);
+            if let Some(run_state) = &mut entry.run_state {
+                run_state.moving = Moving::Pinned;
             }
             self.put(entry);
             return;
         }
-        self.finish(turn, entry, Outcome::Unknown(Unknown::UpstreamLost));
+        self.finish(ctx, entry, Outcome::Unknown(Unknown::UpstreamLost));
     }
 }
 
 /// Returns whether a run can be moved at all: a non-idempotent one only with its KV cache.
-fn can_move(entry: &Entry, flight: &Flight) -> bool {
-    entry.head.idempotent || flight.live.kind == Kind::Engine
+fn can_move(entry: &OwnedRequest, run_state: &RunState) -> bool {
+    entry.head.idempotent || run_state.live.kind == Kind::Engine
 }
--- a/crates/verbenaslip-request/src/requests.rs
+++ b/crates/verbenaslip-request/src/requests.rs
@@ -8,15 +8,15 @@
 use verbenaslip_base::hash;
 use verbenaslip_base::name::{Instance, Upstream};
 
-use crate::arrival::Relay;
+use crate::arrival::RelayedCaller;
 use crate::caller::{Body, Ticket, Verdict};
-use crate::copies::{Held, Reservation};
+use crate::copies::{HeldCopy, Reservation};
 use crate::finish::Retention;
 use crate::input::{Input, Member};
-use crate::membership::{Seen, View};
+use crate::membership::{MemberState, Membership};
 use crate::message::Message;
 use crate::output::Output;
-use crate::owned::Entry;
+use crate::owned::OwnedRequest;
 use crate::run::Event;
 use crate::setup::Setup;
 use crate::timer::{Timer, Timers};
@@ -25,38 +25,38 @@
 #[derive(Clone, Debug)]
 pub struct Requests {
     pub(crate) setup: Setup,
-    pub(crate) view: View,
-    pub(crate) entries: BTreeMap<Request, Entry>,
-    pub(crate) copies: BTreeMap<Request, Held>,
+    pub(crate) view: Membership,
+    pub(crate) entries: BTreeMap<Request, OwnedRequest>,
+    pub(crate) copies: BTreeMap<Request, HeldCopy>,
     pub(crate) reservations: BTreeMap<Request, Reservation>,
     pub(crate) tickets: BTreeMap<Ticket, Request>,
-    pub(crate) relays: BTreeMap<Ticket, Relay>,
+    pub(crate) relays: BTreeMap<Ticket, RelayedCaller>,
     pub(crate) leaving: BTreeMap<Upstream, Option<Duration>>,
     pub(crate) timers: Timers,
     pub(crate) retention: Retention,
     pub(crate) bytes: usize,
-    pub(crate) opened: u64,
+    pub(crate) salts_issued: u64,
     pub(crate) stopping: Option<Duration>,
     pub(crate) drained: bool,
-    pub(crate) awake: Duration,
+    pub(crate) resumed_at: Duration,
 }
 
 /// Carries what one step needs everywhere.
-pub(crate) struct Turn<'a> {
+pub(crate) struct StepContext<'a> {
     /// The time of the step.
     pub(crate) now: Duration,
     /// What the step wants done.
     pub(crate) out: &'a mut Vec<Output>,
 }
 
-impl Turn<'_> {
+impl StepContext<'_> {
     /// Says something to another instance.
     pub(crate) fn send(&mut self, to: &Instance, message: Message) {
         self.out.push(Output::Send { to: to.clone(), message });
     }
 
     /// Tells a caller what it gets.
-    pub(crate) fn tell(&mut self, ticket: Ticket, verdict: Verdict) {
+    pub(crate) fn send_verdict(&mut self, ticket: Ticket, verdict: Verdict) {
         self.out.push(Output::Verdict { ticket, verdict });
     }
 }
@@ -81,8 +81,8 @@
 impl Requests {
     /// Opens an instance that holds nothing and knows only itself.
     pub fn open(setup: Setup) -> Self {
-        let mut view = View::default();
-        let own = Seen::alive(setup.zone.clone(), setup.boot);
+        let mut view = Membership::default();
+        let own = MemberState::alive(setup.zone.clone(), setup.boot);
         view.insert(setup.instance.clone(), own);
         Self {
             setup,
@@ -96,32 +96,32 @@
             timers: Timers::default(),
             retention: Retention::default(),
             bytes: 0,
-            opened: 0,
+            salts_issued: 0,
             stopping: None,
             drained: false,
-            awake: Duration::ZERO,
+            resumed_at: Duration::ZERO,
         }
     }
 
     /// Takes one input at a monotonic time and adds what is to be done to `out`.
     pub fn step(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
-        let turn = &mut Turn { now, out };
-        self.notice_freeze(now);
-        self.expire(turn);
-        self.take_input(turn, input);
-        self.sweep(turn);
-        self.check_drained(turn);
+        let ctx = &mut StepContext { now, out };
+        self.detect_pause(now);
+        self.run_due_timers(ctx);
+        self.handle_input(ctx, input);
+        self.enforce_retention_limits(ctx);
+        self.check_drained(ctx);
     }
 
     /// Returns when `step` must be called at the latest.
     pub fn next_wakeup(&self) -> Option<Duration> {
-        self.timers.next()
+        self.timers.next_due()
     }
 
     /// Counts what is held.
     pub fn counts(&self) -> Counts {
-        let owned = self.entries.values().filter(|entry| !entry.finished()).count();
-        let copies = self.copies.values().filter(|copy| !copy.finished()).count();
+        let owned = self.entries.values().filter(|entry| !entry.is_finished()).count();
+        let copies = self.copies.values().filter(|copy| !copy.is_finished()).count();
         Counts {
             owned,
             copies,
@@ -138,131 +138,131 @@
     }
 
     /// Notices by a timer that is long overdue that this instance was frozen until now.
-    fn notice_freeze(&mut self, now: Duration) {
-        let due = self.timers.next().unwrap_or(now);
+    fn detect_pause(&mut self, now: Duration) {
+        let due = self.timers.next_due().unwrap_or(now);
         if now.saturating_sub(due) > self.setup.timing.fresh {
-            self.awake = now;
+            self.resumed_at = now;
         }
     }
 
-    fn take_input(&mut self, turn: &mut Turn<'_>, input: Input) {
+    fn handle_input(&mut self, ctx: &mut StepContext<'_>, input: Input) {
         match input {
             Input::Tick => {}
-            Input::Joined(member) => self.joined(turn, member),
-            Input::Suspected(instance) => self.suspected(turn, &instance),
-            Input::Cleared(instance) => self.view.suspect(&instance, false),
-            Input::Lost(instance) => self.lost(turn, &instance),
-            Input::Left(instance) => self.left(turn, &instance),
-            Input::Arrived(arrival) => self.arrive(turn, arrival),
+            Input::Joined(member) => self.handle_joined(ctx, member),
+            Input::Suspected(instance) => self.handle_suspected(ctx, &instance),
+            Input::Cleared(instance) => self.view.set_suspected(&instance, false),
+            Input::Lost(instance) => self.handle_lost(ctx, &instance),
+            Input::Left(instance) => self.handle_left(ctx, &instance),
+            Input::Arrived(arrival) => self.handle_arrival(ctx, arrival),
             Input::Subscribed { ticket, request, after } => {
-                self.subscribe(turn, ticket, request, after);
+                self.handle_subscribed(ctx, ticket, request, after);
             }
-            Input::Gone(ticket) => self.gone(turn, ticket),
-            Input::RelayLost { ticket, after } => self.relay_lost(turn, ticket, after),
-            Input::Admitted(request) => self.admitted(turn, request),
-            Input::Declined { request, refusal } => self.declined(turn, request, refusal),
+            Input::Gone(ticket) => self.handle_gone(ctx, ticket),
+            Input::RelayLost { ticket, after } => self.handle_relay_lost(ctx, ticket, after),
+            Input::Admitted(request) => self.handle_admitted(ctx, request),
+            Input::Declined { request, refusal } => self.handle_declined(ctx, request, refusal),
             Input::Claimed { request, claimant, ruling } => {
-                self.claimed(turn, request, claimant, ruling);
+                self.handle_claim_result(ctx, request, claimant, ruling);
             }
-            Input::Placed { request, place } => self.placed(turn, request, place),
+            Input::Placed { request, place } => self.handle_placed(ctx, request, place),
             Input::NoPlace { request, wait, refusal } => {
-                self.no_place(turn, request, wait, refusal);
+                self.handle_no_place(ctx, request, wait, refusal);
             }
-            Input::Retry { request, granted } => self.budgeted(turn, request, granted),
+            Input::Retry { request, granted } => self.handle_retry_decision(ctx, request, granted),
             Input::Ran { attempt, event } => match event {
-                Event::Sent => self.sent(turn, attempt),
-                Event::Tokens { position } => self.progressed(turn, attempt, position),
-                Event::Ended { position } => self.ended(turn, attempt, position),
-                Event::Failed(failure) => self.failed(turn, attempt, &failure),
+                Event::Sent => self.handle_sent(ctx, attempt),
+                Event::Tokens { position } => self.handle_tokens(ctx, attempt, position),
+                Event::Ended { position } => self.handle_ended(ctx, attempt, position),
+                Event::Failed(failure) => self.handle_failed(ctx, attempt, &failure),
             },
-            Input::Mirrored { request, position } => self.mirrored(turn, request, position),
-            Input::MirrorEnded(request) => self.mirror_ended(turn, request),
-            Input::Leaving { upstream, notice } => self.leaving(turn, &upstream, notice),
-            Input::Lapsed(upstream) => self.lapsed(turn, &upstream),
+            Input::Mirrored { request, position } => self.handle_mirrored(ctx, request, position),
+            Input::MirrorEnded(request) => self.handle_mirror_ended(ctx, request),
+            Input::Leaving { upstream, notice } => self.handle_leaving(ctx, &upstream, notice),
+            Input::Lapsed(upstream) => self.handle_lapsed(ctx, &upstream),
             Input::Ready(upstream) => {
                 self.leaving.remove(&upstream);
             }
-            Input::Heard { from, message } => self.heard(turn, &from, message),
-            Input::Stop { remaining } => self.stop(turn, remaining),
+            Input::Heard { from, message } => self.handle_message(ctx, &from, message),
+            Input::Stop { remaining } => self.handle_stop(ctx, remaining),
         }
     }
 
-    fn heard(&mut self, turn: &mut Turn<'_>, from: &Instance, message: Message) {
+    fn handle_message(&mut self, ctx: &mut StepContext<'_>, from: &Instance, message: Message) {
         if *from == self.setup.instance {
             return;
         }
         match message {
-            Message::Reserve(reserve) => self.reserve(turn, from, &reserve),
-            Message::Reserved { request, found } => self.reserved(turn, from, request, found),
-            Message::Put(copy) => self.keep(turn, from, *copy),
-            Message::Note(note) => self.noted(turn, from, note),
-            Message::Kept(kept) => self.kept(turn, from, kept),
-            Message::Full { request, epoch } => self.full(turn, from, request, epoch),
-            Message::Taken(taken) => self.taken(turn, from, &taken),
-            Message::Yielded { request, epoch } => self.yielded(from, request, epoch),
-            Message::HandOver(note) => self.handed(turn, from, note),
+            Message::Reserve(reserve) => self.handle_reserve(ctx, from, &reserve),
+            Message::Reserved { request, found } => self.handle_reserved(ctx, from, request, found),
+            Message::Put(copy) => self.handle_put(ctx, from, *copy),
+            Message::Note(note) => self.handle_progress(ctx, from, note),
+            Message::Kept(kept) => self.handle_ack(ctx, from, kept),
+            Message::Full { request, epoch } => self.handle_full(ctx, from, request, epoch),
+            Message::Taken(taken) => self.handle_takeover(ctx, from, &taken),
+            Message::Yielded { request, epoch } => self.handle_yielded(from, request, epoch),
+            Message::HandOver(note) => self.handle_hand_over(ctx, from, note),
             Message::Drop { request, epoch, key } => {
-                self.dropped(turn, from, request, epoch, key);
+                self.handle_drop(ctx, from, request, epoch, key);
             }
         }
     }
 
-    fn joined(&mut self, turn: &mut Turn<'_>, member: Member) {
+    fn handle_joined(&mut self, ctx: &mut StepContext<'_>, member: Member) {
         let Member { instance, zone, boot } = member;
         if instance == self.setup.instance {
             return;
         }
-        let known = self.view.get(&instance).map_or(0, |seen| seen.boot);
+        let known = self.view.get(&instance).map_or(0, |member| member.boot);
         if known != 0 && boot != 0 && known != boot {
-            self.left(turn, &instance);
+            self.handle_left(ctx, &instance);
         }
         let boot = if boot == 0 { known } else { boot };
-        self.view.insert(instance.clone(), Seen::alive(zone, boot));
-        self.returned(turn, &instance);
-        self.rehome(turn);
+        self.view.insert(instance.clone(), MemberState::alive(zone, boot));
+        self.handle_returned(ctx, &instance);
+        self.update_homes(ctx);
     }
 
-    fn expire(&mut self, turn: &mut Turn<'_>) {
-        for timer in self.timers.due(turn.now) {
+    fn run_due_timers(&mut self, ctx: &mut StepContext<'_>) {
+        for timer in self.timers.take_due(ctx.now) {
             match timer {
-                Timer::Owned(request) => self.tick_entry(turn, request),
-                Timer::Copied(request) => self.tick_copy(turn, request),
+                Timer::Owned(request) => self.tick_entry(ctx, request),
+                Timer::Copied(request) => self.tick_copy(ctx, request),
                 Timer::Reserved(request) => {
                     self.reservations.remove(&request);
                 }
-                Timer::Parked(ticket) => self.seek_owner(turn, ticket),
-                Timer::Stop => self.stop_due(turn),
+                Timer::Parked(ticket) => self.retry_relay(ctx, ticket),
+                Timer::Stop => self.tick_stop(ctx),
             }
         }
     }
 
     /// Takes an entry out to work on it; [`Self::put`] gives it back.
-    pub(crate) fn take(&mut self, request: Request) -> Option<Entry> {
+    pub(crate) fn take(&mut self, request: Request) -> Option<OwnedRequest> {
         self.entries.remove(&request)
     }
 
     /// Gives back an entry and sets its timer.
-    pub(crate) fn put(&mut self, entry: Entry) {
+    pub(crate) fn put(&mut self, entry: OwnedRequest) {
         let request = entry.request();
-        self.timers.set(Timer::Owned(request), entry.next(&self.setup.timing));
+        self.timers.set(Timer::Owned(request), entry.next_wakeup(&self.setup.timing));
         self.entries.insert(request, entry);
     }
 
     /// Sets the timer of a copy.
-    pub(crate) fn arm_copy(&mut self, request: Request) {
-        let at = self.copies.get(&request).and_then(|copy| copy.next());
+    pub(crate) fn set_copy_timer(&mut self, request: Request) {
+        let at = self.copies.get(&request).and_then(|copy| copy.next_wakeup());
         self.timers.set(Timer::Copied(request), at);
     }
 
     /// Draws a number that hardly ever comes twice, here or elsewhere.
-    pub(crate) fn salt(&mut self) -> u64 {
-        self.opened += 1;
-        let (boot, opened) = (self.setup.boot.to_le_bytes(), self.opened.to_le_bytes());
+    pub(crate) fn next_salt(&mut self) -> u64 {
+        self.salts_issued += 1;
+        let (boot, opened) = (self.setup.boot.to_le_bytes(), self.salts_issued.to_le_bytes());
         hash::narrow(&[self.setup.instance.as_str().as_bytes(), &boot, &opened])
     }
 
     /// Counts a body's bytes; returns false when there is no room for it.
-    pub(crate) fn charge(&mut self, body: &Body) -> bool {
+    pub(crate) fn reserve_bytes(&mut self, body: &Body) -> bool {
         let Some(sum) = self.bytes.checked_add(body.bytes.len()) else {
             return false;
         };
@@ -274,7 +274,7 @@
     }
 
     /// Frees a body's bytes.
-    pub(crate) fn release(&mut self, body: Option<Arc<Body>>) {
+    pub(crate) fn release_body(&mut self, body: Option<Arc<Body>>) {
         let Some(body) = body else {
             return;
         };
--- a/crates/verbenaslip-request/src/timer.rs
+++ b/crates/verbenaslip-request/src/timer.rs
@@ -26,26 +26,26 @@
 /// Holds at most one moment for each thing.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Timers {
-    moments: BTreeMap<Timer, Duration>,
-    order: BTreeSet<(Duration, Timer)>,
+    due_times: BTreeMap<Timer, Duration>,
+    by_time: BTreeSet<(Duration, Timer)>,
 }
 
 impl Timers {
     /// Sets, moves or clears the moment of a thing.
     pub(crate) fn set(&mut self, timer: Timer, at: Option<Duration>) {
-        if let Some(old) = self.moments.remove(&timer) {
-            self.order.remove(&(old, timer));
+        if let Some(old) = self.due_times.remove(&timer) {
+            self.by_time.remove(&(old, timer));
         }
         if let Some(at) = at {
-            self.moments.insert(timer, at);
-            self.order.insert((at, timer));
+            self.due_times.insert(timer, at);
+            self.by_time.insert((at, timer));
         }
     }
 
     /// Takes all whose moment has come, the oldest first.
-    pub(crate) fn due(&mut self, now: Duration) -> Vec<Timer> {
+    pub(crate) fn take_due(&mut self, now: Duration) -> Vec<Timer> {
         let mut due = Vec::new();
-        while let Some(&(at, timer)) = self.order.first()
+        while let Some(&(at, timer)) = self.by_time.first()
             && at <= now
         {
             self.set(timer, None);
@@ -55,7 +55,7 @@
     }
 
     /// Returns the next moment.
-    pub(crate) fn next(&self) -> Option<Duration> {
-        self.order.first().map(|(at, _)| *at)
+    pub(crate) fn next_due(&self) -> Option<Duration> {
+        self.by_time.first().map(|(at, _)| *at)
     }
 }
