--- a/crates/verbenaslip-request/src/answer.rs
+++ b/crates/verbenaslip-request/src/answer.rs
@@ -1,14 +1,15 @@
-//! Assembles one answer, whole and once, from whatever runs and copies deliver.
+//! Assembly of one complete answer from the deliveries of runs and copies.
 
 use std::sync::Arc;
 
 use verbenaslip_base::attempt::Attempt;
 use verbenaslip_base::data;
 
-/// Holds one request's answer as far as it has come.
+/// Part of a request's answer that has arrived so far.
 ///
-/// Only the next position of the live attempt is taken, so tokens of an earlier run, duplicates and
-/// an answer cut off can neither be mixed in nor pass for whole. It ends only by an end mark.
+/// Only the next position of the live attempt is accepted. Tokens of an earlier run and duplicates
+/// are therefore never mixed in, and a truncated answer never counts as complete: only an end mark
+/// ends an answer.
 #[derive(Clone, Debug)]
 pub struct Answer {
     epoch: u16,
@@ -22,64 +23,64 @@
     mirror: Option<MirrorState>,
 }
 
-/// Says what the second holder has.
+/// What the second holder has of an answer.
 #[derive(Clone, Copy, Debug, Default)]
 struct MirrorState {
     position: u32,
     ended: bool,
 }
 
-/// Holds the tokens of one event.
+/// Tokens that arrived in one event.
 #[data]
 pub struct TokenBatch {
-    /// The position of its last token, from 1.
+    /// Position of the last token, counted from 1.
     pub position: u32,
-    /// How many tokens it holds.
+    /// Number of tokens.
     pub count: u32,
-    /// Their text.
+    /// Text of the tokens.
     pub text: Arc<str>,
 }
 
-/// Holds the answer of a plain service.
+/// Complete response of a plain service.
 #[data]
 pub struct ServiceResponse {
-    /// The status.
+    /// HTTP status code.
     pub status: u16,
-    /// The content type.
+    /// Content type.
     pub content: Arc<str>,
-    /// The bytes.
+    /// Response body.
     pub bytes: Arc<[u8]>,
 }
 
-/// Marks the end of a whole answer.
+/// End mark of a complete answer.
 #[data]
 pub struct End {
-    /// Tokens in the answer.
+    /// Number of tokens in the answer.
     pub position: u32,
-    /// Why the engine stopped, as it said.
+    /// Reason for stopping, as reported by the engine.
     pub reason: Arc<str>,
 }
 
-/// Says what became of something delivered.
+/// Result of adding a delivery to an answer.
 #[data(copy)]
 pub enum AppendResult {
-    /// It was the next and is taken.
+    /// The delivery was the next one and was added.
     Appended,
-    /// It is of an attempt or epoch that no longer counts, or came after the end.
+    /// The delivery belongs to a superseded attempt or epoch, or came after the end.
     Late,
-    /// It is there already.
+    /// The answer already has the delivery.
     Duplicate,
-    /// Something before it is missing; nothing was taken.
+    /// An earlier position is missing; nothing was added.
     Gap {
-        /// The position that was expected next.
+        /// Position that was expected next.
         expected: u32,
     },
-    /// The answer is larger than its limit; nothing was taken.
+    /// The answer would exceed its limit; nothing was added.
     Full,
 }
 
 impl Answer {
-    /// Opens an empty answer that takes at most `limit` bytes.
+    /// Creates an empty answer that holds at most `limit` bytes.
     pub fn open(limit: usize) -> Self {
         Self {
             epoch: 0,
@@ -94,17 +95,17 @@
         }
     }
 
-    /// Makes an attempt the live one; those before it are late from now on.
+    /// Makes an attempt the live one; earlier attempts are late from now on.
     pub fn begin_attempt(&mut self, attempt: Attempt) {
         self.number = self.number.max(attempt.number);
     }
 
-    /// Makes this instance the owner in an epoch; copies of earlier epochs are late from now on.
+    /// Makes this instance the owner in an epoch; copies from earlier epochs are late from now on.
     pub fn take_ownership(&mut self, epoch: u16) {
         self.epoch = self.epoch.max(epoch);
     }
 
-    /// Takes tokens from a run: `count` of them, the last one at `position`.
+    /// Adds `count` tokens from a run, the last of them at `position`.
     pub fn append(
         &mut self,
         attempt: Attempt,
@@ -118,10 +119,10 @@
         self.push_batch(position, count, text)
     }
 
-    /// Takes tokens that the owner of an epoch has mirrored here.
+    /// Adds tokens that the owner of an epoch has mirrored to this instance.
     ///
-    /// An answer of a later epoch may differ after the position at which the new owner took over.
-    /// One would notice a sentence that changes halfway; so a later epoch starts from nothing.
+    /// A new owner's answer may differ after the position at which it took over, so a later epoch
+    /// starts from an empty answer. Otherwise a caller could see a sentence that changes halfway.
     pub fn copy(&mut self, epoch: u16, position: u32, count: u32, text: &str) -> AppendResult {
         match self.enter_epoch(epoch) {
             true => self.push_batch(position, count, text),
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Takes the end mark of a run.
+    /// Adds the end mark of a run.
     pub fn end(&mut self, attempt: Attempt, position: u32, reason: &str) -> AppendResult {
         if attempt.number != self.number {
             return AppendResult::Late;
@@ -137,7 +138,7 @@
         self.set_end(position, reason)
     }
 
-    /// Takes the end mark that the owner of an epoch has mirrored here.
+    /// Adds the end mark that the owner of an epoch has mirrored to this instance.
     pub fn copy_end(&mut self, epoch: u16, position: u32, reason: &str) -> AppendResult {
         match self.enter_epoch(epoch) {
             true => self.set_end(position, reason),
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Takes the whole answer of a plain service from a run.
+    /// Adds the complete response of a plain service from a run.
     pub fn set_response(&mut self, attempt: Attempt, response: ServiceResponse) -> AppendResult {
         if attempt.number != self.number {
             return AppendResult::Late;
@@ -153,7 +154,7 @@
         self.store_response(response)
     }
 
-    /// Takes the whole answer of a plain service that the owner of an epoch has mirrored here.
+    /// Adds the complete response of a plain service that the owner of an epoch has mirrored here.
     pub fn copy_response(&mut self, epoch: u16, response: ServiceResponse) -> AppendResult {
         match self.enter_epoch(epoch) {
             true => self.store_response(response),
@@ -161,15 +162,15 @@
         }
     }
 
-    /// Says whether callers must wait for the second holder: from `Mirror` to an instance on.
+    /// Sets whether the answer is mirrored, so that callers must wait for the second holder.
     ///
-    /// A token that the caller has and the second holder lacks could come out otherwise when that
-    /// one takes over, and the caller would have halves of two answers.
+    /// The second holder may continue an answer differently when it takes over. If a caller had tokens
+    /// that the second holder lacks, it would get halves of two answers.
     pub fn set_mirroring(&mut self, on: bool) {
         self.mirror = on.then(MirrorState::default);
     }
 
-    /// Notes how far the second holder has got, and whether it has the end as well.
+    /// Records how far the second holder has got, and whether it has the end as well.
     pub fn record_mirrored(&mut self, position: u32, ended: bool) {
         if let Some(mirrored) = &mut self.mirror {
             mirrored.position = position.max(mirrored.position);
@@ -177,7 +178,7 @@
         }
     }
 
-    /// Returns whether there is a second holder that lacks something.
+    /// Returns whether there is a second holder that lacks part of the answer.
     pub fn is_mirror_behind(&self) -> bool {
         let complete = self.end.is_some() || self.response.is_some();
         self.mirror.is_some_and(|mirrored| {
@@ -185,30 +186,30 @@
         })
     }
 
-    /// Returns the events after a position that a caller may have, oldest first.
+    /// Returns the token batches after a position that callers may have, oldest first.
     pub fn released_batches(&self, after: u32) -> impl Iterator<Item = &TokenBatch> {
         let start = self.batches.partition_point(|batch| batch.position <= after);
         let until = self.released_position();
         self.batches[start..].iter().take_while(move |batch| batch.position <= until)
     }
 
-    /// Returns the pieces after a position, also those that callers may not have yet.
+    /// Returns all token batches after a position, including those not yet released to callers.
     pub fn batches(&self, after: u32) -> &[TokenBatch] {
         let start = self.batches.partition_point(|batch| batch.position <= after);
         &self.batches[start..]
     }
 
-    /// Returns the end mark, once every token before it may be given to callers.
+    /// Returns the end mark, once every token before it may be released to callers.
     pub fn released_end(&self) -> Option<&End> {
         self.end.as_ref().filter(|end| end.position <= self.released_position())
     }
 
-    /// Returns the end mark, also when callers may not have it yet.
+    /// Returns the end mark, even if it is not yet released to callers.
     pub fn end_mark(&self) -> Option<&End> {
         self.end.as_ref()
     }
 
-    /// Returns a plain service's answer.
+    /// Returns the response of a plain service.
     pub fn response(&self) -> Option<&ServiceResponse> {
         self.response.as_ref()
     }
@@ -223,17 +224,17 @@
         self.mirror.map_or(self.position, |mirrored| mirrored.position.min(self.position))
     }
 
-    /// Returns the epoch of the owner whose answer it is.
+    /// Returns the epoch of the owner of the answer.
     pub fn epoch(&self) -> u16 {
         self.epoch
     }
 
-    /// Returns the bytes held.
+    /// Returns the number of bytes held.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Returns the text so far, from which an engine can go on.
+    /// Returns the text so far, from which an engine can continue.
     pub fn text(&self) -> String {
         self.batches.iter().map(|batch| batch.text.as_ref()).collect()
     }
--- a/crates/verbenaslip-request/src/arrival.rs
+++ b/crates/verbenaslip-request/src/arrival.rs
@@ -14,27 +14,27 @@
 use crate::requests::{Requests, StepContext};
 use crate::timer::Timer;
 
-/// Holds a caller whose answer another instance assembles.
+/// Caller whose answer another instance assembles.
 #[derive(Clone, Debug)]
 pub(crate) struct RelayedCaller {
     /// The request.
     pub(crate) head: Head,
-    /// What the caller sent, to run it should every other instance have lost it.
+    /// Request body, so that this instance can run the request if all others have lost it.
     pub(crate) body: Option<Arc<Body>>,
-    /// The digest of what the caller sent.
+    /// Digest of the request body.
     pub(crate) digest: u128,
-    /// The instance that assembles the answer.
+    /// Instance that assembles the answer.
     pub(crate) owner: Instance,
-    /// The last position that the caller has, as far as known.
+    /// Last position that the caller has, as far as known.
     pub(crate) after: u32,
-    /// Whether it may have been given tokens that `after` does not count.
+    /// Whether the caller may have received tokens beyond `after`.
     pub(crate) may_have_more: bool,
-    /// Times that a relay of this caller was lost.
+    /// How many times a relay of this caller was lost.
     pub(crate) relay_losses: u32,
 }
 
 impl RelayedCaller {
-    /// Returns the caller as one that waits here.
+    /// Returns the caller as one that is served by this instance.
     pub(crate) fn caller(&self) -> Caller {
         Caller { after: self.after, may_have_more: self.may_have_more, subscriber: false }
     }
@@ -59,7 +59,7 @@
         self.admit_caller(ctx, ticket, relay, body);
     }
 
-    /// Lets a caller in that has nothing yet, or whose relay was lost.
+    /// Admits a caller that is new or whose relay was lost.
     fn admit_caller(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Lets another instance pass on the answer that is assembled here.
+    /// Lets another instance relay the answer that this instance assembles.
     pub(crate) fn handle_subscribed(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -127,7 +127,7 @@
         self.put(entry);
     }
 
-    /// Looks again for the owner of a caller's request.
+    /// Searches for the owner of a caller's request again after its relay was lost.
     pub(crate) fn handle_relay_lost(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -141,8 +141,8 @@
         relay.after = relay.after.max(after);
         relay.may_have_more = false;
         relay.relay_losses += 1;
-        // An owner that has just died is named until the others notice it. Asked at once each time,
-        // they would be asked a thousand times a second by every caller that it had.
+        // The other instances name a dead owner until they detect its death. Without a pause, every
+        // caller of that owner would make them answer a thousand queries a second.
         let wait = match relay.relay_losses {
             0 | 1 => Duration::ZERO,
             _ => self.setup.timing.resend,
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Lets a caller in anew whose relay was lost.
+    /// Admits a caller again whose relay was lost.
     pub(crate) fn retry_relay(&mut self, ctx: &mut StepContext<'_>, ticket: Ticket) {
         self.timers.set(Timer::Parked(ticket), None);
         let Some(mut relay) = self.relays.remove(&ticket) else {
@@ -200,7 +200,7 @@
         self.put(entry);
     }
 
-    /// Tells a caller that has just come what is known by now.
+    /// Gives a new caller the answer known so far.
     pub(crate) fn answer_caller(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Passes a caller on to the instance that owns its request.
+    /// Relays a caller to the instance that owns its request.
     pub(crate) fn relay_caller(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -249,7 +249,7 @@
         self.relays.insert(ticket, relay);
     }
 
-    /// Answers a caller that can't be let in.
+    /// Answers a caller that cannot be admitted.
     fn reject_caller(
         &self,
         ctx: &mut StepContext<'_>,
@@ -257,7 +257,7 @@
         head: &Head,
         reason: Reason,
     ) {
-        // The key may run elsewhere, which was not asked, so "not run" could be untrue.
+        // The key may run on another instance, which was not asked, so "not run" could be wrong.
         let verdict = match head.keyed {
             true => Verdict::Unknown(Unknown::Unreachable),
             false => Verdict::Refused(Refusal { reason, retry: None }),
@@ -265,7 +265,7 @@
         ctx.send_verdict(ticket, verdict);
     }
 
-    /// Passes all callers of a request on to its owner.
+    /// Relays all callers of a request to its owner, or ends them if they sent a different body.
     pub(crate) fn join_owner(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -284,7 +284,7 @@
         self.relay_callers(ctx, entry, owner);
     }
 
-    /// Relays the callers of an entry that is no longer this instance's.
+    /// Relays the callers of an entry that this instance no longer owns.
     pub(crate) fn relay_callers(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -297,8 +297,8 @@
                 ctx.out.push(Output::Absent(*ticket));
                 continue;
             }
-            // Each relayed caller keeps the body, so that the request survives any loss as long as
-            // its caller is there; a body that no longer fits is left out.
+            // Each relayed caller keeps the body, so that the request survives any loss while its
+            // caller is connected. A body that exceeds the memory limit is left out.
             let body = entry.body.clone().filter(|body| self.reserve_bytes(body));
             let relay = RelayedCaller {
                 head: entry.head.clone(),
@@ -314,7 +314,7 @@
         self.release_body(entry.body);
     }
 
-    /// Makes this instance the first owner of a request and asks the policy to let it in.
+    /// Makes this instance the first owner of a request and asks the policy to admit it.
     pub(crate) fn take_ownership(&mut self, ctx: &mut StepContext<'_>, mut entry: OwnedRequest) {
         self.end_unservable_callers(ctx, &mut entry);
         if entry.callers.is_empty() {
@@ -335,7 +335,7 @@
         self.put(entry);
     }
 
-    /// Ends callers of another answer that join one which has only been begun anew.
+    /// Ends callers that continue another answer if this answer has only just been started.
     fn end_late_callers(&mut self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) {
         let just_started = entry.lineage == entry.salt && entry.position == 0 && entry.epoch > 0;
         if just_started && !entry.is_finished() {
@@ -343,10 +343,10 @@
         }
     }
 
-    /// Ends callers that come back for the rest of an answer of which nothing is left.
+    /// Ends callers that want the rest of an answer of which nothing is left.
     ///
-    /// Everyone who held it is lost, and a new run may well answer in other words. One would notice
-    /// a sentence that changes halfway; so the caller is told, and can ask anew from the start.
+    /// All instances that had the answer are lost, and a new run may produce a different one. The
+    /// caller is told and can start again; otherwise it could see a sentence that changes halfway.
     fn end_unservable_callers(&mut self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) {
         let unservable: Vec<_> = entry
             .callers
--- a/crates/verbenaslip-request/src/caller.rs
+++ b/crates/verbenaslip-request/src/caller.rs
@@ -1,4 +1,4 @@
-//! What the traffic threads and the decisions say to each other about callers.
+//! Callers, as exchanged with the traffic threads.
 
 use std::sync::Arc;
 
@@ -8,64 +8,64 @@
 use verbenaslip_base::name::Instance;
 use verbenaslip_base::refusal::{Refusal, Unknown};
 
-/// Names one caller's connection at this instance for as long as it waits for its answer.
+/// Identifies a caller's connection at this instance while it waits for its answer.
 #[data(copy, ord, hash)]
 pub struct Ticket(pub u64);
 
-/// Tells of one request that a caller has sent whole.
+/// Complete request that a caller has sent.
 #[data]
 pub struct Arrival {
-    /// The connection that waits for the answer.
+    /// Connection that waits for the answer.
     pub ticket: Ticket,
-    /// What decisions need to know.
+    /// Properties of the request on which decisions depend.
     pub head: Head,
-    /// What is sent to the upstream.
+    /// Request body for the upstream.
     pub body: Arc<Body>,
-    /// The last token position that the caller has, when it comes back for the rest.
+    /// Last token position that the caller has, if it comes back for the rest.
     pub after: Option<u32>,
 }
 
-/// Holds what a run sends to its upstream.
+/// Request body that a run sends to its upstream.
 #[data]
 pub struct Body {
-    /// The path below the upstream's address.
+    /// Path below the upstream's address.
     pub path: Arc<str>,
-    /// The content type.
+    /// Content type.
     pub content: Arc<str>,
-    /// The bytes as they came.
+    /// Unmodified bytes of the body.
     pub bytes: Vec<u8>,
 }
 
 impl Body {
-    /// Hashes path and bytes, to tell another request under the same key.
+    /// Returns a hash of path and bytes, which reveals a different request under the same key.
     pub fn digest(&self) -> u128 {
         verbenaslip_base::hash::wide(&[self.path.as_bytes(), &self.bytes])
     }
 }
 
-/// Decides what a waiting caller gets.
+/// What a waiting caller gets.
 #[data]
 pub enum Verdict {
-    /// Streams the answer that this instance assembles, from after the given position.
+    /// Streams the answer that this instance assembles, starting after the given position.
     Serve {
-        /// The request whose answer it is.
+        /// Request that is answered.
         request: Request,
-        /// The last position the caller has.
+        /// Last position that the caller has.
         after: u32,
     },
-    /// Passes on the answer that another instance assembles.
+    /// Relays the answer that another instance assembles.
     Relay {
-        /// The request whose answer it is.
+        /// Request that is answered.
         request: Request,
-        /// The last position the caller has.
+        /// Last position that the caller has.
         after: u32,
-        /// The instance that assembles it.
+        /// Instance that assembles the answer.
         owner: Instance,
     },
-    /// Ends: it was not run.
+    /// Ends the request, which did not run.
     Refused(Refusal),
-    /// Ends: it may have run.
+    /// Ends the request, which may have run.
     Unknown(Unknown),
-    /// Ends: the key belongs to another body.
+    /// Ends the request, because its key was used with another body.
     Conflict,
 }
--- a/crates/verbenaslip-request/src/claim.rs
+++ b/crates/verbenaslip-request/src/claim.rs
@@ -1,4 +1,4 @@
-//! What the quorum answers to the claim of a non-idempotent request.
+//! Claims of non-idempotent requests, and the quorum's answers.
 
 use verbenaslip_base::attempt::Request;
 use verbenaslip_base::data;
@@ -9,31 +9,31 @@
 pub struct Claim {
     /// The request.
     pub request: Request,
-    /// Who claims: differs between instances, their starts and their claims, and is the same when
-    /// the same claim is sent again.
+    /// Identifies the claim: differs between instances, their starts and their claims, and is the
+    /// same when a claim is sent again.
     pub claimant: u128,
-    /// The instance that claims.
+    /// Instance that claims the request.
     pub owner: Instance,
     /// When the key was first used, in Unix milliseconds.
     pub issued: Option<u64>,
 }
 
-/// Answers a claim.
+/// Answer of the quorum to a claim.
 #[data]
 pub enum Ruling {
-    /// This claimant holds the claim, from now or from an earlier sending.
+    /// This claimant holds the claim, from now on or from an earlier transmission.
     Granted,
-    /// Another claimant holds it and may be running the request.
+    /// Another claimant holds the claim and may be running the request.
     Held {
-        /// The instance that holds it, if known.
+        /// Instance that holds the claim, if known.
         owner: Option<Instance>,
     },
-    /// It has run and ended.
+    /// The request has run and ended.
     Settled,
     /// The key is older than the time for which outcomes are kept.
     Expired,
-    /// It was surely not granted, for want of a quorum.
+    /// The claim was certainly not granted, because there was no quorum.
     NoQuorum,
-    /// It may or may not have been granted.
+    /// The claim may or may not have been granted.
     Unknown,
 }
--- a/crates/verbenaslip-request/src/copies.rs
+++ b/crates/verbenaslip-request/src/copies.rs
@@ -1,4 +1,4 @@
-//! What this instance holds for other owners: reserved keys and copies.
+//! State stored for other owners: reserved keys and copies of requests.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,59 +16,59 @@
 use crate::requests::{Requests, StepContext};
 use crate::timer::Timer;
 
-/// How long a reservation stands after the request's deadline.
+/// How long a reservation lasts after the request's deadline.
 const RESERVATION_GRACE: Duration = Duration::from_secs(10);
 
-/// Holds the second copy of a request.
+/// Second copy of a request.
 #[derive(Clone, Debug)]
 pub(crate) struct HeldCopy {
-    /// The request, with its deadline on this instance's clock.
+    /// Request, with its deadline on this instance's clock.
     pub(crate) head: Head,
-    /// What is sent to the upstream.
+    /// Request body for the upstream.
     pub(crate) body: Option<Arc<Body>>,
-    /// The digest of the body.
+    /// Digest of the body.
     pub(crate) digest: u128,
     /// The owner.
     pub(crate) owner: Instance,
-    /// The owner's start.
+    /// Boot number of the owner.
     pub(crate) boot: u64,
-    /// How far the owner has got.
+    /// Progress of the owner.
     pub(crate) note: Progress,
-    /// The last position held here.
+    /// Last position of the answer that is stored here.
     pub(crate) mirrored: u32,
-    /// Whether the end is held here as well.
+    /// Whether the end of the answer is stored here as well.
     pub(crate) mirror_ended: bool,
     /// When the owner was lost.
     pub(crate) owner_lost_at: Option<Duration>,
-    /// When it is taken over, or dropped when nobody can come back for it.
+    /// When the request is taken over, or dropped if no caller can come back for it.
     pub(crate) takeover_at: Option<Duration>,
-    /// When it need not be kept any more.
+    /// When the copy is dropped at the latest.
     pub(crate) until: Duration,
-    /// Whether it can't be taken over: it may have run, and must not run again.
+    /// Whether a takeover is not allowed, because the request may have run and must not run again.
     pub(crate) takeover_blocked: bool,
-    /// Callers that wait for the take-over.
+    /// Callers that wait for the takeover.
     pub(crate) waiting_callers: BTreeMap<Ticket, RelayedCaller>,
 }
 
-/// Holds a key that an instance has asked about.
+/// Key that an instance has asked about.
 #[derive(Clone, Debug)]
 pub(crate) struct Reservation {
-    /// The instance.
+    /// Instance that reserved the key.
     pub(crate) owner: Instance,
-    /// Its start.
+    /// Boot number of that instance.
     pub(crate) boot: u64,
-    /// Its epoch; zero while it only asks.
+    /// Epoch of that instance; zero while it only asks.
     pub(crate) epoch: u16,
-    /// The digest of the body.
+    /// Digest of the body.
     pub(crate) digest: u128,
-    /// Whether an instance that is lost since had reserved it before.
+    /// Whether an instance that has been lost since had reserved the key before.
     pub(crate) doubtful: bool,
-    /// Whether its owner is lost.
+    /// Whether the owner of the reservation is lost.
     pub(crate) lost: bool,
 }
 
 impl HeldCopy {
-    /// Says that this copy's owner is the one that goes on with the request.
+    /// Returns a takeover notice that names the owner of this copy.
     pub(crate) fn takeover(&self) -> Takeover {
         Takeover {
             request: self.head.request,
@@ -79,11 +79,11 @@
         }
     }
 
-    /// Returns whether the owner has told that the request is accepted.
+    /// Returns whether the owner has reported that the request is accepted.
     ///
-    /// An owner that finds no second holder refuses the request as not run. A copy that it had sent
-    /// out and given up on must then never run, also when the owner is lost later: so a copy counts
-    /// only from the first note on.
+    /// An owner that finds no second holder refuses the request as not run. A copy that it had sent and
+    /// abandoned must never run, even if the owner is lost later, so a copy counts only from the first
+    /// progress message on.
     pub(crate) fn is_accepted(&self) -> bool {
         self.note.sequence > 0
     }
@@ -93,7 +93,7 @@
         self.note.outcome.is_some()
     }
 
-    /// Returns the next moment at which it must be looked at.
+    /// Returns when the copy next needs attention.
     pub(crate) fn next_wakeup(&self) -> Option<Duration> {
         Some(self.takeover_at.map_or(self.until, |due| due.min(self.until)))
     }
@@ -113,7 +113,7 @@
         ctx.send(from, Message::Reserved { request, found });
     }
 
-    /// Returns what is known of a key, and reserves it if that is nothing.
+    /// Returns what is known of a key, and reserves the key if it is unknown.
     pub(crate) fn find_key(
         &mut self,
         now: Duration,
@@ -173,7 +173,7 @@
         if doubtful { KeyStatus::Doubtful } else { KeyStatus::Free }
     }
 
-    /// Forgets a reserved key.
+    /// Removes an instance's reservation of a key.
     pub(crate) fn unreserve(&mut self, request: Request, owner: &Instance) {
         if self.reservations.get(&request).is_some_and(|known| known.owner == *owner) {
             self.reservations.remove(&request);
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Takes a copy to hold.
+    /// Handles a copy that an owner sends.
     pub(crate) fn handle_put(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -225,7 +225,7 @@
         self.resume_waiting(ctx, waiting);
     }
 
-    /// Returns whether a copy may be held here; answers its owner if not.
+    /// Returns whether a copy may be stored here; answers its owner if not.
     fn admit_copy(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -307,7 +307,7 @@
         ctx.send(from, Message::Kept(Ack { request, epoch, sequence }));
     }
 
-    /// Takes a note of how far an owner has got.
+    /// Handles a progress message of an owner.
     pub(crate) fn handle_progress(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -348,7 +348,7 @@
         self.finish_copy(ctx, request);
     }
 
-    /// Frees what a finished copy no longer needs.
+    /// Releases what a finished copy no longer needs.
     fn finish_copy(&mut self, ctx: &mut StepContext<'_>, request: Request) {
         let Some(copy) = self.copies.get_mut(&request) else {
             return;
@@ -373,7 +373,7 @@
         self.set_copy_timer(request);
     }
 
-    /// Forgets a copy; its waiting callers look again.
+    /// Drops a copy; callers that wait for it search for the owner again.
     pub(crate) fn drop_copy(&mut self, ctx: &mut StepContext<'_>, request: Request) {
         let Some(copy) = self.copies.remove(&request) else {
             return;
@@ -387,7 +387,8 @@
 
     /// Removes a copy that was never accepted, because this instance now owns the request.
     ///
-    /// Were it kept until its time came, it would free the answer that is assembled here by then.
+    /// If the copy remained until its timer is due, it would then free the answer that this instance
+    /// assembles.
     pub(crate) fn remove_superseded_copy(&mut self, request: Request) {
         let Some(copy) = self.copies.remove(&request) else {
             return;
@@ -397,7 +398,7 @@
         self.release_body(copy.body);
     }
 
-    /// Forgets what an owner wants forgotten.
+    /// Drops a copy, and its key if requested, for its owner.
     pub(crate) fn handle_drop(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -417,7 +418,7 @@
         }
     }
 
-    /// Notes how far the second holder has got, at either end.
+    /// Records how far the second holder has got, on either instance.
     pub(crate) fn handle_mirrored(
         &mut self,
         ctx: &StepContext<'_>,
@@ -435,7 +436,7 @@
         }
     }
 
-    /// Notes that the second holder has the end as well, at either end.
+    /// Records that the second holder has the end as well, on either instance.
     pub(crate) fn handle_mirror_ended(&mut self, ctx: &StepContext<'_>, request: Request) {
         if let Some(mut entry) = self.take(request) {
             entry.mirror_ended = true;
@@ -453,7 +454,7 @@
         }
     }
 
-    /// Lets a caller in whose request this instance holds a copy of.
+    /// Admits a caller to a request of which this instance stores a copy.
     pub(crate) fn attach_to_copy(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -490,7 +491,7 @@
         }
     }
 
-    /// Lets callers look again for the owner of their request.
+    /// Makes waiting callers search for the owner of their request again.
     pub(crate) fn resume_waiting(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -503,7 +504,7 @@
         }
     }
 
-    /// Takes a copy over or drops it when its time has come.
+    /// Takes a copy over or drops it when its timer is due.
     pub(crate) fn tick_copy(&mut self, ctx: &mut StepContext<'_>, request: Request) {
         let Some(copy) = self.copies.get(&request) else {
             return;
--- a/crates/verbenaslip-request/src/drain.rs
+++ b/crates/verbenaslip-request/src/drain.rs
@@ -1,4 +1,4 @@
-//! This instance's own stop: nothing new, finish what can be, hand over the rest.
+//! Shutdown of this instance: refuses new requests, finishes what it can, hands over the rest.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::timer::Timer;
 
 impl Requests {
-    /// Begins to stop; a second order can only shorten the time.
+    /// Begins a shutdown; a second call can only shorten the time.
     pub(crate) fn handle_stop(&mut self, ctx: &mut StepContext<'_>, remaining: Duration) {
         let end = ctx.now.saturating_add(remaining);
         let end = self.stopping.map_or(end, |known| known.min(end));
@@ -39,7 +39,7 @@
         self.refuse(ctx, entry, refusal);
     }
 
-    /// Tells the owners of all copies held here to find another holder while there is time.
+    /// Tells the owners of all copies stored here to find another holder while there is time.
     fn return_copies(&self, ctx: &mut StepContext<'_>) {
         for (request, copy) in &self.copies {
             let (request, epoch) = (*request, copy.note.epoch);
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Hands over what will not end in time, and ends all at the end.
+    /// Hands over requests that will not end in time, and ends the rest at the time limit.
     pub(crate) fn tick_stop(&mut self, ctx: &mut StepContext<'_>) {
         let Some(end) = self.stopping else {
             return;
@@ -93,21 +93,21 @@
             };
             entry.sequence += 1;
             entry.handed_over_at = Some(ctx.now);
-            // The second holder may run it from now on, so "not run" can't be said any more.
+            // The second holder may run the request from now on, so "not run" can no longer be told.
             entry.complete = false;
             ctx.send(&holder, Message::HandOver(entry.progress()));
             self.put(entry);
         }
     }
 
-    /// Ends what is left when the time is over.
+    /// Ends a request that is left at the time limit.
     fn end_request(&mut self, ctx: &mut StepContext<'_>, entry: OwnedRequest) {
         if entry.is_finished() {
             self.put(entry);
             return;
         }
         if matches!(entry.phase, Phase::Lookup(_)) || entry.may_have_run() {
-            // The second holder carries on with what can be: the run must not be cancelled.
+            // The second holder continues the request if it can, so the run must not be canceled.
             let mut entry = entry;
             entry.run_state = None;
             self.finish(ctx, entry, Outcome::Unknown(Unknown::InstanceLost));
@@ -116,7 +116,7 @@
         self.refuse_stopping(ctx, entry);
     }
 
-    /// Tells once that nothing is left.
+    /// Reports once that nothing is left.
     pub(crate) fn check_drained(&mut self, ctx: &mut StepContext<'_>) {
         let Some(end) = self.stopping else {
             return;
@@ -139,7 +139,7 @@
     }
 }
 
-/// Returns whether a second holder can go on with a request.
+/// Returns whether a second holder can continue a request.
 fn can_hand_over(entry: &OwnedRequest) -> bool {
     match entry.phase {
         Phase::Run => entry.head.idempotent || entry.runs_on_engine(),
--- a/crates/verbenaslip-request/src/finish.rs
+++ b/crates/verbenaslip-request/src/finish.rs
@@ -1,4 +1,4 @@
-//! How requests end: told to callers, kept for a while, forgotten.
+//! End of requests: verdicts for callers, retention and removal.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use crate::requests::{Requests, StepContext};
 use crate::timer::Timer;
 
-/// Knows the finished answers, the ones to be forgotten first before the others.
+/// Finished answers in the order in which they are removed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Retention {
     by_expiry: BTreeSet<(Duration, Request)>,
@@ -41,7 +41,7 @@
         self.copied += usize::from(copied);
     }
 
-    /// Removes an answer.
+    /// Removes a finished answer.
     pub(crate) fn remove(&mut self, request: Request) {
         let Some(retained) = self.answers.remove(&request) else {
             return;
@@ -51,12 +51,12 @@
         self.copied -= usize::from(retained.copied);
     }
 
-    /// Returns how many are of owned requests.
+    /// Returns the number of finished owned requests.
     pub(crate) fn owned(&self) -> usize {
         self.answers.len() - self.copied
     }
 
-    /// Returns how many are of copies.
+    /// Returns the number of finished copies.
     pub(crate) fn copied(&self) -> usize {
         self.copied
     }
@@ -67,7 +67,7 @@
 }
 
 impl Requests {
-    /// Ends a request that was surely not run, unless that can't be said for sure.
+    /// Ends a request as not run, or as unknown if it is not certain that it did not run.
     pub(crate) fn refuse(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -96,10 +96,10 @@
         self.tick_close(ctx, entry);
     }
 
-    /// Tells callers that a request was not run, once no other instance can run it.
+    /// Tells callers that a request did not run, once no other instance can run it.
     ///
-    /// Were the caller told before the second holder knows, and this instance lost right after, the
-    /// holder would take the request over and run what was said not to have run.
+    /// If callers were told before the second holder knows and this instance were lost right after,
+    /// the holder would take the request over and run it.
     pub(crate) fn tick_close(&mut self, ctx: &mut StepContext<'_>, mut entry: OwnedRequest) {
         let Phase::Close { refusal, until } = &entry.phase else {
             self.put(entry);
@@ -153,7 +153,7 @@
             ctx.out.push(Output::Cancel(run_state.live));
         }
         if entry.epoch == 0 {
-            // Only the lookup has failed: there is nothing to keep.
+            // Only the lookup has failed, so there is nothing to keep.
             self.conclude_unknown(ctx, entry, &outcome);
             return;
         }
@@ -185,7 +185,7 @@
         self.discard(ctx, entry);
     }
 
-    /// Keeps a finished answer for its retention, and tells the second holder.
+    /// Keeps a finished answer for its retention time and informs the second holder.
     pub(crate) fn retain_outcome(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -202,7 +202,7 @@
         self.send_progress(ctx, entry);
     }
 
-    /// Tells all callers of a request that has ended.
+    /// Answers all callers of a request that has ended.
     pub(crate) fn answer_callers(&mut self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) {
         entry.served = true;
         let tickets: Vec<_> = entry.callers.keys().copied().collect();
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Tells the policy, and the quorum where there is a claim, how a request ended.
+    /// Tells the policy, and the quorum if there is a claim, how a request ended.
     pub(crate) fn report_done(
         &self,
         ctx: &mut StepContext<'_>,
@@ -223,7 +223,7 @@
             && !matches!(outcome, Outcome::Moved { .. })
         {
             let outcome = match &outcome {
-                // The claim may have been granted, but nothing was run under it.
+                // The claim may have been granted, but nothing ran under it.
                 Outcome::Unknown(Unknown::Unreachable) if !entry.may_have_run() => {
                     let reason = verbenaslip_base::refusal::Reason::NotHeld;
                     Outcome::Refused(Refusal { reason, retry: None })
@@ -235,7 +235,7 @@
         ctx.out.push(Output::Done { request, outcome });
     }
 
-    /// Frees all that is held of a request.
+    /// Frees everything held for a request.
     pub(crate) fn discard(&mut self, ctx: &mut StepContext<'_>, mut entry: OwnedRequest) {
         let request = entry.request();
         self.timers.set(Timer::Owned(request), None);
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Takes it that a caller's connection is closed.
+    /// Handles the end of a caller's connection.
     pub(crate) fn handle_gone(&mut self, ctx: &mut StepContext<'_>, ticket: Ticket) {
         if let Some(relay) = self.relays.remove(&ticket) {
             self.timers.set(Timer::Parked(ticket), None);
@@ -273,7 +273,7 @@
         }
     }
 
-    /// Decides what becomes of a request whose last caller has left.
+    /// Decides what happens to a request whose last caller has left.
     fn handle_last_caller_gone(&mut self, ctx: &mut StepContext<'_>, mut entry: OwnedRequest) {
         if entry.epoch == 0 {
             self.send_drops(ctx, &entry);
@@ -297,11 +297,11 @@
         self.put(entry);
     }
 
-    /// Gives up a request that nobody waits for.
+    /// Abandons a request that has no callers.
     fn abandon(&mut self, ctx: &mut StepContext<'_>, mut entry: OwnedRequest) {
         entry.abandon_at = None;
         if !entry.head.idempotent && entry.head.keyed {
-            // Whether a cancelled non-idempotent run had its effect could not be told any more.
+            // If the run were canceled, it would be unknown whether the request took effect.
             self.put(entry);
             return;
         }
@@ -326,7 +326,7 @@
         unfinished && entry.head.idempotent && !entry.is_poison() && self.stopping.is_none()
     }
 
-    /// Runs a request again that had ended without a whole answer, from the tokens that are there.
+    /// Runs a request again that ended without a complete answer, from its existing tokens.
     pub(crate) fn revive(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -343,7 +343,7 @@
         entry.excluded.clear();
         entry.tried_holders.clear();
         if let Some(holder) = entry.holder.take() {
-            // The holder has freed the body, and is given the request anew.
+            // The holder has released the body and needs the request again.
             entry.former_holders.remove(&holder.instance);
             let (request, epoch) = (entry.request(), entry.epoch);
             ctx.send(&holder.instance, Message::Drop { request, epoch, key: false });
@@ -352,7 +352,7 @@
         self.take_ownership(ctx, entry);
     }
 
-    /// Looks at an owned request whose time has come.
+    /// Handles the timer of an owned request.
     pub(crate) fn tick_entry(&mut self, ctx: &mut StepContext<'_>, request: Request) {
         let Some(mut entry) = self.take(request) else {
             return;
@@ -428,7 +428,7 @@
         self.put(entry);
     }
 
-    /// Forgets the oldest finished answers that nobody reads, until the limits are kept.
+    /// Removes the oldest finished answers without readers until the limits are met.
     pub(crate) fn enforce_retention_limits(&mut self, ctx: &mut StepContext<'_>) {
         let (answers, tokens) = (self.setup.limit.finished, self.setup.limit.tokens);
         if !self.retention.exceeds(answers, tokens) {
--- a/crates/verbenaslip-request/src/input.rs
+++ b/crates/verbenaslip-request/src/input.rs
@@ -1,4 +1,4 @@
-//! What one instance's requests are told.
+//! Events that the requests of one instance handle.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,121 +14,123 @@
 use crate::message::Message;
 use crate::run;
 
-/// Tells of one thing that happened.
+/// One event for [`Requests::step`](crate::Requests::step).
 #[data]
 pub enum Input {
     /// Only time has passed.
     Tick,
-    /// Another instance is alive; also after a restart, which a new `boot` shows. One that is known
-    /// from the settings but away is told as joined and lost, so that what it may hold is missed.
+    /// Another instance is alive. Also sent after its restart, which a new `boot` shows. An
+    /// instance known from the settings that is unreachable is reported as joined and then lost, so
+    /// that the state it may hold counts as missing.
     Joined(Member),
-    /// Another instance does not answer; it may yet.
+    /// Another instance does not respond at the moment.
     Suspected(Instance),
-    /// Another instance that was suspected answers.
+    /// A suspected instance responds again.
     Cleared(Instance),
-    /// Another instance seems dead, which may be wrong.
+    /// Another instance is considered dead, possibly wrongly.
     Lost(Instance),
-    /// Another instance has stopped for good.
+    /// Another instance has stopped permanently.
     Left(Instance),
-    /// A caller has sent a whole request.
+    /// A caller has sent a complete request.
     Arrived(Arrival),
-    /// Another instance wants to pass on this instance's answer to its caller.
+    /// Another instance wants to relay this instance's answer to its caller.
     Subscribed {
-        /// Stands for the other instance's connection, until `Gone`.
+        /// Identifies the other instance's connection until `Gone`.
         ticket: Ticket,
         /// The request.
         request: Request,
-        /// The last position that the caller has.
+        /// Last token position that the caller has.
         after: u32,
     },
-    /// A caller's, or subscriber's, connection is closed.
+    /// The connection of a caller or subscriber is closed.
     Gone(Ticket),
-    /// The instance that a caller was relayed to does not own the request, or its connection broke.
+    /// The instance to which a caller was relayed does not own the request, or the connection to
+    /// it broke.
     RelayLost {
         /// The caller.
         ticket: Ticket,
-        /// The last position that the caller has by now.
+        /// Last token position that the caller has by now.
         after: u32,
     },
-    /// The policy lets a request in.
+    /// The policy admits a request.
     Admitted(Request),
     /// The policy refuses a request.
     Declined {
         /// The request.
         request: Request,
-        /// Why.
+        /// Why the request is refused.
         refusal: Refusal,
     },
     /// The quorum has answered a claim.
     Claimed {
         /// The request.
         request: Request,
-        /// Its claimant, as it was sent.
+        /// Claimant of the claim that was sent.
         claimant: u128,
-        /// The answer.
+        /// Answer of the quorum.
         ruling: Ruling,
     },
     /// The router has chosen an upstream.
     Placed {
         /// The request.
         request: Request,
-        /// Where it goes.
+        /// Upstream that was chosen.
         place: Placement,
     },
     /// The router has found no upstream.
     NoPlace {
         /// The request.
         request: Request,
-        /// How long to wait before asking again; none when there is no hope.
+        /// How long to wait before asking again; `None` if asking again is pointless.
         wait: Option<Duration>,
-        /// What the caller is told when it is given up and surely did not run.
+        /// Refusal for the caller, if the request is given up and certainly did not run.
         refusal: Refusal,
     },
     /// The retry budget has answered.
     Retry {
         /// The request.
         request: Request,
-        /// How long to wait before it is placed again; none when it may not be.
+        /// How long to wait before the next placement; `None` if a retry is not allowed.
         granted: Option<Duration>,
     },
-    /// Something became of a run.
+    /// The state of a run has changed.
     Ran {
         /// The run.
         attempt: Attempt,
-        /// What became of it.
+        /// What happened to the run.
         event: run::Event,
     },
-    /// The second holder has the answer up to here: told at both ends.
+    /// The second holder has the answer up to a position. Reported at both instances.
     Mirrored {
         /// The request.
         request: Request,
-        /// The last position held at the second holder.
+        /// Last position that the second holder has.
         position: u32,
     },
-    /// The second holder also has the end mark, or a plain service's whole answer: told at both
-    /// ends.
+    /// The second holder also has the end mark, or the complete response of a plain service.
+    /// Reported at both instances.
     MirrorEnded(Request),
     /// An upstream leaves.
     Leaving {
         /// The upstream.
         upstream: Upstream,
-        /// Time until it is taken away; none when it ends its streams first.
+        /// Time until the upstream is removed; `None` if it finishes its streams first.
         notice: Option<Duration>,
     },
-    /// An upstream's lease has run out.
+    /// The lease of an upstream has expired.
     Lapsed(Upstream),
-    /// An upstream takes new work again: a new incarnation is ready.
+    /// A new incarnation of an upstream is ready for work.
     Ready(Upstream),
-    /// Another instance says something.
+    /// A message from another instance has arrived.
     Heard {
-        /// The instance.
+        /// Sender.
         from: Instance,
-        /// What it says.
+        /// Content.
         message: Message,
     },
-    /// This instance stops within the time given.
+    /// This instance shuts down within the given time.
     Stop {
-        /// Time until it must be gone.
+        /// Time until this instance must have stopped.
         remaining: Duration,
     },
 }
@@ -136,27 +138,27 @@
 /// Describes another instance.
 #[data]
 pub struct Member {
-    /// Its name.
+    /// Name.
     pub instance: Instance,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: AvailabilityZone,
-    /// Differs between two of its starts; zero when not known.
+    /// Number that differs between any two starts of the instance; zero if unknown.
     pub boot: u64,
 }
 
-/// Says where a request goes.
+/// Describes the upstream chosen for a request.
 #[data]
 pub struct Placement {
     /// The upstream.
     pub upstream: Upstream,
-    /// Its address.
+    /// Address of the upstream.
     pub address: SocketAddr,
-    /// What kind of back end it is.
+    /// Kind of back end.
     pub kind: Kind,
-    /// The priority given to the upstream; higher goes first.
+    /// Priority of the request at the upstream; a higher one is served first.
     pub priority: i32,
-    /// Tokens of the prompt that its cache is thought to hold.
+    /// Estimated number of prompt tokens in the upstream's cache.
     pub cached: u32,
-    /// Whether it can import a KV cache.
+    /// Whether the upstream can import a KV cache.
     pub imports: bool,
 }
--- a/crates/verbenaslip-request/src/journal.rs
+++ b/crates/verbenaslip-request/src/journal.rs
@@ -1,4 +1,4 @@
-//! The second holder of an owned request: found, told, replaced.
+//! Second holder of an owned request: selection, progress messages and replacement.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::setup::Journal;
 
 impl Requests {
-    /// Looks for a second holder; the request is accepted once one has it.
+    /// Looks for a second holder; the request is accepted once a holder has it.
     pub(crate) fn start_journal(&mut self, ctx: &mut StepContext<'_>, mut entry: OwnedRequest) {
         let until = ctx.now.saturating_add(self.setup.timing.journal);
         entry.phase = Phase::Journal { until };
@@ -22,7 +22,7 @@
         self.advance_journal(ctx, entry);
     }
 
-    /// Goes on from the journal when there is a holder, or there can't be one.
+    /// Leaves the journal phase when there is a holder or no holder can be found.
     fn advance_journal(&mut self, ctx: &mut StepContext<'_>, mut entry: OwnedRequest) {
         let Phase::Journal { until } = entry.phase else {
             self.put(entry);
@@ -80,7 +80,7 @@
         self.send_put(ctx, entry);
     }
 
-    /// Gives up on the second holder, which must forget the request.
+    /// Abandons the second holder and tells it to drop its copy.
     pub(crate) fn abandon_holder(&mut self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) {
         let Some(holder) = entry.holder.take() else {
             return;
@@ -110,7 +110,7 @@
         ctx.send(&holder.instance, Message::Put(copy));
     }
 
-    /// Tells the second holder how far the request has got.
+    /// Sends the current progress to the second holder.
     pub(crate) fn send_progress(&self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) {
         entry.sequence += 1;
         let note = entry.progress();
@@ -118,7 +118,7 @@
             return;
         };
         if holder.acked_sequence.is_none() {
-            // The request itself is still on its way, and it is sent again with the newest note.
+            // The request itself is still unacknowledged, and is resent with the newest progress.
             return;
         }
         holder.tries = 1;
@@ -126,7 +126,7 @@
         ctx.send(&holder.instance, Message::Note(note));
     }
 
-    /// Takes a holder's word that it has the request.
+    /// Handles a holder's acknowledgment.
     pub(crate) fn handle_ack(&mut self, ctx: &mut StepContext<'_>, from: &Instance, ack: Ack) {
         let Some(mut entry) = self.take(ack.request) else {
             return;
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Takes a holder's word that it does not have the request, or not any longer.
+    /// Handles a holder's report that it does not have the request, or no longer has it.
     pub(crate) fn handle_full(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Sends again what the second holder has not acknowledged, or tries another.
+    /// Resends what the second holder has not acknowledged, or tries another holder.
     pub(crate) fn tick_holder(&mut self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) {
         let Some(holder) = &mut entry.holder else {
             return;
@@ -229,15 +229,15 @@
         }
     }
 
-    /// Replaces a second holder that does not get any further with the answer.
+    /// Replaces a second holder that makes no progress with the answer.
     pub(crate) fn tick_mirror(&mut self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) {
         let stall = self.setup.timing.stall;
         let Some(since) = entry.lagging_since else {
             return;
         };
-        // After a freeze it is not known yet whether the holder or this instance was silent. Were
-        // the answer let go then, a caller could get what the holder, perhaps its owner by now,
-        // goes on with otherwise.
+        // After a pause it is unknown whether the holder or this instance was silent. The holder may
+        // own the request by now, and callers could receive tokens that differ from its answer if
+        // this instance released them at once.
         let since = since.max(self.resumed_at);
         entry.lagging_since = Some(since);
         if ctx.now >= since.saturating_add(stall) {
@@ -245,10 +245,10 @@
         }
     }
 
-    /// Brings owned requests in line with the instances that are there now.
+    /// Adapts owned requests to the current set of instances.
     ///
-    /// When an instance joins, other homes are asked about a key than the ones that know it, and a
-    /// resend would run a second time: so the homes of now are told who owns it.
+    /// When an instance joins, the home instances of a key can change to ones that do not know it, and
+    /// a resend would run a second time. The current home instances are therefore told the owner.
     pub(crate) fn update_homes(&mut self, ctx: &mut StepContext<'_>) {
         let requests: Vec<_> = self.entries.keys().copied().collect();
         for request in requests {
@@ -271,10 +271,10 @@
         }
     }
 
-    /// Tells the homes of a key that is held elsewhere who owns it.
+    /// Tells the home instances who owns a key if the copy is stored elsewhere.
     ///
-    /// A resend asks the homes; were they away when the request came and are back now, it would run
-    /// a second time while the copy lies where nobody asks.
+    /// A resend asks the home instances. If they were absent when the request arrived and have come
+    /// back, they do not know about the copy, and the request would run a second time.
     pub(crate) fn announce_owner(&self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) {
         let homes = self.view.homes(entry.request());
         if entry.confirmed_holder().is_none_or(|holder| !homes.contains(holder)) {
@@ -284,7 +284,7 @@
         }
     }
 
-    /// Tells the homes that do not know it yet who owns a key.
+    /// Tells the home instances that do not know it yet who owns a key.
     pub(crate) fn inform_homes(&self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) {
         if !entry.head.keyed || entry.former_copy.is_some() {
             return;
@@ -311,7 +311,7 @@
         entry.inform_at = again.then(|| ctx.now.saturating_add(self.setup.timing.resend));
     }
 
-    /// Tells the homes again that have not answered.
+    /// Tells home instances that have not answered again.
     pub(crate) fn tick_inform(&self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) {
         if entry.inform_at.is_some_and(|at| ctx.now >= at) {
             entry.inform_at = None;
@@ -319,7 +319,7 @@
         }
     }
 
-    /// Tells everyone who knows of a request to forget it.
+    /// Tells all instances that know a request to forget it.
     pub(crate) fn send_drops(&mut self, ctx: &mut StepContext<'_>, entry: &OwnedRequest) {
         let (request, epoch) = (entry.request(), entry.epoch);
         let holder = entry.holder.iter().map(|holder| &holder.instance);
@@ -334,7 +334,7 @@
         self.unreserve(request, &own);
     }
 
-    /// Returns whether the second holder has all that is known of how a request ended.
+    /// Returns whether the second holder has everything about how a request ended.
     pub(crate) fn is_holder_current(entry: &OwnedRequest) -> bool {
         let Some(holder) = &entry.holder else {
             return true;
--- a/crates/verbenaslip-request/src/lib.rs
+++ b/crates/verbenaslip-request/src/lib.rs
@@ -1,21 +1,24 @@
-//! One request's life: journal, claim, runs, resume, move.
+//! Life of one request on an instance: journal, claim, runs, resumption, relocation.
 //!
-//! [`Requests`] owns every request of one instance and decides alone; it is told what happened
-//! ([`input`]) and says what it wants done ([`output`]). A request passes through it in this order:
+//! [`Requests`] is a state machine that owns every request of one instance. It takes events
+//! ([`input`]) and returns actions ([`output`]). A request passes through these steps:
 //!
-//! 1. *Lookup.* The homes of a key, two instances in two availability zones, are asked whether they
-//!    know it, so that a resend joins the request that already runs.
-//! 2. *Admission.* The policy lets it in or not.
-//! 3. *Journal.* An instance in another availability zone holds a copy. From here it is accepted.
-//! 4. *Claim.* A non-idempotent request needs the quorum's grant ([`claim`]).
-//! 5. *Place and run.* The router names an upstream, the traffic threads run it ([`run`]), and the
-//!    caller is served ([`caller`]) from the [`answer`] that they assemble.
-//! 6. *Recovery.* A run that fails or whose upstream leaves is joined again, moved or resumed; when
-//!    the owner is lost or stops, the second holder takes the request over under a higher epoch.
-//! 7. *Retention.* The finished answer is kept at both for callers that come back.
+//! 1. *Lookup.* The home instances of the key, two instances in two availability zones, are asked
+//!    whether they know the key, so that a resend joins the request that already runs.
+//! 2. *Admission.* The policy admits or refuses the request.
+//! 3. *Journal.* An instance in another availability zone stores a copy. The request is accepted
+//!    from this point on.
+//! 4. *Claim.* A non-idempotent request needs a grant from the quorum ([`claim`]).
+//! 5. *Placement and run.* The router chooses an upstream, the traffic threads run the request
+//!    there ([`run`]), and the caller is served ([`caller`]) from the [`answer`] that the threads
+//!    assemble.
+//! 6. *Recovery.* When a run fails or its upstream leaves, the run is rejoined, moved or resumed.
+//!    When the owner is lost or stops, the second holder takes the request over under a higher
+//!    epoch.
+//! 7. *Retention.* Both instances keep the finished answer for callers that come back.
 //!
-//! Instances speak [`message`] with each other. [`setup`] bounds time and memory. Nothing here does
-//! input or output, reads a clock or draws a random number.
+//! Instances exchange [`message`]s. [`setup`] bounds time and memory. Nothing in this crate
+//! performs input or output, reads a clock or generates random numbers.
 
 pub mod answer;
 pub mod caller;
--- a/crates/verbenaslip-request/src/lookup.rs
+++ b/crates/verbenaslip-request/src/lookup.rs
@@ -1,4 +1,4 @@
-//! Whether a key is known: the homes are asked, and their answers weighed.
+//! Lookup of a key at its home instances, and the decision that follows from their answers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,30 +13,31 @@
 use crate::requests::{Requests, StepContext};
 use crate::timer::Timer;
 
-/// After how many lost relays a mere reservation of another instance no longer counts.
+/// Lost relays after which another instance's mere reservation of a key is ignored.
 const MAX_RELAY_LOSSES: u32 = 3;
 
-/// Holds what the homes have said of a key.
+/// Lookup of a key at its home instances.
 #[derive(Clone, Debug)]
 pub(crate) struct Lookup {
-    /// What each has said.
+    /// Queries sent to home instances, and their answers.
     pub(crate) queries: BTreeMap<Instance, HomeQuery>,
-    /// How often they were asked without an answer.
+    /// How many times the home instances were asked without an answer.
     pub(crate) tries: u32,
-    /// Until when they are asked.
+    /// Time limit.
     pub(crate) until: Duration,
-    /// Whether anyone has said that another instance was accepted with the key.
+    /// Whether any instance reported that another owner of the key was accepted.
     pub(crate) accepted_elsewhere: bool,
-    /// What the caller is told if the key is still unknown everywhere; none when it is let in then.
+    /// Refusal for the caller if the key is still unknown everywhere; `None` if the request is
+    /// admitted in that case.
     pub(crate) refusal: Option<Refusal>,
 }
 
-/// Holds what one home has said.
+/// Query to one home instance.
 #[derive(Clone, Debug)]
 pub(crate) struct HomeQuery {
-    /// When it was last asked.
+    /// When the query was last sent.
     at: Duration,
-    /// Its answer.
+    /// Answer of the home instance.
     found: Option<KeyStatus>,
 }
 
@@ -45,7 +46,7 @@
         self.queries.values().filter_map(|query| query.found.as_ref())
     }
 
-    /// Returns whether another home than `own` has answered, if there is one.
+    /// Returns whether a home instance other than `own` has answered, if there is one.
     fn has_answer_beyond(&self, own: &Instance) -> bool {
         let mut others = self.queries.iter().filter(|(home, _)| *home != own).peekable();
         others.peek().is_none() || others.any(|(_, query)| query.found.is_some())
@@ -57,17 +58,17 @@
 }
 
 impl Requests {
-    /// Asks the homes whether they know the key.
+    /// Asks the home instances whether they know the key.
     pub(crate) fn look_up(&mut self, ctx: &mut StepContext<'_>, mut entry: OwnedRequest) {
         self.open_lookup(ctx, &mut entry, None);
         self.try_decide(ctx, entry);
     }
 
-    /// Asks the homes again before a caller is told that its request was not run.
+    /// Asks the home instances again before a caller is told that its request did not run.
     ///
-    /// An instance that was frozen or queued the request for long was perhaps believed dead by the
-    /// others, and the request was sent again and run elsewhere. One would notice "not run" said of
-    /// a request that ran; so the word is given only on answers that are fresh.
+    /// If this instance was paused or queued the request for long, the others may have considered it
+    /// dead, and a resend of the request may have run elsewhere. "Not run" would then be wrong, so it
+    /// is reported only on recent answers.
     pub(crate) fn look_up_before_refusal(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -78,15 +79,15 @@
         self.try_decide(ctx, entry);
     }
 
-    /// Asks the homes of now, when the instances have changed.
+    /// Asks the current home instances after the set of instances has changed.
     pub(crate) fn look_up_again(&mut self, ctx: &mut StepContext<'_>, mut entry: OwnedRequest) {
         let Phase::Lookup(lookup) = &mut entry.phase else {
             self.put(entry);
             return;
         };
-        // Views differ for a moment after each change, so one that was a home before may know.
+        // Views differ briefly after each change, so a former home instance may know the key.
         lookup.queries.retain(|home, _| self.view.answers(home));
-        // What was true before the change need not be now: the copy may just have been placed.
+        // Answers may be outdated after the change: the copy may have been stored just now.
         lookup.queries.values_mut().for_each(|query| query.found = None);
         for home in self.view.homes(entry.head.request) {
             let at = ctx.now;
@@ -115,8 +116,8 @@
         self.query_homes(ctx, entry);
     }
 
-    /// Sends the question to each home that has not answered it, and answers it here if this
-    /// instance is one.
+    /// Queries each home instance that has not answered, and answers locally if this instance is
+    /// one of them.
     fn query_homes(&mut self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) {
         let reserve = Reserve {
             request: entry.request(),
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Takes a home's answer.
+    /// Handles a home instance's answer.
     pub(crate) fn handle_reserved(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -170,10 +171,10 @@
         self.yield_to_accepted_owner(ctx, entry, found);
     }
 
-    /// Yields to another owner of the key, if that one was accepted and this one not yet.
+    /// Yields to another owner of the key, if that owner was accepted and this one was not yet.
     ///
-    /// An instance that was frozen after its lookup comes back with an answer that is no longer
-    /// true; one would notice a second run.
+    /// An instance that was paused after its lookup acts on an outdated answer and would cause a
+    /// second run.
     fn yield_to_accepted_owner(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -197,7 +198,7 @@
         self.withdraw(ctx, entry, &owner, digest);
     }
 
-    /// Gives up a request that this instance had entered for another owner's.
+    /// Gives up this instance's entry in favor of another owner.
     fn withdraw(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -213,7 +214,7 @@
         self.join_owner(ctx, entry, owner, digest);
     }
 
-    /// Asks again, or gives up, when a lookup's time has come.
+    /// Asks again when the lookup's timer is due, or gives up at its time limit.
     pub(crate) fn tick_lookup(&mut self, ctx: &mut StepContext<'_>, mut entry: OwnedRequest) {
         let Phase::Lookup(lookup) = &mut entry.phase else {
             self.put(entry);
@@ -232,7 +233,7 @@
         self.try_decide(ctx, entry);
     }
 
-    /// Decides a lookup as soon as the answers allow.
+    /// Decides a lookup as soon as the answers allow it.
     fn try_decide(&mut self, ctx: &mut StepContext<'_>, mut entry: OwnedRequest) {
         let Phase::Lookup(lookup) = &entry.phase else {
             self.put(entry);
@@ -260,7 +261,7 @@
         self.decide(ctx, entry);
     }
 
-    /// Asks those homes again whose answers are too old to go by; returns whether there were any.
+    /// Asks home instances again whose answers are outdated; returns whether there were any.
     fn requery_stale_homes(&mut self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) -> bool {
         let fresh = self.setup.timing.fresh;
         let Phase::Lookup(lookup) = &mut entry.phase else {
@@ -280,7 +281,7 @@
         found_stale
     }
 
-    /// Lets a request in, passes it on or refuses it, by the answers of its homes.
+    /// Admits, relays or refuses a request according to the home instances' answers.
     fn decide(&mut self, ctx: &mut StepContext<'_>, mut entry: OwnedRequest) {
         let Phase::Lookup(lookup) = &entry.phase else {
             self.put(entry);
@@ -309,7 +310,7 @@
         }
     }
 
-    /// Returns whether the answers show that nobody else can have run the request.
+    /// Returns whether the answers show that no other instance can have run the request.
     fn is_complete(&self, now: Duration, entry: &OwnedRequest, lookup: &Lookup) -> bool {
         let doubtful = lookup.accepted_elsewhere
             || lookup.answers().any(|found| match found {
@@ -335,7 +336,8 @@
         Some((owner.clone(), digest))
     }
 
-    /// Returns who has reserved the key, by the word of the first home that has answered.
+    /// Returns which instance has reserved the key, according to the first home instance that
+    /// answered.
     fn reserved_owner(&self, entry: &OwnedRequest, lookup: &Lookup) -> Option<(Instance, u128)> {
         if entry.relay_losses >= MAX_RELAY_LOSSES || lookup.refusal.is_some() {
             return None;
--- a/crates/verbenaslip-request/src/membership.rs
+++ b/crates/verbenaslip-request/src/membership.rs
@@ -1,4 +1,6 @@
-//! Which instances hold a request besides its owner: the same answer at every instance.
+//! Instances and their liveness, and which instances hold a request besides its owner.
+//!
+//! Every instance with the same view computes the same holders.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,49 +9,49 @@
 use verbenaslip_base::hash;
 use verbenaslip_base::name::{AvailabilityZone, Instance};
 
-/// How many homes are asked whether they know a key, each in another availability zone.
+/// Number of home instances of a key, each in another availability zone.
 pub(crate) const HOME_COUNT: usize = 2;
 
-/// Knows the instances and which of them seem alive.
+/// Known instances and their liveness.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Membership {
     members: BTreeMap<Instance, MemberState>,
 }
 
-/// Holds what is known of one instance.
+/// What is known of one instance.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberState {
-    /// Its availability zone.
+    /// Availability zone.
     pub(crate) zone: AvailabilityZone,
-    /// Its start, zero when not known.
+    /// Boot number; zero if unknown.
     pub(crate) boot: u64,
-    /// Whether it seems alive.
+    /// Whether the instance is considered alive.
     pub(crate) alive: bool,
-    /// Whether it has stopped to answer and may still turn out to be alive.
+    /// Whether the instance has stopped responding but is not considered dead.
     pub(crate) suspected: bool,
-    /// When it was lost, if it was.
+    /// When the instance was lost, if it was.
     pub(crate) lost_at: Option<Duration>,
 }
 
 impl MemberState {
-    /// Describes an instance that is there.
+    /// Returns the state of an instance that is alive.
     pub(crate) fn alive(zone: AvailabilityZone, boot: u64) -> Self {
         Self { zone, boot, alive: true, suspected: false, lost_at: None }
     }
 
-    /// Returns whether it seems alive and answers.
+    /// Returns whether the instance is considered alive and responds.
     fn answers(&self) -> bool {
         self.alive && !self.suspected
     }
 }
 
 impl Membership {
-    /// Notes an instance.
+    /// Adds or replaces an instance.
     pub(crate) fn insert(&mut self, instance: Instance, member: MemberState) {
         self.members.insert(instance, member);
     }
 
-    /// Notes that an instance seems dead; returns whether it seemed alive before.
+    /// Marks an instance as lost; returns whether it was considered alive before.
     pub(crate) fn mark_lost(&mut self, instance: &Instance, now: Duration) -> bool {
         let Some(member) = self.members.get_mut(instance) else {
             return false;
@@ -58,14 +60,14 @@
         std::mem::replace(&mut member.alive, false)
     }
 
-    /// Notes that an instance does not answer, or does again.
+    /// Records whether an instance is suspected not to respond.
     pub(crate) fn set_suspected(&mut self, instance: &Instance, suspected: bool) {
         if let Some(member) = self.members.get_mut(instance) {
             member.suspected = suspected;
         }
     }
 
-    /// Removes an instance that has stopped for good; returns whether it seemed alive before.
+    /// Removes an instance that has stopped permanently; returns whether it was considered alive.
     pub(crate) fn remove(&mut self, instance: &Instance) -> bool {
         self.members.remove(instance).is_some_and(|member| member.alive)
     }
@@ -75,24 +77,25 @@
         self.members.get(instance)
     }
 
-    /// Returns whether an instance seems alive.
+    /// Returns whether an instance is considered alive.
     pub(crate) fn alive(&self, instance: &Instance) -> bool {
         self.get(instance).is_some_and(|member| member.alive)
     }
 
-    /// Returns whether an instance seems alive and answers.
+    /// Returns whether an instance is considered alive and responds.
     pub(crate) fn answers(&self, instance: &Instance) -> bool {
         self.get(instance).is_some_and(MemberState::answers)
     }
 
-    /// Returns the homes of a request: the best instance of each of the best availability zones.
+    /// Returns the home instances of a request: the highest-ranked instance of each of the
+    /// highest-ranked availability zones.
     pub(crate) fn homes(&self, request: Request) -> Vec<Instance> {
         self.best_per_zone(request, MemberState::answers).into_iter().take(HOME_COUNT).collect()
     }
 
-    /// Returns whether an instance that was lost since `after` would be a home if it were there.
+    /// Returns whether an instance lost since `after` would be a home instance if it were present.
     ///
-    /// It may be cut off rather than dead, and hold what the others know nothing of.
+    /// Such an instance may be partitioned rather than dead, and hold state that the others lack.
     pub(crate) fn is_home_missing(&self, request: Request, after: Duration) -> bool {
         let recent =
             |member: &MemberState| member.alive || member.lost_at.is_some_and(|lost| lost >= after);
@@ -100,8 +103,8 @@
         homes.iter().take(HOME_COUNT).any(|home| !self.answers(home))
     }
 
-    /// Returns where a request can be held besides `own`, best first: other availability zones
-    /// first, the homes before all.
+    /// Returns where a request can be stored besides `own`, best first: instances in other
+    /// availability zones come first, and home instances come before the rest.
     pub(crate) fn holders(&self, request: Request, own: &Instance) -> Vec<Instance> {
         let zone = self.get(own).map(|member| &member.zone);
         let homes = self.best_per_zone(request, MemberState::answers);
--- a/crates/verbenaslip-request/src/message.rs
+++ b/crates/verbenaslip-request/src/message.rs
@@ -1,7 +1,7 @@
-//! What instances say to each other about requests.
+//! Messages about requests between instances.
 //!
-//! Every message is idempotent by request, epoch and sequence, so that lost ones are sent again and
-//! duplicated, late and reordered ones do no harm.
+//! Every message is idempotent by request, epoch and sequence: lost messages are sent again, and
+//! duplicated, late or reordered messages are harmless.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,55 +16,58 @@
 use crate::caller::Body;
 use crate::output::Outcome;
 
-/// Says something about one request to another instance.
+/// Message about one request to another instance.
 #[data]
 pub enum Message {
-    /// Asks a home whether it knows the key, and reserves it for the asker if not.
+    /// Asks a home instance whether it knows the key, and reserves the key for the sender if not.
     Reserve(Reserve),
     /// Answers a reservation.
     Reserved {
-        /// The request asked about.
+        /// Request that was asked about.
         request: Request,
-        /// What the home knows.
+        /// What the home instance knows.
         found: KeyStatus,
     },
-    /// Gives a home the whole request to hold.
+    /// Gives an instance the complete request to store.
     Put(Box<RequestCopy>),
-    /// Tells the second holder how far its owner has got.
+    /// Tells the second holder about the owner's progress.
     Note(Progress),
-    /// Answers a put or a note.
+    /// Acknowledges a `Put` or a `Note`.
     Kept(Ack),
-    /// Answers a put: the home has no room.
+    /// Answers a `Put` that the instance has no room for, or a `Note` about a copy that it no
+    /// longer holds.
     Full {
-        /// The request that was not kept.
+        /// Request that is not stored.
         request: Request,
-        /// The owner's epoch.
+        /// Epoch of the owner.
         epoch: u16,
     },
     /// Tells a former owner that it no longer owns the request.
     Taken(Takeover),
-    /// Answers that the former owner has given the request up.
+    /// Confirms that the former owner has given the request up.
     Yielded {
         /// The request.
         request: Request,
-        /// The epoch to which it yielded.
+        /// Epoch of the new owner.
         epoch: u16,
     },
     /// Asks the second holder to take the request over at once, because its owner stops.
     HandOver(Progress),
-    /// Tells a home to forget the request: it was surely not run, or nobody wants it any more.
+    /// Tells an instance to forget the request: it certainly did not run, or no caller needs it any
+    /// more.
     Drop {
         /// The request.
         request: Request,
-        /// The owner's epoch.
+        /// Epoch of the owner.
         epoch: u16,
-        /// Whether the key is free as well; else only the copy is, and another instance holds it.
+        /// Whether the key is released as well. If not, only the copy is dropped, because another
+        /// instance holds it.
         key: bool,
     },
 }
 
 impl Message {
-    /// Returns the request that it is about.
+    /// Returns the request that the message is about.
     pub fn request(&self) -> Request {
         match self {
             Self::Reserve(reserve) => reserve.request,
@@ -85,119 +88,120 @@
 pub struct Reserve {
     /// The request.
     pub request: Request,
-    /// The digest of its body.
+    /// Digest of the request body.
     pub digest: u128,
-    /// The asker's start, so that a restarted one is told from the one that held it before.
+    /// Boot number of the sender, which tells a restarted sender from its former incarnation.
     pub boot: u64,
-    /// The asker's epoch when it owns the request; zero while it only asks.
+    /// Epoch of the sender if it owns the request; zero while it only asks.
     pub epoch: u16,
-    /// How long the reservation stands.
+    /// Time for which the request still runs; the reservation lasts a little longer.
     pub remaining: Duration,
 }
 
-/// Says what a home knows of a key.
+/// Tells what a home instance knows of a key.
 #[data]
 pub enum KeyStatus {
-    /// It was unknown and is now reserved for the asker.
+    /// The key was unknown and is now reserved for the sender.
     Free,
-    /// Another instance owns it.
+    /// Another instance owns the key.
     Held {
-        /// The owner.
+        /// Owner of the key.
         owner: Instance,
-        /// The owner's epoch; zero while it has only reserved the key.
+        /// Epoch of the owner; zero while it has only reserved the key.
         epoch: u16,
-        /// The digest of the body it came with.
+        /// Digest of the body for which the key was used.
         digest: u128,
     },
-    /// Its owner is lost and another will take it over soon; ask again.
+    /// The owner is lost, and another instance will take the request over soon; ask again.
     Between {
-        /// The digest of the body it came with.
+        /// Digest of the body for which the key was used.
         digest: u128,
     },
-    /// It was held by an instance that was lost before it told that the request was accepted, and
-    /// is now reserved for the asker; nobody knows whether it ran.
+    /// The key was held by an instance that was lost before it reported that the request was
+    /// accepted. The key is now reserved for the sender; it is unknown whether the request ran.
     Doubtful,
-    /// It is unknown, and there is no room to reserve it.
+    /// The key is unknown, and there is no room to reserve it.
     Full,
 }
 
-/// Holds all that a second holder needs to take a request over.
+/// Everything that a second holder needs to take a request over.
 #[data]
 pub struct RequestCopy {
-    /// The request; its deadline counts from zero as the time that remains.
+    /// Request; its deadline is the time that remains.
     pub head: Head,
-    /// What is sent to the upstream; none when the request is finished.
+    /// Request body for the upstream; `None` if the request is finished.
     pub body: Option<Arc<Body>>,
-    /// The digest of the body.
+    /// Digest of the body.
     pub digest: u128,
-    /// The owner's start.
+    /// Boot number of the owner.
     pub boot: u64,
-    /// How far the owner has got.
+    /// Progress of the owner.
     pub note: Progress,
 }
 
-/// Says how far an owner has got with a request.
+/// Progress of an owner with a request.
 #[data]
 pub struct Progress {
     /// The request.
     pub request: Request,
-    /// The owner's epoch.
+    /// Epoch of the owner.
     pub epoch: u16,
-    /// Rises with each note of one epoch.
+    /// Number that rises with each progress message of one epoch.
     pub sequence: u32,
-    /// The run that goes on, if any.
+    /// Run in progress, if any.
     pub live: Option<ActiveRun>,
-    /// The highest attempt number given so far.
+    /// Highest attempt number so far.
     pub number: u32,
     /// Whether any attempt may have run.
     pub ran: bool,
-    /// How many upstreams have ended while they ran it.
+    /// How many upstreams have crashed while they ran the request.
     pub crashes: u8,
-    /// Whether its homes had all said that they did not know it, so that nobody else has run it.
+    /// Whether all home instances reported that they did not know the key, so that no other
+    /// instance has run the request.
     pub complete: bool,
-    /// The ownership from whose answer this one goes on.
+    /// Ownership that began the answer which this one continues.
     pub lineage: u64,
-    /// How it ended, if it did.
+    /// How the request ended, if it did.
     pub outcome: Option<Outcome>,
 }
 
-/// Says where a run goes on, so that a new owner can join it.
+/// Run in progress, as a new owner needs it to rejoin the run.
 #[data]
 pub struct ActiveRun {
     /// The run.
     pub attempt: Attempt,
     /// The upstream.
     pub upstream: Upstream,
-    /// Its address.
+    /// Address of the upstream.
     pub address: SocketAddr,
-    /// What kind of back end it is.
+    /// Kind of back end.
     pub kind: Kind,
-    /// The priority it was given.
+    /// Priority of the request at the upstream.
     pub priority: i32,
 }
 
-/// Answers that a copy is held up to a note.
+/// Acknowledges that a copy is stored up to a progress message.
 #[data(copy)]
 pub struct Ack {
     /// The request.
     pub request: Request,
-    /// The owner's epoch.
+    /// Epoch of the owner.
     pub epoch: u16,
-    /// The newest note held.
+    /// Sequence of the newest progress message stored.
     pub sequence: u32,
 }
 
-/// Says who owns a request from now on.
+/// Tells which instance owns a request from now on.
 #[data]
 pub struct Takeover {
     /// The request.
     pub request: Request,
-    /// The new owner.
+    /// New owner.
     pub owner: Instance,
-    /// The new owner's epoch.
+    /// Epoch of the new owner.
     pub epoch: u16,
-    /// The run that the new owner follows, which must not be cancelled.
+    /// Run that the new owner continues and that must not be canceled.
     pub attempt: Option<Attempt>,
-    /// The ownership from whose answer the new owner goes on.
+    /// Ownership that began the answer which the new owner continues.
     pub lineage: u64,
 }
--- a/crates/verbenaslip-request/src/output.rs
+++ b/crates/verbenaslip-request/src/output.rs
@@ -1,4 +1,4 @@
-//! What one instance's requests want done.
+//! Actions that the requests of one instance ask for.
 
 use verbenaslip_base::attempt::Request;
 use verbenaslip_base::data;
@@ -11,20 +11,20 @@
 use crate::message::{ActiveRun, Message};
 use crate::run::Run;
 
-/// Wants one thing done.
+/// One action for the caller of [`Requests::step`](crate::Requests::step) to perform.
 #[data]
 pub enum Output {
-    /// Tells a caller or subscriber what it gets; a later one for the same ticket replaces an
-    /// earlier, and goes on from what the caller has been given by then.
+    /// Tells a caller or subscriber what it gets. A later verdict for the same ticket replaces an
+    /// earlier one and continues after what the caller has received by then.
     Verdict {
         /// The caller.
         ticket: Ticket,
-        /// What it gets.
+        /// What the caller gets.
         verdict: Verdict,
     },
     /// Tells a subscriber that this instance does not own the request.
     Absent(Ticket),
-    /// Asks the policy to let a request in; answered by `Admitted` or `Declined`.
+    /// Asks the policy to admit a request; answered by `Admitted` or `Declined`.
     Admit(Head),
     /// Asks the quorum for a claim; answered by `Claimed`.
     Claim(Claim),
@@ -32,96 +32,97 @@
     Settle {
         /// The request.
         request: Request,
-        /// The claimant that was granted.
+        /// Claimant that holds the claim.
         claimant: u128,
-        /// How it ended.
+        /// How the request ended.
         outcome: Outcome,
     },
     /// Asks the router for an upstream; answered by `Placed` or `NoPlace`.
     Place(PlacementRequest),
-    /// Asks the retry budget; answered by `Retry`.
+    /// Asks the retry budget for a retry; answered by `Retry`.
     Retry {
         /// The request.
         head: Head,
-        /// The upstream that failed it.
+        /// Upstream at which the request failed.
         upstream: Upstream,
     },
     /// Runs a request at an upstream.
     Run(Run),
-    /// Stops a run at its upstream and drops its late tokens.
+    /// Stops a run at its upstream and discards any tokens that still arrive.
     Cancel(ActiveRun),
-    /// Copies the answer, and all that is added to it, to the second holder; none stops it.
-    /// While there is one, callers get only what it has.
+    /// Copies the answer and all further additions to the second holder; without an instance,
+    /// copying stops. While there is a second holder, callers get only what it has.
     Mirror {
         /// The request.
         request: Request,
-        /// The epoch under which it is copied.
+        /// Epoch under which the answer is copied.
         epoch: u16,
-        /// The second holder.
+        /// Second holder.
         to: Option<Instance>,
     },
-    /// Makes the answer held here this instance's own, in an epoch; opens it if there is none.
+    /// Makes this instance the owner of the local answer in an epoch, creating the answer if there
+    /// is none.
     Own {
         /// The request.
         request: Request,
-        /// The epoch; copies of earlier ones are late from now on.
+        /// Epoch; copies from earlier epochs are late from now on.
         epoch: u16,
     },
-    /// Frees the answer held here, unless it is of a later epoch by now.
+    /// Frees the local answer, unless it belongs to a later epoch by now.
     Forget {
         /// The request.
         request: Request,
-        /// The epoch.
+        /// Epoch of the answer.
         epoch: u16,
     },
-    /// Says something to another instance.
+    /// Sends a message to another instance.
     Send {
-        /// The instance.
+        /// Receiver.
         to: Instance,
-        /// What is said.
+        /// Content.
         message: Message,
     },
-    /// Tells the policy that this instance is done with a request, however it ended.
+    /// Tells the policy that this instance has finished with a request, whatever the outcome.
     Done {
         /// The request.
         request: Request,
-        /// How it ended.
+        /// How the request ended.
         outcome: Outcome,
     },
-    /// Tells that nothing is left here after `Stop`.
+    /// Reports that nothing is left on this instance after `Stop`.
     Drained,
 }
 
-/// Says what an upstream is wanted for.
+/// Describes the request for which an upstream is needed.
 #[data]
 pub struct PlacementRequest {
     /// The request.
     pub head: Head,
-    /// Tokens of the answer that are there already.
+    /// Number of answer tokens that exist already.
     pub position: u32,
     /// Upstreams that must not be chosen.
     pub without: Vec<Upstream>,
-    /// The upstream it moves away from while it still runs there.
+    /// Upstream from which the request moves away while it still runs there.
     pub from: Option<Upstream>,
 }
 
-/// Says how a request ended.
+/// Tells how a request ended.
 #[data]
 pub enum Outcome {
-    /// The answer is whole.
+    /// The answer is complete.
     Whole {
-        /// Its tokens; zero for a plain service.
+        /// Number of tokens; zero for a plain service.
         position: u32,
     },
-    /// It was surely not run.
+    /// The request certainly did not run.
     Refused(Refusal),
-    /// It may have run.
+    /// The request may have run.
     Unknown(Unknown),
-    /// Its caller left and did not come back.
+    /// The caller left and did not come back.
     Abandoned,
-    /// Another instance owns it now.
+    /// Another instance owns the request now.
     Moved {
-        /// The new owner.
+        /// New owner.
         owner: Instance,
     },
 }
--- a/crates/verbenaslip-request/src/owned.rs
+++ b/crates/verbenaslip-request/src/owned.rs
@@ -1,4 +1,4 @@
-//! One request that this instance owns.
+//! State of one request that this instance owns.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -18,226 +18,227 @@
 use crate::output::Outcome;
 use crate::setup::Timing;
 
-/// Bits of an attempt's number that count the runs of one owner.
+/// Bits of an attempt's number that are available to one owner.
 const OWNER_NUMBER_BITS: u32 = 16;
-/// Bits of these that count, below those that tell apart two owners of the same epoch.
+/// The lowest of these bits, which count runs. The bits above tell two owners of one epoch apart.
 const RUN_COUNT_BITS: u32 = 6;
 
-/// How many upstreams may end while they run a request. One that ends is bad luck, for two there may be one cause.
+/// Upstream crashes after which a request counts as a poison request. One crash may be a
+/// coincidence, and two may have a common cause.
 const MAX_CRASHES: u8 = 3;
 
-/// Holds one request that this instance owns, or is finding out whether it may.
+/// Request that this instance owns or whose key it is still looking up.
 #[derive(Clone, Debug)]
 pub(crate) struct OwnedRequest {
     /// The request.
     pub(crate) head: Head,
-    /// What is sent to the upstream; freed when the request is finished.
+    /// Request body for the upstream; released when the request is finished.
     pub(crate) body: Option<Arc<Body>>,
-    /// The digest of the body.
+    /// Digest of the body.
     pub(crate) digest: u128,
-    /// The owner's epoch; zero while the key is looked up.
+    /// Epoch of the owner; zero while the key is looked up.
     pub(crate) epoch: u16,
-    /// Tells this ownership from every other, also of the same instance.
+    /// Number that differs between any two ownerships, also of the same instance.
     pub(crate) salt: u64,
-    /// The ownership from whose answer this one goes on: its own number, or a former owner's.
+    /// Ownership that began the answer which this one continues: its own salt or a former owner's.
     pub(crate) lineage: u64,
-    /// Whether callers may have been given tokens that some second holder lacked.
+    /// Whether callers may have received tokens that a second holder lacked.
     pub(crate) unmirrored_served: bool,
-    /// Who waits for the answer.
+    /// Callers that wait for the answer.
     pub(crate) callers: BTreeMap<Ticket, Caller>,
-    /// What is being done.
+    /// Current phase.
     pub(crate) phase: Phase,
-    /// When the phase must be looked at again.
+    /// When the phase needs attention.
     pub(crate) phase_due: Option<Duration>,
     /// The second holder.
     pub(crate) holder: Option<Holder>,
-    /// Earlier second holders, which must forget it.
+    /// Former second holders, which must drop their copies.
     pub(crate) former_holders: BTreeSet<Instance>,
-    /// Instances that had no room or did not answer.
+    /// Instances that had no room or did not respond.
     pub(crate) tried_holders: BTreeSet<Instance>,
-    /// Homes that know the key.
+    /// Home instances that know the key.
     pub(crate) informed_homes: BTreeSet<Instance>,
-    /// When homes that have not said that they know the key are told again.
+    /// When home instances that have not confirmed that they know the key are told again.
     pub(crate) inform_at: Option<Duration>,
-    /// How often they were told.
+    /// How many times the home instances were told.
     pub(crate) inform_tries: u32,
-    /// Whether every home has said that it did not know the key.
+    /// Whether every home instance reported that it did not know the key.
     pub(crate) complete: bool,
-    /// When they said so.
+    /// When the lookup ended.
     pub(crate) looked_up_at: Duration,
-    /// The sequence of the newest note.
+    /// Sequence of the newest progress message.
     pub(crate) sequence: u32,
-    /// The number of the newest attempt.
+    /// Number of the newest attempt.
     pub(crate) number: u32,
-    /// Whether any attempt may have run, apart from the live one.
+    /// Whether any attempt may have run, apart from the current run.
     pub(crate) ran: bool,
-    /// The run that goes on.
+    /// Current run.
     pub(crate) run_state: Option<RunState>,
-    /// The newest run, also after its end.
+    /// Newest run, even if it has ended.
     pub(crate) last_run: Option<ActiveRun>,
-    /// The last position assembled.
+    /// Last position in the answer.
     pub(crate) position: u32,
-    /// The last position that the second holder has.
+    /// Last position that the second holder has.
     pub(crate) mirrored: u32,
-    /// The claim, when one was asked for.
+    /// Claimant of the claim, if one was requested.
     pub(crate) claimant: Option<u128>,
-    /// Since when the second holder lacks something without getting any further.
+    /// Since when the second holder has lacked something without making progress.
     pub(crate) lagging_since: Option<Duration>,
-    /// Whether the second holder also has its end.
+    /// Whether the second holder also has the end of the answer.
     pub(crate) mirror_ended: bool,
-    /// When it was last handed over to the second holder, which may run it from then on.
+    /// When the request was last handed over to the second holder, which may run it from then on.
     pub(crate) handed_over_at: Option<Duration>,
-    /// How many upstreams have ended while they ran it, also for former owners.
+    /// How many upstreams have crashed while they ran the request, also under former owners.
     pub(crate) crashes: u8,
-    /// Upstreams that failed it.
+    /// Upstreams at which the request failed.
     pub(crate) excluded: BTreeSet<Upstream>,
     /// Whether callers have been told that they are served.
     pub(crate) served: bool,
-    /// When it is given up for want of a caller.
+    /// When the request is abandoned because it has no caller.
     pub(crate) abandon_at: Option<Duration>,
-    /// Times that a relay of its callers was lost.
+    /// How many times a relay of the request's callers was lost.
     pub(crate) relay_losses: u32,
-    /// The copy that it was taken over from, until it is sure that it may be.
+    /// Copy from which the request was taken over, until the takeover is confirmed.
     pub(crate) former_copy: Option<Box<HeldCopy>>,
-    /// The former owner that has not yet given it up.
+    /// Former owner that has not yet given the request up.
     pub(crate) former_owner: Option<FormerOwner>,
 }
 
-/// Waits for an answer.
+/// Caller that waits for an answer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Caller {
-    /// The last position that it has.
+    /// Last position that the caller has.
     pub(crate) after: u32,
-    /// Whether it may have been given tokens that `after` does not count.
+    /// Whether the caller may have received tokens beyond `after`.
     pub(crate) may_have_more: bool,
-    /// Whether it is another instance that passes the answer on.
+    /// Whether the caller is another instance that relays the answer.
     pub(crate) subscriber: bool,
 }
 
-/// Names what is being done with a request.
+/// Phase of an owned request.
 #[derive(Clone, Debug)]
 pub(crate) enum Phase {
-    /// Asks the homes whether they know the key.
+    /// Asks the home instances whether they know the key.
     Lookup(Lookup),
-    /// Waits for the policy.
+    /// Waits for the policy to admit the request.
     Admit,
     /// Waits for a second holder.
     Journal {
-        /// Until when.
+        /// Time limit.
         until: Duration,
     },
-    /// Waits for the quorum.
+    /// Waits for the quorum's answer to a claim.
     Claim {
-        /// Until when.
+        /// Time limit.
         until: Duration,
         /// Whether the claim may have been granted.
         unsure: bool,
     },
     /// Waits before it asks the router again.
     Pause,
-    /// Waits for the router.
+    /// Waits for the router's choice.
     Place,
     /// Waits for the retry budget.
     Budget,
     /// Runs at an upstream.
     Run,
-    /// Waits until the second holder has forgotten it, before the caller is told that it was not
-    /// run.
+    /// Waits until the second holder has dropped its copy, before the caller is told that the
+    /// request did not run.
     Close {
-        /// What the caller will be told.
+        /// Refusal for the caller.
         refusal: Refusal,
-        /// Until when.
+        /// Time limit.
         until: Duration,
     },
     /// Has ended.
     Finished {
-        /// How.
+        /// How the request ended.
         outcome: Outcome,
-        /// When its retention ends.
+        /// When the retention ends.
         until: Duration,
     },
 }
 
-/// Tells of the second holder.
+/// Second holder of a request.
 #[derive(Clone, Debug)]
 pub(crate) struct Holder {
     /// The instance.
     pub(crate) instance: Instance,
-    /// The newest note that it holds; none before it has the request.
+    /// Newest progress that the holder has; `None` before it has the request.
     pub(crate) acked_sequence: Option<u32>,
-    /// How often the newest was sent.
+    /// How many times the newest message was sent.
     pub(crate) tries: u32,
-    /// When it is sent again.
+    /// When the message is sent again.
     pub(crate) due: Option<Duration>,
 }
 
-/// Tells of a former owner that must give the request up.
+/// Former owner that must give the request up.
 #[derive(Clone, Debug)]
 pub(crate) struct FormerOwner {
     /// The instance.
     pub(crate) instance: Instance,
-    /// How often it was told.
+    /// How many times the former owner was told.
     pub(crate) tries: u32,
-    /// When it is told again.
+    /// When the former owner is told again.
     pub(crate) due: Option<Duration>,
 }
 
-/// Follows one run.
+/// State of the current run.
 #[derive(Clone, Debug)]
 pub(crate) struct RunState {
     /// The run.
     pub(crate) live: ActiveRun,
-    /// How it began.
+    /// How the run started.
     pub(crate) origin: RunOrigin,
-    /// New connections to the same run since it last made progress.
+    /// New connections to the same run since its last progress.
     pub(crate) rejoins: u32,
-    /// When and where its first tokens came.
+    /// Time and position of the first tokens.
     pub(crate) first_tokens: Option<(Duration, u32)>,
-    /// The last time that something came.
+    /// When something last arrived.
     pub(crate) last_heard: Duration,
-    /// What is being done about its upstream's leaving.
+    /// What is being done because the upstream leaves.
     pub(crate) moving: Moving,
 }
 
-/// Says how a run began.
+/// Tells how a run started.
 #[derive(Clone, Debug)]
 pub(crate) enum RunOrigin {
-    /// From prompt and tokens.
+    /// From the prompt and existing tokens.
     Fresh,
-    /// On a new connection to a run that went on.
+    /// On a new connection to a run in progress.
     Rejoined,
     /// From a KV cache exported at another run.
     Imported {
-        /// Where it was exported.
+        /// Run whose cache is exported.
         from: ActiveRun,
-        /// Where it is imported.
+        /// Upstream that imports the cache.
         place: Placement,
     },
 }
 
-/// Says what is being done about an upstream's leaving.
+/// Tells what is being done because an upstream leaves.
 #[derive(Clone, Debug)]
 pub(crate) enum Moving {
-    /// Nothing.
+    /// Nothing is being done.
     Idle,
-    /// It should end in time; is looked at again then.
+    /// The run is expected to end in time, and is checked again later.
     Watched {
-        /// When.
+        /// Time of the next check.
         at: Duration,
     },
-    /// The router is asked for another upstream.
+    /// The router was asked for another upstream.
     Requested,
-    /// The router had none; is asked again.
+    /// The router had no upstream, and is asked again later.
     Paused {
-        /// When.
+        /// Time of the next request to the router.
         at: Duration,
     },
-    /// It can't be moved, and stays to the end.
+    /// The run cannot be moved and stays at its upstream.
     Pinned,
 }
 
 impl OwnedRequest {
-    /// Opens a request that a caller has sent.
+    /// Creates the state of a request that a caller has sent.
     pub(crate) fn open(head: Head, body: Option<Arc<Body>>, digest: u128, salt: u64) -> Self {
         Self {
             head,
@@ -279,17 +280,17 @@
         }
     }
 
-    /// Returns the request.
+    /// Returns the identity of the request.
     pub(crate) fn request(&self) -> Request {
         self.head.request
     }
 
-    /// Returns whether it has ended.
+    /// Returns whether the request has ended.
     pub(crate) fn is_finished(&self) -> bool {
         matches!(self.phase, Phase::Finished { .. })
     }
 
-    /// Returns whether it has ended with a whole answer.
+    /// Returns whether the request has ended with a complete answer.
     pub(crate) fn is_complete(&self) -> bool {
         matches!(self.phase, Phase::Finished { outcome: Outcome::Whole { .. }, .. })
     }
@@ -299,12 +300,12 @@
         self.ran || self.run_state.is_some()
     }
 
-    /// Returns whether a second holder has it, or the settings let it go without.
+    /// Returns whether a second holder has the request, or the settings allow it to go without.
     pub(crate) fn is_accepted(&self) -> bool {
         self.sequence > 0
     }
 
-    /// Returns the epoch as others are told it: zero before the request is accepted.
+    /// Returns the epoch as announced to other instances: zero before the request is accepted.
     pub(crate) fn announced_epoch(&self) -> u16 {
         if self.is_accepted() { self.epoch } else { 0 }
     }
@@ -317,7 +318,7 @@
             .map(|holder| &holder.instance)
     }
 
-    /// Says that this entry's owner is the one that goes on with the request.
+    /// Returns a takeover notice that names the owner of this entry.
     pub(crate) fn takeover_by(&self, owner: Instance) -> Takeover {
         Takeover {
             request: self.request(),
@@ -328,34 +329,33 @@
         }
     }
 
-    /// Returns whether callers can go on with a new owner's answer where they are in this one's.
+    /// Returns whether callers can continue with a new owner's answer at their current position.
     ///
-    /// The new owner goes on from what it had as second holder, perhaps in other words than this
-    /// one. So they can only if it had all that they were given.
+    /// The new owner continues from what it had as second holder, possibly with different tokens. Its
+    /// answer therefore matches only if it had everything that the callers received.
     pub(crate) fn continues_in(&self, taken: &Takeover) -> bool {
         let has_tokens = self.served && self.position > 0;
         !has_tokens || (self.lineage == taken.lineage && !self.unmirrored_served)
     }
 
-    /// Returns the upstream at which it runs.
+    /// Returns the upstream of the current run.
     pub(crate) fn upstream(&self) -> Option<&Upstream> {
         self.run_state.as_ref().map(|run_state| &run_state.live.upstream)
     }
 
-    /// Returns whether it runs at a model engine.
+    /// Returns whether the current run is at a model engine.
     pub(crate) fn runs_on_engine(&self) -> bool {
         self.run_state.as_ref().is_some_and(|run_state| run_state.live.kind == Kind::Engine)
     }
 
-    /// Tells whether it is run no more, since it seems to end whatever runs it.
+    /// Returns whether this is a poison request, which is not run again.
     ///
-    /// Run on, it would take one upstream after the other from all other requests: one would notice upstreams
-    /// that end in turn, each a moment after it was given the same request.
+    /// Further runs could crash one upstream after another and take them away from all other requests.
     pub(crate) fn is_poison(&self) -> bool {
         self.crashes >= MAX_CRASHES
     }
 
-    /// Returns how far it has got, for the second holder.
+    /// Returns the progress message for the second holder.
     pub(crate) fn progress(&self) -> Progress {
         let outcome = match &self.phase {
             Phase::Finished { outcome, .. } => Some(outcome.clone()),
@@ -376,21 +376,21 @@
         }
     }
 
-    /// Notes whether the second holder lacks something, after either end has got further.
+    /// Updates whether the second holder lacks something, after either instance made progress.
     ///
-    /// Callers get only what the second holder has. One whose connection for copies is broken, but
-    /// which seems alive otherwise, would hold up the answer for good, so the wait is bounded.
+    /// Callers get only what the second holder has. A holder that seems alive but whose connection for
+    /// copies is broken would block the answer forever, so the wait is bounded.
     pub(crate) fn update_lag(&mut self, now: Duration) {
         let lacks = self.mirrored < self.position || (self.is_complete() && !self.mirror_ended);
         let lacks = lacks && self.confirmed_holder().is_some();
         self.lagging_since = lacks.then_some(now);
     }
 
-    /// Returns the next attempt; none when the numbers of this owner are used up.
+    /// Returns the next attempt, or `None` if this owner has used up its numbers.
     ///
-    /// Two instances can own a request under the same epoch: two second holders, when one of them
-    /// was believed lost, or one instance before and after a restart. An engine that got the same
-    /// attempt twice would give one the other's stream; so the count starts elsewhere each time.
+    /// Two instances can own a request under the same epoch: two second holders, if one of them was
+    /// wrongly considered lost, or one instance before and after a restart. An engine that received
+    /// the same attempt twice would mix up their streams, so each ownership counts from another number.
     pub(crate) fn next_attempt(&mut self) -> Option<Attempt> {
         let salt = (self.salt as u32) << RUN_COUNT_BITS & ((1 << OWNER_NUMBER_BITS) - 1);
         let base = u32::from(self.epoch) << OWNER_NUMBER_BITS | salt;
@@ -400,7 +400,7 @@
         Some(Attempt { request: self.request(), number: next })
     }
 
-    /// Returns the next moment at which it must be looked at.
+    /// Returns when the entry next needs attention.
     pub(crate) fn next_wakeup(&self, timing: &Timing) -> Option<Duration> {
         let deadline = match &self.phase {
             Phase::Finished { until, .. } | Phase::Close { until, .. } => *until,
--- a/crates/verbenaslip-request/src/relocate.rs
+++ b/crates/verbenaslip-request/src/relocate.rs
@@ -1,4 +1,4 @@
-//! Moves streams away from an upstream that leaves, the cheapest way that its notice allows.
+//! Moves streams away from an upstream that leaves, in the cheapest way that its notice allows.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use crate::start::run_at;
 
 impl Requests {
-    /// Takes notice that an upstream leaves.
+    /// Handles the notice that an upstream leaves.
     pub(crate) fn handle_leaving(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -24,7 +24,7 @@
     ) {
         let until = notice.map(|notice| ctx.now.saturating_add(notice));
         let known = self.leaving.get(upstream).copied().flatten();
-        // A repeated notice may come late, with less precision; only the earliest end is safe.
+        // A repeated notice may arrive late and be less precise; only the earliest end is safe.
         let until = match (known, until) {
             (Some(known), Some(until)) => Some(known.min(until)),
             (known, until) => known.or(until),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Decides whether a run must be moved, and asks for a place if so.
+    /// Decides whether a run must be moved, and requests a placement if so.
     pub(crate) fn plan_move(&self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) {
         let Some(run_state) = &entry.run_state else {
             return;
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Looks again at a run whose upstream leaves.
+    /// Checks a run again whose upstream leaves.
     pub(crate) fn tick_moving(&self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) {
         let Some(run_state) = &mut entry.run_state else {
             return;
@@ -105,7 +105,7 @@
         pace.unwrap_or(self.setup.estimate.token).saturating_mul(left)
     }
 
-    /// Moves a run to the place that the router has found.
+    /// Moves a run to the upstream that the router has chosen.
     pub(crate) fn move_run(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Returns whether a KV cache can be moved in time and for less than computing it again.
+    /// Returns whether a KV cache can be moved in time and at a lower cost than computing it again.
     fn should_import(
         &self,
         now: Duration,
@@ -183,7 +183,7 @@
         self.put(entry);
     }
 
-    /// Goes on after a KV cache could not be moved.
+    /// Continues after a KV cache could not be moved.
     pub(crate) fn import_failed(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -195,7 +195,7 @@
         if entry.head.idempotent {
             ctx.out.push(Output::Cancel(from));
             match step {
-                // The old upstream failed; nothing speaks against the new one.
+                // The old upstream failed; the new one is still usable.
                 Step::Export => self.begin_run(ctx, entry, place),
                 _ => {
                     entry.excluded.insert(place.upstream.clone());
@@ -205,7 +205,7 @@
             return;
         }
         if step == Step::Export {
-            // The stream may not have stopped at the old upstream, and is the one run there is.
+            // The stream may not have stopped at the old upstream, and must remain the only run.
             self.launch_run(ctx, &mut entry, from, Start::Rejoin, RunOrigin::Rejoined);
             if let Some(run_state) = &mut entry.run_state {
                 run_state.moving = Moving::Pinned;
@@ -217,7 +217,7 @@
     }
 }
 
-/// Returns whether a run can be moved at all: a non-idempotent one only with its KV cache.
+/// Returns whether a run can be moved; a non-idempotent run needs its KV cache for that.
 fn can_move(entry: &OwnedRequest, run_state: &RunState) -> bool {
     entry.head.idempotent || run_state.live.kind == Kind::Engine
 }
--- a/crates/verbenaslip-request/src/requests.rs
+++ b/crates/verbenaslip-request/src/requests.rs
@@ -1,4 +1,4 @@
-//! All requests of one instance.
+//! State machine for all requests of one instance.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 use crate::setup::Setup;
 use crate::timer::{Timer, Timers};
 
-/// Owns every request of one instance, as owner or as second holder, and decides about them.
+/// All requests that one instance holds, as owner or as second holder.
 #[derive(Clone, Debug)]
 pub struct Requests {
     pub(crate) setup: Setup,
@@ -41,16 +41,16 @@
     pub(crate) resumed_at: Duration,
 }
 
-/// Carries what one step needs everywhere.
+/// Context of one step.
 pub(crate) struct StepContext<'a> {
-    /// The time of the step.
+    /// Monotonic time of the step.
     pub(crate) now: Duration,
-    /// What the step wants done.
+    /// Actions that the step asks for.
     pub(crate) out: &'a mut Vec<Output>,
 }
 
 impl StepContext<'_> {
-    /// Says something to another instance.
+    /// Sends a message to another instance.
     pub(crate) fn send(&mut self, to: &Instance, message: Message) {
         self.out.push(Output::Send { to: to.clone(), message });
     }
@@ -61,12 +61,12 @@
     }
 }
 
-/// Counts what an instance holds.
+/// Number of items that an instance holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests owned and not finished.
+    /// Unfinished owned requests.
     pub owned: usize,
-    /// Copies held for other owners and not finished.
+    /// Unfinished copies stored for other owners.
     pub copies: usize,
     /// Finished answers kept.
     pub finished: usize,
@@ -74,12 +74,12 @@
     pub reservations: usize,
     /// Callers and subscribers.
     pub callers: usize,
-    /// Bytes of bodies.
+    /// Bytes of request bodies.
     pub bytes: usize,
 }
 
 impl Requests {
-    /// Opens an instance that holds nothing and knows only itself.
+    /// Creates an instance that holds nothing and knows only itself.
     pub fn open(setup: Setup) -> Self {
         let mut view = Membership::default();
         let own = MemberState::alive(setup.zone.clone(), setup.boot);
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Takes one input at a monotonic time and adds what is to be done to `out`.
+    /// Handles one event at a monotonic time and appends the resulting actions to `out`.
     pub fn step(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
         let ctx = &mut StepContext { now, out };
         self.detect_pause(now);
@@ -118,7 +118,7 @@
         self.timers.next_due()
     }
 
-    /// Counts what is held.
+    /// Returns how many items are held.
     pub fn counts(&self) -> Counts {
         let owned = self.entries.values().filter(|entry| !entry.is_finished()).count();
         let copies = self.copies.values().filter(|copy| !copy.is_finished()).count();
@@ -137,7 +137,7 @@
         self.entries.get(&request).is_some_and(|entry| entry.epoch > 0)
     }
 
-    /// Notices by a timer that is long overdue that this instance was frozen until now.
+    /// Detects, from a timer that is long overdue, that this process was paused until now.
     fn detect_pause(&mut self, now: Duration) {
         let due = self.timers.next_due().unwrap_or(now);
         if now.saturating_sub(due) > self.setup.timing.fresh {
@@ -236,12 +236,12 @@
         }
     }
 
-    /// Takes an entry out to work on it; [`Self::put`] gives it back.
+    /// Removes an entry in order to work on it; [`Self::put`] stores it again.
     pub(crate) fn take(&mut self, request: Request) -> Option<OwnedRequest> {
         self.entries.remove(&request)
     }
 
-    /// Gives back an entry and sets its timer.
+    /// Stores an entry and sets its timer.
     pub(crate) fn put(&mut self, entry: OwnedRequest) {
         let request = entry.request();
         self.timers.set(Timer::Owned(request), entry.next_wakeup(&self.setup.timing));
@@ -254,14 +254,14 @@
         self.timers.set(Timer::Copied(request), at);
     }
 
-    /// Draws a number that hardly ever comes twice, here or elsewhere.
+    /// Returns a hash that is very unlikely to occur twice, on this instance or another.
     pub(crate) fn next_salt(&mut self) -> u64 {
         self.salts_issued += 1;
         let (boot, opened) = (self.setup.boot.to_le_bytes(), self.salts_issued.to_le_bytes());
         hash::narrow(&[self.setup.instance.as_str().as_bytes(), &boot, &opened])
     }
 
-    /// Counts a body's bytes; returns false when there is no room for it.
+    /// Reserves memory for a body; returns false if the limit would be exceeded.
     pub(crate) fn reserve_bytes(&mut self, body: &Body) -> bool {
         let Some(sum) = self.bytes.checked_add(body.bytes.len()) else {
             return false;
@@ -273,7 +273,7 @@
         true
     }
 
-    /// Frees a body's bytes.
+    /// Releases the memory of a body.
     pub(crate) fn release_body(&mut self, body: Option<Arc<Body>>) {
         let Some(body) = body else {
             return;
--- a/crates/verbenaslip-request/src/run.rs
+++ b/crates/verbenaslip-request/src/run.rs
@@ -1,4 +1,4 @@
-//! What the traffic threads and the decisions say to each other about runs at upstreams.
+//! Runs at upstreams, as exchanged with the traffic threads.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,82 +14,82 @@
 /// Orders the traffic threads to run a request at an upstream.
 #[data]
 pub struct Run {
-    /// The run's identity; events of any other attempt are dropped.
+    /// Identity of the run; events of any other attempt are ignored.
     pub attempt: Attempt,
     /// The upstream.
     pub upstream: Upstream,
-    /// Its address.
+    /// Address of the upstream.
     pub address: SocketAddr,
-    /// What kind of back end it is.
+    /// Kind of back end.
     pub kind: Kind,
-    /// What is sent.
+    /// Request to send.
     pub body: Arc<Body>,
-    /// How the run begins.
+    /// How the run starts.
     pub start: Start,
-    /// The priority given to the upstream; higher goes first.
+    /// Priority of the request at the upstream; a higher one is served first.
     pub priority: i32,
-    /// The longest silence before the run counts as stalled.
+    /// Longest silence before the run counts as stalled.
     pub stall: Duration,
     /// Monotonic time by which the run must have ended.
     pub deadline: Duration,
 }
 
-/// Says how a run begins.
+/// Tells how a run starts.
 #[data]
 pub enum Start {
     /// From the prompt alone.
     Fresh,
-    /// From the prompt and the tokens that the local answer already holds.
+    /// From the prompt and the tokens of the local answer.
     Resume,
-    /// From a KV cache exported at the source, imported first.
+    /// From a KV cache that is exported at the source and imported first.
     Import {
-        /// The run whose cache it is.
+        /// Run to which the KV cache belongs.
         from: Attempt,
-        /// The upstream that exports.
+        /// Address of the upstream that exports the cache.
         source: SocketAddr,
     },
-    /// The same run on a new connection, after the tokens that the local answer already holds.
+    /// Continues the same run on a new connection, after the tokens of the local answer.
     Rejoin,
 }
 
-/// Tells what became of a run.
+/// Tells what happened to a run.
 #[data]
 pub enum Event {
-    /// The request was written to the upstream, so from here it may have run.
+    /// The request was written to the upstream and may have run from this point on.
     Sent,
-    /// Tokens were assembled; counts, never text.
+    /// Tokens were added to the answer.
     Tokens {
-        /// The last position assembled.
+        /// Last position in the answer.
         position: u32,
     },
-    /// The answer is whole, with its end mark.
+    /// The answer is complete, including its end mark.
     Ended {
-        /// Tokens in the whole answer; zero for a plain service.
+        /// Number of tokens in the answer; zero for a plain service.
         position: u32,
     },
-    /// The run ended without a whole answer.
+    /// The run ended without a complete answer.
     Failed(Failure),
 }
 
-/// Says why and at which step a run ended without a whole answer.
+/// Tells why and at which step a run ended without a complete answer.
 #[data]
 pub struct Failure {
-    /// The step at which it failed.
+    /// Step that failed.
     pub step: Step,
-    /// What was noticed.
+    /// Observed cause.
     pub cause: Cause,
-    /// Whether the request surely did not run: nothing was sent, or the upstream said so.
+    /// Whether the request certainly did not run: nothing was sent, or the upstream said so.
     pub not_run: bool,
 }
 
-/// Names the steps of a run.
+/// Step of a run.
 #[data(copy, ord, hash)]
 pub enum Step {
     /// Opening the connection; nothing has been sent.
     Connect,
     /// Writing the request.
     Write,
-    /// Waiting for the answer's head.
+    /// Waiting for the response head.
     Head,
     /// Reading the answer.
     Read,
@@ -99,23 +99,23 @@
     Import,
 }
 
-/// Names what was noticed.
+/// Observed cause of a failure.
 #[data(copy, ord, hash)]
 pub enum Cause {
     /// The connection was refused, reset or closed.
     Closed,
-    /// Nothing came for the stall limit.
+    /// Nothing arrived within the stall limit.
     Silent,
-    /// The upstream said that it did not run it.
+    /// The upstream reported that it did not run the request.
     Refused,
     /// The upstream answered with an error.
     Error,
     /// The answer ended without its end mark.
     Cut,
-    /// A position was skipped.
+    /// A token position was skipped.
     Gap,
     /// The deadline passed.
     Deadline,
-    /// It does not know the run asked for again.
+    /// The upstream does not know the run that was to be rejoined.
     Forgotten,
 }
--- a/crates/verbenaslip-request/src/run_event.rs
+++ b/crates/verbenaslip-request/src/run_event.rs
@@ -1,4 +1,4 @@
-//! What becomes of runs: progress, end, failure, and the choice between joining and running again.
+//! Events of runs: progress, end and failure, and the choice between rejoining and running again.
 
 use std::time::Duration;
 
@@ -13,10 +13,10 @@
 use crate::requests::{Requests, StepContext};
 use crate::run::{Cause, Failure, Start, Step};
 
-/// New connections to the same run without progress in between, before it is given up.
+/// New connections to the same run without progress, after which the run is given up.
 const MAX_REJOINS: u32 = 1;
 
-/// How long a stream may be without tokens before a lapsed lease counts against it.
+/// Time without tokens after which a lapsed lease ends a run.
 const LAPSE_SILENCE: Duration = Duration::from_secs(1);
 
 impl Requests {
@@ -74,7 +74,7 @@
         self.finish(ctx, entry, Outcome::Whole { position });
     }
 
-    /// Takes out the entry of an attempt, if that is its live one.
+    /// Removes the entry of an attempt if the attempt is its current run.
     fn take_running(&mut self, attempt: Attempt) -> Option<OwnedRequest> {
         let entry = self.entries.get(&attempt.request)?;
         let live =
@@ -85,7 +85,7 @@
         self.take(attempt.request)
     }
 
-    /// Decides what follows a run without a whole answer.
+    /// Decides what follows a run that ended without a complete answer.
     pub(crate) fn handle_failed(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -100,7 +100,7 @@
             return;
         };
         let rejoined = matches!(run_state.origin, RunOrigin::Rejoined) || run_state.rejoins > 0;
-        // A run joined again was sent before: that the new connection sent nothing says nothing.
+        // A rejoined run was sent before, so it does not matter that the new connection sent nothing.
         entry.ran |= !failure.not_run || rejoined;
         if failure.cause == Cause::Deadline {
             self.handle_deadline(ctx, entry);
@@ -127,7 +127,7 @@
         self.retry_run(ctx, entry, &run_state.live, failure);
     }
 
-    /// Joins the same run on a new connection.
+    /// Rejoins the same run on a new connection.
     fn rejoin(&mut self, ctx: &mut StepContext<'_>, mut entry: OwnedRequest, run_state: RunState) {
         let rejoins = run_state.rejoins + 1;
         self.launch_run(ctx, &mut entry, run_state.live, Start::Rejoin, RunOrigin::Rejoined);
@@ -137,7 +137,7 @@
         self.put(entry);
     }
 
-    /// Runs the request again where that does no harm, and ends it where it would.
+    /// Runs the request again if that is safe, and ends it otherwise.
     fn retry_run(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -166,7 +166,7 @@
         }
         self.confirm_takeover(ctx, &mut entry);
         if self.is_loss_announced(&live.upstream) {
-            // The loss was announced and the request accepted, so no budget may end it.
+            // The loss was announced and the request accepted, so the retry budget does not apply.
             self.request_placement(ctx, entry);
             return;
         }
@@ -182,7 +182,7 @@
         self.leaving.get(upstream).is_some_and(Option::is_some)
     }
 
-    /// Takes the word of the retry budget.
+    /// Handles the decision of the retry budget.
     pub(crate) fn handle_retry_decision(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -221,10 +221,10 @@
         self.refuse(ctx, entry, Refusal { reason: Reason::Deadline, retry: None });
     }
 
-    /// Doubts the runs at an upstream that has not announced itself for long.
+    /// Gives up silent runs at an upstream whose lease has lapsed.
     ///
-    /// Announcements can be lost while streams still flow, and moving these would compute their
-    /// tokens again: so only a run that is silent as well is given up before its stall limit.
+    /// Announcements can be lost while streams continue, and moving such a stream would compute its
+    /// tokens again. Only a run that is silent as well is given up before its stall limit.
     pub(crate) fn handle_lapsed(&mut self, ctx: &mut StepContext<'_>, upstream: &Upstream) {
         for request in self.running_at(upstream) {
             let Some(entry) = self.take(request) else {
@@ -256,7 +256,7 @@
     }
 }
 
-/// Returns whether the run may still go on at its upstream, out of reach of a broken connection.
+/// Returns whether a run may continue at its upstream behind a broken connection.
 fn can_rejoin(run_state: &RunState, failure: &Failure) -> bool {
     let lost = match failure.cause {
         Cause::Closed | Cause::Silent | Cause::Cut | Cause::Gap => true,
@@ -269,8 +269,10 @@
         && run_state.rejoins < MAX_REJOINS
 }
 
-/// Tells whether an upstream seems to have ended while it ran the request: nobody listens there any more when the
-/// run is joined again, or a plain service, where no run can be, closed without an answer.
+/// Returns whether an upstream seems to have crashed while it ran the request.
+///
+/// An engine has crashed if it refuses the connection when the run is rejoined. A plain service,
+/// whose runs cannot be rejoined, has crashed if it closes the connection without an answer.
 fn has_upstream_crashed(live: &ActiveRun, failure: &Failure, rejoined: bool) -> bool {
     let closed = failure.cause == Cause::Closed;
     match live.kind {
--- a/crates/verbenaslip-request/src/setup.rs
+++ b/crates/verbenaslip-request/src/setup.rs
@@ -1,31 +1,31 @@
-//! What one instance's requests are set up with.
+//! Settings of the requests of one instance.
 
 use std::time::Duration;
 
 use verbenaslip_base::data;
 use verbenaslip_base::name::{AvailabilityZone, Instance};
 
-/// Sets up the requests of one instance.
+/// Configures the requests of one instance.
 #[data]
 pub struct Setup {
     /// This instance.
     pub instance: Instance,
-    /// Its availability zone.
+    /// Availability zone of this instance.
     pub zone: AvailabilityZone,
-    /// Any number that differs between two starts of the same instance.
+    /// Number that differs between any two starts of the same instance.
     pub boot: u64,
-    /// Where a request must be journalled before it counts as accepted.
+    /// Where a request must be journaled, besides this instance, before it counts as accepted.
     pub journal: Journal,
-    /// How long each step may take.
+    /// Time limits of each step.
     pub timing: Timing,
-    /// How much is held.
+    /// Memory limits.
     pub limit: Limit,
-    /// What moving a stream is expected to cost.
+    /// Expected cost of moving a stream.
     pub estimate: Estimate,
 }
 
 impl Setup {
-    /// Takes the defaults for all but the identity of the instance.
+    /// Returns the default settings for an instance with the given identity.
     pub fn new(instance: Instance, zone: AvailabilityZone, boot: u64) -> Self {
         let (timing, limit) = (Timing::default(), Limit::default());
         let (journal, estimate) = (Journal::OtherZone, Estimate::default());
@@ -33,44 +33,45 @@
     }
 }
 
-/// Says where a request must be journalled, beside here, before it counts as accepted.
+/// Tells where a request must be journaled, besides this instance, before it counts as accepted.
 #[data(copy)]
 pub enum Journal {
-    /// At an instance in another availability zone, or it is refused.
+    /// At an instance in another availability zone; otherwise the request is refused.
     OtherZone,
-    /// In another availability zone, else at another instance, or it is refused.
+    /// In another availability zone if possible, else at any other instance; otherwise the request
+    /// is refused.
     OtherInstance,
-    /// As far away as there is anyone; alone when there is nobody.
+    /// At the most distant instance available; without any other instance, only here.
     Alone,
 }
 
-/// Bounds each step in time.
+/// Bounds the time that each step may take.
 #[data(copy)]
 pub struct Timing {
-    /// Between two sendings of an unanswered message to a peer.
+    /// Time between two transmissions of an unanswered message to a peer.
     pub resend: Duration,
-    /// How often one message is sent to one peer.
+    /// How many times one message is sent to one peer.
     pub tries: u32,
-    /// How long the homes are asked whether they know a key.
+    /// How long the home instances are asked whether they know a key.
     pub lookup: Duration,
-    /// How long the homes' answers stand; shorter than the silence after which others may believe
-    /// this instance dead.
+    /// How long the home instances' answers are valid. Shorter than the silence after which other
+    /// instances may consider this instance dead.
     pub fresh: Duration,
-    /// How long a second holder is looked for.
+    /// How long an instance is sought that stores the second copy.
     pub journal: Duration,
     /// How long the quorum is asked for a claim.
     pub claim: Duration,
     /// How long an owner must be lost before its requests are taken over.
     pub grace: Duration,
-    /// How long a request runs on without its caller, when the caller can come back by its key.
+    /// How long a request continues without its caller, if the caller can come back with its key.
     pub absence: Duration,
     /// How long a finished answer is kept.
     pub retention: Duration,
-    /// The longest silence of an upstream.
+    /// Longest allowed silence of an upstream.
     pub stall: Duration,
-    /// What is left unused of a notice.
+    /// Safety margin before the end of a reclaim notice.
     pub margin: Duration,
-    /// How long before the end of a stop what still runs is handed over.
+    /// How long before the end of a shutdown the remaining requests are handed over.
     pub handover: Duration,
 }
 
@@ -93,20 +94,20 @@
     }
 }
 
-/// Bounds what is held in memory.
+/// Bounds the memory used.
 #[data(copy)]
 pub struct Limit {
-    /// Requests owned and not finished.
+    /// Unfinished owned requests.
     pub owned: usize,
-    /// Copies held for other owners.
+    /// Copies stored for other owners.
     pub copies: usize,
-    /// Bytes of bodies, owned and copied together.
+    /// Bytes of request bodies, owned and copied together.
     pub bytes: usize,
     /// Finished answers kept, owned and copied together.
     pub finished: usize,
     /// Tokens in all finished answers kept.
     pub tokens: u64,
-    /// Keys known only by their owner.
+    /// Reserved keys.
     pub reservations: usize,
 }
 
@@ -123,16 +124,16 @@
     }
 }
 
-/// Estimates what moving a stream costs; times are those of one stream.
+/// Estimates the cost of moving a stream. Times are those of a single stream.
 #[data(copy)]
 pub struct Estimate {
-    /// To generate one token, until the stream itself shows better.
+    /// Time to generate one token, until the stream itself has shown its rate.
     pub token: Duration,
-    /// To compute one token of a prompt.
+    /// Time to compute one prompt token.
     pub prefill: Duration,
-    /// To begin an export and import of a KV cache.
+    /// Fixed time to export and import a KV cache.
     pub transfer: Duration,
-    /// To export and import one token's KV cache.
+    /// Additional time to export and import the KV cache of one token.
     pub transfer_token: Duration,
 }
 
--- a/crates/verbenaslip-request/src/start.rs
+++ b/crates/verbenaslip-request/src/start.rs
@@ -1,4 +1,4 @@
-//! From the accepted request to its run: claim, router, start.
+//! From the accepted request to its run: claim, placement, start.
 
 use std::time::Duration;
 
@@ -30,9 +30,9 @@
 
     /// Returns a number that no other claim has.
     ///
-    /// An instance can own a request, lose it to another and come to own it again, before or after
-    /// a restart. Were the claims alike, the quorum would take the second for a resend of the first
-    /// and grant it, and the request would run twice.
+    /// An instance can own a request, lose it to another instance and own it again, before or after a
+    /// restart. If both claims had the same number, the quorum would take the second for a resend of
+    /// the first and grant it, and the request would run twice.
     fn claimant(&self, entry: &OwnedRequest) -> u128 {
         hash::wide(&[
             self.setup.instance.as_str().as_bytes(),
@@ -55,7 +55,7 @@
         }));
     }
 
-    /// Asks again, or gives up, when a claim has not been answered.
+    /// Resends an unanswered claim, or gives up at its time limit.
     pub(crate) fn tick_claim(&mut self, ctx: &mut StepContext<'_>, mut entry: OwnedRequest) {
         let Phase::Claim { until, unsure } = entry.phase else {
             self.put(entry);
@@ -69,7 +69,7 @@
         self.fail_claim(ctx, entry, unsure);
     }
 
-    /// Ends a request for which there is no claim.
+    /// Ends a request without a granted claim.
     pub(crate) fn fail_claim(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -89,7 +89,7 @@
         self.finish(ctx, entry, Outcome::Unknown(Unknown::Unreachable));
     }
 
-    /// Takes the quorum's answer.
+    /// Handles the quorum's answer to a claim.
     pub(crate) fn handle_claim_result(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Gives back a claim that was granted after its request was gone.
+    /// Releases a claim that was granted after its request was gone.
     fn release_unwanted_claim(
         &self,
         ctx: &mut StepContext<'_>,
@@ -170,7 +170,7 @@
         self.put(entry);
     }
 
-    /// Asks the router again after a while.
+    /// Asks the router again after a delay.
     pub(crate) fn pause_placement(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -201,7 +201,7 @@
         }));
     }
 
-    /// Takes the router's choice.
+    /// Handles the router's choice.
     pub(crate) fn handle_placed(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -216,11 +216,11 @@
             .as_ref()
             .is_some_and(|run_state| matches!(run_state.moving, Moving::Requested));
         match entry.phase {
-            // The second holder runs it now; a run here would be a second one.
+            // The second holder may run the request by now; a run here would be a second one.
             Phase::Place if entry.handed_over_at.is_some() => self.put(entry),
             Phase::Place if self.leaving.contains_key(&place.upstream) => {
-                // The router may not have heard of the notice yet; work sent there now would be
-                // new work for an upstream that leaves.
+                // The router may not know yet that the upstream leaves; an upstream that leaves
+                // must not get new work.
                 let wait = self.setup.timing.resend;
                 self.pause_placement(ctx, entry, wait);
             }
@@ -230,7 +230,7 @@
         }
     }
 
-    /// Begins a run from prompt and tokens.
+    /// Starts a run from the prompt and existing tokens.
     pub(crate) fn begin_run(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -250,7 +250,7 @@
         self.put(entry);
     }
 
-    /// Starts a run, serves its callers and tells the second holder.
+    /// Starts a run, serves the callers and informs the second holder.
     pub(crate) fn launch_run(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -290,13 +290,13 @@
         self.serve_callers(ctx, entry);
         self.send_progress(ctx, entry);
         if self.stopping.is_some() {
-            // What starts this late is handed over like the rest, if it does not end in time.
+            // A run that starts this late is handed over as well if it does not end in time.
             self.timers.set(Timer::Stop, Some(ctx.now));
         }
         self.plan_move(ctx, entry);
     }
 
-    /// Tells callers that the answer is on its way.
+    /// Tells callers that they are served.
     pub(crate) fn serve_callers(&self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) {
         if entry.served {
             return;
@@ -308,7 +308,7 @@
         }
     }
 
-    /// Takes the router's word that there is no upstream.
+    /// Handles the router's answer that there is no upstream.
     pub(crate) fn handle_no_place(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -334,7 +334,7 @@
         let excluded = !std::mem::take(&mut entry.excluded).is_empty();
         match wait {
             Some(wait) => self.pause_placement(ctx, entry, wait),
-            // One that failed it once may be the only one that has the model.
+            // An upstream that failed once may be the only one that has the model.
             None if excluded => {
                 let wait = self.setup.timing.resend;
                 self.pause_placement(ctx, entry, wait);
@@ -344,7 +344,7 @@
     }
 }
 
-/// Names a run at a place.
+/// Returns the identity of a run at an upstream.
 pub(crate) fn run_at(attempt: Attempt, place: &Placement) -> ActiveRun {
     ActiveRun {
         attempt,
--- a/crates/verbenaslip-request/src/takeover.rs
+++ b/crates/verbenaslip-request/src/takeover.rs
@@ -1,4 +1,4 @@
-//! Between owners: the second holder takes over, the former owner yields.
+//! Change of ownership: the second holder takes a request over, the former owner yields.
 
 use std::time::Duration;
 
@@ -17,11 +17,12 @@
 use crate::timer::Timer;
 
 impl Requests {
-    /// Looks for other homes and second holders than an instance that does not answer.
+    /// Replaces an instance that does not respond as home instance and second holder.
     ///
-    /// Until it is called dead seconds pass, in which each request would ask it in vain for its key
-    /// and for a copy; one would notice late first tokens at all instances, and lookups that run
-    /// out. What it owns stays its own: a takeover from a living owner runs a request twice.
+    /// Seconds pass until the instance is considered dead. Until then, each request would ask it in
+    /// vain about its key and for a copy, which delays first tokens on all instances and lets lookups
+    /// time out. The requests that it owns remain its own: taking over from a living owner runs a
+    /// request twice.
     pub(crate) fn handle_suspected(&mut self, ctx: &mut StepContext<'_>, instance: &Instance) {
         if *instance != self.setup.instance && self.view.alive(instance) {
             self.view.set_suspected(instance, true);
@@ -29,7 +30,7 @@
         }
     }
 
-    /// Takes it that an instance seems dead; it may come back.
+    /// Handles the loss of an instance, which may come back.
     pub(crate) fn handle_lost(&mut self, ctx: &mut StepContext<'_>, instance: &Instance) {
         if *instance != self.setup.instance && self.view.mark_lost(instance, ctx.now) {
             let grace = self.setup.timing.grace;
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Takes it that an instance will not come back with what it held.
+    /// Handles the permanent end of an instance and of all that it held.
     pub(crate) fn handle_left(&mut self, ctx: &mut StepContext<'_>, instance: &Instance) {
         if *instance == self.setup.instance {
             return;
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Finds other second holders for what an instance held, at once: the next loss may follow.
+    /// Replaces an instance as second holder of all requests at once, as the next loss may follow.
     fn replace_holder_everywhere(&mut self, ctx: &mut StepContext<'_>, instance: &Instance) {
         let requests: Vec<_> = self.entries.keys().copied().collect();
         for request in requests {
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Prepares to take over what an instance owned.
+    /// Schedules the takeover of all requests that an instance owned.
     fn schedule_takeovers(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -93,7 +94,7 @@
                 continue;
             }
             copy.owner_lost_at.get_or_insert(ctx.now);
-            // Nobody can come back for a request without a key; but its owner may not be dead.
+            // No caller can come back for a request without a key, but its owner may still be alive.
             let wait = if copy.head.keyed { grace } else { absence };
             let due = ctx.now.saturating_add(wait);
             copy.takeover_at = Some(copy.takeover_at.map_or(due, |known| known.min(due)));
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Takes it that an instance is there again, with what it held.
+    /// Handles the return of an instance with the state that it held.
     pub(crate) fn handle_returned(&mut self, ctx: &mut StepContext<'_>, instance: &Instance) {
         let boot = self.view.get(instance).map_or(0, |member| member.boot);
         for reservation in self.reservations.values_mut() {
@@ -129,7 +130,7 @@
         self.resend_notices(ctx, instance);
     }
 
-    /// Tells an instance again what it no longer owns, and what it need no longer hold.
+    /// Tells an instance again what it no longer owns and which copies it must drop.
     fn resend_notices(&mut self, ctx: &mut StepContext<'_>, instance: &Instance) {
         for entry in self.entries.values_mut() {
             let (request, epoch) = (entry.request(), entry.epoch);
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Notices by a message that an instance has been restarted, so that all it held is gone.
+    /// Detects from a message that an instance has restarted, so that all its state is gone.
     pub(crate) fn detect_restart(&mut self, ctx: &mut StepContext<'_>, from: &Instance, boot: u64) {
         let Some(member) = self.view.get(from) else {
             return;
@@ -225,7 +226,7 @@
         entry
     }
 
-    /// Keeps of a copy that was never accepted only that it was there.
+    /// Replaces a copy that was never accepted by a doubtful reservation of its key.
     fn keep_doubtful_reservation(&mut self, ctx: &mut StepContext<'_>, copy: HeldCopy) {
         let request = copy.head.request;
         self.release_body(copy.body);
@@ -242,7 +243,7 @@
         self.timers.set(Timer::Reserved(request), Some(copy.until));
     }
 
-    /// Ends a request that nobody can come back for.
+    /// Discards a copy for which no caller can come back.
     fn discard_copy(&mut self, ctx: &mut StepContext<'_>, copy: HeldCopy) {
         let request = copy.head.request;
         self.retention.remove(request);
@@ -256,7 +257,7 @@
         }
     }
 
-    /// Goes on with an inherited request where its owner left it.
+    /// Continues an inherited request where its former owner stopped.
     fn continue_inherited(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -302,8 +303,8 @@
         }
     }
 
-    /// Makes an inherited request this instance's for good: the former owner must yield, and
-    /// another instance holds the copy from now on.
+    /// Confirms the takeover of a request: the former owner must yield, and another instance stores
+    /// the copy from now on.
     pub(crate) fn confirm_takeover(&mut self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) {
         let Some(former_copy) = entry.former_copy.take() else {
             return;
@@ -319,7 +320,7 @@
         self.inform_homes(ctx, entry);
     }
 
-    /// Gives an inherited request back to its copy, because it may not be run by this instance.
+    /// Turns an inherited request back into a copy, because this instance may not run it.
     pub(crate) fn restore_copy(&mut self, ctx: &mut StepContext<'_>, mut entry: OwnedRequest) {
         let Some(former_copy) = entry.former_copy.take() else {
             self.finish(ctx, entry, Outcome::Unknown(Unknown::InstanceLost));
@@ -337,7 +338,7 @@
         self.block_takeover(ctx, copy);
     }
 
-    /// Keeps a copy that can't be taken over, in case its owner comes back.
+    /// Keeps a copy that cannot be taken over, in case its owner comes back.
     fn block_takeover(&mut self, ctx: &mut StepContext<'_>, mut copy: HeldCopy) {
         let request = copy.head.request;
         for (ticket, relay) in std::mem::take(&mut copy.waiting_callers) {
@@ -351,7 +352,7 @@
         self.set_copy_timer(request);
     }
 
-    /// Tells the former owner, again and again within bounds, that it must yield.
+    /// Tells the former owner repeatedly, up to a limit, that it must yield.
     pub(crate) fn notify_former_owner(&self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) {
         let taken = entry.takeover_by(self.setup.instance.clone());
         let Some(former_owner) = &mut entry.former_owner else {
@@ -383,10 +384,10 @@
         ctx.send(from, Message::Taken(entry.takeover_by(self.setup.instance.clone())));
     }
 
-    /// Yields to a higher epoch.
+    /// Yields to an owner with a higher epoch.
     ///
-    /// This instance was frozen or cut off, others believed it dead, and the second holder took the
-    /// request over. Had both go on, a caller could get halves of two answers.
+    /// This instance was paused or partitioned, others considered it dead, and the second holder took
+    /// the request over. If both continued, a caller could get halves of two answers.
     pub(crate) fn handle_takeover(
         &mut self,
         ctx: &mut StepContext<'_>,
@@ -405,8 +406,8 @@
             return;
         };
         if !entry.continues_in(taken) && !entry.callers.is_empty() {
-            // Its callers get the rest here, in the words that they have begun with; those that
-            // come from now on find the new owner.
+            // Current callers get the rest of this instance's answer, which the new owner's may not
+            // match. Later callers find the new owner.
             self.put(entry);
             return;
         }
@@ -437,7 +438,7 @@
         self.put(entry);
     }
 
-    /// Takes over from an owner that stops.
+    /// Takes a request over from an owner that stops.
     pub(crate) fn handle_hand_over(
         &mut self,
         ctx: &mut StepContext<'_>,
--- a/crates/verbenaslip-request/src/timer.rs
+++ b/crates/verbenaslip-request/src/timer.rs
@@ -1,4 +1,4 @@
-//! When something must be looked at again.
+//! Timers of requests, copies, reservations and callers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,22 +8,22 @@
 
 use crate::caller::Ticket;
 
-/// Names what is looked at.
+/// Identifies a timer.
 #[data(copy, ord)]
 pub(crate) enum Timer {
-    /// An owned request.
+    /// Timer of an owned request.
     Owned(Request),
-    /// A copy held for another owner.
+    /// Timer of a copy stored for another owner.
     Copied(Request),
-    /// A reserved key.
+    /// Timer of a reserved key.
     Reserved(Request),
-    /// A caller whose relay was lost.
+    /// Timer of a caller whose relay was lost.
     Parked(Ticket),
-    /// The end of this instance's own stop.
+    /// Timer of this instance's own shutdown.
     Stop,
 }
 
-/// Holds at most one moment for each thing.
+/// Set of timers, each with at most one due time.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Timers {
     due_times: BTreeMap<Timer, Duration>,
@@ -31,7 +31,7 @@
 }
 
 impl Timers {
-    /// Sets, moves or clears the moment of a thing.
+    /// Sets, moves or clears a timer.
     pub(crate) fn set(&mut self, timer: Timer, at: Option<Duration>) {
         if let Some(old) = self.due_times.remove(&timer) {
             self.by_time.remove(&(old, timer));
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Takes all whose moment has come, the oldest first.
+    /// Removes and returns all timers that are due, the earliest first.
     pub(crate) fn take_due(&mut self, now: Duration) -> Vec<Timer> {
         let mut due = Vec::new();
         while let Some(&(at, timer)) = self.by_time.first()
@@ -54,7 +54,7 @@
         due
     }
 
-    /// Returns the next moment.
+    /// Returns the earliest due time.
     pub(crate) fn next_due(&self) -> Option<Duration> {
         self.by_time.first().map(|(at, _)| *at)
     }
