--- a/crates/verbenaslip-request/tests/answer.rs
+++ b/crates/verbenaslip-request/tests/answer.rs
@@ -1,4 +1,4 @@
-//! The assembler of answers: what is taken, what is dropped, what callers may have.
+//! Assembly of answers: what is accepted, what is rejected, what callers may have.
 
 use verbenaslip_base::attempt::{Attempt, Request};
 use verbenaslip_request::answer::{Answer, AppendResult, ServiceResponse};
@@ -9,16 +9,16 @@
     Attempt { request: Request(7), number }
 }
 
-/// One case: its name, what is delivered, what becomes of the last, and the text then.
+/// Test case: name, deliveries, result of the last delivery, and final text.
 type Case = (&'static str, &'static [Delivery], AppendResult, &'static str);
 
-/// One delivery: attempt, last position, tokens, text.
+/// Delivery: attempt number, last position, token count, text.
 type Delivery = (u32, u32, u32, &'static str);
 
 #[test]
-fn only_the_next_position_of_the_live_attempt_is_taken() {
-    // A moved stream and the old one both send, late, twice and out of order. Were a position taken
-    // twice or from the wrong attempt, the caller would read words of two runs.
+fn only_the_next_position_of_the_live_attempt_is_accepted() {
+    // Both a moved stream and the old one send tokens, late, twice and out of order. If a position
+    // were accepted twice or from the wrong attempt, the caller would get words of two runs.
     let cases: [Case; 9] = [
         ("next", &[(2, 1, 1, "a"), (2, 3, 2, "bc")], AppendResult::Appended, "abc"),
         ("old attempt", &[(2, 1, 1, "a"), (1, 2, 1, "x")], AppendResult::Late, "a"),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_whole_body_is_taken_once_and_not_beside_tokens() {
+fn a_service_response_is_accepted_once_and_excludes_tokens() {
     let whole = |text: &[u8]| ServiceResponse {
         status: 200,
         content: "text/plain".into(),
@@ -87,8 +87,9 @@
 
 #[test]
 fn callers_get_only_what_the_second_holder_has() {
-    // The owner dies after the caller has read tokens that the second holder lacks. It goes on from
-    // what it has, in other words perhaps, and the caller would have halves of two answers.
+    // The owner dies after the caller has read tokens that the second holder lacks. The holder
+    // continues from what it has, possibly with different tokens, and the caller would get halves of
+    // two answers.
     let mut answer = Answer::open(LIMIT);
     answer.begin_attempt(attempt(1));
     answer.set_mirroring(true);
@@ -99,7 +100,7 @@
     assert_eq!(answer.released_batches(0).count(), 0);
     answer.record_mirrored(3, false);
     answer.record_mirrored(2, false);
-    assert_eq!(answer.released_batches(1).map(|piece| piece.position).collect::<Vec<_>>(), [2, 3]);
+    assert_eq!(answer.released_batches(1).map(|batch| batch.position).collect::<Vec<_>>(), [2, 3]);
     assert!(
         answer.released_end().is_none() && answer.end_mark().is_some() && answer.is_mirror_behind()
     );
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn copies_of_a_later_epoch_begin_anew_and_those_of_an_earlier_are_late() {
+fn copies_of_a_later_epoch_start_over_and_earlier_ones_are_late() {
     let mut answer = Answer::open(LIMIT);
     assert_eq!(answer.copy(1, 2, 2, "ab"), AppendResult::Appended);
     assert_eq!(answer.copy(2, 3, 1, "c"), AppendResult::Gap { expected: 1 });
--- a/crates/verbenaslip-request/tests/garbage.rs
+++ b/crates/verbenaslip-request/tests/garbage.rs
@@ -1,4 +1,4 @@
-//! Anything from peers and from the own node, in any order, never panics and stays within limits.
+//! Arbitrary events, in any order, never cause a panic and never exceed the limits.
 
 use std::time::Duration;
 
@@ -21,9 +21,9 @@
 use verbenaslip_request::run::{Cause, Event, Failure, Step};
 use verbenaslip_request::setup::Setup;
 
-struct Dice(Pcg64);
+struct RandomSource(Pcg64);
 
-impl Dice {
+impl RandomSource {
     fn pick(&mut self, below: u64) -> u64 {
         self.0.next_u64() % below
     }
@@ -83,7 +83,7 @@
         if self.flip() { Kind::Engine } else { Kind::Service }
     }
 
-    fn live(&mut self) -> ActiveRun {
+    fn active_run(&mut self) -> ActiveRun {
         ActiveRun {
             attempt: self.attempt(),
             upstream: "u".into(),
@@ -107,12 +107,12 @@
         }
     }
 
-    fn note(&mut self, request: Request) -> Progress {
+    fn progress(&mut self, request: Request) -> Progress {
         Progress {
             request,
             epoch: self.epoch(),
             sequence: self.number(),
-            live: self.flip().then(|| self.live()),
+            live: self.flip().then(|| self.active_run()),
             number: self.number(),
             ran: self.flip(),
             crashes: self.pick(5) as u8,
@@ -122,7 +122,7 @@
         }
     }
 
-    fn found(&mut self) -> KeyStatus {
+    fn key_status(&mut self) -> KeyStatus {
         let digest = self.body().digest();
         match self.pick(5) {
             0 => KeyStatus::Free,
@@ -139,14 +139,14 @@
         let (boot, remaining) = (self.pick(3), self.span());
         match self.pick(10) {
             0 => Message::Reserve(Reserve { request, digest, boot, epoch, remaining }),
-            1 => Message::Reserved { request, found: self.found() },
+            1 => Message::Reserved { request, found: self.key_status() },
             2 => {
                 let head = self.head();
-                let note = self.note(head.request);
+                let note = self.progress(head.request);
                 let body = self.flip().then(|| self.body().into());
                 Message::Put(Box::new(RequestCopy { head, body, digest, boot, note }))
             }
-            3 => Message::Note(self.note(request)),
+            3 => Message::Note(self.progress(request)),
             4 => Message::Kept(Ack { request, epoch, sequence: self.number() }),
             5 => Message::Full { request, epoch },
             6 => {
@@ -155,7 +155,7 @@
                 Message::Taken(Takeover { request, owner, epoch, attempt, lineage })
             }
             7 => Message::Yielded { request, epoch },
-            8 => Message::HandOver(self.note(request)),
+            8 => Message::HandOver(self.progress(request)),
             _ => Message::Drop { request, epoch, key: self.flip() },
         }
     }
@@ -239,11 +239,11 @@
 }
 
 #[test]
-fn no_input_panics_or_breaks_the_limits() {
-    // Peers may be wrong, late, of another version or restarted; the node may repeat itself. A panic
-    // would take the whole instance and all its callers with it.
+fn no_input_panics_or_exceeds_the_limits() {
+    // Peers may be faulty, late, of another version or restarted, and the node may repeat itself. A
+    // panic would end the whole instance with all its callers.
     for seed in 0..1500 {
-        let mut dice = Dice(Pcg64::seed_from_u64(seed));
+        let mut random = RandomSource(Pcg64::seed_from_u64(seed));
         let mut setup = Setup::new("i0".into(), "z0".into(), 1);
         (setup.limit.copies, setup.limit.finished, setup.limit.owned) = (2, 2, 2);
         setup.limit.bytes = 4;
@@ -251,11 +251,11 @@
         let mut requests = Requests::open(setup);
         let (mut now, mut attempts, mut claims) = (Duration::ZERO, Vec::new(), Vec::new());
         for _ in 0..400 {
-            now += Duration::from_millis(dice.pick(300));
-            let input = match dice.pick(400) {
-                0 => Input::Stop { remaining: dice.span() },
+            now += Duration::from_millis(random.pick(300));
+            let input = match random.pick(400) {
+                0 => Input::Stop { remaining: random.span() },
                 1..40 => Input::Tick,
-                _ => dice.input(&attempts, &claims),
+                _ => random.input(&attempts, &claims),
             };
             let mut out = Vec::new();
             requests.step(now, input, &mut out);
--- a/crates/verbenaslip-request/tests/path.rs
+++ b/crates/verbenaslip-request/tests/path.rs
@@ -1,4 +1,4 @@
-//! The path without faults, and small cases of arrival.
+//! Requests without faults, and simple cases of arrival.
 
 mod world;
 
@@ -7,7 +7,7 @@
 use world::{ANONYMOUS, CHAT, Call, LOOKUP, ONCE, ORDER, Quorum, World, ms};
 
 #[test]
-fn each_kind_of_request_is_answered_whole_by_one_run() {
+fn each_kind_of_request_is_answered_completely_by_one_run() {
     for (name, call) in kinds() {
         let mut world = World::open(3, 1);
         let caller = world.call(ms(10), 1, 0, call);
@@ -31,8 +31,8 @@
 
 #[test]
 fn a_resend_joins_the_request_that_runs() {
-    // A caller repeats its key while the first call is on its way or running. Were each instance to
-    // know only its own requests, both would run.
+    // A caller repeats its key while the first call is in transit or running. If each instance knew
+    // only its own requests, both would run.
     for (name, call) in [("chat", CHAT), ("once", ONCE), ("order", ORDER)] {
         for gap in [0, 1, 2, 3, 5, 8, 40, 100, 200, 400] {
             for to in 0..3 {
--- a/crates/verbenaslip-request/tests/single.rs
+++ b/crates/verbenaslip-request/tests/single.rs
@@ -1,4 +1,4 @@
-//! One instance stepped by hand: deadlines, budgets, refusals, limits and its own stop.
+//! A single instance under manual control: deadlines, budgets, refusals, limits and shutdown.
 
 use std::time::Duration;
 
@@ -15,11 +15,11 @@
 use verbenaslip_request::run::{Cause, Event, Failure, Start, Step};
 use verbenaslip_request::setup::{Journal, Setup};
 
-const R: Request = Request(9);
+const REQUEST: Request = Request(9);
 const TICKET: Ticket = Ticket(1);
 const DEADLINE: Duration = Duration::from_secs(20);
 
-/// Answers by itself all that the case does not withhold.
+/// Answers every action of the instance except the withheld one.
 struct Driver {
     requests: Requests,
     now: Duration,
@@ -29,7 +29,7 @@
 }
 
 impl Driver {
-    /// Opens an instance with another in its own availability zone and one in another.
+    /// Creates an instance with one other instance in its availability zone and one in another zone.
     fn open(withhold: &'static str, change: impl Fn(&mut Setup)) -> Self {
         let mut setup = Setup::new("i0".into(), "z0".into(), 1);
         change(&mut setup);
@@ -46,7 +46,7 @@
     fn call(&mut self, keyed: bool, idempotent: bool) {
         let body = Body { path: "/".into(), content: "c".into(), bytes: vec![1; 10] };
         let head = Head {
-            request: R,
+            request: REQUEST,
             team: "t".into(),
             class: "c".into(),
             model: "m".into(),
@@ -90,35 +90,35 @@
                 let (request, claimant) = (claim.request, claim.claimant);
                 self.step(Input::Claimed { request, claimant, ruling: Ruling::Granted });
             }
-            Output::Place(_) => self.step(Input::Placed { request: R, place: place() }),
-            Output::Retry { .. } => self.step(Input::Retry { request: R, granted: None }),
+            Output::Place(_) => self.step(Input::Placed { request: REQUEST, place: place() }),
+            Output::Retry { .. } => self.step(Input::Retry { request: REQUEST, granted: None }),
             Output::Run(run) => self.attempt = Some(run.attempt),
             Output::Send { to, message: Message::Reserve(_) } => {
-                let message = Message::Reserved { request: R, found: KeyStatus::Free };
+                let message = Message::Reserved { request: REQUEST, found: KeyStatus::Free };
                 self.step(Input::Heard { from: to, message });
             }
-            Output::Send { to, message: Message::Put(copy) } => self.keep(to, &copy.note),
-            Output::Send { to, message: Message::Note(note) } => self.keep(to, &note),
+            Output::Send { to, message: Message::Put(copy) } => self.acknowledge(to, &copy.note),
+            Output::Send { to, message: Message::Note(note) } => self.acknowledge(to, &note),
             _ => {}
         }
     }
 
-    fn keep(&mut self, from: verbenaslip_base::name::Instance, note: &Progress) {
+    fn acknowledge(&mut self, from: verbenaslip_base::name::Instance, note: &Progress) {
         let (request, epoch, sequence) = (note.request, note.epoch, note.sequence);
         let message = Message::Kept(Ack { request, epoch, sequence });
         self.step(Input::Heard { from, message });
     }
 
-    fn ran(&mut self, event: Event) {
+    fn run_event(&mut self, event: Event) {
         let attempt = self.attempt.expect("a run was ordered");
         self.step(Input::Ran { attempt, event });
     }
 
     fn fail(&mut self, step: Step, cause: Cause, not_run: bool) {
-        self.ran(Event::Failed(Failure { step, cause, not_run }));
+        self.run_event(Event::Failed(Failure { step, cause, not_run }));
     }
 
-    /// Follows the timers until nothing is due before a time.
+    /// Runs all timers that are due until a time.
     fn sleep(&mut self, until: Duration) {
         for _ in 0..10_000 {
             let Some(at) = self.requests.next_wakeup().filter(|at| *at <= until) else {
@@ -128,7 +128,7 @@
             self.now = self.now.max(at);
             self.step(Input::Tick);
         }
-        panic!("it never stops waking");
+        panic!("the timers never stop");
     }
 
     fn verdict(&self) -> Option<&Verdict> {
@@ -162,9 +162,9 @@
 }
 
 #[test]
-fn a_step_that_is_never_answered_ends_in_the_right_answer_in_time() {
-    // Somebody whom a request waits for never answers. The caller would wait for ever; so each step
-    // is bounded, and what was surely not run is told apart from what may have been.
+fn a_step_that_is_never_answered_ends_with_the_right_verdict_in_time() {
+    // Some component never answers, and without time limits the caller would wait forever. The
+    // verdict must tell requests that certainly did not run from those that may have run.
     type Check = Box<dyn Fn(&Verdict) -> bool>;
     type Case = (&'static str, Duration, Check);
     let cases: [Case; 6] = [
@@ -201,9 +201,9 @@
 }
 
 #[test]
-fn a_failed_run_is_joined_resumed_or_ended_by_what_may_have_happened() {
-    // A connection breaks at some step. What may have run and is not idempotent must not be sent
-    // again; what was surely not run may; what goes on at the engine is only joined again.
+fn a_failed_run_is_rejoined_or_ended_depending_on_what_may_have_run() {
+    // A connection breaks at some step. A non-idempotent request that may have run must not be sent
+    // again; one that certainly did not run may; a run that continues at the engine is rejoined.
     use Cause::{Closed, Cut, Error, Forgotten, Gap, Refused, Silent};
     let unknown = Some(Unknown::UpstreamLost);
     let cases = [
@@ -217,7 +217,7 @@
         (false, Step::Write, Closed, false, vec![Start::Fresh, Start::Rejoin], None),
         (false, Step::Head, Error, false, vec![Start::Fresh], unknown),
         (false, Step::Read, Forgotten, false, vec![Start::Fresh], unknown),
-        // The budget denies the retry, which is asked for only where it does no harm.
+        // The budget denies the retry, which is requested only where it is safe.
         (true, Step::Head, Error, false, vec![Start::Fresh], unknown),
     ];
     for (idempotent, step, cause, not_run, runs, ended) in cases {
@@ -242,17 +242,17 @@
 
 #[test]
 fn events_of_an_old_attempt_change_nothing() {
-    // A cancelled run answers after the request was moved. Taken for the live one, it would end the
-    // answer early or move it again.
+    // A canceled run answers after the request was moved. If its events counted, they would end the
+    // answer early or move the request again.
     let mut driver = Driver::open("", |_| {});
     driver.call(true, true);
-    driver.ran(Event::Tokens { position: 5 });
+    driver.run_event(Event::Tokens { position: 5 });
     let old = driver.attempt.expect("a run was ordered");
     driver.withhold = "place";
     driver.step(Input::Leaving { upstream: "u".into(), notice: Some(Duration::ZERO) });
     let mut elsewhere = place();
     elsewhere.upstream = "v".into();
-    driver.step(Input::Placed { request: R, place: elsewhere });
+    driver.step(Input::Placed { request: REQUEST, place: elsewhere });
     assert_eq!(driver.runs(), [Start::Fresh, Start::Resume]);
     let before = driver.log.len();
     for event in [Event::Sent, Event::Tokens { position: 9 }, Event::Ended { position: 9 }] {
@@ -289,8 +289,8 @@
 }
 
 #[test]
-fn a_stopping_instance_refuses_what_is_new_and_says_when_it_is_empty() {
-    // Cut off by the stop, a caller would lose its answer: what runs ends first.
+fn a_stopping_instance_refuses_new_requests_and_reports_when_drained() {
+    // The caller must not lose its answer because of the shutdown, so running requests end first.
     let mut driver = Driver::open("", |_| {});
     driver.call(true, true);
     driver.step(Input::Stop { remaining: Duration::from_secs(15) });
@@ -300,13 +300,13 @@
             head = Some(known.clone());
         }
     }
-    let mut head = head.expect("it was admitted");
+    let mut head = head.expect("the request was admitted");
     (head.request, head.keyed) = (Request(10), false);
     let (ticket, body) = (Ticket(2), body.into());
     driver.step(Input::Arrived(Arrival { ticket, head, body, after: None }));
     assert!(driver.verdict().is_some_and(refused(Reason::Stopping)));
-    driver.ran(Event::Ended { position: 0 });
-    driver.step(Input::MirrorEnded(R));
+    driver.run_event(Event::Ended { position: 0 });
+    driver.step(Input::MirrorEnded(REQUEST));
     let drained = |driver: &Driver| driver.log.contains(&Output::Drained);
     assert!(!drained(&driver), "a caller is still reading");
     driver.step(Input::Gone(TICKET));
@@ -317,7 +317,7 @@
 fn finished_answers_are_kept_for_their_retention_within_bounds() {
     let mut driver = Driver::open("", |setup| setup.limit.finished = 1);
     driver.call(true, true);
-    driver.ran(Event::Ended { position: 3 });
+    driver.run_event(Event::Ended { position: 3 });
     driver.step(Input::Gone(TICKET));
     driver.sleep(Duration::from_secs(590));
     driver.call(true, true);
@@ -333,42 +333,42 @@
 }
 
 #[test]
-fn refusals_of_the_policy_reach_the_caller_as_they_are() {
+fn refusals_of_the_policy_reach_the_caller_unchanged() {
     let mut driver = Driver::open("admit", |_| {});
     driver.call(true, true);
     let refusal = Refusal { reason: Reason::Limit, retry: Some(Duration::from_millis(1234)) };
-    driver.step(Input::Declined { request: R, refusal: refusal.clone() });
+    driver.step(Input::Declined { request: REQUEST, refusal: refusal.clone() });
     assert_eq!(driver.verdict(), Some(&Verdict::Refused(refusal)));
     assert_eq!(driver.requests.counts().owned, 0);
 }
 
-fn taken(epoch: u16) -> Input {
+fn takeover_message(epoch: u16) -> Input {
     let (owner, attempt, lineage) = ("i2".into(), None, 0);
-    let message = Message::Taken(Takeover { request: R, owner, epoch, attempt, lineage });
+    let message = Message::Taken(Takeover { request: REQUEST, owner, epoch, attempt, lineage });
     Input::Heard { from: "i2".into(), message }
 }
 
 #[test]
 fn a_former_owner_yields_to_a_higher_epoch() {
-    // It was frozen, and its second holder took the request over. Were it to go on, both would run
-    // the request to the end and callers get halves of two answers.
+    // The former owner was paused, and its second holder took the request over. If the former owner
+    // continued, both would run the request to the end and callers could get halves of two answers.
     let mut driver = Driver::open("", |_| {});
     driver.call(true, true);
-    driver.step(taken(2));
-    let relayed = Verdict::Relay { request: R, after: 0, owner: "i2".into() };
+    driver.step(takeover_message(2));
+    let relayed = Verdict::Relay { request: REQUEST, after: 0, owner: "i2".into() };
     assert_eq!(driver.verdict(), Some(&relayed));
     assert!(driver.log.iter().any(|output| matches!(output, Output::Cancel(_))));
-    assert!(!driver.requests.owns(R));
+    assert!(!driver.requests.owns(REQUEST));
 }
 
 #[test]
 fn each_ownership_claims_under_its_own_number() {
-    // An instance is granted the claim, yields to another, and owns the request again once that one
-    // is lost. Under the same number the quorum takes the second claim for a resend of the first
-    // and grants it, and the request runs twice.
+    // An instance is granted the claim, yields to another instance, and owns the request again after
+    // the loss of that one. With the same number, the quorum would take the second claim for a resend
+    // of the first and grant it, and the request would run twice.
     let mut driver = Driver::open("", |_| {});
     driver.call(true, false);
-    driver.step(taken(2));
+    driver.step(takeover_message(2));
     driver.step(Input::RelayLost { ticket: TICKET, after: 0 });
     let claims = driver.log.iter().filter_map(|output| match output {
         Output::Claim(claim) => Some(claim.claimant),
@@ -381,7 +381,7 @@
 
 #[test]
 fn nothing_new_is_sent_to_an_upstream_that_leaves() {
-    // The router has not heard of the notice yet and still names it.
+    // The router has not received the notice yet and still chooses the upstream that leaves.
     let mut driver = Driver::open("", |_| {});
     driver.step(Input::Leaving { upstream: "u".into(), notice: Some(Duration::from_secs(9)) });
     driver.call(true, true);
@@ -390,18 +390,18 @@
 }
 
 #[test]
-fn not_run_is_said_only_when_the_second_holder_has_forgotten_the_request() {
-    // The caller is told that it was not run, and the owner is lost right after. A holder that has
-    // not heard of it would take the request over and run it.
-    for (silent, told) in [(false, true), (true, false)] {
+fn not_run_is_reported_only_after_the_second_holder_has_dropped_the_request() {
+    // The caller is told that the request did not run, and the owner is lost right after. A holder
+    // that does not know of the refusal would take the request over and run it.
+    for (silent, refusal_sent) in [(false, true), (true, false)] {
         let mut driver = Driver::open("place", |_| {});
         driver.call(true, true);
         if silent {
             driver.withhold = "journal";
         }
         let refusal = Refusal { reason: Reason::NoUpstream, retry: None };
-        driver.step(Input::NoPlace { request: R, wait: None, refusal });
-        assert_eq!(driver.verdict().is_some_and(refused(Reason::NoUpstream)), told);
+        driver.step(Input::NoPlace { request: REQUEST, wait: None, refusal });
+        assert_eq!(driver.verdict().is_some_and(refused(Reason::NoUpstream)), refusal_sent);
         driver.sleep(Duration::from_secs(1));
         let unsure = driver.verdict().is_some_and(unknown(Unknown::Unreachable));
         assert_eq!(unsure, silent);
@@ -410,8 +410,8 @@
 
 #[test]
 fn a_copy_that_was_never_accepted_is_never_run() {
-    // Its owner got no answer in time, refused the request as not run and was lost. The copy that
-    // arrived all the same must not run.
+    // The owner got no acknowledgment in time, refused the request as not run and was lost. The copy,
+    // which arrived nevertheless, must not run.
     for (sequence, runs) in [(0, false), (1, true)] {
         let mut other = Driver::open("", |_| {});
         other.call(true, true);
@@ -419,7 +419,7 @@
             Output::Send { message: Message::Put(copy), .. } => Some(copy.clone()),
             _ => None,
         });
-        let mut copy = copy.expect("it was journalled");
+        let mut copy = copy.expect("the request was journaled");
         copy.note.sequence = sequence;
         let mut driver = Driver::open("", |_| {});
         driver.step(Input::Heard { from: "i2".into(), message: Message::Put(copy) });
@@ -429,65 +429,65 @@
     }
 }
 
-/// Has the upstream end under the run that goes on, and the budget allow another one.
+/// Crashes the upstream of the current run and grants a retry.
 fn crash(driver: &mut Driver) {
-    driver.ran(Event::Sent);
+    driver.run_event(Event::Sent);
     driver.fail(Step::Read, Cause::Closed, false);
     driver.fail(Step::Connect, Cause::Closed, true);
-    driver.step(Input::Retry { request: R, granted: Some(Duration::ZERO) });
+    driver.step(Input::Retry { request: REQUEST, granted: Some(Duration::ZERO) });
 }
 
-/// Counts how often an upstream was given the request, apart from runs joined again.
-fn given(driver: &Driver) -> usize {
+/// Returns how many times an upstream was given the request, without rejoined runs.
+fn count_new_runs(driver: &Driver) -> usize {
     driver.runs().iter().filter(|start| **start != Start::Rejoin).count()
 }
 
 #[test]
-fn a_request_that_ends_every_upstream_is_not_run_for_ever() {
-    // Symptom: one upstream after the other ends, for as long as the budget lasts and whenever the caller comes
-    // back. Sequence: an upstream begins to run a request and ends; the run can't be joined again, since nobody
-    // listens there any more; the request goes to the next upstream.
+fn a_poison_request_is_not_run_forever() {
+    // Without a limit, one upstream after another crashes while the budget lasts and whenever the
+    // caller comes back: an upstream starts the request and crashes, the run cannot be rejoined because
+    // the upstream refuses connections, and the request goes to the next upstream.
     let mut driver = Driver::open("retry", |_| {});
     driver.call(true, true);
     for _ in 0..10 {
         crash(&mut driver);
     }
-    assert_eq!(given(&driver), 3, "{:?}", driver.runs());
+    assert_eq!(count_new_runs(&driver), 3, "{:?}", driver.runs());
     assert_eq!(driver.verdict(), Some(&Verdict::Unknown(Unknown::UpstreamLost)));
     driver.call(true, true);
-    assert_eq!(given(&driver), 3, "nor when its caller comes back by its key");
+    assert_eq!(count_new_runs(&driver), 3, "the request ran again when its caller came back");
 }
 
 #[test]
-fn whoever_takes_a_request_over_knows_how_many_upstreams_have_ended_under_it() {
-    // Symptom: as above, each time its owner is lost. Sequence: two upstreams end under a request; its owner is
-    // lost; the second holder begins to count anew.
+fn a_takeover_keeps_the_crash_count() {
+    // Two upstreams crash under a request and its owner is lost. If the second holder counted from
+    // zero, the request could crash more upstreams after each loss of an owner.
     let mut owner = Driver::open("retry", |_| {});
     owner.call(true, true);
     (0..2).for_each(|_| crash(&mut owner));
-    owner.ran(Event::Sent);
-    let mut heir = Driver::open("retry", |setup| {
+    owner.run_event(Event::Sent);
+    let mut successor = Driver::open("retry", |setup| {
         setup.instance = "i2".into();
         setup.zone = "z1".into();
     });
     let (instance, zone, boot) = ("i0".into(), "z0".into(), 1);
-    heir.step(Input::Joined(Member { instance, zone, boot }));
+    successor.step(Input::Joined(Member { instance, zone, boot }));
     for output in owner.log.clone() {
         if let Output::Send { to, message: message @ (Message::Put(_) | Message::Note(_)) } = output
             && to.as_str() == "i2"
         {
-            heir.step(Input::Heard { from: "i0".into(), message });
+            successor.step(Input::Heard { from: "i0".into(), message });
         }
     }
-    heir.step(Input::Lost("i0".into()));
-    heir.sleep(Duration::from_secs(8));
-    assert!(heir.runs().contains(&Start::Rejoin), "{:?}", heir.runs());
+    successor.step(Input::Lost("i0".into()));
+    successor.sleep(Duration::from_secs(8));
+    assert!(successor.runs().contains(&Start::Rejoin), "{:?}", successor.runs());
     for _ in 0..5 {
-        if heir.attempt.is_some() {
-            heir.fail(Step::Connect, Cause::Closed, true);
-            heir.step(Input::Retry { request: R, granted: Some(Duration::ZERO) });
-            crash(&mut heir);
+        if successor.attempt.is_some() {
+            successor.fail(Step::Connect, Cause::Closed, true);
+            successor.step(Input::Retry { request: REQUEST, granted: Some(Duration::ZERO) });
+            crash(&mut successor);
         }
     }
-    assert_eq!(given(&heir), 0, "{:?}", heir.runs());
+    assert_eq!(count_new_runs(&successor), 0, "{:?}", successor.runs());
 }
--- a/crates/verbenaslip-request/tests/steps.rs
+++ b/crates/verbenaslip-request/tests/steps.rs
@@ -1,32 +1,32 @@
-//! A fault at every single step between receipt and answer.
+//! A fault at every step between the arrival of a request and its answer.
 
 mod world;
 
 use verbenaslip_request::caller::Verdict;
 use world::{ANONYMOUS, CHAT, Call, Event, Fault, LOOKUP, ONCE, ORDER, World, ms};
 
-/// One fault and what it may do to a single caller with a key.
+/// Fault scenario and its allowed effects on a single caller with a key.
 struct Case {
     name: &'static str,
     call: Call,
-    faults: Plan,
-    /// Whether the answer must be whole whatever the step.
+    faults: FaultPlan,
+    /// Whether the answer must be complete at whichever step the fault occurs.
     whole: bool,
-    /// Runs at most.
+    /// Maximum number of runs.
     runs: u32,
-    /// Tokens computed again at most.
-    again: u64,
+    /// Maximum number of recomputed tokens.
+    max_recomputed: u64,
 }
 
-/// Milliseconds after the step, and what goes wrong then.
-type After = (u64, Fault);
+/// Milliseconds after the step, and the fault that occurs then.
+type TimedFault = (u64, Fault);
 
-/// Chooses what goes wrong from how far the world has got.
-type Plan = fn(&World) -> Vec<After>;
+/// Chooses faults according to the current state of the world.
+type FaultPlan = fn(&World) -> Vec<TimedFault>;
 
-const NONE: u64 = 0;
-const PROMPT: u64 = world::PROMPT as u64;
-const ALL: u64 = PROMPT + 20;
+const NO_TOKENS: u64 = 0;
+const PROMPT_TOKENS: u64 = world::PROMPT_TOKENS as u64;
+const ALL_TOKENS: u64 = PROMPT_TOKENS + 20;
 
 fn owner(world: &World) -> usize {
     world.owner(world.callers[0].request).unwrap_or(world.callers[0].at)
@@ -40,18 +40,18 @@
 }
 
 fn upstream(world: &World) -> usize {
-    world.backs.iter().position(|back| back.runs.values().any(|run| !run.stopped)).unwrap_or(0)
+    world.upstreams.iter().position(|fake| fake.runs.values().any(|run| !run.stopped)).unwrap_or(0)
 }
 
 const CASES: &[Case] = &[
-    // The instance that runs the request dies; its home joins the same run at the engine.
+    // The instance that runs the request dies; its home instance rejoins the run at the engine.
     Case {
         name: "owner killed",
         call: CHAT,
         faults: |w| vec![(0, Fault::Kill(owner(w)))],
         whole: true,
         runs: 1,
-        again: NONE,
+        max_recomputed: NO_TOKENS,
     },
     Case {
         name: "owner killed, non-idempotent",
@@ -59,7 +59,7 @@
         faults: |w| vec![(0, Fault::Kill(owner(w)))],
         whole: false,
         runs: 1,
-        again: NONE,
+        max_recomputed: NO_TOKENS,
     },
     Case {
         name: "owner killed, order at a service",
@@ -67,7 +67,7 @@
         faults: |w| vec![(0, Fault::Kill(owner(w)))],
         whole: false,
         runs: 1,
-        again: NONE,
+        max_recomputed: NO_TOKENS,
     },
     Case {
         name: "owner restarted",
@@ -75,7 +75,7 @@
         faults: |w| vec![(0, Fault::Restart(owner(w)))],
         whole: true,
         runs: 2,
-        again: PROMPT,
+        max_recomputed: PROMPT_TOKENS,
     },
     Case {
         name: "owner restarted, order at a service",
@@ -83,7 +83,7 @@
         faults: |w| vec![(0, Fault::Restart(owner(w)))],
         whole: false,
         runs: 1,
-        again: NONE,
+        max_recomputed: NO_TOKENS,
     },
     Case {
         name: "home killed",
@@ -91,7 +91,7 @@
         faults: |w| vec![(0, Fault::Kill(holder(w)))],
         whole: true,
         runs: 1,
-        again: NONE,
+        max_recomputed: NO_TOKENS,
     },
     Case {
         name: "home killed, order",
@@ -99,7 +99,7 @@
         faults: |w| vec![(0, Fault::Kill(holder(w)))],
         whole: true,
         runs: 1,
-        again: NONE,
+        max_recomputed: NO_TOKENS,
     },
     // The second holder is lost right after it took the request over.
     Case {
@@ -108,7 +108,7 @@
         faults: |w| vec![(0, Fault::Kill(owner(w))), (1100, Fault::Kill(holder(w)))],
         whole: true,
         runs: 2,
-        again: PROMPT,
+        max_recomputed: PROMPT_TOKENS,
     },
     Case {
         name: "home killed, then owner",
@@ -116,54 +116,54 @@
         faults: |w| vec![(0, Fault::Kill(holder(w))), (330, Fault::Kill(owner(w)))],
         whole: true,
         runs: 1,
-        again: NONE,
+        max_recomputed: NO_TOKENS,
     },
     Case {
-        name: "owner frozen for 3 s",
+        name: "owner paused for 3 s",
         call: CHAT,
-        faults: |w| vec![(0, Fault::Freeze(owner(w))), (3000, Fault::Thaw(owner(w)))],
+        faults: |w| vec![(0, Fault::Pause(owner(w))), (3000, Fault::Resume(owner(w)))],
         whole: true,
         runs: 2,
-        again: PROMPT,
+        max_recomputed: PROMPT_TOKENS,
     },
     Case {
-        name: "owner frozen for 3 s, order",
+        name: "owner paused for 3 s, order",
         call: ORDER,
-        faults: |w| vec![(0, Fault::Freeze(owner(w))), (3000, Fault::Thaw(owner(w)))],
+        faults: |w| vec![(0, Fault::Pause(owner(w))), (3000, Fault::Resume(owner(w)))],
         whole: false,
         runs: 1,
-        again: NONE,
+        max_recomputed: NO_TOKENS,
     },
     Case {
-        name: "home frozen for 3 s",
+        name: "home paused for 3 s",
         call: CHAT,
-        faults: |w| vec![(0, Fault::Freeze(holder(w))), (3000, Fault::Thaw(holder(w)))],
+        faults: |w| vec![(0, Fault::Pause(holder(w))), (3000, Fault::Resume(holder(w)))],
         whole: true,
         runs: 1,
-        again: NONE,
+        max_recomputed: NO_TOKENS,
     },
-    // Others believe the owner dead, and it goes on all the while.
+    // Other instances consider the owner dead while it continues to work.
     Case {
-        name: "owner and home cut for 3 s",
+        name: "owner and home partitioned for 3 s",
         call: CHAT,
         faults: |w| {
             let (one, other) = (owner(w), holder(w));
-            vec![(0, Fault::Cut(one, other)), (3000, Fault::Heal(one, other))]
+            vec![(0, Fault::Partition(one, other)), (3000, Fault::Heal(one, other))]
         },
         whole: true,
         runs: 2,
-        again: PROMPT,
+        max_recomputed: PROMPT_TOKENS,
     },
     Case {
-        name: "owner and home cut for 3 s, once",
+        name: "owner and home partitioned for 3 s, once",
         call: ONCE,
         faults: |w| {
             let (one, other) = (owner(w), holder(w));
-            vec![(0, Fault::Cut(one, other)), (3000, Fault::Heal(one, other))]
+            vec![(0, Fault::Partition(one, other)), (3000, Fault::Heal(one, other))]
         },
         whole: false,
         runs: 1,
-        again: NONE,
+        max_recomputed: NO_TOKENS,
     },
     Case {
         name: "engine killed",
@@ -171,7 +171,7 @@
         faults: |w| vec![(0, Fault::KillUpstream(upstream(w)))],
         whole: true,
         runs: 2,
-        again: ALL - 1,
+        max_recomputed: ALL_TOKENS - 1,
     },
     Case {
         name: "engine killed, once",
@@ -179,7 +179,7 @@
         faults: |w| vec![(0, Fault::KillUpstream(upstream(w)))],
         whole: false,
         runs: 1,
-        again: NONE,
+        max_recomputed: NO_TOKENS,
     },
     Case {
         name: "engine vanished",
@@ -187,7 +187,7 @@
         faults: |w| vec![(0, Fault::VanishUpstream(upstream(w)))],
         whole: true,
         runs: 2,
-        again: ALL - 1,
+        max_recomputed: ALL_TOKENS - 1,
     },
     Case {
         name: "two engines killed",
@@ -195,40 +195,40 @@
         faults: |_| vec![(0, Fault::KillUpstream(0)), (40, Fault::KillUpstream(1))],
         whole: true,
         runs: 3,
-        again: 2 * (ALL - 1),
+        max_recomputed: 2 * (ALL_TOKENS - 1),
     },
-    // Something between the two ends has lost track of the connection; the run goes on.
+    // A device between both ends loses track of the connection while the run continues.
     Case {
-        name: "connection silent",
+        name: "connection unresponsive",
         call: CHAT,
-        faults: |w| vec![(0, Fault::Mute(upstream(w)))],
+        faults: |w| vec![(0, Fault::SilenceConnections(upstream(w)))],
         whole: true,
         runs: 1,
-        again: NONE,
+        max_recomputed: NO_TOKENS,
     },
     Case {
-        name: "connection silent, once",
+        name: "connection unresponsive, once",
         call: ONCE,
-        faults: |w| vec![(0, Fault::Mute(upstream(w)))],
+        faults: |w| vec![(0, Fault::SilenceConnections(upstream(w)))],
         whole: true,
         runs: 1,
-        again: NONE,
+        max_recomputed: NO_TOKENS,
     },
     Case {
         name: "no end mark",
         call: CHAT,
-        faults: |w| vec![(0, Fault::CutOff(upstream(w)))],
+        faults: |w| vec![(0, Fault::TruncateStreams(upstream(w)))],
         whole: true,
         runs: 1,
-        again: NONE,
+        max_recomputed: NO_TOKENS,
     },
     Case {
         name: "no end mark, once",
         call: ONCE,
-        faults: |w| vec![(0, Fault::CutOff(upstream(w)))],
+        faults: |w| vec![(0, Fault::TruncateStreams(upstream(w)))],
         whole: true,
         runs: 1,
-        again: NONE,
+        max_recomputed: NO_TOKENS,
     },
     Case {
         name: "notice of 0 s",
@@ -236,7 +236,7 @@
         faults: |w| vec![(0, Fault::Notice(upstream(w), ms(0)))],
         whole: true,
         runs: 2,
-        again: ALL - 1,
+        max_recomputed: ALL_TOKENS - 1,
     },
     Case {
         name: "notice of 0.6 s",
@@ -244,7 +244,7 @@
         faults: |w| vec![(0, Fault::Notice(upstream(w), ms(600)))],
         whole: true,
         runs: 2,
-        again: ALL - 10,
+        max_recomputed: ALL_TOKENS - 10,
     },
     Case {
         name: "notice of 2 s",
@@ -252,7 +252,7 @@
         faults: |w| vec![(0, Fault::Notice(upstream(w), ms(2000)))],
         whole: true,
         runs: 1,
-        again: NONE,
+        max_recomputed: NO_TOKENS,
     },
     Case {
         name: "notice of 30 s, once",
@@ -260,11 +260,11 @@
         faults: |w| vec![(0, Fault::Notice(upstream(w), ms(30_000)))],
         whole: true,
         runs: 1,
-        again: NONE,
+        max_recomputed: NO_TOKENS,
     },
-    // An availability zone's instance and upstream go at once.
+    // The instance and the upstream of one availability zone fail at once.
     Case {
-        name: "zone wave",
+        name: "zone loss",
         call: CHAT,
         faults: |w| {
             vec![(0, Fault::Notice(0, ms(0))), (0, Fault::Notice(1, ms(0))), {
@@ -273,7 +273,7 @@
         },
         whole: true,
         runs: 3,
-        again: ALL - 1,
+        max_recomputed: ALL_TOKENS - 1,
     },
     Case {
         name: "caller comes back elsewhere",
@@ -281,7 +281,7 @@
         faults: |_| vec![(0, Fault::Disconnect(0))],
         whole: true,
         runs: 1,
-        again: NONE,
+        max_recomputed: NO_TOKENS,
     },
     Case {
         name: "caller comes back elsewhere, once",
@@ -289,7 +289,7 @@
         faults: |_| vec![(0, Fault::Disconnect(0))],
         whole: true,
         runs: 1,
-        again: NONE,
+        max_recomputed: NO_TOKENS,
     },
     Case {
         name: "service killed, lookup",
@@ -297,7 +297,7 @@
         faults: |w| vec![(0, Fault::KillUpstream(upstream(w).max(3)))],
         whole: true,
         runs: 2,
-        again: PROMPT,
+        max_recomputed: PROMPT_TOKENS,
     },
     Case {
         name: "service killed, order",
@@ -305,16 +305,16 @@
         faults: |w| vec![(0, Fault::KillUpstream(upstream(w).max(3)))],
         whole: false,
         runs: 1,
-        again: NONE,
+        max_recomputed: NO_TOKENS,
     },
-    // This instance is reclaimed itself: streams go over to their homes, and run on.
+    // The instance itself is reclaimed: its streams are handed over and continue.
     Case {
         name: "owner stops in 2 s",
         call: CHAT,
         faults: |w| vec![(0, Fault::Stop(owner(w), ms(2000))), (2000, Fault::Kill(owner(w)))],
         whole: true,
         runs: 1,
-        again: NONE,
+        max_recomputed: NO_TOKENS,
     },
     Case {
         name: "owner stops in 0.1 s",
@@ -322,7 +322,7 @@
         faults: |w| vec![(0, Fault::Stop(owner(w), ms(100))), (100, Fault::Kill(owner(w)))],
         whole: true,
         runs: 1,
-        again: NONE,
+        max_recomputed: NO_TOKENS,
     },
     Case {
         name: "owner stops in 0.1 s, once",
@@ -330,15 +330,15 @@
         faults: |w| vec![(0, Fault::Stop(owner(w), ms(100))), (100, Fault::Kill(owner(w)))],
         whole: true,
         runs: 1,
-        again: NONE,
+        max_recomputed: NO_TOKENS,
     },
     Case {
-        name: "owner stops gracefully, nobody has a key",
+        name: "owner stops gracefully, without a key",
         call: ANONYMOUS,
         faults: |w| vec![(0, Fault::Stop(owner(w), ms(20_000)))],
         whole: true,
         runs: 1,
-        again: NONE,
+        max_recomputed: NO_TOKENS,
     },
     Case {
         name: "home stops",
@@ -346,23 +346,23 @@
         faults: |w| vec![(0, Fault::Stop(holder(w), ms(50))), (50, Fault::Kill(holder(w)))],
         whole: true,
         runs: 1,
-        again: NONE,
+        max_recomputed: NO_TOKENS,
     },
 ];
 
 #[test]
-fn a_fault_at_any_step_keeps_what_must_hold() {
+fn invariants_hold_with_a_fault_at_any_step() {
     let mut problems = Vec::new();
     for case in CASES {
         for instances in [3, 4] {
-            problems.extend(sweep(case, instances));
+            problems.extend(run_with_fault_at_each_step(case, instances));
         }
     }
     assert!(problems.is_empty(), "{} problems:\n{}", problems.len(), problems.join("\n"));
 }
 
-/// Brings the fault about at each step in turn, and returns what did not hold.
-fn sweep(case: &Case, instances: usize) -> Vec<String> {
+/// Injects the faults at each step in turn and returns the violations.
+fn run_with_fault_at_each_step(case: &Case, instances: usize) -> Vec<String> {
     let steps = {
         let mut world = World::open(instances, 1);
         world.call(ms(10), 1, 0, case.call);
@@ -377,23 +377,27 @@
         world.run(step);
         let now = world.now;
         for (after, fault) in (case.faults)(&world) {
-            world.at(now + ms(after), Event::Fault(fault));
+            world.schedule(now + ms(after), Event::Fault(fault));
         }
         world.run(2_000_000);
         let caller = &world.callers[0];
         let runs = world.runs.get(&caller.request).copied().unwrap_or(0);
         let refused = matches!(caller.verdict, Some(Verdict::Refused(_)));
-        let told = (case.whole && !refused && !caller.whole).then_some("not whole");
-        let often = (runs > case.runs).then_some("runs too often");
-        let again = (world.recomputed() > case.again).then_some("computes too much again");
+        let incomplete = (case.whole && !refused && !caller.whole).then_some("answer not complete");
+        let too_many_runs = (runs > case.runs).then_some("too many runs");
+        let too_much_recomputed =
+            (world.recomputed() > case.max_recomputed).then_some("too many tokens recomputed");
         refusals += u32::from(refused);
         whole += u32::from(caller.whole);
         most = most.max(world.recomputed());
-        for problem in
-            [told, often, again].into_iter().flatten().map(str::to_owned).chain(world.problem())
+        for problem in [incomplete, too_many_runs, too_much_recomputed]
+            .into_iter()
+            .flatten()
+            .map(str::to_owned)
+            .chain(world.problem())
         {
             problems.push(format!(
-                "{} of {instances} at step {step}: {problem}: runs {runs}, again {}, {:?}, {} tokens",
+                "{} of {instances} at step {step}: {problem}: runs {runs}, recomputed {}, {:?}, {} tokens",
                 case.name,
                 world.recomputed(),
                 caller.verdict,
@@ -402,7 +406,7 @@
         }
     }
     println!(
-        "{} of {instances}: {whole} whole and {refusals} refused of {}, again at most {most}",
+        "{} of {instances}: {whole} complete and {refusals} refused of {}, at most {most} recomputed",
         case.name,
         steps.min(400) - first
     );
--- a/crates/verbenaslip-request/tests/world/fault.rs
+++ b/crates/verbenaslip-request/tests/world/fault.rs
@@ -1,26 +1,26 @@
-//! What goes wrong in a world, and what must hold all the same.
+//! Faults of the simulation, and the invariants that must hold nevertheless.
 
 use super::*;
 
 impl World {
-    pub fn strike(&mut self, fault: Fault) {
+    pub fn apply_fault(&mut self, fault: Fault) {
         match fault {
             Fault::Kill(at) => self.kill(at),
             Fault::Restart(at) => self.restart(at),
-            Fault::Freeze(at) => self.freeze(at),
-            Fault::Thaw(at) => self.thaw(at),
-            Fault::Cut(one, other) => self.cut(one, other),
+            Fault::Pause(at) => self.pause(at),
+            Fault::Resume(at) => self.resume(at),
+            Fault::Partition(one, other) => self.partition(one, other),
             Fault::Heal(one, other) => self.heal(one, other),
             Fault::KillUpstream(at) => self.kill_upstream(at, false),
             Fault::VanishUpstream(at) => self.kill_upstream(at, true),
-            Fault::Mute(at) => {
+            Fault::SilenceConnections(at) => {
                 let readers = self.nodes.iter_mut().flat_map(|node| node.readers.values_mut());
-                readers.filter(|reader| reader.upstream == at).for_each(|r| r.muted = true);
+                readers.filter(|reader| reader.upstream == at).for_each(|r| r.silenced = true);
             }
-            Fault::CutOff(at) => self.break_readers(at, Cause::Cut),
+            Fault::TruncateStreams(at) => self.break_readers(at, Cause::Cut),
             Fault::Notice(at, notice) => self.notice(at, notice),
             Fault::Stop(at, remaining) => {
-                if self.nodes[at].alive && !self.nodes[at].frozen {
+                if self.nodes[at].alive && !self.nodes[at].paused {
                     self.input(at, Input::Stop { remaining });
                 }
             }
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Tells an instance and all others of each other.
-    pub fn introduce(&mut self, at: usize) {
+    /// Announces an instance and all others to each other.
+    pub fn exchange_members(&mut self, at: usize) {
         for other in 0..self.nodes.len() {
             if other == at || !self.nodes[other].alive {
                 continue;
@@ -38,16 +38,16 @@
                 let node = &self.nodes[about];
                 let zone = format!("z{about}").as_str().into();
                 let member = Member { instance: node.name.clone(), zone, boot: node.boot };
-                self.at(self.now, Event::Input(to, Input::Joined(member)));
+                self.schedule(self.now, Event::Input(to, Input::Joined(member)));
             }
         }
     }
 
-    fn suspect(&mut self, at: usize) {
+    fn report_loss(&mut self, at: usize) {
         for to in 0..self.nodes.len() {
             if to != at {
                 let lost = Input::Lost(self.nodes[at].name.clone());
-                self.at(self.now + SUSPICION, Event::Input(to, lost));
+                self.schedule(self.now + DETECTION_DELAY, Event::Input(to, lost));
             }
         }
     }
@@ -57,7 +57,7 @@
             return;
         }
         self.nodes[at].alive = false;
-        self.suspect(at);
+        self.report_loss(at);
         let mut relays = Vec::new();
         for inner in std::mem::take(&mut self.nodes[at].subscriptions).into_values() {
             relays.push(inner);
@@ -75,7 +75,7 @@
             for inner in gone {
                 self.nodes[owner].subscriptions.remove(&inner);
                 self.nodes[owner].serving.remove(&inner);
-                self.at(self.now, Event::Input(owner, Input::Gone(inner)));
+                self.schedule(self.now, Event::Input(owner, Input::Gone(inner)));
             }
         }
         for index in 0..self.callers.len() {
@@ -92,9 +92,9 @@
         }
         if caller.returns {
             caller.at = (caller.at + 1) % self.nodes.len();
-            self.at(self.now + ms(20), Event::Call(index));
+            self.schedule(self.now + ms(20), Event::Call(index));
         } else {
-            caller.cut = true;
+            caller.disconnected = true;
         }
     }
 
@@ -104,92 +104,92 @@
         if let Some(ticket) = ticket {
             self.unsubscribe(at, ticket);
             self.nodes[at].serving.remove(&ticket);
-            self.at(self.now, Event::Input(at, Input::Gone(ticket)));
+            self.schedule(self.now, Event::Input(at, Input::Gone(ticket)));
         }
     }
 
     fn restart(&mut self, at: usize) {
         self.kill(at);
         let boot = self.nodes[at].boot + 1;
-        self.nodes[at] = node(at, boot);
-        self.introduce(at);
+        self.nodes[at] = new_node(at, boot);
+        self.exchange_members(at);
         for other in 0..self.nodes.len() {
-            // Its settings name those that are away as well.
+            // The settings of the restarted instance also name instances that are absent.
             if other != at && !self.nodes[other].alive {
                 let node = &self.nodes[other];
                 let zone = format!("z{other}").as_str().into();
                 let member = Member { instance: node.name.clone(), zone, boot: 0 };
                 let lost = Input::Lost(member.instance.clone());
-                self.at(self.now, Event::Input(at, Input::Joined(member)));
-                self.at(self.now, Event::Input(at, lost));
+                self.schedule(self.now, Event::Input(at, Input::Joined(member)));
+                self.schedule(self.now, Event::Input(at, lost));
             }
         }
     }
 
-    fn freeze(&mut self, at: usize) {
-        if self.nodes[at].alive && !self.nodes[at].frozen {
-            self.nodes[at].frozen = true;
-            self.suspect(at);
+    fn pause(&mut self, at: usize) {
+        if self.nodes[at].alive && !self.nodes[at].paused {
+            self.nodes[at].paused = true;
+            self.report_loss(at);
         }
     }
 
-    fn thaw(&mut self, at: usize) {
-        if !self.nodes[at].alive || !self.nodes[at].frozen {
+    fn resume(&mut self, at: usize) {
+        if !self.nodes[at].alive || !self.nodes[at].paused {
             return;
         }
-        self.nodes[at].frozen = false;
-        for event in std::mem::take(&mut self.nodes[at].held) {
-            self.at(self.now, event);
+        self.nodes[at].paused = false;
+        for event in std::mem::take(&mut self.nodes[at].deferred_events) {
+            self.schedule(self.now, event);
         }
-        self.introduce(at);
+        self.exchange_members(at);
         for node in 0..self.nodes.len() {
-            self.deliver(node);
+            self.serve_callers(node);
         }
     }
 
-    fn cut(&mut self, one: usize, other: usize) {
-        self.cuts.extend([(one, other), (other, one)]);
+    fn partition(&mut self, one: usize, other: usize) {
+        self.partitions.extend([(one, other), (other, one)]);
         for (to, about) in [(one, other), (other, one)] {
             let lost = Input::Lost(self.nodes[about].name.clone());
-            self.at(self.now + SUSPICION, Event::Input(to, lost));
+            self.schedule(self.now + DETECTION_DELAY, Event::Input(to, lost));
         }
         let mut lost = Vec::new();
         for (at, node) in self.nodes.iter_mut().enumerate() {
-            let far = if at == one { other } else { one };
+            let remote = if at == one { other } else { one };
             if at != one && at != other {
                 continue;
             }
             node.subscriptions.retain(|inner, outer| {
-                let stays = outer.0 != far;
-                if !stays {
+                let keep = outer.0 != remote;
+                if !keep {
                     node.serving.remove(inner);
                     lost.push((at, *inner, *outer));
                 }
-                stays
+                keep
             });
         }
         for (at, inner, (relay, ticket)) in lost {
-            self.at(self.now, Event::Input(at, Input::Gone(inner)));
+            self.schedule(self.now, Event::Input(at, Input::Gone(inner)));
             self.relay_lost(relay, ticket);
         }
     }
 
     fn heal(&mut self, one: usize, other: usize) {
-        self.cuts.remove(&(one, other));
-        self.cuts.remove(&(other, one));
-        self.introduce(one);
-        self.introduce(other);
-        // The traffic side sends again what was not acknowledged.
+        self.partitions.remove(&(one, other));
+        self.partitions.remove(&(other, one));
+        self.exchange_members(one);
+        self.exchange_members(other);
+        // The traffic side resends what was not acknowledged.
         for at in [one, other] {
-            if self.nodes[at].alive && !self.nodes[at].frozen {
-                self.pump(at);
+            if self.nodes[at].alive && !self.nodes[at].paused {
+                self.propagate(at);
             }
         }
     }
 
     fn kill_upstream(&mut self, at: usize, vanished: bool) {
-        self.backs[at].up = false;
-        self.backs[at].vanished = vanished;
+        self.upstreams[at].up = false;
+        self.upstreams[at].vanished = vanished;
         if !vanished {
             self.break_readers(at, Cause::Closed);
         }
@@ -203,62 +203,65 @@
         }
         for (to, reader) in broken {
             let failure = Failure { step: Step::Read, cause, not_run: false };
-            self.at(self.now + HOP, Event::Broken { to, reader, failure });
+            self.schedule(self.now + NETWORK_DELAY, Event::Broken { to, reader, failure });
         }
     }
 
     fn notice(&mut self, at: usize, notice: Duration) {
-        self.backs[at].leaving = true;
-        let upstream = self.backs[at].name.clone();
+        self.upstreams[at].leaving = true;
+        let upstream = self.upstreams[at].name.clone();
         for to in 0..self.nodes.len() {
             let (upstream, notice) = (upstream.clone(), Some(notice));
-            self.at(self.now + HOP, Event::Input(to, Input::Leaving { upstream, notice }));
+            self.schedule(
+                self.now + NETWORK_DELAY,
+                Event::Input(to, Input::Leaving { upstream, notice }),
+            );
         }
-        self.fault(self.now + notice.max(HOP * 3), Fault::KillUpstream(at));
+        self.schedule_fault(self.now + notice.max(NETWORK_DELAY * 3), Fault::KillUpstream(at));
     }
 
-    /// Checks what must hold after every event.
+    /// Checks the invariants that must hold after every event.
     pub fn check(&mut self) {
         for caller in &self.callers {
             let runs = self.runs.get(&caller.request).copied().unwrap_or(0);
             if !caller.idempotent && runs > 1 {
-                self.broken = Some(format!("non-idempotent ran {runs} times"));
+                self.violation = Some(format!("non-idempotent ran {runs} times"));
             }
             let last = caller.texts.len();
             let own = format!("{last}.");
             let gap = caller.texts.last().is_some_and(|text| !text.starts_with(&own));
             if caller.model != "service" && gap {
-                self.broken = Some(format!("position {last} holds another"));
+                self.violation = Some(format!("position {last} holds another token"));
             }
         }
     }
 
-    /// Returns what does not hold when nothing happens any more.
+    /// Returns a violation that exists when no events are left.
     pub fn problem(&self) -> Option<String> {
-        if self.broken.is_some() {
-            return self.broken.clone();
+        if self.violation.is_some() {
+            return self.violation.clone();
         }
         for caller in &self.callers {
-            let final_answer = caller.whole || caller.verdict.is_some() || caller.cut;
+            let final_answer = caller.whole || caller.verdict.is_some() || caller.disconnected;
             let left = !caller.returns && caller.ticket.is_none();
             if !final_answer && !left {
                 return Some("a caller never got its final answer".to_owned());
             }
             let short = caller.texts.len() != self.tokens as usize;
             if caller.whole && caller.model != "service" && short {
-                return Some("the answer is not whole".to_owned());
+                return Some("the answer is not complete".to_owned());
             }
             let mut same = self.callers.iter().filter(|other| other.request == caller.request);
             let refused = same.all(|other| matches!(other.verdict, Some(Verdict::Refused(_))));
             if refused && self.runs.contains_key(&caller.request) {
-                return Some("said not run, but it ran at last".to_owned());
+                return Some("reported as not run, but it ran later".to_owned());
             }
         }
         None
     }
 
     pub fn recomputed(&self) -> u64 {
-        self.backs.iter().map(|back| back.recomputed).sum()
+        self.upstreams.iter().map(|fake| fake.recomputed).sum()
     }
 
     pub fn owner(&self, request: Request) -> Option<usize> {
--- a/crates/verbenaslip-request/tests/world/mod.rs
+++ b/crates/verbenaslip-request/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! A few instances and fake upstreams in one virtual time, stepped event by event.
+//! Simulation of several instances and fake upstreams in virtual time, driven by events.
 
 #![allow(dead_code)]
 
@@ -25,24 +25,24 @@
 use verbenaslip_request::run::{self, Cause, Failure, Start, Step};
 use verbenaslip_request::setup::Setup;
 
-/// One way between two instances, or between one and an upstream.
-pub const HOP: Duration = Duration::from_millis(1);
-/// From a loss to the others' notice of it.
-pub const SUSPICION: Duration = Duration::from_millis(300);
-/// Between two tokens.
-pub const PACE: Duration = Duration::from_millis(10);
-/// To the first token.
-pub const FIRST: Duration = Duration::from_millis(40);
-/// Tokens of every prompt.
-pub const PROMPT: u32 = 100;
-/// How long a world runs at most.
-pub const END: Duration = Duration::from_secs(120);
+/// One-way delay between two instances, or between an instance and an upstream.
+pub const NETWORK_DELAY: Duration = Duration::from_millis(1);
+/// Time until other instances detect a loss.
+pub const DETECTION_DELAY: Duration = Duration::from_millis(300);
+/// Time between two tokens.
+pub const TOKEN_INTERVAL: Duration = Duration::from_millis(10);
+/// Time to first token.
+pub const FIRST_TOKEN_DELAY: Duration = Duration::from_millis(40);
+/// Tokens in a prompt.
+pub const PROMPT_TOKENS: u32 = 100;
+/// Maximum virtual time of a simulation.
+pub const MAX_RUN_TIME: Duration = Duration::from_secs(120);
 
 pub fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// Something that happens at a moment.
+/// Event of the simulation.
 #[derive(Clone, Debug)]
 pub enum Event {
     Input(usize, Input),
@@ -60,33 +60,33 @@
     Fault(Fault),
 }
 
-/// Something that goes wrong, or is set right.
+/// Fault, or the end of one.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
     Kill(usize),
     Restart(usize),
-    Freeze(usize),
-    Thaw(usize),
-    Cut(usize, usize),
+    Pause(usize),
+    Resume(usize),
+    Partition(usize, usize),
     Heal(usize, usize),
     KillUpstream(usize),
-    /// The upstream is gone without its connections being closed.
+    /// The upstream disappears without closing its connections.
     VanishUpstream(usize),
-    /// Open connections to the upstream go silent; new ones work.
-    Mute(usize),
+    /// Open connections to the upstream become unresponsive; new connections work.
+    SilenceConnections(usize),
     /// Streams end without their end mark.
-    CutOff(usize),
+    TruncateStreams(usize),
     Notice(usize, Duration),
     Stop(usize, Duration),
     Disconnect(usize),
 }
 
-/// One instance with its traffic side.
+/// Instance with its traffic side.
 pub struct Node {
     pub requests: Requests,
     pub name: Instance,
     pub alive: bool,
-    pub frozen: bool,
+    pub paused: bool,
     pub boot: u64,
     pub drained: bool,
     pub answers: BTreeMap<Request, Answer>,
@@ -94,7 +94,7 @@
     mirrors: BTreeMap<Request, Mirror>,
     serving: BTreeMap<Ticket, (Request, u32)>,
     subscriptions: BTreeMap<Ticket, (usize, Ticket)>,
-    held: Vec<Event>,
+    deferred_events: Vec<Event>,
 }
 
 struct Reader {
@@ -102,7 +102,7 @@
     upstream: usize,
     seen: u32,
     start: Start,
-    muted: bool,
+    silenced: bool,
     stall: Duration,
     body: usize,
 }
@@ -112,8 +112,8 @@
     epoch: u16,
 }
 
-/// One fake model engine or plain service.
-pub struct Back {
+/// Fake model engine or plain service.
+pub struct FakeUpstream {
     pub name: Upstream,
     pub kind: Kind,
     pub up: bool,
@@ -131,7 +131,7 @@
     pub stopped: bool,
 }
 
-/// One caller, which comes back through another instance while it has a key.
+/// Caller, which retries at another instance if its request has a key.
 pub struct Caller {
     pub request: Request,
     pub keyed: bool,
@@ -142,21 +142,21 @@
     pub texts: Vec<String>,
     pub whole: bool,
     pub verdict: Option<Verdict>,
-    pub cut: bool,
+    pub disconnected: bool,
     pub returns: bool,
     pub calls: u32,
 }
 
-/// The instances, upstreams and callers.
+/// Simulated instances, upstreams and callers.
 pub struct World {
     pub now: Duration,
     pub nodes: Vec<Node>,
-    pub backs: Vec<Back>,
+    pub upstreams: Vec<FakeUpstream>,
     pub callers: Vec<Caller>,
     pub claims: BTreeMap<Request, Claimed>,
     pub quorum: Quorum,
     pub runs: BTreeMap<Request, u32>,
-    pub broken: Option<String>,
+    pub violation: Option<String>,
     pub trace: bool,
     pub loss: u64,
     pub duplicate: u64,
@@ -165,7 +165,7 @@
     pub events: u64,
     pub tokens: u32,
     pub prompt: u32,
-    pub cuts: BTreeSet<(usize, usize)>,
+    pub partitions: BTreeSet<(usize, usize)>,
     queue: BTreeMap<(Duration, u64), Event>,
     tickets: BTreeMap<Ticket, usize>,
     next: u64,
@@ -182,22 +182,22 @@
 pub enum Quorum {
     Up,
     Down,
-    /// Every second answer says that it may or may not have been granted.
+    /// Half of the answers say that the claim may or may not have been granted.
     Unsure,
 }
 
 impl World {
-    /// Opens instances in as many availability zones, with engines and one plain service.
+    /// Creates instances in as many availability zones, with engines and plain services.
     pub fn open(instances: usize, seed: u64) -> Self {
         let mut world = Self {
             now: Duration::ZERO,
             nodes: Vec::new(),
-            backs: Vec::new(),
+            upstreams: Vec::new(),
             callers: Vec::new(),
             claims: BTreeMap::new(),
             quorum: Quorum::Up,
             runs: BTreeMap::new(),
-            broken: None,
+            violation: None,
             trace: false,
             loss: 0,
             duplicate: 0,
@@ -205,18 +205,18 @@
             messages: 0,
             events: 0,
             tokens: 20,
-            prompt: PROMPT,
-            cuts: BTreeSet::new(),
+            prompt: PROMPT_TOKENS,
+            partitions: BTreeSet::new(),
             queue: BTreeMap::new(),
             tickets: BTreeMap::new(),
             next: 0,
             rng: Pcg64::seed_from_u64(seed),
         };
         for index in 0..instances {
-            world.nodes.push(node(index, 1));
+            world.nodes.push(new_node(index, 1));
         }
         for index in 0..instances {
-            world.introduce(index);
+            world.exchange_members(index);
         }
         for (index, kind) in [Kind::Engine, Kind::Engine, Kind::Engine, Kind::Service]
             .into_iter()
@@ -226,25 +226,26 @@
             let name = Upstream::new(format!("u{index}"));
             let (runs, computed, recomputed) = (BTreeMap::new(), 0, 0);
             let (up, vanished, leaving) = (true, false, false);
-            let back = Back { name, kind, up, vanished, leaving, runs, computed, recomputed };
-            world.backs.push(back);
+            let fake =
+                FakeUpstream { name, kind, up, vanished, leaving, runs, computed, recomputed };
+            world.upstreams.push(fake);
         }
         world
     }
 
-    pub fn at(&mut self, at: Duration, event: Event) {
+    pub fn schedule(&mut self, at: Duration, event: Event) {
         self.next += 1;
         self.queue.insert((at.max(self.now), self.next), event);
     }
 
-    pub fn fault(&mut self, at: Duration, fault: Fault) {
-        self.at(at, Event::Fault(fault));
+    pub fn schedule_fault(&mut self, at: Duration, fault: Fault) {
+        self.schedule(at, Event::Fault(fault));
     }
 
-    /// Adds a caller that sends its request at a moment.
+    /// Adds a caller that sends its request at the given time.
     pub fn call(&mut self, at: Duration, key: u64, to: usize, kind: Call) -> usize {
-        let drawn = if kind.keyed { 0 } else { self.callers.len() };
-        let request = Request::of_key(&Team::from("team"), &format!("key-{key}-{drawn}"));
+        let unique = if kind.keyed { 0 } else { self.callers.len() };
+        let request = Request::of_key(&Team::from("team"), &format!("key-{key}-{unique}"));
         self.callers.push(Caller {
             request,
             keyed: kind.keyed,
@@ -255,16 +256,16 @@
             texts: Vec::new(),
             whole: false,
             verdict: None,
-            cut: false,
+            disconnected: false,
             returns: kind.keyed,
             calls: 0,
         });
         let index = self.callers.len() - 1;
-        self.at(at, Event::Call(index));
+        self.schedule(at, Event::Call(index));
         index
     }
 
-    /// Runs until nothing is left to happen, or a number of events have.
+    /// Runs until no events are left or the given number of events has been handled.
     pub fn run(&mut self, events: u64) {
         while self.events < events && self.step() {}
     }
@@ -274,25 +275,25 @@
         assert_eq!(self.problem(), None);
     }
 
-    /// Lets the next event happen; returns false when there is none before the end.
+    /// Handles the next event; returns false if there is none before the maximum time.
     pub fn step(&mut self) -> bool {
         let event = self.queue.first_key_value().map(|((at, _), _)| *at);
-        let wake = self
+        let wakeup = self
             .nodes
             .iter()
             .enumerate()
-            .filter(|(_, node)| node.alive && !node.frozen)
+            .filter(|(_, node)| node.alive && !node.paused)
             .filter_map(|(index, node)| Some((node.requests.next_wakeup()?, index)))
             .min();
-        let Some(at) = event.into_iter().chain(wake.map(|(at, _)| at)).min() else {
+        let Some(at) = event.into_iter().chain(wakeup.map(|(at, _)| at)).min() else {
             return false;
         };
-        if at > END {
+        if at > MAX_RUN_TIME {
             return false;
         }
         self.now = self.now.max(at);
         self.events += 1;
-        match wake {
+        match wakeup {
             Some((at, index)) if event.is_none_or(|event| at < event) => {
                 self.input(index, Input::Tick);
             }
@@ -300,24 +301,24 @@
                 let Some((_, event)) = self.queue.pop_first() else {
                     return false;
                 };
-                self.happen(event);
+                self.handle_event(event);
             }
         }
         self.check();
-        self.broken.is_none()
+        self.violation.is_none()
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         if self.trace {
             println!("{:?} {event:?}", self.now);
         }
-        if let Some(to) = target(&event) {
+        if let Some(to) = event_node(&event) {
             let node = &mut self.nodes[to];
             if !node.alive {
                 return;
             }
-            if node.frozen {
-                node.held.push(event);
+            if node.paused {
+                node.deferred_events.push(event);
                 return;
             }
         }
@@ -329,23 +330,23 @@
             }
             Event::Token { upstream, attempt } => self.token(upstream, attempt),
             Event::Read { to, reader, position, end } => self.read(to, reader, position, end),
-            Event::Broken { to, reader, failure } => self.broken(to, reader, failure),
+            Event::Broken { to, reader, failure } => self.handle_broken(to, reader, failure),
             Event::Stall { to, reader, seen } => self.stall(to, reader, seen),
             Event::Import { to, reader } => self.import(to, reader),
             Event::Copy { from, to, request, epoch } => self.copy(from, to, request, epoch),
             Event::Acked { to, from, request, position, ended } => {
-                self.acked(to, from, request, position, ended);
+                self.handle_copy_ack(to, from, request, position, ended);
             }
             Event::Subscribe { at, ticket, to, request, after } => {
                 self.subscribe(at, ticket, to, request, after);
             }
             Event::Cancel { upstream, attempt } => {
-                if let Some(run) = self.backs[upstream].runs.get_mut(&attempt) {
+                if let Some(run) = self.upstreams[upstream].runs.get_mut(&attempt) {
                     run.stopped = true;
                 }
             }
             Event::Call(caller) => self.connect(caller),
-            Event::Fault(fault) => self.strike(fault),
+            Event::Fault(fault) => self.apply_fault(fault),
         }
     }
 
@@ -358,7 +359,7 @@
             }
             self.output(to, output);
         }
-        self.pump(to);
+        self.propagate(to);
     }
 
     fn output(&mut self, at: usize, output: Output) {
@@ -372,16 +373,16 @@
                 }
             }
             Output::Admit(head) => {
-                self.at(now + HOP, Event::Input(at, Input::Admitted(head.request)));
+                self.schedule(now + NETWORK_DELAY, Event::Input(at, Input::Admitted(head.request)));
             }
             Output::Claim(claim) => self.claim(at, &claim),
             Output::Settle { request, claimant, outcome } => {
-                let ours = self.claims.get(&request).is_some_and(|c| c.claimant == claimant);
+                let is_holder = self.claims.get(&request).is_some_and(|c| c.claimant == claimant);
                 match outcome {
-                    Outcome::Refused(_) if ours => {
+                    Outcome::Refused(_) if is_holder => {
                         self.claims.remove(&request);
                     }
-                    _ if ours => {
+                    _ if is_holder => {
                         self.claims.get_mut(&request).expect("claim is held").settled = true;
                     }
                     _ => {}
@@ -389,22 +390,29 @@
             }
             Output::Place(wanted) => {
                 let input = self.route(&wanted);
-                self.at(now + HOP, Event::Input(at, input));
+                self.schedule(now + NETWORK_DELAY, Event::Input(at, input));
             }
             Output::Retry { head, .. } => {
                 let granted = Some(ms(5));
                 let input = Input::Retry { request: head.request, granted };
-                self.at(now + HOP, Event::Input(at, input));
+                self.schedule(now + NETWORK_DELAY, Event::Input(at, input));
             }
             Output::Run(run) => self.start(at, &run),
             Output::Cancel(live) => {
                 self.nodes[at].readers.retain(|_, reader| reader.attempt != live.attempt);
-                let upstream = self.back(&live.upstream);
-                self.at(now + HOP, Event::Cancel { upstream, attempt: live.attempt });
+                let upstream = self.upstream_index(&live.upstream);
+                self.schedule(
+                    now + NETWORK_DELAY,
+                    Event::Cancel { upstream, attempt: live.attempt },
+                );
             }
             Output::Mirror { request, epoch, to } => self.mirror(at, request, epoch, to),
             Output::Own { request, epoch } => {
-                self.nodes[at].answers.entry(request).or_insert_with(open).take_ownership(epoch);
+                self.nodes[at]
+                    .answers
+                    .entry(request)
+                    .or_insert_with(empty_answer)
+                    .take_ownership(epoch);
             }
             Output::Forget { request, epoch } => {
                 let node = &mut self.nodes[at];
@@ -420,15 +428,15 @@
 
     fn send(&mut self, from: usize, to: &Instance, message: &Message) {
         self.messages += 1;
-        let to = index(to);
-        if self.cuts.contains(&(from, to)) || self.chance(self.loss) {
+        let to = instance_index(to);
+        if self.partitions.contains(&(from, to)) || self.chance(self.loss) {
             return;
         }
         let copies = if self.chance(self.duplicate) { 2 } else { 1 };
         for _ in 0..copies {
             let extra = if self.jitter > 0 { self.rng.next_u64() % self.jitter } else { 0 };
-            let at = self.now + HOP + ms(extra);
-            self.at(at, Event::Peer { from, to, message: message.clone() });
+            let at = self.now + NETWORK_DELAY + ms(extra);
+            self.schedule(at, Event::Peer { from, to, message: message.clone() });
         }
     }
 
@@ -457,26 +465,26 @@
             }
         };
         let input = Input::Claimed { request, claimant, ruling };
-        self.at(self.now + HOP * 2, Event::Input(at, input));
+        self.schedule(self.now + NETWORK_DELAY * 2, Event::Input(at, input));
     }
 
     fn route(&mut self, wanted: &verbenaslip_request::output::PlacementRequest) -> Input {
         let request = wanted.head.request;
         let kind =
             if wanted.head.model.as_str() == "service" { Kind::Service } else { Kind::Engine };
-        let found = self.backs.iter().position(|back| {
-            back.up
-                && !back.leaving
-                && back.kind == kind
-                && !wanted.without.contains(&back.name)
-                && wanted.from.as_ref() != Some(&back.name)
+        let found = self.upstreams.iter().position(|fake| {
+            fake.up
+                && !fake.leaving
+                && fake.kind == kind
+                && !wanted.without.contains(&fake.name)
+                && wanted.from.as_ref() != Some(&fake.name)
         });
         let Some(found) = found else {
             let refusal = Refusal { reason: Reason::NoUpstream, retry: None };
             return Input::NoPlace { request, wait: Some(ms(100)), refusal };
         };
         let place = Placement {
-            upstream: self.backs[found].name.clone(),
+            upstream: self.upstreams[found].name.clone(),
             address: SocketAddr::from(([127, 0, 0, 1], 1000)),
             kind,
             priority: 0,
@@ -487,7 +495,7 @@
     }
 
     fn start(&mut self, at: usize, run: &run::Run) {
-        let upstream = self.back(&run.upstream);
+        let upstream = self.upstream_index(&run.upstream);
         self.next += 1;
         let id = self.next;
         let reader = Reader {
@@ -495,84 +503,90 @@
             upstream,
             seen: 0,
             start: run.start.clone(),
-            muted: false,
+            silenced: false,
             stall: run.stall,
             body: 0,
         };
         let node = &mut self.nodes[at];
         node.readers.retain(|_, old| old.attempt.request != run.attempt.request);
         node.readers.insert(id, reader);
-        let answer = node.answers.entry(run.attempt.request).or_insert_with(open);
+        let answer = node.answers.entry(run.attempt.request).or_insert_with(empty_answer);
         answer.begin_attempt(run.attempt);
         let position = answer.position();
-        let text = answer.batches(0).iter().map(|piece| piece.text.to_string()).collect();
-        if !self.backs[upstream].up {
+        let text = answer.batches(0).iter().map(|batch| batch.text.to_string()).collect();
+        if !self.upstreams[upstream].up {
             let (step, not_run) = (Step::Connect, true);
-            let vanished = self.backs[upstream].vanished;
+            let vanished = self.upstreams[upstream].vanished;
             let (wait, cause) =
-                if vanished { (run.stall, Cause::Silent) } else { (HOP, Cause::Closed) };
+                if vanished { (run.stall, Cause::Silent) } else { (NETWORK_DELAY, Cause::Closed) };
             let failure = Failure { step, cause, not_run };
-            self.at(self.now + wait, Event::Broken { to: at, reader: id, failure });
+            self.schedule(self.now + wait, Event::Broken { to: at, reader: id, failure });
             return;
         }
         match &run.start {
             Start::Fresh | Start::Resume => {
                 let event =
                     Event::Input(at, Input::Ran { attempt: run.attempt, event: run::Event::Sent });
-                self.at(self.now, event);
+                self.schedule(self.now, event);
                 self.generate(upstream, run.attempt, text);
             }
-            Start::Rejoin => match self.backs[upstream].runs.get(&run.attempt) {
+            Start::Rejoin => match self.upstreams[upstream].runs.get(&run.attempt) {
                 Some(generation) if !generation.stopped || generation.done() => {
                     let (len, end) = (generation.len(), generation.done());
-                    self.at(
-                        self.now + HOP * 2,
+                    self.schedule(
+                        self.now + NETWORK_DELAY * 2,
                         Event::Read { to: at, reader: id, position: len, end },
                     );
                 }
                 _ => {
                     let (step, cause) = (Step::Head, Cause::Forgotten);
                     let failure = Failure { step, cause, not_run: false };
-                    self.at(self.now + HOP * 2, Event::Broken { to: at, reader: id, failure });
+                    self.schedule(
+                        self.now + NETWORK_DELAY * 2,
+                        Event::Broken { to: at, reader: id, failure },
+                    );
                 }
             },
             Start::Import { .. } => {
-                self.at(self.now + ms(52), Event::Import { to: at, reader: id });
+                self.schedule(self.now + ms(52), Event::Import { to: at, reader: id });
             }
         }
         let (seen, stall) = (position, run.stall);
-        self.at(self.now + stall, Event::Stall { to: at, reader: id, seen });
+        self.schedule(self.now + stall, Event::Stall { to: at, reader: id, seen });
     }
 
     fn generate(&mut self, upstream: usize, attempt: Attempt, texts: Vec<String>) {
         *self.runs.entry(attempt.request).or_default() += 1;
         let total = self.tokens;
-        let back = &mut self.backs[upstream];
-        back.computed += u64::from(self.prompt) + texts.len() as u64;
+        let fake = &mut self.upstreams[upstream];
+        fake.computed += u64::from(self.prompt) + texts.len() as u64;
         if self.runs[&attempt.request] > 1 {
-            back.recomputed += u64::from(self.prompt) + texts.len() as u64;
+            fake.recomputed += u64::from(self.prompt) + texts.len() as u64;
         }
-        back.runs.insert(attempt, Generation { texts, total, stopped: false });
-        self.at(self.now + HOP + FIRST, Event::Token { upstream, attempt });
+        fake.runs.insert(attempt, Generation { texts, total, stopped: false });
+        self.schedule(
+            self.now + NETWORK_DELAY + FIRST_TOKEN_DELAY,
+            Event::Token { upstream, attempt },
+        );
     }
 
     fn token(&mut self, upstream: usize, attempt: Attempt) {
-        let back = &mut self.backs[upstream];
-        let Some(run) = back.runs.get_mut(&attempt).filter(|run| !run.stopped) else {
+        let fake = &mut self.upstreams[upstream];
+        let Some(run) = fake.runs.get_mut(&attempt).filter(|run| !run.stopped) else {
             return;
         };
-        if !back.up {
+        if !fake.up {
             return;
         }
         run.texts.push(format!("{}.{}", run.texts.len() + 1, attempt.number));
-        back.computed += 1;
+        fake.computed += 1;
         let (position, end) = (run.len(), run.done());
         run.stopped = end;
         if !end {
-            self.at(self.now + PACE, Event::Token { upstream, attempt });
+            self.schedule(self.now + TOKEN_INTERVAL, Event::Token { upstream, attempt });
         }
         for (to, reader) in self.readers_of(upstream, attempt) {
-            self.at(self.now + HOP, Event::Read { to, reader, position, end });
+            self.schedule(self.now + NETWORK_DELAY, Event::Read { to, reader, position, end });
         }
     }
 
@@ -582,7 +596,7 @@
             .flat_map(|(to, node)| node.readers.iter().map(move |(id, reader)| (to, *id, reader)));
         readers
             .filter(|(_, _, reader)| {
-                reader.upstream == upstream && reader.attempt == attempt && !reader.muted
+                reader.upstream == upstream && reader.attempt == attempt && !reader.silenced
             })
             .map(|(to, id, _)| (to, id))
             .collect()
@@ -592,12 +606,12 @@
         let Some(reader) = self.nodes[to].readers.get_mut(&id) else {
             return;
         };
-        if reader.muted {
+        if reader.silenced {
             return;
         }
         let (attempt, upstream) = (reader.attempt, reader.upstream);
         reader.seen = reader.seen.max(position);
-        let Some(run) = self.backs[upstream].runs.get(&attempt) else {
+        let Some(run) = self.upstreams[upstream].runs.get(&attempt) else {
             return;
         };
         let texts = run.texts.clone();
@@ -605,7 +619,7 @@
         let Some(answer) = node.answers.get_mut(&attempt.request) else {
             return;
         };
-        if self.backs[upstream].kind == Kind::Service {
+        if self.upstreams[upstream].kind == Kind::Service {
             let bytes = texts.join(" ").into_bytes().into();
             let whole = ServiceResponse { status: 200, content: "text/plain".into(), bytes };
             answer.set_response(attempt, whole);
@@ -617,7 +631,7 @@
         for at in answer.position() + 1..=position {
             let added = answer.append(attempt, at, 1, &texts[at as usize - 1]);
             if !matches!(added, AppendResult::Appended | AppendResult::Late) {
-                self.broken = Some(format!("{added:?}"));
+                self.violation = Some(format!("{added:?}"));
             }
         }
         let held = answer.position();
@@ -632,7 +646,7 @@
         self.input(to, Input::Ran { attempt, event });
     }
 
-    fn broken(&mut self, to: usize, id: u64, failure: Failure) {
+    fn handle_broken(&mut self, to: usize, id: u64, failure: Failure) {
         let Some(reader) = self.nodes[to].readers.remove(&id) else {
             return;
         };
@@ -647,11 +661,11 @@
         if reader.seen <= seen {
             let (step, cause) = (Step::Read, Cause::Silent);
             let not_run = false;
-            self.broken(to, id, Failure { step, cause, not_run });
+            self.handle_broken(to, id, Failure { step, cause, not_run });
             return;
         }
         let (seen, stall) = (reader.seen, reader.stall);
-        self.at(self.now + stall, Event::Stall { to, reader: id, seen });
+        self.schedule(self.now + stall, Event::Stall { to, reader: id, seen });
     }
 
     fn import(&mut self, to: usize, id: u64) {
@@ -662,39 +676,39 @@
         let Start::Import { from, .. } = reader.start else {
             return;
         };
-        let source = self.backs.iter_mut().find(|back| back.runs.contains_key(&from));
-        let source = source.filter(|back| back.up);
-        let Some(run) = source.and_then(|back| back.runs.get_mut(&from)) else {
+        let source = self.upstreams.iter_mut().find(|fake| fake.runs.contains_key(&from));
+        let source = source.filter(|fake| fake.up);
+        let Some(run) = source.and_then(|fake| fake.runs.get_mut(&from)) else {
             let (step, cause) = (Step::Export, Cause::Closed);
-            self.broken(to, id, Failure { step, cause, not_run: false });
+            self.handle_broken(to, id, Failure { step, cause, not_run: false });
             return;
         };
         let mut generation = run.clone();
         run.stopped = true;
-        if !self.backs[upstream].up {
+        if !self.upstreams[upstream].up {
             let (step, cause) = (Step::Import, Cause::Closed);
-            self.broken(to, id, Failure { step, cause, not_run: false });
+            self.handle_broken(to, id, Failure { step, cause, not_run: false });
             return;
         }
         generation.stopped = generation.done();
         let (position, end) = (generation.len(), generation.done());
-        self.backs[upstream].runs.insert(attempt, generation);
+        self.upstreams[upstream].runs.insert(attempt, generation);
         if end {
-            self.at(self.now + HOP, Event::Read { to, reader: id, position, end });
+            self.schedule(self.now + NETWORK_DELAY, Event::Read { to, reader: id, position, end });
         } else {
-            self.at(self.now + PACE, Event::Token { upstream, attempt });
+            self.schedule(self.now + TOKEN_INTERVAL, Event::Token { upstream, attempt });
         }
     }
 
     fn mirror(&mut self, at: usize, request: Request, epoch: u16, to: Option<Instance>) {
         let node = &mut self.nodes[at];
-        let answer = node.answers.entry(request).or_insert_with(open);
+        let answer = node.answers.entry(request).or_insert_with(empty_answer);
         answer.set_mirroring(to.is_some());
         match to {
             Some(to) => {
-                node.mirrors.insert(request, Mirror { to: index(&to), epoch });
-                let (from, to) = (at, index(&to));
-                self.at(self.now + HOP, Event::Copy { from, to, request, epoch });
+                node.mirrors.insert(request, Mirror { to: instance_index(&to), epoch });
+                let (from, to) = (at, instance_index(&to));
+                self.schedule(self.now + NETWORK_DELAY, Event::Copy { from, to, request, epoch });
             }
             None => {
                 node.mirrors.remove(&request);
@@ -703,15 +717,15 @@
     }
 
     fn copy(&mut self, from: usize, to: usize, request: Request, epoch: u16) {
-        if self.cuts.contains(&(from, to)) || !self.nodes[from].alive {
+        if self.partitions.contains(&(from, to)) || !self.nodes[from].alive {
             return;
         }
         let Some(source) = self.nodes[from].answers.get(&request).cloned() else {
             return;
         };
-        let target = self.nodes[to].answers.entry(request).or_insert_with(open);
-        for piece in source.batches(0).to_vec() {
-            target.copy(epoch, piece.position, piece.count, &piece.text);
+        let target = self.nodes[to].answers.entry(request).or_insert_with(empty_answer);
+        for batch in source.batches(0).to_vec() {
+            target.copy(epoch, batch.position, batch.count, &batch.text);
         }
         let mut position = target.position();
         if let Some(whole) = source.response() {
@@ -730,11 +744,18 @@
                 self.input(to, Input::MirrorEnded(request));
             }
             let event = Event::Acked { to: from, from: to, request, position, ended };
-            self.at(self.now + HOP, event);
+            self.schedule(self.now + NETWORK_DELAY, event);
         }
     }
 
-    fn acked(&mut self, to: usize, from: usize, request: Request, position: u32, ended: bool) {
+    fn handle_copy_ack(
+        &mut self,
+        to: usize,
+        from: usize,
+        request: Request,
+        position: u32,
+        ended: bool,
+    ) {
         let node = &mut self.nodes[to];
         if node.mirrors.get(&request).is_none_or(|mirror| mirror.to != from) {
             return;
@@ -748,8 +769,8 @@
         }
     }
 
-    /// Moves what callers and second holders may have by now.
-    fn pump(&mut self, at: usize) {
+    /// Propagates released tokens to callers and missing tokens to second holders.
+    fn propagate(&mut self, at: usize) {
         let node = &self.nodes[at];
         let mut copies = Vec::new();
         for (request, mirror) in &node.mirrors {
@@ -769,13 +790,13 @@
                 _ => false,
             });
             if !pending {
-                self.at(self.now + HOP, event);
+                self.schedule(self.now + NETWORK_DELAY, event);
             }
         }
-        self.deliver(at);
+        self.serve_callers(at);
     }
 
-    fn deliver(&mut self, at: usize) {
+    fn serve_callers(&mut self, at: usize) {
         let serving: Vec<_> =
             self.nodes[at].serving.iter().map(|(ticket, value)| (*ticket, *value)).collect();
         for (ticket, (request, _)) in serving {
@@ -787,14 +808,14 @@
             };
             let caller = &mut self.callers[caller];
             let after = caller.texts.len() as u32;
-            caller.texts.extend(answer.released_batches(after).map(|piece| piece.text.to_string()));
+            caller.texts.extend(answer.released_batches(after).map(|batch| batch.text.to_string()));
             let end = answer.released_end().map(|end| end.position);
             if end.is_some_and(|end| end as usize == caller.texts.len()) {
                 let all: Vec<_> =
-                    answer.batches(0).iter().map(|piece| piece.text.to_string()).collect();
+                    answer.batches(0).iter().map(|batch| batch.text.to_string()).collect();
                 if caller.texts != all {
                     let request = caller.request;
-                    self.broken = Some(format!("halves of two answers: {request}"));
+                    self.violation = Some(format!("halves of two answers: {request}"));
                 }
                 caller.whole = true;
             }
@@ -803,7 +824,7 @@
                 caller.whole = true;
             }
             if caller.whole {
-                self.hang_up(at, ticket);
+                self.close_connection(at, ticket);
             }
         }
     }
@@ -812,7 +833,7 @@
     fn caller_of(&self, at: usize, ticket: Ticket) -> Option<usize> {
         let outer = self.nodes[at].subscriptions.get(&ticket);
         if let Some((relay, _)) = outer
-            && (!self.nodes[*relay].alive || self.nodes[*relay].frozen)
+            && (!self.nodes[*relay].alive || self.nodes[*relay].paused)
         {
             return None;
         }
@@ -821,12 +842,12 @@
         (self.callers[caller].ticket == Some(ticket)).then_some(caller)
     }
 
-    fn hang_up(&mut self, at: usize, ticket: Ticket) {
+    fn close_connection(&mut self, at: usize, ticket: Ticket) {
         self.nodes[at].serving.remove(&ticket);
         let outer = self.nodes[at].subscriptions.remove(&ticket);
-        self.at(self.now, Event::Input(at, Input::Gone(ticket)));
+        self.schedule(self.now, Event::Input(at, Input::Gone(ticket)));
         if let Some((relay, outer)) = outer {
-            self.at(self.now, Event::Input(relay, Input::Gone(outer)));
+            self.schedule(self.now, Event::Input(relay, Input::Gone(outer)));
         }
     }
 
@@ -843,14 +864,14 @@
                 return;
             };
             let after = self.callers[caller].texts.len() as u32;
-            let event = Event::Subscribe { at, ticket, to: index(&owner), request, after };
-            self.at(self.now + HOP, event);
+            let event = Event::Subscribe { at, ticket, to: instance_index(&owner), request, after };
+            self.schedule(self.now + NETWORK_DELAY, event);
             return;
         }
         let caller = self.caller_of(at, ticket);
         let outer = self.nodes[at].subscriptions.remove(&ticket);
-        if let Some((relay, outer)) = outer.filter(|(relay, _)| self.nodes[*relay].frozen) {
-            // The frozen one finds the connection closed when it comes back.
+        if let Some((relay, outer)) = outer.filter(|(relay, _)| self.nodes[*relay].paused) {
+            // The paused instance finds the connection closed when it resumes.
             self.relay_lost(relay, outer);
         }
         let Some(caller) = caller else {
@@ -861,19 +882,19 @@
             let runs = self.runs.get(&caller.request).copied().unwrap_or(0);
             if runs > 0 {
                 let request = caller.request;
-                self.broken = Some(format!("said not run, but it ran: {request}"));
+                self.violation = Some(format!("reported as not run, but it ran: {request}"));
             }
         }
         let (outer, relay) = (caller.ticket, caller.at);
         caller.verdict = Some(verdict);
         caller.ticket = None;
         if let Some(outer) = outer.filter(|outer| *outer != ticket) {
-            self.at(self.now, Event::Input(relay, Input::Gone(outer)));
+            self.schedule(self.now, Event::Input(relay, Input::Gone(outer)));
         }
     }
 
     fn subscribe(&mut self, at: usize, ticket: Ticket, to: usize, request: Request, after: u32) {
-        if !self.nodes[to].alive || self.cuts.contains(&(at, to)) {
+        if !self.nodes[to].alive || self.partitions.contains(&(at, to)) {
             self.relay_lost(at, ticket);
             return;
         }
@@ -881,23 +902,23 @@
         let inner = Ticket(self.next);
         self.nodes[to].subscriptions.insert(inner, (at, ticket));
         let input = Input::Subscribed { ticket: inner, request, after };
-        self.at(self.now, Event::Input(to, input));
+        self.schedule(self.now, Event::Input(to, input));
     }
 
     fn unsubscribe(&mut self, at: usize, ticket: Ticket) {
         let mut gone = Vec::new();
         for (owner, node) in self.nodes.iter_mut().enumerate() {
             node.subscriptions.retain(|inner, outer| {
-                let stays = *outer != (at, ticket);
-                if !stays {
+                let keep = *outer != (at, ticket);
+                if !keep {
                     node.serving.remove(inner);
                     gone.push((owner, *inner));
                 }
-                stays
+                keep
             });
         }
         for (owner, inner) in gone {
-            self.at(self.now, Event::Input(owner, Input::Gone(inner)));
+            self.schedule(self.now, Event::Input(owner, Input::Gone(inner)));
         }
     }
 
@@ -906,7 +927,10 @@
             return;
         };
         let after = self.callers[*caller].texts.len() as u32;
-        self.at(self.now + HOP, Event::Input(at, Input::RelayLost { ticket, after }));
+        self.schedule(
+            self.now + NETWORK_DELAY,
+            Event::Input(at, Input::RelayLost { ticket, after }),
+        );
     }
 
     fn connect(&mut self, index: usize) {
@@ -918,9 +942,9 @@
         let first = caller.at;
         let open = (0..count)
             .map(|offset| (first + offset) % count)
-            .find(|at| self.nodes[*at].alive && !self.nodes[*at].frozen);
+            .find(|at| self.nodes[*at].alive && !self.nodes[*at].paused);
         let Some(at) = open else {
-            self.at(self.now + ms(50), Event::Call(index));
+            self.schedule(self.now + ms(50), Event::Call(index));
             return;
         };
         self.next += 1;
@@ -953,8 +977,8 @@
         self.input(at, Input::Arrived(arrival));
     }
 
-    fn back(&self, upstream: &Upstream) -> usize {
-        self.backs.iter().position(|back| back.name == *upstream).expect("upstream is known")
+    fn upstream_index(&self, upstream: &Upstream) -> usize {
+        self.upstreams.iter().position(|fake| fake.name == *upstream).expect("upstream is known")
     }
 }
 
@@ -968,7 +992,7 @@
     }
 }
 
-/// What a caller sends.
+/// Properties of a caller's request.
 #[derive(Clone, Copy, Debug)]
 pub struct Call {
     pub keyed: bool,
@@ -982,7 +1006,7 @@
 pub const LOOKUP: Call = Call { keyed: true, idempotent: true, model: "service" };
 pub const ANONYMOUS: Call = Call { keyed: false, idempotent: true, model: "m" };
 
-fn node(index: usize, boot: u64) -> Node {
+fn new_node(index: usize, boot: u64) -> Node {
     let name = Instance::new(format!("i{index}"));
     let zone = format!("z{index}").as_str().into();
     let setup = Setup::new(name.clone(), zone, boot);
@@ -990,7 +1014,7 @@
         requests: Requests::open(setup),
         name,
         alive: true,
-        frozen: false,
+        paused: false,
         boot,
         drained: false,
         answers: BTreeMap::new(),
@@ -998,19 +1022,19 @@
         mirrors: BTreeMap::new(),
         serving: BTreeMap::new(),
         subscriptions: BTreeMap::new(),
-        held: Vec::new(),
+        deferred_events: Vec::new(),
     }
 }
 
-fn open() -> Answer {
+fn empty_answer() -> Answer {
     Answer::open(1 << 20)
 }
 
-fn index(instance: &Instance) -> usize {
+fn instance_index(instance: &Instance) -> usize {
     instance.as_str()[1..].parse().expect("instances are numbered")
 }
 
-fn target(event: &Event) -> Option<usize> {
+fn event_node(event: &Event) -> Option<usize> {
     match event {
         Event::Input(to, _)
         | Event::Peer { to, .. }
