--- a/crates/verbenaslip-request/src/answer.rs
+++ b/crates/verbenaslip-request/src/answer.rs
@@ -12,14 +12,23 @@
 /// ends an answer.
 #[derive(Clone, Debug)]
 pub struct Answer {
+    /// Epoch of the owner.
     epoch: u16,
+    /// Number of the live attempt.
     number: u32,
+    /// Token batches in order of position.
     batches: Vec<TokenBatch>,
+    /// Response of a plain service.
     response: Option<ServiceResponse>,
+    /// End mark.
     end: Option<End>,
+    /// Last position held.
     position: u32,
+    /// Bytes held.
     bytes: usize,
+    /// Maximum number of bytes.
     limit: usize,
+    /// What the second holder has, if the answer is mirrored.
     mirror: Option<MirrorState>,
 }
 
--- a/crates/verbenaslip-request/src/arrival.rs
+++ b/crates/verbenaslip-request/src/arrival.rs
@@ -43,7 +43,7 @@
 impl Requests {
     pub(crate) fn handle_arrival(&mut self, ctx: &mut StepContext<'_>, arrival: Arrival) {
         let Arrival { ticket, head, body, after } = arrival;
-        if self.tickets.contains_key(&ticket) || self.relays.contains_key(&ticket) {
+        if self.tickets.contains_key(&ticket) || self.relayed_callers.contains_key(&ticket) {
             return;
         }
         let digest = body.digest();
@@ -95,7 +95,7 @@
         if entry.head.keyed {
             self.look_up(ctx, entry);
         } else {
-            entry.complete = true;
+            entry.unknown_to_homes = true;
             self.take_ownership(ctx, entry);
         }
     }
@@ -108,11 +108,11 @@
         request: Request,
         after: u32,
     ) {
-        if self.tickets.contains_key(&ticket) || self.relays.contains_key(&ticket) {
+        if self.tickets.contains_key(&ticket) || self.relayed_callers.contains_key(&ticket) {
             return;
         }
-        let barred = self.copies.get(&request).is_some_and(|copy| copy.takeover_blocked);
-        if barred {
+        let blocked = self.copies.get(&request).is_some_and(|copy| copy.takeover_blocked);
+        if blocked {
             ctx.send_verdict(ticket, Verdict::Unknown(Unknown::InstanceLost));
             return;
         }
@@ -134,7 +134,7 @@
         ticket: Ticket,
         after: u32,
     ) {
-        let Some(mut relay) = self.relays.remove(&ticket) else {
+        let Some(mut relay) = self.relayed_callers.remove(&ticket) else {
             return;
         };
         self.timers.set(Timer::Parked(ticket), None);
@@ -147,7 +147,7 @@
             0 | 1 => Duration::ZERO,
             _ => self.setup.timing.resend,
         };
-        self.relays.insert(ticket, relay);
+        self.relayed_callers.insert(ticket, relay);
         if wait.is_zero() {
             self.retry_relay(ctx, ticket);
         } else {
@@ -158,7 +158,7 @@
     /// Admits a caller again whose relay was lost.
     pub(crate) fn retry_relay(&mut self, ctx: &mut StepContext<'_>, ticket: Ticket) {
         self.timers.set(Timer::Parked(ticket), None);
-        let Some(mut relay) = self.relays.remove(&ticket) else {
+        let Some(mut relay) = self.relayed_callers.remove(&ticket) else {
             return;
         };
         let Some(body) = relay.body.take() else {
@@ -246,7 +246,7 @@
             owner: relay.owner.clone(),
         };
         ctx.send_verdict(ticket, verdict);
-        self.relays.insert(ticket, relay);
+        self.relayed_callers.insert(ticket, relay);
     }
 
     /// Answers a caller that cannot be admitted.
@@ -326,7 +326,7 @@
         entry.epoch = entry.epoch.max(1);
         entry.phase = Phase::Admit;
         entry.phase_due = None;
-        if self.stopping.is_some() {
+        if self.stop_deadline.is_some() {
             let refusal = Refusal { reason: Reason::Stopping, retry: Some(Duration::ZERO) };
             self.refuse(ctx, entry, refusal);
             return;
--- a/crates/verbenaslip-request/src/copies.rs
+++ b/crates/verbenaslip-request/src/copies.rs
@@ -234,7 +234,7 @@
     ) -> bool {
         let (request, epoch) = (copy.head.request, copy.note.epoch);
         let full = Message::Full { request, epoch };
-        if self.stopping.is_some() {
+        if self.stop_deadline.is_some() {
             ctx.send(from, full);
             return false;
         }
@@ -499,7 +499,7 @@
     ) {
         for (ticket, relay) in waiting {
             self.tickets.remove(&ticket);
-            self.relays.insert(ticket, relay);
+            self.relayed_callers.insert(ticket, relay);
             self.retry_relay(ctx, ticket);
         }
     }
--- a/crates/verbenaslip-request/src/drain.rs
+++ b/crates/verbenaslip-request/src/drain.rs
@@ -15,8 +15,8 @@
     /// Begins a shutdown; a second call can only shorten the time.
     pub(crate) fn handle_stop(&mut self, ctx: &mut StepContext<'_>, remaining: Duration) {
         let end = ctx.now.saturating_add(remaining);
-        let end = self.stopping.map_or(end, |known| known.min(end));
-        self.stopping = Some(end);
+        let end = self.stop_deadline.map_or(end, |known| known.min(end));
+        self.stop_deadline = Some(end);
         for request in self.owned_requests() {
             let Some(entry) = self.take(request) else {
                 continue;
@@ -51,7 +51,7 @@
 
     /// Hands over requests that will not end in time, and ends the rest at the time limit.
     pub(crate) fn tick_stop(&mut self, ctx: &mut StepContext<'_>) {
-        let Some(end) = self.stopping else {
+        let Some(end) = self.stop_deadline else {
             return;
         };
         let handover = end.saturating_sub(self.setup.timing.handover);
@@ -94,7 +94,7 @@
             entry.sequence += 1;
             entry.handed_over_at = Some(ctx.now);
             // The second holder may run the request from now on, so "not run" can no longer be told.
-            entry.complete = false;
+            entry.unknown_to_homes = false;
             ctx.send(&holder, Message::HandOver(entry.progress()));
             self.put(entry);
         }
@@ -118,7 +118,7 @@
 
     /// Reports once that nothing is left.
     pub(crate) fn check_drained(&mut self, ctx: &mut StepContext<'_>) {
-        let Some(end) = self.stopping else {
+        let Some(end) = self.stop_deadline else {
             return;
         };
         if self.drained || (ctx.now < end && !self.is_drained()) {
@@ -135,7 +135,7 @@
             .all(|entry| entry.is_finished() && Self::is_holder_current(entry));
         let held =
             self.copies.values().all(|copy| copy.is_finished() || copy.owner_lost_at.is_some());
-        owned && held && self.tickets.is_empty() && self.relays.is_empty()
+        owned && held && self.tickets.is_empty() && self.relayed_callers.is_empty()
     }
 }
 
--- a/crates/verbenaslip-request/src/finish.rs
+++ b/crates/verbenaslip-request/src/finish.rs
@@ -18,9 +18,13 @@
 /// Finished answers in the order in which they are removed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Retention {
+    /// Expiry and request, earliest first.
     by_expiry: BTreeSet<(Duration, Request)>,
+    /// Finished answers by request.
     answers: BTreeMap<Request, Retained>,
+    /// Tokens in all finished answers.
     tokens: u64,
+    /// Number of finished copies.
     copied: usize,
 }
 
@@ -78,12 +82,12 @@
             self.finish(ctx, entry, Outcome::Unknown(Unknown::UpstreamLost));
             return;
         }
-        if !entry.complete {
+        if !entry.unknown_to_homes {
             self.finish(ctx, entry, Outcome::Unknown(Unknown::Unreachable));
             return;
         }
-        let old = ctx.now.saturating_sub(entry.looked_up_at) > self.setup.timing.fresh;
-        if entry.head.keyed && old && !entry.is_accepted() && entry.epoch > 0 {
+        let outdated = ctx.now.saturating_sub(entry.looked_up_at) > self.setup.timing.fresh;
+        if entry.head.keyed && outdated && !entry.is_accepted() && entry.epoch > 0 {
             self.look_up_before_refusal(ctx, entry, refusal);
             return;
         }
@@ -251,7 +255,7 @@
 
     /// Handles the end of a caller's connection.
     pub(crate) fn handle_gone(&mut self, ctx: &mut StepContext<'_>, ticket: Ticket) {
-        if let Some(relay) = self.relays.remove(&ticket) {
+        if let Some(relay) = self.relayed_callers.remove(&ticket) {
             self.timers.set(Timer::Parked(ticket), None);
             self.release_body(relay.body);
             return;
@@ -323,7 +327,7 @@
             entry.phase,
             Phase::Finished { outcome: Outcome::Unknown(_) | Outcome::Abandoned, .. }
         );
-        unfinished && entry.head.idempotent && !entry.is_poison() && self.stopping.is_none()
+        unfinished && entry.head.idempotent && !entry.is_poison() && self.stop_deadline.is_none()
     }
 
     /// Runs a request again that ended without a complete answer, from its existing tokens.
--- a/crates/verbenaslip-request/src/journal.rs
+++ b/crates/verbenaslip-request/src/journal.rs
@@ -62,12 +62,12 @@
 
     /// Sends the request to the best instance that has not been tried.
     pub(crate) fn choose_holder(&mut self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) {
-        let candidates = self.view.holders(entry.request(), &self.setup.instance);
+        let candidates = self.membership.holders(entry.request(), &self.setup.instance);
         let same_zone_allowed = !matches!(self.setup.journal, Journal::OtherZone);
         let next = candidates.into_iter().find(|instance| {
             !entry.tried_holders.contains(instance)
                 && (same_zone_allowed
-                    || self.view.in_different_zones(instance, &self.setup.instance))
+                    || self.membership.in_different_zones(instance, &self.setup.instance))
         });
         let Some(instance) = next else {
             entry.holder = None;
@@ -276,7 +276,7 @@
     /// A resend asks the home instances. If they were absent when the request arrived and have come
     /// back, they do not know about the copy, and the request would run a second time.
     pub(crate) fn announce_owner(&self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) {
-        let homes = self.view.homes(entry.request());
+        let homes = self.membership.homes(entry.request());
         if entry.confirmed_holder().is_none_or(|holder| !homes.contains(holder)) {
             entry.informed_homes.clear();
             entry.inform_tries = 0;
@@ -291,7 +291,7 @@
         }
         let remaining = entry.head.deadline.saturating_sub(ctx.now).max(Duration::from_secs(1));
         let mut unsure = false;
-        for home in self.view.homes(entry.request()) {
+        for home in self.membership.homes(entry.request()) {
             let holds = entry.holder.as_ref().is_some_and(|holder| holder.instance == home);
             if home == self.setup.instance || holds || entry.informed_homes.contains(&home) {
                 continue;
@@ -340,6 +340,6 @@
             return true;
         };
         holder.acked_sequence >= Some(entry.sequence)
-            && (entry.mirror_ended || !entry.is_complete())
+            && (entry.mirror_ended || !entry.has_full_answer())
     }
 }
--- a/crates/verbenaslip-request/src/lookup.rs
+++ b/crates/verbenaslip-request/src/lookup.rs
@@ -38,22 +38,22 @@
     /// When the query was last sent.
     at: Duration,
     /// Answer of the home instance.
-    found: Option<KeyStatus>,
+    answer: Option<KeyStatus>,
 }
 
 impl Lookup {
     fn answers(&self) -> impl Iterator<Item = &KeyStatus> {
-        self.queries.values().filter_map(|query| query.found.as_ref())
+        self.queries.values().filter_map(|query| query.answer.as_ref())
     }
 
     /// Returns whether a home instance other than `own` has answered, if there is one.
     fn has_answer_beyond(&self, own: &Instance) -> bool {
         let mut others = self.queries.iter().filter(|(home, _)| *home != own).peekable();
-        others.peek().is_none() || others.any(|(_, query)| query.found.is_some())
+        others.peek().is_none() || others.any(|(_, query)| query.answer.is_some())
     }
 
     fn is_answer_missing(&self) -> bool {
-        self.queries.values().any(|query| query.found.is_none())
+        self.queries.values().any(|query| query.answer.is_none())
     }
 }
 
@@ -86,12 +86,12 @@
             return;
         };
         // Views differ briefly after each change, so a former home instance may know the key.
-        lookup.queries.retain(|home, _| self.view.answers(home));
+        lookup.queries.retain(|home, _| self.membership.is_responsive(home));
         // Answers may be outdated after the change: the copy may have been stored just now.
-        lookup.queries.values_mut().for_each(|query| query.found = None);
-        for home in self.view.homes(entry.head.request) {
+        lookup.queries.values_mut().for_each(|query| query.answer = None);
+        for home in self.membership.homes(entry.head.request) {
             let at = ctx.now;
-            lookup.queries.entry(home).or_insert(HomeQuery { at, found: None });
+            lookup.queries.entry(home).or_insert(HomeQuery { at, answer: None });
         }
         self.query_homes(ctx, &mut entry);
         self.try_decide(ctx, entry);
@@ -109,8 +109,8 @@
             None => timing.lookup,
         };
         let until = ctx.now.saturating_add(duration);
-        let homes = self.view.homes(entry.request()).into_iter();
-        let queries = homes.map(|home| (home, HomeQuery { at: ctx.now, found: None })).collect();
+        let homes = self.membership.homes(entry.request()).into_iter();
+        let queries = homes.map(|home| (home, HomeQuery { at: ctx.now, answer: None })).collect();
         entry.phase =
             Phase::Lookup(Lookup { queries, tries: 0, until, accepted_elsewhere: false, refusal });
         self.query_homes(ctx, entry);
@@ -132,10 +132,10 @@
         lookup.tries += 1;
         entry.phase_due = Some(ctx.now.saturating_add(self.setup.timing.resend));
         let own = self.setup.instance.clone();
-        for (home, query) in lookup.queries.iter_mut().filter(|(_, query)| query.found.is_none()) {
+        for (home, query) in lookup.queries.iter_mut().filter(|(_, query)| query.answer.is_none()) {
             query.at = ctx.now;
             if *home == own {
-                query.found = Some(self.find_key(ctx.now, &own, &reserve));
+                query.answer = Some(self.find_key(ctx.now, &own, &reserve));
             } else {
                 ctx.send(home, Message::Reserve(reserve.clone()));
             }
@@ -160,9 +160,9 @@
             let accepted = matches!(found, KeyStatus::Held { epoch, .. } if epoch > 0);
             lookup.accepted_elsewhere |= accepted;
             if accepted || lookup.queries.contains_key(from) {
-                let query = HomeQuery { at: ctx.now, found: None };
+                let query = HomeQuery { at: ctx.now, answer: None };
                 let query = lookup.queries.entry(from.clone()).or_insert(query);
-                query.found = Some(found);
+                query.answer = Some(found);
             }
             self.try_decide(ctx, entry);
             return;
@@ -190,8 +190,8 @@
             self.put(entry);
             return;
         }
-        entry.complete = false;
-        if epoch == 0 || !self.view.alive(&owner) {
+        entry.unknown_to_homes = false;
+        if epoch == 0 || !self.membership.is_alive(&owner) {
             self.put(entry);
             return;
         }
@@ -225,8 +225,8 @@
             return;
         }
         for query in lookup.queries.values_mut() {
-            if matches!(query.found, Some(KeyStatus::Between { .. } | KeyStatus::Held { .. })) {
-                query.found = None;
+            if matches!(query.answer, Some(KeyStatus::Between { .. } | KeyStatus::Held { .. })) {
+                query.answer = None;
             }
         }
         self.query_homes(ctx, &mut entry);
@@ -245,7 +245,7 @@
         }
         let must_wait = lookup.answers().any(|found| match found {
             KeyStatus::Between { .. } => true,
-            KeyStatus::Held { owner, epoch, .. } => *epoch > 0 && !self.view.alive(owner),
+            KeyStatus::Held { owner, epoch, .. } => *epoch > 0 && !self.membership.is_alive(owner),
             KeyStatus::Free | KeyStatus::Doubtful | KeyStatus::Full => false,
         });
         let answered = lookup.has_answer_beyond(&self.setup.instance);
@@ -269,9 +269,9 @@
         };
         let mut found_stale = false;
         for (home, query) in &mut lookup.queries {
-            let stale = ctx.now.saturating_sub(query.at) > fresh && query.found.is_some();
+            let stale = ctx.now.saturating_sub(query.at) > fresh && query.answer.is_some();
             if stale && *home != self.setup.instance {
-                query.found = None;
+                query.answer = None;
                 found_stale = true;
             }
         }
@@ -291,27 +291,27 @@
             self.withdraw(ctx, entry, &owner, digest);
             return;
         }
-        let complete = self.is_complete(ctx.now, &entry, lookup);
+        let complete = self.is_unknown_elsewhere(ctx.now, &entry, lookup);
         let refusal = lookup.refusal.clone();
         let knows =
-            |query: &HomeQuery| matches!(query.found, Some(KeyStatus::Free | KeyStatus::Doubtful));
+            |query: &HomeQuery| matches!(query.answer, Some(KeyStatus::Free | KeyStatus::Doubtful));
         let informed = lookup.queries.iter().filter(|(_, query)| knows(query));
         entry.informed_homes = informed.map(|(home, _)| home.clone()).collect();
         entry.looked_up_at = ctx.now;
         match refusal {
             None => {
-                entry.complete = complete;
+                entry.unknown_to_homes = complete;
                 self.take_ownership(ctx, entry);
             }
             Some(refusal) => {
-                entry.complete &= complete;
+                entry.unknown_to_homes &= complete;
                 self.refuse(ctx, entry, refusal);
             }
         }
     }
 
     /// Returns whether the answers show that no other instance can have run the request.
-    fn is_complete(&self, now: Duration, entry: &OwnedRequest, lookup: &Lookup) -> bool {
+    fn is_unknown_elsewhere(&self, now: Duration, entry: &OwnedRequest, lookup: &Lookup) -> bool {
         let doubtful = lookup.accepted_elsewhere
             || lookup.answers().any(|found| match found {
                 KeyStatus::Doubtful => true,
@@ -319,7 +319,7 @@
                 KeyStatus::Free | KeyStatus::Between { .. } | KeyStatus::Full => false,
             });
         let since = now.saturating_sub(self.setup.timing.retention);
-        let misses = self.view.is_home_missing(entry.request(), since);
+        let misses = self.membership.is_home_missing(entry.request(), since);
         !lookup.is_answer_missing() && !doubtful && !misses
     }
 
@@ -331,7 +331,9 @@
             _ => None,
         });
         let (_, owner, digest) = held
-            .filter(|(_, owner, _)| **owner != self.setup.instance && self.view.alive(owner))
+            .filter(|(_, owner, _)| {
+                **owner != self.setup.instance && self.membership.is_alive(owner)
+            })
             .max()?;
         Some((owner.clone(), digest))
     }
@@ -342,11 +344,11 @@
         if entry.relay_losses >= MAX_RELAY_LOSSES || lookup.refusal.is_some() {
             return None;
         }
-        let homes = self.view.homes(entry.request());
+        let homes = self.membership.homes(entry.request());
         let mut answers = homes.iter().filter_map(|home| lookup.queries.get(home));
-        match answers.find_map(|query| query.found.as_ref())? {
+        match answers.find_map(|query| query.answer.as_ref())? {
             KeyStatus::Held { owner, epoch: 0, digest } if *owner != self.setup.instance => {
-                self.view.alive(owner).then(|| (owner.clone(), *digest))
+                self.membership.is_alive(owner).then(|| (owner.clone(), *digest))
             }
             _ => None,
         }
--- a/crates/verbenaslip-request/src/membership.rs
+++ b/crates/verbenaslip-request/src/membership.rs
@@ -15,6 +15,7 @@
 /// Known instances and their liveness.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Membership {
+    /// All known instances, this one included.
     members: BTreeMap<Instance, MemberState>,
 }
 
@@ -40,7 +41,7 @@
     }
 
     /// Returns whether the instance is considered alive and responds.
-    fn answers(&self) -> bool {
+    fn is_responsive(&self) -> bool {
         self.alive && !self.suspected
     }
 }
@@ -78,19 +79,22 @@
     }
 
     /// Returns whether an instance is considered alive.
-    pub(crate) fn alive(&self, instance: &Instance) -> bool {
+    pub(crate) fn is_alive(&self, instance: &Instance) -> bool {
         self.get(instance).is_some_and(|member| member.alive)
     }
 
     /// Returns whether an instance is considered alive and responds.
-    pub(crate) fn answers(&self, instance: &Instance) -> bool {
-        self.get(instance).is_some_and(MemberState::answers)
+    pub(crate) fn is_responsive(&self, instance: &Instance) -> bool {
+        self.get(instance).is_some_and(MemberState::is_responsive)
     }
 
     /// Returns the home instances of a request: the highest-ranked instance of each of the
     /// highest-ranked availability zones.
     pub(crate) fn homes(&self, request: Request) -> Vec<Instance> {
-        self.best_per_zone(request, MemberState::answers).into_iter().take(HOME_COUNT).collect()
+        self.best_per_zone(request, MemberState::is_responsive)
+            .into_iter()
+            .take(HOME_COUNT)
+            .collect()
     }
 
     /// Returns whether an instance lost since `after` would be a home instance if it were present.
@@ -100,25 +104,25 @@
         let recent =
             |member: &MemberState| member.alive || member.lost_at.is_some_and(|lost| lost >= after);
         let homes = self.best_per_zone(request, recent);
-        homes.iter().take(HOME_COUNT).any(|home| !self.answers(home))
+        homes.iter().take(HOME_COUNT).any(|home| !self.is_responsive(home))
     }
 
     /// Returns where a request can be stored besides `own`, best first: instances in other
     /// availability zones come first, and home instances come before the rest.
     pub(crate) fn holders(&self, request: Request, own: &Instance) -> Vec<Instance> {
         let zone = self.get(own).map(|member| &member.zone);
-        let homes = self.best_per_zone(request, MemberState::answers);
-        let rest = self.ranked(request, MemberState::answers);
+        let homes = self.best_per_zone(request, MemberState::is_responsive);
+        let rest = self.ranked(request, MemberState::is_responsive);
         let all = homes.into_iter().chain(rest).filter(|instance| instance != own);
-        let (mut far, mut near, mut known) = (Vec::new(), Vec::new(), BTreeSet::new());
+        let (mut other_zones, mut same_zone, mut known) = (Vec::new(), Vec::new(), BTreeSet::new());
         for instance in all.filter(|instance| known.insert(instance.clone())) {
             match self.get(&instance).map(|member| &member.zone) == zone {
-                true => near.push(instance),
-                false => far.push(instance),
+                true => same_zone.push(instance),
+                false => other_zones.push(instance),
             }
         }
-        far.append(&mut near);
-        far
+        other_zones.append(&mut same_zone);
+        other_zones
     }
 
     /// Returns whether two instances are in different availability zones.
@@ -129,18 +133,22 @@
     fn best_per_zone(
         &self,
         request: Request,
-        counts: impl Fn(&MemberState) -> bool,
+        is_candidate: impl Fn(&MemberState) -> bool,
     ) -> Vec<Instance> {
         let mut zones = BTreeSet::new();
-        let mut best = self.ranked(request, counts);
+        let mut best = self.ranked(request, is_candidate);
         best.retain(|instance| {
             self.get(instance).is_some_and(|member| zones.insert(member.zone.clone()))
         });
         best
     }
 
-    fn ranked(&self, request: Request, counts: impl Fn(&MemberState) -> bool) -> Vec<Instance> {
-        let counted = self.members.iter().filter(|(_, member)| counts(member));
+    fn ranked(
+        &self,
+        request: Request,
+        is_candidate: impl Fn(&MemberState) -> bool,
+    ) -> Vec<Instance> {
+        let counted = self.members.iter().filter(|(_, member)| is_candidate(member));
         let mut ranked: Vec<_> =
             counted.map(|(instance, _)| (score(request, instance), instance)).collect();
         ranked.sort_unstable_by(|one, other| other.cmp(one));
--- a/crates/verbenaslip-request/src/owned.rs
+++ b/crates/verbenaslip-request/src/owned.rs
@@ -63,7 +63,7 @@
     /// How many times the home instances were told.
     pub(crate) inform_tries: u32,
     /// Whether every home instance reported that it did not know the key.
-    pub(crate) complete: bool,
+    pub(crate) unknown_to_homes: bool,
     /// When the lookup ended.
     pub(crate) looked_up_at: Duration,
     /// Sequence of the newest progress message.
@@ -197,7 +197,7 @@
     /// When something last arrived.
     pub(crate) last_heard: Duration,
     /// What is being done because the upstream leaves.
-    pub(crate) moving: Moving,
+    pub(crate) move_state: MoveState,
 }
 
 /// Tells how a run started.
@@ -218,7 +218,7 @@
 
 /// Tells what is being done because an upstream leaves.
 #[derive(Clone, Debug)]
-pub(crate) enum Moving {
+pub(crate) enum MoveState {
     /// Nothing is being done.
     Idle,
     /// The run is expected to end in time, and is checked again later.
@@ -257,7 +257,7 @@
             informed_homes: BTreeSet::new(),
             inform_at: None,
             inform_tries: 0,
-            complete: false,
+            unknown_to_homes: false,
             looked_up_at: Duration::ZERO,
             sequence: 0,
             number: 0,
@@ -291,7 +291,7 @@
     }
 
     /// Returns whether the request has ended with a complete answer.
-    pub(crate) fn is_complete(&self) -> bool {
+    pub(crate) fn has_full_answer(&self) -> bool {
         matches!(self.phase, Phase::Finished { outcome: Outcome::Whole { .. }, .. })
     }
 
@@ -333,9 +333,9 @@
     ///
     /// The new owner continues from what it had as second holder, possibly with different tokens. Its
     /// answer therefore matches only if it had everything that the callers received.
-    pub(crate) fn continues_in(&self, taken: &Takeover) -> bool {
+    pub(crate) fn continues_in(&self, takeover: &Takeover) -> bool {
         let has_tokens = self.served && self.position > 0;
-        !has_tokens || (self.lineage == taken.lineage && !self.unmirrored_served)
+        !has_tokens || (self.lineage == takeover.lineage && !self.unmirrored_served)
     }
 
     /// Returns the upstream of the current run.
@@ -370,7 +370,7 @@
             number: self.number,
             ran: self.may_have_run(),
             crashes: self.crashes,
-            complete: self.complete,
+            complete: self.unknown_to_homes,
             lineage: self.lineage,
             outcome,
         }
@@ -381,7 +381,7 @@
     /// Callers get only what the second holder has. A holder that seems alive but whose connection for
     /// copies is broken would block the answer forever, so the wait is bounded.
     pub(crate) fn update_lag(&mut self, now: Duration) {
-        let lacks = self.mirrored < self.position || (self.is_complete() && !self.mirror_ended);
+        let lacks = self.mirrored < self.position || (self.has_full_answer() && !self.mirror_ended);
         let lacks = lacks && self.confirmed_holder().is_some();
         self.lagging_since = lacks.then_some(now);
     }
@@ -407,11 +407,12 @@
             Phase::Lookup(lookup) if lookup.refusal.is_some() => lookup.until,
             _ => self.head.deadline,
         };
-        let moving = self.run_state.as_ref().and_then(|run_state| run_state.next());
+        let move_state = self.run_state.as_ref().and_then(|run_state| run_state.next());
         let holder = self.holder.as_ref().and_then(|holder| holder.due);
         let ousted = self.former_owner.as_ref().and_then(|ousted| ousted.due);
         let lag = self.lagging_since.map(|since| since.saturating_add(timing.stall));
-        let parts = [Some(deadline), self.phase_due, moving, holder, ousted, self.abandon_at, lag];
+        let parts =
+            [Some(deadline), self.phase_due, move_state, holder, ousted, self.abandon_at, lag];
         let parts = parts.into_iter().chain([self.inform_at]);
         parts.flatten().min()
     }
@@ -419,9 +420,9 @@
 
 impl RunState {
     fn next(&self) -> Option<Duration> {
-        match self.moving {
-            Moving::Watched { at } | Moving::Paused { at } => Some(at),
-            Moving::Idle | Moving::Requested | Moving::Pinned => None,
+        match self.move_state {
+            MoveState::Watched { at } | MoveState::Paused { at } => Some(at),
+            MoveState::Idle | MoveState::Requested | MoveState::Pinned => None,
         }
     }
 }
--- a/crates/verbenaslip-request/src/relocate.rs
+++ b/crates/verbenaslip-request/src/relocate.rs
@@ -9,7 +9,7 @@
 use crate::input::Placement;
 use crate::message::ActiveRun;
 use crate::output::{Outcome, Output};
-use crate::owned::{Moving, OwnedRequest, RunOrigin, RunState};
+use crate::owned::{MoveState, OwnedRequest, RunOrigin, RunState};
 use crate::requests::{Requests, StepContext};
 use crate::run::{Start, Step};
 use crate::start::run_at;
@@ -23,21 +23,21 @@
         notice: Option<Duration>,
     ) {
         let until = notice.map(|notice| ctx.now.saturating_add(notice));
-        let known = self.leaving.get(upstream).copied().flatten();
+        let known = self.leaving_upstreams.get(upstream).copied().flatten();
         // A repeated notice may arrive late and be less precise; only the earliest end is safe.
         let until = match (known, until) {
             (Some(known), Some(until)) => Some(known.min(until)),
             (known, until) => known.or(until),
         };
-        self.leaving.insert(upstream.clone(), until);
+        self.leaving_upstreams.insert(upstream.clone(), until);
         for request in self.running_at(upstream) {
             let Some(mut entry) = self.take(request) else {
                 continue;
             };
             if let Some(run_state) = &mut entry.run_state
-                && matches!(run_state.moving, Moving::Watched { .. })
+                && matches!(run_state.move_state, MoveState::Watched { .. })
             {
-                run_state.moving = Moving::Idle;
+                run_state.move_state = MoveState::Idle;
             }
             self.plan_move(ctx, &mut entry);
             self.put(entry);
@@ -49,24 +49,25 @@
         let Some(run_state) = &entry.run_state else {
             return;
         };
-        let Some(Some(until)) = self.leaving.get(&run_state.live.upstream) else {
+        let Some(Some(until)) = self.leaving_upstreams.get(&run_state.live.upstream) else {
             return;
         };
-        if !matches!(run_state.moving, Moving::Idle) {
+        if !matches!(run_state.move_state, MoveState::Idle) {
             return;
         }
-        let last = until.saturating_sub(self.setup.timing.margin);
-        let ends = ctx.now.saturating_add(self.remaining_run_time(ctx.now, entry, run_state));
-        let moving = match ends < last {
-            true => Moving::Watched { at: last },
-            false if can_move(entry, run_state) => Moving::Requested,
-            false => Moving::Pinned,
+        let latest_end = until.saturating_sub(self.setup.timing.margin);
+        let expected_end =
+            ctx.now.saturating_add(self.remaining_run_time(ctx.now, entry, run_state));
+        let move_state = match expected_end < latest_end {
+            true => MoveState::Watched { at: latest_end },
+            false if can_move(entry, run_state) => MoveState::Requested,
+            false => MoveState::Pinned,
         };
-        let asked = matches!(moving, Moving::Requested);
+        let needs_placement = matches!(move_state, MoveState::Requested);
         if let Some(run_state) = &mut entry.run_state {
-            run_state.moving = moving;
+            run_state.move_state = move_state;
         }
-        if asked {
+        if needs_placement {
             let from = entry.upstream().cloned();
             self.send_placement_request(ctx, entry, from);
         }
@@ -77,12 +78,12 @@
         let Some(run_state) = &mut entry.run_state else {
             return;
         };
-        let due = match run_state.moving {
-            Moving::Watched { at } | Moving::Paused { at } => ctx.now >= at,
-            Moving::Idle | Moving::Requested | Moving::Pinned => false,
+        let due = match run_state.move_state {
+            MoveState::Watched { at } | MoveState::Paused { at } => ctx.now >= at,
+            MoveState::Idle | MoveState::Requested | MoveState::Pinned => false,
         };
         if due {
-            run_state.moving = Moving::Idle;
+            run_state.move_state = MoveState::Idle;
             self.plan_move(ctx, entry);
         }
     }
@@ -98,11 +99,11 @@
             return Duration::ZERO;
         }
         let left = entry.head.output.saturating_sub(entry.position);
-        let pace = run_state.first_tokens.and_then(|(at, position)| {
+        let time_per_token = run_state.first_tokens.and_then(|(at, position)| {
             let tokens = entry.position.checked_sub(position).filter(|tokens| *tokens > 0)?;
             Some(now.saturating_sub(at) / tokens)
         });
-        pace.unwrap_or(self.setup.estimate.token).saturating_mul(left)
+        time_per_token.unwrap_or(self.setup.estimate.token).saturating_mul(left)
     }
 
     /// Moves a run to the upstream that the router has chosen.
@@ -116,9 +117,11 @@
             self.put(entry);
             return;
         };
-        if self.leaving.contains_key(&place.upstream) || place.upstream == run_state.live.upstream {
+        if self.leaving_upstreams.contains_key(&place.upstream)
+            || place.upstream == run_state.live.upstream
+        {
             let at = ctx.now.saturating_add(self.setup.timing.resend);
-            run_state.moving = Moving::Paused { at };
+            run_state.move_state = MoveState::Paused { at };
             self.put(entry);
             return;
         }
@@ -132,7 +135,7 @@
             self.begin_run(ctx, entry, &place);
         } else {
             if let Some(run_state) = &mut entry.run_state {
-                run_state.moving = Moving::Pinned;
+                run_state.move_state = MoveState::Pinned;
             }
             self.put(entry);
         }
@@ -152,7 +155,7 @@
         if entry.position == 0 && entry.head.idempotent {
             return false;
         }
-        let Some(Some(until)) = self.leaving.get(&from.upstream) else {
+        let Some(Some(until)) = self.leaving_upstreams.get(&from.upstream) else {
             return false;
         };
         let estimate = &self.setup.estimate;
@@ -208,7 +211,7 @@
             // The stream may not have stopped at the old upstream, and must remain the only run.
             self.launch_run(ctx, &mut entry, from, Start::Rejoin, RunOrigin::Rejoined);
             if let Some(run_state) = &mut entry.run_state {
-                run_state.moving = Moving::Pinned;
+                run_state.move_state = MoveState::Pinned;
             }
             self.put(entry);
             return;
--- a/crates/verbenaslip-request/src/requests.rs
+++ b/crates/verbenaslip-request/src/requests.rs
@@ -24,20 +24,35 @@
 /// All requests that one instance holds, as owner or as second holder.
 #[derive(Clone, Debug)]
 pub struct Requests {
+    /// Settings.
     pub(crate) setup: Setup,
-    pub(crate) view: Membership,
+    /// Known instances and their liveness.
+    pub(crate) membership: Membership,
+    /// Owned requests, finished ones included.
     pub(crate) entries: BTreeMap<Request, OwnedRequest>,
+    /// Copies stored for other owners.
     pub(crate) copies: BTreeMap<Request, HeldCopy>,
+    /// Keys reserved for other instances or this one.
     pub(crate) reservations: BTreeMap<Request, Reservation>,
+    /// Request of each caller, subscriber or waiting caller.
     pub(crate) tickets: BTreeMap<Ticket, Request>,
-    pub(crate) relays: BTreeMap<Ticket, RelayedCaller>,
-    pub(crate) leaving: BTreeMap<Upstream, Option<Duration>>,
+    /// Callers whose answers other instances assemble.
+    pub(crate) relayed_callers: BTreeMap<Ticket, RelayedCaller>,
+    /// Upstreams that leave, with the end of their notice if one was given.
+    pub(crate) leaving_upstreams: BTreeMap<Upstream, Option<Duration>>,
+    /// Timers of all items.
     pub(crate) timers: Timers,
+    /// Finished answers by expiry.
     pub(crate) retention: Retention,
-    pub(crate) bytes: usize,
+    /// Bytes of all stored request bodies.
+    pub(crate) body_bytes: usize,
+    /// Number of salts issued since the start.
     pub(crate) salts_issued: u64,
-    pub(crate) stopping: Option<Duration>,
+    /// When this instance must have stopped, once it shuts down.
+    pub(crate) stop_deadline: Option<Duration>,
+    /// Whether the end of the shutdown was reported.
     pub(crate) drained: bool,
+    /// When this process last resumed after a pause.
     pub(crate) resumed_at: Duration,
 }
 
@@ -81,23 +96,23 @@
 impl Requests {
     /// Creates an instance that holds nothing and knows only itself.
     pub fn open(setup: Setup) -> Self {
-        let mut view = Membership::default();
+        let mut membership = Membership::default();
         let own = MemberState::alive(setup.zone.clone(), setup.boot);
-        view.insert(setup.instance.clone(), own);
+        membership.insert(setup.instance.clone(), own);
         Self {
             setup,
-            view,
+            membership,
             entries: BTreeMap::new(),
             copies: BTreeMap::new(),
             reservations: BTreeMap::new(),
             tickets: BTreeMap::new(),
-            relays: BTreeMap::new(),
-            leaving: BTreeMap::new(),
+            relayed_callers: BTreeMap::new(),
+            leaving_upstreams: BTreeMap::new(),
             timers: Timers::default(),
             retention: Retention::default(),
-            bytes: 0,
+            body_bytes: 0,
             salts_issued: 0,
-            stopping: None,
+            stop_deadline: None,
             drained: false,
             resumed_at: Duration::ZERO,
         }
@@ -127,8 +142,8 @@
             copies,
             finished: self.entries.len() + self.copies.len() - owned - copies,
             reservations: self.reservations.len(),
-            callers: self.tickets.len() + self.relays.len(),
-            bytes: self.bytes,
+            callers: self.tickets.len() + self.relayed_callers.len(),
+            bytes: self.body_bytes,
         }
     }
 
@@ -150,7 +165,7 @@
             Input::Tick => {}
             Input::Joined(member) => self.handle_joined(ctx, member),
             Input::Suspected(instance) => self.handle_suspected(ctx, &instance),
-            Input::Cleared(instance) => self.view.set_suspected(&instance, false),
+            Input::Cleared(instance) => self.membership.set_suspected(&instance, false),
             Input::Lost(instance) => self.handle_lost(ctx, &instance),
             Input::Left(instance) => self.handle_left(ctx, &instance),
             Input::Arrived(arrival) => self.handle_arrival(ctx, arrival),
@@ -180,7 +195,7 @@
             Input::Leaving { upstream, notice } => self.handle_leaving(ctx, &upstream, notice),
             Input::Lapsed(upstream) => self.handle_lapsed(ctx, &upstream),
             Input::Ready(upstream) => {
-                self.leaving.remove(&upstream);
+                self.leaving_upstreams.remove(&upstream);
             }
             Input::Heard { from, message } => self.handle_message(ctx, &from, message),
             Input::Stop { remaining } => self.handle_stop(ctx, remaining),
@@ -212,12 +227,12 @@
         if instance == self.setup.instance {
             return;
         }
-        let known = self.view.get(&instance).map_or(0, |member| member.boot);
+        let known = self.membership.get(&instance).map_or(0, |member| member.boot);
         if known != 0 && boot != 0 && known != boot {
             self.handle_left(ctx, &instance);
         }
         let boot = if boot == 0 { known } else { boot };
-        self.view.insert(instance.clone(), MemberState::alive(zone, boot));
+        self.membership.insert(instance.clone(), MemberState::alive(zone, boot));
         self.handle_returned(ctx, &instance);
         self.update_homes(ctx);
     }
@@ -263,13 +278,13 @@
 
     /// Reserves memory for a body; returns false if the limit would be exceeded.
     pub(crate) fn reserve_bytes(&mut self, body: &Body) -> bool {
-        let Some(sum) = self.bytes.checked_add(body.bytes.len()) else {
+        let Some(sum) = self.body_bytes.checked_add(body.bytes.len()) else {
             return false;
         };
         if sum > self.setup.limit.bytes {
             return false;
         }
-        self.bytes = sum;
+        self.body_bytes = sum;
         true
     }
 
@@ -278,6 +293,6 @@
         let Some(body) = body else {
             return;
         };
-        self.bytes = self.bytes.saturating_sub(body.bytes.len());
+        self.body_bytes = self.body_bytes.saturating_sub(body.bytes.len());
     }
 }
--- a/crates/verbenaslip-request/src/run_event.rs
+++ b/crates/verbenaslip-request/src/run_event.rs
@@ -179,7 +179,7 @@
     }
 
     fn is_loss_announced(&self, upstream: &Upstream) -> bool {
-        self.leaving.get(upstream).is_some_and(Option::is_some)
+        self.leaving_upstreams.get(upstream).is_some_and(Option::is_some)
     }
 
     /// Handles the decision of the retry budget.
--- a/crates/verbenaslip-request/src/start.rs
+++ b/crates/verbenaslip-request/src/start.rs
@@ -13,7 +13,7 @@
 use crate::input::Placement;
 use crate::message::ActiveRun;
 use crate::output::{Outcome, Output, PlacementRequest};
-use crate::owned::{Moving, OwnedRequest, Phase, RunOrigin, RunState};
+use crate::owned::{MoveState, OwnedRequest, Phase, RunOrigin, RunState};
 use crate::requests::{Requests, StepContext};
 use crate::run::{Run, Start};
 use crate::timer::Timer;
@@ -126,7 +126,7 @@
             }
             Ruling::Held { owner: Some(owner) }
                 if owner != self.setup.instance
-                    && self.view.alive(&owner)
+                    && self.membership.is_alive(&owner)
                     && entry.relay_losses < self.setup.timing.tries =>
             {
                 entry.relay_losses += 1;
@@ -192,7 +192,8 @@
         entry: &OwnedRequest,
         from: Option<Upstream>,
     ) {
-        let leaving = self.leaving.keys().filter(|upstream| !entry.excluded.contains(*upstream));
+        let leaving =
+            self.leaving_upstreams.keys().filter(|upstream| !entry.excluded.contains(*upstream));
         ctx.out.push(Output::Place(PlacementRequest {
             head: entry.head.clone(),
             position: entry.position,
@@ -211,21 +212,21 @@
         let Some(entry) = self.take(request) else {
             return;
         };
-        let moving = entry
+        let move_state = entry
             .run_state
             .as_ref()
-            .is_some_and(|run_state| matches!(run_state.moving, Moving::Requested));
+            .is_some_and(|run_state| matches!(run_state.move_state, MoveState::Requested));
         match entry.phase {
             // The second holder may run the request by now; a run here would be a second one.
             Phase::Place if entry.handed_over_at.is_some() => self.put(entry),
-            Phase::Place if self.leaving.contains_key(&place.upstream) => {
+            Phase::Place if self.leaving_upstreams.contains_key(&place.upstream) => {
                 // The router may not know yet that the upstream leaves; an upstream that leaves
                 // must not get new work.
                 let wait = self.setup.timing.resend;
                 self.pause_placement(ctx, entry, wait);
             }
             Phase::Place => self.begin_run(ctx, entry, &place),
-            Phase::Run if moving => self.move_run(ctx, entry, place),
+            Phase::Run if move_state => self.move_run(ctx, entry, place),
             _ => self.put(entry),
         }
     }
@@ -265,7 +266,7 @@
         entry.phase = Phase::Run;
         entry.phase_due = None;
         entry.unmirrored_served |= entry.confirmed_holder().is_none();
-        let moving = Moving::Idle;
+        let move_state = MoveState::Idle;
         let rejoins = u32::from(matches!(origin, RunOrigin::Rejoined));
         let last_heard = ctx.now;
         entry.last_run = Some(live.clone());
@@ -281,7 +282,7 @@
             deadline: entry.head.deadline,
         };
         entry.run_state =
-            Some(RunState { live, origin, rejoins, first_tokens: None, last_heard, moving });
+            Some(RunState { live, origin, rejoins, first_tokens: None, last_heard, move_state });
         let (request, epoch) = (entry.request(), entry.epoch);
         if !entry.served && entry.former_copy.is_none() {
             ctx.out.push(Output::Own { request, epoch });
@@ -289,7 +290,7 @@
         ctx.out.push(Output::Run(run));
         self.serve_callers(ctx, entry);
         self.send_progress(ctx, entry);
-        if self.stopping.is_some() {
+        if self.stop_deadline.is_some() {
             // A run that starts this late is handed over as well if it does not end in time.
             self.timers.set(Timer::Stop, Some(ctx.now));
         }
@@ -320,10 +321,10 @@
             return;
         };
         if let Some(run_state) = &mut entry.run_state
-            && matches!(run_state.moving, Moving::Requested)
+            && matches!(run_state.move_state, MoveState::Requested)
         {
             let at = ctx.now.saturating_add(wait.unwrap_or(self.setup.timing.resend));
-            run_state.moving = Moving::Paused { at };
+            run_state.move_state = MoveState::Paused { at };
             self.put(entry);
             return;
         }
--- a/crates/verbenaslip-request/src/takeover.rs
+++ b/crates/verbenaslip-request/src/takeover.rs
@@ -24,15 +24,15 @@
     /// time out. The requests that it owns remain its own: taking over from a living owner runs a
     /// request twice.
     pub(crate) fn handle_suspected(&mut self, ctx: &mut StepContext<'_>, instance: &Instance) {
-        if *instance != self.setup.instance && self.view.alive(instance) {
-            self.view.set_suspected(instance, true);
+        if *instance != self.setup.instance && self.membership.is_alive(instance) {
+            self.membership.set_suspected(instance, true);
             self.replace_holder_everywhere(ctx, instance);
         }
     }
 
     /// Handles the loss of an instance, which may come back.
     pub(crate) fn handle_lost(&mut self, ctx: &mut StepContext<'_>, instance: &Instance) {
-        if *instance != self.setup.instance && self.view.mark_lost(instance, ctx.now) {
+        if *instance != self.setup.instance && self.membership.mark_lost(instance, ctx.now) {
             let grace = self.setup.timing.grace;
             self.handle_absence(ctx, instance, grace);
         }
@@ -43,7 +43,7 @@
         if *instance == self.setup.instance {
             return;
         }
-        self.view.remove(instance);
+        self.membership.remove(instance);
         self.handle_absence(ctx, instance, Duration::ZERO);
     }
 
@@ -53,7 +53,7 @@
         }
         self.replace_holder_everywhere(ctx, instance);
         self.schedule_takeovers(ctx, instance, grace);
-        let relays = self.relays.iter().filter(|(_, relay)| relay.owner == *instance);
+        let relays = self.relayed_callers.iter().filter(|(_, relay)| relay.owner == *instance);
         let lost: Vec<_> = relays.map(|(ticket, _)| *ticket).collect();
         for ticket in lost {
             self.retry_relay(ctx, ticket);
@@ -108,7 +108,7 @@
 
     /// Handles the return of an instance with the state that it held.
     pub(crate) fn handle_returned(&mut self, ctx: &mut StepContext<'_>, instance: &Instance) {
-        let boot = self.view.get(instance).map_or(0, |member| member.boot);
+        let boot = self.membership.get(instance).map_or(0, |member| member.boot);
         for reservation in self.reservations.values_mut() {
             if reservation.owner == *instance && [0, reservation.boot].contains(&boot) {
                 reservation.lost = false;
@@ -161,7 +161,7 @@
 
     /// Detects from a message that an instance has restarted, so that all its state is gone.
     pub(crate) fn detect_restart(&mut self, ctx: &mut StepContext<'_>, from: &Instance, boot: u64) {
-        let Some(member) = self.view.get(from) else {
+        let Some(member) = self.membership.get(from) else {
             return;
         };
         if member.boot == boot || boot == 0 {
@@ -169,14 +169,19 @@
         }
         let (known, mut member) = (member.boot, member.clone());
         member.boot = boot;
-        self.view.insert(from.clone(), member);
+        self.membership.insert(from.clone(), member);
         if known != 0 {
             self.handle_absence(ctx, from, Duration::ZERO);
         }
     }
 
     /// Makes this instance the owner of a copy whose owner is lost or stops.
-    pub(crate) fn take_over(&mut self, ctx: &mut StepContext<'_>, request: Request, handed: bool) {
+    pub(crate) fn take_over(
+        &mut self,
+        ctx: &mut StepContext<'_>,
+        request: Request,
+        handed_over: bool,
+    ) {
         let Some(mut copy) = self.copies.remove(&request) else {
             return;
         };
@@ -188,7 +193,7 @@
             self.resume_waiting(ctx, waiting);
             return;
         }
-        if !copy.head.keyed && copy.waiting_callers.is_empty() && !handed {
+        if !copy.head.keyed && copy.waiting_callers.is_empty() && !handed_over {
             self.discard_copy(ctx, copy);
             return;
         }
@@ -205,7 +210,7 @@
         let (body, salt) = (copy.body.take(), self.next_salt());
         let mut entry = OwnedRequest::open(copy.head.clone(), body, copy.digest, salt);
         entry.epoch = epoch;
-        entry.complete = copy.note.complete;
+        entry.unknown_to_homes = copy.note.complete;
         entry.ran = copy.note.ran;
         entry.number = copy.note.number;
         entry.crashes = copy.note.crashes;
@@ -314,7 +319,7 @@
         entry.former_owner = Some(FormerOwner { instance: former_copy.owner, tries: 0, due });
         self.notify_former_owner(ctx, entry);
         entry.sequence = entry.sequence.max(1);
-        if entry.holder.is_none() && self.stopping.is_none() {
+        if entry.holder.is_none() && self.stop_deadline.is_none() {
             self.choose_holder(ctx, entry);
         }
         self.inform_homes(ctx, entry);
@@ -354,7 +359,7 @@
 
     /// Tells the former owner repeatedly, up to a limit, that it must yield.
     pub(crate) fn notify_former_owner(&self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) {
-        let taken = entry.takeover_by(self.setup.instance.clone());
+        let takeover = entry.takeover_by(self.setup.instance.clone());
         let Some(former_owner) = &mut entry.former_owner else {
             return;
         };
@@ -365,7 +370,7 @@
         let again = former_owner.tries < self.setup.timing.tries;
         former_owner.due = again.then(|| ctx.now.saturating_add(self.setup.timing.resend));
         let to = former_owner.instance.clone();
-        ctx.send(&to, Message::Taken(taken));
+        ctx.send(&to, Message::Taken(takeover));
     }
 
     /// Tells an instance that this one owns a request under a higher epoch.
@@ -392,20 +397,20 @@
         &mut self,
         ctx: &mut StepContext<'_>,
         from: &Instance,
-        taken: &Takeover,
+        takeover: &Takeover,
     ) {
-        let (request, epoch) = (taken.request, taken.epoch);
+        let (request, epoch) = (takeover.request, takeover.epoch);
         let outranked = self.entries.get(&request).is_none_or(|entry| entry.epoch < epoch);
-        if taken.owner == self.setup.instance || !outranked {
+        if takeover.owner == self.setup.instance || !outranked {
             return;
         }
-        if taken.owner == *from {
+        if takeover.owner == *from {
             ctx.send(from, Message::Yielded { request, epoch });
         }
         let Some(entry) = self.take(request) else {
             return;
         };
-        if !entry.continues_in(taken) && !entry.callers.is_empty() {
+        if !entry.continues_in(takeover) && !entry.callers.is_empty() {
             // Current callers get the rest of this instance's answer, which the new owner's may not
             // match. Later callers find the new owner.
             self.put(entry);
@@ -413,17 +418,17 @@
         }
         self.timers.set(Timer::Owned(request), None);
         if let Some(run_state) = &entry.run_state
-            && Some(run_state.live.attempt) != taken.attempt
+            && Some(run_state.live.attempt) != takeover.attempt
             && entry.head.idempotent
         {
             ctx.out.push(Output::Cancel(run_state.live.clone()));
         }
         self.retention.remove(request);
         ctx.out.push(Output::Mirror { request, epoch: entry.epoch, to: None });
-        self.report_done(ctx, &entry, Outcome::Moved { owner: taken.owner.clone() });
+        self.report_done(ctx, &entry, Outcome::Moved { owner: takeover.owner.clone() });
         ctx.out.push(Output::Forget { request, epoch: entry.epoch });
         self.send_drops(ctx, &entry);
-        self.relay_callers(ctx, entry, &taken.owner);
+        self.relay_callers(ctx, entry, &takeover.owner);
     }
 
     pub(crate) fn handle_yielded(&mut self, from: &Instance, request: Request, epoch: u16) {
@@ -454,7 +459,7 @@
         let Some(copy) = self.copies.get_mut(&request) else {
             return;
         };
-        if copy.owner != *from || copy.note.epoch != epoch || self.stopping.is_some() {
+        if copy.owner != *from || copy.note.epoch != epoch || self.stop_deadline.is_some() {
             return;
         }
         copy.owner_lost_at.get_or_insert(ctx.now);
--- a/crates/verbenaslip-request/src/timer.rs
+++ b/crates/verbenaslip-request/src/timer.rs
@@ -26,7 +26,9 @@
 /// Set of timers, each with at most one due time.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Timers {
+    /// Due time of each timer.
     due_times: BTreeMap<Timer, Duration>,
+    /// Timers in order of their due times.
     by_time: BTreeSet<(Duration, Timer)>,
 }
 
