--- a/crates/verbenaslip-request/src/relocate.rs
+++ b/crates/verbenaslip-request/src/relocate.rs
@@ -1,4 +1,4 @@
-//! Moves streams away from an upstream that leaves, the cheapest way that its notice allows.
+//! Moves streams away from an upstream that leaves, in the cheapest way that its notice allows.
 
 use std::time::Duration;
 
@@ -6,133 +6,146 @@
 use verbenaslip_base::name::Upstream;
 use verbenaslip_base::refusal::Unknown;
 
-use crate::entry::{Begun, Entry, Flight, Moving};
 use crate::input::Placement;
-use crate::launch::live_at;
 use crate::message::ActiveRun;
 use crate::output::{Outcome, Output};
-use crate::requests::{Requests, Turn};
+use crate::owned::{MoveState, OwnedRequest, RunOrigin, RunState};
+use crate::requests::{Requests, StepContext};
 use crate::run::{Start, Step};
+use crate::start::run_at;
 
 impl Requests {
-    /// Takes notice that an upstream leaves.
-    pub(crate) fn leaving(
+    /// Handles the notice that an upstream leaves.
+    pub(crate) fn handle_leaving(
         &mut self,
-        turn: &mut Turn<'_>,
+        ctx: &mut StepContext<'_>,
         upstream: &Upstream,
         notice: Option<Duration>,
     ) {
-        let until = notice.map(|notice| turn.now.saturating_add(notice));
-        let known = self.leaving.get(upstream).copied().flatten();
-        // A repeated notice may come late, with less precision; only the earliest end is safe.
+        let until = notice.map(|notice| ctx.now.saturating_add(notice));
+        let known = self.leaving_upstreams.get(upstream).copied().flatten();
+        // A repeated notice may arrive late and be less precise; only the earliest end is safe.
         let until = match (known, until) {
             (Some(known), Some(until)) => Some(known.min(until)),
             (known, until) => known.or(until),
         };
-        self.leaving.insert(upstream.clone(), until);
+        self.leaving_upstreams.insert(upstream.clone(), until);
         for request in self.running_at(upstream) {
             let Some(mut entry) = self.take(request) else {
                 continue;
             };
-            if let Some(flight) = &mut entry.flight
-                && matches!(flight.moving, Moving::Watched { .. })
+            if let Some(run_state) = &mut entry.run_state
+                && matches!(run_state.move_state, MoveState::Watched { .. })
             {
-                flight.moving = Moving::Still;
+                run_state.move_state = MoveState::Idle;
             }
-            self.consider(turn, &mut entry);
+            self.plan_move(ctx, &mut entry);
             self.put(entry);
         }
     }
 
-    /// Decides whether a run must be moved, and asks for a place if so.
-    pub(crate) fn consider(&self, turn: &mut Turn<'_>, entry: &mut Entry) {
-        let Some(flight) = &entry.flight else {
+    /// Decides whether a run must be moved, and requests a placement if so.
+    pub(crate) fn plan_move(&self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) {
+        let Some(run_state) = &entry.run_state else {
             return;
         };
-        let Some(Some(until)) = self.leaving.get(&flight.live.upstream) else {
+        let Some(Some(until)) = self.leaving_upstreams.get(&run_state.live.upstream) else {
             return;
         };
-        if !matches!(flight.moving, Moving::Still) {
+        if !matches!(run_state.move_state, MoveState::Idle) {
             return;
         }
-        let last = until.saturating_sub(self.setup.timing.margin);
-        let ends = turn.now.saturating_add(self.remaining(turn.now, entry, flight));
-        let moving = match ends < last {
-            true => Moving::Watched { at: last },
-            false if can_move(entry, flight) => Moving::Asked,
-            false => Moving::Bound,
+        let latest_end = until.saturating_sub(self.setup.timing.margin);
+        let expected_end =
+            ctx.now.saturating_add(self.remaining_run_time(ctx.now, entry, run_state));
+        let move_state = match expected_end < latest_end {
+            true => MoveState::Watched { at: latest_end },
+            false if can_move(entry, run_state) => MoveState::Requested,
+            false => MoveState::Pinned,
         };
-        let asked = matches!(moving, Moving::Asked);
-        if let Some(flight) = &mut entry.flight {
-            flight.moving = moving;
+        let needs_placement = matches!(move_state, MoveState::Requested);
+        if let Some(run_state) = &mut entry.run_state {
+            run_state.move_state = move_state;
         }
-        if asked {
+        if needs_placement {
             let from = entry.upstream().cloned();
-            self.want(turn, entry, from);
+            self.send_placement_request(ctx, entry, from);
         }
     }
 
-    /// Looks again at a run whose upstream leaves.
-    pub(crate) fn tick_moving(&self, turn: &mut Turn<'_>, entry: &mut Entry) {
-        let Some(flight) = &mut entry.flight else {
+    /// Checks a run again whose upstream leaves.
+    pub(crate) fn tick_moving(&self, ctx: &mut StepContext<'_>, entry: &mut OwnedRequest) {
+        let Some(run_state) = &mut entry.run_state else {
             return;
         };
-        let due = match flight.moving {
-            Moving::Watched { at } | Moving::Paused { at } => turn.now >= at,
-            Moving::Still | Moving::Asked | Moving::Bound => false,
+        let due = match run_state.move_state {
+            MoveState::Watched { at } | MoveState::Paused { at } => ctx.now >= at,
+            MoveState::Idle | MoveState::Requested | MoveState::Pinned => false,
         };
         if due {
-            flight.moving = Moving::Still;
-            self.consider(turn, entry);
+            run_state.move_state = MoveState::Idle;
+            self.plan_move(ctx, entry);
         }
     }
 
     /// Estimates how long a run still takes.
-    fn remaining(&self, now: Duration, entry: &Entry, flight: &Flight) -> Duration {
-        if flight.live.kind == Kind::Service {
+    fn remaining_run_time(
+        &self,
+        now: Duration,
+        entry: &OwnedRequest,
+        run_state: &RunState,
+    ) -> Duration {
+        if run_state.live.kind == Kind::Service {
             return Duration::ZERO;
         }
         let left = entry.head.output.saturating_sub(entry.position);
-        let pace = flight.first.and_then(|(at, position)| {
+        let time_per_token = run_state.first_tokens.and_then(|(at, position)| {
             let tokens = entry.position.checked_sub(position).filter(|tokens| *tokens > 0)?;
             Some(now.saturating_sub(at) / tokens)
         });
-        pace.unwrap_or(self.setup.estimate.token).saturating_mul(left)
+        time_per_token.unwrap_or(self.setup.estimate.token).saturating_mul(left)
     }
 
-    /// Moves a run to the place that the router has found.
-    pub(crate) fn relocate(&mut self, turn: &mut Turn<'_>, mut entry: Entry, place: Placement) {
-        let Some(flight) = &mut entry.flight else {
+    /// Moves a run to the upstream that the router has chosen.
+    pub(crate) fn move_run(
+        &mut self,
+        ctx: &mut StepContext<'_>,
+        mut entry: OwnedRequest,
+        place: Placement,
+    ) {
+        let Some(run_state) = &mut entry.run_state else {
             self.put(entry);
             return;
         };
-        if self.leaving.contains_key(&place.upstream) || place.upstream == flight.live.upstream {
-            let at = turn.now.saturating_add(self.setup.timing.resend);
-            flight.moving = Moving::Paused { at };
+        if self.leaving_upstreams.contains_key(&place.upstream)
+            || place.upstream == run_state.live.upstream
+        {
+            let at = ctx.now.saturating_add(self.setup.timing.resend);
+            run_state.move_state = MoveState::Paused { at };
             self.put(entry);
             return;
         }
-        let from = flight.live.clone();
-        if self.import_pays(turn.now, &entry, &from, &place) {
-            self.import(turn, entry, from, place);
+        let from = run_state.live.clone();
+        if self.should_import(ctx.now, &entry, &from, &place) {
+            self.import(ctx, entry, from, place);
         } else if entry.head.idempotent {
-            turn.out.push(Output::Cancel(from));
+            ctx.out.push(Output::Cancel(from));
             entry.ran = true;
-            entry.flight = None;
-            self.begin(turn, entry, &place);
+            entry.run_state = None;
+            self.begin_run(ctx, entry, &place);
         } else {
-            if let Some(flight) = &mut entry.flight {
-                flight.moving = Moving::Bound;
+            if let Some(run_state) = &mut entry.run_state {
+                run_state.move_state = MoveState::Pinned;
             }
             self.put(entry);
         }
     }
 
-    /// Returns whether a KV cache can be moved in time and for less than computing it again.
-    fn import_pays(
+    /// Returns whether a KV cache can be moved in time and at a lower cost than computing it again.
+    fn should_import(
         &self,
         now: Duration,
-        entry: &Entry,
+        entry: &OwnedRequest,
         from: &ActiveRun,
         place: &Placement,
     ) -> bool {
@@ -142,7 +155,7 @@
         if entry.position == 0 && entry.head.idempotent {
             return false;
         }
-        let Some(Some(until)) = self.leaving.get(&from.upstream) else {
+        let Some(Some(until)) = self.leaving_upstreams.get(&from.upstream) else {
             return false;
         };
         let estimate = &self.setup.estimate;
@@ -155,53 +168,59 @@
         fits && (transfer <= compute || !entry.head.idempotent)
     }
 
-    fn import(&mut self, turn: &mut Turn<'_>, mut entry: Entry, from: ActiveRun, place: Placement) {
+    fn import(
+        &mut self,
+        ctx: &mut StepContext<'_>,
+        mut entry: OwnedRequest,
+        from: ActiveRun,
+        place: Placement,
+    ) {
         let Some(attempt) = entry.next_attempt() else {
             self.put(entry);
             return;
         };
         entry.ran = true;
         let start = Start::Import { from: from.attempt, source: from.address };
-        let live = live_at(attempt, &place);
-        self.launch(turn, &mut entry, live, start, Begun::Imported { from, place });
+        let live = run_at(attempt, &place);
+        self.launch_run(ctx, &mut entry, live, start, RunOrigin::Imported { from, place });
         self.put(entry);
     }
 
-    /// Goes on after a KV cache could not be moved.
+    /// Continues after a KV cache could not be moved.
     pub(crate) fn import_failed(
         &mut self,
-        turn: &mut Turn<'_>,
-        mut entry: Entry,
+        ctx: &mut StepContext<'_>,
+        mut entry: OwnedRequest,
         step: Step,
         from: ActiveRun,
         place: &Placement,
     ) {
         if entry.head.idempotent {
-            turn.out.push(Output::Cancel(from));
+            ctx.out.push(Output::Cancel(from));
             match step {
-                // The old upstream failed; nothing speaks against the new one.
-                Step::Export => self.begin(turn, entry, place),
+                // The old upstream failed; the new one is still usable.
+                Step::Export => self.begin_run(ctx, entry, place),
                 _ => {
-                    entry.without.insert(place.upstream.clone());
-                    self.place(turn, entry);
+                    entry.excluded.insert(place.upstream.clone());
+                    self.request_placement(ctx, entry);
                 }
             }
             return;
         }
         if step == Step::Export {
-            // The stream may not have stopped at the old upstream, and is the one run there is.
-            self.launch(turn, &mut entry, from, Start::Rejoin, Begun::Rejoined);
-            if let Some(flight) = &mut entry.flight {
-                flight.moving = Moving::Bound;
+            // The stream may not have stopped at the old upstream, and must remain the only run.
+            self.launch_run(ctx, &mut entry, from, Start::Rejoin, RunOrigin::Rejoined);
+            if let Some(run_state) = &mut entry.run_state {
+                run_state.move_state = MoveState::Pinned;
             }
             self.put(entry);
             return;
         }
-        self.finish(turn, entry, Outcome::Unknown(Unknown::UpstreamLost));
+        self.finish(ctx, entry, Outcome::Unknown(Unknown::UpstreamLost));
     }
 }
 
-/// Returns whether a run can be moved at all: a non-idempotent one only with its KV cache.
-fn can_move(entry: &Entry, flight: &Flight) -> bool {
-    entry.head.idempotent || flight.live.kind == Kind::Engine
+/// Returns whether a run can be moved; a non-idempotent run needs its KV cache for that.
+fn can_move(entry: &OwnedRequest, run_state: &RunState) -> bool {
+    entry.head.idempotent || run_state.live.kind == Kind::Engine
 }
