--- a/crates/verbenaslip-instance/src/core.rs
+++ b/crates/verbenaslip-instance/src/core.rs
@@ -21,13 +21,13 @@
 use verbenaslip_replica::voter::Voter;
 
 use crate::cloud::{self, Cloud, Ordered};
+use crate::control::{self, Call, Face};
 use crate::disk::{Disk, Outcome};
 use crate::event;
-use crate::face::{self, Call, Face};
-use crate::line::Line;
 use crate::links::Links;
 use crate::load::Load;
-use crate::note;
+use crate::logging;
+use crate::priority_inbox::Line;
 use crate::settings::{self, Settings};
 use crate::signal::Signal;
 
@@ -61,7 +61,7 @@
 #[derive(Clone)]
 pub struct Ports {
     /// For calls of operators and upstreams.
-    pub face: Arc<dyn face::Codec>,
+    pub face: Arc<dyn control::Codec>,
     /// For orders to the cloud.
     pub cloud: Arc<dyn cloud::Codec>,
 }
@@ -346,7 +346,7 @@
                     cloud.give(order);
                 }
             }
-            Output::Event(event) => note::log_event(event),
+            Output::Event(event) => logging::log_event(event),
         }
     }
 
--- a/crates/verbenaslip-instance/src/entry.rs
+++ b/crates/verbenaslip-instance/src/entry.rs
@@ -21,7 +21,7 @@
 
 use crate::event;
 use crate::links::Links;
-use crate::note;
+use crate::logging;
 use crate::settings::{self, Settings};
 use crate::signal::Signal;
 use crate::stop::{Phase, Stop};
@@ -175,7 +175,7 @@
                     ("term", json!(view.version.term)),
                     ("change", json!(view.version.change)),
                     ("upstreams", json!(view.upstreams.len())),
-                    ("changed", note::standings(&changed)),
+                    ("changed", logging::standings(&changed)),
                     ("unlisted", json!(unlisted)),
                     ("entries", json!(view.entry_count)),
                 ],
--- a/crates/verbenaslip-instance/src/line.rs
+++ b/crates/verbenaslip-instance/src/priority_inbox.rs
@@ -5,7 +5,7 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use verbenaslip_fleet::frame::{Frame, Request};
 
-use crate::face::Call;
+use crate::control::Call;
 
 /// Tells what does not wait for its turn.
 pub trait Urgent {
