--- a/crates/verbenaslip-instance/src/cloud.rs
+++ b/crates/verbenaslip-instance/src/cloud.rs
@@ -16,10 +16,10 @@
 use crate::event;
 
 /// How long the cloud may take to accept a connection, and to answer.
-const PATIENCE: Duration = Duration::from_secs(1);
+const TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The longest head of an answer.
-const HEAD: usize = 16 << 10;
+const MAX_HEAD_BYTES: usize = 16 << 10;
 
 /// Holds a call to the cloud.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -35,7 +35,7 @@
 /// Knows the cloud's calls and their formats; decides nothing.
 pub trait Codec: Send + Sync {
     /// Writes an order of the holder of the duty.
-    fn post(&self, holder: &Instance, order: &Order) -> Post;
+    fn encode_order(&self, holder: &Instance, order: &Order) -> Post;
 
     /// Reads the answer's status.
     fn outcome(&self, status: u16) -> Outcome;
@@ -43,7 +43,7 @@
 
 /// Tells what became of an order.
 #[derive(Clone, Copy, Debug)]
-pub struct Ordered {
+pub struct OrderResult {
     /// The order.
     pub id: u64,
     /// What became of it.
@@ -59,18 +59,18 @@
     /// Its formats.
     pub codec: Arc<dyn Codec>,
     /// Takes what became of orders.
-    pub ended: UnboundedSender<Ordered>,
+    pub results: UnboundedSender<OrderResult>,
 }
 
 impl Cloud {
     /// Gives an order, without waiting for it.
-    pub fn give(self: &Rc<Self>, order: Order) {
+    pub fn send_order(self: &Rc<Self>, order: Order) {
         let cloud = self.clone();
         tokio::task::spawn_local(async move {
-            let status = cloud.call(&order).await;
+            let status = cloud.post(&order).await;
             let outcome = status.map_or(Outcome::Unknown, |status| cloud.codec.outcome(status));
             event_log::emit(
-                event::ORDERED,
+                event::CLOUD_ORDERED,
                 [
                     ("order", json!(order.id)),
                     ("fence", json!(order.fence)),
@@ -79,14 +79,14 @@
                 ],
             );
             // The control thread is gone only when the process ends.
-            let _ = cloud.ended.send(Ordered { id: order.id, outcome });
+            let _ = cloud.results.send(OrderResult { id: order.id, outcome });
         });
     }
 
-    async fn call(&self, order: &Order) -> Option<u16> {
-        let post = self.codec.post(&self.holder, order);
-        let stream = socket::connect(self.address, PATIENCE).await.ok()?;
-        let mut wire = Connection::new(stream);
+    async fn post(&self, order: &Order) -> Option<u16> {
+        let post = self.codec.encode_order(&self.holder, order);
+        let stream = socket::connect(self.address, TIMEOUT).await.ok()?;
+        let mut connection = Connection::new(stream);
         let mut head = format!("POST {} HTTP/1.1\r\nHost: {}\r\n", post.path, self.address);
         for (name, value) in &post.fields {
             head.push_str(&format!("{name}: {value}\r\n"));
@@ -100,18 +100,20 @@
         if monotonic::now() >= order.valid_until {
             return None;
         }
-        wire.send(&bytes).await.ok()?;
-        let answer = tokio::time::timeout(PATIENCE, answered(&mut wire)).await;
+        connection.send(&bytes).await.ok()?;
+        let answer = tokio::time::timeout(TIMEOUT, read_status(&mut connection)).await;
         answer.ok().flatten()
     }
 }
 
-async fn answered(wire: &mut Connection) -> Option<u16> {
+async fn read_status(connection: &mut Connection) -> Option<u16> {
     loop {
-        if let Some(end) = wire.head_length() {
-            return ResponseHead::parse(&wire.buffer[..end]).ok().map(|head| head.status);
+        if let Some(end) = connection.head_length() {
+            return ResponseHead::parse(&connection.buffer[..end]).ok().map(|head| head.status);
         }
-        if wire.buffer.len() > HEAD || !matches!(wire.fill().await, Ok(count) if count > 0) {
+        if connection.buffer.len() > MAX_HEAD_BYTES
+            || !matches!(connection.fill().await, Ok(count) if count > 0)
+        {
             return None;
         }
     }
--- a/crates/verbenaslip-instance/src/control.rs
+++ b/crates/verbenaslip-instance/src/control.rs
@@ -21,25 +21,25 @@
 use crate::event;
 
 /// How long a call may wait for its answer; the decisions answer sooner.
-const PATIENCE: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The most calls at once; beyond that a caller turns to another core. After a power loss of all, each of 3,000
 /// upstreams calls one of five cores while there is no leader yet.
-const CALLS: usize = 2_048;
+const MAX_PENDING_CALLS: usize = 2_048;
 
 /// Calls that are read at the same time. Thousands of upstreams may call at once; read as they come, each would
 /// take its turn before the next message of the log, whose lease then lapses. One would notice a leader that
 /// loses and regains it several times a second just after a power loss of all.
-const TURNS: usize = 4;
+const MAX_CONCURRENT_READS: usize = 4;
 
 /// How long a call that is not whole keeps its turn: callers send it in one piece.
-const TURN: Duration = Duration::from_millis(20);
+const READ_PERMIT_TIME: Duration = Duration::from_millis(20);
 
 /// A caller that has waited so long for its turn has turned to another core: it waits for an answer for 1 s.
-const STALE: Duration = Duration::from_millis(900);
+const MAX_CALL_AGE: Duration = Duration::from_millis(900);
 
 /// The largest body of a call.
-const BODY: usize = 8 << 20;
+const MAX_BODY_BYTES: usize = 8 << 20;
 
 /// Holds an answer as it goes to its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -57,10 +57,10 @@
     /// # Errors
     ///
     /// Returns the answer to a call that can't be read.
-    fn ask(&self, call: &Message) -> Result<Request, Answer>;
+    fn decode(&self, call: &Message) -> Result<Request, Answer>;
 
     /// Writes the answer to a call.
-    fn told(&self, told: &Response) -> Answer;
+    fn encode(&self, response: &Response) -> Answer;
 }
 
 /// Asks the decisions for something.
@@ -69,64 +69,64 @@
     /// Names the call in its answer.
     pub id: u64,
     /// What is asked.
-    pub ask: Request,
+    pub request: Request,
     /// When it was read.
-    pub read: Duration,
+    pub received_at: Duration,
 }
 
 impl Call {
     /// Tells whether its sender has turned to another core, so that an answer would reach nobody.
     pub fn is_stale(&self, now: Duration) -> bool {
-        now.saturating_sub(self.read) > STALE
+        now.saturating_sub(self.received_at) > MAX_CALL_AGE
     }
 }
 
 /// Takes calls and gives them their answers.
-pub struct Face {
+pub struct ControlServer {
     shared: Rc<Shared>,
 }
 
 /// Holds who waits for the answer to each call.
-type Open = HashMap<u64, oneshot::Sender<Response>>;
+type PendingCalls = HashMap<u64, oneshot::Sender<Response>>;
 
 struct Shared {
     codec: Arc<dyn Codec>,
     calls: UnboundedSender<Call>,
-    open: RefCell<Open>,
-    next: Cell<u64>,
-    refusals: Refusals,
-    turns: Semaphore,
+    pending: RefCell<PendingCalls>,
+    last_id: Cell<u64>,
+    refusal_log: RefusalLog,
+    read_permits: Semaphore,
 }
 
 /// Refused calls that are logged in a second; a caller that repeats a malformed one sends it many times.
-const LINES: u32 = 10;
+const MAX_LINES_PER_SECOND: u32 = 10;
 
 /// The longest part of a call's target in a log line, in characters.
-const TARGET: usize = 120;
+const MAX_TARGET_CHARS: usize = 120;
 
 /// Bounds the log lines about calls that can't be read.
 #[derive(Default)]
-struct Refusals {
+struct RefusalLog {
     second: Cell<u64>,
     lines: Cell<u32>,
     skipped: Cell<u64>,
 }
 
-impl Refusals {
+impl RefusalLog {
     /// Writes why a call was refused, unless enough was written in this second.
-    fn say(&self, call: &Message, answer: &Answer) {
+    fn log(&self, call: &Message, answer: &Answer) {
         let second = monotonic::now().as_secs();
         if self.second.replace(second) != second {
             self.lines.set(0);
         }
-        if self.lines.get() >= LINES {
+        if self.lines.get() >= MAX_LINES_PER_SECOND {
             self.skipped.set(self.skipped.get() + 1);
             return;
         }
         self.lines.set(self.lines.get() + 1);
-        let target: String = call.head.target.chars().take(TARGET).collect();
+        let target: String = call.head.target.chars().take(MAX_TARGET_CHARS).collect();
         event_log::emit(
-            event::REFUSED_CALL,
+            event::CALL_REFUSED,
             [
                 ("method", json!(&*call.head.method)),
                 ("target", json!(target)),
@@ -138,7 +138,7 @@
     }
 }
 
-impl Face {
+impl ControlServer {
     /// Listens for calls, which are given to `calls`.
     ///
     /// # Errors
@@ -153,10 +153,10 @@
         let shared = Shared {
             codec,
             calls,
-            open: RefCell::default(),
-            next: Cell::new(0),
-            refusals: Refusals::default(),
-            turns: Semaphore::new(TURNS),
+            pending: RefCell::default(),
+            last_id: Cell::new(0),
+            refusal_log: RefusalLog::default(),
+            read_permits: Semaphore::new(MAX_CONCURRENT_READS),
         };
         let shared = Rc::new(shared);
         tokio::task::spawn_local(accept(listener, shared.clone()));
@@ -164,10 +164,10 @@
     }
 
     /// Answers a call.
-    pub fn answer(&self, id: u64, told: Response) {
-        if let Some(open) = self.shared.open.borrow_mut().remove(&id) {
+    pub fn answer(&self, id: u64, response: Response) {
+        if let Some(sender) = self.shared.pending.borrow_mut().remove(&id) {
             // A caller that has gone meanwhile needs no answer.
-            let _ = open.send(told);
+            let _ = sender.send(response);
         }
     }
 }
@@ -183,77 +183,77 @@
     if socket::set_options(&stream).is_err() {
         return;
     }
-    let mut wire = Connection::new(stream);
-    let limits = RequestLimits { max_body_bytes: BODY, ..RequestLimits::default() };
+    let mut connection = Connection::new(stream);
+    let limits = RequestLimits { max_body_bytes: MAX_BODY_BYTES, ..RequestLimits::default() };
     loop {
-        let idle = tokio::time::timeout(limits.idle_timeout, wire.readable()).await;
+        let idle = tokio::time::timeout(limits.idle_timeout, connection.readable()).await;
         if !matches!(idle, Ok(Ok(()))) {
             return;
         }
-        let (answer, closes) = match shared.read(&mut wire, &limits).await {
-            Ok(Some(call)) => (shared.take(&call).await, call.head.closes_connection()),
+        let (answer, closes) = match shared.read_call(&mut connection, &limits).await {
+            Ok(Some(call)) => (shared.handle(&call).await, call.head.closes_connection()),
             Ok(None) => return,
-            Err(fault) => {
-                let body = format!("{{\"error\":\"{fault}\"}}\n").into_bytes();
+            Err(error) => {
+                let body = format!("{{\"error\":\"{error}\"}}\n").into_bytes();
                 (Answer { status: 400, body }, true)
             }
         };
-        if wire.send(&bytes(&answer, closes)).await.is_err() {
+        if connection.send(&encode_http(&answer, closes)).await.is_err() {
             return;
         }
         if closes {
-            return wire.shutdown().await;
+            return connection.shutdown().await;
         }
     }
 }
 
 impl Shared {
     /// Reads a call once it is its turn; none where the caller has gone, or has waited for too long.
-    async fn read(
+    async fn read_call(
         &self,
-        wire: &mut Connection,
+        connection: &mut Connection,
         limits: &RequestLimits,
     ) -> Result<Option<Message>, MessageError> {
         let since = monotonic::now();
         // Nobody closes the turns.
-        let turn = self.turns.acquire().await;
-        if monotonic::now().saturating_sub(since) > STALE {
+        let permit = self.read_permits.acquire().await;
+        if monotonic::now().saturating_sub(since) > MAX_CALL_AGE {
             return Ok(None);
         }
-        let mut read = pin!(reader::read_request(wire, limits));
-        if let Ok(call) = tokio::time::timeout(TURN, &mut read).await {
+        let mut read = pin!(reader::read_request(connection, limits));
+        if let Ok(call) = tokio::time::timeout(READ_PERMIT_TIME, &mut read).await {
             return call;
         }
-        drop(turn);
+        drop(permit);
         read.await
     }
 
-    async fn take(&self, call: &Message) -> Answer {
-        let ask = match self.codec.ask(call) {
-            Ok(ask) => ask,
+    async fn handle(&self, call: &Message) -> Answer {
+        let request = match self.codec.decode(call) {
+            Ok(request) => request,
             Err(answer) => {
-                self.refusals.say(call, &answer);
+                self.refusal_log.log(call, &answer);
                 return answer;
             }
         };
-        if self.open.borrow().len() >= CALLS {
-            return self.codec.told(&Response::Unavailable);
+        if self.pending.borrow().len() >= MAX_PENDING_CALLS {
+            return self.codec.encode(&Response::Unavailable);
         }
-        let (sender, told) = oneshot::channel();
-        self.next.set(self.next.get() + 1);
-        let id = self.next.get();
-        self.open.borrow_mut().insert(id, sender);
-        if self.calls.send(Call { id, ask, read: monotonic::now() }).is_err() {
-            return self.codec.told(&Response::Unavailable);
+        let (sender, response) = oneshot::channel();
+        self.last_id.set(self.last_id.get() + 1);
+        let id = self.last_id.get();
+        self.pending.borrow_mut().insert(id, sender);
+        if self.calls.send(Call { id, request, received_at: monotonic::now() }).is_err() {
+            return self.codec.encode(&Response::Unavailable);
         }
-        let told = tokio::time::timeout(PATIENCE, told).await;
-        self.open.borrow_mut().remove(&id);
-        let told = told.ok().and_then(Result::ok).unwrap_or(Response::Unavailable);
-        self.codec.told(&told)
+        let response = tokio::time::timeout(ANSWER_TIMEOUT, response).await;
+        self.pending.borrow_mut().remove(&id);
+        let response = response.ok().and_then(Result::ok).unwrap_or(Response::Unavailable);
+        self.codec.encode(&response)
     }
 }
 
-fn bytes(answer: &Answer, closes: bool) -> Vec<u8> {
+fn encode_http(answer: &Answer, closes: bool) -> Vec<u8> {
     let reason = match answer.status {
         200 => "OK",
         404 => "Not Found",
--- a/crates/verbenaslip-instance/src/disk.rs
+++ b/crates/verbenaslip-instance/src/disk.rs
@@ -32,39 +32,39 @@
     /// Fails when no thread can be started.
     pub fn spawn(
         mut storage: impl Storage + 'static,
-        to: UnboundedSender<Outcome>,
+        outcomes: UnboundedSender<Outcome>,
     ) -> io::Result<Self> {
-        let (writes, given) = channel::unbounded();
+        let (writes, queue) = channel::unbounded();
         thread::Builder::new().name("disk".into()).spawn(move || {
-            if let Err(error) = run(&mut storage, &given, &to) {
+            if let Err(error) = run(&mut storage, &queue, &outcomes) {
                 // The control thread is gone only when the process ends.
-                let _ = to.send(Outcome::Failed(error));
+                let _ = outcomes.send(Outcome::Failed(error));
             }
         })?;
         Ok(Self { writes })
     }
 
     /// Gives a write; its mark comes back once it is durable.
-    pub fn write(&self, mark: u64, write: Write) {
+    pub fn write(&self, sequence: u64, write: Write) {
         // The thread has ended only after a failure, which it has told.
-        let _ = self.writes.send((mark, write));
+        let _ = self.writes.send((sequence, write));
     }
 }
 
 fn run(
     storage: &mut impl Storage,
-    given: &Receiver<(u64, Write)>,
-    to: &UnboundedSender<Outcome>,
+    queue: &Receiver<(u64, Write)>,
+    outcomes: &UnboundedSender<Outcome>,
 ) -> Result<(), Error> {
-    while let Ok((mut mark, write)) = given.recv() {
+    while let Ok((mut sequence, write)) = queue.recv() {
         let mut writes = vec![write];
-        while let Ok((next, write)) = given.try_recv() {
-            mark = next;
+        while let Ok((next, write)) = queue.try_recv() {
+            sequence = next;
             writes.push(write);
         }
         storage.write(&writes)?;
         storage.sync()?;
-        if to.send(Outcome::Stored(mark)).is_err() {
+        if outcomes.send(Outcome::Stored(sequence)).is_err() {
             return Ok(());
         }
     }
--- a/crates/verbenaslip-instance/src/entry.rs
+++ b/crates/verbenaslip-instance/src/entry.rs
@@ -7,7 +7,7 @@
 use displaydoc::Display;
 use serde_json::json;
 use tokio::sync::mpsc::{self, UnboundedReceiver};
-use verbenaslip_fleet::Entry as Decisions;
+use verbenaslip_fleet::Entry as StateMachine;
 use verbenaslip_fleet::entry::Envelope;
 use verbenaslip_fleet::frame::{Frame, Peer};
 use verbenaslip_fleet::transition::Transitions;
@@ -27,13 +27,13 @@
 use crate::stop::{Phase, Stop};
 
 /// The longest time between two looks at what is due.
-const TICK: Duration = Duration::from_millis(250);
+const MAX_TICK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// After this silence the leader counts as lost, for the log and for reading the settings again.
-const LOST: Duration = Duration::from_secs(2);
+const LEADER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long the last message of an entry may take to leave.
-const FAREWELL: Duration = Duration::from_millis(20);
+const FLUSH_TIME: Duration = Duration::from_millis(20);
 
 /// Says why an entry did not start.
 #[derive(Debug, Display)]
@@ -58,11 +58,11 @@
     mut signals: UnboundedReceiver<Signal>,
     reload: impl Fn() -> Option<Settings>,
 ) -> Result<(), Error> {
-    let (frames_in, mut frames) = mpsc::unbounded_channel();
+    let (frame_sender, mut frames) = mpsc::unbounded_channel();
     let peers = settings.peers;
-    let links = Links::bind(peers, frames_in).map_err(|error| Error::Peers(peers, error))?;
-    let board = Arc::new(SharedState::default());
-    let setup = Config {
+    let links = Links::bind(peers, frame_sender).map_err(|error| Error::Peers(peers, error))?;
+    let shared = Arc::new(SharedState::default());
+    let config = Config {
         caller_address: entry.callers,
         readiness_address: entry.ready,
         zone: settings.zone.clone(),
@@ -72,110 +72,120 @@
             allowance: settings.upstreams.retry_allowance,
         },
         usage_window: settings.upstreams.usage_window,
-        shared: board.clone(),
+        shared: shared.clone(),
         dialect,
     };
-    let server = Server::spawn(setup);
+    let server = Server::spawn(config);
     let server = server.map_err(|error| Error::Traffic(entry.callers, entry.ready, error))?;
-    let unix = monotonic::unix_ms();
-    let own = Peer {
+    let unix_ms = monotonic::unix_ms();
+    let local_peer = Peer {
         address: peers,
         name: settings.name.clone(),
         zone: settings.zone.clone(),
-        incarnation: unix,
+        incarnation: unix_ms,
         voter: None,
     };
-    let decisions = Decisions::new(own, settings.seeds.clone(), monotonic::now(), unix);
+    let state_machine =
+        StateMachine::new(local_peer, settings.seeds.clone(), monotonic::now(), unix_ms);
     let grace = settings.stop.grace;
-    let (shown, lost, stop) = (None, None, None);
-    let mut running = Running { decisions, links, board: board.clone(), server, shown, lost, stop };
+    let (logged_view, leader_lost_at, stop) = (None, None, None);
+    let mut running_entry = RunningEntry {
+        state_machine,
+        links,
+        shared: shared.clone(),
+        server,
+        logged_view,
+        leader_lost_at,
+        stop,
+    };
     loop {
-        running.heartbeat();
-        if running.is_over() {
-            running.say_farewell().await;
+        running_entry.send_due_reports();
+        if running_entry.advance_stop() {
+            running_entry.send_stop_notice().await;
             return Ok(());
         }
-        let wait = running.wake().saturating_sub(monotonic::now()).min(TICK);
+        let wait =
+            running_entry.next_wakeup().saturating_sub(monotonic::now()).min(MAX_TICK_INTERVAL);
         tokio::select! {
             biased;
             Some(signal) = signals.recv() => match signal {
-                Signal::Stop => running.stop(grace),
-                Signal::Reload => running.reseed(&reload),
+                Signal::Stop => running_entry.begin_stop(grace),
+                Signal::Reload => running_entry.reload_seeds(&reload),
             },
-            Some(frame) = frames.recv() => running.take(frame),
-            () = board.wait_for_loan_requests() => running.borrow(),
-            () = board.wait_for_observations() => running.meet(),
-            () = tokio::time::sleep(wait) => running.watch_leader(&reload),
+            Some(frame) = frames.recv() => running_entry.handle_frame(frame),
+            () = shared.wait_for_loan_requests() => running_entry.request_loans(),
+            () = shared.wait_for_observations() => running_entry.collect_observations(),
+            () = tokio::time::sleep(wait) => running_entry.watch_leader(&reload),
         }
     }
 }
 
-struct Running {
-    decisions: Decisions,
+struct RunningEntry {
+    state_machine: StateMachine,
     links: Links,
-    board: Arc<SharedState>,
+    shared: Arc<SharedState>,
     server: Server,
-    shown: Option<(u64, Version)>,
-    lost: Option<Duration>,
+    logged_view: Option<(u64, Version)>,
+    leader_lost_at: Option<Duration>,
     stop: Option<Stop>,
 }
 
-impl Running {
-    fn heartbeat(&mut self) {
+impl RunningEntry {
+    fn send_due_reports(&mut self) {
         let now = monotonic::now();
-        if now < self.decisions.next_wakeup() {
+        if now < self.state_machine.next_wakeup() {
             return;
         }
-        let envelope = self.decisions.next_crash_report(now);
-        self.post(envelope);
-        if now < self.decisions.next_heartbeat_at() {
+        let envelope = self.state_machine.next_crash_report(now);
+        self.send(envelope);
+        if now < self.state_machine.next_heartbeat_at() {
             return;
         }
-        let report = self.board.take_report();
-        let envelope = self.decisions.next_heartbeat(now, monotonic::unix_ms(), report);
-        self.post(envelope);
+        let report = self.shared.take_report();
+        let envelope = self.state_machine.next_heartbeat(now, monotonic::unix_ms(), report);
+        self.send(envelope);
     }
 
     /// Takes what requests met, to be told to the leader.
-    fn meet(&mut self) {
-        let Observations { crashes, answers } = self.board.take_observations();
-        self.decisions.record_outcomes(monotonic::now(), crashes, answers);
+    fn collect_observations(&mut self) {
+        let Observations { crashes, answers } = self.shared.take_observations();
+        self.state_machine.record_outcomes(monotonic::now(), crashes, answers);
     }
 
     /// Asks the leader for what requests need of their teams' limits.
-    fn borrow(&self) {
+    fn request_loans(&self) {
         let envelope =
-            self.decisions.request_loans(monotonic::now(), self.board.take_loan_requests());
-        self.post(envelope);
+            self.state_machine.request_loans(monotonic::now(), self.shared.take_loan_requests());
+        self.send(envelope);
     }
 
-    fn post(&self, envelope: Option<Envelope>) {
+    fn send(&self, envelope: Option<Envelope>) {
         if let Some(Envelope { to, frame }) = envelope {
-            self.links.cast(to, &frame);
+            self.links.multicast(to, &frame);
         }
     }
 
-    fn take(&mut self, frame: Frame) {
-        if let Frame::GrantLoans(lent) = frame {
-            return self.board.deliver_loan_grants(lent);
+    fn handle_frame(&mut self, frame: Frame) {
+        if let Frame::GrantLoans(grants) = frame {
+            return self.shared.deliver_loan_grants(grants);
         }
-        let envelope = self.decisions.handle_frame(monotonic::now(), frame);
-        self.post(envelope);
-        let view = self.decisions.view();
-        self.board.set_view(view.clone());
-        let shown = (view.revision(), view.version);
-        if self.shown != Some(shown) {
-            self.shown = Some(shown);
-            let Transitions { changed, unlisted } = self.decisions.take_transitions();
-            let view = self.decisions.view();
+        let envelope = self.state_machine.handle_frame(monotonic::now(), frame);
+        self.send(envelope);
+        let view = self.state_machine.view();
+        self.shared.set_view(view.clone());
+        let logged_view = (view.revision(), view.version);
+        if self.logged_view != Some(logged_view) {
+            self.logged_view = Some(logged_view);
+            let Transitions { changed, unlisted } = self.state_machine.take_transitions();
+            let view = self.state_machine.view();
             event_log::emit(
-                event::VIEW,
+                event::VIEW_CHANGED,
                 [
                     ("revision", json!(view.revision())),
                     ("term", json!(view.version.term)),
                     ("change", json!(view.version.change)),
                     ("upstreams", json!(view.upstreams.len())),
-                    ("changed", logging::standings(&changed)),
+                    ("changed", logging::statuses(&changed)),
                     ("unlisted", json!(unlisted)),
                     ("entries", json!(view.entry_count)),
                 ],
@@ -186,66 +196,66 @@
     /// Notices the loss of the leader, and looks for other addresses to join through.
     fn watch_leader(&mut self, reload: &impl Fn() -> Option<Settings>) {
         let now = monotonic::now();
-        let heard = self.decisions.view().leader_heard_at;
-        let silent = heard.map(|heard| now.saturating_sub(heard));
-        let lost = silent.is_none_or(|silent| silent > LOST);
-        match self.lost {
+        let last_heard_at = self.state_machine.view().leader_heard_at;
+        let silence = last_heard_at.map(|last_heard_at| now.saturating_sub(last_heard_at));
+        let lost = silence.is_none_or(|silence| silence > LEADER_TIMEOUT);
+        match self.leader_lost_at {
             Some(_) if !lost => {
-                self.lost = None;
-                event_log::emit(event::LEADER_BACK, []);
+                self.leader_lost_at = None;
+                event_log::emit(event::LEADER_FOUND, []);
             }
-            None if lost && heard.is_some() => {
-                self.lost = Some(now);
+            None if lost && last_heard_at.is_some() => {
+                self.leader_lost_at = Some(now);
                 event_log::emit(
                     event::LEADER_LOST,
-                    [("silent_ms", json!(silent.map(|it| it.as_millis())))],
+                    [("silent_ms", json!(silence.map(|it| it.as_millis())))],
                 );
             }
-            Some(since) if now.saturating_sub(since) > LOST => {
-                self.lost = Some(now);
-                self.reseed(reload);
+            Some(since) if now.saturating_sub(since) > LEADER_TIMEOUT => {
+                self.leader_lost_at = Some(now);
+                self.reload_seeds(reload);
             }
             _ => {}
         }
     }
 
-    fn reseed(&mut self, reload: &impl Fn() -> Option<Settings>) {
+    fn reload_seeds(&mut self, reload: &impl Fn() -> Option<Settings>) {
         if let Some(settings) = reload() {
-            self.decisions.set_seeds(settings.seeds);
+            self.state_machine.set_seeds(settings.seeds);
         }
     }
 
     /// Returns when something is due next.
-    fn wake(&self) -> Duration {
-        let stop = self.stop.map(|stop| stop.wake(monotonic::now()));
-        self.decisions.next_wakeup().min(stop.unwrap_or(Duration::MAX))
+    fn next_wakeup(&self) -> Duration {
+        let next_phase = self.stop.map(|stop| stop.next_phase_at(monotonic::now()));
+        self.state_machine.next_wakeup().min(next_phase.unwrap_or(Duration::MAX))
     }
 
-    fn stop(&mut self, grace: Duration) {
+    fn begin_stop(&mut self, grace: Duration) {
         if self.stop.is_none() {
             self.stop = Some(Stop::begin(monotonic::now(), grace));
-            self.board.start_draining();
+            self.shared.start_draining();
             event_log::emit(event::STOPPING, [("active", json!(self.server.active_requests()))]);
         }
     }
 
     /// Has whoever hears this entry know that it ends.
-    async fn say_farewell(&self) {
-        self.post(self.decisions.stop_notice(monotonic::now()));
-        tokio::time::sleep(FAREWELL).await;
+    async fn send_stop_notice(&self) {
+        self.send(self.state_machine.stop_notice(monotonic::now()));
+        tokio::time::sleep(FLUSH_TIME).await;
     }
 
     /// Goes on with a stop; tells whether it may end.
-    fn is_over(&self) -> bool {
+    fn advance_stop(&self) -> bool {
         let Some(stop) = self.stop else { return false };
         let phase = stop.phase(monotonic::now(), self.server.active_requests());
-        if phase != Phase::Takes && !self.board.has_stopped_admitting() {
-            self.board.stop_admitting();
+        if phase != Phase::Accepting && !self.shared.has_stopped_admitting() {
+            self.shared.stop_admitting();
         }
-        let over = phase == Phase::Over;
-        if over {
+        let ended = phase == Phase::Ended;
+        if ended {
             event_log::emit(event::DRAINED, [("active", json!(self.server.active_requests()))]);
         }
-        over
+        ended
     }
 }
--- a/crates/verbenaslip-instance/src/instance.rs
+++ b/crates/verbenaslip-instance/src/instance.rs
@@ -58,18 +58,18 @@
     /// Says why it did not start.
     pub fn run(self, dialect: Arc<dyn Dialect>, ports: Ports) -> Result<(), Error> {
         event_log::start().map_err(Error::Thread)?;
-        let (signals_in, signals) = mpsc::unbounded_channel();
-        signal::watch(signals_in).map_err(Error::Thread)?;
+        let (signal_sender, signals) = mpsc::unbounded_channel();
+        signal::watch(signal_sender).map_err(Error::Thread)?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(Error::Thread)?;
         let local = LocalSet::new();
-        let ended = local.block_on(&runtime, self.serve(dialect, ports, signals));
+        let result = local.block_on(&runtime, self.serve(dialect, ports, signals));
         event_log::emit(
             event::STOPPED,
-            [("cause", json!(ended.as_ref().err().map(ToString::to_string)))],
+            [("cause", json!(result.as_ref().err().map(ToString::to_string)))],
         );
         event_log::flush();
-        ended
+        result
     }
 
     async fn serve(
@@ -79,9 +79,9 @@
         signals: mpsc::UnboundedReceiver<signal::Signal>,
     ) -> Result<(), Error> {
         let Self { path, settings } = self;
-        if let Err(problem) = metric::open(settings.metrics) {
+        if let Err(problem) = metric::start(settings.metrics) {
             // Callers are better served without metrics than not at all.
-            event_log::emit(event::NO_METRICS, [("problem", json!(problem))]);
+            event_log::emit(event::METRICS_UNAVAILABLE, [("problem", json!(problem))]);
         }
         event_log::emit(
             event::STARTED,
@@ -100,8 +100,8 @@
         };
         match (settings.entry.clone(), settings.core.clone()) {
             (Some(entry), _) => {
-                let ended = entry::run(settings, entry, dialect, signals, reload).await;
-                ended.map_err(Error::Entry)
+                let result = entry::run(settings, entry, dialect, signals, reload).await;
+                result.map_err(Error::Entry)
             }
             (None, Some(core)) => {
                 core::run(settings, core, ports, signals, reload).await.map_err(Error::Core)
--- a/crates/verbenaslip-instance/src/links.rs
+++ b/crates/verbenaslip-instance/src/links.rs
@@ -24,23 +24,23 @@
 const MAGIC: &[u8; 4] = b"VSF1";
 
 /// Frames that may wait for a connection; beyond that the other side is not reading.
-const QUEUE: usize = 256;
+const QUEUE_CAPACITY: usize = 256;
 
 /// The largest frame: a route table with its document, twice over.
-const LARGEST: usize = 32 << 20;
+const MAX_FRAME_BYTES: usize = 32 << 20;
 
 /// How long a new connection may take.
-const DIAL: Duration = Duration::from_millis(500);
+const DIAL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// After this silence of an instance that is spoken to, its connection is given up for a new one.
 /// Whoever is spoken to answers within 250 ms, so this is several answers missed.
-const SILENCE: Duration = Duration::from_millis(1_100);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_100);
 
 /// Connections begun within this time of each other may be so at both ends for the same reason.
-const EQUALLY_NEW: Duration = Duration::from_secs(2);
+const SIMULTANEOUS_DIAL_TIME: Duration = Duration::from_secs(2);
 
 /// After this silence a connection that is no longer sent on is closed.
-const UNUSED: Duration = Duration::from_secs(3);
+const UNUSED_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Passes frames to and from other instances.
 pub struct Links {
@@ -48,29 +48,29 @@
 }
 
 struct Shared {
-    own: SocketAddr,
+    local_address: SocketAddr,
     links: RefCell<HashMap<SocketAddr, Link>>,
     inbox: UnboundedSender<Frame>,
-    next: Cell<u64>,
-    dials: Cell<u64>,
+    last_id: Cell<u64>,
+    dial_count: Cell<u64>,
 }
 
 struct Link {
     id: u64,
     /// Whether this instance has begun it.
-    own: bool,
-    out: Sender<Bytes>,
-    opened: Duration,
-    heard: Rc<Cell<Duration>>,
+    dialed: bool,
+    sender: Sender<Bytes>,
+    opened_at: Duration,
+    last_received_at: Rc<Cell<Duration>>,
     /// When the first frame was sent that nothing has followed.
-    asked: Cell<Duration>,
+    unanswered_since: Cell<Duration>,
 }
 
 impl Link {
     /// Notes that a frame is sent.
-    fn ask(&self, now: Duration) {
-        if self.asked.get() <= self.heard.get() {
-            self.asked.set(now);
+    fn record_sent(&self, now: Duration) {
+        if self.unanswered_since.get() <= self.last_received_at.get() {
+            self.unanswered_since.set(now);
         }
     }
 
@@ -78,9 +78,10 @@
     ///
     /// A connection on which nothing was sent may be silent for as long as it likes: a core that passes updates on
     /// to its entries from time to time would else dial all of them anew each time.
-    fn is_silent(&self, now: Duration) -> bool {
-        let asked = self.asked.get();
-        asked > self.heard.get() && now.saturating_sub(asked) > SILENCE
+    fn is_unresponsive(&self, now: Duration) -> bool {
+        let unanswered_since = self.unanswered_since.get();
+        unanswered_since > self.last_received_at.get()
+            && now.saturating_sub(unanswered_since) > RESPONSE_TIMEOUT
     }
 }
 
@@ -90,26 +91,32 @@
     /// # Errors
     ///
     /// Fails when the address can't be listened on.
-    pub fn bind(own: SocketAddr, inbox: UnboundedSender<Frame>) -> io::Result<Self> {
-        let listener = socket::listen(own)?;
+    pub fn bind(local_address: SocketAddr, inbox: UnboundedSender<Frame>) -> io::Result<Self> {
+        let listener = socket::listen(local_address)?;
         let links = RefCell::new(HashMap::new());
-        let shared = Rc::new(Shared { own, links, inbox, next: Cell::new(0), dials: Cell::new(0) });
+        let shared = Rc::new(Shared {
+            local_address,
+            links,
+            inbox,
+            last_id: Cell::new(0),
+            dial_count: Cell::new(0),
+        });
         tokio::task::spawn_local(accept(listener, shared.clone()));
         Ok(Self { shared })
     }
 
     /// Returns how many connections were begun here.
-    pub fn dials(&self) -> u64 {
-        self.shared.dials.get()
+    pub fn dial_count(&self) -> u64 {
+        self.shared.dial_count.get()
     }
 
     /// Sends a frame, or begins to connect; returns its bytes.
     pub fn send(&self, to: SocketAddr, frame: &Frame) -> usize {
-        self.cast([to], frame)
+        self.multicast([to], frame)
     }
 
     /// Sends a frame to several instances; it is encoded once. Returns its bytes.
-    pub fn cast(&self, to: impl IntoIterator<Item = SocketAddr>, frame: &Frame) -> usize {
+    pub fn multicast(&self, to: impl IntoIterator<Item = SocketAddr>, frame: &Frame) -> usize {
         // Encoding to memory fails for no value of these types.
         let Ok(body) = postcard::to_stdvec(frame) else { return 0 };
         let Ok(length) = u32::try_from(body.len()) else { return 0 };
@@ -124,11 +131,11 @@
     }
 
     fn write(&self, to: SocketAddr, bytes: Bytes) {
-        self.shared.give_up_silent(to);
+        self.shared.drop_unresponsive(to);
         let mut links = self.shared.links.borrow_mut();
         let link = links.entry(to).or_insert_with(|| self.shared.dial(to));
-        link.ask(monotonic::now());
-        if link.out.try_send(bytes).is_err() {
+        link.record_sent(monotonic::now());
+        if link.sender.try_send(bytes).is_err() {
             // It does not read, or has ended; the next frame goes over a new connection.
             links.remove(&to);
         }
@@ -140,34 +147,44 @@
     ///
     /// A connection can go silent for good while new ones work. One would notice an instance that
     /// the leader takes for lost although it is well.
-    fn give_up_silent(&self, to: SocketAddr) {
+    fn drop_unresponsive(&self, to: SocketAddr) {
         let now = monotonic::now();
         let mut links = self.links.borrow_mut();
-        if links.get(&to).is_some_and(|link| link.is_silent(now)) {
+        if links.get(&to).is_some_and(|link| link.is_unresponsive(now)) {
             links.remove(&to);
         }
     }
 
-    fn open(&self, own: bool) -> (Link, Receiver<Bytes>) {
-        let (out, queue) = mpsc::channel(QUEUE);
-        self.next.set(self.next.get() + 1);
+    fn open(&self, dialed: bool) -> (Link, Receiver<Bytes>) {
+        let (sender, queue) = mpsc::channel(QUEUE_CAPACITY);
+        self.last_id.set(self.last_id.get() + 1);
         let now = monotonic::now();
-        let heard = Rc::new(Cell::new(now));
-        let asked = Cell::new(now);
-        (Link { id: self.next.get(), own, out, opened: now, heard, asked }, queue)
+        let last_received_at = Rc::new(Cell::new(now));
+        let unanswered_since = Cell::new(now);
+        (
+            Link {
+                id: self.last_id.get(),
+                dialed,
+                sender,
+                opened_at: now,
+                last_received_at,
+                unanswered_since,
+            },
+            queue,
+        )
     }
 
     fn dial(self: &Rc<Self>, to: SocketAddr) -> Link {
         let (link, queue) = self.open(true);
-        let (id, heard) = (link.id, link.heard.clone());
-        self.dials.set(self.dials.get() + 1);
+        let (id, last_received_at) = (link.id, link.last_received_at.clone());
+        self.dial_count.set(self.dial_count.get() + 1);
         metrics::counter!("verbenaslip_instance_connections_total").increment(1);
         let shared = self.clone();
         tokio::task::spawn_local(async move {
-            if let Ok(stream) = dial(to, shared.own).await {
-                shared.run(stream, queue, &heard).await;
+            if let Ok(stream) = dial(to, shared.local_address).await {
+                shared.run(stream, queue, &last_received_at).await;
             }
-            shared.forget(to, id);
+            shared.remove_link(to, id);
         });
         link
     }
@@ -179,11 +196,11 @@
     /// both begin one at the same moment, as after a power loss of all, each would leave its own for
     /// the other's, and none would be left. So of two that are equally new, the one begun by the
     /// lower address counts on both sides.
-    fn prefers_own(&self, peer: SocketAddr) -> bool {
+    fn keeps_dialed_link(&self, peer: SocketAddr) -> bool {
         let links = self.links.borrow();
         links.get(&peer).is_some_and(|link| {
-            let new = monotonic::now().saturating_sub(link.opened) < EQUALLY_NEW;
-            link.own && new && self.own < peer
+            let recent = monotonic::now().saturating_sub(link.opened_at) < SIMULTANEOUS_DIAL_TIME;
+            link.dialed && recent && self.local_address < peer
         })
     }
 
@@ -191,15 +208,20 @@
     ///
     /// A connection that is no longer sent on is read until nothing comes any more: the other side may
     /// have sent on it before it knew.
-    async fn run(&self, stream: TcpStream, queue: Receiver<Bytes>, heard: &Cell<Duration>) {
+    async fn run(
+        &self,
+        stream: TcpStream,
+        queue: Receiver<Bytes>,
+        last_received_at: &Cell<Duration>,
+    ) {
         let (reader, writer) = stream.into_split();
         tokio::select! {
-            () = read(reader, &self.inbox, heard) => {}
-            () = write(writer, queue, heard) => {}
+            () = read(reader, &self.inbox, last_received_at) => {}
+            () = write(writer, queue, last_received_at) => {}
         }
     }
 
-    fn forget(&self, to: SocketAddr, id: u64) {
+    fn remove_link(&self, to: SocketAddr, id: u64) {
         let mut links = self.links.borrow_mut();
         if links.get(&to).is_some_and(|link| link.id == id) {
             links.remove(&to);
@@ -210,35 +232,35 @@
 async fn accept(listener: TcpListener, shared: Rc<Shared>) {
     loop {
         let stream = socket::accept(&listener).await;
-        tokio::task::spawn_local(welcome(stream, shared.clone()));
+        tokio::task::spawn_local(handle_connection(stream, shared.clone()));
     }
 }
 
-async fn welcome(mut stream: TcpStream, shared: Rc<Shared>) {
+async fn handle_connection(mut stream: TcpStream, shared: Rc<Shared>) {
     if socket::set_options(&stream).is_err() {
         return;
     }
-    let greeted = tokio::time::timeout(DIAL * 4, greeted(&mut stream)).await;
-    let Ok(Ok(peer)) = greeted else { return };
+    let handshake = tokio::time::timeout(DIAL_TIMEOUT * 4, read_handshake(&mut stream)).await;
+    let Ok(Ok(peer)) = handshake else { return };
     let (link, queue) = shared.open(false);
-    let (id, heard) = (link.id, link.heard.clone());
-    if !shared.prefers_own(peer) {
+    let (id, last_received_at) = (link.id, link.last_received_at.clone());
+    if !shared.keeps_dialed_link(peer) {
         shared.links.borrow_mut().insert(peer, link);
     }
-    shared.run(stream, queue, &heard).await;
-    shared.forget(peer, id);
+    shared.run(stream, queue, &last_received_at).await;
+    shared.remove_link(peer, id);
 }
 
 /// Connects and says which instance dials.
-async fn dial(to: SocketAddr, own: SocketAddr) -> io::Result<TcpStream> {
-    let mut stream = socket::connect(to, DIAL).await?;
-    greet(&mut stream, own).await?;
+async fn dial(to: SocketAddr, local_address: SocketAddr) -> io::Result<TcpStream> {
+    let mut stream = socket::connect(to, DIAL_TIMEOUT).await?;
+    send_handshake(&mut stream, local_address).await?;
     Ok(stream)
 }
 
 /// Says which instance dials.
-async fn greet(stream: &mut TcpStream, own: SocketAddr) -> io::Result<()> {
-    let text = own.to_string();
+async fn send_handshake(stream: &mut TcpStream, local_address: SocketAddr) -> io::Result<()> {
+    let text = local_address.to_string();
     let mut bytes = MAGIC.to_vec();
     bytes.push(u8::try_from(text.len()).unwrap_or(u8::MAX));
     bytes.extend_from_slice(text.as_bytes());
@@ -246,7 +268,7 @@
 }
 
 /// Learns which instance has dialled.
-async fn greeted(stream: &mut TcpStream) -> io::Result<SocketAddr> {
+async fn read_handshake(stream: &mut TcpStream) -> io::Result<SocketAddr> {
     let mut head = [0; 5];
     stream.read_exact(&mut head).await?;
     if head[..4] != MAGIC[..] {
@@ -258,20 +280,24 @@
     text.and_then(|it| it.parse().ok()).ok_or_else(|| io::ErrorKind::InvalidData.into())
 }
 
-async fn read(mut reader: OwnedReadHalf, inbox: &UnboundedSender<Frame>, heard: &Cell<Duration>) {
+async fn read(
+    mut reader: OwnedReadHalf,
+    inbox: &UnboundedSender<Frame>,
+    last_received_at: &Cell<Duration>,
+) {
     let mut bytes = bytes::BytesMut::new();
     loop {
-        while let Some(length) = whole(&bytes) {
+        while let Some(length) = frame_length(&bytes) {
             let frame = bytes.split_to(length);
             let Ok(frame) = postcard::from_bytes(&frame[4..]) else { return };
-            heard.set(monotonic::now());
+            last_received_at.set(monotonic::now());
             if inbox.send(frame).is_err() {
                 return;
             }
         }
-        let announced =
+        let length =
             bytes.get(..4).map(|head| u32::from_le_bytes([head[0], head[1], head[2], head[3]]));
-        if announced.is_some_and(|length| length as usize > LARGEST) {
+        if length.is_some_and(|length| length as usize > MAX_FRAME_BYTES) {
             return;
         }
         match reader.read_buf(&mut bytes).await {
@@ -282,13 +308,17 @@
 }
 
 /// Returns the length of the whole frame at the start of the bytes, with its length field.
-fn whole(bytes: &[u8]) -> Option<usize> {
+fn frame_length(bytes: &[u8]) -> Option<usize> {
     let (head, _) = bytes.split_first_chunk::<4>()?;
     let length = u32::from_le_bytes(*head) as usize + 4;
     (bytes.len() >= length).then_some(length)
 }
 
-async fn write(mut writer: OwnedWriteHalf, mut queue: Receiver<Bytes>, heard: &Cell<Duration>) {
+async fn write(
+    mut writer: OwnedWriteHalf,
+    mut queue: Receiver<Bytes>,
+    last_received_at: &Cell<Duration>,
+) {
     while let Some(first) = queue.recv().await {
         let written = match queue.try_recv() {
             Err(_) => writer.write_all(&first).await,
@@ -305,7 +335,7 @@
             return;
         }
     }
-    while monotonic::now().saturating_sub(heard.get()) < UNUSED {
-        tokio::time::sleep(UNUSED).await;
+    while monotonic::now().saturating_sub(last_received_at.get()) < UNUSED_TIMEOUT {
+        tokio::time::sleep(UNUSED_TIMEOUT).await;
     }
 }
--- a/crates/verbenaslip-instance/src/logging.rs
+++ b/crates/verbenaslip-instance/src/logging.rs
@@ -28,16 +28,19 @@
             );
         }
         Event::RouteTable { revision, routes } => {
-            emit(event::SHEET, [("revision", json!(revision)), ("routes", json!(routes))]);
+            emit(
+                event::ROUTE_TABLE_COMMITTED,
+                [("revision", json!(revision)), ("routes", json!(routes))],
+            );
         }
         Event::Upstream { record } => log_upstream(&record),
-        Event::UpstreamWithdrawn(run) => log_run(event::WITHDRAWN, &run),
+        Event::UpstreamWithdrawn(run) => log_run(event::UPSTREAM_WITHDRAWN, &run),
         Event::StaleAnnouncement(stale) => log_stale(&stale),
         Event::DepartureAcknowledged { departure, waited, version, acks } => {
             log_departure(&departure, waited, version, acks);
         }
         Event::LeadershipStarted { term, upstreams, logged, departures, quarantined } => emit(
-            event::BEGAN,
+            event::LEADERSHIP_STARTED,
             [
                 ("term", json!(term)),
                 ("upstreams", json!(upstreams)),
@@ -46,15 +49,17 @@
                 ("held_back", json!(quarantined)),
             ],
         ),
-        Event::LeaseLost { term } => emit(event::LAPSED, [("term", json!(term))]),
-        Event::LeadershipResumed { term } => emit(event::RESUMED, [("term", json!(term))]),
-        Event::UnknownService(run) => log_run(event::FOREIGN, &run),
+        Event::LeaseLost { term } => emit(event::LEASE_LOST, [("term", json!(term))]),
+        Event::LeadershipResumed { term } => {
+            emit(event::LEADERSHIP_RESUMED, [("term", json!(term))])
+        }
+        Event::UnknownService(run) => log_run(event::UNKNOWN_SERVICE, &run),
         Event::VotersChanged { change } => {
-            emit(event::VOTERS, [("change", json!(format!("{change:?}")))]);
+            emit(event::VOTERS_CHANGED, [("change", json!(format!("{change:?}")))]);
         }
         Event::QuarantineDecided(finding) => log_finding(&finding),
         Event::LimitChanged(observed) => emit(
-            event::LIMIT,
+            event::LIMIT_CHANGED,
             [
                 ("upstream", json!(observed.run.upstream.as_str())),
                 ("incarnation", json!(observed.run.incarnation)),
@@ -63,7 +68,7 @@
             ],
         ),
         Event::WindowClosed { window, requests } => {
-            emit(event::CLOSED, [("window", json!(window)), ("requests", json!(requests))]);
+            emit(event::WINDOW_CLOSED, [("window", json!(window)), ("requests", json!(requests))]);
         }
         Event::RolloutStage { rollout, stage, exposure } => {
             let stage = ("stage", json!(format!("{stage:?}")));
@@ -78,7 +83,7 @@
             emit(event::ROLLOUT_DECIDED, rollout_fields(&rollout, exposure).chain(fields));
         }
         Event::ScalingPlanned { service, initial_count, busy_upstreams, upstreams } => emit(
-            event::PLANNED,
+            event::SCALING_PLANNED,
             [
                 ("service", json!(service)),
                 ("base", json!(initial_count)),
@@ -86,8 +91,8 @@
                 ("upstreams", json!(upstreams)),
             ],
         ),
-        Event::CallTimedOut { call } => emit(event::UNSURE, [("asked", json!(call))]),
-        Event::UnreadableLog(cause) => emit(event::UNREADABLE, [("cause", json!(cause))]),
+        Event::CallTimedOut { call } => emit(event::CALL_TIMED_OUT, [("asked", json!(call))]),
+        Event::UnreadableLog(cause) => emit(event::LOG_UNREADABLE, [("cause", json!(cause))]),
     }
 }
 
@@ -96,7 +101,7 @@
     let complete = acks.acknowledged >= acks.reachable;
     metrics::histogram!("verbenaslip_leaving_seconds").record(waited.as_secs_f64());
     emit(
-        event::ACKNOWLEDGED,
+        event::DEPARTURE_ACKNOWLEDGED,
         [
             ("upstream", json!(departure.run.upstream.as_str())),
             ("incarnation", json!(departure.run.incarnation)),
@@ -130,18 +135,18 @@
 
 /// Writes a line about what is known of an upstream.
 fn log_upstream(record: &Record) {
-    let it = &record.announcement;
+    let announcement = &record.announcement;
     emit(
-        event::UPSTREAM,
+        event::UPSTREAM_CHANGED,
         [
-            ("upstream", json!(it.run.upstream.as_str())),
-            ("incarnation", json!(it.run.incarnation)),
-            ("service", json!(it.service)),
-            ("address", json!(it.address.to_string())),
-            ("zone", json!(it.zone.as_str())),
-            ("sequence", json!(it.sequence)),
-            ("reclaimable", json!(it.reclaimable)),
-            ("leaves_ms", json!(it.leaves_in.map(|leaves| leaves.as_millis()))),
+            ("upstream", json!(announcement.run.upstream.as_str())),
+            ("incarnation", json!(announcement.run.incarnation)),
+            ("service", json!(announcement.service)),
+            ("address", json!(announcement.address.to_string())),
+            ("zone", json!(announcement.zone.as_str())),
+            ("sequence", json!(announcement.sequence)),
+            ("reclaimable", json!(announcement.reclaimable)),
+            ("leaves_ms", json!(announcement.leaves_in.map(|leaves_in| leaves_in.as_millis()))),
             ("standing", json!(format!("{:?}", record.status))),
         ],
     );
@@ -150,18 +155,18 @@
 /// Writes a line about an announcement that was passed over.
 fn log_stale(stale: &StaleAnnouncement) {
     metrics::counter!("verbenaslip_announcements_late_total").increment(1);
-    let (known, last) = stale.known.unzip();
-    let (standing, age) = stale.departed.unzip();
+    let (known_incarnation, known_sequence) = stale.known.unzip();
+    let (departed, departed_for) = stale.departed.unzip();
     emit(
-        event::LATE,
+        event::STALE_ANNOUNCEMENT,
         [
             ("upstream", json!(stale.run.upstream.as_str())),
             ("incarnation", json!(stale.run.incarnation)),
             ("sequence", json!(stale.sequence)),
-            ("known_incarnation", json!(known)),
-            ("known_sequence", json!(last)),
-            ("departed", json!(standing.map(|it| format!("{it:?}")))),
-            ("departed_ms", json!(age.map(|age| age.as_millis()))),
+            ("known_incarnation", json!(known_incarnation)),
+            ("known_sequence", json!(known_sequence)),
+            ("departed", json!(departed.map(|it| format!("{it:?}")))),
+            ("departed_ms", json!(departed_for.map(|time| time.as_millis()))),
         ],
     );
 }
@@ -171,37 +176,40 @@
     let runs = |runs: &[Run]| json!(runs.iter().map(|it| it.upstream.as_str()).collect::<Vec<_>>());
     let content = |fingerprint: &Fingerprint| ("content", json!(fingerprint.to_string()));
     match finding {
-        Finding::Suspected { fingerprint, runs: ended } => {
-            emit(event::SUSPECTED, [content(fingerprint), ("upstreams", runs(ended))]);
+        Finding::Suspected { fingerprint, runs: crashed } => {
+            emit(event::REQUEST_SUSPECTED, [content(fingerprint), ("upstreams", runs(crashed))]);
         }
-        Finding::Quarantined { fingerprint, runs: ended, held } => {
+        Finding::Quarantined { fingerprint, runs: crashed, held } => {
             metrics::counter!("verbenaslip_requests_held_back_total").increment(1);
             emit(
-                event::HELD,
+                event::REQUEST_QUARANTINED,
                 [
                     content(fingerprint),
-                    ("upstreams", runs(ended)),
+                    ("upstreams", runs(crashed)),
                     ("until", json!(held.until)),
                     ("tries", json!(held.failed_trials)),
                 ],
             );
         }
         Finding::Cleared { fingerprint, cause } => {
-            emit(event::CLEARED, [content(fingerprint), ("cause", json!(format!("{cause:?}")))]);
+            emit(
+                event::QUARANTINE_CLEARED,
+                [content(fingerprint), ("cause", json!(format!("{cause:?}")))],
+            );
         }
         Finding::TrialOffered { fingerprint, entry } => {
-            emit(event::TRIED, [content(fingerprint), ("entry", json!(entry.to_string()))]);
+            emit(event::TRIAL_OFFERED, [content(fingerprint), ("entry", json!(entry.to_string()))]);
         }
     }
 }
 
 /// Lists how upstreams stand, by name; null for one that is gone.
-pub(crate) fn standings(changed: &[Transition]) -> Value {
-    let named = |it: &Transition| {
+pub(crate) fn statuses(changed: &[Transition]) -> Value {
+    let named_status = |it: &Transition| {
         let standing = it.standing.map(|standing| format!("{standing:?}"));
         (it.upstream.as_str().to_owned(), json!(standing))
     };
-    Value::Object(changed.iter().map(named).collect())
+    Value::Object(changed.iter().map(named_status).collect())
 }
 
 /// Writes a line about one run of an upstream.
--- a/crates/verbenaslip-instance/src/metric.rs
+++ b/crates/verbenaslip-instance/src/metric.rs
@@ -9,23 +9,26 @@
 use verbenaslip_relay::socket;
 
 /// Bounds of the buckets for answers, in seconds; the objectives of both users are among them.
-const SECONDS: [f64; 13] = [0.01, 0.025, 0.05, 0.1, 0.15, 0.3, 0.6, 1.0, 1.2, 2.0, 4.0, 8.0, 15.0];
+const LATENCY_BUCKETS: [f64; 13] =
+    [0.01, 0.025, 0.05, 0.1, 0.15, 0.3, 0.6, 1.0, 1.2, 2.0, 4.0, 8.0, 15.0];
 
 /// Between two sums of what histograms gathered; without it an unread one would grow for ever.
-const UPKEEP: Duration = Duration::from_secs(5);
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Starts to record, and to serve what is recorded if there is an address for it.
 ///
 /// # Errors
 ///
 /// Says why it could not.
-pub fn open(address: Option<SocketAddr>) -> Result<(), String> {
-    let builder = PrometheusBuilder::new().set_buckets(&SECONDS).map_err(|it| it.to_string())?;
-    let handle = builder.install_recorder().map_err(|it| it.to_string())?;
+pub fn start(address: Option<SocketAddr>) -> Result<(), String> {
+    let builder = PrometheusBuilder::new()
+        .set_buckets(&LATENCY_BUCKETS)
+        .map_err(|error| error.to_string())?;
+    let handle = builder.install_recorder().map_err(|error| error.to_string())?;
     let upkeep = handle.clone();
     tokio::task::spawn_local(async move {
         loop {
-            tokio::time::sleep(UPKEEP).await;
+            tokio::time::sleep(UPKEEP_INTERVAL).await;
             upkeep.run_upkeep();
         }
     });
@@ -41,10 +44,10 @@
 }
 
 async fn serve(stream: TcpStream, handle: PrometheusHandle) {
-    let mut wire = Connection::new(stream);
-    while wire.head_length().is_none() {
-        let filled = tokio::time::timeout(UPKEEP, wire.fill()).await;
-        if !matches!(filled, Ok(Ok(count)) if count > 0) || wire.buffer.len() > 8 << 10 {
+    let mut connection = Connection::new(stream);
+    while connection.head_length().is_none() {
+        let filled = tokio::time::timeout(UPKEEP_INTERVAL, connection.fill()).await;
+        if !matches!(filled, Ok(Ok(count)) if count > 0) || connection.buffer.len() > 8 << 10 {
             return;
         }
     }
@@ -54,6 +57,6 @@
         text.len()
     );
     // A reader that has gone needs no answer.
-    let _ = wire.send(&[head.as_bytes(), text.as_bytes()].concat()).await;
-    wire.shutdown().await;
+    let _ = connection.send(&[head.as_bytes(), text.as_bytes()].concat()).await;
+    connection.shutdown().await;
 }
--- a/crates/verbenaslip-instance/src/priority_inbox.rs
+++ b/crates/verbenaslip-instance/src/priority_inbox.rs
@@ -25,40 +25,40 @@
 /// an upstream that goes, would be given up by its sender before it is read.
 impl Urgent for Call {
     fn is_urgent(&self) -> bool {
-        !matches!(&self.ask, Request::Announce(announcement) if !announcement.draining)
+        !matches!(&self.request, Request::Announce(announcement) if !announcement.draining)
     }
 }
 
 /// Hands out what has come, the urgent first.
-pub struct Line<T> {
+pub struct PriorityInbox<T> {
     inbox: UnboundedReceiver<T>,
     urgent: VecDeque<T>,
-    other: VecDeque<T>,
+    normal: VecDeque<T>,
 }
 
-impl<T: Urgent> Line<T> {
+impl<T: Urgent> PriorityInbox<T> {
     /// Takes from an inbox.
     pub fn open(inbox: UnboundedReceiver<T>) -> Self {
-        Self { inbox, urgent: VecDeque::new(), other: VecDeque::new() }
+        Self { inbox, urgent: VecDeque::new(), normal: VecDeque::new() }
     }
 
     /// Waits for the next one; none once nothing can come any more.
     ///
     /// Nothing is lost when the wait is given up.
     pub async fn next(&mut self) -> Option<T> {
-        if self.urgent.is_empty() && self.other.is_empty() {
+        if self.urgent.is_empty() && self.normal.is_empty() {
             let item = self.inbox.recv().await?;
-            self.put(item);
+            self.enqueue(item);
         }
         while let Ok(item) = self.inbox.try_recv() {
-            self.put(item);
+            self.enqueue(item);
         }
-        self.urgent.pop_front().or_else(|| self.other.pop_front())
+        self.urgent.pop_front().or_else(|| self.normal.pop_front())
     }
 
     /// Returns how many wait.
     pub fn len(&self) -> usize {
-        self.inbox.len() + self.urgent.len() + self.other.len()
+        self.inbox.len() + self.urgent.len() + self.normal.len()
     }
 
     /// Tells whether none waits.
@@ -66,8 +66,8 @@
         self.len() == 0
     }
 
-    fn put(&mut self, item: T) {
-        let line = if item.is_urgent() { &mut self.urgent } else { &mut self.other };
-        line.push_back(item);
+    fn enqueue(&mut self, item: T) {
+        let queue = if item.is_urgent() { &mut self.urgent } else { &mut self.normal };
+        queue.push_back(item);
     }
 }
--- a/crates/verbenaslip-instance/src/settings.rs
+++ b/crates/verbenaslip-instance/src/settings.rs
@@ -111,9 +111,9 @@
 }
 
 /// Reads a time with a fraction and a unit.
-struct Span(Duration);
+struct DurationValue(Duration);
 
-impl Value for Span {
+impl Value for DurationValue {
     const ALLOWED: &'static str = "a number with a unit, such as 2.5s or 300ms";
 
     fn read(text: &str) -> Option<Self> {
@@ -127,9 +127,9 @@
 }
 
 /// Reads a number that is not negative.
-struct Number(f64);
+struct NonNegativeNumber(f64);
 
-impl Value for Number {
+impl Value for NonNegativeNumber {
     const ALLOWED: &'static str = "a number from 0, such as 0.2";
 
     fn read(text: &str) -> Option<Self> {
@@ -138,9 +138,9 @@
 }
 
 /// Reads a number of upstreams.
-struct Count(u32);
+struct UpstreamCount(u32);
 
-impl Value for Count {
+impl Value for UpstreamCount {
     const ALLOWED: &'static str = "a whole number from 2";
 
     fn read(text: &str) -> Option<Self> {
@@ -149,14 +149,14 @@
 }
 
 /// Reads the content of a request as logs name it.
-struct Content(Fingerprint);
+struct FingerprintValue(Fingerprint);
 
-impl Value for Content {
+impl Value for FingerprintValue {
     const ALLOWED: &'static str = "32 hexadecimal digits, as in `content` of a request's log line";
 
     fn read(text: &str) -> Option<Self> {
-        let whole = text.len() == 32 && text.bytes().all(|it| it.is_ascii_hexdigit());
-        text.parse().ok().filter(|_| whole).map(Self)
+        let is_complete = text.len() == 32 && text.bytes().all(|it| it.is_ascii_hexdigit());
+        text.parse().ok().filter(|_| is_complete).map(Self)
     }
 }
 
@@ -187,11 +187,11 @@
     ///
     /// Lists every problem of the text.
     pub fn parse(text: &str, origin: &Path) -> Result<Self, Invalid> {
-        let Collected { taken, problems } = settings::collect(text, origin, Self::take)?;
+        let Collected { taken, problems } = settings::collect(text, origin, Self::read_from)?;
         if problems.is_empty() { Ok(taken) } else { Err(Invalid { problems }) }
     }
 
-    fn take(reader: &mut Reader<'_>) -> Self {
+    fn read_from(reader: &mut Reader<'_>) -> Self {
         let mut peers = ANY;
         let (mut name, mut zone) = (Name::new("instance"), AvailabilityZone::new("zone"));
         reader.need(Place("instance", "name"), &mut name);
@@ -201,7 +201,7 @@
         reader.list(Place("instance", "seeds"), &mut seeds);
         seeds.iter_mut().for_each(|seed| seed.set_port(peers.port()));
         let mut metrics = ANY;
-        let served = reader.optional("metrics", |reader| {
+        let metrics_section = reader.optional("metrics", |reader| {
             reader.need(Place("metrics", "address"), &mut metrics);
         });
         let settings = Self {
@@ -209,13 +209,13 @@
             zone,
             peers,
             seeds,
-            entry: reader.optional("entry", Entry::take),
-            core: reader.optional("core", Core::take),
-            upstreams: reader.section(Upstreams::take),
-            requests: reader.section(Requests::take),
-            stop: reader.section(Stop::take),
-            cloud: reader.optional("cloud", Cloud::take),
-            metrics: served.map(|()| metrics),
+            entry: reader.optional("entry", Entry::read_from),
+            core: reader.optional("core", Core::read_from),
+            upstreams: reader.section(Upstreams::read_from),
+            requests: reader.section(Requests::read_from),
+            stop: reader.section(Stop::read_from),
+            cloud: reader.optional("cloud", Cloud::read_from),
+            metrics: metrics_section.map(|()| metrics),
         };
         reader.finish();
         settings
@@ -223,7 +223,7 @@
 }
 
 impl Entry {
-    fn take(reader: &mut Reader<'_>) -> Self {
+    fn read_from(reader: &mut Reader<'_>) -> Self {
         let mut entry = Self { callers: ANY, ready: ANY, connections: 3_000 };
         reader.need(Place("entry", "callers"), &mut entry.callers);
         reader.need(Place("entry", "ready"), &mut entry.ready);
@@ -233,7 +233,7 @@
 }
 
 impl Core {
-    fn take(reader: &mut Reader<'_>) -> Self {
+    fn read_from(reader: &mut Reader<'_>) -> Self {
         let mut core = Self { control: ANY, folder: PathBuf::new(), found: false, losses: 1 };
         reader.need(Place("core", "control"), &mut core.control);
         let mut folder = None;
@@ -248,20 +248,21 @@
 }
 
 impl Upstreams {
-    fn take(reader: &mut Reader<'_>) -> Self {
-        let mut announce = Span(Duration::from_millis(1_200));
-        let (mut ratio, mut allowance) = (Number(0.2), Number(50.0));
-        let mut window = Span(Duration::from_secs(5));
-        let mut late = Span(Duration::from_secs(10));
+    fn read_from(reader: &mut Reader<'_>) -> Self {
+        let mut announce = DurationValue(Duration::from_millis(1_200));
+        let (mut retry_ratio, mut retry_allowance) =
+            (NonNegativeNumber(0.2), NonNegativeNumber(50.0));
+        let mut window = DurationValue(Duration::from_secs(5));
+        let mut late = DurationValue(Duration::from_secs(10));
         reader.take(Place("upstreams", "announce"), &mut announce);
-        reader.take(Place("upstreams", "retry_ratio"), &mut ratio);
-        reader.take(Place("upstreams", "retry_allowance"), &mut allowance);
+        reader.take(Place("upstreams", "retry_ratio"), &mut retry_ratio);
+        reader.take(Place("upstreams", "retry_allowance"), &mut retry_allowance);
         reader.take(Place("upstreams", "usage_window"), &mut window);
         reader.take(Place("upstreams", "usage_late"), &mut late);
         Self {
             announce: announce.0,
-            retry_ratio: ratio.0,
-            retry_allowance: allowance.0,
+            retry_ratio: retry_ratio.0,
+            retry_allowance: retry_allowance.0,
             usage_window: window.0,
             usage_late: late.0,
         }
@@ -269,21 +270,26 @@
 }
 
 impl Requests {
-    fn take(reader: &mut Reader<'_>) -> Self {
-        let rule = QuarantinePolicy::default();
-        let (mut crashes, mut hold) = (Count(rule.crash_threshold), Span(rule.hold_time));
-        let (mut lifted, mut forbidden): (Vec<Content>, Vec<Content>) = (Vec::new(), Vec::new());
+    fn read_from(reader: &mut Reader<'_>) -> Self {
+        let default_policy = QuarantinePolicy::default();
+        let (mut crashes, mut hold) = (
+            UpstreamCount(default_policy.crash_threshold),
+            DurationValue(default_policy.hold_time),
+        );
+        let (mut lifted, mut forbidden): (Vec<FingerprintValue>, Vec<FingerprintValue>) =
+            (Vec::new(), Vec::new());
         reader.take(Place("requests", "crashes"), &mut crashes);
         reader.take(Place("requests", "hold"), &mut hold);
         reader.list(Place("requests", "lifted"), &mut lifted);
         reader.list(Place("requests", "forbidden"), &mut forbidden);
-        let fingerprints = |contents: Vec<Content>| contents.into_iter().map(|it| it.0).collect();
+        let fingerprints =
+            |contents: Vec<FingerprintValue>| contents.into_iter().map(|it| it.0).collect();
         let (lifted, forbidden) = (fingerprints(lifted), fingerprints(forbidden));
         Self { crashes: crashes.0, hold: hold.0, lifted, forbidden }
     }
 
     /// Returns the rule by which the leader goes.
-    pub(crate) fn rule(&self) -> QuarantinePolicy {
+    pub(crate) fn quarantine_policy(&self) -> QuarantinePolicy {
         QuarantinePolicy {
             crash_threshold: self.crashes,
             hold_time: self.hold,
@@ -294,17 +300,17 @@
 }
 
 impl Stop {
-    fn take(reader: &mut Reader<'_>) -> Self {
-        let mut grace = Span(Duration::from_secs(8));
+    fn read_from(reader: &mut Reader<'_>) -> Self {
+        let mut grace = DurationValue(Duration::from_secs(8));
         reader.take(Place("stop", "grace"), &mut grace);
         Self { grace: grace.0 }
     }
 }
 
 impl Cloud {
-    fn take(reader: &mut Reader<'_>) -> Self {
+    fn read_from(reader: &mut Reader<'_>) -> Self {
         let mut address = ANY;
-        let mut wait = Span(Duration::from_secs(3));
+        let mut wait = DurationValue(Duration::from_secs(3));
         reader.need(Place("cloud", "address"), &mut address);
         reader.take(Place("cloud", "wait"), &mut wait);
         Self { address, wait: wait.0 }
--- a/crates/verbenaslip-instance/src/signal.rs
+++ b/crates/verbenaslip-instance/src/signal.rs
@@ -21,15 +21,15 @@
 /// # Errors
 ///
 /// Fails when signals can't be taken or no thread can be started.
-pub fn watch(to: UnboundedSender<Signal>) -> io::Result<()> {
+pub fn watch(sender: UnboundedSender<Signal>) -> io::Result<()> {
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
-    let pass = move || {
+    let forward = move || {
         for signal in signals.forever() {
-            let what = if signal == SIGHUP { Signal::Reload } else { Signal::Stop };
+            let message = if signal == SIGHUP { Signal::Reload } else { Signal::Stop };
             // The receiver is gone only when the process ends.
-            let _ = to.send(what);
+            let _ = sender.send(message);
         }
     };
-    thread::Builder::new().name("signals".into()).spawn(pass)?;
+    thread::Builder::new().name("signals".into()).spawn(forward)?;
     Ok(())
 }
--- a/crates/verbenaslip-instance/tests/cloud.rs
+++ b/crates/verbenaslip-instance/tests/cloud.rs
@@ -16,20 +16,20 @@
 use verbenaslip_relay::monotonic;
 
 /// The longest time until it is known that an order has no answer.
-const KNOWN: Duration = Duration::from_millis(2_500);
+const RESULT_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// What the cloud does with a call.
 #[derive(Clone, Copy, Debug)]
-enum Mood {
+enum Behavior {
     Silent,
     Busy,
     Reset,
 }
 
-struct Plain;
+struct TestCodec;
 
-impl Codec for Plain {
-    fn post(&self, _: &Instance, _: &Order) -> Post {
+impl Codec for TestCodec {
+    fn encode_order(&self, _: &Instance, _: &Order) -> Post {
         Post { path: "/order".into(), fields: vec![], body: b"{}".to_vec() }
     }
 
@@ -38,56 +38,67 @@
     }
 }
 
-fn answer(mut stream: TcpStream, mood: Mood) {
+fn answer(mut stream: TcpStream, behavior: Behavior) {
     let mut bytes = [0; 1_024];
     // Whoever has gone needs no answer.
     let _ = stream.read(&mut bytes);
-    match mood {
-        Mood::Silent => std::thread::sleep(KNOWN * 2),
-        Mood::Busy => {
+    match behavior {
+        Behavior::Silent => std::thread::sleep(RESULT_TIMEOUT * 2),
+        Behavior::Busy => {
             let _ = stream.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
         }
-        Mood::Reset => drop(stream),
+        Behavior::Reset => drop(stream),
     }
 }
 
-fn serve(address: SocketAddr, mood: Mood) {
+fn serve(address: SocketAddr, behavior: Behavior) {
     let listener = TcpListener::bind(address).expect("it listens");
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            std::thread::spawn(move || answer(stream, mood));
+            std::thread::spawn(move || answer(stream, behavior));
         }
     });
 }
 
 fn order(id: u64) -> Order {
     let window = Window { number: id, counts: Default::default() };
-    Order { id, fence: 1, valid_until: monotonic::now() + KNOWN * 2, task: Task::Usage(window) }
+    Order {
+        id,
+        fence: 1,
+        valid_until: monotonic::now() + RESULT_TIMEOUT * 2,
+        task: Task::Usage(window),
+    }
 }
 
 #[test]
-fn a_cloud_that_does_not_answer_holds_up_nothing_and_is_given_up_in_time() {
+fn an_unanswered_order_does_not_block_and_times_out() {
     // Symptom: while the cloud's interface is down, callers' answers hang. Sequence: the leader gives it an order
     // that is accepted and never answered, refused, or reset. Cause: a control thread that waits for the cloud.
-    for mood in [Mood::Silent, Mood::Busy, Mood::Reset] {
+    for behavior in [Behavior::Silent, Behavior::Busy, Behavior::Reset] {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.expect("a runtime");
         let local = LocalSet::new();
         local.block_on(&runtime, async {
             let address = port::free().expect("a free port");
-            serve(address, mood);
-            let (ended, mut outcomes) = mpsc::unbounded_channel();
+            serve(address, behavior);
+            let (results, mut received) = mpsc::unbounded_channel();
             let holder = Instance::new("core-1");
-            let cloud = Rc::new(Cloud { address, holder, codec: Arc::new(Plain), ended });
-            let began = Instant::now();
-            (1..=8).for_each(|id| cloud.give(order(id)));
-            assert!(began.elapsed() < KNOWN / 10, "{mood:?}: giving an order waits for its answer");
+            let cloud = Rc::new(Cloud { address, holder, codec: Arc::new(TestCodec), results });
+            let started_at = Instant::now();
+            (1..=8).for_each(|id| cloud.send_order(order(id)));
+            assert!(
+                started_at.elapsed() < RESULT_TIMEOUT / 10,
+                "{behavior:?}: giving an order waits for its answer"
+            );
             for _ in 1..=8 {
-                let ended = tokio::time::timeout(KNOWN, outcomes.recv()).await;
-                let ended = ended.ok().flatten().expect("an outcome in time");
-                let expected =
-                    if matches!(mood, Mood::Busy) { Outcome::Refused } else { Outcome::Unknown };
-                assert_eq!(ended.outcome, expected, "{mood:?}");
+                let result = tokio::time::timeout(RESULT_TIMEOUT, received.recv()).await;
+                let result = result.ok().flatten().expect("an outcome in time");
+                let expected = if matches!(behavior, Behavior::Busy) {
+                    Outcome::Refused
+                } else {
+                    Outcome::Unknown
+                };
+                assert_eq!(result.outcome, expected, "{behavior:?}");
             }
         });
     }
--- a/crates/verbenaslip-instance/tests/line.rs
+++ b/crates/verbenaslip-instance/tests/line.rs
@@ -7,7 +7,7 @@
 use verbenaslip_base::name::{Instance, Upstream};
 use verbenaslip_fleet::frame::{Frame, Request, Response};
 use verbenaslip_instance::control::Call;
-use verbenaslip_instance::priority_inbox::Line;
+use verbenaslip_instance::priority_inbox::PriorityInbox;
 use verbenaslip_replica::entry::Position;
 use verbenaslip_replica::message::{Body, Message};
 use verbenaslip_replica::voter::Identity;
@@ -29,45 +29,46 @@
 }
 
 #[test]
-fn a_vote_is_not_behind_the_reports_that_came_before_it() {
+fn a_vote_overtakes_reports_that_arrived_before_it() {
     // Symptom: after a power loss of all, cores stand for election again and again and none leads for seconds.
     // Sequence: hundreds of entries ask each core who leads; a vote comes while their reports wait. Cause: one
     // line for both, in which the vote waits longer than its sender does.
     let runtime = runtime();
-    let (sender, inbox) = mpsc::unbounded_channel();
-    let mut line = Line::open(inbox);
+    let (sender, receiver) = mpsc::unbounded_channel();
+    let mut queue = PriorityInbox::open(receiver);
     (0..REPORTS).for_each(|token| sender.send(report(token)).expect("it is open"));
-    runtime.block_on(line.next()).expect("a report");
+    runtime.block_on(queue.next()).expect("a report");
     sender.send(vote()).expect("it is open");
-    let next = runtime.block_on(line.next());
+    let next = runtime.block_on(queue.next());
     assert!(matches!(next, Some(Frame::Log { .. })), "{next:?}");
     for expected in 1..REPORTS {
-        let next = runtime.block_on(line.next());
+        let next = runtime.block_on(queue.next());
         let Some(Frame::Response { token, .. }) = next else { panic!("{next:?}") };
         assert_eq!(token, expected, "the others keep their order");
     }
     drop(sender);
-    assert!(runtime.block_on(line.next()).is_none());
+    assert!(runtime.block_on(queue.next()).is_none());
 }
 
 #[test]
-fn an_edit_and_a_leaving_are_not_behind_announcements() {
+fn edits_and_departures_overtake_announcements() {
     // Symptom: an operator's edit is given up by its sender, and a leaving acknowledged after seconds, while
     // upstreams that stay are answered. Sequence: thousands of upstreams call a core that has just become
     // reachable. Cause: calls answered in the order in which they came.
     let runtime = runtime();
-    let (sender, inbox) = mpsc::unbounded_channel();
-    let mut line = Line::open(inbox);
-    let call = |id, ask| Call { id, ask, read: Duration::ZERO };
-    let stays = |id| call(id, Request::Announce(Box::new(announcement(false))));
-    (0..REPORTS).for_each(|id| sender.send(stays(id)).expect("it is open"));
-    let leaving = Request::Withdraw { upstream: Upstream::new("u"), incarnation: None };
+    let (sender, receiver) = mpsc::unbounded_channel();
+    let mut queue = PriorityInbox::open(receiver);
+    let call = |id, request| Call { id, request, received_at: Duration::ZERO };
+    let renewal = |id| call(id, Request::Announce(Box::new(announcement(false))));
+    (0..REPORTS).for_each(|id| sender.send(renewal(id)).expect("it is open"));
+    let departure = Request::Withdraw { upstream: Upstream::new("u"), incarnation: None };
     let urgent =
-        [Request::ReadRouteTable, Request::Announce(Box::new(announcement(true))), leaving];
-    for (id, ask) in (REPORTS..).zip(urgent) {
-        sender.send(call(id, ask)).expect("it is open");
+        [Request::ReadRouteTable, Request::Announce(Box::new(announcement(true))), departure];
+    for (id, request) in (REPORTS..).zip(urgent) {
+        sender.send(call(id, request)).expect("it is open");
     }
-    let ids: Vec<u64> = (0..4).map(|_| runtime.block_on(line.next()).expect("a call").id).collect();
+    let ids: Vec<u64> =
+        (0..4).map(|_| runtime.block_on(queue.next()).expect("a call").id).collect();
     assert_eq!(ids, [REPORTS, REPORTS + 1, REPORTS + 2, 0]);
 }
 
@@ -88,9 +89,10 @@
 }
 
 #[test]
-fn a_call_whose_sender_has_turned_to_another_core_is_stale() {
+fn a_call_is_stale_once_its_sender_has_given_up() {
     // Guards against a core that answers nobody in time because it answers everybody late.
-    let call = Call { id: 1, ask: Request::ReadRouteTable, read: Duration::from_secs(5) };
+    let call =
+        Call { id: 1, request: Request::ReadRouteTable, received_at: Duration::from_secs(5) };
     assert!(!call.is_stale(Duration::from_millis(5_900)));
     assert!(call.is_stale(Duration::from_millis(6_100)));
 }
--- a/crates/verbenaslip-instance/tests/links.rs
+++ b/crates/verbenaslip-instance/tests/links.rs
@@ -12,7 +12,7 @@
 const ROUNDS: u64 = 40;
 const PAUSE: Duration = Duration::from_millis(20);
 
-fn free() -> SocketAddr {
+fn free_address() -> SocketAddr {
     port::free().expect("a free port")
 }
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn instances_that_dial_each_other_at_once_keep_a_connection() {
+fn simultaneous_dials_leave_one_connection() {
     // Symptom: after all cores lost power none of them leads for as long as one looks, and nothing
     // is served. Sequence: all start at the same moment and dial each other at the same moment; each
     // takes the other's connection for the newer one and closes its own, so both are closed; then
@@ -37,22 +37,22 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.expect("a runtime");
     let local = LocalSet::new();
-    let (to_one, to_other, dials) = local.block_on(&runtime, async {
-        let (one, other) = (free(), free());
-        let (one_in, mut one_inbox) = mpsc::unbounded_channel();
-        let (other_in, mut other_inbox) = mpsc::unbounded_channel();
-        let first = Links::bind(one, one_in).expect("it listens");
-        let second = Links::bind(other, other_in).expect("it listens");
+    let (to_one, to_other, dial_count) = local.block_on(&runtime, async {
+        let (one, other) = (free_address(), free_address());
+        let (one_sender, mut one_inbox) = mpsc::unbounded_channel();
+        let (other_sender, mut other_inbox) = mpsc::unbounded_channel();
+        let first = Links::bind(one, one_sender).expect("it listens");
+        let second = Links::bind(other, other_sender).expect("it listens");
         for round in 0..ROUNDS {
             first.send(other, &frame(round));
             second.send(one, &frame(round));
             tokio::time::sleep(PAUSE).await;
         }
         tokio::time::sleep(PAUSE * 10).await;
-        let dials = first.dials() + second.dials();
-        (received(&mut one_inbox), received(&mut other_inbox), dials)
+        let dial_count = first.dial_count() + second.dial_count();
+        (received(&mut one_inbox), received(&mut other_inbox), dial_count)
     });
-    assert!(dials <= 4, "{dials} connections for two instances");
+    assert!(dial_count <= 4, "{dial_count} connections for two instances");
     // Frames of the first moment may be lost with a connection that gives way, later ones not.
     for tokens in [to_one, to_other] {
         let late = tokens.iter().filter(|token| **token >= 2).count() as u64;
@@ -61,18 +61,18 @@
 }
 
 #[test]
-fn an_instance_that_starts_again_is_reached_again() {
+fn a_restarted_instance_is_reachable_again() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.expect("a runtime");
     let local = LocalSet::new();
     let tokens = local.block_on(&runtime, async {
-        let (one, other) = (free(), free());
-        let (one_in, _one_inbox) = mpsc::unbounded_channel();
-        let first = Links::bind(one, one_in).expect("it listens");
+        let (one, other) = (free_address(), free_address());
+        let (one_sender, _one_inbox) = mpsc::unbounded_channel();
+        let first = Links::bind(one, one_sender).expect("it listens");
         first.send(other, &frame(0));
         tokio::time::sleep(PAUSE * 5).await;
-        let (other_in, mut other_inbox) = mpsc::unbounded_channel();
-        let _second = Links::bind(other, other_in).expect("it listens");
+        let (other_sender, mut other_inbox) = mpsc::unbounded_channel();
+        let _second = Links::bind(other, other_sender).expect("it listens");
         for round in 1..=20 {
             first.send(other, &frame(round));
             tokio::time::sleep(PAUSE).await;
--- a/crates/verbenaslip-instance/tests/settings.rs
+++ b/crates/verbenaslip-instance/tests/settings.rs
@@ -10,13 +10,13 @@
 [upstreams]\nannounce = 1200ms\nretry_ratio = 0.2\nretry_allowance = 52\nusage_window = 2.5s\n\
 [stop]\ngrace = 8s\n[cloud]\naddress = 10.9.0.1:80\nwait = 3000ms\n";
 
-fn read(text: &str) -> Result<Settings, String> {
+fn parse(text: &str) -> Result<Settings, String> {
     Settings::parse(text, Path::new("e.ini")).map_err(|invalid| invalid.to_string())
 }
 
 #[test]
-fn an_entry_has_what_its_file_says() {
-    let settings = read(ENTRY).expect("it is valid");
+fn the_settings_of_an_entry_are_read() {
+    let settings = parse(ENTRY).expect("it is valid");
     assert_eq!(settings.seeds[1], ([10, 0, 0, 2], 7_600).into(), "the port is that of peers");
     assert_eq!(settings.upstreams.usage_window, Duration::from_millis(2_500));
     assert_eq!(settings.upstreams.usage_late, Duration::from_secs(10), "by default");
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn every_wrong_value_is_named_with_what_is_allowed() {
+fn an_invalid_value_is_reported_with_the_allowed_values() {
     for (from, to, reason) in [
         ("zone = north\n", "", "[instance] zone - it is missing"),
         ("10.0.0.7:8221", "somewhere", "[entry] callers = `somewhere` - it must be an IP number"),
@@ -43,16 +43,16 @@
         ),
         ("[stop]", "[stop]\nunknown = 1", "[stop] unknown - there is no such key"),
     ] {
-        let problem = read(&ENTRY.replace(from, to)).expect_err(reason);
+        let problem = parse(&ENTRY.replace(from, to)).expect_err(reason);
         assert!(problem.contains(reason), "{problem} for {reason}");
     }
 }
 
 #[test]
-fn an_operator_lifts_and_forbids_requests_as_logs_name_them() {
+fn lifted_requests_are_given_by_fingerprint() {
     let content = "05edc73fd10efbe175ce22ccbf8833e7";
     let section = format!("[requests]\ncrashes = 4\nhold = 90s\nlifted = {content}\n[stop]");
-    let settings = read(&ENTRY.replace("[stop]", &section)).expect("it is valid");
+    let settings = parse(&ENTRY.replace("[stop]", &section)).expect("it is valid");
     assert_eq!((settings.requests.crashes, settings.requests.hold), (4, Duration::from_secs(90)));
     let lifted: Vec<String> = settings.requests.lifted.iter().map(ToString::to_string).collect();
     assert_eq!(lifted, [content]);
