--- a/crates/verbenaslip-instance/src/cloud.rs
+++ b/crates/verbenaslip-instance/src/cloud.rs
@@ -1,4 +1,4 @@
-//! Gives the cloud its orders.
+//! Sends orders to the cloud.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,55 +15,55 @@
 
 use crate::event;
 
-/// How long the cloud may take to accept a connection, and to answer.
+/// Time limit for the connection to the cloud, and again for its answer.
 const TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The longest head of an answer.
+/// Maximum size of the head of an answer.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// Holds a call to the cloud.
+/// HTTP POST request to the cloud.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Post {
-    /// The path.
+    /// Path of the request.
     pub path: String,
-    /// The header fields beside the usual ones.
+    /// Header fields in addition to the usual ones.
     pub fields: Vec<(String, String)>,
-    /// The body, in JSON.
+    /// Body in JSON.
     pub body: Vec<u8>,
 }
 
-/// Knows the cloud's calls and their formats; decides nothing.
+/// Adapter that knows the paths and formats of the cloud; it makes no decisions.
 pub trait Codec: Send + Sync {
-    /// Writes an order of the holder of the duty.
+    /// Encodes an order that is sent by the instance `holder`.
     fn encode_order(&self, holder: &Instance, order: &Order) -> Post;
 
-    /// Reads the answer's status.
+    /// Returns the outcome that a status of the answer stands for.
     fn outcome(&self, status: u16) -> Outcome;
 }
 
-/// Tells what became of an order.
+/// Result of an order.
 #[derive(Clone, Copy, Debug)]
 pub struct OrderResult {
-    /// The order.
+    /// Number of the order.
     pub id: u64,
-    /// What became of it.
+    /// Outcome of the order.
     pub outcome: Outcome,
 }
 
-/// Calls the cloud.
+/// Client of the cloud.
 pub struct Cloud {
-    /// Where it is reached.
+    /// Address of the cloud.
     pub address: SocketAddr,
-    /// The name of this instance.
+    /// Name of this instance.
     pub holder: Instance,
-    /// Its formats.
+    /// Adapter for the formats of the cloud.
     pub codec: Arc<dyn Codec>,
-    /// Takes what became of orders.
+    /// Receives the results of orders.
     pub results: UnboundedSender<OrderResult>,
 }
 
 impl Cloud {
-    /// Gives an order, without waiting for it.
+    /// Sends an order in a task of its own; the result is sent to `results`.
     pub fn send_order(self: &Rc<Self>, order: Order) {
         let cloud = self.clone();
         tokio::task::spawn_local(async move {
@@ -78,7 +78,7 @@
                     ("status", json!(status)),
                 ],
             );
-            // The control thread is gone only when the process ends.
+            // The receiver is closed only when the process ends.
             let _ = cloud.results.send(OrderResult { id: order.id, outcome });
         });
     }
@@ -95,8 +95,8 @@
         head.push_str(&format!("Content-Length: {}\r\n\r\n", post.body.len()));
         let mut bytes = head.into_bytes();
         bytes.extend_from_slice(&post.body);
-        // The process may have been frozen since the order was made, and another instance may hold
-        // the duty by now. The cloud does not check, so the lease is looked at last of all.
+        // The process may have been paused since the order was made, and another instance may be the leader by now.
+        // The cloud does not check that, so the lease is checked as late as possible.
         if monotonic::now() >= order.valid_until {
             return None;
         }
--- a/crates/verbenaslip-instance/src/control.rs
+++ b/crates/verbenaslip-instance/src/control.rs
@@ -1,4 +1,4 @@
-//! The face for operators and upstreams: their calls as typed messages.
+//! HTTP server for operators and upstreams, whose calls it decodes into typed requests.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,73 +20,73 @@
 
 use crate::event;
 
-/// How long a call may wait for its answer; the decisions answer sooner.
+/// Maximum time that a call waits for its answer; the state machine answers sooner.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The most calls at once; beyond that a caller turns to another core. After a power loss of all, each of 3,000
-/// upstreams calls one of five cores while there is no leader yet.
+/// Maximum number of pending calls; further callers are refused and turn to another core. After a power loss of
+/// all cores, each of 3,000 upstreams calls one of five cores while there is no leader.
 const MAX_PENDING_CALLS: usize = 2_048;
 
-/// Calls that are read at the same time. Thousands of upstreams may call at once; read as they come, each would
-/// take its turn before the next message of the log, whose lease then lapses. One would notice a leader that
-/// loses and regains it several times a second just after a power loss of all.
+/// Maximum number of calls that are read at the same time. Thousands of upstreams may call at once; without this
+/// limit, all of them would be read before the next message of the log, and the leader's lease would expire several
+/// times a second just after a power loss of all cores.
 const MAX_CONCURRENT_READS: usize = 4;
 
-/// How long a call that is not whole keeps its turn: callers send it in one piece.
+/// Time after which an incomplete call releases its read permit; callers usually send a call in one piece.
 const READ_PERMIT_TIME: Duration = Duration::from_millis(20);
 
-/// A caller that has waited so long for its turn has turned to another core: it waits for an answer for 1 s.
+/// Age after which a call is stale: its sender waits 1 s for an answer and then turns to another core.
 const MAX_CALL_AGE: Duration = Duration::from_millis(900);
 
-/// The largest body of a call.
+/// Maximum size of the body of a call.
 const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// Holds an answer as it goes to its caller.
+/// HTTP answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// The status.
+    /// HTTP status code.
     pub status: u16,
-    /// The body, in JSON.
+    /// Body in JSON.
     pub body: Vec<u8>,
 }
 
-/// Knows a deployment's calls and their formats; decides nothing.
+/// Adapter that knows the paths and formats of a deployment's calls; it makes no decisions.
 pub trait Codec: Send + Sync {
-    /// Reads a call.
+    /// Decodes a call.
     ///
     /// # Errors
     ///
-    /// Returns the answer to a call that can't be read.
+    /// Returns the answer to a call that can't be decoded.
     fn decode(&self, call: &Message) -> Result<Request, Answer>;
 
-    /// Writes the answer to a call.
+    /// Encodes the answer to a call.
     fn encode(&self, response: &Response) -> Answer;
 }
 
-/// Asks the decisions for something.
+/// Call that waits for its response.
 #[derive(Debug)]
 pub struct Call {
-    /// Names the call in its answer.
+    /// Number of the call, to be given to [`ControlServer::answer`].
     pub id: u64,
-    /// What is asked.
+    /// Decoded request.
     pub request: Request,
-    /// When it was read.
+    /// Time at which the call was read, by the monotonic clock.
     pub received_at: Duration,
 }
 
 impl Call {
-    /// Tells whether its sender has turned to another core, so that an answer would reach nobody.
+    /// Returns whether the sender has turned to another core, so that no answer would reach it.
     pub fn is_stale(&self, now: Duration) -> bool {
         now.saturating_sub(self.received_at) > MAX_CALL_AGE
     }
 }
 
-/// Takes calls and gives them their answers.
+/// Server that passes calls on and sends their answers.
 pub struct ControlServer {
     shared: Rc<Shared>,
 }
 
-/// Holds who waits for the answer to each call.
+/// Senders of the responses to pending calls, by call number.
 type PendingCalls = HashMap<u64, oneshot::Sender<Response>>;
 
 struct Shared {
@@ -98,13 +98,13 @@
     read_permits: Semaphore,
 }
 
-/// Refused calls that are logged in a second; a caller that repeats a malformed one sends it many times.
+/// Maximum number of refused calls logged per second; a caller may repeat a malformed call many times.
 const MAX_LINES_PER_SECOND: u32 = 10;
 
-/// The longest part of a call's target in a log line, in characters.
+/// Maximum length of a call's target in a log line, in characters.
 const MAX_TARGET_CHARS: usize = 120;
 
-/// Bounds the log lines about calls that can't be read.
+/// Rate-limited log of calls that can't be read.
 #[derive(Default)]
 struct RefusalLog {
     second: Cell<u64>,
@@ -113,7 +113,7 @@
 }
 
 impl RefusalLog {
-    /// Writes why a call was refused, unless enough was written in this second.
+    /// Logs why a call was refused, unless the limit of this second is reached.
     fn log(&self, call: &Message, answer: &Answer) {
         let second = monotonic::now().as_secs();
         if self.second.replace(second) != second {
@@ -139,11 +139,11 @@
 }
 
 impl ControlServer {
-    /// Listens for calls, which are given to `calls`.
+    /// Listens for calls and passes them to `calls`.
     ///
     /// # Errors
     ///
-    /// Fails when the address can't be listened on.
+    /// Returns an error if the address can't be bound.
     pub fn bind(
         address: SocketAddr,
         codec: Arc<dyn Codec>,
@@ -163,10 +163,10 @@
         Ok(Self { shared })
     }
 
-    /// Answers a call.
+    /// Sends the response to a pending call.
     pub fn answer(&self, id: u64, response: Response) {
         if let Some(sender) = self.shared.pending.borrow_mut().remove(&id) {
-            // A caller that has gone meanwhile needs no answer.
+            // The caller may have closed the connection.
             let _ = sender.send(response);
         }
     }
@@ -208,14 +208,15 @@
 }
 
 impl Shared {
-    /// Reads a call once it is its turn; none where the caller has gone, or has waited for too long.
+    /// Reads a call once a read permit is free; returns `None` if the caller has closed the connection or the wait
+    /// was too long.
     async fn read_call(
         &self,
         connection: &mut Connection,
         limits: &RequestLimits,
     ) -> Result<Option<Message>, MessageError> {
         let since = monotonic::now();
-        // Nobody closes the turns.
+        // The semaphore is never closed.
         let permit = self.read_permits.acquire().await;
         if monotonic::now().saturating_sub(since) > MAX_CALL_AGE {
             return Ok(None);
--- a/crates/verbenaslip-instance/src/core.rs
+++ b/crates/verbenaslip-instance/src/core.rs
@@ -31,45 +31,45 @@
 use crate::settings::{self, Settings};
 use crate::signal::Signal;
 
-/// The longest time between two steps.
+/// Maximum time between two ticks of the state machine.
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Between two tries to open a folder that has failed.
+/// Time between two attempts to reopen a data directory that has failed.
 const REOPEN_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a stop waits for another core to lead and for open calls.
+/// Maximum time that a stop waits for another core to become leader and for pending calls.
 const HANDOVER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// How long the last messages of a core may take to leave.
+/// Time that the connections get to send the last messages of a stopping core.
 const FLUSH_TIME: Duration = Duration::from_millis(20);
 
-/// Between two heartbeats of the log's leader.
+/// Time between two heartbeats of the log's leader.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The shortest time without a leader after which a core stands for election: four heartbeats, and
-/// over a hundred times the way between two zones. After a power loss of all, callers get nothing for
-/// this time and up to as much again.
+/// Minimum time without a leader after which a core stands for election: four heartbeats, and more than a
+/// hundred times the latency between two availability zones. After a power loss of all cores, callers get no
+/// answer for this time, and for up to as long again.
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long a new voter may take to copy the log: a few megabytes at most.
+/// Maximum time that a new voter may take to copy the log, which has a few megabytes at most.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The longest time that counts are awaited after the end of a window.
+/// Maximum time after the end of a usage window during which the leader waits for counts.
 const COUNT_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Ports that know the deployment's formats.
+/// Adapters that know the deployment's formats.
 #[derive(Clone)]
 pub struct Ports {
-    /// For calls of operators and upstreams.
+    /// Adapter for calls of operators and upstreams.
     pub control: Arc<dyn control::Codec>,
-    /// For orders to the cloud.
+    /// Adapter for orders to the cloud.
     pub cloud: Arc<dyn cloud::Codec>,
 }
 
-/// Says why a core did not start.
+/// Reason why a core did not start.
 #[derive(Debug, Display)]
 pub enum Error {
-    /// the folder can't be used: {0}
+    /// the data directory can't be used: {0}
     DataDirectory(StorageError),
     /// can't listen on {0}: {1}
     Listen(SocketAddr, std::io::Error),
@@ -79,7 +79,7 @@
 
 impl std::error::Error for Error {}
 
-/// Runs a core until it is stopped.
+/// A running core.
 pub(crate) struct Core {
     settings: Settings,
     core_settings: settings::Core,
@@ -95,7 +95,7 @@
     load: LoadStats,
 }
 
-/// Holds what wakes a core.
+/// Channels from which a core receives its messages.
 struct Inbox {
     frames: PriorityInbox<Frame>,
     calls: PriorityInbox<Call>,
@@ -103,7 +103,7 @@
     order_results: UnboundedReceiver<OrderResult>,
 }
 
-/// Says what woke a core.
+/// Message or timeout that a core handles next.
 enum Wakeup {
     Frame(Frame),
     Call(Call),
@@ -117,7 +117,7 @@
 ///
 /// # Errors
 ///
-/// Says why it did not start.
+/// Returns why the core did not start.
 pub(crate) async fn run(
     settings: Settings,
     core_settings: settings::Core,
@@ -160,7 +160,7 @@
     core.open_data_directory(true)?;
     loop {
         if core.is_over() {
-            // What entries are told on the way out leaves by the connections' own tasks.
+            // The tasks of the connections send the last messages to the entries.
             tokio::time::sleep(FLUSH_TIME).await;
             return Ok(());
         }
@@ -183,8 +183,7 @@
     }
 }
 
-/// Takes what another instance or somebody outside says, by chance whose turn it is where both wait: neither
-/// keeps the other waiting for long.
+/// Returns the next frame or call. The two are polled in random order, so that neither starves the other.
 async fn next_message(
     frames: &mut PriorityInbox<Frame>,
     calls: &mut PriorityInbox<Call>,
@@ -197,7 +196,7 @@
 }
 
 impl Core {
-    /// Opens the folder and starts the decisions from what it holds.
+    /// Opens the data directory and starts the state machine from its contents.
     fn open_data_directory(&mut self, first: bool) -> Result<(), Error> {
         let (data_directory, recovered) =
             DataDirectory::open(&self.core_settings.folder).map_err(Error::DataDirectory)?;
@@ -214,8 +213,8 @@
             incarnation: self.incarnation,
             voter: Some(Voter { instance, identity }),
         };
-        // Only at the very first start, and only on the seeds: whoever joins later, or comes back
-        // with an empty folder, must not found a second log beside the first.
+        // Only the seeds create the log, and only at the first start of the fleet: an instance that joins later or
+        // returns with an empty data directory must not create a second log.
         let is_founder =
             first && self.core_settings.found && settings.seeds.contains(&settings.peers);
         let setup = Setup {
@@ -276,10 +275,10 @@
         }
     }
 
-    /// Takes a call, unless its sender waits no more.
+    /// Handles a call, unless it is stale.
     ///
-    /// A core that has more calls than it can answer in time would else work for nobody: each sender turns to another
-    /// core, which has as many, and none ever catches up.
+    /// A core that gets more calls than it can answer in time would otherwise spend all its time on stale calls: each
+    /// sender turns to another core, which is as overloaded, and no core ever catches up.
     fn handle_call(&mut self, call: Call) {
         let now = monotonic::now();
         let stale = call.is_stale(now);
@@ -294,11 +293,11 @@
         self.step(Input::Call { id: call.id, request: call.request });
     }
 
-    /// Goes on without a disk until it can be opened again.
+    /// Stops the state machine until the data directory can be reopened.
     ///
-    /// After a failed write nobody knows what is on the disk. Voting on from memory would promise
-    /// what may be lost; ending the process would only have it start on the same disk. So the
-    /// decisions start anew from what the folder holds, as after a restart, once it opens.
+    /// After a failed write, the contents of the disk are unknown. A core that kept voting from memory could promise
+    /// what is then lost, and a restarted process would use the same disk. So once the data directory can be opened,
+    /// a new state machine starts from its contents, as after a restart.
     fn handle_disk_failure(&mut self, error: &StorageError) {
         event_log::emit(event::DISK_FAILED, [("cause", json!(error.to_string()))]);
         self.state_machine = None;
@@ -356,7 +355,7 @@
         }
     }
 
-    /// Says what this core had to do in the second that is over, if it leads.
+    /// Logs the load of the last second if this core leads.
     fn log_load(&mut self, waiting: [usize; 2]) {
         let leads = self.state_machine.as_ref().is_some_and(StateMachine::is_leading);
         self.load.log_if_due(monotonic::now(), leads, waiting);
@@ -375,7 +374,7 @@
     }
 }
 
-/// Counts what this core did for the leader: too often for lines in the log.
+/// Counts the renewal marks of a heartbeat in a metric, since they are too frequent for log lines.
 fn count_renewal_marks(frame: &Frame) {
     if let Frame::Heartbeat(heartbeat) = frame {
         metrics::counter!("verbenaslip_announcements_vouched_total")
@@ -383,13 +382,13 @@
     }
 }
 
-/// Draws what nobody can foresee, from what the standard library has of the system's random numbers.
+/// Returns an unpredictable number, from the system's random numbers as the standard library exposes them.
 fn secret() -> u128 {
     let random_word = |it: u64| u128::from(RandomState::new().hash_one(it));
     random_word(1) << 64 | random_word(2)
 }
 
-/// Seeds random choices differently on each instance and start.
+/// Returns a seed for random choices that differs between instances and starts.
 fn seed(settings: &Settings, unix_ms: u64) -> u64 {
     let name = settings.name.as_str().as_bytes();
     verbenaslip_base::hash::narrow(&[
--- a/crates/verbenaslip-instance/src/disk.rs
+++ b/crates/verbenaslip-instance/src/disk.rs
@@ -1,7 +1,7 @@
-//! The thread that writes and syncs the folder of the replicated log.
+//! The thread that writes the replicated log to its data directory and syncs it.
 //!
-//! A sync can take long, and a disk can hang for seconds; neither may hold up the control thread.
-//! All writes that have gathered during one sync share the next.
+//! A sync can take long, and a disk can hang for seconds; neither may block the control thread.
+//! All writes that arrive during one sync share the next sync.
 
 use std::io;
 use std::thread;
@@ -10,26 +10,26 @@
 use tokio::sync::mpsc::UnboundedSender;
 use verbenaslip_replica::storage::{Error, Storage, Write};
 
-/// Says what became of writes.
+/// Outcome of writes.
 #[derive(Debug)]
 pub enum Outcome {
-    /// All writes up to this mark are durable.
+    /// All writes up to this sequence number are durable.
     Stored(u64),
-    /// A write failed: nobody knows what of it is on the disk.
+    /// A write or a sync failed; it is unknown how much of it is on the disk.
     Failed(Error),
 }
 
-/// Writes to a folder; dropping it ends the thread after what was given.
+/// Handle of the disk thread; dropping it ends the thread after all queued writes.
 pub struct Disk {
     writes: Sender<(u64, Write)>,
 }
 
 impl Disk {
-    /// Starts the thread.
+    /// Starts the disk thread, which sends the outcomes of writes to `outcomes`.
     ///
     /// # Errors
     ///
-    /// Fails when no thread can be started.
+    /// Returns an error if the thread can't be started.
     pub fn spawn(
         mut storage: impl Storage + 'static,
         outcomes: UnboundedSender<Outcome>,
@@ -37,16 +37,16 @@
         let (writes, queue) = channel::unbounded();
         thread::Builder::new().name("disk".into()).spawn(move || {
             if let Err(error) = run(&mut storage, &queue, &outcomes) {
-                // The control thread is gone only when the process ends.
+                // The receiver is closed only when the process ends.
                 let _ = outcomes.send(Outcome::Failed(error));
             }
         })?;
         Ok(Self { writes })
     }
 
-    /// Gives a write; its mark comes back once it is durable.
+    /// Queues a write; its sequence number is reported once it is durable.
     pub fn write(&self, sequence: u64, write: Write) {
-        // The thread has ended only after a failure, which it has told.
+        // The thread ends early only after a failure, which it has reported.
         let _ = self.writes.send((sequence, write));
     }
 }
--- a/crates/verbenaslip-instance/src/entry.rs
+++ b/crates/verbenaslip-instance/src/entry.rs
@@ -26,16 +26,16 @@
 use crate::signal::Signal;
 use crate::stop::{Phase, Stop};
 
-/// The longest time between two looks at what is due.
+/// Maximum time between two checks for work that is due.
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// After this silence the leader counts as lost, for the log and for reading the settings again.
+/// Time without an update after which the leader counts as lost; the loss is logged and the settings are read again.
 const LEADER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long the last message of an entry may take to leave.
+/// Time that the connections get to send the last message of a stopping entry.
 const FLUSH_TIME: Duration = Duration::from_millis(20);
 
-/// Says why an entry did not start.
+/// Reason why an entry did not start.
 #[derive(Debug, Display)]
 pub enum Error {
     /// can't listen for callers on {0} or for probes on {1}: {2}
@@ -50,7 +50,7 @@
 ///
 /// # Errors
 ///
-/// Says why it did not start.
+/// Returns why the entry did not start.
 pub(crate) async fn run(
     settings: Settings,
     entry: settings::Entry,
@@ -146,13 +146,13 @@
         self.send(envelope);
     }
 
-    /// Takes what requests met, to be told to the leader.
+    /// Records the crashes and answers that requests have observed, for the next report to the leader.
     fn collect_observations(&mut self) {
         let Observations { crashes, answers } = self.shared.take_observations();
         self.state_machine.record_outcomes(monotonic::now(), crashes, answers);
     }
 
-    /// Asks the leader for what requests need of their teams' limits.
+    /// Asks the leader for the loans that requests need from the rate limits of their teams.
     fn request_loans(&self) {
         let envelope =
             self.state_machine.request_loans(monotonic::now(), self.shared.take_loan_requests());
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Notices the loss of the leader, and looks for other addresses to join through.
+    /// Logs the loss and the return of the leader, and reloads the seeds while the leader is lost.
     fn watch_leader(&mut self, reload: &impl Fn() -> Option<Settings>) {
         let now = monotonic::now();
         let last_heard_at = self.state_machine.view().leader_heard_at;
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Returns when something is due next.
+    /// Returns the time at which the next work is due.
     fn next_wakeup(&self) -> Duration {
         let next_phase = self.stop.map(|stop| stop.next_phase_at(monotonic::now()));
         self.state_machine.next_wakeup().min(next_phase.unwrap_or(Duration::MAX))
@@ -239,13 +239,13 @@
         }
     }
 
-    /// Has whoever hears this entry know that it ends.
+    /// Tells the other instances that this entry ends, and waits until the notice has been sent.
     async fn send_stop_notice(&self) {
         self.send(self.state_machine.stop_notice(monotonic::now()));
         tokio::time::sleep(FLUSH_TIME).await;
     }
 
-    /// Goes on with a stop; tells whether it may end.
+    /// Advances a planned stop, and returns whether the entry may end.
     fn advance_stop(&self) -> bool {
         let Some(stop) = self.stop else { return false };
         let phase = stop.phase(monotonic::now(), self.server.active_requests());
--- a/crates/verbenaslip-instance/src/instance.rs
+++ b/crates/verbenaslip-instance/src/instance.rs
@@ -1,4 +1,4 @@
-//! Starts what the settings say, and waits for its end.
+//! Starts an instance in its configured role, and runs it until it ends.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -16,13 +16,13 @@
 use crate::settings::Settings;
 use crate::{core, entry, metric, signal};
 
-/// Runs one instance on the thread that opens it.
+/// An instance whose settings have been read.
 pub struct Instance {
     path: PathBuf,
     settings: Settings,
 }
 
-/// Says why an instance did not start.
+/// Reason why an instance did not start.
 #[derive(Debug, Display)]
 pub enum Error {
     /// {0}
@@ -40,22 +40,22 @@
 impl std::error::Error for Error {}
 
 impl Instance {
-    /// Reads the settings.
+    /// Reads the settings of an instance.
     ///
     /// # Errors
     ///
-    /// Lists every problem of the settings.
+    /// Returns all problems of the settings.
     pub fn open(path: impl Into<PathBuf>) -> Result<Self, Error> {
         let path = path.into();
         let settings = Settings::read(&path).map_err(Error::Settings)?;
         Ok(Self { path, settings })
     }
 
-    /// Runs the instance until it is stopped.
+    /// Runs the instance on the current thread until it is stopped.
     ///
     /// # Errors
     ///
-    /// Says why it did not start.
+    /// Returns why the instance did not start.
     pub fn run(self, dialect: Arc<dyn Dialect>, ports: Ports) -> Result<(), Error> {
         event_log::start().map_err(Error::Thread)?;
         let (signal_sender, signals) = mpsc::unbounded_channel();
@@ -80,7 +80,7 @@
     ) -> Result<(), Error> {
         let Self { path, settings } = self;
         if let Err(problem) = metric::start(settings.metrics) {
-            // Callers are better served without metrics than not at all.
+            // Serving callers without metrics is better than not serving them.
             event_log::emit(event::METRICS_UNAVAILABLE, [("problem", json!(problem))]);
         }
         event_log::emit(
--- a/crates/verbenaslip-instance/src/lib.rs
+++ b/crates/verbenaslip-instance/src/lib.rs
@@ -1,14 +1,14 @@
-//! One instance of a fleet as a running whole: settings, sockets, disk, threads.
+//! Runs one instance of a fleet: settings, sockets, storage and threads.
 //!
-//! [`settings`] says who the instance is. [`Instance::open`] starts what it is set to be: an
-//! [`entry`] forwards requests, a [`core`] votes on the replicated log and answers operators and
-//! upstreams. Both own their decisions on one control thread and speak with the other instances
-//! over [`links`]; a core takes what has come in the order of [`priority_inbox`]; an entry's traffic has a thread of its own, a core's disk too ([`disk`]). [`stop`]
-//! says how far an entry's planned stop is.
+//! [`settings`] reads the settings file. [`Instance::open`] reads the settings of an instance, and
+//! [`Instance::run`] starts it in the configured role: an [`entry`] forwards requests, and a [`core`] votes on the
+//! replicated log and answers operators and upstreams. Each role runs its state machine on one control thread and
+//! exchanges frames with other instances over [`links`]. A core handles incoming messages in the order of
+//! [`priority_inbox`]. The traffic of an entry and the storage of a core ([`disk`]) have threads of their own.
+//! [`stop`] computes the phases of an entry's planned stop.
 //!
-//! Whatever knows a deployment's names and formats comes in through ports: the relay's
-//! `Dialect` for requests, [`control::Codec`] for calls of operators and upstreams, [`cloud::Codec`]
-//! for orders to the cloud.
+//! Names and formats of a deployment are supplied by adapters: the relay's `Dialect` for requests,
+//! [`control::Codec`] for calls of operators and upstreams, and [`cloud::Codec`] for orders to the cloud.
 
 pub mod cloud;
 pub mod control;
--- a/crates/verbenaslip-instance/src/links.rs
+++ b/crates/verbenaslip-instance/src/links.rs
@@ -1,8 +1,8 @@
 //! Connections between the instances of a fleet.
 //!
-//! Frames travel both ways on one connection, whoever dialled it. A frame for an instance without a
-//! connection is kept while one is dialled; frames may be lost when a connection ends, and what
-//! they said is said again by the decisions.
+//! A connection carries frames in both directions, no matter which side dialed it. Frames for an instance without
+//! a connection are queued while a connection is dialed. Frames may be lost when a connection ends; the state
+//! machines repeat what they contained.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,29 +20,29 @@
 use verbenaslip_fleet::frame::Frame;
 use verbenaslip_relay::{monotonic, socket};
 
-/// Opens every connection: the protocol's name and version.
+/// First bytes of every connection: the name and version of the protocol.
 const MAGIC: &[u8; 4] = b"VSF1";
 
-/// Frames that may wait for a connection; beyond that the other side is not reading.
+/// Maximum number of frames that wait for a connection; a peer with more is not reading.
 const QUEUE_CAPACITY: usize = 256;
 
-/// The largest frame: a route table with its document, twice over.
+/// Maximum size of a frame: twice that of a route table with its document.
 const MAX_FRAME_BYTES: usize = 32 << 20;
 
-/// How long a new connection may take.
+/// Time limit for dialing a connection; the peer's handshake may take four times as long.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// After this silence of an instance that is spoken to, its connection is given up for a new one.
-/// Whoever is spoken to answers within 250 ms, so this is several answers missed.
+/// Time after which an instance that does not answer counts as unresponsive and its connection is replaced.
+/// Instances answer within 250 ms, so several answers are missing by then.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_100);
 
-/// Connections begun within this time of each other may be so at both ends for the same reason.
+/// Time within which two connections count as dialed simultaneously by both sides.
 const SIMULTANEOUS_DIAL_TIME: Duration = Duration::from_secs(2);
 
-/// After this silence a connection that is no longer sent on is closed.
+/// Time without received frames after which a connection that is no longer used for sending is closed.
 const UNUSED_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Passes frames to and from other instances.
+/// Sends frames to other instances and receives theirs.
 pub struct Links {
     shared: Rc<Shared>,
 }
@@ -57,27 +57,27 @@
 
 struct Link {
     id: u64,
-    /// Whether this instance has begun it.
+    /// Whether this instance has dialed the connection.
     dialed: bool,
     sender: Sender<Bytes>,
     opened_at: Duration,
     last_received_at: Rc<Cell<Duration>>,
-    /// When the first frame was sent that nothing has followed.
+    /// Time of the first frame sent after the last received one.
     unanswered_since: Cell<Duration>,
 }
 
 impl Link {
-    /// Notes that a frame is sent.
+    /// Records that a frame is sent.
     fn record_sent(&self, now: Duration) {
         if self.unanswered_since.get() <= self.last_received_at.get() {
             self.unanswered_since.set(now);
         }
     }
 
-    /// Tells whether what was sent has been followed by nothing for too long.
+    /// Returns whether nothing has been received for too long after a frame was sent.
     ///
-    /// A connection on which nothing was sent may be silent for as long as it likes: a core that passes updates on
-    /// to its entries from time to time would else dial all of them anew each time.
+    /// A connection without sent frames may stay silent for any time: a core that sends updates to its entries only
+    /// now and then would otherwise redial all of them each time.
     fn is_unresponsive(&self, now: Duration) -> bool {
         let unanswered_since = self.unanswered_since.get();
         unanswered_since > self.last_received_at.get()
@@ -86,11 +86,11 @@
 }
 
 impl Links {
-    /// Listens for other instances; frames that come are given to `inbox`.
+    /// Listens for other instances, and passes received frames to `inbox`.
     ///
     /// # Errors
     ///
-    /// Fails when the address can't be listened on.
+    /// Returns an error if the address can't be bound.
     pub fn bind(local_address: SocketAddr, inbox: UnboundedSender<Frame>) -> io::Result<Self> {
         let listener = socket::listen(local_address)?;
         let links = RefCell::new(HashMap::new());
@@ -105,19 +105,19 @@
         Ok(Self { shared })
     }
 
-    /// Returns how many connections were begun here.
+    /// Returns the number of connections that this instance has dialed.
     pub fn dial_count(&self) -> u64 {
         self.shared.dial_count.get()
     }
 
-    /// Sends a frame, or begins to connect; returns its bytes.
+    /// Sends a frame, dialing a connection if there is none, and returns its size in bytes.
     pub fn send(&self, to: SocketAddr, frame: &Frame) -> usize {
         self.multicast([to], frame)
     }
 
-    /// Sends a frame to several instances; it is encoded once. Returns its bytes.
+    /// Sends a frame, which is encoded once, to several instances, and returns its size in bytes.
     pub fn multicast(&self, to: impl IntoIterator<Item = SocketAddr>, frame: &Frame) -> usize {
-        // Encoding to memory fails for no value of these types.
+        // Encoding a frame to memory does not fail.
         let Ok(body) = postcard::to_stdvec(frame) else { return 0 };
         let Ok(length) = u32::try_from(body.len()) else { return 0 };
         let mut bytes = BytesMut::with_capacity(body.len() + 4);
@@ -136,17 +136,17 @@
         let link = links.entry(to).or_insert_with(|| self.shared.dial(to));
         link.record_sent(monotonic::now());
         if link.sender.try_send(bytes).is_err() {
-            // It does not read, or has ended; the next frame goes over a new connection.
+            // The queue is full or the connection has ended; the next frame dials a new connection.
             links.remove(&to);
         }
     }
 }
 
 impl Shared {
-    /// Gives up a connection that is spoken to and silent.
+    /// Drops the connection to a peer that does not answer.
     ///
-    /// A connection can go silent for good while new ones work. One would notice an instance that
-    /// the leader takes for lost although it is well.
+    /// A connection can stay silent forever while new connections work; the leader would then consider a healthy
+    /// instance lost.
     fn drop_unresponsive(&self, to: SocketAddr) {
         let now = monotonic::now();
         let mut links = self.links.borrow_mut();
@@ -189,13 +189,13 @@
         link
     }
 
-    /// Tells whether a connection that was begun here stays the one to send on, when the other side
-    /// has begun one too.
+    /// Returns whether frames are still sent over the connection that this instance has dialed, after the peer has
+    /// dialed one too.
     ///
-    /// The newer one is what the other side uses, above all after it has started again. But where
-    /// both begin one at the same moment, as after a power loss of all, each would leave its own for
-    /// the other's, and none would be left. So of two that are equally new, the one begun by the
-    /// lower address counts on both sides.
+    /// Usually the newer connection wins, since the peer sends on it, in particular after the peer has restarted. But
+    /// if both sides dial simultaneously, as after a power loss of all instances, each side would drop its own
+    /// connection in favor of the other's, and none would remain. In that case, both sides keep the connection that
+    /// the lower address has dialed.
     fn keeps_dialed_link(&self, peer: SocketAddr) -> bool {
         let links = self.links.borrow();
         links.get(&peer).is_some_and(|link| {
@@ -204,10 +204,10 @@
         })
     }
 
-    /// Carries frames until the connection ends.
+    /// Sends and receives frames until the connection ends.
     ///
-    /// A connection that is no longer sent on is read until nothing comes any more: the other side may
-    /// have sent on it before it knew.
+    /// A connection that is no longer used for sending is read until the peer sends nothing more, since the peer may
+    /// have sent frames on it before it switched to another connection.
     async fn run(
         &self,
         stream: TcpStream,
@@ -251,14 +251,14 @@
     shared.remove_link(peer, id);
 }
 
-/// Connects and says which instance dials.
+/// Connects to a peer and sends the handshake.
 async fn dial(to: SocketAddr, local_address: SocketAddr) -> io::Result<TcpStream> {
     let mut stream = socket::connect(to, DIAL_TIMEOUT).await?;
     send_handshake(&mut stream, local_address).await?;
     Ok(stream)
 }
 
-/// Says which instance dials.
+/// Sends the handshake, which contains the address of this instance.
 async fn send_handshake(stream: &mut TcpStream, local_address: SocketAddr) -> io::Result<()> {
     let text = local_address.to_string();
     let mut bytes = MAGIC.to_vec();
@@ -267,7 +267,7 @@
     stream.write_all(&bytes).await
 }
 
-/// Learns which instance has dialled.
+/// Reads the handshake and returns the address of the peer.
 async fn read_handshake(stream: &mut TcpStream) -> io::Result<SocketAddr> {
     let mut head = [0; 5];
     stream.read_exact(&mut head).await?;
@@ -307,7 +307,7 @@
     }
 }
 
-/// Returns the length of the whole frame at the start of the bytes, with its length field.
+/// Returns the length of the first frame, including its length field, if the frame is complete.
 fn frame_length(bytes: &[u8]) -> Option<usize> {
     let (head, _) = bytes.split_first_chunk::<4>()?;
     let length = u32::from_le_bytes(*head) as usize + 4;
--- a/crates/verbenaslip-instance/src/load.rs
+++ b/crates/verbenaslip-instance/src/load.rs
@@ -1,4 +1,4 @@
-//! What a core has to do, second by second while it leads.
+//! Statistics of the messages that a core handles, logged once a second while it leads.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,10 +8,10 @@
 
 use crate::event;
 
-/// Between two lines.
+/// Time between two log lines.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Counts what a core takes and sends.
+/// Counters of the messages that a core has received and sent since the last log line.
 #[derive(Debug, Default)]
 pub(crate) struct LoadStats {
     started_at: Duration,
@@ -19,11 +19,11 @@
     sent: BTreeMap<&'static str, SentFrames>,
     calls: u64,
     stale: u64,
-    /// The longest time that a call waited to be taken.
+    /// Maximum time that a call waited to be handled.
     max_wait: Duration,
 }
 
-/// Counts frames of one kind that are sent.
+/// Counters of the sent frames of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 struct SentFrames {
     frames: u64,
@@ -31,26 +31,28 @@
 }
 
 impl LoadStats {
-    /// Counts a frame that is taken.
+    /// Counts a received frame.
     pub(crate) fn record_received(&mut self, kind: &'static str) {
         *self.received.entry(kind).or_default() += 1;
     }
 
-    /// Counts frames that are sent, with their bytes together.
+    /// Counts sent frames and their total size in bytes.
     pub(crate) fn record_sent(&mut self, kind: &'static str, frames: usize, bytes: usize) {
         let sent = self.sent.entry(kind).or_default();
         sent.frames += frames as u64;
         sent.bytes += bytes as u64;
     }
 
-    /// Counts a call that is taken after a time, or passed over as stale.
+    /// Counts a call, with the time that it waited and whether it was rejected as stale.
     pub(crate) fn record_call(&mut self, waited: Duration, stale: bool) {
         self.calls += 1;
         self.stale += u64::from(stale);
         self.max_wait = self.max_wait.max(waited);
     }
 
-    /// Writes a line for the second that is over, if this core `leads`; `waiting` counts frames and calls.
+    /// Logs the counters of the last second if this core `leads`, and resets them.
+    ///
+    /// `waiting` holds the numbers of waiting frames and calls. Does nothing before the second is over.
     pub(crate) fn log_if_due(&mut self, now: Duration, leads: bool, waiting: [usize; 2]) {
         if now.saturating_sub(self.started_at) < LOG_INTERVAL {
             return;
--- a/crates/verbenaslip-instance/src/logging.rs
+++ b/crates/verbenaslip-instance/src/logging.rs
@@ -1,4 +1,4 @@
-//! What a core believes, as log lines.
+//! Log lines about the events of a core.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 
 use crate::event;
 
-/// Writes what a core believes to the log.
+/// Logs an event of a core.
 pub fn log_event(event: Event) {
     match event {
         Event::Role { term, role, leader } => {
@@ -96,7 +96,7 @@
     }
 }
 
-/// Writes a line about an acknowledged departure.
+/// Logs an acknowledged departure.
 fn log_departure(departure: &Departure, waited: Duration, version: Version, acks: AckCounts) {
     let complete = acks.acknowledged >= acks.reachable;
     metrics::histogram!("verbenaslip_leaving_seconds").record(waited.as_secs_f64());
@@ -117,7 +117,7 @@
     );
 }
 
-/// Lists what a line says of a roll-out: its order and the requests that its candidate got.
+/// Returns the log fields of a rollout: its order and the counts of all requests and those at the candidate version.
 fn rollout_fields(
     rollout: &Rollout,
     (all, candidate): (u64, u64),
@@ -133,7 +133,7 @@
     .into_iter()
 }
 
-/// Writes a line about what is known of an upstream.
+/// Logs what the leader knows of an upstream.
 fn log_upstream(record: &Record) {
     let announcement = &record.announcement;
     emit(
@@ -152,7 +152,7 @@
     );
 }
 
-/// Writes a line about an announcement that was passed over.
+/// Logs a stale announcement, which was ignored.
 fn log_stale(stale: &StaleAnnouncement) {
     metrics::counter!("verbenaslip_announcements_late_total").increment(1);
     let (known_incarnation, known_sequence) = stale.known.unzip();
@@ -171,7 +171,7 @@
     );
 }
 
-/// Writes a line about a request that ends upstreams, or may do so.
+/// Logs a finding about a request that may crash upstreams.
 fn log_finding(finding: &Finding) {
     let runs = |runs: &[Run]| json!(runs.iter().map(|it| it.upstream.as_str()).collect::<Vec<_>>());
     let content = |fingerprint: &Fingerprint| ("content", json!(fingerprint.to_string()));
@@ -203,7 +203,7 @@
     }
 }
 
-/// Lists how upstreams stand, by name; null for one that is gone.
+/// Returns the statuses of upstreams by name; null for a removed upstream.
 pub(crate) fn statuses(changed: &[Transition]) -> Value {
     let named_status = |it: &Transition| {
         let standing = it.standing.map(|standing| format!("{standing:?}"));
@@ -212,7 +212,7 @@
     Value::Object(changed.iter().map(named_status).collect())
 }
 
-/// Writes a line about one run of an upstream.
+/// Logs an event about one run of an upstream.
 fn log_run(kind: Kind, run: &Run) {
     let fields =
         [("upstream", json!(run.upstream.as_str())), ("incarnation", json!(run.incarnation))];
--- a/crates/verbenaslip-instance/src/metric.rs
+++ b/crates/verbenaslip-instance/src/metric.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, served as text.
+//! Metrics in the text format of Prometheus.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,18 +8,19 @@
 use verbenaslip_relay::http::Connection;
 use verbenaslip_relay::socket;
 
-/// Bounds of the buckets for answers, in seconds; the objectives of both users are among them.
+/// Bucket bounds of latency histograms, in seconds; the latency objectives of both users are among them.
 const LATENCY_BUCKETS: [f64; 13] =
     [0.01, 0.025, 0.05, 0.1, 0.15, 0.3, 0.6, 1.0, 1.2, 2.0, 4.0, 8.0, 15.0];
 
-/// Between two sums of what histograms gathered; without it an unread one would grow for ever.
+/// Time between two aggregations of recorded histogram samples; without them, the samples of a histogram that
+/// nobody reads would pile up without limit. Also limits the wait for more bytes of a request.
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Starts to record, and to serve what is recorded if there is an address for it.
+/// Starts to record metrics, and serves them if there is an address.
 ///
 /// # Errors
 ///
-/// Says why it could not.
+/// Returns why the metrics can't be recorded or served.
 pub fn start(address: Option<SocketAddr>) -> Result<(), String> {
     let builder = PrometheusBuilder::new()
         .set_buckets(&LATENCY_BUCKETS)
@@ -56,7 +57,7 @@
         "HTTP/1.1 200 OK\r\nContent-Type: text/plain; version=0.0.4\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
         text.len()
     );
-    // A reader that has gone needs no answer.
+    // The client may have closed the connection.
     let _ = connection.send(&[head.as_bytes(), text.as_bytes()].concat()).await;
     connection.shutdown().await;
 }
--- a/crates/verbenaslip-instance/src/priority_inbox.rs
+++ b/crates/verbenaslip-instance/src/priority_inbox.rs
@@ -1,4 +1,4 @@
-//! The order in which a core takes what has come.
+//! A receiver that yields urgent messages before all others.
 
 use std::collections::VecDeque;
 
@@ -7,29 +7,29 @@
 
 use crate::control::Call;
 
-/// Tells what does not wait for its turn.
+/// Message that may be urgent.
 pub trait Urgent {
-    /// Whether this goes before what is not urgent.
+    /// Returns whether the message is handled before all messages that are not urgent.
     fn is_urgent(&self) -> bool;
 }
 
-/// A vote or a heartbeat behind the reports of hundreds of entries would come too late: one would notice
-/// elections that end without a leader, over and over, just after a power loss of all.
+/// Messages of the replicated log are urgent: a vote or a heartbeat that waits behind the reports of hundreds of
+/// entries arrives too late, and elections fail again and again after a power loss of all cores.
 impl Urgent for Frame {
     fn is_urgent(&self) -> bool {
         matches!(self, Self::Log { .. })
     }
 }
 
-/// Upstreams that stay call a core hundreds of times a second; behind them an operator's edit, or the word of
-/// an upstream that goes, would be given up by its sender before it is read.
+/// All calls but announcements of upstreams that stay are urgent. Such announcements arrive hundreds of times a
+/// second; behind them, an operator's edit or a departure would time out at its sender before it is read.
 impl Urgent for Call {
     fn is_urgent(&self) -> bool {
         !matches!(&self.request, Request::Announce(announcement) if !announcement.draining)
     }
 }
 
-/// Hands out what has come, the urgent first.
+/// Receiver that yields urgent messages first, and messages of equal urgency in the order of their arrival.
 pub struct PriorityInbox<T> {
     inbox: UnboundedReceiver<T>,
     urgent: VecDeque<T>,
@@ -37,14 +37,14 @@
 }
 
 impl<T: Urgent> PriorityInbox<T> {
-    /// Takes from an inbox.
+    /// Wraps the receiver of a channel.
     pub fn open(inbox: UnboundedReceiver<T>) -> Self {
         Self { inbox, urgent: VecDeque::new(), normal: VecDeque::new() }
     }
 
-    /// Waits for the next one; none once nothing can come any more.
+    /// Returns the next message, or `None` once the channel is closed and empty.
     ///
-    /// Nothing is lost when the wait is given up.
+    /// This method is cancel safe: no message is lost.
     pub async fn next(&mut self) -> Option<T> {
         if self.urgent.is_empty() && self.normal.is_empty() {
             let item = self.inbox.recv().await?;
@@ -56,12 +56,12 @@
         self.urgent.pop_front().or_else(|| self.normal.pop_front())
     }
 
-    /// Returns how many wait.
+    /// Returns the number of messages that wait.
     pub fn len(&self) -> usize {
         self.inbox.len() + self.urgent.len() + self.normal.len()
     }
 
-    /// Tells whether none waits.
+    /// Returns whether no message waits.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/verbenaslip-instance/src/settings.rs
+++ b/crates/verbenaslip-instance/src/settings.rs
@@ -1,7 +1,7 @@
-//! The settings of one instance of a fleet, read from an INI file.
+//! The settings of one instance, read from an INI file.
 //!
-//! The values and their problems are those of the other settings of this project; a problem names
-//! file, section, key, value and what is allowed.
+//! Value formats and problem reports are the same as in the other settings of this project: a problem contains
+//! the file, section, key, value and allowed values.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -15,102 +15,102 @@
 use verbenaslip_fleet::fingerprint::Fingerprint;
 use verbenaslip_fleet::quarantine::QuarantinePolicy;
 
-/// Holds all settings of one instance.
+/// All settings of one instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Its name.
+    /// Name of the instance.
     pub name: Name,
-    /// Where it runs.
+    /// Availability zone in which the instance runs.
     pub zone: AvailabilityZone,
-    /// Where other instances reach it.
+    /// Address at which other instances reach this one.
     pub peers: SocketAddr,
-    /// Hosts of some cores to join through; their port is that of `peers`, the same everywhere.
+    /// Addresses of some cores that are used to join the fleet; their port is replaced by that of `peers`.
     pub seeds: Vec<SocketAddr>,
-    /// What it does for callers, if it is an entry.
+    /// Settings of an entry, if the instance is one.
     pub entry: Option<Entry>,
-    /// What it does for the fleet, if it is a core.
+    /// Settings of a core, if the instance is one.
     pub core: Option<Core>,
-    /// What upstreams do.
+    /// Settings concerning upstreams.
     pub upstreams: Upstreams,
-    /// When requests are held back that end upstreams.
+    /// Settings for the quarantine of requests that crash upstreams.
     pub requests: Requests,
-    /// How it stops.
+    /// Settings of a planned stop.
     pub stop: Stop,
-    /// The cloud, if there is one to give orders to.
+    /// Settings of the cloud, if it receives orders.
     pub cloud: Option<Cloud>,
-    /// Where metrics are served, if they are.
+    /// Address at which metrics are served, if they are.
     pub metrics: Option<SocketAddr>,
 }
 
-/// Holds `[entry]`.
+/// Section `[entry]`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether new callers may come.
+    /// Address at which the load balancer probes whether the entry accepts new callers.
     pub ready: SocketAddr,
-    /// The most connections of callers at once.
+    /// Maximum number of concurrent connections of callers.
     pub connections: u32,
 }
 
-/// Holds `[core]`.
+/// Section `[core]`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Core {
-    /// Where operators and upstreams call.
+    /// Address for calls of operators and upstreams.
     pub control: SocketAddr,
-    /// The folder for the replicated log.
+    /// Data directory of the replicated log.
     pub folder: PathBuf,
-    /// Whether the whole fleet starts for the first time, so that the seeds found the log.
+    /// Whether the whole fleet starts for the first time, so that the seeds create the replicated log.
     pub found: bool,
-    /// How many disks may be lost at once.
+    /// Number of disks that may be lost at once without losing data.
     pub losses: u32,
 }
 
-/// Holds `[upstreams]`.
+/// Section `[upstreams]`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Upstreams {
     /// Time between two announcements of one upstream.
     pub announce: Duration,
-    /// Further arrivals at a service for each request of its callers.
+    /// Retries that a service may get per request of its callers.
     pub retry_ratio: f64,
-    /// Further arrivals at a service at once.
+    /// Retries that a service may get at once, in addition to the ratio.
     pub retry_allowance: f64,
-    /// The length of a window in which usage is counted.
+    /// Length of a usage window.
     pub usage_window: Duration,
-    /// How long after its end a window is of use.
+    /// Time after the end of a usage window for which its counts are still reported.
     pub usage_late: Duration,
 }
 
-/// Holds `[requests]`.
+/// Section `[requests]`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Requests {
-    /// How many upstreams must have ended under a request, one after the other, before it is held back.
+    /// Number of consecutive upstreams that a request must have crashed to be quarantined.
     pub crashes: u32,
-    /// After how long it is let through again.
+    /// Time after which a quarantined request is allowed again on trial.
     pub hold: Duration,
-    /// Contents that are never held back.
+    /// Fingerprints of requests that are never quarantined.
     pub lifted: Vec<Fingerprint>,
-    /// Contents that are held back in any case.
+    /// Fingerprints of requests that are always refused.
     pub forbidden: Vec<Fingerprint>,
 }
 
-/// Holds `[stop]`.
+/// Section `[stop]`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Stop {
-    /// The longest time that a planned stop may take.
+    /// Maximum duration of a planned stop.
     pub grace: Duration,
 }
 
-/// Holds `[cloud]`.
+/// Section `[cloud]`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Cloud {
-    /// Its address.
+    /// Address of the cloud.
     pub address: SocketAddr,
-    /// How long a new leader waits before its first order.
+    /// Time that a new leader waits before its first order.
     pub wait: Duration,
 }
 
-/// Reads a time with a fraction and a unit.
+/// Value that is a time with a fraction and a unit.
 struct DurationValue(Duration);
 
 impl Value for DurationValue {
@@ -126,7 +126,7 @@
     }
 }
 
-/// Reads a number that is not negative.
+/// Value that is a number and not negative.
 struct NonNegativeNumber(f64);
 
 impl Value for NonNegativeNumber {
@@ -137,7 +137,7 @@
     }
 }
 
-/// Reads a number of upstreams.
+/// Value that is a number of upstreams.
 struct UpstreamCount(u32);
 
 impl Value for UpstreamCount {
@@ -148,7 +148,7 @@
     }
 }
 
-/// Reads the content of a request as logs name it.
+/// Value that is the fingerprint of a request, as logs show it.
 struct FingerprintValue(Fingerprint);
 
 impl Value for FingerprintValue {
@@ -160,7 +160,7 @@
     }
 }
 
-/// Reads a truth value.
+/// Value that is a boolean.
 struct Flag(bool);
 
 impl Value for Flag {
@@ -172,20 +172,20 @@
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// Lists every problem of the file.
+    /// Returns all problems of the file.
     pub fn read(path: &Path) -> Result<Self, Invalid> {
         Self::parse(&settings::text(path)?, path)
     }
 
-    /// Checks the text of a settings file.
+    /// Validates the text of a settings file.
     ///
     /// # Errors
     ///
-    /// Lists every problem of the text.
+    /// Returns all problems of the text.
     pub fn parse(text: &str, origin: &Path) -> Result<Self, Invalid> {
         let Collected { taken, problems } = settings::collect(text, origin, Self::read_from)?;
         if problems.is_empty() { Ok(taken) } else { Err(Invalid { problems }) }
@@ -288,7 +288,7 @@
         Self { crashes: crashes.0, hold: hold.0, lifted, forbidden }
     }
 
-    /// Returns the rule by which the leader goes.
+    /// Returns the policy by which the leader quarantines requests.
     pub(crate) fn quarantine_policy(&self) -> QuarantinePolicy {
         QuarantinePolicy {
             crash_threshold: self.crashes,
--- a/crates/verbenaslip-instance/src/signal.rs
+++ b/crates/verbenaslip-instance/src/signal.rs
@@ -1,4 +1,4 @@
-//! Signals as messages.
+//! Forwards process signals as messages.
 
 use std::io;
 use std::thread;
@@ -7,26 +7,28 @@
 use signal_hook::iterator::Signals;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Says what a signal asks for.
+/// Request that a process signal stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// Stop in good order.
+    /// Stop gracefully.
     Stop,
     /// Read the settings again.
     Reload,
 }
 
-/// Passes signals on; a second stop ends the process at once.
+/// Starts a thread that forwards process signals.
+///
+/// SIGTERM and SIGINT request a stop, and SIGHUP requests a reload.
 ///
 /// # Errors
 ///
-/// Fails when signals can't be taken or no thread can be started.
+/// Returns an error if the signal handlers can't be installed or the thread can't be started.
 pub fn watch(sender: UnboundedSender<Signal>) -> io::Result<()> {
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     let forward = move || {
         for signal in signals.forever() {
             let message = if signal == SIGHUP { Signal::Reload } else { Signal::Stop };
-            // The receiver is gone only when the process ends.
+            // The receiver is closed only when the process ends.
             let _ = sender.send(message);
         }
     };
--- a/crates/verbenaslip-instance/src/stop.rs
+++ b/crates/verbenaslip-instance/src/stop.rs
@@ -1,26 +1,26 @@
-//! The course of an entry's planned stop.
+//! The phases of an entry's planned stop.
 
 use std::time::Duration;
 
-/// How long requests are still taken after a stop began: the balancer asks once a second and takes
-/// an instance out after two misses.
+/// Time for which an entry still accepts requests after a stop has begun: the load balancer probes once a second and
+/// removes an instance after two failed probes.
 const ADMISSION_TIME: Duration = Duration::from_millis(2_800);
 
-/// How long before the end of the grace time an entry ends, whatever is under way.
+/// Time between the end of an entry and the end of its grace time; requests that are then active are aborted.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 
-/// Says what an entry does at a moment of its stop.
+/// Phase of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It still takes requests.
+    /// The entry still accepts requests.
     Accepting,
-    /// It refuses new requests and finishes what is under way.
+    /// The entry refuses new requests and finishes the active ones.
     Draining,
-    /// It ends.
+    /// The entry ends.
     Ended,
 }
 
-/// Follows a planned stop by the monotonic clock.
+/// A planned stop, timed by the monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Stop {
     started_at: Duration,
@@ -28,12 +28,12 @@
 }
 
 impl Stop {
-    /// Begins, with so much time until the process is killed.
+    /// Begins a stop at `now`; the process is killed after the grace time.
     pub fn begin(now: Duration, grace: Duration) -> Self {
         Self { started_at: now, grace }
     }
 
-    /// Returns what is to be done, with so many requests under way.
+    /// Returns the phase at `now`, given the number of active requests.
     pub fn phase(&self, now: Duration, active: usize) -> Phase {
         if now >= self.end() {
             return Phase::Ended;
@@ -45,11 +45,11 @@
         }
     }
 
-    /// Returns when the next phase begins, whatever is under way.
+    /// Returns the time at which the next phase begins if requests stay active until then.
     ///
-    /// An entry that looks only from time to time takes requests for a quarter of a second longer than it
-    /// means to. Those are the last ones, so they are cut off at the end of the grace time if they are long; one
-    /// would notice callers lost by a planned stop.
+    /// An entry that checks the phase only at its regular ticks would accept requests for up to a quarter of a second
+    /// longer than planned. Long ones among these last requests would be aborted at the end of the grace time, so that
+    /// a planned stop would fail callers.
     pub fn next_phase_at(&self, now: Duration) -> Duration {
         if now < self.admission_end() { self.admission_end().min(self.end()) } else { self.end() }
     }
