--- a/crates/verbenaslip-instance/tests/cloud.rs
+++ b/crates/verbenaslip-instance/tests/cloud.rs
@@ -1,4 +1,4 @@
-//! Orders to a cloud that is silent, busy or resets its connections.
+//! Tests of orders to a cloud that does not answer, is busy or resets connections.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -15,10 +15,10 @@
 use verbenaslip_lab::port;
 use verbenaslip_relay::monotonic;
 
-/// The longest time until it is known that an order has no answer.
+/// Maximum time until the result of an unanswered order is known.
 const RESULT_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// What the cloud does with a call.
+/// Behavior of the cloud on a call.
 #[derive(Clone, Copy, Debug)]
 enum Behavior {
     Silent,
@@ -40,7 +40,7 @@
 
 fn answer(mut stream: TcpStream, behavior: Behavior) {
     let mut bytes = [0; 1_024];
-    // Whoever has gone needs no answer.
+    // The client may have closed the connection.
     let _ = stream.read(&mut bytes);
     match behavior {
         Behavior::Silent => std::thread::sleep(RESULT_TIMEOUT * 2),
@@ -52,7 +52,7 @@
 }
 
 fn serve(address: SocketAddr, behavior: Behavior) {
-    let listener = TcpListener::bind(address).expect("it listens");
+    let listener = TcpListener::bind(address).expect("the address can be bound");
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             std::thread::spawn(move || answer(stream, behavior));
@@ -72,8 +72,8 @@
 
 #[test]
 fn an_unanswered_order_does_not_block_and_times_out() {
-    // Symptom: while the cloud's interface is down, callers' answers hang. Sequence: the leader gives it an order
-    // that is accepted and never answered, refused, or reset. Cause: a control thread that waits for the cloud.
+    // Guards against a control thread that waits for the cloud: a leader whose order is accepted and never answered,
+    // refused or reset would then stop answering callers while the cloud is unreachable.
     for behavior in [Behavior::Silent, Behavior::Busy, Behavior::Reset] {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.expect("a runtime");
@@ -88,7 +88,7 @@
             (1..=8).for_each(|id| cloud.send_order(order(id)));
             assert!(
                 started_at.elapsed() < RESULT_TIMEOUT / 10,
-                "{behavior:?}: giving an order waits for its answer"
+                "{behavior:?}: sending an order blocks until its answer"
             );
             for _ in 1..=8 {
                 let result = tokio::time::timeout(RESULT_TIMEOUT, received.recv()).await;
--- a/crates/verbenaslip-instance/tests/line.rs
+++ b/crates/verbenaslip-instance/tests/line.rs
@@ -1,4 +1,4 @@
-//! The order in which a core takes what has come.
+//! Tests of the order in which a core handles incoming messages.
 
 use std::time::Duration;
 
@@ -30,21 +30,21 @@
 
 #[test]
 fn a_vote_overtakes_reports_that_arrived_before_it() {
-    // Symptom: after a power loss of all, cores stand for election again and again and none leads for seconds.
-    // Sequence: hundreds of entries ask each core who leads; a vote comes while their reports wait. Cause: one
-    // line for both, in which the vote waits longer than its sender does.
+    // Guards against a vote that waits behind reports for longer than its sender waits for the answer. After a power
+    // loss of all cores, hundreds of entries ask each core who leads; if votes queued behind their reports, elections
+    // would fail again and again, and no core would lead for seconds.
     let runtime = runtime();
     let (sender, receiver) = mpsc::unbounded_channel();
     let mut queue = PriorityInbox::open(receiver);
-    (0..REPORTS).for_each(|token| sender.send(report(token)).expect("it is open"));
+    (0..REPORTS).for_each(|token| sender.send(report(token)).expect("the channel is open"));
     runtime.block_on(queue.next()).expect("a report");
-    sender.send(vote()).expect("it is open");
+    sender.send(vote()).expect("the channel is open");
     let next = runtime.block_on(queue.next());
     assert!(matches!(next, Some(Frame::Log { .. })), "{next:?}");
     for expected in 1..REPORTS {
         let next = runtime.block_on(queue.next());
         let Some(Frame::Response { token, .. }) = next else { panic!("{next:?}") };
-        assert_eq!(token, expected, "the others keep their order");
+        assert_eq!(token, expected, "normal messages keep their order");
     }
     drop(sender);
     assert!(runtime.block_on(queue.next()).is_none());
@@ -52,20 +52,20 @@
 
 #[test]
 fn edits_and_departures_overtake_announcements() {
-    // Symptom: an operator's edit is given up by its sender, and a leaving acknowledged after seconds, while
-    // upstreams that stay are answered. Sequence: thousands of upstreams call a core that has just become
-    // reachable. Cause: calls answered in the order in which they came.
+    // Guards against calls that are answered strictly in the order of their arrival. When thousands of upstreams call
+    // a core that has just become reachable, an operator's edit would time out at its sender, and a departure would
+    // be acknowledged only after seconds, while renewals are answered.
     let runtime = runtime();
     let (sender, receiver) = mpsc::unbounded_channel();
     let mut queue = PriorityInbox::open(receiver);
     let call = |id, request| Call { id, request, received_at: Duration::ZERO };
     let renewal = |id| call(id, Request::Announce(Box::new(announcement(false))));
-    (0..REPORTS).for_each(|id| sender.send(renewal(id)).expect("it is open"));
+    (0..REPORTS).for_each(|id| sender.send(renewal(id)).expect("the channel is open"));
     let departure = Request::Withdraw { upstream: Upstream::new("u"), incarnation: None };
     let urgent =
         [Request::ReadRouteTable, Request::Announce(Box::new(announcement(true))), departure];
     for (id, request) in (REPORTS..).zip(urgent) {
-        sender.send(call(id, request)).expect("it is open");
+        sender.send(call(id, request)).expect("the channel is open");
     }
     let ids: Vec<u64> =
         (0..4).map(|_| runtime.block_on(queue.next()).expect("a call").id).collect();
@@ -90,7 +90,7 @@
 
 #[test]
 fn a_call_is_stale_once_its_sender_has_given_up() {
-    // Guards against a core that answers nobody in time because it answers everybody late.
+    // Guards against an overloaded core that answers every call too late.
     let call =
         Call { id: 1, request: Request::ReadRouteTable, received_at: Duration::from_secs(5) };
     assert!(!call.is_stale(Duration::from_millis(5_900)));
--- a/crates/verbenaslip-instance/tests/links.rs
+++ b/crates/verbenaslip-instance/tests/links.rs
@@ -1,4 +1,4 @@
-//! Connections between instances that dial each other at the same moment, and that go silent.
+//! Tests of connections between instances that dial each other simultaneously or restart.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -30,10 +30,9 @@
 
 #[test]
 fn simultaneous_dials_leave_one_connection() {
-    // Symptom: after all cores lost power none of them leads for as long as one looks, and nothing
-    // is served. Sequence: all start at the same moment and dial each other at the same moment; each
-    // takes the other's connection for the newer one and closes its own, so both are closed; then
-    // both dial again, again at the same moment. Cause: two connections that close each other.
+    // Guards against two connections that close each other. After a power loss of all cores, all of them start and
+    // dial each other at the same moment. If each side considers the other's connection the newer one and closes its
+    // own, both are closed, both sides dial again at the same moment, and no core ever leads.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.expect("a runtime");
     let local = LocalSet::new();
@@ -41,8 +40,8 @@
         let (one, other) = (free_address(), free_address());
         let (one_sender, mut one_inbox) = mpsc::unbounded_channel();
         let (other_sender, mut other_inbox) = mpsc::unbounded_channel();
-        let first = Links::bind(one, one_sender).expect("it listens");
-        let second = Links::bind(other, other_sender).expect("it listens");
+        let first = Links::bind(one, one_sender).expect("the address can be bound");
+        let second = Links::bind(other, other_sender).expect("the address can be bound");
         for round in 0..ROUNDS {
             first.send(other, &frame(round));
             second.send(one, &frame(round));
@@ -53,7 +52,7 @@
         (received(&mut one_inbox), received(&mut other_inbox), dial_count)
     });
     assert!(dial_count <= 4, "{dial_count} connections for two instances");
-    // Frames of the first moment may be lost with a connection that gives way, later ones not.
+    // Frames of the first two rounds may be lost with the dropped connection, later ones must arrive.
     for tokens in [to_one, to_other] {
         let late = tokens.iter().filter(|token| **token >= 2).count() as u64;
         assert_eq!(late, ROUNDS - 2, "{tokens:?}");
@@ -68,11 +67,11 @@
     let tokens = local.block_on(&runtime, async {
         let (one, other) = (free_address(), free_address());
         let (one_sender, _one_inbox) = mpsc::unbounded_channel();
-        let first = Links::bind(one, one_sender).expect("it listens");
+        let first = Links::bind(one, one_sender).expect("the address can be bound");
         first.send(other, &frame(0));
         tokio::time::sleep(PAUSE * 5).await;
         let (other_sender, mut other_inbox) = mpsc::unbounded_channel();
-        let _second = Links::bind(other, other_sender).expect("it listens");
+        let _second = Links::bind(other, other_sender).expect("the address can be bound");
         for round in 1..=20 {
             first.send(other, &frame(round));
             tokio::time::sleep(PAUSE).await;
--- a/crates/verbenaslip-instance/tests/settings.rs
+++ b/crates/verbenaslip-instance/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an instance of a fleet: what is taken, and what is refused with a reason.
+//! Tests of the settings of an instance: valid values, and errors for invalid ones.
 
 use std::path::Path;
 use std::time::Duration;
@@ -16,10 +16,14 @@
 
 #[test]
 fn the_settings_of_an_entry_are_read() {
-    let settings = parse(ENTRY).expect("it is valid");
-    assert_eq!(settings.seeds[1], ([10, 0, 0, 2], 7_600).into(), "the port is that of peers");
+    let settings = parse(ENTRY).expect("the settings are valid");
+    assert_eq!(
+        settings.seeds[1],
+        ([10, 0, 0, 2], 7_600).into(),
+        "the port of a seed is that of peers"
+    );
     assert_eq!(settings.upstreams.usage_window, Duration::from_millis(2_500));
-    assert_eq!(settings.upstreams.usage_late, Duration::from_secs(10), "by default");
+    assert_eq!(settings.upstreams.usage_late, Duration::from_secs(10), "the default applies");
     assert_eq!(settings.cloud.map(|cloud| cloud.wait), Some(Duration::from_secs(3)));
     assert!(settings.entry.is_some() && settings.core.is_none());
 }
@@ -52,7 +56,7 @@
 fn lifted_requests_are_given_by_fingerprint() {
     let content = "05edc73fd10efbe175ce22ccbf8833e7";
     let section = format!("[requests]\ncrashes = 4\nhold = 90s\nlifted = {content}\n[stop]");
-    let settings = parse(&ENTRY.replace("[stop]", &section)).expect("it is valid");
+    let settings = parse(&ENTRY.replace("[stop]", &section)).expect("the settings are valid");
     assert_eq!((settings.requests.crashes, settings.requests.hold), (4, Duration::from_secs(90)));
     let lifted: Vec<String> = settings.requests.lifted.iter().map(ToString::to_string).collect();
     assert_eq!(lifted, [content]);
--- a/crates/verbenaslip-instance/tests/stop.rs
+++ b/crates/verbenaslip-instance/tests/stop.rs
@@ -1,4 +1,4 @@
-//! When an entry that stops refuses new requests, and when it ends.
+//! Tests of the phases of an entry's planned stop.
 
 use std::time::Duration;
 
@@ -12,10 +12,9 @@
 
 #[test]
 fn an_entry_wakes_up_in_time_to_refuse_new_requests() {
-    // Symptom: a long answer is cut off at the end of a planned stop's grace time, though its request came after
-    // the balancer had taken the entry out. Sequence: the entry is told to stop; 3.0 s later a request comes on
-    // a connection that is open, and is taken, since the entry last looked at 2.79 s and looks four times a
-    // second. Cause: a moment that is due and that nothing wakes for.
+    // Guards against an entry that checks the phase of its stop only four times a second. An entry that last checked at
+    // 2.79 s would accept a request that arrives on an open connection at 3.0 s, after the load balancer has removed
+    // the entry, and a long answer would be aborted at the end of the grace time.
     let stop = Stop::begin(ms(10_000), GRACE);
     assert_eq!(stop.phase(ms(12_799), 3), Phase::Accepting);
     assert_eq!(stop.next_phase_at(ms(12_790)), ms(12_800));
@@ -25,7 +24,11 @@
 #[test]
 fn an_entry_ends_when_idle_or_shortly_before_the_grace_time_ends() {
     let stop = Stop::begin(ms(10_000), GRACE);
-    assert_eq!(stop.phase(ms(12_000), 0), Phase::Accepting, "the balancer may still send callers");
+    assert_eq!(
+        stop.phase(ms(12_000), 0),
+        Phase::Accepting,
+        "the load balancer may still send requests"
+    );
     assert_eq!(stop.phase(ms(12_800), 0), Phase::Ended);
     assert_eq!(stop.next_phase_at(ms(12_800)), ms(17_300));
     assert_eq!(stop.phase(ms(17_300), 3), Phase::Ended);
