--- a/crates/verbenaslip-instance/src/cloud.rs
+++ b/crates/verbenaslip-instance/src/cloud.rs
@@ -1,4 +1,4 @@
-//! Gives the cloud its orders.
+//! Sends orders to the cloud.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,62 +15,62 @@
 
 use crate::event;
 
-/// How long the cloud may take to accept a connection, and to answer.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// Time limit for the connection to the cloud, and again for its answer.
+const TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The longest head of an answer.
-const HEAD: usize = 16 << 10;
+/// Maximum size of the head of an answer.
+const MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// Holds a call to the cloud.
+/// HTTP POST request to the cloud.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Post {
-    /// The path.
+    /// Path of the request.
     pub path: String,
-    /// The header fields beside the usual ones.
+    /// Header fields in addition to the usual ones.
     pub fields: Vec<(String, String)>,
-    /// The body, in JSON.
+    /// Body in JSON.
     pub body: Vec<u8>,
 }
 
-/// Knows the cloud's calls and their formats; decides nothing.
+/// Adapter that knows the paths and formats of the cloud; it makes no decisions.
 pub trait Codec: Send + Sync {
-    /// Writes an order of the holder of the duty.
-    fn post(&self, holder: &Instance, order: &Order) -> Post;
+    /// Encodes an order that is sent by the instance `holder`.
+    fn encode_order(&self, holder: &Instance, order: &Order) -> Post;
 
-    /// Reads the answer's status.
+    /// Returns the outcome that a status of the answer stands for.
     fn outcome(&self, status: u16) -> Outcome;
 }
 
-/// Tells what became of an order.
+/// Result of an order.
 #[derive(Clone, Copy, Debug)]
-pub struct Ordered {
-    /// The order.
+pub struct OrderResult {
+    /// Number of the order.
     pub id: u64,
-    /// What became of it.
+    /// Outcome of the order.
     pub outcome: Outcome,
 }
 
-/// Calls the cloud.
+/// Client of the cloud.
 pub struct Cloud {
-    /// Where it is reached.
+    /// Address of the cloud.
     pub address: SocketAddr,
-    /// The name of this instance.
+    /// Name of this instance.
     pub holder: Instance,
-    /// Its formats.
+    /// Adapter for the formats of the cloud.
     pub codec: Arc<dyn Codec>,
-    /// Takes what became of orders.
-    pub ended: UnboundedSender<Ordered>,
+    /// Receives the results of orders.
+    pub results: UnboundedSender<OrderResult>,
 }
 
 impl Cloud {
-    /// Gives an order, without waiting for it.
-    pub fn give(self: &Rc<Self>, order: Order) {
+    /// Sends an order in a task of its own; the result is sent to `results`.
+    pub fn send_order(self: &Rc<Self>, order: Order) {
         let cloud = self.clone();
         tokio::task::spawn_local(async move {
-            let status = cloud.call(&order).await;
+            let status = cloud.post(&order).await;
             let outcome = status.map_or(Outcome::Unknown, |status| cloud.codec.outcome(status));
             event_log::emit(
-                event::ORDERED,
+                event::CLOUD_ORDERED,
                 [
                     ("order", json!(order.id)),
                     ("fence", json!(order.fence)),
@@ -78,15 +78,15 @@
                     ("status", json!(status)),
                 ],
             );
-            // The control thread is gone only when the process ends.
-            let _ = cloud.ended.send(Ordered { id: order.id, outcome });
+            // The receiver is closed only when the process ends.
+            let _ = cloud.results.send(OrderResult { id: order.id, outcome });
         });
     }
 
-    async fn call(&self, order: &Order) -> Option<u16> {
-        let post = self.codec.post(&self.holder, order);
-        let stream = socket::connect(self.address, PATIENCE).await.ok()?;
-        let mut wire = Connection::new(stream);
+    async fn post(&self, order: &Order) -> Option<u16> {
+        let post = self.codec.encode_order(&self.holder, order);
+        let stream = socket::connect(self.address, TIMEOUT).await.ok()?;
+        let mut connection = Connection::new(stream);
         let mut head = format!("POST {} HTTP/1.1\r\nHost: {}\r\n", post.path, self.address);
         for (name, value) in &post.fields {
             head.push_str(&format!("{name}: {value}\r\n"));
@@ -95,23 +95,25 @@
         head.push_str(&format!("Content-Length: {}\r\n\r\n", post.body.len()));
         let mut bytes = head.into_bytes();
         bytes.extend_from_slice(&post.body);
-        // The process may have been frozen since the order was made, and another instance may hold
-        // the duty by now. The cloud does not check, so the lease is looked at last of all.
+        // The process may have been paused since the order was made, and another instance may be the leader by now.
+        // The cloud does not check that, so the lease is checked as late as possible.
         if monotonic::now() >= order.valid_until {
             return None;
         }
-        wire.send(&bytes).await.ok()?;
-        let answer = tokio::time::timeout(PATIENCE, answered(&mut wire)).await;
+        connection.send(&bytes).await.ok()?;
+        let answer = tokio::time::timeout(TIMEOUT, read_status(&mut connection)).await;
         answer.ok().flatten()
     }
 }
 
-async fn answered(wire: &mut Connection) -> Option<u16> {
+async fn read_status(connection: &mut Connection) -> Option<u16> {
     loop {
-        if let Some(end) = wire.head_length() {
-            return ResponseHead::parse(&wire.buffer[..end]).ok().map(|head| head.status);
+        if let Some(end) = connection.head_length() {
+            return ResponseHead::parse(&connection.buffer[..end]).ok().map(|head| head.status);
         }
-        if wire.buffer.len() > HEAD || !matches!(wire.fill().await, Ok(count) if count > 0) {
+        if connection.buffer.len() > MAX_HEAD_BYTES
+            || !matches!(connection.fill().await, Ok(count) if count > 0)
+        {
             return None;
         }
     }
--- a/crates/verbenaslip-instance/src/load.rs
+++ b/crates/verbenaslip-instance/src/load.rs
@@ -1,4 +1,4 @@
-//! What a core has to do, second by second while it leads.
+//! Statistics of the messages that a core handles, logged once a second while it leads.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,56 +8,58 @@
 
 use crate::event;
 
-/// Between two lines.
-const SECOND: Duration = Duration::from_secs(1);
+/// Time between two log lines.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Counts what a core takes and sends.
+/// Counters of the messages that a core has received and sent since the last log line.
 #[derive(Debug, Default)]
-pub(crate) struct Load {
-    since: Duration,
+pub(crate) struct LoadStats {
+    started_at: Duration,
     received: BTreeMap<&'static str, u64>,
-    sent: BTreeMap<&'static str, Sent>,
+    sent: BTreeMap<&'static str, SentFrames>,
     calls: u64,
     stale: u64,
-    /// The longest time that a call waited to be taken.
-    waited: Duration,
+    /// Maximum time that a call waited to be handled.
+    max_wait: Duration,
 }
 
-/// Counts frames of one kind that are sent.
+/// Counters of the sent frames of one kind.
 #[derive(Clone, Copy, Debug, Default)]
-struct Sent {
+struct SentFrames {
     frames: u64,
     bytes: u64,
 }
 
-impl Load {
-    /// Counts a frame that is taken.
-    pub(crate) fn received(&mut self, kind: &'static str) {
+impl LoadStats {
+    /// Counts a received frame.
+    pub(crate) fn record_received(&mut self, kind: &'static str) {
         *self.received.entry(kind).or_default() += 1;
     }
 
-    /// Counts frames that are sent, with their bytes together.
-    pub(crate) fn sent(&mut self, kind: &'static str, frames: usize, bytes: usize) {
+    /// Counts sent frames and their total size in bytes.
+    pub(crate) fn record_sent(&mut self, kind: &'static str, frames: usize, bytes: usize) {
         let sent = self.sent.entry(kind).or_default();
         sent.frames += frames as u64;
         sent.bytes += bytes as u64;
     }
 
-    /// Counts a call that is taken after a time, or passed over as stale.
-    pub(crate) fn call(&mut self, waited: Duration, stale: bool) {
+    /// Counts a call, with the time that it waited and whether it was rejected as stale.
+    pub(crate) fn record_call(&mut self, waited: Duration, stale: bool) {
         self.calls += 1;
         self.stale += u64::from(stale);
-        self.waited = self.waited.max(waited);
+        self.max_wait = self.max_wait.max(waited);
     }
 
-    /// Writes a line for the second that is over, if this core `leads`; `waiting` counts frames and calls.
-    pub(crate) fn say(&mut self, now: Duration, leads: bool, waiting: [usize; 2]) {
-        if now.saturating_sub(self.since) < SECOND {
+    /// Logs the counters of the last second if this core `leads`, and resets them.
+    ///
+    /// `waiting` holds the numbers of waiting frames and calls. Does nothing before the second is over.
+    pub(crate) fn log_if_due(&mut self, now: Duration, leads: bool, waiting: [usize; 2]) {
+        if now.saturating_sub(self.started_at) < LOG_INTERVAL {
             return;
         }
-        let over = std::mem::replace(self, Self { since: now, ..Self::default() });
+        let finished = std::mem::replace(self, Self { started_at: now, ..Self::default() });
         if leads {
-            event_log::emit(event::LOAD, over.fields(now, waiting));
+            event_log::emit(event::LEADER_LOAD, finished.fields(now, waiting));
         }
     }
 
@@ -65,13 +67,13 @@
         let sent = self.sent.iter().map(|(kind, it)| ((*kind).to_owned(), json!(it.frames)));
         let bytes = self.sent.iter().map(|(kind, it)| ((*kind).to_owned(), json!(it.bytes)));
         [
-            ("ms", json!(now.saturating_sub(self.since).as_millis())),
+            ("ms", json!(now.saturating_sub(self.started_at).as_millis())),
             ("received", json!(self.received)),
             ("sent", Value::Object(sent.collect())),
             ("bytes", Value::Object(bytes.collect())),
             ("calls", json!(self.calls)),
             ("stale", json!(self.stale)),
-            ("waited_ms", json!(self.waited.as_millis())),
+            ("waited_ms", json!(self.max_wait.as_millis())),
             ("waiting", json!(waiting)),
         ]
     }
--- a/crates/verbenaslip-instance/src/settings.rs
+++ b/crates/verbenaslip-instance/src/settings.rs
@@ -1,7 +1,7 @@
-//! The settings of one instance of a fleet, read from an INI file.
+//! The settings of one instance, read from an INI file.
 //!
-//! The values and their problems are those of the other settings of this project; a problem names
-//! file, section, key, value and what is allowed.
+//! Value formats and problem reports are the same as in the other settings of this project: a problem contains
+//! the file, section, key, value and allowed values.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -15,105 +15,105 @@
 use verbenaslip_fleet::fingerprint::Fingerprint;
 use verbenaslip_fleet::quarantine::QuarantinePolicy;
 
-/// Holds all settings of one instance.
+/// All settings of one instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Its name.
+    /// Name of the instance.
     pub name: Name,
-    /// Where it runs.
+    /// Availability zone in which the instance runs.
     pub zone: AvailabilityZone,
-    /// Where other instances reach it.
+    /// Address at which other instances reach this one.
     pub peers: SocketAddr,
-    /// Hosts of some cores to join through; their port is that of `peers`, the same everywhere.
+    /// Addresses of some cores that are used to join the fleet; their port is replaced by that of `peers`.
     pub seeds: Vec<SocketAddr>,
-    /// What it does for callers, if it is an entry.
+    /// Settings of an entry, if the instance is one.
     pub entry: Option<Entry>,
-    /// What it does for the fleet, if it is a core.
+    /// Settings of a core, if the instance is one.
     pub core: Option<Core>,
-    /// What upstreams do.
+    /// Settings concerning upstreams.
     pub upstreams: Upstreams,
-    /// When requests are held back that end upstreams.
+    /// Settings for the quarantine of requests that crash upstreams.
     pub requests: Requests,
-    /// How it stops.
+    /// Settings of a planned stop.
     pub stop: Stop,
-    /// The cloud, if there is one to give orders to.
+    /// Settings of the cloud, if it receives orders.
     pub cloud: Option<Cloud>,
-    /// Where metrics are served, if they are.
+    /// Address at which metrics are served, if they are.
     pub metrics: Option<SocketAddr>,
 }
 
-/// Holds `[entry]`.
+/// Section `[entry]`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether new callers may come.
+    /// Address at which the load balancer probes whether the entry accepts new callers.
     pub ready: SocketAddr,
-    /// The most connections of callers at once.
+    /// Maximum number of concurrent connections of callers.
     pub connections: u32,
 }
 
-/// Holds `[core]`.
+/// Section `[core]`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Core {
-    /// Where operators and upstreams call.
+    /// Address for calls of operators and upstreams.
     pub control: SocketAddr,
-    /// The folder for the replicated log.
+    /// Data directory of the replicated log.
     pub folder: PathBuf,
-    /// Whether the whole fleet starts for the first time, so that the seeds found the log.
+    /// Whether the whole fleet starts for the first time, so that the seeds create the replicated log.
     pub found: bool,
-    /// How many disks may be lost at once.
+    /// Number of disks that may be lost at once without losing data.
     pub losses: u32,
 }
 
-/// Holds `[upstreams]`.
+/// Section `[upstreams]`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Upstreams {
     /// Time between two announcements of one upstream.
     pub announce: Duration,
-    /// Further arrivals at a service for each request of its callers.
+    /// Retries that a service may get per request of its callers.
     pub retry_ratio: f64,
-    /// Further arrivals at a service at once.
+    /// Retries that a service may get at once, in addition to the ratio.
     pub retry_allowance: f64,
-    /// The length of a window in which usage is counted.
+    /// Length of a usage window.
     pub usage_window: Duration,
-    /// How long after its end a window is of use.
+    /// Time after the end of a usage window for which its counts are still reported.
     pub usage_late: Duration,
 }
 
-/// Holds `[requests]`.
+/// Section `[requests]`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Requests {
-    /// How many upstreams must have ended under a request, one after the other, before it is held back.
+    /// Number of consecutive upstreams that a request must have crashed to be quarantined.
     pub crashes: u32,
-    /// After how long it is let through again.
+    /// Time after which a quarantined request is allowed again on trial.
     pub hold: Duration,
-    /// Contents that are never held back.
+    /// Fingerprints of requests that are never quarantined.
     pub lifted: Vec<Fingerprint>,
-    /// Contents that are held back in any case.
+    /// Fingerprints of requests that are always refused.
     pub forbidden: Vec<Fingerprint>,
 }
 
-/// Holds `[stop]`.
+/// Section `[stop]`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Stop {
-    /// The longest time that a planned stop may take.
+    /// Maximum duration of a planned stop.
     pub grace: Duration,
 }
 
-/// Holds `[cloud]`.
+/// Section `[cloud]`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Cloud {
-    /// Its address.
+    /// Address of the cloud.
     pub address: SocketAddr,
-    /// How long a new leader waits before its first order.
+    /// Time that a new leader waits before its first order.
     pub wait: Duration,
 }
 
-/// Reads a time with a fraction and a unit.
-struct Span(Duration);
+/// Value that is a time with a fraction and a unit.
+struct DurationValue(Duration);
 
-impl Value for Span {
+impl Value for DurationValue {
     const ALLOWED: &'static str = "a number with a unit, such as 2.5s or 300ms";
 
     fn read(text: &str) -> Option<Self> {
@@ -126,10 +126,10 @@
     }
 }
 
-/// Reads a number that is not negative.
-struct Number(f64);
+/// Value that is a number and not negative.
+struct NonNegativeNumber(f64);
 
-impl Value for Number {
+impl Value for NonNegativeNumber {
     const ALLOWED: &'static str = "a number from 0, such as 0.2";
 
     fn read(text: &str) -> Option<Self> {
@@ -137,10 +137,10 @@
     }
 }
 
-/// Reads a number of upstreams.
-struct Count(u32);
+/// Value that is a number of upstreams.
+struct UpstreamCount(u32);
 
-impl Value for Count {
+impl Value for UpstreamCount {
     const ALLOWED: &'static str = "a whole number from 2";
 
     fn read(text: &str) -> Option<Self> {
@@ -148,19 +148,19 @@
     }
 }
 
-/// Reads the content of a request as logs name it.
-struct Content(Fingerprint);
+/// Value that is the fingerprint of a request, as logs show it.
+struct FingerprintValue(Fingerprint);
 
-impl Value for Content {
+impl Value for FingerprintValue {
     const ALLOWED: &'static str = "32 hexadecimal digits, as in `content` of a request's log line";
 
     fn read(text: &str) -> Option<Self> {
-        let whole = text.len() == 32 && text.bytes().all(|it| it.is_ascii_hexdigit());
-        text.parse().ok().filter(|_| whole).map(Self)
+        let is_complete = text.len() == 32 && text.bytes().all(|it| it.is_ascii_hexdigit());
+        text.parse().ok().filter(|_| is_complete).map(Self)
     }
 }
 
-/// Reads a truth value.
+/// Value that is a boolean.
 struct Flag(bool);
 
 impl Value for Flag {
@@ -172,26 +172,26 @@
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// Lists every problem of the file.
+    /// Returns all problems of the file.
     pub fn read(path: &Path) -> Result<Self, Invalid> {
         Self::parse(&settings::text(path)?, path)
     }
 
-    /// Checks the text of a settings file.
+    /// Validates the text of a settings file.
     ///
     /// # Errors
     ///
-    /// Lists every problem of the text.
+    /// Returns all problems of the text.
     pub fn parse(text: &str, origin: &Path) -> Result<Self, Invalid> {
-        let Collected { taken, problems } = settings::collect(text, origin, Self::take)?;
+        let Collected { taken, problems } = settings::collect(text, origin, Self::read_from)?;
         if problems.is_empty() { Ok(taken) } else { Err(Invalid { problems }) }
     }
 
-    fn take(reader: &mut Reader<'_>) -> Self {
+    fn read_from(reader: &mut Reader<'_>) -> Self {
         let mut peers = ANY;
         let (mut name, mut zone) = (Name::new("instance"), AvailabilityZone::new("zone"));
         reader.need(Place("instance", "name"), &mut name);
@@ -201,7 +201,7 @@
         reader.list(Place("instance", "seeds"), &mut seeds);
         seeds.iter_mut().for_each(|seed| seed.set_port(peers.port()));
         let mut metrics = ANY;
-        let served = reader.optional("metrics", |reader| {
+        let metrics_section = reader.optional("metrics", |reader| {
             reader.need(Place("metrics", "address"), &mut metrics);
         });
         let settings = Self {
@@ -209,13 +209,13 @@
             zone,
             peers,
             seeds,
-            entry: reader.optional("entry", Entry::take),
-            core: reader.optional("core", Core::take),
-            upstreams: reader.section(Upstreams::take),
-            requests: reader.section(Requests::take),
-            stop: reader.section(Stop::take),
-            cloud: reader.optional("cloud", Cloud::take),
-            metrics: served.map(|()| metrics),
+            entry: reader.optional("entry", Entry::read_from),
+            core: reader.optional("core", Core::read_from),
+            upstreams: reader.section(Upstreams::read_from),
+            requests: reader.section(Requests::read_from),
+            stop: reader.section(Stop::read_from),
+            cloud: reader.optional("cloud", Cloud::read_from),
+            metrics: metrics_section.map(|()| metrics),
         };
         reader.finish();
         settings
@@ -223,7 +223,7 @@
 }
 
 impl Entry {
-    fn take(reader: &mut Reader<'_>) -> Self {
+    fn read_from(reader: &mut Reader<'_>) -> Self {
         let mut entry = Self { callers: ANY, ready: ANY, connections: 3_000 };
         reader.need(Place("entry", "callers"), &mut entry.callers);
         reader.need(Place("entry", "ready"), &mut entry.ready);
@@ -233,7 +233,7 @@
 }
 
 impl Core {
-    fn take(reader: &mut Reader<'_>) -> Self {
+    fn read_from(reader: &mut Reader<'_>) -> Self {
         let mut core = Self { control: ANY, folder: PathBuf::new(), found: false, losses: 1 };
         reader.need(Place("core", "control"), &mut core.control);
         let mut folder = None;
@@ -248,20 +248,21 @@
 }
 
 impl Upstreams {
-    fn take(reader: &mut Reader<'_>) -> Self {
-        let mut announce = Span(Duration::from_millis(1_200));
-        let (mut ratio, mut allowance) = (Number(0.2), Number(50.0));
-        let mut window = Span(Duration::from_secs(5));
-        let mut late = Span(Duration::from_secs(10));
+    fn read_from(reader: &mut Reader<'_>) -> Self {
+        let mut announce = DurationValue(Duration::from_millis(1_200));
+        let (mut retry_ratio, mut retry_allowance) =
+            (NonNegativeNumber(0.2), NonNegativeNumber(50.0));
+        let mut window = DurationValue(Duration::from_secs(5));
+        let mut late = DurationValue(Duration::from_secs(10));
         reader.take(Place("upstreams", "announce"), &mut announce);
-        reader.take(Place("upstreams", "retry_ratio"), &mut ratio);
-        reader.take(Place("upstreams", "retry_allowance"), &mut allowance);
+        reader.take(Place("upstreams", "retry_ratio"), &mut retry_ratio);
+        reader.take(Place("upstreams", "retry_allowance"), &mut retry_allowance);
         reader.take(Place("upstreams", "usage_window"), &mut window);
         reader.take(Place("upstreams", "usage_late"), &mut late);
         Self {
             announce: announce.0,
-            retry_ratio: ratio.0,
-            retry_allowance: allowance.0,
+            retry_ratio: retry_ratio.0,
+            retry_allowance: retry_allowance.0,
             usage_window: window.0,
             usage_late: late.0,
         }
@@ -269,21 +270,26 @@
 }
 
 impl Requests {
-    fn take(reader: &mut Reader<'_>) -> Self {
-        let rule = QuarantinePolicy::default();
-        let (mut crashes, mut hold) = (Count(rule.crash_threshold), Span(rule.hold_time));
-        let (mut lifted, mut forbidden): (Vec<Content>, Vec<Content>) = (Vec::new(), Vec::new());
+    fn read_from(reader: &mut Reader<'_>) -> Self {
+        let default_policy = QuarantinePolicy::default();
+        let (mut crashes, mut hold) = (
+            UpstreamCount(default_policy.crash_threshold),
+            DurationValue(default_policy.hold_time),
+        );
+        let (mut lifted, mut forbidden): (Vec<FingerprintValue>, Vec<FingerprintValue>) =
+            (Vec::new(), Vec::new());
         reader.take(Place("requests", "crashes"), &mut crashes);
         reader.take(Place("requests", "hold"), &mut hold);
         reader.list(Place("requests", "lifted"), &mut lifted);
         reader.list(Place("requests", "forbidden"), &mut forbidden);
-        let fingerprints = |contents: Vec<Content>| contents.into_iter().map(|it| it.0).collect();
+        let fingerprints =
+            |contents: Vec<FingerprintValue>| contents.into_iter().map(|it| it.0).collect();
         let (lifted, forbidden) = (fingerprints(lifted), fingerprints(forbidden));
         Self { crashes: crashes.0, hold: hold.0, lifted, forbidden }
     }
 
-    /// Returns the rule by which the leader goes.
-    pub(crate) fn rule(&self) -> QuarantinePolicy {
+    /// Returns the policy by which the leader quarantines requests.
+    pub(crate) fn quarantine_policy(&self) -> QuarantinePolicy {
         QuarantinePolicy {
             crash_threshold: self.crashes,
             hold_time: self.hold,
@@ -294,17 +300,17 @@
 }
 
 impl Stop {
-    fn take(reader: &mut Reader<'_>) -> Self {
-        let mut grace = Span(Duration::from_secs(8));
+    fn read_from(reader: &mut Reader<'_>) -> Self {
+        let mut grace = DurationValue(Duration::from_secs(8));
         reader.take(Place("stop", "grace"), &mut grace);
         Self { grace: grace.0 }
     }
 }
 
 impl Cloud {
-    fn take(reader: &mut Reader<'_>) -> Self {
+    fn read_from(reader: &mut Reader<'_>) -> Self {
         let mut address = ANY;
-        let mut wait = Span(Duration::from_secs(3));
+        let mut wait = DurationValue(Duration::from_secs(3));
         reader.need(Place("cloud", "address"), &mut address);
         reader.take(Place("cloud", "wait"), &mut wait);
         Self { address, wait: wait.0 }
