--- a/crates/verbenaslip-node/src/calls.rs
+++ b/crates/verbenaslip-node/src/calls.rs
@@ -6,7 +6,7 @@
 use verbenaslip_replica::config::Change;
 use verbenaslip_replica::voter::Voter;
 use verbenaslip_state::Command;
-use verbenaslip_state::command::{Drain, Swap, Voters};
+use verbenaslip_state::command::{Drain, VoterChange, Voters};
 
 use crate::lead::outcome;
 use crate::message::{Answer, Message, Query};
@@ -78,15 +78,15 @@
         self.propose(Command::Drain(drain), Purpose::Drain { call, instance, by }, PATIENCE);
     }
 
-    fn vote(&mut self, call: Id, swap: Swap, by: Operator) {
+    fn vote(&mut self, call: Id, swap: VoterChange, by: Operator) {
         let (old, new) = match swap {
-            Swap::Remove(old) => {
-                self.note_swap(Swap::Remove(old.clone()), by);
+            VoterChange::Remove(old) => {
+                self.note_swap(VoterChange::Remove(old.clone()), by);
                 let purpose = Purpose::Voters { call };
                 return self.submit(Work::Change(Change::Remove(old)), purpose, VOTING);
             }
-            Swap::Add(new) => (None, new),
-            Swap::Replace { old, new } => (Some(old), new),
+            VoterChange::Add(new) => (None, new),
+            VoterChange::Replace { old, new } => (Some(old), new),
         };
         if new != self.setup.instance && self.address(&new).is_none() {
             let text = "no such instance is known; see the status for their names";
@@ -110,17 +110,18 @@
         };
         let new = voter.instance.clone();
         let (swap, change) = match old {
-            Some(old) => {
-                (Swap::Replace { old: old.clone(), new }, Change::Replace { old, new: voter })
-            }
-            None => (Swap::Add(new), Change::Add(voter)),
+            Some(old) => (
+                VoterChange::Replace { old: old.clone(), new },
+                Change::Replace { old, new: voter },
+            ),
+            None => (VoterChange::Add(new), Change::Add(voter)),
         };
         self.note_swap(swap, by);
         self.submit(Work::Change(change), Purpose::Voters { call }, VOTING);
     }
 
     /// Leaves a note of a change of the voter set in the audit trail.
-    fn note_swap(&mut self, change: Swap, by: Operator) {
+    fn note_swap(&mut self, change: VoterChange, by: Operator) {
         self.note(Notice::VotersOrdered { by: by.clone(), change: change.clone() });
         let voters = Voters { by, change, at: self.unix() };
         self.propose(Command::Voters(voters), Purpose::Nobody, PATIENCE);
--- a/crates/verbenaslip-node/src/edits.rs
+++ b/crates/verbenaslip-node/src/edits.rs
@@ -151,8 +151,12 @@
         history::Newest {
             revision: self.hub.revision(),
             by: None,
-            differs: changes.iter().map(change::Change::key).take(history::MAX_NAMED).collect(),
-            more: changes.len() > history::MAX_NAMED,
+            differs: changes
+                .iter()
+                .map(change::Change::key)
+                .take(history::MAX_LISTED_ROWS)
+                .collect(),
+            more: changes.len() > history::MAX_LISTED_ROWS,
         }
     }
 
--- a/crates/verbenaslip-node/src/input.rs
+++ b/crates/verbenaslip-node/src/input.rs
@@ -121,7 +121,7 @@
         /// The question that it answers.
         question: u64,
         /// The state.
-        holding: order::dispatcher::Holding,
+        holding: order::dispatcher::UpstreamState,
     },
     /// The cloud has told what it offers and has given.
     Surveyed(Survey),
--- a/crates/verbenaslip-node/src/lead.rs
+++ b/crates/verbenaslip-node/src/lead.rs
@@ -110,7 +110,7 @@
 
     /// Takes another instance's command, if this one leads.
     pub(crate) fn forwarded(&mut self, from: Instance, token: u64, command: Command) {
-        if !command.in_time(self.unix()) {
+        if !command.has_valid_time(self.unix()) {
             let text = "the clocks of the two instances differ too much; check both";
             let answer = Answer::Refused(text.into());
             return self.send(&from, Message::Proposed { token, answer });
--- a/crates/verbenaslip-node/src/notice.rs
+++ b/crates/verbenaslip-node/src/notice.rs
@@ -10,7 +10,7 @@
 use verbenaslip_policy::retry::Decision;
 use verbenaslip_request::claim::Ruling;
 use verbenaslip_request::output::Outcome;
-use verbenaslip_state::command::Swap;
+use verbenaslip_state::command::VoterChange;
 use verbenaslip_state::order;
 use verbenaslip_table::{Revision, edit};
 
@@ -140,7 +140,7 @@
         /// Who asked.
         by: Operator,
         /// What is changed.
-        change: Swap,
+        change: VoterChange,
     },
     /// A request goes to its first upstream.
     Began {
--- a/crates/verbenaslip-node/src/operator.rs
+++ b/crates/verbenaslip-node/src/operator.rs
@@ -48,7 +48,7 @@
     /// Another voter set.
     Voters {
         /// What is changed.
-        swap: verbenaslip_state::command::Swap,
+        swap: verbenaslip_state::command::VoterChange,
         /// Who asks.
         by: Operator,
     },
--- a/crates/verbenaslip-node/src/orders.rs
+++ b/crates/verbenaslip-node/src/orders.rs
@@ -2,7 +2,7 @@
 
 use verbenaslip_base::announce::Kind;
 use verbenaslip_base::name::{Model, Operator, Upstream};
-use verbenaslip_state::order::{self, Order, Ordered, Pending, Task, Verdict};
+use verbenaslip_state::order::{self, Order, OrderEnd, Pending, Task, Verdict};
 use verbenaslip_state::{Command, Outcome};
 
 use crate::lead::outcome;
@@ -26,7 +26,7 @@
         let input = match until {
             Some(until) => {
                 let pending = voter.state().orders().cloned().collect();
-                order::Input::Lead(order::dispatcher::Lead {
+                order::Input::Lead(order::dispatcher::Leadership {
                     term: voter.replica().term(),
                     until,
                     pending,
@@ -98,7 +98,7 @@
                 }
             }
             order::Output::End(end) => {
-                let ordered = Ordered {
+                let ordered = OrderEnd {
                     by: self.setup.instance.clone(),
                     upstream: end.upstream.clone(),
                     fence: end.ending.fence,
--- a/crates/verbenaslip-node/src/output.rs
+++ b/crates/verbenaslip-node/src/output.rs
@@ -10,7 +10,7 @@
 use verbenaslip_request::caller::{Ticket, Verdict};
 use verbenaslip_request::message::ActiveRun;
 use verbenaslip_request::run::Run;
-use verbenaslip_state::order::dispatcher::Give;
+use verbenaslip_state::order::dispatcher::OrderDelivery;
 
 use crate::message::Message;
 use crate::notice::Notice;
@@ -83,7 +83,7 @@
         /// Where it is reached.
         address: SocketAddr,
         /// The order; void after its expiry.
-        give: Give,
+        give: OrderDelivery,
     },
     /// Asks an upstream for its state; answered by `Input::Read`.
     ReadBack {
--- a/crates/verbenaslip-node/src/query.rs
+++ b/crates/verbenaslip-node/src/query.rs
@@ -125,8 +125,8 @@
         let voter = self.voter.as_ref().filter(|_| self.leads())?;
         match query {
             Query::Force(revision) => {
-                let force = self.hub.force(self.now, *revision)?;
-                let everywhere = force.everywhere();
+                let force = self.hub.propagation(self.now, *revision)?;
+                let everywhere = force.is_complete();
                 Some(Found::Force { everywhere, awaited: force.awaited })
             }
             Query::History => {
--- a/crates/verbenaslip-node/src/status.rs
+++ b/crates/verbenaslip-node/src/status.rs
@@ -164,7 +164,7 @@
 impl Node {
     /// Shows how this instance stands.
     pub fn status(&self) -> Status {
-        let force = self.hub.force(self.now, self.hub.revision());
+        let force = self.hub.propagation(self.now, self.hub.revision());
         Status {
             instance: self.setup.instance.clone(),
             version: env!("CARGO_PKG_VERSION").into(),
@@ -173,7 +173,7 @@
             revision: self.hub.revision(),
             rows: self.hub.table().rows().len(),
             lease: self.lease_left(),
-            follows: self.hub.follows().cloned(),
+            follows: self.hub.followed_publisher().cloned(),
             log: self.log(),
             behind: force.map(|force| force.awaited),
             isolated: self.gossip.isolated(),
--- a/crates/verbenaslip-node/src/voter.rs
+++ b/crates/verbenaslip-node/src/voter.rs
@@ -13,7 +13,7 @@
 use verbenaslip_replica::storage::{Recovered, Snapshot, Write};
 use verbenaslip_replica::voter;
 use verbenaslip_replica::{Replica, input, message};
-use verbenaslip_state::claim::Limit;
+use verbenaslip_state::claim::Limits;
 use verbenaslip_state::{Command, Outcome, State};
 use verbenaslip_table::{Revision, Table};
 
@@ -65,7 +65,7 @@
         let snapshot = recovered.snapshot.clone();
         let mut voter = Self {
             replica: Replica::open(setup, recovered, now),
-            state: State::new(Limit::default()),
+            state: State::new(Limits::default()),
             applied: 0,
             changes: BTreeSet::new(),
             outcomes: BTreeMap::new(),
--- a/crates/verbenaslip-node/tests/wire.rs
+++ b/crates/verbenaslip-node/tests/wire.rs
@@ -27,7 +27,7 @@
 use verbenaslip_request::caller::Body;
 use verbenaslip_request::message as request;
 use verbenaslip_request::output;
-use verbenaslip_state::command::{Command, Drain, Swap, Voters};
+use verbenaslip_state::command::{Command, Drain, VoterChange, Voters};
 use verbenaslip_state::lease::Nonce;
 use verbenaslip_state::outcome::Overlong;
 use verbenaslip_state::watch::message as watch;
@@ -122,7 +122,7 @@
         watch::Message::Renew(watch::Renew { nonce, applied: revision, floor: Revision(299) }),
         watch::Message::Fetch(watch::Fetch { revision, part: 1 }),
         watch::Message::Granted(granted),
-        watch::Message::Away(watch::Away { nonce, others: vec![name("a")] }),
+        watch::Message::Away(watch::Refusal { nonce, others: vec![name("a")] }),
         watch::Message::Changes(vec![watch::Step { revision, changes: changes.into() }]),
         watch::Message::Offer(watch::Offer { revision, bytes: 9, digest: 300 }),
         watch::Message::Part(watch::Part { revision, part: 1, bytes: vec![1, 2] }),
@@ -235,9 +235,9 @@
         settle(claim::Ending::Unknown(Unknown::InstanceLost)),
         Command::Release(claim::Release { claim, at }),
         Command::Drain(Drain { by: by(), instance: name("a"), at }),
-        swap(Swap::Add(name("a"))),
-        swap(Swap::Remove(name("a"))),
-        swap(Swap::Replace { old: name("a"), new: name("b") }),
+        swap(VoterChange::Add(name("a"))),
+        swap(VoterChange::Remove(name("a"))),
+        swap(VoterChange::Replace { old: name("a"), new: name("b") }),
     ];
     let fence = Fence { term: 3, index: 200 };
     let order = |task| {
@@ -253,7 +253,7 @@
     ];
     let ordered = |result| {
         let (by, upstream) = (name("a"), "u".into());
-        Command::Ordered(order::Ordered { by, fence, upstream, result, at })
+        Command::Ordered(order::OrderEnd { by, fence, upstream, result, at })
     };
     let results = [
         order::Result::Applied,
@@ -301,13 +301,13 @@
         Outcome::Claim(claim::Verdict::Expired),
         Outcome::Claim(claim::Verdict::Ahead),
         Outcome::Claim(claim::Verdict::Full),
-        Outcome::Closed(claim::Closing::Other),
-        Outcome::Closed(claim::Closing::Final(claim::Ending::NotRun)),
+        Outcome::Closed(claim::CloseResult::Other),
+        Outcome::Closed(claim::CloseResult::Final(claim::Ending::NotRun)),
         Outcome::Claim(held),
         Outcome::Claim(claim::Verdict::Stale { last: attempt() }),
-        Outcome::Closed(claim::Closing::Kept),
-        Outcome::Closed(claim::Closing::Freed),
-        Outcome::Closed(claim::Closing::Missing),
+        Outcome::Closed(claim::CloseResult::Kept),
+        Outcome::Closed(claim::CloseResult::Freed),
+        Outcome::Closed(claim::CloseResult::Missing),
         Outcome::Order(order::Verdict::Numbered(fence)),
         Outcome::Order(order::Verdict::Busy(fence)),
         Outcome::Order(order::Verdict::Repeated(fence)),
--- a/crates/verbenaslip-state/src/audit.rs
+++ b/crates/verbenaslip-state/src/audit.rs
@@ -12,8 +12,8 @@
 use verbenaslip_table::{Key, Revision};
 
 use crate::claim::Ending;
-use crate::command::{Command, Swap};
-use crate::history::{MAX_NAMED, keep_newest};
+use crate::command::{Command, VoterChange};
+use crate::history::{MAX_LISTED_ROWS, keep_newest};
 use crate::order::{Result, Task};
 use crate::outcome::Outcome;
 
@@ -65,7 +65,7 @@
     Edit {
         /// Its identity.
         id: Id,
-        /// The rows, the first [`MAX_NAMED`].
+        /// The rows, the first [`MAX_LISTED_ROWS`].
         rows: Vec<Key>,
     },
     /// A claim of a non-idempotent request.
@@ -81,7 +81,7 @@
     /// A graceful stop.
     Drain(Instance),
     /// A change of the voter set.
-    Voters(Swap),
+    Voters(VoterChange),
 }
 
 impl fmt::Display for Action {
@@ -106,9 +106,11 @@
                 write!(f, "order {}.{} to {upstream} ended: {result}", fence.term, fence.index)
             }
             Self::Drain(instance) => write!(f, "drain {instance}"),
-            Self::Voters(Swap::Add(new)) => write!(f, "add voter {new}"),
-            Self::Voters(Swap::Remove(old)) => write!(f, "remove voter {old}"),
-            Self::Voters(Swap::Replace { old, new }) => write!(f, "replace voter {old} by {new}"),
+            Self::Voters(VoterChange::Add(new)) => write!(f, "add voter {new}"),
+            Self::Voters(VoterChange::Remove(old)) => write!(f, "remove voter {old}"),
+            Self::Voters(VoterChange::Replace { old, new }) => {
+                write!(f, "replace voter {old} by {new}")
+            }
         }
     }
 }
@@ -211,7 +213,7 @@
     match command {
         Command::Edit(edit) => Action::Edit {
             id: edit.id.clone(),
-            rows: edit.changes.iter().map(|change| change.key()).take(MAX_NAMED).collect(),
+            rows: edit.changes.iter().map(|change| change.key()).take(MAX_LISTED_ROWS).collect(),
         },
         Command::Claim(claim) => Action::Claim(claim.attempt),
         Command::Settle(settle) => Action::Settle(settle.attempt, settle.ending.clone()),
--- a/crates/verbenaslip-state/src/claim.rs
+++ b/crates/verbenaslip-state/src/claim.rs
@@ -151,7 +151,7 @@
 
 /// Answers what a settlement or release did.
 #[data]
-pub enum Closing {
+pub enum CloseResult {
     /// The ending is kept; so it is for a resend.
     Kept,
     /// Another attempt may be granted; so it is for a resend.
@@ -164,7 +164,7 @@
     Missing,
 }
 
-impl fmt::Display for Closing {
+impl fmt::Display for CloseResult {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Kept => "kept",
@@ -178,7 +178,7 @@
 
 /// Holds what bounds the claims; equal on every voter, so it travels in the snapshot.
 #[data(copy)]
-pub struct Limit {
+pub struct Limits {
     /// See [`RETENTION_MS`].
     pub retention: u64,
     /// See [`SKEW_MS`].
@@ -187,7 +187,7 @@
     pub count: u32,
 }
 
-impl Default for Limit {
+impl Default for Limits {
     fn default() -> Self {
         Self { retention: RETENTION_MS, skew: SKEW_MS, count: MAX_CLAIMS }
     }
--- a/crates/verbenaslip-state/src/claim/ledger.rs
+++ b/crates/verbenaslip-state/src/claim/ledger.rs
@@ -6,12 +6,12 @@
 use verbenaslip_base::data;
 use verbenaslip_base::name::{Instance, Team};
 
-use super::{Claim, Closing, Ending, Limit, Settle, Verdict};
+use super::{Claim, CloseResult, Ending, Limits, Settle, Verdict};
 
 /// Keeps the claims.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub(crate) struct Ledger {
-    limit: Limit,
+    limit: Limits,
     records: BTreeMap<Request, Record>,
     /// The same records by the time at which they may be forgotten.
     ages: BTreeSet<(u64, Request)>,
@@ -21,13 +21,13 @@
 
 impl Ledger {
     /// Takes up records that a snapshot kept.
-    pub(crate) fn restore(limit: Limit, records: Vec<Record>) -> Self {
+    pub(crate) fn restore(limit: Limits, records: Vec<Record>) -> Self {
         let mut claims = Self { limit, ..Self::default() };
         records.into_iter().for_each(|record| claims.insert(record));
         claims
     }
 
-    pub(crate) fn limit(&self) -> Limit {
+    pub(crate) fn limit(&self) -> Limits {
         self.limit
     }
 
@@ -69,54 +69,54 @@
     }
 
     /// Keeps how a run ended, or frees the claim when it was none.
-    pub(crate) fn settle(&mut self, settle: &Settle) -> Closing {
+    pub(crate) fn settle(&mut self, settle: &Settle) -> CloseResult {
         let Some(record) = self.records.get_mut(&settle.attempt.request) else {
-            return Closing::Missing;
+            return CloseResult::Missing;
         };
         if record.number != settle.attempt.number {
-            return Closing::Other;
+            return CloseResult::Other;
         }
         match (&record.status, &settle.ending) {
             (Status::Held, Ending::NotRun) | (Status::Freed, Ending::NotRun) => {
                 // A restarted instance may reuse a number for a run that it never made; without the
                 // nonce its word would free the claim of the run that was made.
                 if record.nonce != settle.nonce {
-                    return Closing::Other;
+                    return CloseResult::Other;
                 }
                 record.status = Status::Freed;
-                Closing::Freed
+                CloseResult::Freed
             }
             (Status::Held, ending) => {
                 record.status = Status::Settled(ending.clone());
-                Closing::Kept
+                CloseResult::Kept
             }
-            (Status::Freed, _) => Closing::Final(Ending::NotRun),
-            (Status::Settled(kept), ending) if kept == ending => Closing::Kept,
-            (Status::Settled(kept), _) => Closing::Final(kept.clone()),
+            (Status::Freed, _) => CloseResult::Final(Ending::NotRun),
+            (Status::Settled(kept), ending) if kept == ending => CloseResult::Kept,
+            (Status::Settled(kept), _) => CloseResult::Final(kept.clone()),
         }
     }
 
     /// Frees a claim that led to no run, and bars it should it arrive later.
-    pub(crate) fn release(&mut self, clock: u64, claim: &Claim) -> Closing {
+    pub(crate) fn release(&mut self, clock: u64, claim: &Claim) -> CloseResult {
         let Some(record) = self.records.get_mut(&claim.attempt.request) else {
             if self.admit(clock, claim).is_some() {
-                return Closing::Missing;
+                return CloseResult::Missing;
             }
             self.insert(Record::of(claim, Status::Freed));
-            return Closing::Freed;
+            return CloseResult::Freed;
         };
         match &record.status {
-            Status::Settled(kept) if record.is(claim) => Closing::Final(kept.clone()),
+            Status::Settled(kept) if record.is(claim) => CloseResult::Final(kept.clone()),
             Status::Held | Status::Freed if record.is(claim) => {
                 record.status = Status::Freed;
-                Closing::Freed
+                CloseResult::Freed
             }
             Status::Freed if record.number < claim.attempt.number => {
                 record.number = claim.attempt.number;
                 record.nonce = claim.nonce;
-                Closing::Freed
+                CloseResult::Freed
             }
-            _ => Closing::Other,
+            _ => CloseResult::Other,
         }
     }
 
--- a/crates/verbenaslip-state/src/command.rs
+++ b/crates/verbenaslip-state/src/command.rs
@@ -5,12 +5,12 @@
 use verbenaslip_table::{Change, Edit, Key};
 
 use crate::claim::{Claim, Release, SKEW_MS, Settle};
-use crate::order::{Order, Ordered};
+use crate::order::{Order, OrderEnd};
 
 /// Changes the replicated state.
 ///
 /// Each carries `at`, the Unix milliseconds at which it was proposed. The leader proposes only what
-/// is [`in_time`](Self::in_time) by its own clock: one wrong clock would otherwise push the state's
+/// is [`has_valid_time`](Self::in_time) by its own clock: one wrong clock would otherwise push the state's
 /// clock, which never falls, far ahead, and every key would count as expired.
 #[data]
 pub enum Command {
@@ -25,7 +25,7 @@
     /// Numbers an order to an upstream.
     Order(Order),
     /// Tells what became of an order.
-    Ordered(Ordered),
+    Ordered(OrderEnd),
     /// Stops an instance gracefully.
     Drain(Drain),
     /// Notes a change of the voter set.
@@ -48,7 +48,7 @@
     }
 
     /// Says whether the command's time is near enough to the leader's own, in Unix milliseconds.
-    pub fn in_time(&self, now: u64) -> bool {
+    pub fn has_valid_time(&self, now: u64) -> bool {
         self.at().abs_diff(now) <= SKEW_MS
     }
 
@@ -89,7 +89,7 @@
     /// Who asks.
     pub by: Operator,
     /// What is changed.
-    pub change: Swap,
+    pub change: VoterChange,
     /// When, in Unix milliseconds.
     pub at: u64,
 }
@@ -98,9 +98,9 @@
     fn overlong(&self) -> Option<&'static str> {
         let by = ("operator", self.by.as_str());
         match &self.change {
-            Swap::Add(new) => first_overlong(&[by, ("instance", new.as_str())]),
-            Swap::Remove(old) => first_overlong(&[by, ("instance", old.as_str())]),
-            Swap::Replace { old, new } => {
+            VoterChange::Add(new) => first_overlong(&[by, ("instance", new.as_str())]),
+            VoterChange::Remove(old) => first_overlong(&[by, ("instance", old.as_str())]),
+            VoterChange::Replace { old, new } => {
                 first_overlong(&[by, ("instance", old.as_str()), ("instance", new.as_str())])
             }
         }
@@ -109,7 +109,7 @@
 
 /// Says which voter comes and which goes.
 #[data]
-pub enum Swap {
+pub enum VoterChange {
     /// A voter comes.
     Add(Instance),
     /// A voter goes.
--- a/crates/verbenaslip-state/src/history.rs
+++ b/crates/verbenaslip-state/src/history.rs
@@ -15,7 +15,7 @@
 pub const MAX_HISTORY: usize = 4_096;
 
 /// Bounds the rows that one history entry or answer names.
-pub const MAX_NAMED: usize = 64;
+pub const MAX_LISTED_ROWS: usize = 64;
 
 /// Answers an edit.
 #[data]
@@ -57,7 +57,7 @@
     pub revision: Revision,
     /// Who made it; none before the first.
     pub by: Option<Operator>,
-    /// The rows changed since the operator's base, in order, the first [`MAX_NAMED`].
+    /// The rows changed since the operator's base, in order, the first [`MAX_LISTED_ROWS`].
     pub differs: Vec<Key>,
     /// Whether more rows may have changed than are named.
     pub more: bool,
@@ -91,7 +91,7 @@
     pub at: u64,
     /// From which revision.
     pub base: Revision,
-    /// The rows that it changed, in order, the first [`MAX_NAMED`].
+    /// The rows that it changed, in order, the first [`MAX_LISTED_ROWS`].
     pub rows: Vec<Key>,
     /// How many rows it changed.
     pub count: u32,
@@ -189,8 +189,8 @@
         Newest {
             revision: self.revision,
             by: self.entries.back().map(|entry| entry.by.clone()),
-            more: cut || !reaches || keys.len() > MAX_NAMED,
-            differs: keys.into_iter().take(MAX_NAMED).cloned().collect(),
+            more: cut || !reaches || keys.len() > MAX_LISTED_ROWS,
+            differs: keys.into_iter().take(MAX_LISTED_ROWS).cloned().collect(),
         }
     }
 }
@@ -199,7 +199,7 @@
     fn of(edit: &Edit, revision: Revision) -> Self {
         let mut rows: Vec<Key> = edit.changes.iter().map(Change::key).collect();
         rows.sort();
-        rows.truncate(MAX_NAMED);
+        rows.truncate(MAX_LISTED_ROWS);
         Self {
             revision,
             edit: edit.id.clone(),
--- a/crates/verbenaslip-state/src/lease.rs
+++ b/crates/verbenaslip-state/src/lease.rs
@@ -13,13 +13,13 @@
 use verbenaslip_table::Revision;
 
 /// How long a lease lasts that the leader grants.
-pub const DURATION: Duration = Duration::from_secs(4);
+pub const MAX_DURATION: Duration = Duration::from_secs(4);
 
 /// How often a holder renews its lease.
-pub const RENEW: Duration = Duration::from_secs(1);
+pub const RENEWAL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How often a holder renews its lease that passes leases on, so that what it passes on is long.
-pub const RENEW_RELAY: Duration = Duration::from_millis(500);
+pub const RELAY_RENEWAL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The divisor of a duration that gives the margin for the pace of clocks: 2.5 percent, which is
 /// enough for a slow holder and a fast granter that are each wrong by one percent.
@@ -67,7 +67,7 @@
         duration: Duration,
     ) -> bool {
         let Some(sent) = self.sent.iter().find(|sent| sent.nonce == nonce) else { return false };
-        let until = sent.at.saturating_add(duration.min(DURATION));
+        let until = sent.at.saturating_add(duration.min(MAX_DURATION));
         self.grants.retain(|grant| grant.until > now);
         self.grants.push(Grant { revision, until });
         if self.grants.len() > MAX_GRANTS {
--- a/crates/verbenaslip-state/src/lib.rs
+++ b/crates/verbenaslip-state/src/lib.rs
@@ -16,11 +16,11 @@
 pub mod audit;
 pub mod claim;
 pub mod command;
-pub mod force;
 pub mod history;
 pub mod lease;
 pub mod order;
 pub mod outcome;
+pub mod propagation;
 pub mod snapshot;
 pub mod state;
 pub mod watch;
--- a/crates/verbenaslip-state/src/order.rs
+++ b/crates/verbenaslip-state/src/order.rs
@@ -92,7 +92,7 @@
 
 /// Tells what became of an order.
 #[data]
-pub struct Ordered {
+pub struct OrderEnd {
     /// The leader that tells.
     pub by: Instance,
     /// The order's fencing number.
--- a/crates/verbenaslip-state/src/order/book.rs
+++ b/crates/verbenaslip-state/src/order/book.rs
@@ -7,7 +7,7 @@
 use verbenaslip_base::hash;
 use verbenaslip_base::name::Upstream;
 
-use super::{MAX_LIFETIME_MS, Order, Ordered, Pending, Verdict};
+use super::{MAX_LIFETIME_MS, Order, OrderEnd, Pending, Verdict};
 
 /// Bounds the orders that have not ended, and the upstreams whose last order is kept.
 const MAX_PENDING: usize = 16_384;
@@ -54,7 +54,7 @@
     }
 
     /// Ends an order; says whether it was waiting for its end.
-    pub(crate) fn end(&mut self, ordered: &Ordered) -> bool {
+    pub(crate) fn end(&mut self, ordered: &OrderEnd) -> bool {
         let fence = ordered.fence;
         let waiting = self.pending.get(&ordered.upstream);
         let Some(pending) = waiting.filter(|pending| pending.fence == fence) else { return false };
--- a/crates/verbenaslip-state/src/order/dispatcher.rs
+++ b/crates/verbenaslip-state/src/order/dispatcher.rs
@@ -18,7 +18,9 @@
 use crate::lease::with_margin;
 use target::{Current, FLIGHT, GRACE, Reading, Target};
 
-pub use message::{Answer, End, Ending, Event, Give, Holding, Input, Lead, Output, Report};
+pub use message::{
+    Answer, End, Ending, Event, Input, Leadership, OrderDelivery, Output, Report, UpstreamState,
+};
 
 /// Gives orders to upstreams while this instance leads.
 #[derive(Clone, Debug)]
@@ -71,7 +73,7 @@
         self.advance(now, out);
     }
 
-    fn lead(&mut self, now: Duration, lead: Lead) {
+    fn lead(&mut self, now: Duration, lead: Leadership) {
         self.until = lead.until;
         if lead.term > self.term {
             self.begin(now, lead.term);
@@ -192,7 +194,7 @@
         };
     }
 
-    fn read(&mut self, upstream: &Upstream, question: u64, holding: &Holding) {
+    fn read(&mut self, upstream: &Upstream, question: u64, holding: &UpstreamState) {
         let Some(target) = self.targets.get_mut(upstream) else { return };
         // An answer to an earlier question may be older than what has been ordered since.
         if target.reading.take_if(|reading| reading.question == question).is_none() {
--- a/crates/verbenaslip-state/src/order/dispatcher/message.rs
+++ b/crates/verbenaslip-state/src/order/dispatcher/message.rs
@@ -14,7 +14,7 @@
     /// Time passes; due at least every 200 ms.
     Tick,
     /// This instance leads.
-    Lead(Lead),
+    Lead(Leadership),
     /// This instance leads no longer.
     Resign,
     /// An upstream announced itself, and says whether it checks fencing numbers.
@@ -55,13 +55,13 @@
         /// The question that it answers.
         question: u64,
         /// The state.
-        holding: Holding,
+        holding: UpstreamState,
     },
 }
 
 /// Says how long this instance leads.
 #[data]
-pub struct Lead {
+pub struct Leadership {
     /// The term; a greater one than before starts anew.
     pub term: u64,
     /// When the leader's lease runs out, before which no other instance can lead.
@@ -87,7 +87,7 @@
 
 /// Holds an upstream's state as far as orders change it.
 #[data(default)]
-pub struct Holding {
+pub struct UpstreamState {
     /// The number of the last order that it carried out, if it keeps numbers.
     pub fence: Option<Fence>,
     /// The models that it has loaded.
@@ -96,7 +96,7 @@
     pub role: Role,
 }
 
-impl Holding {
+impl UpstreamState {
     /// Says whether the state is as after an order.
     pub(super) fn shows(&self, task: &Task) -> bool {
         match task {
@@ -113,7 +113,7 @@
     /// Proposes an order to the log.
     Propose(Order),
     /// Sends an order; whatever carries it gives up and closes the connection at the expiry.
-    Give(Give),
+    Give(OrderDelivery),
     /// Asks an upstream for its state.
     ReadBack {
         /// The upstream.
@@ -129,7 +129,7 @@
 
 /// Sends an order.
 #[data]
-pub struct Give {
+pub struct OrderDelivery {
     /// The receiver.
     pub upstream: Upstream,
     /// Its number; the same when it is sent again.
--- a/crates/verbenaslip-state/src/order/dispatcher/target.rs
+++ b/crates/verbenaslip-state/src/order/dispatcher/target.rs
@@ -4,7 +4,7 @@
 
 use verbenaslip_base::name::Upstream;
 
-use super::{End, Ending, Event, Give, Output, report};
+use super::{End, Ending, Event, OrderDelivery, Output, report};
 use crate::order::{MAX_LIFETIME_MS, Order, Pending, Result};
 
 /// How long an answer may take before the order, with the same number, or the question is repeated.
@@ -129,7 +129,7 @@
             return None;
         }
         self.given = Some(now);
-        Some(Output::Give(Give {
+        Some(Output::Give(OrderDelivery {
             upstream: upstream.clone(),
             fence: self.pending.fence,
             expiry: self.expiry,
--- a/crates/verbenaslip-state/src/outcome.rs
+++ b/crates/verbenaslip-state/src/outcome.rs
@@ -14,7 +14,7 @@
     /// Answers a claim.
     Claim(claim::Verdict),
     /// Answers a settlement or a release.
-    Closed(claim::Closing),
+    Closed(claim::CloseResult),
     /// Answers an order.
     Order(order::Verdict),
     /// The note is in the audit trail.
@@ -37,7 +37,7 @@
             ),
             Self::Claim(verdict) => matches!(verdict, claim::Verdict::Granted),
             Self::Closed(closing) => {
-                matches!(closing, claim::Closing::Kept | claim::Closing::Freed)
+                matches!(closing, claim::CloseResult::Kept | claim::CloseResult::Freed)
             }
             Self::Order(verdict) => matches!(verdict, order::Verdict::Numbered(_)),
             Self::Noted => true,
--- a/crates/verbenaslip-state/src/force.rs
+++ b/crates/verbenaslip-state/src/propagation.rs
@@ -7,20 +7,20 @@
 use verbenaslip_base::name::Instance;
 use verbenaslip_table::Revision;
 
-use crate::lease::{DURATION, Grant, with_margin};
+use crate::lease::{Grant, MAX_DURATION, with_margin};
 
 /// Answers whether a revision is in force everywhere.
 #[data]
-pub struct Force {
+pub struct Propagation {
     /// The instances that may still serve by an older table, or that pass leases on to such.
     pub awaited: Vec<Instance>,
     /// The time until the leases of earlier leaders have run out; none when they have.
     pub settling: Option<Duration>,
 }
 
-impl Force {
+impl Propagation {
     /// Says whether every instance that takes work has the revision.
-    pub fn everywhere(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.awaited.is_empty() && self.settling.is_none()
     }
 }
@@ -52,7 +52,7 @@
     /// Without the wait, an instance that an earlier leader granted a lease, and that is cut off
     /// since, would serve by an old table while the new leader says that the edit is in force.
     pub fn lead(&mut self, now: Duration) {
-        self.settled = now.saturating_add(with_margin(DURATION));
+        self.settled = now.saturating_add(with_margin(MAX_DURATION));
     }
 
     /// Notes the floor that a holder reports; an older report that comes late changes nothing.
@@ -84,13 +84,13 @@
     }
 
     /// Says whether a revision is in force everywhere, as far as this tracker's holders go.
-    pub fn force(&self, now: Duration, revision: Revision) -> Force {
+    pub fn force(&self, now: Duration, revision: Revision) -> Propagation {
         let late = |held: &Held| held.floor(now).is_some_and(|floor| floor < revision);
         let late = self.holders.iter().filter(|(_, held)| late(held));
         let mut awaited: Vec<Instance> = late.map(|(holder, _)| holder.instance.clone()).collect();
         awaited.dedup();
         let settling = self.settled.checked_sub(now).filter(|wait| !wait.is_zero());
-        Force { awaited, settling }
+        Propagation { awaited, settling }
     }
 }
 
--- a/crates/verbenaslip-state/src/snapshot.rs
+++ b/crates/verbenaslip-state/src/snapshot.rs
@@ -6,7 +6,7 @@
 use verbenaslip_base::hash;
 
 use crate::audit::Trail;
-use crate::claim::{Ledger, Limit, Record};
+use crate::claim::{Ledger, Limits, Record};
 use crate::history::History;
 use crate::order::Book;
 use crate::state::State;
@@ -79,7 +79,7 @@
     position: Fence,
     clock: u64,
     history: &'a History,
-    limit: Limit,
+    limit: Limits,
     claims: Vec<&'a Record>,
     orders: &'a Book,
     trail: &'a Trail,
@@ -91,7 +91,7 @@
     position: Fence,
     clock: u64,
     history: History,
-    limit: Limit,
+    limit: Limits,
     claims: Vec<Record>,
     orders: Book,
     trail: Trail,
--- a/crates/verbenaslip-state/src/state.rs
+++ b/crates/verbenaslip-state/src/state.rs
@@ -6,7 +6,7 @@
 use verbenaslip_table::{Revision, Table};
 
 use crate::audit::{Page, Trail};
-use crate::claim::{Ledger, Limit};
+use crate::claim::{Ledger, Limits};
 use crate::command::Command;
 use crate::history::{self, History};
 use crate::order::{Book, Pending};
@@ -25,7 +25,7 @@
 
 impl State {
     /// Starts empty, with the given bounds on claims; all voters need the same.
-    pub fn new(limit: Limit) -> Self {
+    pub fn new(limit: Limits) -> Self {
         Self { claims: Ledger::restore(limit, Vec::new()), ..Self::default() }
     }
 
--- a/crates/verbenaslip-state/src/watch/follower.rs
+++ b/crates/verbenaslip-state/src/watch/follower.rs
@@ -9,10 +9,10 @@
 
 use super::hub::Output;
 use super::message::{
-    Away, Fetch, Granted, MAX_BYTES, MAX_SNAPSHOT, Message, Offer, Part, Peer, Renew,
+    Fetch, Granted, MAX_BYTES, MAX_SNAPSHOT, Message, Offer, Part, Peer, Refusal, Renew,
 };
 use super::window::Progress;
-use crate::lease::{Lease, Nonce, RENEW, RENEW_RELAY};
+use crate::lease::{Lease, Nonce, RELAY_RENEWAL_INTERVAL, RENEWAL_INTERVAL};
 
 /// How long a publisher may leave a request unanswered before it is asked again.
 const RETRY: Duration = Duration::from_millis(400);
@@ -126,7 +126,7 @@
             self.parent = self.choose().map(|name| Parent::new(name, first));
         }
         let Some(parent) = &self.parent else { return };
-        let every = if report.relay { RENEW_RELAY } else { RENEW };
+        let every = if report.relay { RELAY_RENEWAL_INTERVAL } else { RENEWAL_INTERVAL };
         let every = if parent.asked.is_some() { RETRY } else { every };
         let news = report.floor > parent.reported && parent.asked.is_none();
         let every = if news || parent.hurry { REPORT } else { every };
@@ -154,7 +154,7 @@
     }
 
     /// Leaves a publisher that refuses, for one of those that it names.
-    pub(crate) fn away(&mut self, now: Duration, from: &Instance, away: Away) {
+    pub(crate) fn away(&mut self, now: Duration, from: &Instance, away: Refusal) {
         let Some(parent) = &self.parent else { return };
         let ours = away.nonce.boot == self.boot && away.nonce.count >= parent.first;
         if parent.name != *from || !ours {
--- a/crates/verbenaslip-state/src/watch/hub.rs
+++ b/crates/verbenaslip-state/src/watch/hub.rs
@@ -11,7 +11,7 @@
 use super::message::{Message, Peer, Step};
 use super::publisher::{Authority, Publisher};
 use super::window::Progress;
-use crate::force::{Floor, Force};
+use crate::propagation::{Floor, Propagation};
 
 /// Tells the hub what happened.
 #[data]
@@ -130,7 +130,7 @@
     }
 
     /// Returns whom this instance follows; none when it leads or looks for one.
-    pub fn follows(&self) -> Option<&Instance> {
+    pub fn followed_publisher(&self) -> Option<&Instance> {
         self.follower.parent()
     }
 
@@ -140,7 +140,7 @@
     }
 
     /// Says whether a revision is in force everywhere; none when this instance does not lead.
-    pub fn force(&self, now: Duration, revision: Revision) -> Option<Force> {
+    pub fn propagation(&self, now: Duration, revision: Revision) -> Option<Propagation> {
         let leads = self.leading.is_some_and(|until| until > now);
         let has = self.publisher.window.revision() >= revision;
         (leads && has).then(|| self.publisher.force(now, revision))
--- a/crates/verbenaslip-state/src/watch/message.rs
+++ b/crates/verbenaslip-state/src/watch/message.rs
@@ -24,7 +24,7 @@
     /// Grants a lease.
     Granted(Granted),
     /// Refuses to publish to the follower.
-    Away(Away),
+    Away(Refusal),
     /// Carries changes, one revision after the other.
     Changes(Vec<Step>),
     /// Offers a snapshot, because the changes no longer reach back to what the follower has.
@@ -59,7 +59,7 @@
 
 /// Refuses to publish.
 #[data]
-pub struct Away {
+pub struct Refusal {
     /// The request that is answered.
     pub nonce: Nonce,
     /// Instances that the follower may ask instead; empty when the publisher has no lease itself.
--- a/crates/verbenaslip-state/src/watch/publisher.rs
+++ b/crates/verbenaslip-state/src/watch/publisher.rs
@@ -7,10 +7,10 @@
 use verbenaslip_table::Revision;
 
 use super::hub::Output;
-use super::message::{Away, Fetch, Granted, Message, Peer, Renew, Step};
+use super::message::{Fetch, Granted, Message, Peer, Refusal, Renew, Step};
 use super::window::Window;
-use crate::force::{Floor, Force, Holder, Tracker};
-use crate::lease::DURATION;
+use crate::lease::MAX_DURATION;
+use crate::propagation::{Floor, Holder, Propagation, Tracker};
 
 /// The most followers of one publisher, besides the voters that follow the leader.
 ///
@@ -84,7 +84,7 @@
         self.tracker.floors(now)
     }
 
-    pub(crate) fn force(&self, now: Duration, revision: Revision) -> Force {
+    pub(crate) fn force(&self, now: Duration, revision: Revision) -> Propagation {
         self.tracker.force(now, revision)
     }
 
@@ -116,7 +116,7 @@
             return self.refuse(from, renew, others.cloned().collect(), out);
         }
         let rest = answer.until.saturating_sub(now);
-        let duration = if answer.leader { DURATION } else { rest.min(DURATION) };
+        let duration = if answer.leader { MAX_DURATION } else { rest.min(MAX_DURATION) };
         let duration_ms = u32::try_from(duration.as_millis()).unwrap_or_default();
         let revision = self.window.revision();
         self.tracker.grant(now, holder, revision, duration);
@@ -208,7 +208,7 @@
         out: &mut Vec<Output>,
     ) {
         self.followers.remove(from);
-        send(out, from, Message::Away(Away { nonce: renew.nonce, others }));
+        send(out, from, Message::Away(Refusal { nonce: renew.nonce, others }));
     }
 }
 
--- a/crates/verbenaslip-state/tests/claims.rs
+++ b/crates/verbenaslip-state/tests/claims.rs
@@ -6,7 +6,7 @@
 use verbenaslip_base::attempt::{Attempt, Request};
 use verbenaslip_base::fence::Fence;
 use verbenaslip_base::refusal::Unknown;
-use verbenaslip_state::claim::{Claim, Ending, Limit};
+use verbenaslip_state::claim::{Claim, Ending, Limits};
 use verbenaslip_state::{Command, State};
 
 const HOUR: u64 = 60 * 60 * 1_000;
@@ -208,7 +208,7 @@
 #[test]
 fn refuses_beyond_its_bound_and_evicts_nothing() {
     let mut log =
-        Log { state: State::new(Limit { count: 8, ..Limit::default() }), ..Log::default() };
+        Log { state: State::new(Limits { count: 8, ..Limits::default() }), ..Log::default() };
     let of = |key: u128, team: &str| {
         let attempt = Attempt { request: Request(key), number: 1 };
         Command::Claim(Claim { attempt, team: team.into(), ..claim(1, "a", 1) })
@@ -231,9 +231,9 @@
 #[test]
 fn the_leader_keeps_wrong_clocks_out() {
     let command = timed(NOW, NOW + MINUTE);
-    assert!(command.in_time(NOW));
-    assert!(!command.in_time(NOW - 1));
-    assert!(!command.in_time(NOW + 2 * MINUTE + 1));
+    assert!(command.has_valid_time(NOW));
+    assert!(!command.has_valid_time(NOW - 1));
+    assert!(!command.has_valid_time(NOW + 2 * MINUTE + 1));
 }
 
 /// Symptom: a claim is granted to two. Sequence: after a restart a voter applies commands that its
--- a/crates/verbenaslip-state/tests/messages.rs
+++ b/crates/verbenaslip-state/tests/messages.rs
@@ -9,7 +9,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use verbenaslip_base::name::Instance;
 use verbenaslip_state::lease::Nonce;
-use verbenaslip_state::watch::message::{Away, Fetch, Granted, Offer, Part, Renew, Step};
+use verbenaslip_state::watch::message::{Fetch, Granted, Offer, Part, Refusal, Renew, Step};
 use verbenaslip_state::watch::{Hub, Input, Message, Output, Peer};
 use verbenaslip_table::{Revision, Table};
 
@@ -54,7 +54,7 @@
                 path
             })
         ),
-        (nonce(), names()).prop_map(|(nonce, others)| Message::Away(Away { nonce, others })),
+        (nonce(), names()).prop_map(|(nonce, others)| Message::Away(Refusal { nonce, others })),
         proptest::collection::vec(step, 0..4).prop_map(Message::Changes),
         (revision(), small.clone())
             .prop_map(|(revision, part)| Message::Fetch(Fetch { revision, part })),
--- a/crates/verbenaslip-state/tests/net/mod.rs
+++ b/crates/verbenaslip-state/tests/net/mod.rs
@@ -9,7 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use verbenaslip_base::name::Instance;
-use verbenaslip_state::force::Force;
+use verbenaslip_state::propagation::Propagation;
 use verbenaslip_state::watch::{Hub, Input, Message, Output, Peer};
 use verbenaslip_table::change::apply;
 use verbenaslip_table::{Change, Revision, Row, Table};
@@ -244,13 +244,13 @@
     }
 
     /// Says what the leader knows of the newest revision.
-    pub fn force(&self) -> Option<Force> {
+    pub fn force(&self) -> Option<Propagation> {
         let leader = &self.nodes[self.leader?];
-        leader.hub.force(leader.now, self.revision)
+        leader.hub.propagation(leader.now, self.revision)
     }
 
     pub fn everywhere(&self) -> bool {
-        self.force().is_some_and(|force| force.everywhere())
+        self.force().is_some_and(|force| force.is_complete())
     }
 
     pub fn number(&self, name: &Instance) -> usize {
@@ -259,7 +259,7 @@
 
     /// Returns an instance that others follow, and that follows the leader or a voter.
     pub fn relay(&self) -> usize {
-        let followed = self.nodes.iter().filter_map(|node| node.hub.follows());
+        let followed = self.nodes.iter().filter_map(|node| node.hub.followed_publisher());
         let mut relays = followed.map(|name| self.number(name));
         relays.find(|number| !self.nodes[*number].voter).expect("there is a relay")
     }
--- a/crates/verbenaslip-state/tests/orders.rs
+++ b/crates/verbenaslip-state/tests/orders.rs
@@ -9,8 +9,10 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use verbenaslip_base::fence::Fence;
-use verbenaslip_state::order::dispatcher::{Answer, Event, Give, Holding, Lead};
-use verbenaslip_state::order::{Dispatcher, Input, Order, Ordered, Output, Pending, Role, Task};
+use verbenaslip_state::order::dispatcher::{
+    Answer, Event, Leadership, OrderDelivery, UpstreamState,
+};
+use verbenaslip_state::order::{Dispatcher, Input, Order, OrderEnd, Output, Pending, Role, Task};
 use verbenaslip_state::{Command, Outcome};
 
 /// The longest lease of a leader.
@@ -65,12 +67,12 @@
 }
 
 fn lead(term: u64, until: u64) -> Input {
-    Input::Lead(Lead { term, until: Duration::from_millis(until), pending: Vec::new() })
+    Input::Lead(Leadership { term, until: Duration::from_millis(until), pending: Vec::new() })
 }
 
 fn heir(term: u64, left: Pending) -> Input {
     let until = Duration::from_millis(60_000);
-    Input::Lead(Lead { term, until, pending: vec![left] })
+    Input::Lead(Leadership { term, until, pending: vec![left] })
 }
 
 fn upstream(fenced: bool) -> Input {
@@ -83,7 +85,7 @@
 
 fn read(question: u64, models: &[&str], fence: Option<Fence>) -> Input {
     let models = models.iter().map(|model| (*model).into()).collect();
-    let holding = Holding { fence, models, role: Role::Both };
+    let holding = UpstreamState { fence, models, role: Role::Both };
     Input::Read { upstream: "gpu".into(), question, holding }
 }
 
@@ -336,7 +338,7 @@
     let mut log = Log { term: 5, ..Log::default() };
     let proposed = Command::Order(order());
     let fence = Fence { term: 5, index: 1 };
-    let ended = Ordered {
+    let ended = OrderEnd {
         by: "a".into(),
         fence,
         upstream: "gpu".into(),
@@ -368,7 +370,7 @@
 }
 
 impl Engine {
-    fn take(&mut self, give: &Give) -> Answer {
+    fn take(&mut self, give: &OrderDelivery) -> Answer {
         if self.fenced && give.fence < self.held {
             return Answer::Held(self.held);
         }
@@ -388,7 +390,7 @@
     leaders: Vec<Dispatcher>,
     engines: BTreeMap<&'static str, Engine>,
     /// Orders on their way, with when they arrive and from whom.
-    flying: Vec<(Duration, usize, Give)>,
+    flying: Vec<(Duration, usize, OrderDelivery)>,
     current: usize,
     until: Duration,
     cut: bool,
@@ -426,7 +428,7 @@
         if !self.cut {
             self.until = self.now + LEASE;
             let pending = self.log.state.orders().cloned().collect();
-            let lead = Lead { term: self.log.term, until: self.until, pending };
+            let lead = Leadership { term: self.log.term, until: self.until, pending };
             self.input(self.current, Input::Lead(lead));
         }
         for leader in 0..3 {
@@ -458,13 +460,13 @@
                 Output::ReadBack { upstream, question } => {
                     let engine = &self.engines[upstream.as_str()];
                     let fence = engine.fenced.then_some(engine.held);
-                    let holding = Holding { fence, ..Holding::default() };
+                    let holding = UpstreamState { fence, ..UpstreamState::default() };
                     self.input(leader, Input::Read { upstream, question, holding });
                 }
                 Output::Propose(order) => self.propose(leader, Command::Order(order)),
                 Output::End(end) => self.propose(
                     leader,
-                    Command::Ordered(Ordered {
+                    Command::Ordered(OrderEnd {
                         by: "a".into(),
                         fence: end.ending.fence,
                         upstream: end.upstream,
@@ -500,7 +502,7 @@
                 self.input(leader, input);
             }
             (Command::Ordered(ordered), _) => {
-                let Ordered { upstream, fence, .. } = ordered;
+                let OrderEnd { upstream, fence, .. } = ordered;
                 self.input(leader, Input::Ended { upstream, fence });
             }
             _ => {}
@@ -512,7 +514,7 @@
         let (arrived, flying) =
             std::mem::take(&mut self.flying).into_iter().partition(|(at, ..)| *at <= now);
         self.flying = flying;
-        for (_, leader, give) in arrived as Vec<(Duration, usize, Give)> {
+        for (_, leader, give) in arrived as Vec<(Duration, usize, OrderDelivery)> {
             let engine = self.engines.get_mut(give.upstream.as_str()).expect("it is known");
             let answer = engine.take(&give);
             let last = engine.done.iter().max().copied();
--- a/crates/verbenaslip-state/tests/random.rs
+++ b/crates/verbenaslip-state/tests/random.rs
@@ -11,9 +11,9 @@
 use verbenaslip_base::attempt::{Attempt, Request};
 use verbenaslip_base::fence::Fence;
 use verbenaslip_base::refusal::Unknown;
-use verbenaslip_state::claim::{Claim, Ending, Limit, Release, Settle, Verdict};
-use verbenaslip_state::command::{Drain, Swap, Voters};
-use verbenaslip_state::order::{Order, Ordered, Result, Task};
+use verbenaslip_state::claim::{Claim, Ending, Limits, Release, Settle, Verdict};
+use verbenaslip_state::command::{Drain, VoterChange, Voters};
+use verbenaslip_state::order::{Order, OrderEnd, Result, Task};
 use verbenaslip_state::snapshot::Error;
 use verbenaslip_state::{Command, Outcome, State};
 use verbenaslip_table::{Change, Key};
@@ -65,10 +65,10 @@
             let fence = pending.map(|pending| pending.fence).unwrap_or_default();
             let by = instance.into();
             let upstream = upstream.into();
-            Command::Ordered(Ordered { by, fence, upstream, result: Result::Applied, at })
+            Command::Ordered(OrderEnd { by, fence, upstream, result: Result::Applied, at })
         }
         _ if rng.random() => Command::Drain(Drain { by: "ann".into(), instance: "a".into(), at }),
-        _ => Command::Voters(Voters { by: "ann".into(), change: Swap::Add("d".into()), at }),
+        _ => Command::Voters(Voters { by: "ann".into(), change: VoterChange::Add("d".into()), at }),
     }
 }
 
@@ -110,7 +110,7 @@
 /// with restarts from a snapshot. Cause: whatever the tables of cases do not think of.
 #[test]
 fn any_commands_keep_what_must_hold() {
-    let limit = Limit { retention: 20_000, skew: 2_000, count: 10 };
+    let limit = Limits { retention: 20_000, skew: 2_000, count: 10 };
     for seed in 0..100 {
         let mut rng = Pcg64::seed_from_u64(seed);
         let mut log = Log { state: State::new(limit), ..Log::default() };
@@ -236,14 +236,14 @@
         lifetime: 5_000,
         at: NOW,
     };
-    let ordered = Ordered {
+    let ordered = OrderEnd {
         by: "a".into(),
         fence: Fence { term: 3, index: 4 },
         upstream: "gpu-1".into(),
         result: Result::Applied,
         at: NOW,
     };
-    let swap = Swap::Replace { old: "b".into(), new: "d".into() };
+    let swap = VoterChange::Replace { old: "b".into(), new: "d".into() };
     let commands = [
         edit("e1", 0, "ann", &[row("check", 1)]),
         edit("e2", 0, "bo", &[row("check", 2)]),
@@ -293,7 +293,7 @@
         lifetime: 1,
         at: NOW,
     };
-    let swap = Swap::Remove(long.as_str().into());
+    let swap = VoterChange::Remove(long.as_str().into());
     let commands = [
         (edit("e", 0, "ann", &[Change::Remove(removed)]), "team"),
         (edit("e", 0, &long, &[row("check", 1)]), "operator"),
--- a/crates/verbenaslip-state/tests/watch.rs
+++ b/crates/verbenaslip-state/tests/watch.rs
@@ -108,7 +108,7 @@
         let relay = net.relay();
         let name = net.nodes[relay].name.clone();
         let below: Vec<usize> = (0..net.nodes.len())
-            .filter(|number| net.nodes[*number].hub.follows() == Some(&name))
+            .filter(|number| net.nodes[*number].hub.followed_publisher() == Some(&name))
             .collect();
         assert!(!below.is_empty());
         let inside = |number: usize| number == relay || below.contains(&number);
@@ -139,7 +139,7 @@
         let relay = net.relay();
         let name = net.nodes[relay].name.clone();
         let below: Vec<usize> = (0..net.nodes.len())
-            .filter(|number| net.nodes[*number].hub.follows() == Some(&name))
+            .filter(|number| net.nodes[*number].hub.followed_publisher() == Some(&name))
             .collect();
         for number in below {
             net.isolate(number);
@@ -264,7 +264,7 @@
 fn nobody_serves_without_the_quorum() {
     let mut net = started(81, 1);
     net.leader = None;
-    net.run(net::QUORUM_LEASE + verbenaslip_state::lease::DURATION + net::TICK);
+    net.run(net::QUORUM_LEASE + verbenaslip_state::lease::MAX_DURATION + net::TICK);
     let ready = (0..81).filter(|number| net.ready(*number)).count();
     assert_eq!(ready, 0);
     net.reset_counts();
@@ -302,7 +302,7 @@
 fn followers_prefer_their_own_zone() {
     let net = started(15, 1);
     for number in 3..15 {
-        let publisher = net.nodes[number].hub.follows().expect("it follows one");
+        let publisher = net.nodes[number].hub.followed_publisher().expect("it follows one");
         assert_eq!(net.number(publisher) % 3, number % 3, "{number} follows {publisher}");
     }
 }
--- a/crates/verbenaslip/src/control/call.rs
+++ b/crates/verbenaslip/src/control/call.rs
@@ -3,7 +3,7 @@
 use verbenaslip_gossip::{AnnouncementResult, Rejection as AnnouncementFault};
 use verbenaslip_node::Input;
 use verbenaslip_node::operator::{Apply, Ask, Edited, Id, Reply as Told};
-use verbenaslip_state::command::Swap;
+use verbenaslip_state::command::VoterChange;
 use verbenaslip_state::history;
 use verbenaslip_table::{Problems, Revision, edit};
 
@@ -64,11 +64,11 @@
     })
 }
 
-fn swap(voters: Voters) -> Swap {
+fn swap(voters: Voters) -> VoterChange {
     match voters {
-        Voters::Add(new) => Swap::Add(new),
-        Voters::Remove(old) => Swap::Remove(old),
-        Voters::Replace { old, new } => Swap::Replace { old, new },
+        Voters::Add(new) => VoterChange::Add(new),
+        Voters::Remove(old) => VoterChange::Remove(old),
+        Voters::Replace { old, new } => VoterChange::Replace { old, new },
     }
 }
 
--- a/crates/verbenaslip/src/control/gauge.rs
+++ b/crates/verbenaslip/src/control/gauge.rs
@@ -102,7 +102,7 @@
         let (now, left) = (self.now(), self.node.lease_left());
         let revision = self.node.revision().0;
         if let Some(left) = left {
-            self.gauges.confirmed = (now + left).checked_sub(lease::DURATION);
+            self.gauges.confirmed = (now + left).checked_sub(lease::MAX_DURATION);
         }
         let Some(confirmed) = self.gauges.confirmed else { return };
         let (metric, age) = (&self.control.metric, now.saturating_sub(confirmed));
--- a/crates/verbenaslip/src/control/notice.rs
+++ b/crates/verbenaslip/src/control/notice.rs
@@ -10,7 +10,7 @@
 use verbenaslip_policy::retry::{Decision, Denial};
 use verbenaslip_request::claim::Ruling;
 use verbenaslip_request::output::Outcome;
-use verbenaslip_state::command::Swap;
+use verbenaslip_state::command::VoterChange;
 use verbenaslip_state::order::Result as Ended;
 use verbenaslip_state::order::dispatcher::{Event as Told, Report};
 
@@ -236,11 +236,11 @@
     }
 }
 
-fn swap(change: &Swap) -> String {
+fn swap(change: &VoterChange) -> String {
     match change {
-        Swap::Add(new) => format!("{new} comes"),
-        Swap::Remove(old) => format!("{old} goes"),
-        Swap::Replace { old, new } => format!("{new} takes the place of {old}"),
+        VoterChange::Add(new) => format!("{new} comes"),
+        VoterChange::Remove(old) => format!("{old} goes"),
+        VoterChange::Replace { old, new } => format!("{new} takes the place of {old}"),
     }
 }
 
--- a/crates/verbenaslip/src/control/outside.rs
+++ b/crates/verbenaslip/src/control/outside.rs
@@ -14,7 +14,7 @@
 use verbenaslip_node::Input;
 use verbenaslip_policy::route::{CacheBatch, CacheEvent};
 use verbenaslip_request::run::Cause;
-use verbenaslip_state::order::dispatcher::{Answer, Holding};
+use verbenaslip_state::order::dispatcher::{Answer, UpstreamState};
 use verbenaslip_state::order::{Role, Task};
 
 use crate::control::Order;
@@ -95,7 +95,7 @@
         Ask::Read { address, upstream, question } => {
             let held = Http::new(address, LIMIT).orders().await.ok()?;
             let fence = (held.held != Fence::default()).then_some(held.held);
-            let holding = Holding { fence, models: held.models, role: role(held.role) };
+            let holding = UpstreamState { fence, models: held.models, role: role(held.role) };
             Some(Input::Read { upstream, question, holding })
         }
         Ask::Cache { address, upstream } => cache(address, upstream, places).await,
--- a/crates/verbenaslip/src/settings/check.rs
+++ b/crates/verbenaslip/src/settings/check.rs
@@ -39,8 +39,9 @@
         }
         // Instances would refuse all work at each change of leader, because their table lease would
         // end before the new leader can renew it.
-        if timing.election * 2 >= lease::DURATION {
-            let allowed = format!("less than half of the table lease ({})", Time(lease::DURATION));
+        if timing.election * 2 >= lease::MAX_DURATION {
+            let allowed =
+                format!("less than half of the table lease ({})", Time(lease::MAX_DURATION));
             self.time("election", timing.election, &allowed);
         }
     }
