--- a/crates/verbenaslip-state/src/audit.rs
+++ b/crates/verbenaslip-state/src/audit.rs
@@ -134,63 +134,63 @@
 
 impl Trail {
     /// Notes a command and its answer.
-    pub(crate) fn note(&mut self, position: Fence, command: &Command, outcome: &Outcome) {
+    pub(crate) fn record(&mut self, position: Fence, command: &Command, outcome: &Outcome) {
         self.count = self.count.saturating_add(1);
         let mut answer = outcome.to_string();
-        if answer.len() > MAX_ANSWER {
-            let cut = (0..=MAX_ANSWER).rev().find(|at| answer.is_char_boundary(*at));
+        if answer.len() > MAX_ANSWER_BYTES {
+            let cut = (0..=MAX_ANSWER_BYTES).rev().find(|at| answer.is_char_boundary(*at));
             answer.truncate(cut.unwrap_or_default());
             answer.push('…');
         }
         let entry = Entry {
             number: self.count,
             position,
-            at: command.at(),
-            by: by(command),
+            at: command.proposed_at_ms(),
+            by: requester(command),
             action: action(command),
-            base: base(command),
+            base: base_revision(command),
             accepted: outcome.accepted(),
             answer: answer.into(),
         };
-        let (ring, most) = match command {
+        let (entries, max_entries) = match command {
             Command::Claim(_) | Command::Settle(_) | Command::Release(_) => {
                 (&mut self.claims, MAX_CLAIM_ENTRIES)
             }
             _ => (&mut self.others, MAX_ENTRIES),
         };
-        ring.push_back(entry);
-        keep_newest(ring, most);
+        entries.push_back(entry);
+        keep_newest(entries, max_entries);
     }
 
     /// Returns entries from a number on.
-    pub(crate) fn page(&self, since: u64, most: usize) -> Page {
-        let from = |ring: &VecDeque<Entry>| {
-            let start = ring.partition_point(|entry| entry.number < since);
-            ring.iter().skip(start).take(MAX_PAGE).cloned().collect::<Vec<_>>()
+    pub(crate) fn page(&self, since: u64, limit: usize) -> Page {
+        let from = |entries: &VecDeque<Entry>| {
+            let start = entries.partition_point(|entry| entry.number < since);
+            entries.iter().skip(start).take(MAX_PAGE).cloned().collect::<Vec<_>>()
         };
         let mut entries = from(&self.claims);
         entries.extend(from(&self.others));
         entries.sort_by_key(|entry| entry.number);
-        entries.truncate(most.min(MAX_PAGE));
+        entries.truncate(limit.min(MAX_PAGE));
         let next = entries.last().map_or(since.max(1), |entry| entry.number.saturating_add(1));
         Page { next, entries }
     }
 
-    pub(crate) fn is_whole(&self) -> bool {
-        let rising = |ring: &VecDeque<Entry>| {
-            let mut pairs = ring.iter().zip(ring.iter().skip(1));
-            let known = ring.back().is_none_or(|entry| entry.number <= self.count);
-            known && pairs.all(|(older, newer)| older.number < newer.number)
+    pub(crate) fn is_consistent(&self) -> bool {
+        let ascending = |entries: &VecDeque<Entry>| {
+            let mut pairs = entries.iter().zip(entries.iter().skip(1));
+            let counted = entries.back().is_none_or(|entry| entry.number <= self.count);
+            counted && pairs.all(|(older, newer)| older.number < newer.number)
         };
         let bounded = self.claims.len() <= MAX_CLAIM_ENTRIES && self.others.len() <= MAX_ENTRIES;
-        bounded && rising(&self.claims) && rising(&self.others)
+        bounded && ascending(&self.claims) && ascending(&self.others)
     }
 }
 
 /// Bounds an answer's text, in bytes.
-const MAX_ANSWER: usize = 400;
+const MAX_ANSWER_BYTES: usize = 400;
 
-fn by(command: &Command) -> Arc<str> {
+fn requester(command: &Command) -> Arc<str> {
     match command {
         Command::Edit(edit) => edit.operator.as_str(),
         Command::Claim(claim) => claim.instance.as_str(),
@@ -204,7 +204,7 @@
     .into()
 }
 
-fn base(command: &Command) -> Option<Revision> {
+fn base_revision(command: &Command) -> Option<Revision> {
     let Command::Edit(edit) = command else { return None };
     Some(edit.base)
 }
--- a/crates/verbenaslip-state/src/claim.rs
+++ b/crates/verbenaslip-state/src/claim.rs
@@ -5,7 +5,7 @@
 //! old that every resend of it is refused. The state's clock only rises, so a key that was refused
 //! as expired stays so, and a key whose claim is forgotten was refused as expired before.
 
-mod ledger;
+mod store;
 
 use std::fmt;
 
@@ -14,7 +14,7 @@
 use verbenaslip_base::name::{Instance, Team};
 use verbenaslip_base::refusal::Unknown;
 
-pub(crate) use ledger::{Ledger, Record};
+pub(crate) use store::{Record, Store};
 
 /// The time for which a key's claim is kept after the key was first used, in milliseconds.
 pub const RETENTION_MS: u64 = 60 * 60 * 1_000;
@@ -50,7 +50,7 @@
 }
 
 impl Claim {
-    pub(crate) fn texts(&self) -> [(&'static str, &str); 2] {
+    pub(crate) fn name_fields(&self) -> [(&'static str, &str); 2] {
         [("team", self.team.as_str()), ("instance", self.instance.as_str())]
     }
 }
--- a/crates/verbenaslip-state/src/claim/ledger.rs
+++ b/crates/verbenaslip-state/src/claim/store.rs
@@ -10,16 +10,16 @@
 
 /// Keeps the claims.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
-pub(crate) struct Ledger {
+pub(crate) struct Store {
     limit: Limits,
     records: BTreeMap<Request, Record>,
     /// The same records by the time at which they may be forgotten.
-    ages: BTreeSet<(u64, Request)>,
+    by_first_use: BTreeSet<(u64, Request)>,
     teams: BTreeMap<Team, u32>,
     instances: BTreeMap<Instance, u32>,
 }
 
-impl Ledger {
+impl Store {
     /// Takes up records that a snapshot kept.
     pub(crate) fn restore(limit: Limits, records: Vec<Record>) -> Self {
         let mut claims = Self { limit, ..Self::default() };
@@ -46,21 +46,21 @@
             return Verdict::Ahead;
         }
         let Some(record) = self.records.get(&claim.attempt.request) else {
-            if let Some(refused) = self.admit(clock, claim) {
+            if let Some(refused) = self.refusal(clock, claim) {
                 return refused;
             }
-            self.insert(Record::of(claim, Status::Held));
+            self.insert(Record::from_claim(claim, Status::Held));
             return Verdict::Granted;
         };
         if record.body != claim.body {
             return Verdict::Conflict;
         }
-        let verdict = record.answer(claim);
+        let verdict = record.verdict(claim);
         // A resend may name a later first use. If the claim were forgotten by the earlier one, that
         // resend would not be expired yet and would run a second time.
         let issued = record.issued.max(claim.issued);
         let record = match verdict {
-            Verdict::Granted => Record { issued, ..Record::of(claim, Status::Held) },
+            Verdict::Granted => Record { issued, ..Record::from_claim(claim, Status::Held) },
             _ => Record { issued, ..record.clone() },
         };
         self.remove(claim.attempt.request);
@@ -99,15 +99,17 @@
     /// Frees a claim that led to no run, and bars it should it arrive later.
     pub(crate) fn release(&mut self, clock: u64, claim: &Claim) -> CloseResult {
         let Some(record) = self.records.get_mut(&claim.attempt.request) else {
-            if self.admit(clock, claim).is_some() {
+            if self.refusal(clock, claim).is_some() {
                 return CloseResult::Missing;
             }
-            self.insert(Record::of(claim, Status::Freed));
+            self.insert(Record::from_claim(claim, Status::Freed));
             return CloseResult::Freed;
         };
         match &record.status {
-            Status::Settled(kept) if record.is(claim) => CloseResult::Final(kept.clone()),
-            Status::Held | Status::Freed if record.is(claim) => {
+            Status::Settled(kept) if record.is_same_claim(claim) => {
+                CloseResult::Final(kept.clone())
+            }
+            Status::Held | Status::Freed if record.is_same_claim(claim) => {
                 record.status = Status::Freed;
                 CloseResult::Freed
             }
@@ -121,9 +123,9 @@
     }
 
     /// Forgets what no resend can revive, a bounded number at a time.
-    pub(crate) fn sweep(&mut self, clock: u64) {
-        for _ in 0..SWEEP {
-            let Some((issued, request)) = self.ages.first().copied() else { return };
+    pub(crate) fn drop_expired(&mut self, clock: u64) {
+        for _ in 0..MAX_DROPPED {
+            let Some((issued, request)) = self.by_first_use.first().copied() else { return };
             let kept = self.limit.retention.saturating_add(self.limit.skew);
             if issued.saturating_add(kept) >= clock {
                 return;
@@ -133,7 +135,7 @@
     }
 
     /// Returns why a key without a record is refused, if it is.
-    fn admit(&self, clock: u64, claim: &Claim) -> Option<Verdict> {
+    fn refusal(&self, clock: u64, claim: &Claim) -> Option<Verdict> {
         if claim.issued.saturating_add(self.limit.retention) < clock {
             return Some(Verdict::Expired);
         }
@@ -145,17 +147,17 @@
     }
 
     fn insert(&mut self, mut record: Record) {
-        record.team = share(&mut self.teams, record.team);
-        record.instance = share(&mut self.instances, record.instance);
-        self.ages.insert((record.issued, record.request));
+        record.team = intern_name(&mut self.teams, record.team);
+        record.instance = intern_name(&mut self.instances, record.instance);
+        self.by_first_use.insert((record.issued, record.request));
         self.records.insert(record.request, record);
     }
 
     fn remove(&mut self, request: Request) {
         let Some(record) = self.records.remove(&request) else { return };
-        self.ages.remove(&(record.issued, request));
-        unshare(&mut self.teams, &record.team);
-        unshare(&mut self.instances, &record.instance);
+        self.by_first_use.remove(&(record.issued, request));
+        release_name(&mut self.teams, &record.team);
+        release_name(&mut self.instances, &record.instance);
     }
 }
 
@@ -173,7 +175,7 @@
 }
 
 impl Record {
-    fn of(claim: &Claim, status: Status) -> Self {
+    fn from_claim(claim: &Claim, status: Status) -> Self {
         Self {
             request: claim.attempt.request,
             number: claim.attempt.number,
@@ -191,15 +193,15 @@
     }
 
     /// Says whether the record is of the very same claim.
-    fn is(&self, claim: &Claim) -> bool {
+    fn is_same_claim(&self, claim: &Claim) -> bool {
         let nonce = self.nonce == claim.nonce && self.instance == claim.instance;
         self.number == claim.attempt.number && nonce
     }
 
-    fn answer(&self, claim: &Claim) -> Verdict {
+    fn verdict(&self, claim: &Claim) -> Verdict {
         let attempt = Attempt { request: self.request, number: self.number };
         match &self.status {
-            Status::Held if self.is(claim) => Verdict::Granted,
+            Status::Held if self.is_same_claim(claim) => Verdict::Granted,
             Status::Held => Verdict::Held { attempt, instance: self.instance.clone() },
             Status::Settled(ending) => Verdict::Settled { attempt, ending: ending.clone() },
             // A claim that was delayed in the network until after its release must not hold the
@@ -220,10 +222,10 @@
 }
 
 /// Bounds the claims forgotten at one command.
-const SWEEP: usize = 256;
+const MAX_DROPPED: usize = 256;
 
 /// Counts a use of a name and returns the copy that all uses share.
-fn share<N: Ord + Clone>(names: &mut BTreeMap<N, u32>, name: N) -> N {
+fn intern_name<N: Ord + Clone>(names: &mut BTreeMap<N, u32>, name: N) -> N {
     if let Some((kept, _)) = names.get_key_value(&name) {
         let kept = kept.clone();
         *names.entry(kept.clone()).or_default() += 1;
@@ -233,7 +235,7 @@
     name
 }
 
-fn unshare<N: Ord + Clone>(names: &mut BTreeMap<N, u32>, name: &N) {
+fn release_name<N: Ord + Clone>(names: &mut BTreeMap<N, u32>, name: &N) {
     let Some(uses) = names.get_mut(name) else { return };
     *uses = uses.saturating_sub(1);
     if *uses == 0 {
--- a/crates/verbenaslip-state/src/command.rs
+++ b/crates/verbenaslip-state/src/command.rs
@@ -34,7 +34,7 @@
 
 impl Command {
     /// Returns when the command was proposed, in Unix milliseconds.
-    pub fn at(&self) -> u64 {
+    pub fn proposed_at_ms(&self) -> u64 {
         match self {
             Self::Edit(edit) => edit.unix_ms,
             Self::Claim(claim) => claim.at,
@@ -49,26 +49,26 @@
 
     /// Says whether the command's time is near enough to the leader's own, in Unix milliseconds.
     pub fn has_valid_time(&self, now: u64) -> bool {
-        self.at().abs_diff(now) <= SKEW_MS
+        self.proposed_at_ms().abs_diff(now) <= SKEW_MS
     }
 
     /// Names the first text that is too long to be kept.
-    pub(crate) fn overlong(&self) -> Option<&'static str> {
-        let texts: &[(&'static str, &str)] = match self {
-            Self::Edit(edit) => return overlong_edit(edit),
-            Self::Claim(claim) => &claim.texts(),
-            Self::Release(release) => &release.claim.texts(),
+    pub(crate) fn overlong_field(&self) -> Option<&'static str> {
+        let fields: &[(&'static str, &str)] = match self {
+            Self::Edit(edit) => return overlong_edit_field(edit),
+            Self::Claim(claim) => &claim.name_fields(),
+            Self::Release(release) => &release.claim.name_fields(),
             Self::Settle(settle) => &[("instance", settle.by.as_str())],
-            Self::Order(order) => &order.texts(),
+            Self::Order(order) => &order.name_fields(),
             Self::Ordered(ordered) => {
                 &[("instance", ordered.by.as_str()), ("upstream", ordered.upstream.as_str())]
             }
             Self::Drain(drain) => {
                 &[("operator", drain.by.as_str()), ("instance", drain.instance.as_str())]
             }
-            Self::Voters(voters) => return voters.overlong(),
+            Self::Voters(voters) => return voters.overlong_field(),
         };
-        first_overlong(texts)
+        first_overlong_field(fields)
     }
 }
 
@@ -95,13 +95,13 @@
 }
 
 impl Voters {
-    fn overlong(&self) -> Option<&'static str> {
+    fn overlong_field(&self) -> Option<&'static str> {
         let by = ("operator", self.by.as_str());
         match &self.change {
-            VoterChange::Add(new) => first_overlong(&[by, ("instance", new.as_str())]),
-            VoterChange::Remove(old) => first_overlong(&[by, ("instance", old.as_str())]),
+            VoterChange::Add(new) => first_overlong_field(&[by, ("instance", new.as_str())]),
+            VoterChange::Remove(old) => first_overlong_field(&[by, ("instance", old.as_str())]),
             VoterChange::Replace { old, new } => {
-                first_overlong(&[by, ("instance", old.as_str()), ("instance", new.as_str())])
+                first_overlong_field(&[by, ("instance", old.as_str()), ("instance", new.as_str())])
             }
         }
     }
@@ -124,17 +124,18 @@
 }
 
 /// Bounds every name in a command, in bytes.
-pub const MAX_TEXT: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 
 /// Looks at the keys too, which the history and the audit trail keep also of refused edits.
-fn overlong_edit(edit: &Edit) -> Option<&'static str> {
+fn overlong_edit_field(edit: &Edit) -> Option<&'static str> {
     let keys = edit.changes.iter().map(Change::key);
-    let overlong =
-        |key: Key| first_overlong(&[("team", key.team.as_str()), ("class", key.class.as_str())]);
-    let texts = [("operator", edit.operator.as_str()), ("edit id", edit.id.as_str())];
-    first_overlong(&texts).or_else(|| keys.into_iter().find_map(overlong))
+    let overlong = |key: Key| {
+        first_overlong_field(&[("team", key.team.as_str()), ("class", key.class.as_str())])
+    };
+    let fields = [("operator", edit.operator.as_str()), ("edit id", edit.id.as_str())];
+    first_overlong_field(&fields).or_else(|| keys.into_iter().find_map(overlong))
 }
 
-fn first_overlong(texts: &[(&'static str, &str)]) -> Option<&'static str> {
-    texts.iter().find(|(_, text)| text.len() > MAX_TEXT).map(|(what, _)| *what)
+fn first_overlong_field(fields: &[(&'static str, &str)]) -> Option<&'static str> {
+    fields.iter().find(|(_, name)| name.len() > MAX_NAME_BYTES).map(|(field, _)| *field)
 }
--- a/crates/verbenaslip-state/src/history.rs
+++ b/crates/verbenaslip-state/src/history.rs
@@ -103,7 +103,7 @@
     revision: Revision,
     table: Arc<Table>,
     entries: VecDeque<Entry>,
-    answers: VecDeque<Answer>,
+    answers: VecDeque<StoredAnswer>,
 }
 
 impl History {
@@ -126,24 +126,24 @@
             // The operator lost the answer and sends the edit again. Deciding it anew would call it
             // stale, because its own first copy has moved the table on.
             let same = answer.digest == digest;
-            return if same { self.again(edit, &answer.kind) } else { Verdict::Reused };
+            return if same { self.stored_verdict(edit, &answer.kind) } else { Verdict::Reused };
         }
         let verdict = self.decide(edit);
         let kind = match &verdict {
-            Verdict::Accepted { revision } => Kind::Accepted(*revision),
-            Verdict::Unchanged { revision } => Kind::Unchanged(*revision),
+            Verdict::Accepted { revision } => AnswerKind::Accepted(*revision),
+            Verdict::Unchanged { revision } => AnswerKind::Unchanged(*revision),
             // A base that is no revision yet becomes one later, and a late copy would be accepted
             // after its operator was told that it was refused.
-            Verdict::Stale(_) if edit.base > self.revision => Kind::Refused,
+            Verdict::Stale(_) if edit.base > self.revision => AnswerKind::Refused,
             _ => return verdict,
         };
-        self.answers.push_back(Answer { edit: edit.id.clone(), digest, kind });
+        self.answers.push_back(StoredAnswer { edit: edit.id.clone(), digest, kind });
         keep_newest(&mut self.answers, MAX_HISTORY);
         verdict
     }
 
     /// Says whether the parts fit together.
-    pub(crate) fn is_whole(&self) -> bool {
+    pub(crate) fn is_consistent(&self) -> bool {
         let last = self.entries.back().map(|entry| entry.revision).unwrap_or_default();
         let mut pairs = self.entries.iter().zip(self.entries.iter().skip(1));
         let rising = pairs.all(|(older, newer)| older.revision.next() == newer.revision);
@@ -151,11 +151,11 @@
         last == self.revision && rising && bounded
     }
 
-    fn again(&self, edit: &Edit, kind: &Kind) -> Verdict {
+    fn stored_verdict(&self, edit: &Edit, kind: &AnswerKind) -> Verdict {
         match *kind {
-            Kind::Accepted(revision) => Verdict::Accepted { revision },
-            Kind::Unchanged(revision) => Verdict::Unchanged { revision },
-            Kind::Refused => Verdict::Stale(self.newest(edit.base)),
+            AnswerKind::Accepted(revision) => Verdict::Accepted { revision },
+            AnswerKind::Unchanged(revision) => Verdict::Unchanged { revision },
+            AnswerKind::Refused => Verdict::Stale(self.newest(edit.base)),
         }
     }
 
@@ -172,7 +172,7 @@
         }
         self.revision = self.revision.next();
         self.table = Arc::new(table);
-        self.entries.push_back(Entry::of(edit, self.revision));
+        self.entries.push_back(Entry::from_edit(edit, self.revision));
         keep_newest(&mut self.entries, MAX_HISTORY);
         Verdict::Accepted { revision: self.revision }
     }
@@ -180,23 +180,23 @@
     fn newest(&self, base: Revision) -> Newest {
         let since = self.entries.iter().filter(|entry| entry.revision > base);
         let mut keys = BTreeSet::new();
-        let mut cut = false;
+        let mut rows_truncated = false;
         for entry in since {
             keys.extend(&entry.rows);
-            cut |= entry.count as usize > entry.rows.len();
+            rows_truncated |= entry.count as usize > entry.rows.len();
         }
-        let reaches = self.entries.front().is_none_or(|entry| entry.revision <= base.next());
+        let covers_base = self.entries.front().is_none_or(|entry| entry.revision <= base.next());
         Newest {
             revision: self.revision,
             by: self.entries.back().map(|entry| entry.by.clone()),
-            more: cut || !reaches || keys.len() > MAX_LISTED_ROWS,
+            more: rows_truncated || !covers_base || keys.len() > MAX_LISTED_ROWS,
             differs: keys.into_iter().take(MAX_LISTED_ROWS).cloned().collect(),
         }
     }
 }
 
 impl Entry {
-    fn of(edit: &Edit, revision: Revision) -> Self {
+    fn from_edit(edit: &Edit, revision: Revision) -> Self {
         let mut rows: Vec<Key> = edit.changes.iter().map(Change::key).collect();
         rows.sort();
         rows.truncate(MAX_LISTED_ROWS);
@@ -214,23 +214,23 @@
 
 /// Keeps what an edit was answered, for its resends.
 #[data]
-struct Answer {
+struct StoredAnswer {
     edit: Id,
     digest: u128,
-    kind: Kind,
+    kind: AnswerKind,
 }
 
 #[data(copy)]
-enum Kind {
+enum AnswerKind {
     Accepted(Revision),
     Unchanged(Revision),
     Refused,
 }
 
 /// Drops the oldest of what has grown beyond its bound.
-pub(crate) fn keep_newest<T>(ring: &mut VecDeque<T>, most: usize) {
-    let excess = ring.len().saturating_sub(most);
-    ring.drain(..excess);
+pub(crate) fn keep_newest<T>(queue: &mut VecDeque<T>, max_len: usize) {
+    let excess = queue.len().saturating_sub(max_len);
+    queue.drain(..excess);
 }
 
 /// Returns what tells edits apart that share an identity.
--- a/crates/verbenaslip-state/src/lease.rs
+++ b/crates/verbenaslip-state/src/lease.rs
@@ -4,7 +4,7 @@
 //! instances, and counts an edit as in force once every holder has the edit or its lease has run
 //! out. The holder counts the time from when it *sent* its request, the granter from when it
 //! answered, which is later; so the holder always stops first, however long a message was on its way
-//! or a process was frozen, as long as clocks run at the same pace within [`with_margin`].
+//! or a process was frozen, as long as clocks run sent_at the same pace within [`with_margin`].
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -42,15 +42,15 @@
 /// Holds what an instance was granted.
 #[derive(Clone, Debug, Default)]
 pub struct Lease {
-    sent: VecDeque<Sent>,
+    sent: VecDeque<SentRequest>,
     grants: Vec<Grant>,
 }
 
 impl Lease {
     /// Notes that a request for the lease is sent.
-    pub fn ask(&mut self, now: Duration, nonce: Nonce) {
-        self.sent.push_back(Sent { nonce, at: now });
-        while self.sent.len() > MAX_SENT {
+    pub fn record_request(&mut self, now: Duration, nonce: Nonce) {
+        self.sent.push_back(SentRequest { nonce, sent_at: now });
+        while self.sent.len() > MAX_SENT_REQUESTS {
             self.sent.pop_front();
         }
     }
@@ -59,7 +59,7 @@
     ///
     /// The lease counts only once the holder has applied the granted revision, which is the newest
     /// that the granter knew to be confirmed.
-    pub fn take(
+    pub fn accept_grant(
         &mut self,
         now: Duration,
         nonce: Nonce,
@@ -67,7 +67,7 @@
         duration: Duration,
     ) -> bool {
         let Some(sent) = self.sent.iter().find(|sent| sent.nonce == nonce) else { return false };
-        let until = sent.at.saturating_add(duration.min(MAX_DURATION));
+        let until = sent.sent_at.saturating_add(duration.min(MAX_DURATION));
         self.grants.retain(|grant| grant.until > now);
         self.grants.push(Grant { revision, until });
         if self.grants.len() > MAX_GRANTS {
@@ -77,16 +77,16 @@
     }
 
     /// Returns when the lease runs out for a holder that has applied the given revision.
-    pub fn until(&self, applied: Revision) -> Option<Duration> {
-        let counting = self.grants.iter().filter(|grant| grant.revision <= applied);
-        counting.map(|grant| grant.until).max()
+    pub fn expiry(&self, applied: Revision) -> Option<Duration> {
+        let applicable = self.grants.iter().filter(|grant| grant.revision <= applied);
+        applicable.map(|grant| grant.until).max()
     }
 }
 
 #[derive(Clone, Debug)]
-struct Sent {
+struct SentRequest {
     nonce: Nonce,
-    at: Duration,
+    sent_at: Duration,
 }
 
 /// Holds one grant: its holder has the revision, or stops at the given time.
@@ -97,7 +97,7 @@
 }
 
 /// Bounds the requests whose answers are still taken.
-const MAX_SENT: usize = 32;
+const MAX_SENT_REQUESTS: usize = 32;
 
 /// Bounds the grants kept; dropping one only shortens the lease.
 const MAX_GRANTS: usize = 32;
--- a/crates/verbenaslip-state/src/order.rs
+++ b/crates/verbenaslip-state/src/order.rs
@@ -1,7 +1,7 @@
 //! Orders to upstreams: what is ordered, its number, and what became of it.
 
-mod book;
 pub mod dispatcher;
+mod registry;
 
 use std::fmt;
 
@@ -9,8 +9,8 @@
 use verbenaslip_base::fence::Fence;
 use verbenaslip_base::name::{Instance, Model, Operator, Upstream};
 
-pub(crate) use book::Book;
 pub use dispatcher::{Dispatcher, Input, Output};
+pub(crate) use registry::Registry;
 
 /// The longest time for which an order may be carried out, in milliseconds.
 pub const MAX_LIFETIME_MS: u64 = 10_000;
@@ -31,7 +31,7 @@
 }
 
 impl Order {
-    pub(crate) fn texts(&self) -> [(&'static str, &str); 3] {
+    pub(crate) fn name_fields(&self) -> [(&'static str, &str); 3] {
         let task = ("model", self.task.model().map(Model::as_str).unwrap_or_default());
         [("operator", self.by.as_str()), ("upstream", self.upstream.as_str()), task]
     }
--- a/crates/verbenaslip-state/src/order/dispatcher.rs
+++ b/crates/verbenaslip-state/src/order/dispatcher.rs
@@ -1,8 +1,8 @@
 //! The leader's side of orders to upstreams.
 //!
-//! An order is proposed to the log, numbered by its position there, and given to the upstream under
+//! An order is proposed_at to the log, numbered by its position there, and sent_at to the upstream under
 //! the leader's lease. An upstream that checks numbers refuses what an older leader sends late. One
-//! that does not check would obey it, so there a new leader waits until nothing that an older one
+//! that does not check would obey target, so there a new leader waits until nothing that an older one
 //! sent can still arrive, reads the upstream's state back and only then gives its first order.
 
 mod message;
@@ -16,7 +16,7 @@
 
 use super::{MAX_LIFETIME_MS, Order, Pending, Result};
 use crate::lease::with_margin;
-use target::{Current, FLIGHT, GRACE, Reading, Target};
+use target::{CLOSE_GRACE, CurrentOrder, MAX_TRANSIT, Question, Target};
 
 pub use message::{
     Answer, End, Ending, Event, Input, Leadership, OrderDelivery, Output, Report, UpstreamState,
@@ -26,23 +26,23 @@
 #[derive(Clone, Debug)]
 pub struct Dispatcher {
     /// The longest lease that a leader before this one may have held.
-    lease: Duration,
+    max_lease: Duration,
     term: u64,
-    until: Duration,
+    leads_until: Duration,
     /// When nothing of an older leader can arrive any more.
-    clear: Duration,
+    old_orders_end: Duration,
     questions: u64,
     targets: BTreeMap<Upstream, Target>,
 }
 
 impl Dispatcher {
     /// Starts without leading; takes the longest lease that a leader may hold.
-    pub fn new(lease: Duration) -> Self {
+    pub fn new(max_lease: Duration) -> Self {
         Self {
-            lease,
+            max_lease,
             term: 0,
-            until: Duration::ZERO,
-            clear: Duration::ZERO,
+            leads_until: Duration::ZERO,
+            old_orders_end: Duration::ZERO,
             questions: 0,
             targets: BTreeMap::new(),
         }
@@ -52,105 +52,109 @@
     pub fn step(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Tick => {}
-            Input::Lead(lead) => self.lead(now, lead),
-            Input::Resign => self.until = Duration::ZERO,
-            Input::Upstream { upstream, fenced } => self.announce(now, upstream, fenced),
-            Input::Gone(upstream) => self.gone(now, &upstream),
-            Input::Want(order) => self.want(now, order, out),
-            Input::Committed(pending) => self.committed(now, pending),
+            Input::Lead(lead) => self.handle_leadership(now, lead),
+            Input::Resign => self.leads_until = Duration::ZERO,
+            Input::Upstream { upstream, fenced } => self.handle_announcement(now, upstream, fenced),
+            Input::Gone(upstream) => self.handle_gone(now, &upstream),
+            Input::Want(order) => self.handle_request(now, order, out),
+            Input::Committed(pending) => self.handle_committed(now, pending),
             Input::Denied(upstream) => {
                 let target = self.targets.get_mut(&upstream);
-                if target.is_some_and(|target| target.proposed.take().is_some()) {
+                if target.is_some_and(|target| target.proposed_at.take().is_some()) {
                     out.push(report(&upstream, Event::Denied));
                 }
             }
-            Input::Ended { upstream, fence } => self.ended(&upstream, fence, out),
-            Input::Answer { upstream, fence, answer } => self.answer(&upstream, fence, answer),
+            Input::Ended { upstream, fence } => self.handle_ended(&upstream, fence, out),
+            Input::Answer { upstream, fence, answer } => {
+                self.handle_answer(&upstream, fence, answer)
+            }
             Input::Read { upstream, question, holding } => {
-                self.read(&upstream, question, &holding);
+                self.handle_read_back(&upstream, question, &holding);
             }
         }
         self.advance(now, out);
     }
 
-    fn lead(&mut self, now: Duration, lead: Leadership) {
-        self.until = lead.until;
+    fn handle_leadership(&mut self, now: Duration, lead: Leadership) {
+        self.leads_until = lead.until;
         if lead.term > self.term {
-            self.begin(now, lead.term);
+            self.start_term(now, lead.term);
         }
         // Also in mid-term: the answer to a proposal may be lost, and an order that the log has
         // numbered and nobody gives or ends would keep its upstream from all others.
         for pending in lead.pending {
-            self.committed(now, pending);
+            self.handle_committed(now, pending);
         }
     }
 
-    fn begin(&mut self, now: Duration, term: u64) {
+    fn start_term(&mut self, now: Duration, term: u64) {
         self.term = term;
-        let flight = Duration::from_millis(MAX_LIFETIME_MS);
-        let arriving = with_margin(self.lease.saturating_add(flight)).saturating_add(GRACE);
-        self.clear = now.saturating_add(arriving);
+        let max_lifetime = Duration::from_millis(MAX_LIFETIME_MS);
+        let transit =
+            with_margin(self.max_lease.saturating_add(max_lifetime)).saturating_add(CLOSE_GRACE);
+        self.old_orders_end = now.saturating_add(transit);
         for target in self.targets.values_mut() {
-            let Target { known, fenced, .. } = *target;
-            *target = Target { known, wanted: target.wanted.take(), ..Target::new(fenced) };
+            let Target { announced, fenced, .. } = *target;
+            *target =
+                Target { announced, requested: target.requested.take(), ..Target::new(fenced) };
         }
     }
 
     /// Takes over an order that an older leader left without an end.
     fn inherit(&mut self, pending: Pending) {
         let upstream = pending.order.upstream.clone();
-        let unknown = || Target { known: false, ..Target::new(false) };
+        let unknown = || Target { announced: false, ..Target::new(false) };
         let target = self.targets.entry(upstream).or_insert_with(unknown);
         // Its answer may have been lost with that leader, so the upstream's state has to tell.
-        target.current = Some(Current::inherited(pending));
-        target.opened = false;
+        target.current = Some(CurrentOrder::inherited(pending));
+        target.state_known = false;
     }
 
-    fn announce(&mut self, now: Duration, upstream: Upstream, fenced: bool) {
+    fn handle_announcement(&mut self, now: Duration, upstream: Upstream, fenced: bool) {
         let target = self.targets.entry(upstream).or_insert_with(|| Target::new(fenced));
         if target.fenced && !fenced {
-            target.opened = false;
-            if target.known {
+            target.state_known = false;
+            if target.announced {
                 // While it checked, it was sent several copies of an order; some may yet arrive.
-                target.hold = now.saturating_add(FLIGHT);
+                target.transit_end = now.saturating_add(MAX_TRANSIT);
             }
         }
-        target.known = true;
+        target.announced = true;
         target.fenced = fenced;
     }
 
     /// Remembers an upstream that is gone for as long as what was sent to it may arrive, since it may
     /// come back before.
-    fn gone(&mut self, now: Duration, upstream: &Upstream) {
+    fn handle_gone(&mut self, now: Duration, upstream: &Upstream) {
         let Some(target) = self.targets.get_mut(upstream) else { return };
-        target.known = false;
-        target.wanted = None;
-        target.opened = false;
-        target.hold = now.saturating_add(FLIGHT);
+        target.announced = false;
+        target.requested = None;
+        target.state_known = false;
+        target.transit_end = now.saturating_add(MAX_TRANSIT);
         if let Some(current) = &mut target.current {
             current.result = current.result.or(Some(Result::Lost));
         }
     }
 
-    fn want(&mut self, now: Duration, order: Order, out: &mut Vec<Output>) {
+    fn handle_request(&mut self, now: Duration, order: Order, out: &mut Vec<Output>) {
         let upstream = order.upstream.clone();
         let mut report = |event| out.push(report(&upstream, event));
-        if now >= self.until {
+        if now >= self.leads_until {
             return report(Event::NotLeading);
         }
-        let Some(target) = self.targets.get_mut(&upstream).filter(|target| target.known) else {
+        let Some(target) = self.targets.get_mut(&upstream).filter(|target| target.announced) else {
             return report(Event::NotKnown);
         };
-        if target.wanted.replace(order).is_some() {
+        if target.requested.replace(order).is_some() {
             report(Event::Replaced);
         }
-        let wait = self.clear.max(target.hold).saturating_sub(now);
+        let wait = self.old_orders_end.max(target.transit_end).saturating_sub(now);
         if !target.fenced && !wait.is_zero() {
             report(Event::Waiting { wait });
         }
     }
 
-    fn committed(&mut self, now: Duration, pending: Pending) {
+    fn handle_committed(&mut self, now: Duration, pending: Pending) {
         let Some(target) = self.targets.get_mut(&pending.order.upstream) else {
             return self.inherit(pending);
         };
@@ -161,13 +165,13 @@
         if pending.fence.term != self.term {
             return self.inherit(pending);
         }
-        target.proposed = None;
+        target.proposed_at = None;
         let lifetime = Duration::from_millis(pending.order.lifetime.min(MAX_LIFETIME_MS));
-        target.reading = None;
-        target.current = Some(Current::new(pending, now.saturating_add(lifetime)));
+        target.read_back = None;
+        target.current = Some(CurrentOrder::new(pending, now.saturating_add(lifetime)));
     }
 
-    fn ended(&mut self, upstream: &Upstream, fence: Fence, out: &mut Vec<Output>) {
+    fn handle_ended(&mut self, upstream: &Upstream, fence: Fence, out: &mut Vec<Output>) {
         let Some(target) = self.targets.get_mut(upstream) else { return };
         let Some(current) = target.current.take_if(|current| current.pending.fence == fence) else {
             return;
@@ -177,7 +181,7 @@
         }
     }
 
-    fn answer(&mut self, upstream: &Upstream, fence: Fence, answer: Answer) {
+    fn handle_answer(&mut self, upstream: &Upstream, fence: Fence, answer: Answer) {
         let Some(target) = self.targets.get_mut(upstream) else { return };
         let Some(current) = &mut target.current else { return };
         if current.pending.fence != fence || current.result.is_some() {
@@ -194,19 +198,19 @@
         };
     }
 
-    fn read(&mut self, upstream: &Upstream, question: u64, holding: &UpstreamState) {
+    fn handle_read_back(&mut self, upstream: &Upstream, question: u64, holding: &UpstreamState) {
         let Some(target) = self.targets.get_mut(upstream) else { return };
         // An answer to an earlier question may be older than what has been ordered since.
-        if target.reading.take_if(|reading| reading.question == question).is_none() {
+        if target.read_back.take_if(|read_back| read_back.question == question).is_none() {
             return;
         }
-        target.opened = true;
+        target.state_known = true;
         let Some(current) = &mut target.current else { return };
         let fence = current.pending.fence;
         let shown = match holding.fence {
             Some(held) if held > fence => Result::Superseded(held),
             Some(held) if held == fence => Result::Applied,
-            _ if holding.shows(&current.pending.order.task) => Result::Applied,
+            _ if holding.reflects(&current.pending.order.task) => Result::Applied,
             _ => Result::Lost,
         };
         current.result.get_or_insert(shown);
@@ -214,18 +218,20 @@
 
     /// Does for every upstream what is due, as long as this instance leads.
     fn advance(&mut self, now: Duration, out: &mut Vec<Output>) {
-        self.targets.retain(|_, it| it.known || it.current.is_some() || now < it.hold);
+        self.targets.retain(|_, target| {
+            target.announced || target.current.is_some() || now < target.transit_end
+        });
         // A leader whose lease has run out may be an old one that does not know it; whatever it
         // sent now could overtake the new leader's orders.
-        if now >= self.until {
+        if now >= self.leads_until {
             return;
         }
         for (upstream, target) in &mut self.targets {
             target.advance(now, upstream, out);
-            if target.wants_reading(now, self.clear) {
+            if target.needs_read_back(now, self.old_orders_end) {
                 self.questions += 1;
                 let question = self.questions;
-                target.reading = Some(Reading { question, at: now });
+                target.read_back = Some(Question { question, at: now });
                 out.push(Output::ReadBack { upstream: upstream.clone(), question });
             }
         }
--- a/crates/verbenaslip-state/src/order/dispatcher/message.rs
+++ b/crates/verbenaslip-state/src/order/dispatcher/message.rs
@@ -98,7 +98,7 @@
 
 impl UpstreamState {
     /// Says whether the state is as after an order.
-    pub(super) fn shows(&self, task: &Task) -> bool {
+    pub(super) fn reflects(&self, task: &Task) -> bool {
         match task {
             Task::Load(model) => self.models.contains(model),
             Task::Unload(model) => !self.models.contains(model),
--- a/crates/verbenaslip-state/src/order/book.rs
+++ b/crates/verbenaslip-state/src/order/registry.rs
@@ -10,23 +10,23 @@
 use super::{MAX_LIFETIME_MS, Order, OrderEnd, Pending, Verdict};
 
 /// Bounds the orders that have not ended, and the upstreams whose last order is kept.
-const MAX_PENDING: usize = 16_384;
+const MAX_PENDING_ORDERS: usize = 16_384;
 
 /// Keeps at most one order for each upstream until its end is told.
 #[data(default)]
-pub(crate) struct Book {
+pub(crate) struct Registry {
     pending: BTreeMap<Upstream, Pending>,
-    ended: BTreeMap<Upstream, Last>,
+    ended: BTreeMap<Upstream, EndedOrder>,
 }
 
 /// Tells the last order to an upstream from a copy of it.
 #[data(copy)]
-struct Last {
+struct EndedOrder {
     fence: Fence,
     digest: u128,
 }
 
-impl Book {
+impl Registry {
     /// Numbers an order, or refuses it.
     ///
     /// Only one order is in flight for an upstream, also across leaders: two that pass each other
@@ -45,7 +45,7 @@
         if let Some(last) = last.filter(|last| last.digest == digest(order)) {
             return Verdict::Repeated(last.fence);
         }
-        if self.pending.len() >= MAX_PENDING {
+        if self.pending.len() >= MAX_PENDING_ORDERS {
             return Verdict::Full;
         }
         let pending = Pending { fence, order: order.clone() };
@@ -54,14 +54,14 @@
     }
 
     /// Ends an order; says whether it was waiting for its end.
-    pub(crate) fn end(&mut self, ordered: &OrderEnd) -> bool {
+    pub(crate) fn complete(&mut self, ordered: &OrderEnd) -> bool {
         let fence = ordered.fence;
-        let waiting = self.pending.get(&ordered.upstream);
-        let Some(pending) = waiting.filter(|pending| pending.fence == fence) else { return false };
-        let last = Last { fence, digest: digest(&pending.order) };
+        let found = self.pending.get(&ordered.upstream);
+        let Some(pending) = found.filter(|pending| pending.fence == fence) else { return false };
+        let last = EndedOrder { fence, digest: digest(&pending.order) };
         self.pending.remove(&ordered.upstream);
         self.ended.insert(ordered.upstream.clone(), last);
-        if self.ended.len() > MAX_PENDING {
+        if self.ended.len() > MAX_PENDING_ORDERS {
             let oldest = self.ended.iter().min_by_key(|(_, last)| last.fence);
             let oldest = oldest.map(|(upstream, _)| upstream.clone());
             self.ended.retain(|upstream, _| Some(upstream) != oldest.as_ref());
@@ -73,9 +73,11 @@
         self.pending.values()
     }
 
-    pub(crate) fn is_whole(&self) -> bool {
-        let mut named = self.pending.iter().map(|(name, pending)| *name == pending.order.upstream);
-        self.pending.len().max(self.ended.len()) <= MAX_PENDING && named.all(|same| same)
+    pub(crate) fn is_consistent(&self) -> bool {
+        let mut keys_match =
+            self.pending.iter().map(|(name, pending)| *name == pending.order.upstream);
+        self.pending.len().max(self.ended.len()) <= MAX_PENDING_ORDERS
+            && keys_match.all(|same| same)
     }
 }
 
--- a/crates/verbenaslip-state/src/outcome.rs
+++ b/crates/verbenaslip-state/src/outcome.rs
@@ -70,6 +70,6 @@
 
 impl fmt::Display for Overlong {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the {} is longer than {} bytes", self.what, crate::command::MAX_TEXT)
+        write!(f, "the {} is longer than {} bytes", self.what, crate::command::MAX_NAME_BYTES)
     }
 }
--- a/crates/verbenaslip-state/src/propagation.rs
+++ b/crates/verbenaslip-state/src/propagation.rs
@@ -42,8 +42,8 @@
 /// it, and that lease counts only once the revision is applied.
 #[derive(Clone, Debug, Default)]
 pub struct Tracker {
-    holders: BTreeMap<Holder, Held>,
-    settled: Duration,
+    holders: BTreeMap<Holder, HolderState>,
+    settled_at: Duration,
 }
 
 impl Tracker {
@@ -51,45 +51,46 @@
     ///
     /// Without the wait, an instance that an earlier leader granted a lease, and that is cut off
     /// since, would serve by an old table while the new leader says that the edit is in force.
-    pub fn lead(&mut self, now: Duration) {
-        self.settled = now.saturating_add(with_margin(MAX_DURATION));
+    pub fn start_leading(&mut self, now: Duration) {
+        self.settled_at = now.saturating_add(with_margin(MAX_DURATION));
     }
 
     /// Notes the floor that a holder reports; an older report that comes late changes nothing.
-    pub fn hear(&mut self, holder: &Holder, floor: Revision) {
-        if let Some(held) = self.holders.get_mut(holder) {
-            held.floor = held.floor.max(floor);
+    pub fn record_floor(&mut self, holder: &Holder, floor: Revision) {
+        if let Some(state) = self.holders.get_mut(holder) {
+            state.floor = state.floor.max(floor);
         }
     }
 
     /// Notes that a holder is granted a lease.
     pub fn grant(&mut self, now: Duration, holder: Holder, revision: Revision, duration: Duration) {
-        self.holders.retain(|_, held| held.keep(now));
+        self.holders.retain(|_, state| state.drop_expired(now));
         let until = now.saturating_add(with_margin(duration));
-        let held = self.holders.entry(holder).or_default();
-        held.add(Grant { revision, until });
+        let state = self.holders.entry(holder).or_default();
+        state.add(Grant { revision, until });
     }
 
     /// Returns the lowest revision by which any holder may serve; none when there is no holder.
     pub fn floor(&self, now: Duration) -> Option<Revision> {
-        self.holders.values().filter_map(|held| held.floor(now)).min()
+        self.holders.values().filter_map(|state| state.floor(now)).min()
     }
 
     /// Returns the holders of leases that have not run out, with their floors.
     pub fn floors(&self, now: Duration) -> Vec<Floor> {
-        let floor = |(holder, held): (&Holder, &Held)| {
-            Some(Floor { instance: holder.instance.clone(), revision: held.floor(now)? })
+        let floor = |(holder, state): (&Holder, &HolderState)| {
+            Some(Floor { instance: holder.instance.clone(), revision: state.floor(now)? })
         };
         self.holders.iter().filter_map(floor).collect()
     }
 
     /// Says whether a revision is in force everywhere, as far as this tracker's holders go.
-    pub fn force(&self, now: Duration, revision: Revision) -> Propagation {
-        let late = |held: &Held| held.floor(now).is_some_and(|floor| floor < revision);
-        let late = self.holders.iter().filter(|(_, held)| late(held));
-        let mut awaited: Vec<Instance> = late.map(|(holder, _)| holder.instance.clone()).collect();
+    pub fn propagation(&self, now: Duration, revision: Revision) -> Propagation {
+        let lagging = |state: &HolderState| state.floor(now).is_some_and(|floor| floor < revision);
+        let lagging = self.holders.iter().filter(|(_, state)| lagging(state));
+        let mut awaited: Vec<Instance> =
+            lagging.map(|(holder, _)| holder.instance.clone()).collect();
         awaited.dedup();
-        let settling = self.settled.checked_sub(now).filter(|wait| !wait.is_zero());
+        let settling = self.settled_at.checked_sub(now).filter(|wait| !wait.is_zero());
         Propagation { awaited, settling }
     }
 }
@@ -105,14 +106,14 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Held {
+struct HolderState {
     floor: Revision,
     grants: Vec<Grant>,
 }
 
-impl Held {
+impl HolderState {
     /// Drops the grants that have run out; says whether any is left.
-    fn keep(&mut self, now: Duration) -> bool {
+    fn drop_expired(&mut self, now: Duration) -> bool {
         self.grants.retain(|grant| grant.until > now);
         !self.grants.is_empty()
     }
@@ -126,7 +127,7 @@
             last.until = last.until.max(grant.until);
             return;
         }
-        if self.grants.len() >= MAX_GRANTS {
+        if self.grants.len() >= MAX_GRANTS_PER_HOLDER {
             let oldest = self.grants.remove(0);
             if let Some(second) = self.grants.first_mut() {
                 second.revision = second.revision.min(oldest.revision);
@@ -143,4 +144,4 @@
 }
 
 /// Bounds the grants kept for each holder.
-const MAX_GRANTS: usize = 16;
+const MAX_GRANTS_PER_HOLDER: usize = 16;
--- a/crates/verbenaslip-state/src/snapshot.rs
+++ b/crates/verbenaslip-state/src/snapshot.rs
@@ -6,9 +6,9 @@
 use verbenaslip_base::hash;
 
 use crate::audit::Trail;
-use crate::claim::{Ledger, Limits, Record};
+use crate::claim::{Limits, Record, Store};
 use crate::history::History;
-use crate::order::Book;
+use crate::order::Registry;
 use crate::state::State;
 
 /// Says why bytes are no snapshot; the state is as it was.
@@ -29,7 +29,7 @@
 impl State {
     /// Writes the whole state.
     pub fn snapshot(&self) -> Vec<u8> {
-        let image = Image {
+        let encoded = Encoded {
             position: self.position,
             clock: self.clock,
             history: &self.history,
@@ -39,8 +39,8 @@
             trail: &self.trail,
         };
         // Encoding to memory fails for no value of these types.
-        let body = postcard::to_stdvec(&image).unwrap_or_default();
-        let mut bytes = Vec::with_capacity(HEAD + body.len());
+        let body = postcard::to_stdvec(&encoded).unwrap_or_default();
+        let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
         bytes.extend_from_slice(MAGIC);
         bytes.extend_from_slice(&VERSION.to_le_bytes());
         bytes.extend_from_slice(&hash::narrow(&[&body]).to_le_bytes());
@@ -64,52 +64,54 @@
         if u64::from_le_bytes(*sum) != hash::narrow(&[body]) {
             return Err(Error::Damaged);
         }
-        let (loaded, left) =
-            postcard::take_from_bytes::<Loaded>(body).map_err(|_| Error::Damaged)?;
+        let (decoded, left) =
+            postcard::take_from_bytes::<Decoded>(body).map_err(|_| Error::Damaged)?;
         if !left.is_empty() {
             return Err(Error::Damaged);
         }
-        loaded.check()
+        decoded.check()
     }
 }
 
 /// Holds the parts of a state that are written.
 #[derive(Serialize)]
-struct Image<'a> {
+struct Encoded<'a> {
     position: Fence,
     clock: u64,
     history: &'a History,
     limit: Limits,
     claims: Vec<&'a Record>,
-    orders: &'a Book,
+    orders: &'a Registry,
     trail: &'a Trail,
 }
 
 /// Holds the parts of a state as they are read.
 #[derive(Deserialize)]
-struct Loaded {
+struct Decoded {
     position: Fence,
     clock: u64,
     history: History,
     limit: Limits,
     claims: Vec<Record>,
-    orders: Book,
+    orders: Registry,
     trail: Trail,
 }
 
-impl Loaded {
+impl Decoded {
     fn check(self) -> Result<State, Error> {
-        let rising = self.claims.is_sorted_by(|a, b| a.request() < b.request());
+        let ascending = self.claims.is_sorted_by(|a, b| a.request() < b.request());
         let bounded = self.claims.len() <= self.limit.count as usize;
-        let whole = self.history.is_whole() && self.orders.is_whole() && self.trail.is_whole();
-        if !(rising && bounded && whole) {
+        let consistent = self.history.is_consistent()
+            && self.orders.is_consistent()
+            && self.trail.is_consistent();
+        if !(ascending && bounded && consistent) {
             return Err(Error::Inconsistent);
         }
         Ok(State {
             position: self.position,
             clock: self.clock,
             history: self.history,
-            claims: Ledger::restore(self.limit, self.claims),
+            claims: Store::restore(self.limit, self.claims),
             orders: self.orders,
             trail: self.trail,
         })
@@ -123,4 +125,4 @@
 const VERSION: u16 = 1;
 
 /// The length of mark, version and checksum, in bytes.
-const HEAD: usize = 4 + 2 + 8;
+const HEADER_BYTES: usize = 4 + 2 + 8;
--- a/crates/verbenaslip-state/src/state.rs
+++ b/crates/verbenaslip-state/src/state.rs
@@ -6,10 +6,10 @@
 use verbenaslip_table::{Revision, Table};
 
 use crate::audit::{Page, Trail};
-use crate::claim::{Ledger, Limits};
+use crate::claim::{Limits, Store};
 use crate::command::Command;
 use crate::history::{self, History};
-use crate::order::{Book, Pending};
+use crate::order::{Pending, Registry};
 use crate::outcome::{Outcome, Overlong};
 
 /// Holds what every voter agrees on; the same commands in the same order make the same state.
@@ -18,15 +18,15 @@
     pub(crate) position: Fence,
     pub(crate) clock: u64,
     pub(crate) history: History,
-    pub(crate) claims: Ledger,
-    pub(crate) orders: Book,
+    pub(crate) claims: Store,
+    pub(crate) orders: Registry,
     pub(crate) trail: Trail,
 }
 
 impl State {
     /// Starts empty, with the given bounds on claims; all voters need the same.
     pub fn new(limit: Limits) -> Self {
-        Self { claims: Ledger::restore(limit, Vec::new()), ..Self::default() }
+        Self { claims: Store::restore(limit, Vec::new()), ..Self::default() }
     }
 
     /// Applies one committed command.
@@ -38,14 +38,14 @@
             return Outcome::Replayed;
         }
         self.position = position;
-        if let Some(what) = command.overlong() {
+        if let Some(what) = command.overlong_field() {
             return Outcome::Overlong(Overlong { what: what.to_owned() });
         }
         // The clock never falls: a slow instance's command must not make an expired key new again.
-        self.clock = self.clock.max(command.at());
-        self.claims.sweep(self.clock);
+        self.clock = self.clock.max(command.proposed_at_ms());
+        self.claims.drop_expired(self.clock);
         let outcome = self.decide(position, command);
-        self.trail.note(position, command, &outcome);
+        self.trail.record(position, command, &outcome);
         outcome
     }
 
@@ -85,8 +85,8 @@
     }
 
     /// Returns entries of the audit trail from a number on, at most so many.
-    pub fn audit(&self, since: u64, most: usize) -> Page {
-        self.trail.page(since, most)
+    pub fn audit(&self, since: u64, limit: usize) -> Page {
+        self.trail.page(since, limit)
     }
 
     fn decide(&mut self, position: Fence, command: &Command) -> Outcome {
@@ -98,7 +98,7 @@
                 Outcome::Closed(self.claims.release(self.clock, &release.claim))
             }
             Command::Order(order) => Outcome::Order(self.orders.order(position, order)),
-            Command::Ordered(ordered) if self.orders.end(ordered) => Outcome::Noted,
+            Command::Ordered(ordered) if self.orders.complete(ordered) => Outcome::Noted,
             Command::Ordered(_) => Outcome::Unasked,
             Command::Drain(_) | Command::Voters(_) => Outcome::Noted,
         }
--- a/crates/verbenaslip-state/src/watch/follower.rs
+++ b/crates/verbenaslip-state/src/watch/follower.rs
@@ -9,34 +9,35 @@
 
 use super::hub::Output;
 use super::message::{
-    Fetch, Granted, MAX_BYTES, MAX_SNAPSHOT, Message, Offer, Part, Peer, Refusal, Renew,
+    Fetch, Granted, MAX_MESSAGE_BYTES, MAX_SNAPSHOT_BYTES, Message, Offer, Part, Peer, Refusal,
+    Renew,
 };
-use super::window::Progress;
+use super::window::StepResult;
 use crate::lease::{Lease, Nonce, RELAY_RENEWAL_INTERVAL, RENEWAL_INTERVAL};
 
 /// How long a publisher may leave a request unanswered before it is asked again.
-const RETRY: Duration = Duration::from_millis(400);
+const RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
 /// How long a publisher may be silent before another is chosen.
-const SILENCE: Duration = Duration::from_millis(1_200);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// How long a publisher that was silent is not chosen again.
-const AVOID_SILENT: Duration = Duration::from_secs(5);
+const AVOID_AFTER_SILENCE: Duration = Duration::from_secs(5);
 
 /// How long a publisher that refused is not chosen again.
-const AVOID_AWAY: Duration = Duration::from_secs(1);
+const AVOID_AFTER_REFUSAL: Duration = Duration::from_secs(1);
 
 /// The pause before the next publisher is asked, to which up to as much again is added by hash.
-const PAUSE: Duration = Duration::from_millis(50);
+const BASE_PAUSE: Duration = Duration::from_millis(50);
 
 /// How often the pause doubles while no publisher grants.
 const MAX_DOUBLINGS: u32 = 4;
 
 /// How often in a row a publisher without a lease is asked again before another is chosen.
-const PATIENCE: u32 = 2;
+const MAX_LEASELESS_RETRIES: u32 = 2;
 
 /// The least time between two reports of applied revisions.
-const REPORT: Duration = Duration::from_millis(100);
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Follows one publisher at a time, and holds the lease that it grants.
 #[derive(Clone, Debug)]
@@ -47,15 +48,15 @@
     count: u32,
     peers: Vec<Peer>,
     leader: Option<Instance>,
-    others: Vec<Instance>,
-    avoid: BTreeMap<Instance, Duration>,
-    parent: Option<Parent>,
+    suggested: Vec<Instance>,
+    avoided_until: BTreeMap<Instance, Duration>,
+    publisher: Option<FollowedPublisher>,
     path: Vec<Instance>,
     lease: Lease,
-    fetching: Option<Fetching>,
+    fetch: Option<SnapshotFetch>,
     /// How often in a row a publisher was left before it granted.
-    left: u32,
-    resume: Duration,
+    leave_count: u32,
+    resume_at: Duration,
 }
 
 impl Follower {
@@ -67,20 +68,20 @@
             count: 0,
             peers: Vec::new(),
             leader: None,
-            others: Vec::new(),
-            avoid: BTreeMap::new(),
-            parent: None,
+            suggested: Vec::new(),
+            avoided_until: BTreeMap::new(),
+            publisher: None,
             path: Vec::new(),
             lease: Lease::default(),
-            fetching: None,
-            left: 0,
-            resume: Duration::ZERO,
+            fetch: None,
+            leave_count: 0,
+            resume_at: Duration::ZERO,
         }
     }
 
     /// Returns when the lease runs out for the revision in use.
-    pub(crate) fn until(&self, applied: Revision) -> Option<Duration> {
-        self.lease.until(applied)
+    pub(crate) fn lease_expiry(&self, applied: Revision) -> Option<Duration> {
+        self.lease.expiry(applied)
     }
 
     /// Returns the instances through which the lease came.
@@ -89,114 +90,122 @@
     }
 
     /// Returns whom this instance follows.
-    pub(crate) fn parent(&self) -> Option<&Instance> {
-        self.parent.as_ref().map(|parent| &parent.name)
+    pub(crate) fn publisher(&self) -> Option<&Instance> {
+        self.publisher.as_ref().map(|publisher| &publisher.name)
     }
 
-    pub(crate) fn peers(&mut self, peers: Vec<Peer>) {
+    pub(crate) fn set_peers(&mut self, peers: Vec<Peer>) {
         self.peers = peers;
     }
 
     /// Learns who leads, and asks that one at once, however long nobody could grant.
-    pub(crate) fn leader(&mut self, leader: Option<Instance>) {
+    pub(crate) fn set_leader(&mut self, leader: Option<Instance>) {
         if leader.is_some() && leader != self.leader {
-            self.left = 0;
-            self.resume = Duration::ZERO;
-            self.avoid.clear();
+            self.leave_count = 0;
+            self.resume_at = Duration::ZERO;
+            self.avoided_until.clear();
         }
         self.leader = leader;
     }
 
     /// Stops following, because this instance leads.
-    pub(crate) fn pause(&mut self) {
-        self.parent = None;
-        self.fetching = None;
+    pub(crate) fn stop(&mut self) {
+        self.publisher = None;
+        self.fetch = None;
     }
 
     /// Sends what is due.
-    pub(crate) fn tick(&mut self, now: Duration, report: Report, out: &mut Vec<Output>) {
-        self.avoid.retain(|_, until| *until > now);
-        if let Some(parent) = &self.parent
-            && parent.asked.is_some_and(|asked| now >= asked.saturating_add(SILENCE))
+    pub(crate) fn tick(&mut self, now: Duration, report: FollowerReport, out: &mut Vec<Output>) {
+        self.avoided_until.retain(|_, until| *until > now);
+        if let Some(publisher) = &self.publisher
+            && publisher
+                .unanswered_since
+                .is_some_and(|since| now >= since.saturating_add(SILENCE_TIMEOUT))
         {
-            self.leave(now, AVOID_SILENT);
+            self.leave(now, AVOID_AFTER_SILENCE);
         }
-        if self.parent.is_none() && now >= self.resume {
-            let first = self.count.wrapping_add(1);
-            self.parent = self.choose().map(|name| Parent::new(name, first));
+        if self.publisher.is_none() && now >= self.resume_at {
+            let first_count = self.count.wrapping_add(1);
+            self.publisher = self.choose().map(|name| FollowedPublisher::new(name, first_count));
         }
-        let Some(parent) = &self.parent else { return };
-        let every = if report.relay { RELAY_RENEWAL_INTERVAL } else { RENEWAL_INTERVAL };
-        let every = if parent.asked.is_some() { RETRY } else { every };
-        let news = report.floor > parent.reported && parent.asked.is_none();
-        let every = if news || parent.hurry { REPORT } else { every };
-        if parent.last.is_none_or(|last| now >= last.saturating_add(every)) {
+        let Some(publisher) = &self.publisher else { return };
+        let interval = if report.has_followers { RELAY_RENEWAL_INTERVAL } else { RENEWAL_INTERVAL };
+        let interval = if publisher.unanswered_since.is_some() { RETRY_INTERVAL } else { interval };
+        let floor_rose = report.floor > publisher.reported && publisher.unanswered_since.is_none();
+        let interval =
+            if floor_rose || publisher.report_soon { MIN_REPORT_INTERVAL } else { interval };
+        if publisher.last.is_none_or(|last| now >= last.saturating_add(interval)) {
             self.ask(now, report, out);
         }
         self.fetch_again(now, out);
     }
 
     /// Takes a grant.
-    pub(crate) fn granted(&mut self, now: Duration, from: &Instance, granted: Granted) {
+    pub(crate) fn handle_granted(&mut self, now: Duration, from: &Instance, granted: Granted) {
         let duration = Duration::from_millis(granted.duration_ms.into());
-        if !self.lease.take(now, granted.nonce, granted.revision, duration) {
+        if !self.lease.accept_grant(now, granted.nonce, granted.revision, duration) {
             return;
         }
-        if let Some(parent) = &mut self.parent
-            && parent.name == *from
+        if let Some(publisher) = &mut self.publisher
+            && publisher.name == *from
         {
-            parent.asked = None;
+            publisher.unanswered_since = None;
             self.path = granted.path;
             self.path.truncate(super::publisher::MAX_DEPTH);
-            self.others.clear();
-            self.left = 0;
+            self.suggested.clear();
+            self.leave_count = 0;
         }
     }
 
     /// Leaves a publisher that refuses, for one of those that it names.
-    pub(crate) fn away(&mut self, now: Duration, from: &Instance, away: Refusal) {
-        let Some(parent) = &self.parent else { return };
-        let ours = away.nonce.boot == self.boot && away.nonce.count >= parent.first;
-        if parent.name != *from || !ours {
+    pub(crate) fn handle_refusal(&mut self, now: Duration, from: &Instance, refusal: Refusal) {
+        let Some(publisher) = &self.publisher else { return };
+        let is_current =
+            refusal.nonce.boot == self.boot && refusal.nonce.count >= publisher.first_count;
+        if publisher.name != *from || !is_current {
             return;
         }
-        if !away.others.is_empty() {
+        if !refusal.others.is_empty() {
             // Leases are to be had, so there is no need to wait longer and longer.
-            self.left = 0;
+            self.leave_count = 0;
         }
         // One that has just started, in the own availability zone, will have a lease in a moment;
         // whoever goes elsewhere at once stays there.
-        let soon = away.others.is_empty() && self.left < PATIENCE;
-        self.leave(now, if soon { Duration::ZERO } else { AVOID_AWAY });
-        self.others = away.others;
-        self.others.truncate(super::publisher::FAN_OUT);
+        let retry_same = refusal.others.is_empty() && self.leave_count < MAX_LEASELESS_RETRIES;
+        self.leave(now, if retry_same { Duration::ZERO } else { AVOID_AFTER_REFUSAL });
+        self.suggested = refusal.others;
+        self.suggested.truncate(super::publisher::MAX_FOLLOWERS);
     }
 
     /// Does what is needed after changes that could not be applied.
-    pub(crate) fn stumble(
+    pub(crate) fn handle_unapplied(
         &mut self,
         now: Duration,
         applied: Revision,
-        progress: Progress,
+        result: StepResult,
         out: &mut Vec<Output>,
     ) {
-        let Some(parent) = &mut self.parent else { return };
-        match progress {
-            Progress::Applied | Progress::Known => {}
-            Progress::Gap => parent.hurry = true,
-            Progress::Misfit if self.fetching.is_none() => {
+        let Some(publisher) = &mut self.publisher else { return };
+        match result {
+            StepResult::Applied | StepResult::Known => {}
+            StepResult::Gap => publisher.report_soon = true,
+            StepResult::Mismatch if self.fetch.is_none() => {
                 // No snapshot has such a part, so the publisher answers with an offer.
                 let wanted = Offer { revision: applied.next(), bytes: 0, digest: 0 };
-                let fetching = Fetching { next: u32::MAX, asked: now, ..Fetching::new(wanted) };
-                out.push(fetching.ask(parent.name.clone()));
-                self.fetching = Some(fetching);
+                let fetch = SnapshotFetch {
+                    next: u32::MAX,
+                    requested_at: now,
+                    ..SnapshotFetch::new(wanted)
+                };
+                out.push(fetch.ask(publisher.name.clone()));
+                self.fetch = Some(fetch);
             }
-            Progress::Misfit => {}
+            StepResult::Mismatch => {}
         }
     }
 
     /// Begins to fetch an offered snapshot.
-    pub(crate) fn offer(
+    pub(crate) fn handle_offer(
         &mut self,
         now: Duration,
         from: &Instance,
@@ -204,77 +213,77 @@
         applied: Revision,
         out: &mut Vec<Output>,
     ) {
-        let current = self.fetching.as_ref().is_some_and(|fetching| fetching.offer == offer);
-        let fits = offer.revision > applied && offer.bytes <= MAX_SNAPSHOT;
-        if self.parent() != Some(from) || current || !fits {
+        let current = self.fetch.as_ref().is_some_and(|fetch| fetch.offer == offer);
+        let fits = offer.revision > applied && offer.bytes <= MAX_SNAPSHOT_BYTES;
+        if self.publisher() != Some(from) || current || !fits {
             return;
         }
-        let fetching = Fetching::new(offer);
-        out.push(fetching.ask(from.clone()));
-        self.fetching = Some(Fetching { asked: now, ..fetching });
+        let fetch = SnapshotFetch::new(offer);
+        out.push(fetch.ask(from.clone()));
+        self.fetch = Some(SnapshotFetch { requested_at: now, ..fetch });
     }
 
     /// Takes the next part of a snapshot; returns the table when it is whole.
-    pub(crate) fn part(
+    pub(crate) fn handle_part(
         &mut self,
         now: Duration,
         from: &Instance,
         part: &Part,
         out: &mut Vec<Output>,
     ) -> Option<Snapshot> {
-        if self.parent() != Some(from) {
+        if self.publisher() != Some(from) {
             return None;
         }
-        let fetching = self.fetching.as_mut()?;
-        if !fetching.take(now, part) {
+        let fetch = self.fetch.as_mut()?;
+        if !fetch.take(now, part) {
             return None;
         }
-        if !fetching.is_whole() {
-            out.push(fetching.ask(from.clone()));
+        if !fetch.is_complete() {
+            out.push(fetch.ask(from.clone()));
             return None;
         }
-        let fetching = self.fetching.take()?;
-        if let Some(parent) = &mut self.parent {
-            parent.hurry = true;
+        let fetch = self.fetch.take()?;
+        if let Some(publisher) = &mut self.publisher {
+            publisher.report_soon = true;
         }
-        fetching.open()
+        fetch.decode()
     }
 
     /// Asks for the lease.
-    fn ask(&mut self, now: Duration, report: Report, out: &mut Vec<Output>) {
+    fn ask(&mut self, now: Duration, report: FollowerReport, out: &mut Vec<Output>) {
         self.count = self.count.wrapping_add(1);
         let nonce = Nonce { boot: self.boot, count: self.count };
-        let Some(parent) = &mut self.parent else { return };
-        parent.asked.get_or_insert(now);
-        parent.last = Some(now);
-        parent.reported = report.floor;
-        parent.hurry = false;
-        self.lease.ask(now, nonce);
+        let Some(publisher) = &mut self.publisher else { return };
+        publisher.unanswered_since.get_or_insert(now);
+        publisher.last = Some(now);
+        publisher.reported = report.floor;
+        publisher.report_soon = false;
+        self.lease.record_request(now, nonce);
         let renew = Renew { nonce, applied: report.applied, floor: report.floor };
-        out.push(Output::Send { to: parent.name.clone(), message: Message::Renew(renew) });
+        out.push(Output::Send { to: publisher.name.clone(), message: Message::Renew(renew) });
     }
 
     /// Asks again for a part that did not come.
     fn fetch_again(&mut self, now: Duration, out: &mut Vec<Output>) {
-        let (Some(fetching), Some(parent)) = (&mut self.fetching, &self.parent) else { return };
-        if now >= fetching.asked.saturating_add(RETRY) {
-            fetching.asked = now;
-            out.push(fetching.ask(parent.name.clone()));
+        let (Some(fetch), Some(publisher)) = (&mut self.fetch, &self.publisher) else { return };
+        if now >= fetch.requested_at.saturating_add(RETRY_INTERVAL) {
+            fetch.requested_at = now;
+            out.push(fetch.ask(publisher.name.clone()));
         }
     }
 
-    fn leave(&mut self, now: Duration, avoid: Duration) {
-        let Some(parent) = self.parent.take() else { return };
-        self.fetching = None;
-        self.avoid.insert(parent.name, now.saturating_add(avoid));
+    fn leave(&mut self, now: Duration, avoid_for: Duration) {
+        let Some(publisher) = self.publisher.take() else { return };
+        self.fetch = None;
+        self.avoided_until.insert(publisher.name, now.saturating_add(avoid_for));
         // Followers of a lost publisher would otherwise all ask the next one in the same instant,
         // and while the quorum is away nobody has a lease to pass on, however often one asks.
-        let pause = PAUSE * (1 << self.left.min(MAX_DOUBLINGS));
-        self.left = self.left.saturating_add(1);
+        let pause = BASE_PAUSE * (1 << self.leave_count.min(MAX_DOUBLINGS));
+        self.leave_count = self.leave_count.saturating_add(1);
         let parts = [self.me.as_str().as_bytes(), &self.count.to_le_bytes()];
-        let spread = (pause.as_millis() as u64).max(1);
-        let jitter = Duration::from_millis(hash::narrow(&parts) % spread);
-        self.resume = now.saturating_add(pause).saturating_add(jitter);
+        let jitter_range = (pause.as_millis() as u64).max(1);
+        let jitter = Duration::from_millis(hash::narrow(&parts) % jitter_range);
+        self.resume_at = now.saturating_add(pause).saturating_add(jitter);
     }
 
     /// Chooses whom to ask next: first those that a full publisher named, then voters, then any;
@@ -283,13 +292,14 @@
         let voter = self.peers.iter().any(|peer| peer.voter && peer.instance == self.me);
         let rank = |peer: &&Peer| {
             let leader = voter && self.leader.as_ref() == Some(&peer.instance);
-            let named = self.others.contains(&peer.instance);
-            let near = peer.zone == self.zone;
+            let named = self.suggested.contains(&peer.instance);
+            let same_zone = peer.zone == self.zone;
             let parts = [self.me.as_str().as_bytes(), peer.instance.as_str().as_bytes()];
-            (!leader, !named, !peer.voter, !near, hash::narrow(&parts))
+            (!leader, !named, !peer.voter, !same_zone, hash::narrow(&parts))
+        };
+        let fits = |peer: &&Peer| {
+            peer.instance != self.me && !self.avoided_until.contains_key(&peer.instance)
         };
-        let fits =
-            |peer: &&Peer| peer.instance != self.me && !self.avoid.contains_key(&peer.instance);
         let chosen = self.peers.iter().filter(fits).min_by_key(rank);
         chosen.map(|peer| peer.instance.clone())
     }
@@ -297,11 +307,11 @@
 
 /// Says what a follower has to report.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Report {
+pub(crate) struct FollowerReport {
     pub(crate) applied: Revision,
     pub(crate) floor: Revision,
     /// Whether others follow this instance.
-    pub(crate) relay: bool,
+    pub(crate) has_followers: bool,
 }
 
 /// Holds the table of a snapshot that was fetched.
@@ -312,35 +322,42 @@
 
 /// Holds the state of the conversation with the publisher.
 #[derive(Clone, Debug)]
-struct Parent {
+struct FollowedPublisher {
     name: Instance,
     /// When the oldest request was sent that is not answered.
-    asked: Option<Duration>,
+    unanswered_since: Option<Duration>,
     /// The count of the first request.
-    first: u32,
+    first_count: u32,
     last: Option<Duration>,
     reported: Revision,
-    hurry: bool,
+    report_soon: bool,
 }
 
-impl Parent {
-    fn new(name: Instance, first: u32) -> Self {
-        Self { name, asked: None, first, last: None, reported: Revision(0), hurry: false }
+impl FollowedPublisher {
+    fn new(name: Instance, first_count: u32) -> Self {
+        Self {
+            name,
+            unanswered_since: None,
+            first_count,
+            last: None,
+            reported: Revision(0),
+            report_soon: false,
+        }
     }
 }
 
 /// Gathers the parts of a snapshot in order.
 #[derive(Clone, Debug)]
-struct Fetching {
+struct SnapshotFetch {
     offer: Offer,
     bytes: Vec<u8>,
     next: u32,
-    asked: Duration,
+    requested_at: Duration,
 }
 
-impl Fetching {
+impl SnapshotFetch {
     fn new(offer: Offer) -> Self {
-        Self { offer, bytes: Vec::new(), next: 0, asked: Duration::ZERO }
+        Self { offer, bytes: Vec::new(), next: 0, requested_at: Duration::ZERO }
     }
 
     fn ask(&self, to: Instance) -> Output {
@@ -350,23 +367,26 @@
 
     /// Takes the part that is due; says whether it was.
     fn take(&mut self, now: Duration, part: &Part) -> bool {
-        let due = part.revision == self.offer.revision && part.part == self.next;
-        let rest = (self.offer.bytes as usize).saturating_sub(self.bytes.len());
-        if !due || part.bytes.len() != rest.min(MAX_BYTES) || part.bytes.is_empty() {
+        let expected = part.revision == self.offer.revision && part.part == self.next;
+        let remaining = (self.offer.bytes as usize).saturating_sub(self.bytes.len());
+        if !expected
+            || part.bytes.len() != remaining.min(MAX_MESSAGE_BYTES)
+            || part.bytes.is_empty()
+        {
             return false;
         }
         self.bytes.extend_from_slice(&part.bytes);
         self.next += 1;
-        self.asked = now;
+        self.requested_at = now;
         true
     }
 
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         self.bytes.len() >= self.offer.bytes as usize
     }
 
     /// Reads the table, if the bytes are those that were offered.
-    fn open(self) -> Option<Snapshot> {
+    fn decode(self) -> Option<Snapshot> {
         if hash::wide(&[&self.bytes]) != self.offer.digest {
             return None;
         }
--- a/crates/verbenaslip-state/src/watch/hub.rs
+++ b/crates/verbenaslip-state/src/watch/hub.rs
@@ -7,10 +7,10 @@
 use verbenaslip_base::name::{AvailabilityZone, Instance};
 use verbenaslip_table::{Change, Revision, Table};
 
-use super::follower::{Follower, Report};
+use super::follower::{Follower, FollowerReport};
 use super::message::{Message, Peer, Step};
 use super::publisher::{Authority, Publisher};
-use super::window::Progress;
+use super::window::StepResult;
 use crate::propagation::{Floor, Propagation};
 
 /// Tells the hub what happened.
@@ -76,7 +76,7 @@
 pub struct Hub {
     follower: Follower,
     publisher: Publisher,
-    leading: Option<Duration>,
+    leads_until: Option<Duration>,
 }
 
 impl Hub {
@@ -85,7 +85,7 @@
         Self {
             follower: Follower::new(me.clone(), zone, boot),
             publisher: Publisher::new(me),
-            leading: None,
+            leads_until: None,
         }
     }
 
@@ -94,24 +94,24 @@
         match input {
             Input::Tick => {}
             Input::Peers(peers) => {
-                self.publisher.peers(&peers);
-                self.follower.peers(peers);
+                self.publisher.set_peers(&peers);
+                self.follower.set_peers(peers);
             }
-            Input::Leader(leader) => self.follower.leader(leader),
-            Input::Leading(until) => self.lead(now, until),
+            Input::Leader(leader) => self.follower.set_leader(leader),
+            Input::Leading(until) => self.update_leadership(now, until),
             Input::Committed { revision, changes, table } => {
                 self.commit(now, &Step { revision, changes }, table, out);
             }
             Input::Restored { revision, table } => self.replace(revision, table, out),
-            Input::Receive { from, message } => self.receive(now, &from, message, out),
+            Input::Receive { from, message } => self.handle_message(now, &from, message, out),
         }
         self.tick(now, out);
     }
 
     /// Returns when the lease runs out that lets this instance take work; the time may have passed.
     pub fn lease(&self) -> Option<Duration> {
-        let followed = self.follower.until(self.publisher.window.revision());
-        self.leading.max(followed)
+        let followed = self.follower.lease_expiry(self.publisher.window.revision());
+        self.leads_until.max(followed)
     }
 
     /// Says whether this instance may take work by its table.
@@ -131,7 +131,7 @@
 
     /// Returns whom this instance follows; none when it leads or looks for one.
     pub fn followed_publisher(&self) -> Option<&Instance> {
-        self.follower.parent()
+        self.follower.publisher()
     }
 
     /// Returns who holds a lease of this instance, to see who is behind.
@@ -141,57 +141,63 @@
 
     /// Says whether a revision is in force everywhere; none when this instance does not lead.
     pub fn propagation(&self, now: Duration, revision: Revision) -> Option<Propagation> {
-        let leads = self.leading.is_some_and(|until| until > now);
+        let leads = self.leads_until.is_some_and(|until| until > now);
         let has = self.publisher.window.revision() >= revision;
-        (leads && has).then(|| self.publisher.force(now, revision))
+        (leads && has).then(|| self.publisher.propagation(now, revision))
     }
 
-    fn lead(&mut self, now: Duration, until: Option<Duration>) {
-        let led = self.leading.is_some_and(|until| until > now);
-        self.leading = until;
+    fn update_leadership(&mut self, now: Duration, until: Option<Duration>) {
+        let led = self.leads_until.is_some_and(|until| until > now);
+        self.leads_until = until;
         if until.is_some() {
-            self.follower.pause();
+            self.follower.stop();
             // Another may have led in a gap, however short, and granted leases unknown here.
             if !led {
-                self.publisher.lead(now);
+                self.publisher.start_leading(now);
             }
         }
     }
 
-    fn receive(&mut self, now: Duration, from: &Instance, message: Message, out: &mut Vec<Output>) {
+    fn handle_message(
+        &mut self,
+        now: Duration,
+        from: &Instance,
+        message: Message,
+        out: &mut Vec<Output>,
+    ) {
         match message {
             Message::Renew(renew) => {
                 let authority = self.authority(now);
-                self.publisher.renew(now, from, &renew, authority.as_ref(), out);
+                self.publisher.handle_renew(now, from, &renew, authority.as_ref(), out);
             }
-            Message::Fetch(fetch) => self.publisher.fetch(from, fetch, out),
-            Message::Granted(granted) => self.follower.granted(now, from, granted),
-            Message::Away(away) => self.follower.away(now, from, away),
-            Message::Changes(steps) => self.changes(now, &steps, out),
+            Message::Fetch(fetch) => self.publisher.handle_fetch(from, fetch, out),
+            Message::Granted(granted) => self.follower.handle_granted(now, from, granted),
+            Message::Away(refusal) => self.follower.handle_refusal(now, from, refusal),
+            Message::Changes(steps) => self.handle_changes(now, &steps, out),
             Message::Offer(offer) => {
                 let applied = self.publisher.window.revision();
-                self.follower.offer(now, from, offer, applied, out);
+                self.follower.handle_offer(now, from, offer, applied, out);
             }
             Message::Part(part) => {
-                if let Some(snapshot) = self.follower.part(now, from, &part, out) {
+                if let Some(snapshot) = self.follower.handle_part(now, from, &part, out) {
                     self.replace(snapshot.revision, Arc::new(snapshot.table), out);
                 }
             }
         }
     }
 
-    fn changes(&mut self, now: Duration, steps: &[Step], out: &mut Vec<Output>) {
+    fn handle_changes(&mut self, now: Duration, steps: &[Step], out: &mut Vec<Output>) {
         let before = self.publisher.window.revision();
         for step in steps {
-            let progress = self.publisher.window.advance(step);
-            if progress == Progress::Applied {
+            let result = self.publisher.window.advance(step);
+            if result == StepResult::Applied {
                 self.publisher.push(now, step, out);
             } else {
                 let applied = self.publisher.window.revision();
-                self.follower.stumble(now, applied, progress, out);
+                self.follower.handle_unapplied(now, applied, result, out);
             }
         }
-        self.tell(before, out);
+        self.emit_if_newer(before, out);
     }
 
     fn commit(&mut self, now: Duration, step: &Step, table: Arc<Table>, out: &mut Vec<Output>) {
@@ -202,16 +208,16 @@
         } else {
             self.publisher.window.replace(step.revision, table);
         }
-        self.tell(before, out);
+        self.emit_if_newer(before, out);
     }
 
     fn replace(&mut self, revision: Revision, table: Arc<Table>, out: &mut Vec<Output>) {
         let before = self.publisher.window.revision();
         self.publisher.window.replace(revision, table);
-        self.tell(before, out);
+        self.emit_if_newer(before, out);
     }
 
-    fn tell(&self, before: Revision, out: &mut Vec<Output>) {
+    fn emit_if_newer(&self, before: Revision, out: &mut Vec<Output>) {
         let revision = self.publisher.window.revision();
         if revision > before {
             out.push(Output::Table { revision, table: self.publisher.window.table().clone() });
@@ -220,21 +226,21 @@
 
     fn tick(&mut self, now: Duration, out: &mut Vec<Output>) {
         self.publisher.tick(now);
-        if self.leading.is_some_and(|until| until > now) {
+        if self.leads_until.is_some_and(|until| until > now) {
             return;
         }
         let applied = self.publisher.window.revision();
         let floor = self.publisher.floor(now).map_or(applied, |floor| floor.min(applied));
-        let report = Report { applied, floor, relay: self.publisher.serves() };
+        let report = FollowerReport { applied, floor, has_followers: self.publisher.serves() };
         self.follower.tick(now, report, out);
     }
 
     /// Returns what lets this instance grant leases now.
     fn authority(&self, now: Duration) -> Option<Authority> {
-        if let Some(until) = self.leading.filter(|until| *until > now) {
+        if let Some(until) = self.leads_until.filter(|until| *until > now) {
             return Some(Authority { until, leader: true, path: Vec::new() });
         }
-        let until = self.follower.until(self.publisher.window.revision())?;
+        let until = self.follower.lease_expiry(self.publisher.window.revision())?;
         Some(Authority { until, leader: false, path: self.follower.path().to_vec() })
     }
 }
--- a/crates/verbenaslip-state/src/watch/message.rs
+++ b/crates/verbenaslip-state/src/watch/message.rs
@@ -9,10 +9,10 @@
 use crate::lease::Nonce;
 
 /// Bounds the bytes of changes or of a snapshot in one message.
-pub const MAX_BYTES: usize = 8 * 1_024;
+pub const MAX_MESSAGE_BYTES: usize = 8 * 1_024;
 
 /// Bounds the bytes of a snapshot.
-pub const MAX_SNAPSHOT: u32 = 4 << 20;
+pub const MAX_SNAPSHOT_BYTES: u32 = 4 << 20;
 
 /// Travels between a follower and its publisher.
 #[data]
--- a/crates/verbenaslip-state/src/watch/publisher.rs
+++ b/crates/verbenaslip-state/src/watch/publisher.rs
@@ -15,19 +15,19 @@
 /// The most followers of one publisher, besides the voters that follow the leader.
 ///
 /// Twice as many cost a publisher twice the messages and save one level of the tree at most.
-pub const FAN_OUT: usize = 8;
+pub const MAX_FOLLOWERS: usize = 8;
 
 /// The most instances through which a lease passes, the leader included.
 pub const MAX_DEPTH: usize = 6;
 
 /// How long a follower that is silent keeps its place.
-const PLACE: Duration = Duration::from_secs(3);
+const FOLLOWER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How long a voter may lack what the log should have brought it.
-const LOG_LAG: Duration = Duration::from_secs(2);
+const MAX_LOG_LAG: Duration = Duration::from_secs(2);
 
 /// How long sent changes may be on their way before they are sent again.
-const RESEND: Duration = Duration::from_millis(400);
+const RESEND_INTERVAL: Duration = Duration::from_millis(400);
 
 /// What lets a publisher grant leases.
 #[derive(Clone, Debug)]
@@ -45,7 +45,7 @@
 pub struct Publisher {
     me: Instance,
     voters: BTreeSet<Instance>,
-    followers: BTreeMap<Instance, Place>,
+    followers: BTreeMap<Instance, FollowerState>,
     tracker: Tracker,
     pub(crate) window: Window,
 }
@@ -61,11 +61,11 @@
         }
     }
 
-    pub(crate) fn lead(&mut self, now: Duration) {
-        self.tracker.lead(now);
+    pub(crate) fn start_leading(&mut self, now: Duration) {
+        self.tracker.start_leading(now);
     }
 
-    pub(crate) fn peers(&mut self, peers: &[Peer]) {
+    pub(crate) fn set_peers(&mut self, peers: &[Peer]) {
         let voters = peers.iter().filter(|peer| peer.voter);
         self.voters = voters.map(|peer| peer.instance.clone()).collect();
     }
@@ -84,16 +84,17 @@
         self.tracker.floors(now)
     }
 
-    pub(crate) fn force(&self, now: Duration, revision: Revision) -> Propagation {
-        self.tracker.force(now, revision)
+    pub(crate) fn propagation(&self, now: Duration, revision: Revision) -> Propagation {
+        self.tracker.propagation(now, revision)
     }
 
     pub(crate) fn tick(&mut self, now: Duration) {
-        self.followers.retain(|_, place| now < place.seen.saturating_add(PLACE));
+        self.followers
+            .retain(|_, follower| now < follower.last_seen.saturating_add(FOLLOWER_TIMEOUT));
     }
 
     /// Answers a request for a lease.
-    pub(crate) fn renew(
+    pub(crate) fn handle_renew(
         &mut self,
         now: Duration,
         from: &Instance,
@@ -102,7 +103,7 @@
         out: &mut Vec<Output>,
     ) {
         let holder = Holder { instance: from.clone(), boot: renew.nonce.boot };
-        self.tracker.hear(&holder, renew.floor);
+        self.tracker.record_floor(&holder, renew.floor);
         let answer = match authority {
             Some(authority) if authority.until > now => authority,
             _ => return self.refuse(from, renew, Vec::new(), out),
@@ -115,8 +116,8 @@
             let others = self.followers.keys().filter(|name| !self.voters.contains(*name));
             return self.refuse(from, renew, others.cloned().collect(), out);
         }
-        let rest = answer.until.saturating_sub(now);
-        let duration = if answer.leader { MAX_DURATION } else { rest.min(MAX_DURATION) };
+        let remaining = answer.until.saturating_sub(now);
+        let duration = if answer.leader { MAX_DURATION } else { remaining.min(MAX_DURATION) };
         let duration_ms = u32::try_from(duration.as_millis()).unwrap_or_default();
         let revision = self.window.revision();
         self.tracker.grant(now, holder, revision, duration);
@@ -128,7 +129,7 @@
     }
 
     /// Sends a part of a snapshot, or offers another when it asks for one that is gone.
-    pub(crate) fn fetch(&mut self, from: &Instance, fetch: Fetch, out: &mut Vec<Output>) {
+    pub(crate) fn handle_fetch(&mut self, from: &Instance, fetch: Fetch, out: &mut Vec<Output>) {
         if !self.followers.contains_key(from) {
             return;
         }
@@ -141,14 +142,14 @@
 
     /// Sends the changes of the newest revision to every follower that has the one before.
     pub(crate) fn push(&mut self, now: Duration, step: &Step, out: &mut Vec<Output>) {
-        let due = self.window.after(Revision(step.revision.0.saturating_sub(1)));
-        for (name, place) in &mut self.followers {
-            if self.voters.contains(name) || place.sent.next() != step.revision {
+        let changes = self.window.changes_after(Revision(step.revision.0.saturating_sub(1)));
+        for (name, follower) in &mut self.followers {
+            if self.voters.contains(name) || follower.sent.next() != step.revision {
                 continue;
             }
-            place.sent = step.revision;
-            place.sent_at = now;
-            let message = match &due {
+            follower.sent = step.revision;
+            follower.sent_at = now;
+            let message = match &changes {
                 Some(_) => Message::Changes(vec![step.clone()]),
                 None => Message::Offer(self.window.offer(step.revision)),
             };
@@ -164,25 +165,31 @@
         applied: Revision,
         out: &mut Vec<Output>,
     ) {
-        let fresh = Place { seen: now, sent: applied, sent_at: Duration::ZERO, behind: None };
-        let place = self.followers.entry(from.clone()).or_insert(fresh);
-        place.seen = now;
+        let initial = FollowerState {
+            last_seen: now,
+            sent: applied,
+            sent_at: Duration::ZERO,
+            behind_since: None,
+        };
+        let follower = self.followers.entry(from.clone()).or_insert(initial);
+        follower.last_seen = now;
         if applied >= self.window.revision() {
-            place.behind = None;
-            place.sent = place.sent.max(applied);
+            follower.behind_since = None;
+            follower.sent = follower.sent.max(applied);
             return;
         }
         // The log brings a voter its changes, unless it votes no more and this list is old: it would
         // wait for changes that nobody sends, and never be ready.
-        let behind = *place.behind.get_or_insert(now);
-        let by_log = self.voters.contains(from) && now < behind.saturating_add(LOG_LAG);
-        let on_its_way = place.sent > applied && now < place.sent_at.saturating_add(RESEND);
-        if by_log || on_its_way {
+        let behind_since = *follower.behind_since.get_or_insert(now);
+        let from_log = self.voters.contains(from) && now < behind_since.saturating_add(MAX_LOG_LAG);
+        let in_transit =
+            follower.sent > applied && now < follower.sent_at.saturating_add(RESEND_INTERVAL);
+        if from_log || in_transit {
             return;
         }
-        place.sent = self.window.revision();
-        place.sent_at = now;
-        match self.window.after(applied) {
+        follower.sent = self.window.revision();
+        follower.sent_at = now;
+        match self.window.changes_after(applied) {
             Some(messages) => {
                 messages.into_iter().for_each(|steps| send(out, from, Message::Changes(steps)));
             }
@@ -195,9 +202,9 @@
     /// The leader keeps places free for the other voters, which ask it rather than one another.
     fn admits(&self, from: &Instance, leader: bool) -> bool {
         let others = self.followers.keys().filter(|name| !self.voters.contains(*name)).count();
-        let kept = if leader { self.voters.len().saturating_sub(1) } else { 0 };
+        let reserved = if leader { self.voters.len().saturating_sub(1) } else { 0 };
         let known = self.followers.contains_key(from) || self.voters.contains(from);
-        known || others < FAN_OUT.saturating_sub(kept)
+        known || others < MAX_FOLLOWERS.saturating_sub(reserved)
     }
 
     fn refuse(
@@ -214,12 +221,12 @@
 
 /// Holds what is known of one follower.
 #[derive(Clone, Debug)]
-struct Place {
-    seen: Duration,
+struct FollowerState {
+    last_seen: Duration,
     sent: Revision,
     sent_at: Duration,
     /// Since when its reports have been of older revisions.
-    behind: Option<Duration>,
+    behind_since: Option<Duration>,
 }
 
 fn send(out: &mut Vec<Output>, to: &Instance, message: Message) {
--- a/crates/verbenaslip-state/tests/claims.rs
+++ b/crates/verbenaslip-state/tests/claims.rs
@@ -18,8 +18,8 @@
 fn run(cases: &[Case]) {
     for (case, steps) in cases {
         let mut log = Log::default();
-        for (number, (command, said)) in steps.iter().enumerate() {
-            assert_eq!(log.say(command), *said, "{case}, step {number}");
+        for (number, (command, expected)) in steps.iter().enumerate() {
+            assert_eq!(log.apply_to_text(command), *expected, "{case}, step {number}");
             let restored = State::restore(&log.state.snapshot());
             assert_eq!(restored.as_ref(), Ok(&log.state), "{case}, step {number}");
         }
@@ -27,7 +27,7 @@
 }
 
 /// The claim of the first attempt by instance a.
-fn first() -> Command {
+fn first_claim() -> Command {
     Command::Claim(claim(1, "a", 11))
 }
 
@@ -36,7 +36,7 @@
 }
 
 /// Returns a claim of another time.
-fn timed(issued: u64, at: u64) -> Command {
+fn claim_at(issued: u64, at: u64) -> Command {
     Command::Claim(Claim { issued, at, nonce: at, ..claim(1, "b", 0) })
 }
 
@@ -46,13 +46,13 @@
     run(&[
         // Symptom: a claim's holder never runs it. Sequence: granted, answer lost, sent again.
         // Cause: the holder is refused its own claim.
-        ("lost answer", vec![(first(), "granted"), (first(), "granted")]),
+        ("lost answer", vec![(first_claim(), "granted"), (first_claim(), "granted")]),
         // Symptom: a second run. Sequence: granted, the caller comes back through another
         // instance. Cause: each instance decides alone.
         (
             "two instances",
             vec![
-                (first(), "granted"),
+                (first_claim(), "granted"),
                 (Command::Claim(claim(1 << 16, "b", 22)), "held by attempt 1 of a"),
             ],
         ),
@@ -62,7 +62,7 @@
         (
             "restarted holder",
             vec![
-                (first(), "granted"),
+                (first_claim(), "granted"),
                 (Command::Claim(claim(1, "a", 12)), "held by attempt 1 of a"),
                 (settle(1, 12, Ending::NotRun), "another attempt holds the claim"),
                 (settle(1, 12, unknown.clone()), "kept"),
@@ -74,7 +74,7 @@
         (
             "resend after the end",
             vec![
-                (first(), "granted"),
+                (first_claim(), "granted"),
                 (settle(1, 11, done()), "kept"),
                 (settle(1, 11, done()), "kept"),
                 (settle(1, 11, Ending::NotRun), "another ending is kept"),
@@ -87,7 +87,7 @@
         (
             "not run",
             vec![
-                (first(), "granted"),
+                (first_claim(), "granted"),
                 (settle(1, 11, Ending::NotRun), "freed"),
                 (settle(1, 11, Ending::NotRun), "freed"),
                 (Command::Claim(claim(2, "b", 22)), "granted"),
@@ -100,16 +100,16 @@
 }
 
 #[test]
-fn one_run_whatever_comes_late() {
+fn late_messages_cause_no_second_run() {
     run(&[
         // Symptom: a key is held by nobody. Sequence: a claim is freed, then a copy of it comes
         // late. Cause: the copy counts as new.
         (
             "late copy of a freed claim",
             vec![
-                (first(), "granted"),
+                (first_claim(), "granted"),
                 (settle(1, 11, Ending::NotRun), "freed"),
-                (first(), "given up before, up to attempt 1"),
+                (first_claim(), "given up before, up to attempt 1"),
                 (Command::Claim(claim(2, "a", 12)), "granted"),
             ],
         ),
@@ -120,7 +120,7 @@
             "release before the claim",
             vec![
                 (release(claim(1, "a", 11)), "freed"),
-                (first(), "given up before, up to attempt 1"),
+                (first_claim(), "given up before, up to attempt 1"),
                 (Command::Claim(claim(2, "b", 22)), "granted"),
                 (release(claim(1, "a", 11)), "another attempt holds the claim"),
             ],
@@ -130,7 +130,7 @@
         (
             "release by another",
             vec![
-                (first(), "granted"),
+                (first_claim(), "granted"),
                 (release(claim(1, "b", 11)), "another attempt holds the claim"),
                 (release(claim(2, "b", 22)), "another attempt holds the claim"),
                 (release(claim(1, "a", 11)), "freed"),
@@ -141,7 +141,7 @@
         (
             "other body",
             vec![
-                (first(), "granted"),
+                (first_claim(), "granted"),
                 (
                     Command::Claim(Claim { body: 2, ..claim(1, "a", 11) }),
                     "the key belongs to another body",
@@ -160,9 +160,9 @@
         (
             "resend after the retention",
             vec![
-                (timed(NOW, NOW), "granted"),
-                (timed(NOW, NOW + HOUR + MINUTE), "held by attempt 1 of b"),
-                (timed(NOW, NOW + HOUR + MINUTE + 1), "the key is older than the retention"),
+                (claim_at(NOW, NOW), "granted"),
+                (claim_at(NOW, NOW + HOUR + MINUTE), "held by attempt 1 of b"),
+                (claim_at(NOW, NOW + HOUR + MINUTE + 1), "the key is older than the retention"),
             ],
         ),
         // Symptom: an old key runs a second time. Sequence: the claim is forgotten by the clock of
@@ -171,9 +171,9 @@
         (
             "slow instance after a fast one",
             vec![
-                (timed(NOW, NOW), "granted"),
-                (timed(NOW, NOW + 2 * HOUR), "the key is older than the retention"),
-                (timed(NOW, NOW), "the key is older than the retention"),
+                (claim_at(NOW, NOW), "granted"),
+                (claim_at(NOW, NOW + 2 * HOUR), "the key is older than the retention"),
+                (claim_at(NOW, NOW), "the key is older than the retention"),
             ],
         ),
         // Symptom: a key runs a second time. Sequence: a resend names a later first use, the claim
@@ -182,9 +182,9 @@
         (
             "later first use",
             vec![
-                (timed(NOW, NOW), "granted"),
-                (timed(NOW + HOUR / 2, NOW + HOUR / 2), "held by attempt 1 of b"),
-                (timed(NOW + HOUR / 2, NOW + HOUR + HOUR / 4), "held by attempt 1 of b"),
+                (claim_at(NOW, NOW), "granted"),
+                (claim_at(NOW + HOUR / 2, NOW + HOUR / 2), "held by attempt 1 of b"),
+                (claim_at(NOW + HOUR / 2, NOW + HOUR + HOUR / 4), "held by attempt 1 of b"),
             ],
         ),
         // Symptom: a claim stays for days, or runs twice. Sequence: a caller's clock is ahead.
@@ -192,12 +192,12 @@
         (
             "first use ahead",
             vec![
-                (timed(NOW, NOW), "granted"),
+                (claim_at(NOW, NOW), "granted"),
                 (
-                    timed(NOW + MINUTE + 1, NOW),
+                    claim_at(NOW + MINUTE + 1, NOW),
                     "the key's first use lies in the future; check the clocks",
                 ),
-                (timed(NOW + MINUTE, NOW + 1), "held by attempt 1 of b"),
+                (claim_at(NOW + MINUTE, NOW + 1), "held by attempt 1 of b"),
             ],
         ),
     ]);
@@ -209,28 +209,34 @@
 fn refuses_beyond_its_bound_and_evicts_nothing() {
     let mut log =
         Log { state: State::new(Limits { count: 8, ..Limits::default() }), ..Log::default() };
-    let of = |key: u128, team: &str| {
+    let claim_for = |key: u128, team: &str| {
         let attempt = Attempt { request: Request(key), number: 1 };
         Command::Claim(Claim { attempt, team: team.into(), ..claim(1, "a", 1) })
     };
-    let said: Vec<String> = (0..6).map(|key| log.say(&of(key, "agents"))).collect();
+    let outcomes: Vec<String> =
+        (0..6).map(|key| log.apply_to_text(&claim_for(key, "agents"))).collect();
     let full = "no room for another claim";
-    assert_eq!(said, ["granted", "granted", "granted", "granted", full, full]);
-    let said: Vec<String> = (10..15).map(|key| log.say(&of(key, "owners"))).collect();
-    assert_eq!(said, ["granted", "granted", "granted", "granted", full]);
-    assert_eq!(log.say(&of(0, "agents")), "granted", "the first claim is still kept");
+    assert_eq!(outcomes, ["granted", "granted", "granted", "granted", full, full]);
+    let outcomes: Vec<String> =
+        (10..15).map(|key| log.apply_to_text(&claim_for(key, "owners"))).collect();
+    assert_eq!(outcomes, ["granted", "granted", "granted", "granted", full]);
+    assert_eq!(
+        log.apply_to_text(&claim_for(0, "agents")),
+        "granted",
+        "the first claim is still kept"
+    );
     assert_eq!(log.state.claims(), 8);
 
-    let late = Claim { at: NOW + 2 * HOUR, issued: NOW + 2 * HOUR, ..claim(1, "a", 1) };
-    assert_eq!(log.say(&Command::Claim(late)), "granted", "age makes room");
+    let later_claim = Claim { at: NOW + 2 * HOUR, issued: NOW + 2 * HOUR, ..claim(1, "a", 1) };
+    assert_eq!(log.apply_to_text(&Command::Claim(later_claim)), "granted", "age makes room");
     assert_eq!(log.state.claims(), 1);
 }
 
 /// Symptom: every key is refused as expired. Sequence: one instance's clock is a year ahead and its
 /// command is committed. Cause: the state's clock takes any time, and it never falls.
 #[test]
-fn the_leader_keeps_wrong_clocks_out() {
-    let command = timed(NOW, NOW + MINUTE);
+fn the_leader_rejects_wrong_clocks() {
+    let command = claim_at(NOW, NOW + MINUTE);
     assert!(command.has_valid_time(NOW));
     assert!(!command.has_valid_time(NOW - 1));
     assert!(!command.has_valid_time(NOW + 2 * MINUTE + 1));
@@ -241,7 +247,7 @@
 #[test]
 fn a_command_is_applied_once() {
     let mut log = Log { term: 2, ..Log::default() };
-    log.apply(&first());
+    log.apply(&first_claim());
     let before = log.state.clone();
     for position in [Fence { term: 2, index: 1 }, Fence { term: 1, index: 2 }] {
         let outcome = log.state.apply(position, &settle(1, 11, Ending::NotRun));
--- a/crates/verbenaslip-state/tests/common/mod.rs
+++ b/crates/verbenaslip-state/tests/common/mod.rs
@@ -27,7 +27,7 @@
     }
 
     /// Says in short what the command did.
-    pub fn say(&mut self, command: &Command) -> String {
+    pub fn apply_to_text(&mut self, command: &Command) -> String {
         self.apply(command).to_string()
     }
 }
--- a/crates/verbenaslip-state/tests/counts.rs
+++ b/crates/verbenaslip-state/tests/counts.rs
@@ -19,29 +19,30 @@
 struct Bound {
     instances: usize,
     voters: usize,
-    idle_most: usize,
+    idle_max: usize,
     idle_mean: usize,
-    edit_most: usize,
+    edit_max: usize,
     edit_mean: usize,
 }
 
 /// The mean over all instances and the greatest of any.
 struct Load {
     mean: Counts,
-    most: Counts,
+    max: Counts,
 }
 
 fn load(net: &Net) -> Load {
-    let of = |count: fn(&Counts) -> usize| net.nodes.iter().map(move |node| count(&node.counts));
-    let messages = of(|counts| counts.messages);
-    let bytes = of(|counts| counts.bytes);
+    let per_node =
+        |count: fn(&Counts) -> usize| net.nodes.iter().map(move |node| count(&node.counts));
+    let messages = per_node(|counts| counts.messages);
+    let bytes = per_node(|counts| counts.bytes);
     let count = net.nodes.len();
     Load {
         mean: Counts {
             messages: messages.clone().sum::<usize>() / count,
             bytes: bytes.clone().sum::<usize>() / count,
         },
-        most: Counts {
+        max: Counts {
             messages: messages.max().unwrap_or_default(),
             bytes: bytes.max().unwrap_or_default(),
         },
@@ -49,23 +50,24 @@
 }
 
 /// Counts a network of one size and says what it found.
-fn count(bound: &Bound) -> String {
+fn measure(bound: &Bound) -> String {
     let mut net = Net::new(bound.instances, bound.voters, 1);
     net.elect(0);
     net.commit(&rows(50));
     let ready = net.until(3 * SECOND, Net::all_ready).expect("all get ready");
-    net.until(6 * SECOND, Net::everywhere).expect("the first table comes into force");
+    net.until(6 * SECOND, Net::is_in_force).expect("the first table comes into force");
     net.run(10 * SECOND);
     net.reset_counts();
     net.run(SECOND * IDLE_SECONDS as u32);
     let idle = load(&net);
 
     net.reset_counts();
-    let mut force = Duration::ZERO;
+    let mut time_to_force = Duration::ZERO;
     for number in 1..=EDITS {
         let next = net.now + SECOND * IDLE_SECONDS as u32 / EDITS;
         net.commit(&[weight("check", number)]);
-        force = force.max(net.until(SECOND, Net::everywhere).expect("it comes into force"));
+        time_to_force =
+            time_to_force.max(net.until(SECOND, Net::is_in_force).expect("it comes into force"));
         net.run(next - net.now);
         assert!(net.all_ready());
     }
@@ -74,20 +76,20 @@
     let second = |counts: Counts| counts.bytes / IDLE_SECONDS;
     let edit =
         |with: Counts, without: Counts| with.bytes.saturating_sub(without.bytes) / EDITS as usize;
-    let (edit_most, edit_mean) = (edit(edits.most, idle.most), edit(edits.mean, idle.mean));
+    let (edit_max, edit_mean) = (edit(edits.max, idle.max), edit(edits.mean, idle.mean));
     let size = bound.instances;
-    assert!(second(idle.most) <= bound.idle_most, "{size}: {} B/s idle", second(idle.most));
+    assert!(second(idle.max) <= bound.idle_max, "{size}: {} B/s idle", second(idle.max));
     assert!(second(idle.mean) <= bound.idle_mean, "{size}: {} B/s idle, mean", second(idle.mean));
-    assert!(edit_most <= bound.edit_most, "{size}: {edit_most} B an edit");
+    assert!(edit_max <= bound.edit_max, "{size}: {edit_max} B an edit");
     assert!(edit_mean <= bound.edit_mean, "{size}: {edit_mean} B an edit, mean");
     format!(
-        "{size:>9} {:>10} {:>13} {:>13} {:>11} {:>11} {edit_most:>12} {edit_mean:>12} {:>8}",
+        "{size:>9} {:>10} {:>13} {:>13} {:>11} {:>11} {edit_max:>12} {edit_mean:>12} {:>8}",
         ready.as_millis(),
-        idle.most.messages / IDLE_SECONDS,
+        idle.max.messages / IDLE_SECONDS,
         idle.mean.messages / IDLE_SECONDS,
-        second(idle.most),
+        second(idle.max),
         second(idle.mean),
-        force.as_millis(),
+        time_to_force.as_millis(),
     )
 }
 
@@ -96,12 +98,12 @@
 /// whole tables travel.
 #[test]
 fn costs_stay_within_their_bounds_at_every_size() {
-    let bound = |instances, voters, idle_most, idle_mean, edit_most, edit_mean| Bound {
+    let bound = |instances, voters, idle_max, idle_mean, edit_max, edit_mean| Bound {
         instances,
         voters,
-        idle_most,
+        idle_max,
         idle_mean,
-        edit_most,
+        edit_max,
         edit_mean,
     };
     let bounds = [
@@ -114,6 +116,6 @@
     println!("instances, ready after ms, messages/s most and mean, bytes/s most and mean,");
     println!("bytes an edit most and mean, in force after ms");
     for bound in &bounds {
-        println!("{}", count(bound));
+        println!("{}", measure(bound));
     }
 }
--- a/crates/verbenaslip-state/tests/edits.rs
+++ b/crates/verbenaslip-state/tests/edits.rs
@@ -14,8 +14,8 @@
 fn run(cases: &[Case]) {
     for (case, steps) in cases {
         let mut log = Log::default();
-        for (number, (command, said)) in steps.iter().enumerate() {
-            assert_eq!(log.say(command), *said, "{case}, step {number}");
+        for (number, (command, expected)) in steps.iter().enumerate() {
+            assert_eq!(log.apply_to_text(command), *expected, "{case}, step {number}");
             let restored = State::restore(&log.state.snapshot());
             assert_eq!(restored.as_ref(), Ok(&log.state), "{case}, step {number}");
         }
--- a/crates/verbenaslip-state/tests/messages.rs
+++ b/crates/verbenaslip-state/tests/messages.rs
@@ -19,12 +19,12 @@
 }
 
 /// Numbers near the edges, where arithmetic overflows.
-fn edge() -> impl Strategy<Value = u64> {
+fn boundary_number() -> impl Strategy<Value = u64> {
     prop_oneof![0..4_u64, Just(u64::MAX), Just(u64::MAX - 1), any::<u64>()]
 }
 
 fn revision() -> impl Strategy<Value = Revision> {
-    edge().prop_map(Revision)
+    boundary_number().prop_map(Revision)
 }
 
 fn nonce() -> impl Strategy<Value = Nonce> {
@@ -91,8 +91,8 @@
             hub.step(now, Input::Receive { from, message }, &mut out);
             prop_assert!(hub.revision() >= before);
             if !leads {
-                let most = now + Duration::from_secs(4);
-                prop_assert!(hub.lease().is_none_or(|until| until <= most));
+                let max = now + Duration::from_secs(4);
+                prop_assert!(hub.lease().is_none_or(|until| until <= max));
             }
             let sent = out.drain(..).filter(|output| matches!(output, Output::Send { .. })).count();
             prop_assert!(sent < 16, "{sent} messages for one");
@@ -104,8 +104,8 @@
 
 #[test]
 fn no_bytes_make_decoding_panic() {
-    let noise = proptest::collection::vec(any::<u8>(), 0..200);
-    let torn =
+    let random_bytes = proptest::collection::vec(any::<u8>(), 0..200);
+    let corrupted =
         (message(), any::<prop::sample::Index>(), any::<u8>()).prop_map(|(message, at, byte)| {
             let mut bytes = postcard::to_stdvec(&message).expect("message is encoded");
             let at = at.index(bytes.len());
@@ -118,7 +118,9 @@
         let _ = postcard::from_bytes::<verbenaslip_state::Command>(&bytes);
         Ok(())
     };
-    runner().run(&prop_oneof![noise, torn], check).expect("any bytes are decoded or refused");
+    runner()
+        .run(&prop_oneof![random_bytes, corrupted], check)
+        .expect("any bytes are decoded or refused");
 }
 
 const NOW: Duration = Duration::from_secs(50);
@@ -181,7 +183,7 @@
 /// an earlier start of the process, comes before the revision that it names, or comes when it has
 /// run out. Cause: each grant is taken as it comes.
 #[test]
-fn grants_count_only_as_they_were_asked_for() {
+fn only_requested_and_unexpired_grants_count() {
     let (mut hub, nonce) = following();
     let earlier = Nonce { boot: 6, ..nonce };
     receive(&mut hub, NOW, "a", granted(earlier, 0, &["a"]));
@@ -215,10 +217,10 @@
         let input = Input::Committed { revision: Revision(revision), changes, table };
         hub.step(NOW, input, &mut out);
     }
-    let told = out.iter().filter_map(|output| match output {
+    let revisions = out.iter().filter_map(|output| match output {
         Output::Table { revision, .. } => Some(revision.0),
         Output::Send { .. } => None,
     });
-    assert_eq!(told.collect::<Vec<_>>(), [5, 6, 7]);
+    assert_eq!(revisions.collect::<Vec<_>>(), [5, 6, 7]);
     assert_eq!(hub.revision(), Revision(7));
 }
--- a/crates/verbenaslip-state/tests/net/mod.rs
+++ b/crates/verbenaslip-state/tests/net/mod.rs
@@ -29,9 +29,9 @@
     pub name: Instance,
     pub voter: bool,
     /// The pace of its clock in thousandths.
-    pace: u32,
+    clock_rate: u32,
     now: Duration,
-    frozen: bool,
+    paused: bool,
     inbox: Vec<Input>,
     boots: u64,
     pub counts: Counts,
@@ -50,13 +50,13 @@
     pub nodes: Vec<Node>,
     pub now: Duration,
     rng: Pcg64,
-    flying: BTreeMap<(Duration, u64), Flight>,
+    in_transit: BTreeMap<(Duration, u64), TransitMessage>,
     sent: u64,
     /// Pairs of sender and receiver between which nothing passes.
     pub cuts: BTreeSet<(usize, usize)>,
     /// Losses and doubles in thousandths.
     pub loss: u32,
-    pub doubles: u32,
+    pub duplicates: u32,
     /// The greatest delay of a message.
     pub delay: Duration,
     pub leader: Option<usize>,
@@ -68,7 +68,7 @@
     pub in_force: Revision,
 }
 
-struct Flight {
+struct TransitMessage {
     from: usize,
     to: usize,
     message: Message,
@@ -82,11 +82,11 @@
             nodes,
             now: Duration::ZERO,
             rng: Pcg64::seed_from_u64(seed),
-            flying: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
             sent: 0,
             cuts: BTreeSet::new(),
             loss: 0,
-            doubles: 0,
+            duplicates: 0,
             delay: Duration::from_millis(5),
             leader: None,
             table: Arc::default(),
@@ -117,7 +117,7 @@
         for node in self.nodes.iter_mut().filter(|node| node.voter) {
             node.inbox.push(Input::Leader(Some(name.clone())));
         }
-        self.sync(leader);
+        self.sync_from_log(leader);
     }
 
     /// Commits an edit; the voters that the leader reaches have it at once.
@@ -129,8 +129,8 @@
         let leader = self.leader.expect("there is a leader");
         for voter in 0..self.nodes.len() {
             let reached = !self.cuts.contains(&(leader, voter));
-            if self.nodes[voter].voter && reached && !self.nodes[voter].frozen {
-                self.sync(voter);
+            if self.nodes[voter].voter && reached && !self.nodes[voter].paused {
+                self.sync_from_log(voter);
             }
         }
         self.revision
@@ -144,7 +144,7 @@
     }
 
     /// Hands a voter what the log has committed and it lacks.
-    pub fn sync(&mut self, voter: usize) {
+    pub fn sync_from_log(&mut self, voter: usize) {
         let node = &mut self.nodes[voter];
         let restored = Input::Restored { revision: self.revision, table: self.table.clone() };
         let last = self.log.last().filter(|_| node.revision.next() == self.revision);
@@ -164,18 +164,18 @@
         let end = self.now + time;
         while self.now < end {
             self.now += TICK;
-            self.lead();
+            self.renew_leader_lease();
             self.deliver();
             self.tick();
-            self.check();
+            self.check_invariants();
         }
     }
 
     /// Lets time pass until a condition holds, and says how long that took.
-    pub fn until(&mut self, most: Duration, holds: impl Fn(&Self) -> bool) -> Option<Duration> {
+    pub fn until(&mut self, max: Duration, condition: impl Fn(&Self) -> bool) -> Option<Duration> {
         let start = self.now;
-        while self.now < start + most {
-            if holds(self) {
+        while self.now < start + max {
+            if condition(self) {
                 return Some(self.now - start);
             }
             self.run(TICK);
@@ -192,27 +192,27 @@
         node.hub = Hub::new(node.name.clone(), zone(number).into(), boot);
         node.inbox = vec![Input::Peers(peers)];
         node.revision = Revision(0);
-        node.frozen = false;
+        node.paused = false;
         let voter = node.voter;
         let leader = self.leader.map(|leader| self.nodes[leader].name.clone());
         self.nodes[number].inbox.push(Input::Leader(leader));
         if voter {
-            self.sync(number);
+            self.sync_from_log(number);
         }
     }
 
     /// Freezes an instance; its messages wait, and its clock runs on.
-    pub fn freeze(&mut self, number: usize) {
-        self.nodes[number].frozen = true;
+    pub fn pause(&mut self, number: usize) {
+        self.nodes[number].paused = true;
     }
 
-    pub fn thaw(&mut self, number: usize) {
-        self.nodes[number].frozen = false;
+    pub fn resume(&mut self, number: usize) {
+        self.nodes[number].paused = false;
     }
 
     /// Sets the pace of an instance's clock in thousandths.
-    pub fn pace(&mut self, number: usize, pace: u32) {
-        self.nodes[number].pace = pace;
+    pub fn set_clock_rate(&mut self, number: usize, clock_rate: u32) {
+        self.nodes[number].clock_rate = clock_rate;
     }
 
     /// Cuts an instance off, both ways.
@@ -224,7 +224,7 @@
     }
 
     /// Cuts two groups of instances off from each other.
-    pub fn part(&mut self, inside: impl Fn(usize) -> bool) {
+    pub fn partition(&mut self, inside: impl Fn(usize) -> bool) {
         for from in 0..self.nodes.len() {
             for to in 0..self.nodes.len() {
                 if inside(from) != inside(to) {
@@ -236,7 +236,7 @@
 
     pub fn ready(&self, number: usize) -> bool {
         let node = &self.nodes[number];
-        !node.frozen && node.hub.ready(node.now)
+        !node.paused && node.hub.ready(node.now)
     }
 
     pub fn all_ready(&self) -> bool {
@@ -244,13 +244,13 @@
     }
 
     /// Says what the leader knows of the newest revision.
-    pub fn force(&self) -> Option<Propagation> {
+    pub fn propagation(&self) -> Option<Propagation> {
         let leader = &self.nodes[self.leader?];
         leader.hub.propagation(leader.now, self.revision)
     }
 
-    pub fn everywhere(&self) -> bool {
-        self.force().is_some_and(|force| force.is_complete())
+    pub fn is_in_force(&self) -> bool {
+        self.propagation().is_some_and(|propagation| propagation.is_complete())
     }
 
     pub fn number(&self, name: &Instance) -> usize {
@@ -269,26 +269,26 @@
     }
 
     /// Renews the leader's own lease while it reaches a majority of the voters.
-    fn lead(&mut self) {
+    fn renew_leader_lease(&mut self) {
         let Some(leader) = self.leader else { return };
         let voters: Vec<usize> =
             (0..self.nodes.len()).filter(|number| self.nodes[*number].voter).collect();
         let reached = voters.iter().filter(|voter| {
             let cut =
                 self.cuts.contains(&(leader, **voter)) || self.cuts.contains(&(**voter, leader));
-            **voter == leader || !(cut || self.nodes[**voter].frozen)
+            **voter == leader || !(cut || self.nodes[**voter].paused)
         });
-        if reached.count() * 2 > voters.len() && !self.nodes[leader].frozen {
+        if reached.count() * 2 > voters.len() && !self.nodes[leader].paused {
             let until = self.nodes[leader].now + QUORUM_LEASE;
             self.nodes[leader].inbox.push(Input::Leading(Some(until)));
         }
     }
 
     fn deliver(&mut self) {
-        while let Some(entry) = self.flying.first_entry()
+        while let Some(entry) = self.in_transit.first_entry()
             && entry.key().0 <= self.now
         {
-            let Flight { from, to, message } = entry.remove();
+            let TransitMessage { from, to, message } = entry.remove();
             let from = self.nodes[from].name.clone();
             self.nodes[to].inbox.push(Input::Receive { from, message });
         }
@@ -297,8 +297,8 @@
     fn tick(&mut self) {
         for number in 0..self.nodes.len() {
             let node = &mut self.nodes[number];
-            node.now += TICK * node.pace / 1_000;
-            if node.frozen {
+            node.now += TICK * node.clock_rate / 1_000;
+            if node.paused {
                 continue;
             }
             for input in std::mem::take(&mut node.inbox) {
@@ -335,26 +335,26 @@
         if self.cuts.contains(&(from, to)) || self.rng.random_range(0..1_000) < self.loss {
             return;
         }
-        let copies = if self.rng.random_range(0..1_000) < self.doubles { 2 } else { 1 };
+        let copies = if self.rng.random_range(0..1_000) < self.duplicates { 2 } else { 1 };
         for _ in 0..copies {
             let delay = self.delay.as_millis() as u64;
             let delay = Duration::from_millis(self.rng.random_range(1..=delay));
             self.sent += 1;
-            let flight = Flight { from, to, message: message.clone() };
-            self.flying.insert((self.now + delay, self.sent), flight);
+            let transit_message = TransitMessage { from, to, message: message.clone() };
+            self.in_transit.insert((self.now + delay, self.sent), transit_message);
         }
     }
 
     /// Checks what must hold at every moment: whoever takes work has every revision that any leader
     /// said to be in force everywhere, and its table is the one that was committed.
-    fn check(&mut self) {
-        if self.everywhere() {
+    fn check_invariants(&mut self) {
+        if self.is_in_force() {
             self.in_force = self.revision;
         }
-        for node in self.nodes.iter().filter(|node| !node.frozen && node.hub.ready(node.now)) {
+        for node in self.nodes.iter().filter(|node| !node.paused && node.hub.ready(node.now)) {
             let (revision, in_force) = (node.hub.revision(), self.in_force);
-            let late = format!("{} serves by {revision}, {in_force} is in force", node.name);
-            assert!(revision >= in_force, "{late} at {:?}", self.now);
+            let lagging = format!("{} serves by {revision}, {in_force} is in force", node.name);
+            assert!(revision >= in_force, "{lagging} at {:?}", self.now);
             if revision == self.revision {
                 assert_eq!(node.hub.table(), &self.table, "{}", node.name);
             }
@@ -369,10 +369,10 @@
             hub: Hub::new(name.clone(), zone(number).into(), number as u64),
             name,
             voter,
-            pace: 1_000,
+            clock_rate: 1_000,
             // Clocks of different instances have nothing in common but their pace.
             now: Duration::from_secs(100 + number as u64 * 17),
-            frozen: false,
+            paused: false,
             inbox: Vec::new(),
             boots: 0,
             counts: Counts::default(),
--- a/crates/verbenaslip-state/tests/orders.rs
+++ b/crates/verbenaslip-state/tests/orders.rs
@@ -27,20 +27,20 @@
 fn run(cases: &[Case]) {
     for (case, steps) in cases {
         let mut dispatcher = Dispatcher::new(LEASE);
-        for (at, input, said) in steps {
+        for (at, input, expected) in steps {
             let mut out = Vec::new();
             dispatcher.step(Duration::from_millis(*at), input.clone(), &mut out);
-            let out: Vec<String> = out.iter().map(say).collect();
-            assert_eq!(out.join("; "), *said, "{case}, at {at} ms: {input:?}");
+            let out: Vec<String> = out.iter().map(output_text).collect();
+            assert_eq!(out.join("; "), *expected, "{case}, at {at} ms: {input:?}");
         }
     }
 }
 
-fn say(output: &Output) -> String {
+fn output_text(output: &Output) -> String {
     match output {
         Output::Propose(order) => format!("propose {}", order.task),
-        Output::Give(give) => {
-            let (fence, until) = (give.fence, give.expiry.as_millis());
+        Output::Give(delivery) => {
+            let (fence, until) = (delivery.fence, delivery.expiry.as_millis());
             format!("give {}.{} until {until}", fence.term, fence.index)
         }
         Output::ReadBack { question, .. } => format!("read {question}"),
@@ -70,9 +70,9 @@
     Input::Lead(Leadership { term, until: Duration::from_millis(until), pending: Vec::new() })
 }
 
-fn heir(term: u64, left: Pending) -> Input {
+fn lead_with_pending(term: u64, inherited: Pending) -> Input {
     let until = Duration::from_millis(60_000);
-    Input::Lead(Leadership { term, until, pending: vec![left] })
+    Input::Lead(Leadership { term, until, pending: vec![inherited] })
 }
 
 fn upstream(fenced: bool) -> Input {
@@ -94,7 +94,7 @@
 }
 
 /// Leads from 0 on, with the upstream's state read back, when its first order can be proposed.
-fn open(fenced: bool) -> Vec<Step> {
+fn ready_to_propose(fenced: bool) -> Vec<Step> {
     if fenced {
         return vec![(0, lead(5, 60_000), ""), (0, upstream(true), "")];
     }
@@ -108,8 +108,8 @@
 }
 
 /// Returns an order given to an upstream that checks numbers, and what follows.
-fn given(rest: Vec<Step>) -> Vec<Step> {
-    let mut steps = open(true);
+fn after_sending(rest: Vec<Step>) -> Vec<Step> {
+    let mut steps = ready_to_propose(true);
     steps.push((100, Input::Want(order()), "propose load m"));
     steps.push((200, Input::Committed(pending(5, 9)), "give 5.9 until 5200"));
     steps.extend(rest);
@@ -117,14 +117,14 @@
 }
 
 #[test]
-fn upstreams_that_check_are_ordered_at_once() {
+fn fenced_upstreams_receive_orders_at_once() {
     let superseded = Fence { term: 6, index: 1 };
     let held = |fence| answer(5, 9, Answer::Held(fence));
-    let mine = Fence { term: 5, index: 9 };
+    let own_fence = Fence { term: 5, index: 9 };
     run(&[
         (
             "answered",
-            given(vec![
+            after_sending(vec![
                 (300, answer(5, 9, Answer::Applied), "end applied"),
                 (400, ended(5, 9), "report applied"),
             ]),
@@ -134,37 +134,37 @@
         // every 409 counts as another leader's.
         (
             "answer lost",
-            given(vec![
+            after_sending(vec![
                 (1_100, Input::Tick, ""),
                 (1_200, Input::Tick, "give 5.9 until 5200"),
-                (1_300, held(mine), "end applied"),
+                (1_300, held(own_fence), "end applied"),
             ]),
         ),
         (
             "a later leader was faster",
-            given(vec![(300, held(superseded), "end superseded by 6.1")]),
+            after_sending(vec![(300, held(superseded), "end superseded by 6.1")]),
         ),
-        ("came too late", given(vec![(300, answer(5, 9, Answer::Expired), "end expired")])),
+        ("came too late", after_sending(vec![(300, answer(5, 9, Answer::Expired), "end expired")])),
         // Symptom: an order counts for the one after it. Sequence: an answer to an older order comes
         // late. Cause: answers are matched by upstream alone.
-        ("answer to another order", given(vec![(300, answer(5, 8, Answer::Applied), "")])),
+        ("answer to another order", after_sending(vec![(300, answer(5, 8, Answer::Applied), "")])),
         // Symptom: an order is given up that was carried out. Sequence: no answer ever comes.
         // Cause: silence counts as failure.
         (
             "never answered",
-            given(vec![
+            after_sending(vec![
                 (1_200, answer(5, 9, Answer::Unknown), "give 5.9 until 5200"),
                 (5_100, Input::Tick, "give 5.9 until 5200"),
                 (5_200, Input::Tick, ""),
                 (6_200, Input::Tick, "read 1"),
-                (6_300, read(1, &["m"], Some(mine)), "end applied"),
+                (6_300, read(1, &["m"], Some(own_fence)), "end applied"),
             ]),
         ),
         // Symptom: the log never hears of the end, and the upstream takes no more orders. Sequence:
         // the proposal that tells it is lost. Cause: it is made once.
         (
             "end lost",
-            given(vec![
+            after_sending(vec![
                 (300, answer(5, 9, Answer::Refused), "end refused"),
                 (1_000, Input::Tick, ""),
                 (2_300, Input::Tick, "end refused"),
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn proposals_may_come_to_nothing() {
+fn proposals_may_fail() {
     run(&[
         // Symptom: an upstream takes no more orders until the next leader. Sequence: the log numbers
         // an order, and the answer to who proposed it is lost or too late. Cause: only the answer is
@@ -186,11 +186,11 @@
                 (0, upstream(true), ""),
                 (100, Input::Want(order()), "propose load m"),
                 (2_100, Input::Tick, "report Unanswered"),
-                (2_200, heir(5, pending(5, 9)), "give 5.9 until 7200"),
+                (2_200, lead_with_pending(5, pending(5, 9)), "give 5.9 until 7200"),
                 (2_300, Input::Committed(pending(5, 9)), ""),
-                (2_400, heir(5, pending(5, 9)), ""),
+                (2_400, lead_with_pending(5, pending(5, 9)), ""),
                 (2_500, answer(5, 9, Answer::Applied), "end applied"),
-                (2_600, heir(5, pending(5, 9)), ""),
+                (2_600, lead_with_pending(5, pending(5, 9)), ""),
             ],
         ),
         // Symptom: an order is given by a leader that is none any more. Sequence: the lease runs out
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn upstreams_that_do_not_check_are_waited_for() {
+fn unfenced_upstreams_receive_orders_after_a_wait() {
     run(&[
         // Symptom: an upstream unloads what the new leader had it load. Sequence: an old leader's
         // order arrives after the new leader's. Cause: the new leader orders at once.
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn answers_about_the_state_may_be_old() {
+fn state_reports_may_be_outdated() {
     run(&[
         // Symptom: the state before an order counts as the state after it. Sequence: the question is
         // asked twice, the first answer opens the upstream, the second comes after an order. Cause:
@@ -305,7 +305,7 @@
         (
             "order left by an older leader",
             vec![
-                (0, heir(6, pending(5, 9)), ""),
+                (0, lead_with_pending(6, pending(5, 9)), ""),
                 (0, upstream(false), ""),
                 (13_300, Input::Tick, "read 1"),
                 (13_400, read(1, &["m"], None), "end applied"),
@@ -315,13 +315,13 @@
         (
             "order left undone by an older leader",
             vec![
-                (0, heir(6, pending(5, 9)), ""),
+                (0, lead_with_pending(6, pending(5, 9)), ""),
                 (0, upstream(true), "read 1"),
                 (100, read(1, &[], None), "end lost"),
             ],
         ),
         ("gone", {
-            let mut steps = open(false);
+            let mut steps = ready_to_propose(false);
             steps.push((14_000, Input::Want(order()), "propose load m"));
             steps.push((14_100, Input::Committed(pending(5, 9)), "give 5.9 until 19100"));
             steps.push((14_200, Input::Gone("gpu".into()), "end lost"));
@@ -334,7 +334,7 @@
 /// an order is sent again after its answer was lost, and both copies are committed, the second before
 /// or after the first has ended. Cause: the copy counts as another order.
 #[test]
-fn a_proposal_sent_again_is_the_same_order() {
+fn a_resent_proposal_is_the_same_order() {
     let mut log = Log { term: 5, ..Log::default() };
     let proposed = Command::Order(order());
     let fence = Fence { term: 5, index: 1 };
@@ -345,7 +345,7 @@
         result: verbenaslip_state::order::Result::Applied,
         at: NOW,
     };
-    let said = [
+    let expected = [
         (proposed.clone(), "numbered 5.1"),
         (proposed.clone(), "numbered 5.1"),
         (Command::Order(Order { at: NOW + 1, ..order() }), "order 5.1 has not ended"),
@@ -353,8 +353,8 @@
         (proposed, "order 5.1 was the same and has ended"),
         (Command::Order(Order { at: NOW + 1, ..order() }), "numbered 5.6"),
     ];
-    for (command, said) in said {
-        assert_eq!(log.say(&command), said);
+    for (command, expected) in expected {
+        assert_eq!(log.apply_to_text(&command), expected);
         let restored = verbenaslip_state::State::restore(&log.state.snapshot());
         assert_eq!(restored.as_ref(), Ok(&log.state));
     }
@@ -366,37 +366,37 @@
     fenced: bool,
     held: Fence,
     /// The orders carried out, by number, in the order in which they were.
-    done: Vec<Fence>,
+    carried_out: Vec<Fence>,
 }
 
 impl Engine {
-    fn take(&mut self, give: &OrderDelivery) -> Answer {
-        if self.fenced && give.fence < self.held {
+    fn handle(&mut self, delivery: &OrderDelivery) -> Answer {
+        if self.fenced && delivery.fence < self.held {
             return Answer::Held(self.held);
         }
-        if self.done.last() != Some(&give.fence) {
-            self.done.push(give.fence);
+        if self.carried_out.last() != Some(&delivery.fence) {
+            self.carried_out.push(delivery.fence);
         }
-        self.held = self.held.max(give.fence);
+        self.held = self.held.max(delivery.fence);
         Answer::Applied
     }
 }
 
 /// Several leaders in turn, some of which do not know that they are none any more.
-struct World {
+struct Simulation {
     now: Duration,
     rng: Pcg64,
     log: Log,
     leaders: Vec<Dispatcher>,
     engines: BTreeMap<&'static str, Engine>,
     /// Orders on their way, with when they arrive and from whom.
-    flying: Vec<(Duration, usize, OrderDelivery)>,
+    in_transit: Vec<(Duration, usize, OrderDelivery)>,
     current: usize,
     until: Duration,
-    cut: bool,
+    isolated: bool,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let mut engines = BTreeMap::new();
         engines.insert("checks", Engine { fenced: true, ..Engine::default() });
@@ -407,10 +407,10 @@
             log: Log { term: 1, ..Log::default() },
             leaders: vec![Dispatcher::new(LEASE); 3],
             engines,
-            flying: Vec::new(),
+            in_transit: Vec::new(),
             current: 0,
             until: Duration::ZERO,
-            cut: false,
+            isolated: false,
         }
     }
 
@@ -418,14 +418,14 @@
         self.now += Duration::from_millis(100);
         // The lease is renewed each step until the leader is cut off; then another takes over.
         if self.now >= self.until {
-            self.cut = false;
+            self.isolated = false;
             self.log.term += 1;
             self.current = self.rng.random_range(0..3);
         }
         if self.rng.random_range(0..200) == 0 {
-            self.cut = true;
+            self.isolated = true;
         }
-        if !self.cut {
+        if !self.isolated {
             self.until = self.now + LEASE;
             let pending = self.log.state.orders().cloned().collect();
             let lead = Leadership { term: self.log.term, until: self.until, pending };
@@ -443,7 +443,7 @@
                 self.input(leader, Input::Want(Order { upstream, task, lifetime, ..order() }));
             }
         }
-        self.arrive();
+        self.deliver();
     }
 
     fn input(&mut self, leader: usize, input: Input) {
@@ -452,10 +452,10 @@
         for output in out {
             match output {
                 // An order may be on its way until its expiry.
-                Output::Give(give) => {
-                    let most = give.expiry.saturating_sub(self.now).as_millis() as u64;
-                    let delay = Duration::from_millis(self.rng.random_range(0..=most));
-                    self.flying.push((self.now + delay, leader, give));
+                Output::Give(delivery) => {
+                    let max = delivery.expiry.saturating_sub(self.now).as_millis() as u64;
+                    let delay = Duration::from_millis(self.rng.random_range(0..=max));
+                    self.in_transit.push((self.now + delay, leader, delivery));
                 }
                 Output::ReadBack { upstream, question } => {
                     let engine = &self.engines[upstream.as_str()];
@@ -481,7 +481,7 @@
 
     /// Commits what the current leader proposes; others' proposals come to nothing.
     fn propose(&mut self, leader: usize, command: Command) {
-        if leader != self.current || self.cut {
+        if leader != self.current || self.isolated {
             return;
         }
         let outcome = self.log.apply(&command);
@@ -509,18 +509,24 @@
         }
     }
 
-    fn arrive(&mut self) {
+    fn deliver(&mut self) {
         let now = self.now;
-        let (arrived, flying) =
-            std::mem::take(&mut self.flying).into_iter().partition(|(at, ..)| *at <= now);
-        self.flying = flying;
-        for (_, leader, give) in arrived as Vec<(Duration, usize, OrderDelivery)> {
-            let engine = self.engines.get_mut(give.upstream.as_str()).expect("it is known");
-            let answer = engine.take(&give);
-            let last = engine.done.iter().max().copied();
-            assert_eq!(engine.done.last().copied(), last, "{} obeyed late", give.upstream);
+        let (arrived, in_transit) =
+            std::mem::take(&mut self.in_transit).into_iter().partition(|(at, ..)| *at <= now);
+        self.in_transit = in_transit;
+        for (_, leader, delivery) in arrived as Vec<(Duration, usize, OrderDelivery)> {
+            let engine = self.engines.get_mut(delivery.upstream.as_str()).expect("it is known");
+            let answer = engine.handle(&delivery);
+            let last = engine.carried_out.iter().max().copied();
+            assert_eq!(
+                engine.carried_out.last().copied(),
+                last,
+                "{} obeyed late",
+                delivery.upstream
+            );
             if self.rng.random_range(0..3) > 0 {
-                let input = Input::Answer { upstream: give.upstream, fence: give.fence, answer };
+                let input =
+                    Input::Answer { upstream: delivery.upstream, fence: delivery.fence, answer };
                 self.input(leader, input);
             }
         }
@@ -531,16 +537,16 @@
 /// are cut off and others follow, orders are late up to their expiry, answers are lost. Cause:
 /// whatever the cases above do not think of.
 #[test]
-fn no_old_order_is_obeyed_late() {
+fn no_old_order_is_carried_out_late() {
     let mut plain = 0;
     let mut checks = 0;
     for seed in 0..100 {
-        let mut world = World::new(seed);
+        let mut simulation = Simulation::new(seed);
         for _ in 0..2_000 {
-            world.step();
+            simulation.step();
         }
-        plain += world.engines["plain"].done.len();
-        checks += world.engines["checks"].done.len();
+        plain += simulation.engines["plain"].carried_out.len();
+        checks += simulation.engines["checks"].carried_out.len();
     }
     assert!(plain > 100 && checks > plain, "{plain} and {checks} orders carried out");
     println!("{plain} orders to upstreams that do not check, {checks} to such that do");
--- a/crates/verbenaslip-state/tests/random.rs
+++ b/crates/verbenaslip-state/tests/random.rs
@@ -19,7 +19,7 @@
 use verbenaslip_table::{Change, Key};
 
 /// Draws a command; the fewer keys, bases and numbers there are, the more of them meet.
-fn draw(rng: &mut Pcg64, clock: &mut u64, state: &State) -> Command {
+fn random_command(rng: &mut Pcg64, clock: &mut u64, state: &State) -> Command {
     let at = *clock + rng.random_range(0..2_000) - 1_000;
     *clock += rng.random_range(0..400);
     // Each key has one time of first use, and keys of the last 50 s come back.
@@ -77,12 +77,12 @@
 
 /// Follows from outside which run of each key may have been sent to an upstream.
 #[derive(Default)]
-struct Witness {
+struct RunTracker {
     runs: BTreeMap<u128, Vec<Run>>,
 }
 
-impl Witness {
-    fn see(&mut self, command: &Command, outcome: &Outcome) {
+impl RunTracker {
+    fn observe(&mut self, command: &Command, outcome: &Outcome) {
         match (command, outcome) {
             (Command::Claim(claim), Outcome::Claim(Verdict::Granted)) => {
                 let run = (claim.attempt.number, claim.instance.to_string(), claim.nonce);
@@ -109,19 +109,19 @@
 /// Symptom: two runs of a key, a falling revision, or voters that differ. Sequence: any commands,
 /// with restarts from a snapshot. Cause: whatever the tables of cases do not think of.
 #[test]
-fn any_commands_keep_what_must_hold() {
+fn invariants_hold_under_random_commands() {
     let limit = Limits { retention: 20_000, skew: 2_000, count: 10 };
     for seed in 0..100 {
         let mut rng = Pcg64::seed_from_u64(seed);
         let mut log = Log { state: State::new(limit), ..Log::default() };
         let mut other = log.clone();
-        let mut witness = Witness::default();
+        let mut tracker = RunTracker::default();
         let mut clock = NOW;
         for step in 0..1_000 {
-            let command = draw(&mut rng, &mut clock, &log.state);
+            let command = random_command(&mut rng, &mut clock, &log.state);
             let (revision, time) = (log.state.revision(), log.state.clock());
             let outcome = log.apply(&command);
-            witness.see(&command, &outcome);
+            tracker.observe(&command, &outcome);
             assert_eq!(other.apply(&command), outcome, "seed {seed}, step {step}");
             assert!(log.state.revision() >= revision && log.state.clock() >= time);
             assert!(log.state.claims() <= 10);
@@ -131,7 +131,7 @@
                 log.state = restored;
             }
         }
-        let runs: usize = witness.runs.values().map(Vec::len).sum();
+        let runs: usize = tracker.runs.values().map(Vec::len).sum();
         assert!(runs > 0, "seed {seed} granted nothing");
     }
 }
@@ -141,7 +141,7 @@
     let mut log = Log::default();
     let mut clock = NOW;
     for _ in 0..200 {
-        let command = draw(&mut rng, &mut clock, &log.state);
+        let command = random_command(&mut rng, &mut clock, &log.state);
         log.apply(&command);
     }
     log.state.snapshot()
@@ -153,7 +153,7 @@
 }
 
 /// Returns bytes with a checksum that fits, so that what comes after the checksum is tried too.
-fn sealed(body: &[u8]) -> Vec<u8> {
+fn with_checksum(body: &[u8]) -> Vec<u8> {
     let sum = verbenaslip_base::hash::narrow(&[body]).to_le_bytes();
     [b"VSTA".as_slice(), &1_u16.to_le_bytes(), &sum, body].concat()
 }
@@ -162,8 +162,8 @@
 /// its way. Cause: the bytes are believed.
 #[test]
 fn a_damaged_snapshot_is_an_error() {
-    let whole = snapshot();
-    assert!(State::restore(&whole).is_ok());
+    let intact = snapshot();
+    assert!(State::restore(&intact).is_ok());
     let at = any::<prop::sample::Index>();
     let flip = (at.clone(), 1_u8..).prop_map(|(at, bits)| {
         let mut bytes = snapshot();
@@ -176,17 +176,17 @@
         bytes.truncate(at.index(bytes.len()));
         bytes
     });
-    let noise = proptest::collection::vec(any::<u8>(), 0..300);
+    let random_bytes = proptest::collection::vec(any::<u8>(), 0..300);
     let check = |bytes: Vec<u8>| {
         prop_assert!(State::restore(&bytes).is_err());
         Ok(())
     };
-    runner().run(&prop_oneof![flip, cut, noise], check).expect("damage is noticed");
-    assert_eq!(State::restore(&[whole.as_slice(), &[0]].concat()), Err(Error::Damaged));
+    runner().run(&prop_oneof![flip, cut, random_bytes], check).expect("damage is noticed");
+    assert_eq!(State::restore(&[intact.as_slice(), &[0]].concat()), Err(Error::Damaged));
 }
 
 #[test]
-fn no_sealed_bytes_make_restoring_panic() {
+fn no_bytes_with_a_valid_checksum_make_restoring_panic() {
     let body = snapshot()[14..].to_vec();
     let flip = (any::<prop::sample::Index>(), any::<u8>()).prop_map(move |(at, byte)| {
         let mut body = body.clone();
@@ -194,9 +194,9 @@
         body[at] = byte;
         body
     });
-    let noise = proptest::collection::vec(any::<u8>(), 0..300);
+    let random_bytes = proptest::collection::vec(any::<u8>(), 0..300);
     let check = |body: Vec<u8>| {
-        if let Ok(mut state) = State::restore(&sealed(&body)) {
+        if let Ok(mut state) = State::restore(&with_checksum(&body)) {
             let index = state.position().index.saturating_add(1);
             let position = Fence { term: state.position().term, index };
             let _ = state.apply(position, &Command::Claim(claim(1, "a", 1)));
@@ -204,21 +204,21 @@
         }
         Ok(())
     };
-    runner().run(&prop_oneof![flip, noise], check).expect("any body is read or refused");
+    runner().run(&prop_oneof![flip, random_bytes], check).expect("any body is read or refused");
 }
 
 #[test]
-fn says_why_a_snapshot_is_refused() {
+fn errors_tell_why_a_snapshot_is_refused() {
     let mut newer = snapshot();
     newer[4] = 9;
     let mut damaged = snapshot();
     damaged[20] ^= 1;
-    let all = [Vec::new(), newer, damaged, sealed(b"")];
-    let said = all.map(|bytes| match State::restore(&bytes) {
+    let all = [Vec::new(), newer, damaged, with_checksum(b"")];
+    let messages = all.map(|bytes| match State::restore(&bytes) {
         Ok(_) => "restored".to_owned(),
         Err(error) => error.to_string(),
     });
-    insta::assert_snapshot!(said.join("\n"), @r#"
+    insta::assert_snapshot!(messages.join("\n"), @r#"
     snapshot of the state: it does not begin as one; check which file or peer it came from
     snapshot of the state: version 9 is not known here; upgrade this instance
     snapshot of the state: it is damaged; fetch it again from another voter
@@ -243,7 +243,7 @@
         result: Result::Applied,
         at: NOW,
     };
-    let swap = VoterChange::Replace { old: "b".into(), new: "d".into() };
+    let voter_change = VoterChange::Replace { old: "b".into(), new: "d".into() };
     let commands = [
         edit("e1", 0, "ann", &[row("check", 1)]),
         edit("e2", 0, "bo", &[row("check", 2)]),
@@ -253,7 +253,7 @@
         Command::Ordered(ordered.clone()),
         Command::Ordered(ordered),
         Command::Drain(Drain { by: "ann".into(), instance: "c".into(), at: NOW }),
-        Command::Voters(Voters { by: "ann".into(), change: swap, at: NOW }),
+        Command::Voters(Voters { by: "ann".into(), change: voter_change, at: NOW }),
     ];
     for command in &commands {
         log.apply(command);
@@ -293,18 +293,18 @@
         lifetime: 1,
         at: NOW,
     };
-    let swap = VoterChange::Remove(long.as_str().into());
+    let voter_change = VoterChange::Remove(long.as_str().into());
     let commands = [
         (edit("e", 0, "ann", &[Change::Remove(removed)]), "team"),
         (edit("e", 0, &long, &[row("check", 1)]), "operator"),
         (Command::Claim(claim(1, &long, 1)), "instance"),
         (Command::Order(order), "model"),
         (Command::Drain(Drain { by: operator(), instance: "a".into(), at: NOW }), "operator"),
-        (Command::Voters(Voters { by: "ann".into(), change: swap, at: NOW }), "instance"),
+        (Command::Voters(Voters { by: "ann".into(), change: voter_change, at: NOW }), "instance"),
     ];
     let mut log = Log::default();
     for (command, what) in commands {
-        assert_eq!(log.say(&command), format!("the {what} is longer than 128 bytes"));
+        assert_eq!(log.apply_to_text(&command), format!("the {what} is longer than 128 bytes"));
     }
     assert!(log.state.snapshot().len() < 100);
 }
@@ -312,7 +312,7 @@
 /// Symptom: memory grows without end. Sequence: thousands of edits, claims and drains. Cause: the
 /// history, the answers or the audit trail are kept whole.
 #[test]
-fn what_is_kept_is_bounded() {
+fn stored_data_is_bounded() {
     let mut log = Log::default();
     for number in 0..5_000_u64 {
         let id = format!("e{number}");
@@ -324,6 +324,6 @@
     let first = log.state.audit(0, usize::MAX);
     assert_eq!(first.entries.len(), 256);
     assert_eq!(first.entries[0].number, 905);
-    let stale = log.say(&edit("e0", 0, "ann", &[row("check", 1)]));
+    let stale = log.apply_to_text(&edit("e0", 0, "ann", &[row("check", 1)]));
     assert!(stale.ends_with("changed since: agents/check and maybe more"), "{stale}");
 }
--- a/crates/verbenaslip-state/tests/watch.rs
+++ b/crates/verbenaslip-state/tests/watch.rs
@@ -14,24 +14,24 @@
     let mut net = Net::new(count, 3, seed);
     net.elect(0);
     net.commit(&rows(10));
-    let took = net.until(10 * SECOND, |net| net.all_ready() && net.everywhere());
-    assert!(took.is_some(), "not all are ready");
+    let elapsed = net.until(10 * SECOND, |net| net.all_ready() && net.is_in_force());
+    assert!(elapsed.is_some(), "not all are ready");
     net
 }
 
 /// Commits an edit and says how long it took until the leader knew it to be in force everywhere.
-fn in_force(net: &mut Net) -> Duration {
+fn commit_until_in_force(net: &mut Net) -> Duration {
     let number = u32::try_from(net.revision.0).expect("small") % 999 + 1;
     net.commit(&[weight("check", number)]);
-    net.until(20 * SECOND, Net::everywhere).expect("the edit comes into force")
+    net.until(20 * SECOND, Net::is_in_force).expect("the edit comes into force")
 }
 
 #[test]
 fn an_edit_reaches_everyone_at_once() {
     for count in [3, 9, 27] {
         let mut net = started(count, 1);
-        let took = in_force(&mut net);
-        assert!(took < SECOND, "{count} instances: {took:?}");
+        let elapsed = commit_until_in_force(&mut net);
+        assert!(elapsed < SECOND, "{count} instances: {elapsed:?}");
         assert!(net.nodes.iter().all(|node| node.hub.revision() == net.revision));
         assert!(net.all_ready());
     }
@@ -46,32 +46,32 @@
         let mut net = started(9, seed);
         net.run(Duration::from_millis(100 * seed));
         net.isolate(8);
-        let took = in_force(&mut net);
-        assert!(took > 2 * SECOND && took < 6 * SECOND, "{took:?}");
+        let elapsed = commit_until_in_force(&mut net);
+        assert!(elapsed > 2 * SECOND && elapsed < 6 * SECOND, "{elapsed:?}");
         assert!(!net.ready(8));
         net.cuts.clear();
-        let took = net.until(6 * SECOND, Net::all_ready).expect("it comes back");
-        assert!(took <= 6 * SECOND);
+        let elapsed = net.until(6 * SECOND, Net::all_ready).expect("it comes back");
+        assert!(elapsed <= 6 * SECOND);
     }
 }
 
 /// Symptom: as above. Sequence: the process, not the network, stops for longer than a lease, and
 /// goes on where it was. Cause: the lease is counted from when its answer is read.
 #[test]
-fn a_frozen_instance_does_not_serve_when_it_thaws() {
+fn a_paused_instance_does_not_serve_when_it_resumes() {
     for seed in 0..10 {
         let mut net = started(9, seed);
         // Long delays, so that an answer is on its way when the process freezes, and is read late.
         net.delay = Duration::from_millis(350);
         net.run(Duration::from_millis(100 * seed));
-        net.freeze(8);
+        net.pause(8);
         // The answer waits to be read; the edit, which comes later, does not get through.
         net.run(SECOND);
         net.isolate(8);
-        let took = in_force(&mut net);
-        assert!(took < 6 * SECOND, "{took:?}");
+        let elapsed = commit_until_in_force(&mut net);
+        assert!(elapsed < 6 * SECOND, "{elapsed:?}");
         net.run(SECOND);
-        net.thaw(8);
+        net.resume(8);
         // The network checks at every step that whoever is ready has what is in force.
         net.run(10 * SECOND);
         assert!(!net.ready(8));
@@ -83,17 +83,17 @@
 /// Symptom: as above. Sequence: the holder's clock runs slow and the leader's fast, and the holder is
 /// cut off. Cause: the leader waits for exactly the granted time.
 #[test]
-fn clocks_of_different_pace_are_allowed_for() {
+fn clocks_with_different_rates_are_tolerated() {
     for seed in 0..10 {
         let mut net = started(9, seed);
         for number in 0..9 {
-            net.pace(number, if number == 0 { 1_010 } else { 990 });
+            net.set_clock_rate(number, if number == 0 { 1_010 } else { 990 });
         }
         net.run(10 * SECOND + Duration::from_millis(130 * seed));
         net.isolate(7);
         net.isolate(8);
-        let took = in_force(&mut net);
-        assert!(took < 6 * SECOND, "{took:?}");
+        let elapsed = commit_until_in_force(&mut net);
+        assert!(elapsed < 6 * SECOND, "{elapsed:?}");
         net.run(3 * SECOND);
     }
 }
@@ -102,27 +102,27 @@
 /// cut off together with those that follow it. Cause: those below get a lease of their own length
 /// instead of the rest of the one above, or the leader does not wait for them.
 #[test]
-fn a_lost_relay_takes_its_followers_leases_along() {
+fn followers_leases_end_with_a_lost_relay() {
     for seed in 0..10 {
         let mut net = started(81, seed);
         let relay = net.relay();
         let name = net.nodes[relay].name.clone();
-        let below: Vec<usize> = (0..net.nodes.len())
+        let relay_followers: Vec<usize> = (0..net.nodes.len())
             .filter(|number| net.nodes[*number].hub.followed_publisher() == Some(&name))
             .collect();
-        assert!(!below.is_empty());
-        let inside = |number: usize| number == relay || below.contains(&number);
+        assert!(!relay_followers.is_empty());
+        let inside = |number: usize| number == relay || relay_followers.contains(&number);
         net.run(Duration::from_millis(100 * seed));
-        net.part(inside);
-        let took = in_force(&mut net);
-        assert!(took < 6 * SECOND, "{took:?}");
+        net.partition(inside);
+        let elapsed = commit_until_in_force(&mut net);
+        assert!(elapsed < 6 * SECOND, "{elapsed:?}");
         net.cuts.clear();
         net.until(10 * SECOND, Net::all_ready).expect("all come back");
 
         let relay = net.relay();
         net.isolate(relay);
-        let took = in_force(&mut net);
-        assert!(took < 6 * SECOND, "{took:?}");
+        let elapsed = commit_until_in_force(&mut net);
+        assert!(elapsed < 6 * SECOND, "{elapsed:?}");
         net.run(2 * SECOND);
         let lost = (0..net.nodes.len()).filter(|number| !net.ready(*number)).count();
         assert_eq!(lost, 1, "those below it have found another");
@@ -133,21 +133,21 @@
 /// newest revision while those that it granted a lease before are cut off. Cause: the restarted
 /// process's word is taken for what it granted before.
 #[test]
-fn a_restarted_relay_does_not_speak_for_its_past() {
+fn a_restarted_relay_does_not_report_for_earlier_grants() {
     for seed in 0..10 {
         let mut net = started(81, seed);
         let relay = net.relay();
         let name = net.nodes[relay].name.clone();
-        let below: Vec<usize> = (0..net.nodes.len())
+        let relay_followers: Vec<usize> = (0..net.nodes.len())
             .filter(|number| net.nodes[*number].hub.followed_publisher() == Some(&name))
             .collect();
-        for number in below {
+        for number in relay_followers {
             net.isolate(number);
         }
         net.restart(relay);
         net.until(6 * SECOND, |net| net.ready(relay)).expect("the relay is ready");
-        let took = in_force(&mut net);
-        assert!(took < 6 * SECOND, "{took:?}");
+        let elapsed = commit_until_in_force(&mut net);
+        assert!(elapsed < 6 * SECOND, "{elapsed:?}");
         net.run(2 * SECOND);
     }
 }
@@ -160,21 +160,21 @@
     for seed in 0..10 {
         let mut net = started(9, seed);
         net.run(Duration::from_millis(100 * seed));
-        net.part(|number| number == 0 || number >= 6);
+        net.partition(|number| number == 0 || number >= 6);
         net.run(net::QUORUM_LEASE);
         net.elect(1);
         net.run(net::TICK);
-        let took = in_force(&mut net);
-        assert!(took > 3 * SECOND && took < 6 * SECOND, "{took:?}");
+        let elapsed = commit_until_in_force(&mut net);
+        assert!(elapsed > 3 * SECOND && elapsed < 6 * SECOND, "{elapsed:?}");
         for number in [0, 6, 7, 8] {
             assert!(!net.ready(number), "{number} serves without the quorum");
         }
         net.run(10 * SECOND);
         net.cuts.clear();
-        net.sync(0);
+        net.sync_from_log(0);
         net.until(8 * SECOND, Net::all_ready).expect("all come back");
-        let took = in_force(&mut net);
-        assert!(took < SECOND, "{took:?}");
+        let elapsed = commit_until_in_force(&mut net);
+        assert!(elapsed < SECOND, "{elapsed:?}");
     }
 }
 
@@ -193,7 +193,7 @@
         // The restarted one has no older lease by which it might serve the older table.
         net.until(6 * SECOND, |net| net.ready(8)).expect("it comes back");
         assert_eq!(net.nodes[8].hub.revision(), net.revision);
-        net.until(8 * SECOND, |net| net.all_ready() && net.everywhere()).expect("both come back");
+        net.until(8 * SECOND, |net| net.all_ready() && net.is_in_force()).expect("both come back");
         assert!(net.nodes.iter().all(|node| node.hub.revision() == net.revision));
     }
 }
@@ -204,7 +204,7 @@
 fn the_largest_table_arrives_in_parts() {
     let mut net = started(9, 1);
     net.commit(&rows(4_000));
-    net.until(6 * SECOND, Net::everywhere).expect("it comes into force");
+    net.until(6 * SECOND, Net::is_in_force).expect("it comes into force");
     net.run(SECOND);
     net.loss = 100;
     net.restart(8);
@@ -216,30 +216,30 @@
 /// messages are lost, doubled and overtaken, instances restart, freeze and are cut off, leaders
 /// change. Cause: whatever the cases above do not think of.
 #[test]
-fn any_schedule_keeps_what_must_hold() {
+fn invariants_hold_under_random_schedules() {
     use rand::{RngExt, SeedableRng};
     for seed in 0..60 {
         let mut rng = rand_pcg::Pcg64::seed_from_u64(seed);
         let mut net = started(20, seed);
         net.loss = rng.random_range(0..100);
-        net.doubles = rng.random_range(0..100);
+        net.duplicates = rng.random_range(0..100);
         net.delay = Duration::from_millis(rng.random_range(10..400));
         for number in 0..20 {
-            net.pace(number, rng.random_range(990..=1_010));
+            net.set_clock_rate(number, rng.random_range(990..=1_010));
         }
         for _ in 0..60 {
             let number = rng.random_range(0..20);
             match rng.random_range(0..9) {
                 0 => net.isolate(number),
                 1 => net.cuts.clear(),
-                2 => net.freeze(number),
-                3 | 4 => net.thaw(number),
+                2 => net.pause(number),
+                3 | 4 => net.resume(number),
                 5 if number != 0 => net.restart(number),
                 6 => {
                     let to = rng.random_range(0..20);
                     net.cuts.insert((number, to));
                 }
-                _ if net.force().is_some() => {
+                _ if net.propagation().is_some() => {
                     net.commit(&[weight("check", rng.random_range(1..999))]);
                 }
                 _ => {}
@@ -247,13 +247,13 @@
             net.run(Duration::from_millis(rng.random_range(20..2_000)));
         }
         net.cuts.clear();
-        (0..20).for_each(|number| net.thaw(number));
+        (0..20).for_each(|number| net.resume(number));
         net.loss = 0;
         net.run(net::TICK);
         net.commit(&[weight("check", 1)]);
-        (0..3).for_each(|voter| net.sync(voter));
-        let took = net.until(20 * SECOND, |net| net.all_ready() && net.everywhere());
-        assert!(took.is_some(), "seed {seed}: not all are ready in the end");
+        (0..3).for_each(|voter| net.sync_from_log(voter));
+        let elapsed = net.until(20 * SECOND, |net| net.all_ready() && net.is_in_force());
+        assert!(elapsed.is_some(), "seed {seed}: not all are ready in the end");
     }
 }
 
@@ -269,18 +269,18 @@
     assert_eq!(ready, 0);
     net.reset_counts();
     net.run(20 * SECOND);
-    let most = net.nodes.iter().map(|node| node.counts.bytes / 20).max().unwrap_or_default();
-    println!("{most} bytes a second at the busiest instance without a quorum");
-    assert!(most < 12_000, "{most} bytes a second");
+    let max = net.nodes.iter().map(|node| node.counts.bytes / 20).max().unwrap_or_default();
+    println!("{max} bytes a second at the busiest instance without a quorum");
+    assert!(max < 12_000, "{max} bytes a second");
     net.elect(1);
-    let took = net.until(5 * SECOND, Net::all_ready).expect("all come back");
-    println!("all ready {took:?} after the quorum");
+    let elapsed = net.until(5 * SECOND, Net::all_ready).expect("all come back");
+    println!("all ready {elapsed:?} after the quorum");
 }
 
 /// Symptom: many instances refuse work when one voter is lost. Sequence: a voter that does not lead
 /// is cut off for good. Cause: its followers notice it too late to find another within their leases.
 #[test]
-fn a_lost_voter_costs_its_followers_little() {
+fn followers_of_a_lost_voter_recover_quickly() {
     let mut ticks = 0;
     for seed in 0..10 {
         let mut net = started(81, seed);
@@ -313,8 +313,8 @@
 fn a_voter_without_the_log_is_caught_up() {
     let mut net = started(9, 1);
     net.nodes[2].voter = false;
-    let took = in_force(&mut net);
-    assert!(took < 6 * SECOND, "{took:?}");
+    let elapsed = commit_until_in_force(&mut net);
+    assert!(elapsed < 6 * SECOND, "{elapsed:?}");
     net.run(3 * SECOND);
     assert_eq!(net.nodes[2].hub.revision(), net.revision);
     assert!(net.all_ready());
