--- a/crates/verbenaslip-state/src/audit.rs
+++ b/crates/verbenaslip-state/src/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail: who asked for what, when, from which base, and what was answered.
+//! The audit trail: who requested each command, when, from which base revision, and the answer.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -17,33 +17,35 @@
 use crate::order::{Result, Task};
 use crate::outcome::Outcome;
 
-/// Bounds the entries kept of edits, orders, drains and voter changes.
+/// Maximum number of entries kept for edits, orders, drains and voter changes together.
 pub const MAX_ENTRIES: usize = 4_096;
 
-/// Bounds the entries kept of claims, which are many and would push out all others.
+/// Maximum number of entries kept for claims.
+///
+/// Claims have their own bound because they are frequent and would push out all other entries.
 pub const MAX_CLAIM_ENTRIES: usize = 512;
 
-/// Bounds one page.
+/// Maximum number of entries in one page.
 pub const MAX_PAGE: usize = 256;
 
-/// Notes one command.
+/// Records one command and its answer.
 #[data]
 pub struct Entry {
-    /// Counts the entries from 1.
+    /// The entry's number, counted from 1.
     pub number: u64,
     /// The command's position in the log.
     pub position: Fence,
-    /// When it was proposed, in Unix milliseconds.
+    /// The time at which the command was proposed, in Unix milliseconds.
     pub at: u64,
-    /// The operator or instance that asked.
+    /// The operator or instance that requested it.
     pub by: Arc<str>,
-    /// What was asked.
+    /// The requested action.
     pub action: Action,
-    /// The revision from which an edit was made.
+    /// The revision on which an edit was based; `None` for other actions.
     pub base: Option<Revision>,
-    /// Whether it was accepted.
+    /// Whether the command was accepted.
     pub accepted: bool,
-    /// What was answered; a refusal says why.
+    /// The answer; a refusal states the reason.
     pub answer: Arc<str>,
 }
 
@@ -58,27 +60,27 @@
     }
 }
 
-/// Says what was asked.
+/// Describes the requested action.
 #[data]
 pub enum Action {
-    /// An edit of the table.
+    /// A change of the table.
     Edit {
-        /// Its identity.
+        /// The edit's identifier.
         id: Id,
-        /// The rows, the first [`MAX_LISTED_ROWS`].
+        /// The keys of the changed rows, at most the first [`MAX_LISTED_ROWS`].
         rows: Vec<Key>,
     },
-    /// A claim of a non-idempotent request.
+    /// A claim for a non-idempotent request.
     Claim(Attempt),
     /// The end of a claimed run.
     Settle(Attempt, Ending),
-    /// A claim given back.
+    /// The release of a claim before anything was sent.
     Release(Attempt),
     /// An order to an upstream.
     Order(Upstream, Task),
-    /// What became of an order.
+    /// The result of an order.
     Ordered(Upstream, Fence, Result),
-    /// A graceful stop.
+    /// A graceful stop of an instance.
     Drain(Instance),
     /// A change of the voter set.
     Voters(VoterChange),
@@ -115,16 +117,16 @@
     }
 }
 
-/// Holds some entries and where to go on.
+/// Holds consecutive entries and the number from which the next page starts.
 #[data]
 pub struct Page {
     /// The number from which the next page starts.
     pub next: u64,
-    /// The entries in order; numbers that are no longer kept are missing.
+    /// The entries in order; entries that are no longer kept are left out.
     pub entries: Vec<Entry>,
 }
 
-/// Keeps the newest entries.
+/// Keeps the newest entries, with separate bounds for claims and for everything else.
 #[data(default)]
 pub(crate) struct Trail {
     count: u64,
@@ -133,7 +135,7 @@
 }
 
 impl Trail {
-    /// Notes a command and its answer.
+    /// Records a command and its answer.
     pub(crate) fn record(&mut self, position: Fence, command: &Command, outcome: &Outcome) {
         self.count = self.count.saturating_add(1);
         let mut answer = outcome.to_string();
@@ -162,7 +164,7 @@
         keep_newest(entries, max_entries);
     }
 
-    /// Returns entries from a number on.
+    /// Returns entries starting at the given number, at most [`MAX_PAGE`].
     pub(crate) fn page(&self, since: u64, limit: usize) -> Page {
         let from = |entries: &VecDeque<Entry>| {
             let start = entries.partition_point(|entry| entry.number < since);
@@ -187,7 +189,7 @@
     }
 }
 
-/// Bounds an answer's text, in bytes.
+/// Maximum length of an answer's text, in bytes.
 const MAX_ANSWER_BYTES: usize = 400;
 
 fn requester(command: &Command) -> Arc<str> {
--- a/crates/verbenaslip-state/src/claim.rs
+++ b/crates/verbenaslip-state/src/claim.rs
@@ -1,9 +1,10 @@
-//! Claims: each non-idempotent request is granted to one run.
+//! Claims: each non-idempotent request is granted to a single run.
 //!
-//! A claim is committed before the request goes to its upstream, so whoever else asks, through any
-//! instance, learns that it may have run. Memory is bounded: a claim is forgotten once its key is so
-//! old that every resend of it is refused. The state's clock only rises, so a key that was refused
-//! as expired stays so, and a key whose claim is forgotten was refused as expired before.
+//! A claim is committed before the request is sent to its upstream, so every instance that receives
+//! the same request later learns that it may already have run. Memory is bounded: a claim is
+//! dropped once its key is so old that every resend of it is refused. The state's clock never goes
+//! backward, so a key that was refused as expired stays expired, and a key is already expired by
+//! the time its claim is dropped.
 
 mod store;
 
@@ -16,36 +17,37 @@
 
 pub(crate) use store::{Record, Store};
 
-/// The time for which a key's claim is kept after the key was first used, in milliseconds.
+/// How long a key's claim is kept after the key was first used, in milliseconds.
 pub const RETENTION_MS: u64 = 60 * 60 * 1_000;
 
-/// The most by which clocks of callers and instances may differ, in milliseconds.
+/// The maximum difference allowed between the clocks of callers and instances, in milliseconds.
 pub const SKEW_MS: u64 = 60 * 1_000;
 
-/// Bounds the claims kept.
+/// Maximum number of claims kept.
 ///
-/// With the retention this allows 18 non-idempotent requests a second all the time. So many take
-/// 18 MB of memory and 29 MB more for a moment while a snapshot is taken up.
+/// With the retention, this allows a sustained 18 non-idempotent requests per second. A full set
+/// takes 18 MB of memory, and 29 MB more for a moment while a snapshot is restored.
 pub const MAX_CLAIMS: u32 = 65_536;
 
-/// Asks to be the one run of a request.
+/// Requests the exclusive right to run a request.
 #[data]
 pub struct Claim {
-    /// The run that is to be the only one.
+    /// The attempt that is to run the request.
     pub attempt: Attempt,
-    /// The team whose request it is.
+    /// The team that sent the request.
     pub team: Team,
-    /// The instance that will run it.
+    /// The instance that will run the attempt.
     pub instance: Instance,
-    /// Drawn anew each time an instance takes the request up, also after a restart; equal only in
-    /// the very same claim sent again. An instance that forgot its run draws another and is told
-    /// that the claim is held, where an equal attempt number alone would grant a second run.
+    /// A random number that is drawn each time an instance starts to handle the request, also after
+    /// a restart; only a resend of the same claim has the same nonce. A restarted instance that has
+    /// lost its run draws a new nonce and is told that the claim is held; comparing only the
+    /// attempt number would grant a second run.
     pub nonce: u64,
-    /// The digest of what is sent, which tells another request under the same key.
+    /// The digest of the request body, which detects a different request under the same key.
     pub body: u128,
-    /// When the key was first used, in Unix milliseconds.
+    /// The time at which the key was first used, in Unix milliseconds.
     pub issued: u64,
-    /// When the claim was proposed, in Unix milliseconds.
+    /// The time at which the claim was proposed, in Unix milliseconds.
     pub at: u64,
 }
 
@@ -55,80 +57,81 @@
     }
 }
 
-/// Tells how a claimed run ended.
+/// Reports how a claimed run ended.
 #[data]
 pub struct Settle {
-    /// The run.
+    /// The attempt that ended.
     pub attempt: Attempt,
-    /// The nonce of its claim; only who knows it can say that the run was none.
+    /// The nonce of its claim; required to report that the attempt did not run.
     pub nonce: u64,
-    /// The instance that tells.
+    /// The instance that reports the end.
     pub by: Instance,
-    /// How it ended.
+    /// How the run ended.
     pub ending: Ending,
-    /// When it was proposed, in Unix milliseconds.
+    /// The time at which the settlement was proposed, in Unix milliseconds.
     pub at: u64,
 }
 
-/// Gives a claim back before anything was sent to an upstream.
+/// Releases a claim before anything was sent to an upstream.
 ///
-/// It also bars the claim when it arrives first: whoever gave up waiting for a claim's answer has
-/// told the caller that nothing was run, and the claim may still be on its way into the log.
+/// A release that is applied before its claim also blocks the claim: the instance that stopped
+/// waiting for the claim's answer has told the caller that nothing ran, and the claim may still be
+/// on its way into the log.
 #[data]
 pub struct Release {
-    /// The claim, as it was sent.
+    /// The claim as it was sent.
     pub claim: Claim,
-    /// When it was proposed, in Unix milliseconds.
+    /// The time at which the release was proposed, in Unix milliseconds.
     pub at: u64,
 }
 
-/// Says how a claimed run ended.
+/// Describes how a claimed run ended.
 #[data]
 pub enum Ending {
-    /// The answer was whole.
+    /// The answer was complete.
     Done {
         /// The digest of the answer.
         digest: u128,
-        /// The status that the caller got.
+        /// The HTTP status that the caller received.
         status: u16,
     },
-    /// It surely did not run, so another attempt may.
+    /// The attempt certainly did not run, so another attempt may.
     NotRun,
-    /// It may have run.
+    /// The attempt may have run.
     Unknown(Unknown),
 }
 
 /// Answers a claim.
 #[data]
 pub enum Verdict {
-    /// The attempt is the one run.
+    /// The attempt may run the request.
     Granted,
     /// Another run holds the claim and has not ended.
     Held {
-        /// The run.
+        /// The attempt that holds the claim.
         attempt: Attempt,
         /// The instance that claimed it.
         instance: Instance,
     },
-    /// The one run has ended.
+    /// The claimed run has ended.
     Settled {
-        /// The run.
+        /// The attempt that ended.
         attempt: Attempt,
-        /// How it ended; never [`Ending::NotRun`].
+        /// How the run ended; never [`Ending::NotRun`].
         ending: Ending,
     },
-    /// The attempt, or a later one, was given up before; a higher number may be granted.
+    /// This attempt or a later one was released before; a higher attempt number may be granted.
     Stale {
-        /// The last attempt that was given up.
+        /// The last attempt that was released.
         last: Attempt,
     },
-    /// The key belongs to another body.
+    /// The key is used by a request with a different body.
     Conflict,
-    /// The key is older than the retention, so it can't be told whether it ran.
+    /// The key is older than the retention, so whether it ran is unknown.
     Expired,
-    /// The key's first use lies in the future by more than clocks may differ.
+    /// The key's first use is further in the future than the allowed clock difference.
     Ahead,
-    /// The claims kept, or the team's share of them, are at their bound.
+    /// The maximum number of claims, or the team's share of it, is reached.
     Full,
 }
 
@@ -149,18 +152,18 @@
     }
 }
 
-/// Answers what a settlement or release did.
+/// Answers a settlement or a release.
 #[data]
 pub enum CloseResult {
-    /// The ending is kept; so it is for a resend.
+    /// The ending is stored; a resend gets the same answer.
     Kept,
-    /// Another attempt may be granted; so it is for a resend.
+    /// Another attempt may be granted; a resend gets the same answer.
     Freed,
-    /// Another attempt or nonce holds the claim, so nothing changed.
+    /// Another attempt or nonce holds the claim; nothing changed.
     Other,
-    /// Another ending is kept, so nothing changed.
+    /// Another ending is already stored; nothing changed.
     Final(Ending),
-    /// No such claim is kept, so nothing changed.
+    /// No such claim is stored; nothing changed.
     Missing,
 }
 
@@ -176,7 +179,7 @@
     }
 }
 
-/// Holds what bounds the claims; equal on every voter, so it travels in the snapshot.
+/// Holds the bounds of claims; they are part of the snapshot since all voters need the same.
 #[data(copy)]
 pub struct Limits {
     /// See [`RETENTION_MS`].
--- a/crates/verbenaslip-state/src/claim/store.rs
+++ b/crates/verbenaslip-state/src/claim/store.rs
@@ -1,4 +1,4 @@
-//! The claims that are kept.
+//! The stored claims.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,19 +8,19 @@
 
 use super::{Claim, CloseResult, Ending, Limits, Settle, Verdict};
 
-/// Keeps the claims.
+/// Stores the claims by request key.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub(crate) struct Store {
     limit: Limits,
     records: BTreeMap<Request, Record>,
-    /// The same records by the time at which they may be forgotten.
+    /// The keys ordered by first use, to find the claims that may be dropped.
     by_first_use: BTreeSet<(u64, Request)>,
     teams: BTreeMap<Team, u32>,
     instances: BTreeMap<Instance, u32>,
 }
 
 impl Store {
-    /// Takes up records that a snapshot kept.
+    /// Restores the records of a snapshot.
     pub(crate) fn restore(limit: Limits, records: Vec<Record>) -> Self {
         let mut claims = Self { limit, ..Self::default() };
         records.into_iter().for_each(|record| claims.insert(record));
@@ -39,9 +39,10 @@
         self.records.len()
     }
 
-    /// Decides a claim at the state's clock.
+    /// Decides on a claim at the state's clock, in Unix milliseconds.
     pub(crate) fn claim(&mut self, clock: u64, claim: &Claim) -> Verdict {
-        // A key whose first use lies ahead would be kept too long, and is refused known or new.
+        // A key first used in the future would be kept too long, so it is refused even if it is
+        // known.
         if claim.issued > clock.saturating_add(self.limit.skew) {
             return Verdict::Ahead;
         }
@@ -56,7 +57,7 @@
             return Verdict::Conflict;
         }
         let verdict = record.verdict(claim);
-        // A resend may name a later first use. If the claim were forgotten by the earlier one, that
+        // A resend may name a later first use. If the claim were dropped by the earlier time, the
         // resend would not be expired yet and would run a second time.
         let issued = record.issued.max(claim.issued);
         let record = match verdict {
@@ -68,7 +69,7 @@
         verdict
     }
 
-    /// Keeps how a run ended, or frees the claim when it was none.
+    /// Stores how a run ended, or frees the claim if it did not run.
     pub(crate) fn settle(&mut self, settle: &Settle) -> CloseResult {
         let Some(record) = self.records.get_mut(&settle.attempt.request) else {
             return CloseResult::Missing;
@@ -78,8 +79,9 @@
         }
         match (&record.status, &settle.ending) {
             (Status::Held, Ending::NotRun) | (Status::Freed, Ending::NotRun) => {
-                // A restarted instance may reuse a number for a run that it never made; without the
-                // nonce its word would free the claim of the run that was made.
+                // A restarted instance may reuse an attempt number for a run that never took place.
+                // Without the nonce check, its report would free the claim of the run that did take
+                // place.
                 if record.nonce != settle.nonce {
                     return CloseResult::Other;
                 }
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Frees a claim that led to no run, and bars it should it arrive later.
+    /// Frees a claim that led to no run, and blocks the claim if it arrives later.
     pub(crate) fn release(&mut self, clock: u64, claim: &Claim) -> CloseResult {
         let Some(record) = self.records.get_mut(&claim.attempt.request) else {
             if self.refusal(clock, claim).is_some() {
@@ -122,7 +124,7 @@
         }
     }
 
-    /// Forgets what no resend can revive, a bounded number at a time.
+    /// Drops claims whose resends would be refused as expired, a bounded number per call.
     pub(crate) fn drop_expired(&mut self, clock: u64) {
         for _ in 0..MAX_DROPPED {
             let Some((issued, request)) = self.by_first_use.first().copied() else { return };
@@ -134,13 +136,13 @@
         }
     }
 
-    /// Returns why a key without a record is refused, if it is.
+    /// Returns the reason to refuse a key without a record, if there is one.
     fn refusal(&self, clock: u64, claim: &Claim) -> Option<Verdict> {
         if claim.issued.saturating_add(self.limit.retention) < clock {
             return Some(Verdict::Expired);
         }
-        // Evicting instead would let the evicted key run again. No team may fill more than half,
-        // so that one team's burst leaves room for the others.
+        // Evicting an old claim instead would let its key run again. One team may use at most half,
+        // so that a burst of one team leaves room for the others.
         let team = self.teams.get(&claim.team).copied().unwrap_or_default();
         let full = self.records.len() >= self.limit.count as usize;
         (full || team >= self.limit.count.div_ceil(2)).then_some(Verdict::Full)
@@ -161,7 +163,7 @@
     }
 }
 
-/// Keeps one claim.
+/// Stores one claim and its status.
 #[data]
 pub(crate) struct Record {
     request: Request,
@@ -192,7 +194,7 @@
         self.request
     }
 
-    /// Says whether the record is of the very same claim.
+    /// Returns whether the record belongs to exactly this claim.
     fn is_same_claim(&self, claim: &Claim) -> bool {
         let nonce = self.nonce == claim.nonce && self.instance == claim.instance;
         self.number == claim.attempt.number && nonce
@@ -204,8 +206,8 @@
             Status::Held if self.is_same_claim(claim) => Verdict::Granted,
             Status::Held => Verdict::Held { attempt, instance: self.instance.clone() },
             Status::Settled(ending) => Verdict::Settled { attempt, ending: ending.clone() },
-            // A claim that was delayed in the network until after its release must not hold the
-            // key: nobody waits for it, and the key would be stuck until it is forgotten.
+            // A claim that arrives after its release must not hold the key: no instance waits for
+            // it, and the key would be blocked until the claim is dropped.
             Status::Freed if claim.attempt.number <= self.number => {
                 Verdict::Stale { last: attempt }
             }
@@ -221,10 +223,10 @@
     Settled(Ending),
 }
 
-/// Bounds the claims forgotten at one command.
+/// Maximum number of claims dropped per command.
 const MAX_DROPPED: usize = 256;
 
-/// Counts a use of a name and returns the copy that all uses share.
+/// Increments a name's use count and returns the copy shared by all uses.
 fn intern_name<N: Ord + Clone>(names: &mut BTreeMap<N, u32>, name: N) -> N {
     if let Some((kept, _)) = names.get_key_value(&name) {
         let kept = kept.clone();
--- a/crates/verbenaslip-state/src/command.rs
+++ b/crates/verbenaslip-state/src/command.rs
@@ -1,4 +1,4 @@
-//! What the replicated log carries.
+//! The commands in the replicated log.
 
 use verbenaslip_base::data;
 use verbenaslip_base::name::{Instance, Operator};
@@ -9,31 +9,32 @@
 
 /// Changes the replicated state.
 ///
-/// Each carries `at`, the Unix milliseconds at which it was proposed. The leader proposes only what
-/// is [`has_valid_time`](Self::in_time) by its own clock: one wrong clock would otherwise push the state's
-/// clock, which never falls, far ahead, and every key would count as expired.
+/// Each command carries the time at which it was proposed, in Unix milliseconds. The leader
+/// proposes only commands that satisfy [`has_valid_time`](Self::has_valid_time) by its own clock.
+/// Otherwise one wrong clock would push the state's clock, which never goes backward, far ahead,
+/// and every key would count as expired.
 #[data]
 pub enum Command {
     /// Changes the table.
     Edit(Edit),
-    /// Asks to be the one run of a non-idempotent request.
+    /// Requests the exclusive right to run a non-idempotent request.
     Claim(Claim),
-    /// Tells how a claimed run ended.
+    /// Reports how a claimed run ended.
     Settle(Settle),
-    /// Gives a claim back before anything was sent.
+    /// Releases a claim before anything was sent.
     Release(Release),
-    /// Numbers an order to an upstream.
+    /// Assigns a fence number to an order to an upstream.
     Order(Order),
-    /// Tells what became of an order.
+    /// Reports the result of an order.
     Ordered(OrderEnd),
     /// Stops an instance gracefully.
     Drain(Drain),
-    /// Notes a change of the voter set.
+    /// Records a change of the voter set.
     Voters(Voters),
 }
 
 impl Command {
-    /// Returns when the command was proposed, in Unix milliseconds.
+    /// Returns the time at which the command was proposed, in Unix milliseconds.
     pub fn proposed_at_ms(&self) -> u64 {
         match self {
             Self::Edit(edit) => edit.unix_ms,
@@ -47,12 +48,13 @@
         }
     }
 
-    /// Says whether the command's time is near enough to the leader's own, in Unix milliseconds.
+    /// Returns whether the command's time is within [`SKEW_MS`] of `now`, the leader's Unix time in
+    /// milliseconds.
     pub fn has_valid_time(&self, now: u64) -> bool {
         self.proposed_at_ms().abs_diff(now) <= SKEW_MS
     }
 
-    /// Names the first text that is too long to be kept.
+    /// Returns the name of the first field that is too long to be stored.
     pub(crate) fn overlong_field(&self) -> Option<&'static str> {
         let fields: &[(&'static str, &str)] = match self {
             Self::Edit(edit) => return overlong_edit_field(edit),
@@ -72,25 +74,25 @@
     }
 }
 
-/// Asks an instance to stop gracefully.
+/// Requests an instance to stop gracefully.
 #[data]
 pub struct Drain {
-    /// Who asks.
+    /// The operator that requested it.
     pub by: Operator,
-    /// Which instance.
+    /// The instance to stop.
     pub instance: Instance,
-    /// When, in Unix milliseconds.
+    /// The time at which the command was proposed, in Unix milliseconds.
     pub at: u64,
 }
 
-/// Notes a change of the voter set, which the log itself carries out.
+/// Records a change of the voter set, which the log itself carries out.
 #[data]
 pub struct Voters {
-    /// Who asks.
+    /// The operator that requested it.
     pub by: Operator,
-    /// What is changed.
+    /// The change.
     pub change: VoterChange,
-    /// When, in Unix milliseconds.
+    /// The time at which the command was proposed, in Unix milliseconds.
     pub at: u64,
 }
 
@@ -107,26 +109,27 @@
     }
 }
 
-/// Says which voter comes and which goes.
+/// Describes a change of the voter set.
 #[data]
 pub enum VoterChange {
-    /// A voter comes.
+    /// Adds a voter.
     Add(Instance),
-    /// A voter goes.
+    /// Removes a voter.
     Remove(Instance),
-    /// A voter takes another's place.
+    /// Replaces one voter by another.
     Replace {
-        /// The voter that goes.
+        /// The voter to remove.
         old: Instance,
-        /// The voter that comes.
+        /// The voter to add.
         new: Instance,
     },
 }
 
-/// Bounds every name in a command, in bytes.
+/// Maximum length of every name in a command, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// Looks at the keys too, which the history and the audit trail keep also of refused edits.
+/// Checks the row keys too, since the history and the audit trail store them even if the edit is
+/// refused.
 fn overlong_edit_field(edit: &Edit) -> Option<&'static str> {
     let keys = edit.changes.iter().map(Change::key);
     let overlong = |key: Key| {
--- a/crates/verbenaslip-state/src/history.rs
+++ b/crates/verbenaslip-state/src/history.rs
@@ -1,4 +1,4 @@
-//! The table, its revisions and who made them.
+//! The table, its revisions and their authors.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
@@ -11,30 +11,30 @@
 use verbenaslip_table::edit::Id;
 use verbenaslip_table::{Change, Edit, Key, Problems, Revision, Table};
 
-/// Bounds the edits whose answers are kept for resends, and the history.
+/// Maximum number of history entries, and of answers kept for resent edits.
 pub const MAX_HISTORY: usize = 4_096;
 
-/// Bounds the rows that one history entry or answer names.
+/// Maximum number of rows listed in one history entry or answer.
 pub const MAX_LISTED_ROWS: usize = 64;
 
 /// Answers an edit.
 #[data]
 pub enum Verdict {
-    /// The edit is the given revision; so it is for a resend.
+    /// The edit created the given revision; a resend gets the same answer.
     Accepted {
-        /// The revision that the edit made.
+        /// The revision that the edit created.
         revision: Revision,
     },
-    /// The table was so already; no revision was made.
+    /// The table already had these values; no revision was created.
     Unchanged {
-        /// The newest revision then.
+        /// The newest revision at that time.
         revision: Revision,
     },
-    /// Another edit came first, or the base was never a revision.
+    /// Another edit was accepted since the base, or the base does not exist.
     Stale(Newest),
-    /// The identity was used for other changes before.
+    /// The edit's identifier was used for different changes before.
     Reused,
-    /// A changed row is not allowed.
+    /// A changed row is invalid.
     Bad(Problems),
 }
 
@@ -50,16 +50,16 @@
     }
 }
 
-/// Tells an operator whose base is stale what the newest revision is.
+/// Describes the newest revision to an operator whose base is stale.
 #[data]
 pub struct Newest {
     /// The newest revision.
     pub revision: Revision,
-    /// Who made it; none before the first.
+    /// The operator that created it; `None` before the first revision.
     pub by: Option<Operator>,
-    /// The rows changed since the operator's base, in order, the first [`MAX_LISTED_ROWS`].
+    /// The rows changed since the operator's base, in order, at most the first [`MAX_LISTED_ROWS`].
     pub differs: Vec<Key>,
-    /// Whether more rows may have changed than are named.
+    /// Whether more rows may have changed than are listed.
     pub more: bool,
 }
 
@@ -78,22 +78,22 @@
     }
 }
 
-/// Notes one accepted edit.
+/// Records one accepted edit.
 #[data]
 pub struct Entry {
-    /// The revision that it made.
+    /// The revision that the edit created.
     pub revision: Revision,
-    /// Its identity.
+    /// The edit's identifier.
     pub edit: Id,
-    /// Who made it.
+    /// The operator that made the edit.
     pub by: Operator,
-    /// When, in Unix milliseconds.
+    /// The time of the edit, in Unix milliseconds.
     pub at: u64,
-    /// From which revision.
+    /// The revision on which the edit was based.
     pub base: Revision,
-    /// The rows that it changed, in order, the first [`MAX_LISTED_ROWS`].
+    /// The changed rows, in order, at most the first [`MAX_LISTED_ROWS`].
     pub rows: Vec<Key>,
-    /// How many rows it changed.
+    /// The number of changed rows.
     pub count: u32,
 }
 
@@ -119,12 +119,12 @@
         self.entries.iter()
     }
 
-    /// Decides an edit.
+    /// Decides on an edit and applies it if it is accepted.
     pub(crate) fn edit(&mut self, edit: &Edit) -> Verdict {
         let digest = digest(edit);
         if let Some(answer) = self.answers.iter().find(|answer| answer.edit == edit.id) {
-            // The operator lost the answer and sends the edit again. Deciding it anew would call it
-            // stale, because its own first copy has moved the table on.
+            // The operator lost the answer and resent the edit. Deciding on it again would call it
+            // stale, because its first copy has already changed the table.
             let same = answer.digest == digest;
             return if same { self.stored_verdict(edit, &answer.kind) } else { Verdict::Reused };
         }
@@ -132,8 +132,8 @@
         let kind = match &verdict {
             Verdict::Accepted { revision } => AnswerKind::Accepted(*revision),
             Verdict::Unchanged { revision } => AnswerKind::Unchanged(*revision),
-            // A base that is no revision yet becomes one later, and a late copy would be accepted
-            // after its operator was told that it was refused.
+            // A base that does not exist yet may be created later. A delayed copy of the edit would
+            // then be accepted after its operator was told that it was refused.
             Verdict::Stale(_) if edit.base > self.revision => AnswerKind::Refused,
             _ => return verdict,
         };
@@ -142,7 +142,7 @@
         verdict
     }
 
-    /// Says whether the parts fit together.
+    /// Returns whether the parts are consistent with each other.
     pub(crate) fn is_consistent(&self) -> bool {
         let last = self.entries.back().map(|entry| entry.revision).unwrap_or_default();
         let mut pairs = self.entries.iter().zip(self.entries.iter().skip(1));
@@ -212,7 +212,7 @@
     }
 }
 
-/// Keeps what an edit was answered, for its resends.
+/// Stores the answer to an edit for resends.
 #[data]
 struct StoredAnswer {
     edit: Id,
@@ -227,17 +227,17 @@
     Refused,
 }
 
-/// Drops the oldest of what has grown beyond its bound.
+/// Drops the oldest elements beyond the maximum length.
 pub(crate) fn keep_newest<T>(queue: &mut VecDeque<T>, max_len: usize) {
     let excess = queue.len().saturating_sub(max_len);
     queue.drain(..excess);
 }
 
-/// Returns what tells edits apart that share an identity.
+/// Returns a digest that distinguishes edits with the same identifier.
 fn digest(edit: &Edit) -> u128 {
     let changes: BTreeMap<Key, &Change> =
         edit.changes.iter().map(|change| (change.key(), change)).collect();
-    // Encoding to memory fails for no value of these types.
+    // Encoding these types to memory cannot fail.
     let bytes = postcard::to_stdvec(&(edit.base, changes)).unwrap_or_default();
     hash::wide(&[&bytes])
 }
--- a/crates/verbenaslip-state/src/lease.rs
+++ b/crates/verbenaslip-state/src/lease.rs
@@ -1,10 +1,10 @@
-//! The table lease, without which an instance takes no work.
+//! The table lease, without which an instance accepts no work.
 //!
-//! The lease bounds how old a table may serve. The leader grants it, directly or through other
-//! instances, and counts an edit as in force once every holder has the edit or its lease has run
-//! out. The holder counts the time from when it *sent* its request, the granter from when it
-//! answered, which is later; so the holder always stops first, however long a message was on its way
-//! or a process was frozen, as long as clocks run sent_at the same pace within [`with_margin`].
+//! The lease bounds how old the table in use may be. The leader grants it, directly or through
+//! other instances, and counts an edit as in force once every holder has the edit or its lease has
+//! expired. The holder counts the duration from when it *sent* its request, the granter from when
+//! it answered, which is later. So the holder always stops first, however long a message is delayed
+//! or a process is paused, provided that clock rates differ by no more than [`with_margin`] allows.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,34 +12,36 @@
 use verbenaslip_base::data;
 use verbenaslip_table::Revision;
 
-/// How long a lease lasts that the leader grants.
+/// The maximum duration of a lease, which the leader grants.
 pub const MAX_DURATION: Duration = Duration::from_secs(4);
 
-/// How often a holder renews its lease.
+/// The interval at which a holder renews its lease.
 pub const RENEWAL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How often a holder renews its lease that passes leases on, so that what it passes on is long.
+/// The renewal interval of a holder that grants leases itself.
+///
+/// It is shorter so that the granted leases last longer.
 pub const RELAY_RENEWAL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The divisor of a duration that gives the margin for the pace of clocks: 2.5 percent, which is
-/// enough for a slow holder and a fast granter that are each wrong by one percent.
+/// The divisor of a duration that gives the margin for clock rates: 2.5 percent, which covers a
+/// slow holder and a fast granter that are each off by one percent.
 const MARGIN_DIVISOR: u32 = 40;
 
-/// Returns a granted duration as the granter waits for it.
+/// Returns how long the granter waits for a lease of the given duration to expire.
 pub fn with_margin(duration: Duration) -> Duration {
     duration.saturating_add(duration / MARGIN_DIVISOR)
 }
 
-/// Identifies one request for a lease.
+/// Identifies one lease request.
 #[data(copy, ord, hash)]
 pub struct Nonce {
-    /// Drawn at each start of the process.
+    /// A random number drawn at each start of the process.
     pub boot: u64,
-    /// Counts the requests of one start.
+    /// The number of the request within one process lifetime.
     pub count: u32,
 }
 
-/// Holds what an instance was granted.
+/// Tracks the lease requests that an instance sent and the grants it received.
 #[derive(Clone, Debug, Default)]
 pub struct Lease {
     sent: VecDeque<SentRequest>,
@@ -47,7 +49,7 @@
 }
 
 impl Lease {
-    /// Notes that a request for the lease is sent.
+    /// Records that a lease request is sent.
     pub fn record_request(&mut self, now: Duration, nonce: Nonce) {
         self.sent.push_back(SentRequest { nonce, sent_at: now });
         while self.sent.len() > MAX_SENT_REQUESTS {
@@ -55,10 +57,10 @@
         }
     }
 
-    /// Takes a grant; says whether it answers a request that was sent.
+    /// Accepts a grant; returns whether it answers a request that was sent.
     ///
     /// The lease counts only once the holder has applied the granted revision, which is the newest
-    /// that the granter knew to be confirmed.
+    /// one that the granter knew to be committed.
     pub fn accept_grant(
         &mut self,
         now: Duration,
@@ -76,7 +78,7 @@
         true
     }
 
-    /// Returns when the lease runs out for a holder that has applied the given revision.
+    /// Returns when the lease expires for a holder that has applied the given revision.
     pub fn expiry(&self, applied: Revision) -> Option<Duration> {
         let applicable = self.grants.iter().filter(|grant| grant.revision <= applied);
         applicable.map(|grant| grant.until).max()
@@ -89,15 +91,15 @@
     sent_at: Duration,
 }
 
-/// Holds one grant: its holder has the revision, or stops at the given time.
+/// Holds one grant: the holder has applied the revision, or stops working at the given time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Grant {
     pub(crate) revision: Revision,
     pub(crate) until: Duration,
 }
 
-/// Bounds the requests whose answers are still taken.
+/// Maximum number of requests whose answers are still accepted.
 const MAX_SENT_REQUESTS: usize = 32;
 
-/// Bounds the grants kept; dropping one only shortens the lease.
+/// Maximum number of grants kept; dropping one only shortens the lease.
 const MAX_GRANTS: usize = 32;
--- a/crates/verbenaslip-state/src/lib.rs
+++ b/crates/verbenaslip-state/src/lib.rs
@@ -1,17 +1,17 @@
-//! What the replicated log holds: table, claims, orders, audit trail, and how others follow it.
+//! The replicated state: table, claims, orders and audit trail, and how other instances follow it.
 //!
-//! The log hands every committed [`command::Command`] with its position to [`state::State`], which
-//! is the same on every voter: [`history`] keeps the table and who edited it, [`claim`] grants each
-//! non-idempotent request to one attempt, [`order`] numbers what upstreams are told, and [`audit`]
-//! notes who did what. [`snapshot`] writes the whole state as bytes and reads it back.
+//! The log passes every committed [`command::Command`] with its position to [`state::State`], which
+//! is the same on every voter: [`history`] keeps the table and its authors, [`claim`] grants each
+//! non-idempotent request to one attempt, [`order`] numbers the orders to upstreams, and [`audit`]
+//! records who requested what. [`snapshot`] encodes the whole state as bytes and decodes it.
 //!
 //! Instances without the log follow the table through [`watch::Hub`]: it fetches a snapshot and the
-//! changes after it, passes both on to other instances, and holds the table [`lease`] without which
-//! an instance takes no work. [`force`] tells the leader whether a revision is in force everywhere.
-//! [`order::Dispatcher`] is the leader's side of orders: it gives them to upstreams only where no
-//! older leader's order can arrive after them.
+//! changes after it, forwards both to other instances, and holds the table [`lease`] without which
+//! an instance accepts no work. [`propagation`] tells the leader whether a revision is in force on
+//! all instances. [`order::Dispatcher`] is the leader's side of orders: it sends them to upstreams
+//! only where no order of an older leader can arrive after them.
 //!
-//! Nothing here does input or output, reads a clock or draws a random number.
+//! Nothing in this crate does I/O, reads a clock or generates random numbers.
 
 pub mod audit;
 pub mod claim;
--- a/crates/verbenaslip-state/src/order.rs
+++ b/crates/verbenaslip-state/src/order.rs
@@ -1,4 +1,4 @@
-//! Orders to upstreams: what is ordered, its number, and what became of it.
+//! Orders to upstreams: their content, fence number and result.
 
 pub mod dispatcher;
 mod registry;
@@ -12,21 +12,21 @@
 pub use dispatcher::{Dispatcher, Input, Output};
 pub(crate) use registry::Registry;
 
-/// The longest time for which an order may be carried out, in milliseconds.
+/// The maximum time during which an order may be carried out, in milliseconds.
 pub const MAX_LIFETIME_MS: u64 = 10_000;
 
-/// Orders an upstream to change; its fencing number is its position in the log.
+/// Orders an upstream to change; the order's fence number is its position in the log.
 #[data]
 pub struct Order {
-    /// Who wants it.
+    /// The operator that requested the order.
     pub by: Operator,
-    /// Which upstream.
+    /// The upstream that receives the order.
     pub upstream: Upstream,
-    /// What it shall do.
+    /// The task to carry out.
     pub task: Task,
     /// How long the order may be carried out, in milliseconds, at most [`MAX_LIFETIME_MS`].
     pub lifetime: u64,
-    /// When it was proposed, in Unix milliseconds.
+    /// The time at which the order was proposed, in Unix milliseconds.
     pub at: u64,
 }
 
@@ -37,19 +37,19 @@
     }
 }
 
-/// Says what an upstream shall do.
+/// Describes the task of an upstream.
 #[data(ord, hash)]
 pub enum Task {
     /// Loads a model, adapter or version.
     Load(Model),
-    /// Gives up a model, adapter or version.
+    /// Unloads a model, adapter or version.
     Unload(Model),
-    /// Changes what part of the work it does.
+    /// Changes the upstream's role.
     Role(Role),
 }
 
 impl Task {
-    /// Returns the model that it is about.
+    /// Returns the model that the task loads or unloads.
     pub fn model(&self) -> Option<&Model> {
         match self {
             Self::Load(model) | Self::Unload(model) => Some(model),
@@ -68,14 +68,14 @@
     }
 }
 
-/// Names the part of the work that a model engine does.
+/// Names the phases of inference that a model engine runs.
 #[data(copy, ord, hash, default)]
 pub enum Role {
-    /// Computes prompts only.
+    /// Runs prefill only.
     Prefill,
-    /// Generates answers only.
+    /// Runs decoding only.
     Decode,
-    /// Does both.
+    /// Runs prefill and decoding.
     #[default]
     Both,
 }
@@ -90,31 +90,31 @@
     }
 }
 
-/// Tells what became of an order.
+/// Reports the result of an order.
 #[data]
 pub struct OrderEnd {
-    /// The leader that tells.
+    /// The leader that reports the result.
     pub by: Instance,
-    /// The order's fencing number.
+    /// The order's fence number.
     pub fence: Fence,
-    /// The upstream.
+    /// The upstream that received the order.
     pub upstream: Upstream,
-    /// What became of it.
+    /// The result.
     pub result: Result,
-    /// When it was proposed, in Unix milliseconds.
+    /// The time at which the report was proposed, in Unix milliseconds.
     pub at: u64,
 }
 
-/// Says what became of an order.
+/// Describes the result of an order.
 #[data(copy, ord, hash)]
 pub enum Result {
-    /// The upstream carried it out.
+    /// The upstream carried the order out.
     Applied,
-    /// The upstream holds a higher number.
+    /// The upstream has a higher fence number.
     Superseded(Fence),
-    /// It was too old when it arrived, or was never sent in time.
+    /// The order had expired when it arrived, or was never sent in time.
     Expired,
-    /// The upstream said that it can't.
+    /// The upstream refused the order.
     Refused,
     /// The upstream is gone, or its state shows that the order was not carried out.
     Lost,
@@ -132,18 +132,18 @@
     }
 }
 
-/// Answers an order in the log.
+/// Answers the proposal of an order.
 #[data]
 pub enum Verdict {
-    /// The order has this number and may be given.
+    /// The order has this fence number and may be sent.
     Numbered(Fence),
     /// Another order to the upstream has not ended.
     Busy(Fence),
-    /// The very same order was numbered so and has ended.
+    /// The same order got this fence number before and has ended.
     Repeated(Fence),
     /// The lifetime is zero or too long.
     Lifetime,
-    /// Orders to too many upstreams have not ended.
+    /// The maximum number of orders that have not ended is reached.
     Full,
 }
 
@@ -164,8 +164,8 @@
 /// Holds an order that has not ended.
 #[data]
 pub struct Pending {
-    /// Its number.
+    /// The order's fence number.
     pub fence: Fence,
-    /// What was ordered.
+    /// The order.
     pub order: Order,
 }
--- a/crates/verbenaslip-state/src/order/dispatcher.rs
+++ b/crates/verbenaslip-state/src/order/dispatcher.rs
@@ -1,9 +1,10 @@
 //! The leader's side of orders to upstreams.
 //!
-//! An order is proposed_at to the log, numbered by its position there, and sent_at to the upstream under
-//! the leader's lease. An upstream that checks numbers refuses what an older leader sends late. One
-//! that does not check would obey target, so there a new leader waits until nothing that an older one
-//! sent can still arrive, reads the upstream's state back and only then gives its first order.
+//! An order is proposed to the log, numbered by its log position, and sent to the upstream under
+//! the leader's lease. An upstream that checks fence numbers refuses delayed orders of an older
+//! leader. An upstream that does not check them would carry such an order out. For these, a new
+//! leader waits until no order of an older leader can still arrive, then reads the upstream's state
+//! back, and only then sends its first order.
 
 mod message;
 mod target;
@@ -22,21 +23,21 @@
     Answer, End, Ending, Event, Input, Leadership, OrderDelivery, Output, Report, UpstreamState,
 };
 
-/// Gives orders to upstreams while this instance leads.
+/// Sends orders to upstreams while this instance leads.
 #[derive(Clone, Debug)]
 pub struct Dispatcher {
-    /// The longest lease that a leader before this one may have held.
+    /// The longest lease that an earlier leader may have held.
     max_lease: Duration,
     term: u64,
     leads_until: Duration,
-    /// When nothing of an older leader can arrive any more.
+    /// The time from which no order of an older leader can arrive.
     old_orders_end: Duration,
     questions: u64,
     targets: BTreeMap<Upstream, Target>,
 }
 
 impl Dispatcher {
-    /// Starts without leading; takes the longest lease that a leader may hold.
+    /// Creates a dispatcher that does not lead; `max_lease` is the longest lease of any leader.
     pub fn new(max_lease: Duration) -> Self {
         Self {
             max_lease,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Takes what happened and adds what is to be done.
+    /// Handles an input and appends the resulting outputs.
     pub fn step(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Tick => {}
@@ -80,8 +81,8 @@
         if lead.term > self.term {
             self.start_term(now, lead.term);
         }
-        // Also in mid-term: the answer to a proposal may be lost, and an order that the log has
-        // numbered and nobody gives or ends would keep its upstream from all others.
+        // This also matters within a term: if the answer to a proposal is lost, the numbered order
+        // would neither be sent nor ended and would block its upstream.
         for pending in lead.pending {
             self.handle_committed(now, pending);
         }
@@ -100,12 +101,13 @@
         }
     }
 
-    /// Takes over an order that an older leader left without an end.
+    /// Takes over an order that an older leader did not end.
     fn inherit(&mut self, pending: Pending) {
         let upstream = pending.order.upstream.clone();
         let unknown = || Target { announced: false, ..Target::new(false) };
         let target = self.targets.entry(upstream).or_insert_with(unknown);
-        // Its answer may have been lost with that leader, so the upstream's state has to tell.
+        // The answer may have been lost with that leader, so the result is derived from the
+        // upstream's state.
         target.current = Some(CurrentOrder::inherited(pending));
         target.state_known = false;
     }
@@ -115,7 +117,8 @@
         if target.fenced && !fenced {
             target.state_known = false;
             if target.announced {
-                // While it checked, it was sent several copies of an order; some may yet arrive.
+                // Several copies of an order were sent while the upstream checked numbers, and some
+                // of them may still arrive.
                 target.transit_end = now.saturating_add(MAX_TRANSIT);
             }
         }
@@ -123,8 +126,8 @@
         target.fenced = fenced;
     }
 
-    /// Remembers an upstream that is gone for as long as what was sent to it may arrive, since it may
-    /// come back before.
+    /// Keeps an upstream that is gone for as long as orders sent to it may arrive, since it may
+    /// come back earlier.
     fn handle_gone(&mut self, now: Duration, upstream: &Upstream) {
         let Some(target) = self.targets.get_mut(upstream) else { return };
         target.announced = false;
@@ -189,7 +192,7 @@
         }
         current.result = match answer {
             Answer::Applied => Some(Result::Applied),
-            // The first answer was lost and the order was sent again.
+            // The first answer was lost and the order was resent.
             Answer::Held(held) if held == fence => Some(Result::Applied),
             Answer::Held(held) if held > fence => Some(Result::Superseded(held)),
             Answer::Held(_) | Answer::Refused => Some(Result::Refused),
@@ -200,7 +203,7 @@
 
     fn handle_read_back(&mut self, upstream: &Upstream, question: u64, holding: &UpstreamState) {
         let Some(target) = self.targets.get_mut(upstream) else { return };
-        // An answer to an earlier question may be older than what has been ordered since.
+        // An answer to an earlier question may predate the orders sent since.
         if target.read_back.take_if(|read_back| read_back.question == question).is_none() {
             return;
         }
@@ -216,13 +219,13 @@
         current.result.get_or_insert(shown);
     }
 
-    /// Does for every upstream what is due, as long as this instance leads.
+    /// Advances every upstream if this instance leads.
     fn advance(&mut self, now: Duration, out: &mut Vec<Output>) {
         self.targets.retain(|_, target| {
             target.announced || target.current.is_some() || now < target.transit_end
         });
-        // A leader whose lease has run out may be an old one that does not know it; whatever it
-        // sent now could overtake the new leader's orders.
+        // A leader whose lease has expired may already be replaced; whatever it sent now could
+        // overtake the new leader's orders.
         if now >= self.leads_until {
             return;
         }
--- a/crates/verbenaslip-state/src/order/dispatcher/message.rs
+++ b/crates/verbenaslip-state/src/order/dispatcher/message.rs
@@ -1,4 +1,4 @@
-//! What goes into the dispatcher and what comes out.
+//! Inputs and outputs of the dispatcher.
 
 use std::time::Duration;
 
@@ -8,96 +8,96 @@
 
 use crate::order::{Order, Pending, Result, Role, Task};
 
-/// Tells the dispatcher what happened.
+/// Describes an input of the dispatcher.
 #[data]
 pub enum Input {
-    /// Time passes; due at least every 200 ms.
+    /// Time has passed; required at least every 200 ms.
     Tick,
     /// This instance leads.
     Lead(Leadership),
-    /// This instance leads no longer.
+    /// This instance no longer leads.
     Resign,
-    /// An upstream announced itself, and says whether it checks fencing numbers.
+    /// An upstream announced itself and whether it checks fence numbers.
     Upstream {
         /// The upstream.
         upstream: Upstream,
-        /// Whether it refuses an order with an old number; silence means no.
+        /// Whether the upstream refuses orders with old fence numbers; `false` if it does not say.
         fenced: bool,
     },
     /// An upstream is gone.
     Gone(Upstream),
-    /// An order is wanted; it replaces one for the same upstream that is not proposed yet.
+    /// An order is requested; it replaces a request for the same upstream that is not proposed yet.
     Want(Order),
     /// The log numbered an order.
     Committed(Pending),
-    /// The log refused an order to the upstream, or the proposal came to nothing.
+    /// The log refused an order to the upstream, or the proposal failed.
     Denied(Upstream),
-    /// The log holds that an order has ended.
+    /// The log recorded the end of an order.
     Ended {
         /// The upstream.
         upstream: Upstream,
-        /// The order's number.
+        /// The order's fence number.
         fence: Fence,
     },
-    /// The upstream answered an order, or did not.
+    /// The upstream answered an order, or the answer did not arrive.
     Answer {
         /// The upstream.
         upstream: Upstream,
-        /// The number that was given.
+        /// The fence number that was sent.
         fence: Fence,
         /// The answer.
         answer: Answer,
     },
-    /// The upstream told its state.
+    /// The upstream reported its state.
     Read {
         /// The upstream.
         upstream: Upstream,
-        /// The question that it answers.
+        /// The number of the question that the report answers.
         question: u64,
-        /// The state.
+        /// The reported state.
         holding: UpstreamState,
     },
 }
 
-/// Says how long this instance leads.
+/// Describes the leadership of this instance.
 #[data]
 pub struct Leadership {
-    /// The term; a greater one than before starts anew.
+    /// The term; a higher term than before starts a new leadership.
     pub term: u64,
-    /// When the leader's lease runs out, before which no other instance can lead.
+    /// The end of the leader's lease; no other instance can lead earlier.
     pub until: Duration,
-    /// The orders that have not ended, as the state has them now.
+    /// The orders that have not ended according to the replicated state.
     pub pending: Vec<Pending>,
 }
 
-/// Says what an upstream answered to an order.
+/// Describes an upstream's answer to an order.
 #[data(copy)]
 pub enum Answer {
-    /// It is carried out.
+    /// The order is carried out.
     Applied,
-    /// The upstream holds the given number, which is not lower (status 409).
+    /// The upstream has the given fence number, which is equal or higher (status 409).
     Held(Fence),
-    /// The order was too old when it came (status 410).
+    /// The order had expired when it arrived (status 410).
     Expired,
-    /// The upstream said that it can't.
+    /// The upstream refused the order.
     Refused,
-    /// No answer came, so the order may be carried out, now or later.
+    /// No answer arrived, so the order may be carried out now or later.
     Unknown,
 }
 
-/// Holds an upstream's state as far as orders change it.
+/// Holds the part of an upstream's state that orders change.
 #[data(default)]
 pub struct UpstreamState {
-    /// The number of the last order that it carried out, if it keeps numbers.
+    /// The fence number of the last order carried out, if the upstream stores it.
     pub fence: Option<Fence>,
-    /// The models that it has loaded.
+    /// The loaded models.
     pub models: Vec<Model>,
-    /// Its role.
+    /// The upstream's role.
     pub role: Role,
 }
 
 impl UpstreamState {
-    /// Says whether the state is as after an order.
+    /// Returns whether the state is as expected after the task was carried out.
     pub(super) fn reflects(&self, task: &Task) -> bool {
         match task {
             Task::Load(model) => self.models.contains(model),
@@ -107,83 +107,83 @@
     }
 }
 
-/// Asks for something to be done.
+/// Describes an output of the dispatcher.
 #[data]
 pub enum Output {
     /// Proposes an order to the log.
     Propose(Order),
-    /// Sends an order; whatever carries it gives up and closes the connection at the expiry.
+    /// Sends an order; the transport gives up and closes the connection at the expiry.
     Give(OrderDelivery),
     /// Asks an upstream for its state.
     ReadBack {
         /// The upstream.
         upstream: Upstream,
-        /// Tells the answer from that to an earlier question.
+        /// The number that distinguishes the answer from answers to earlier questions.
         question: u64,
     },
-    /// Proposes to the log that an order has ended; comes again until the log holds it.
+    /// Proposes to the log that an order has ended; repeated until the log has recorded it.
     End(End),
-    /// Tells who wanted an order what became of the wish.
+    /// Reports the progress of a request to whoever requested the order.
     Report(Report),
 }
 
-/// Sends an order.
+/// Holds an order to be sent.
 #[data]
 pub struct OrderDelivery {
-    /// The receiver.
+    /// The upstream that receives the order.
     pub upstream: Upstream,
-    /// Its number; the same when it is sent again.
+    /// The fence number, which a resend keeps.
     pub fence: Fence,
-    /// When the order is void, on this instance's clock.
+    /// The time on this instance's clock at which the order expires.
     pub expiry: Duration,
-    /// What is ordered.
+    /// The task to carry out.
     pub task: Task,
 }
 
-/// Ends an order.
+/// Describes how an order ended.
 #[data(copy)]
 pub struct Ending {
-    /// Its number.
+    /// The order's fence number.
     pub fence: Fence,
-    /// What became of it.
+    /// The result of the order.
     pub result: Result,
 }
 
-/// Ends an order of one upstream.
+/// Holds the end of an order to one upstream.
 #[data]
 pub struct End {
     /// The upstream.
     pub upstream: Upstream,
-    /// Which order and what became of it.
+    /// The order's fence number and result.
     pub ending: Ending,
 }
 
-/// Tells what became of a wish.
+/// Reports the progress of a requested order.
 #[data]
 pub struct Report {
     /// The upstream.
     pub upstream: Upstream,
-    /// What is to be told.
+    /// What happened to the request.
     pub event: Event,
 }
 
-/// Names what can become of a wish.
+/// Describes what happened to a requested order.
 #[data(copy)]
 pub enum Event {
     /// This instance does not lead; nothing was done.
     NotLeading,
     /// The upstream has not announced itself; nothing was done.
     NotKnown,
-    /// Another wish for the upstream took its place; nothing was done.
+    /// A newer request for the upstream replaced it; nothing was done.
     Replaced,
-    /// Earlier orders must run out first.
+    /// Earlier orders must expire first.
     Waiting {
-        /// For at most so long, if the upstream then answers.
+        /// The maximum waiting time, provided that the upstream then answers.
         wait: Duration,
     },
     /// The log refused the order; nothing was done.
     Denied,
-    /// The log did not answer in time; the order may still be numbered and given.
+    /// The log did not answer in time; the order may still be numbered and sent.
     Unanswered,
     /// The order ended.
     Ended(Ending),
--- a/crates/verbenaslip-state/src/order/dispatcher/target.rs
+++ b/crates/verbenaslip-state/src/order/dispatcher/target.rs
@@ -1,4 +1,4 @@
-//! One upstream as the dispatcher knows it.
+//! The dispatcher's state of one upstream.
 
 use std::time::Duration;
 
@@ -7,30 +7,30 @@
 use super::{End, Ending, Event, OrderDelivery, Output, report};
 use crate::order::{MAX_LIFETIME_MS, Order, Pending, Result};
 
-/// How long an answer may take before the order, with the same number, or the question is repeated.
+/// How long to wait for an answer before the order (with the same number) or question is resent.
 const RESEND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a proposal may take before it counts as lost.
+/// How long to wait for the outcome of a proposal before it counts as lost.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long bytes may be on their way after the connection that carried them was closed.
+/// How long data may still be in transit after its connection was closed.
 pub(super) const CLOSE_GRACE: Duration = Duration::from_secs(1);
 
-/// How long anything that is sent to an upstream may be on its way.
+/// The maximum time in transit of anything sent to an upstream.
 pub(super) const MAX_TRANSIT: Duration =
     Duration::from_millis(MAX_LIFETIME_MS).saturating_add(CLOSE_GRACE);
 
-/// Holds what is known of one upstream.
+/// Holds the dispatcher's state of one upstream.
 #[derive(Clone, Debug)]
 pub(super) struct Target {
     pub(super) fenced: bool,
-    /// Whether it has announced itself and is not gone.
+    /// Whether the upstream has announced itself and is not gone.
     pub(super) announced: bool,
-    /// Whether its state was read back since it became necessary.
+    /// Whether the state has been read back since this last became necessary.
     pub(super) state_known: bool,
-    /// When nothing that was sent to it while it checked numbers can arrive any more.
+    /// The time from which no order sent while the upstream checked numbers can arrive.
     pub(super) transit_end: Duration,
-    /// The last question for its state that is not answered.
+    /// The last unanswered question for the upstream's state.
     pub(super) read_back: Option<Question>,
     pub(super) requested: Option<Order>,
     pub(super) proposed_at: Option<Duration>,
@@ -51,13 +51,13 @@
         }
     }
 
-    /// Gives, ends or proposes what is due.
+    /// Sends or ends the current order, or proposes the next one.
     pub(super) fn advance(&mut self, now: Duration, name: &Upstream, out: &mut Vec<Output>) {
         if let Some(current) = &mut self.current {
             out.extend(current.propose_end(now, name).map(Output::End));
-            // A copy that is still on its way when the order is answered, and the next one given,
-            // would arrive after that one; an upstream that checks no numbers would obey it. So it
-            // gets one copy only, and is asked for its state when no answer comes.
+            // If a copy of an answered order were still in transit, it could arrive after the next
+            // order, and an upstream that does not check numbers would carry it out. Such an
+            // upstream is sent one copy only, and its state is read back if no answer arrives.
             if self.fenced || current.sent_at.is_none() {
                 out.extend(current.send(now, name));
             }
@@ -70,9 +70,11 @@
         }
     }
 
-    /// Says whether the upstream's state is to be asked for: before the first order, and when an
-    /// order ran out without an answer. In both cases nothing that changes the state may still be
-    /// on its way, or the answer would soon be wrong.
+    /// Returns whether the upstream's state must be read back.
+    ///
+    /// This is so before the first order, and after an order expired without an answer. In both
+    /// cases nothing that changes the state may be in transit, or the answer would soon be
+    /// outdated.
     pub(super) fn needs_read_back(&self, now: Duration, old_orders_end: Duration) -> bool {
         let waited = |read_back: &Question| now >= read_back.at.saturating_add(RESEND_INTERVAL);
         let copies_arrived = match &self.current {
@@ -106,7 +108,7 @@
 pub(super) struct CurrentOrder {
     pub(super) pending: Pending,
     pub(super) expiry: Duration,
-    /// When none of this leader's copies of it can arrive any more.
+    /// The time from which no copy sent by this leader can arrive.
     pub(super) transit_end: Duration,
     pub(super) sent_at: Option<Duration>,
     pub(super) result: Option<Result>,
@@ -119,12 +121,12 @@
         Self { pending, expiry, transit_end, sent_at: None, result: None, end_proposed_at: None }
     }
 
-    /// Takes an order that this leader never gives.
+    /// Creates an inherited order, which this leader never sends.
     pub(super) fn inherited(pending: Pending) -> Self {
         Self { transit_end: Duration::ZERO, ..Self::new(pending, Duration::ZERO) }
     }
 
-    /// Sends the order, or sends it again with the same number.
+    /// Sends or resends the order; a resend has the same number.
     fn send(&mut self, now: Duration, upstream: &Upstream) -> Option<Output> {
         let recent = self.sent_at.is_some_and(|at| now < at.saturating_add(RESEND_INTERVAL));
         if self.result.is_some() || now >= self.expiry || recent {
@@ -139,7 +141,7 @@
         }))
     }
 
-    /// Tells the log of the end, again until the log holds it.
+    /// Proposes the end of the order, repeatedly until the log has recorded it.
     fn propose_end(&mut self, now: Duration, upstream: &Upstream) -> Option<End> {
         let result = self.result?;
         if self.end_proposed_at.is_some_and(|at| now < at.saturating_add(PROPOSAL_TIMEOUT)) {
--- a/crates/verbenaslip-state/src/order/registry.rs
+++ b/crates/verbenaslip-state/src/order/registry.rs
@@ -1,4 +1,4 @@
-//! The orders that have not ended.
+//! The orders that have not ended, and the last ended order of each upstream.
 
 use std::collections::BTreeMap;
 
@@ -9,17 +9,17 @@
 
 use super::{MAX_LIFETIME_MS, Order, OrderEnd, Pending, Verdict};
 
-/// Bounds the orders that have not ended, and the upstreams whose last order is kept.
+/// Maximum number of pending orders, and of upstreams whose last ended order is kept.
 const MAX_PENDING_ORDERS: usize = 16_384;
 
-/// Keeps at most one order for each upstream until its end is told.
+/// Keeps at most one pending order per upstream until its result is reported.
 #[data(default)]
 pub(crate) struct Registry {
     pending: BTreeMap<Upstream, Pending>,
     ended: BTreeMap<Upstream, EndedOrder>,
 }
 
-/// Tells the last order to an upstream from a copy of it.
+/// Identifies the last ended order of an upstream, to detect copies of it.
 #[data(copy)]
 struct EndedOrder {
     fence: Fence,
@@ -27,15 +27,16 @@
 }
 
 impl Registry {
-    /// Numbers an order, or refuses it.
+    /// Numbers an order or refuses it.
     ///
-    /// Only one order is in flight for an upstream, also across leaders: two that pass each other
-    /// on the way would leave an upstream that checks no numbers with the older one.
+    /// Only one order per upstream is in flight, also across leaders. If two orders overtook each
+    /// other on the network, an upstream that does not check fence numbers would end with the older
+    /// one.
     pub(crate) fn order(&mut self, fence: Fence, order: &Order) -> Verdict {
         if !(1..=MAX_LIFETIME_MS).contains(&order.lifetime) {
             return Verdict::Lifetime;
         }
-        // A leader proposes again what it got no answer for, and both copies may be committed.
+        // A leader repeats a proposal that was not answered, and both copies may be committed.
         match self.pending.get(&order.upstream) {
             Some(pending) if pending.order == *order => return Verdict::Numbered(pending.fence),
             Some(pending) => return Verdict::Busy(pending.fence),
@@ -53,7 +54,7 @@
         Verdict::Numbered(fence)
     }
 
-    /// Ends an order; says whether it was waiting for its end.
+    /// Ends an order; returns whether the order was pending.
     pub(crate) fn complete(&mut self, ordered: &OrderEnd) -> bool {
         let fence = ordered.fence;
         let found = self.pending.get(&ordered.upstream);
@@ -82,6 +83,6 @@
 }
 
 fn digest(order: &Order) -> u128 {
-    // Encoding to memory fails for no value of this type.
+    // Encoding this type to memory cannot fail.
     hash::wide(&[&postcard::to_stdvec(order).unwrap_or_default()])
 }
--- a/crates/verbenaslip-state/src/outcome.rs
+++ b/crates/verbenaslip-state/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What a command did.
+//! The outcome of a command.
 
 use std::fmt;
 
@@ -6,7 +6,7 @@
 
 use crate::{claim, history, order};
 
-/// Answers a command; the same on every voter.
+/// Describes the outcome of a command, which is the same on every voter.
 #[data]
 pub enum Outcome {
     /// Answers an edit.
@@ -17,18 +17,18 @@
     Closed(claim::CloseResult),
     /// Answers an order.
     Order(order::Verdict),
-    /// The note is in the audit trail.
+    /// The command is recorded in the audit trail.
     Noted,
-    /// The order that it tells of is not waiting for its end.
+    /// The reported order is not pending.
     Unasked,
-    /// The command was applied before; its position is not above the last one.
+    /// The command was applied before: its position is not above the last one.
     Replayed,
-    /// The command holds something too long to be kept; nothing changed.
+    /// A name in the command is too long to be stored; nothing changed.
     Overlong(Overlong),
 }
 
 impl Outcome {
-    /// Says whether the command did what it asked for, now or when it first came.
+    /// Returns whether the command achieved its purpose, now or when it was first applied.
     pub fn accepted(&self) -> bool {
         match self {
             Self::Edit(verdict) => matches!(
@@ -61,10 +61,10 @@
     }
 }
 
-/// Names what was too long to be kept.
+/// Names the field that was too long to be stored.
 #[data]
 pub struct Overlong {
-    /// What it was, such as `instance`.
+    /// The kind of field, such as `instance`.
     pub what: String,
 }
 
--- a/crates/verbenaslip-state/src/propagation.rs
+++ b/crates/verbenaslip-state/src/propagation.rs
@@ -1,4 +1,4 @@
-//! Whether a revision is in force everywhere.
+//! Tracks whether a revision is in force on all instances.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,37 +9,37 @@
 
 use crate::lease::{Grant, MAX_DURATION, with_margin};
 
-/// Answers whether a revision is in force everywhere.
+/// Describes how far a revision has come into force.
 #[data]
 pub struct Propagation {
-    /// The instances that may still serve by an older table, or that pass leases on to such.
+    /// The instances that may still serve by an older table, or grant leases to instances that do.
     pub awaited: Vec<Instance>,
-    /// The time until the leases of earlier leaders have run out; none when they have.
+    /// The time until the leases of earlier leaders have expired; `None` once they have.
     pub settling: Option<Duration>,
 }
 
 impl Propagation {
-    /// Says whether every instance that takes work has the revision.
+    /// Returns whether every instance that accepts work has the revision.
     pub fn is_complete(&self) -> bool {
         self.awaited.is_empty() && self.settling.is_none()
     }
 }
 
-/// Tells the lowest revision by which an instance, or one below it, may serve.
+/// The lowest revision by which an instance, or any instance that follows it, may serve.
 #[data]
 pub struct Floor {
     /// The instance.
     pub instance: Instance,
-    /// The revision.
+    /// The lowest revision.
     pub revision: Revision,
 }
 
-/// Keeps who holds a lease and which revision each has, at the leader and wherever leases are
-/// passed on.
+/// Tracks the lease holders and the revision of each, on the leader and on every instance that
+/// grants leases.
 ///
-/// A holder that passes leases on reports the lowest revision by which it or any holder below it may
-/// serve, its floor. Floors only rise: whoever passes a lease on names its own newest revision in
-/// it, and that lease counts only once the revision is applied.
+/// A holder that grants leases itself reports its floor: the lowest revision by which it, or any
+/// holder that follows it, may serve. Floors only rise: an instance that grants a lease names its
+/// own newest revision in it, and the lease counts only once that revision is applied.
 #[derive(Clone, Debug, Default)]
 pub struct Tracker {
     holders: BTreeMap<Holder, HolderState>,
@@ -47,22 +47,23 @@
 }
 
 impl Tracker {
-    /// Begins as the leader's: the leases that earlier leaders granted are not known.
+    /// Starts tracking as the leader, which does not know the leases granted by earlier leaders.
     ///
-    /// Without the wait, an instance that an earlier leader granted a lease, and that is cut off
-    /// since, would serve by an old table while the new leader says that the edit is in force.
+    /// Without waiting for those leases to expire, an instance that an earlier leader granted a
+    /// lease and that is now partitioned would serve by an old table while the new leader reports
+    /// the edit as in force.
     pub fn start_leading(&mut self, now: Duration) {
         self.settled_at = now.saturating_add(with_margin(MAX_DURATION));
     }
 
-    /// Notes the floor that a holder reports; an older report that comes late changes nothing.
+    /// Records the floor that a holder reports; a lower floor from a delayed report has no effect.
     pub fn record_floor(&mut self, holder: &Holder, floor: Revision) {
         if let Some(state) = self.holders.get_mut(holder) {
             state.floor = state.floor.max(floor);
         }
     }
 
-    /// Notes that a holder is granted a lease.
+    /// Records that a holder is granted a lease.
     pub fn grant(&mut self, now: Duration, holder: Holder, revision: Revision, duration: Duration) {
         self.holders.retain(|_, state| state.drop_expired(now));
         let until = now.saturating_add(with_margin(duration));
@@ -70,12 +71,12 @@
         state.add(Grant { revision, until });
     }
 
-    /// Returns the lowest revision by which any holder may serve; none when there is no holder.
+    /// Returns the lowest revision by which any holder may serve; `None` without holders.
     pub fn floor(&self, now: Duration) -> Option<Revision> {
         self.holders.values().filter_map(|state| state.floor(now)).min()
     }
 
-    /// Returns the holders of leases that have not run out, with their floors.
+    /// Returns the holders of unexpired leases with their floors.
     pub fn floors(&self, now: Duration) -> Vec<Floor> {
         let floor = |(holder, state): (&Holder, &HolderState)| {
             Some(Floor { instance: holder.instance.clone(), revision: state.floor(now)? })
@@ -83,7 +84,7 @@
         self.holders.iter().filter_map(floor).collect()
     }
 
-    /// Says whether a revision is in force everywhere, as far as this tracker's holders go.
+    /// Returns how far a revision is in force among the holders of this tracker.
     pub fn propagation(&self, now: Duration, revision: Revision) -> Propagation {
         let lagging = |state: &HolderState| state.floor(now).is_some_and(|floor| floor < revision);
         let lagging = self.holders.iter().filter(|(_, state)| lagging(state));
@@ -95,13 +96,15 @@
     }
 }
 
-/// Names one start of an instance: after a restart it has forgotten to whom it passed leases on,
-/// so the floor that it reports then says nothing of the time before.
+/// Identifies one process lifetime of an instance.
+///
+/// After a restart an instance no longer knows to whom it granted leases, so the floor that it
+/// reports does not cover the leases of the previous lifetime.
 #[data(ord, hash)]
 pub struct Holder {
     /// The instance.
     pub instance: Instance,
-    /// Drawn at each start of its process.
+    /// A random number drawn at each start of the process.
     pub boot: u64,
 }
 
@@ -112,15 +115,16 @@
 }
 
 impl HolderState {
-    /// Drops the grants that have run out; says whether any is left.
+    /// Drops expired grants; returns whether any is left.
     fn drop_expired(&mut self, now: Duration) -> bool {
         self.grants.retain(|grant| grant.until > now);
         !self.grants.is_empty()
     }
 
     fn add(&mut self, grant: Grant) {
-        // A later grant of the same revision, and the oldest where there are many, stand for both:
-        // the lower revision for the longer time waits rather too long than too short.
+        // Merges with the last grant of the same revision, or merges the two oldest if there are
+        // too many. Combining the lower revision with the later expiry waits too long rather than
+        // too short.
         if let Some(last) = self.grants.last_mut()
             && (last.revision == grant.revision)
         {
@@ -143,5 +147,5 @@
     }
 }
 
-/// Bounds the grants kept for each holder.
+/// Maximum number of grants kept per holder.
 const MAX_GRANTS_PER_HOLDER: usize = 16;
--- a/crates/verbenaslip-state/src/snapshot.rs
+++ b/crates/verbenaslip-state/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The replicated state as bytes.
+//! Encoding of the replicated state as bytes.
 
 use displaydoc::Display;
 use serde::{Deserialize, Serialize};
@@ -11,23 +11,23 @@
 use crate::order::Registry;
 use crate::state::State;
 
-/// Says why bytes are no snapshot; the state is as it was.
+/// Describes why bytes are not a valid snapshot; the current state is not affected.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Error {
-    /// snapshot of the state: it does not begin as one; check which file or peer it came from
+    /// state snapshot: wrong magic bytes; check which file or peer it came from
     Foreign,
-    /// snapshot of the state: version {0} is not known here; upgrade this instance
+    /// state snapshot: version {0} is not supported; upgrade this instance
     Version(u16),
-    /// snapshot of the state: it is damaged; fetch it again from another voter
+    /// state snapshot: it is damaged; fetch it again from another voter
     Damaged,
-    /// snapshot of the state: its parts contradict each other; fetch it again from another voter
+    /// state snapshot: its parts contradict each other; fetch it again from another voter
     Inconsistent,
 }
 
 impl std::error::Error for Error {}
 
 impl State {
-    /// Writes the whole state.
+    /// Returns the encoded state.
     pub fn snapshot(&self) -> Vec<u8> {
         let encoded = Encoded {
             position: self.position,
@@ -38,7 +38,7 @@
             orders: &self.orders,
             trail: &self.trail,
         };
-        // Encoding to memory fails for no value of these types.
+        // Encoding these types to memory cannot fail.
         let body = postcard::to_stdvec(&encoded).unwrap_or_default();
         let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
         bytes.extend_from_slice(MAGIC);
@@ -48,11 +48,11 @@
         bytes
     }
 
-    /// Reads a state that [`snapshot`](Self::snapshot) wrote.
+    /// Decodes a state that [`snapshot`](Self::snapshot) encoded.
     ///
     /// # Errors
     ///
-    /// Returns why the bytes can't be trusted; nothing of them is used then.
+    /// Returns an error if the bytes are not a valid snapshot; none of them is used then.
     pub fn restore(bytes: &[u8]) -> Result<Self, Error> {
         let rest = bytes.strip_prefix(MAGIC).ok_or(Error::Foreign)?;
         let (version, rest) = rest.split_first_chunk().ok_or(Error::Damaged)?;
@@ -73,7 +73,7 @@
     }
 }
 
-/// Holds the parts of a state that are written.
+/// Holds the parts of a state to be encoded.
 #[derive(Serialize)]
 struct Encoded<'a> {
     position: Fence,
@@ -85,7 +85,7 @@
     trail: &'a Trail,
 }
 
-/// Holds the parts of a state as they are read.
+/// Holds the decoded parts of a state before they are checked.
 #[derive(Deserialize)]
 struct Decoded {
     position: Fence,
@@ -118,11 +118,11 @@
     }
 }
 
-/// Marks a snapshot of this state.
+/// The bytes at the start of every snapshot.
 const MAGIC: &[u8] = b"VSTA";
 
-/// Counts the formats; a reader refuses all but its own.
+/// The version of the format; a reader refuses every other version.
 const VERSION: u16 = 1;
 
-/// The length of mark, version and checksum, in bytes.
+/// The length of magic bytes, version and checksum, in bytes.
 const HEADER_BYTES: usize = 4 + 2 + 8;
--- a/crates/verbenaslip-state/src/state.rs
+++ b/crates/verbenaslip-state/src/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state as a whole.
+//! The replicated state.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use crate::order::{Pending, Registry};
 use crate::outcome::{Outcome, Overlong};
 
-/// Holds what every voter agrees on; the same commands in the same order make the same state.
+/// Holds the replicated state; the same commands in the same order produce the same state.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct State {
     pub(crate) position: Fence,
@@ -24,15 +24,15 @@
 }
 
 impl State {
-    /// Starts empty, with the given bounds on claims; all voters need the same.
+    /// Creates an empty state with the given bounds on claims, which must be equal on all voters.
     pub fn new(limit: Limits) -> Self {
         Self { claims: Store::restore(limit, Vec::new()), ..Self::default() }
     }
 
     /// Applies one committed command.
     ///
-    /// Positions rise; a command at or below the last position was applied before and does nothing.
-    /// Every other command leaves an entry in the audit trail, but those too long to be kept.
+    /// Positions increase; a command at or below the last position was applied before and has no
+    /// effect. Every other command is recorded in the audit trail, except overlong ones.
     pub fn apply(&mut self, position: Fence, command: &Command) -> Outcome {
         if position.index <= self.position.index || position < self.position {
             return Outcome::Replayed;
@@ -41,7 +41,8 @@
         if let Some(what) = command.overlong_field() {
             return Outcome::Overlong(Overlong { what: what.to_owned() });
         }
-        // The clock never falls: a slow instance's command must not make an expired key new again.
+        // The clock never goes backward, or a slow instance's command could make an expired key
+        // valid.
         self.clock = self.clock.max(command.proposed_at_ms());
         self.claims.drop_expired(self.clock);
         let outcome = self.decide(position, command);
@@ -49,12 +50,12 @@
         outcome
     }
 
-    /// Returns the position of the last command applied.
+    /// Returns the position of the last applied command.
     pub fn position(&self) -> Fence {
         self.position
     }
 
-    /// Returns the greatest time of any command, in Unix milliseconds.
+    /// Returns the latest time of any command, in Unix milliseconds.
     pub fn clock(&self) -> u64 {
         self.clock
     }
@@ -69,22 +70,22 @@
         self.history.table()
     }
 
-    /// Returns the accepted edits still kept, oldest first.
+    /// Returns the accepted edits that are still kept, oldest first.
     pub fn history(&self) -> impl Iterator<Item = &history::Entry> {
         self.history.entries()
     }
 
-    /// Returns how many claims are kept.
+    /// Returns the number of stored claims.
     pub fn claims(&self) -> usize {
         self.claims.len()
     }
 
-    /// Returns the orders that have not ended, by upstream.
+    /// Returns the orders that have not ended, sorted by upstream.
     pub fn orders(&self) -> impl Iterator<Item = &Pending> {
         self.orders.pending()
     }
 
-    /// Returns entries of the audit trail from a number on, at most so many.
+    /// Returns at most `limit` entries of the audit trail, starting at the given number.
     pub fn audit(&self, since: u64, limit: usize) -> Page {
         self.trail.page(since, limit)
     }
--- a/crates/verbenaslip-state/src/watch.rs
+++ b/crates/verbenaslip-state/src/watch.rs
@@ -1,12 +1,12 @@
-//! How the table reaches every instance and how leases pass along the same ways.
+//! Distribution of the table and of leases to every instance.
 //!
-//! The voters have the table from the log. Every other instance asks a [`publisher`] for a lease
-//! once a second and receives, with it, the changes that it lacks: it is the [`follower`]'s job to
-//! choose the publisher, fetch a snapshot where changes no longer reach, and apply the rest in
-//! order. An instance that holds a lease publishes too, to a fixed number of others, so that the
-//! leader and the voters serve a few instances however many there are: a tree grows, whose inner
-//! instances pass on the rest of their own lease. [`window`] holds the table with the newest
-//! changes, and [`hub`] puts the parts of one instance together.
+//! The voters have the table from the log. Every other instance requests a lease from a
+//! [`publisher`] once a second and receives, with the grant, the changes that it lacks. Its
+//! [`follower`] chooses the publisher, fetches a snapshot if the changes no longer reach back far
+//! enough, and applies the changes in order. An instance that holds a lease also publishes, to a
+//! bounded number of followers, so the leader and the voters serve only a few instances directly.
+//! The instances form a tree whose inner nodes grant what remains of their own lease. [`window`]
+//! holds the table and its newest changes, and [`hub`] combines the parts of one instance.
 
 pub mod follower;
 pub mod hub;
--- a/crates/verbenaslip-state/src/watch/follower.rs
+++ b/crates/verbenaslip-state/src/watch/follower.rs
@@ -1,4 +1,4 @@
-//! The side that follows a publisher and holds the lease.
+//! The following side, which receives the table and holds the lease.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,31 +15,33 @@
 use super::window::StepResult;
 use crate::lease::{Lease, Nonce, RELAY_RENEWAL_INTERVAL, RENEWAL_INTERVAL};
 
-/// How long a publisher may leave a request unanswered before it is asked again.
+/// How long to wait for an answer before the request is resent.
 const RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How long a publisher may be silent before another is chosen.
+/// How long a publisher may be silent before another one is chosen.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// How long a publisher that was silent is not chosen again.
+/// How long a publisher is avoided after it was silent.
 const AVOID_AFTER_SILENCE: Duration = Duration::from_secs(5);
 
-/// How long a publisher that refused is not chosen again.
+/// How long a publisher is avoided after it refused.
 const AVOID_AFTER_REFUSAL: Duration = Duration::from_secs(1);
 
-/// The pause before the next publisher is asked, to which up to as much again is added by hash.
+/// The minimum pause before the next publisher is asked.
+///
+/// Jitter, hashed from the instance name and the request count, adds up to the same time again.
 const BASE_PAUSE: Duration = Duration::from_millis(50);
 
-/// How often the pause doubles while no publisher grants.
+/// Maximum number of times that the pause doubles while no publisher grants a lease.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// How often in a row a publisher without a lease is asked again before another is chosen.
+/// How often in a row a publisher without a lease is asked again before another one is chosen.
 const MAX_LEASELESS_RETRIES: u32 = 2;
 
-/// The least time between two reports of applied revisions.
+/// The minimum time between two reports of applied revisions.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Follows one publisher at a time, and holds the lease that it grants.
+/// Follows one publisher at a time and holds the lease that it grants.
 #[derive(Clone, Debug)]
 pub struct Follower {
     me: Instance,
@@ -54,7 +56,7 @@
     path: Vec<Instance>,
     lease: Lease,
     fetch: Option<SnapshotFetch>,
-    /// How often in a row a publisher was left before it granted.
+    /// The number of publishers left in a row without a grant.
     leave_count: u32,
     resume_at: Duration,
 }
@@ -79,17 +81,17 @@
         }
     }
 
-    /// Returns when the lease runs out for the revision in use.
+    /// Returns when the lease expires if the given revision is in use.
     pub(crate) fn lease_expiry(&self, applied: Revision) -> Option<Duration> {
         self.lease.expiry(applied)
     }
 
-    /// Returns the instances through which the lease came.
+    /// Returns the instances through which the lease was granted.
     pub(crate) fn path(&self) -> &[Instance] {
         &self.path
     }
 
-    /// Returns whom this instance follows.
+    /// Returns the followed publisher.
     pub(crate) fn publisher(&self) -> Option<&Instance> {
         self.publisher.as_ref().map(|publisher| &publisher.name)
     }
@@ -98,7 +100,7 @@
         self.peers = peers;
     }
 
-    /// Learns who leads, and asks that one at once, however long nobody could grant.
+    /// Updates the leader; a new leader is asked at once, without any remaining pause.
     pub(crate) fn set_leader(&mut self, leader: Option<Instance>) {
         if leader.is_some() && leader != self.leader {
             self.leave_count = 0;
@@ -108,13 +110,13 @@
         self.leader = leader;
     }
 
-    /// Stops following, because this instance leads.
+    /// Stops following, since this instance leads.
     pub(crate) fn stop(&mut self) {
         self.publisher = None;
         self.fetch = None;
     }
 
-    /// Sends what is due.
+    /// Sends the requests that are due.
     pub(crate) fn tick(&mut self, now: Duration, report: FollowerReport, out: &mut Vec<Output>) {
         self.avoided_until.retain(|_, until| *until > now);
         if let Some(publisher) = &self.publisher
@@ -140,7 +142,7 @@
         self.fetch_again(now, out);
     }
 
-    /// Takes a grant.
+    /// Handles a granted lease.
     pub(crate) fn handle_granted(&mut self, now: Duration, from: &Instance, granted: Granted) {
         let duration = Duration::from_millis(granted.duration_ms.into());
         if !self.lease.accept_grant(now, granted.nonce, granted.revision, duration) {
@@ -157,7 +159,7 @@
         }
     }
 
-    /// Leaves a publisher that refuses, for one of those that it names.
+    /// Leaves a publisher that refuses, preferring the instances that it names.
     pub(crate) fn handle_refusal(&mut self, now: Duration, from: &Instance, refusal: Refusal) {
         let Some(publisher) = &self.publisher else { return };
         let is_current =
@@ -166,18 +168,18 @@
             return;
         }
         if !refusal.others.is_empty() {
-            // Leases are to be had, so there is no need to wait longer and longer.
+            // Other instances can grant leases, so the pause need not grow.
             self.leave_count = 0;
         }
-        // One that has just started, in the own availability zone, will have a lease in a moment;
-        // whoever goes elsewhere at once stays there.
+        // A publisher in the same availability zone that has just started will soon have a lease. A
+        // follower that left for another zone at once would stay there.
         let retry_same = refusal.others.is_empty() && self.leave_count < MAX_LEASELESS_RETRIES;
         self.leave(now, if retry_same { Duration::ZERO } else { AVOID_AFTER_REFUSAL });
         self.suggested = refusal.others;
         self.suggested.truncate(super::publisher::MAX_FOLLOWERS);
     }
 
-    /// Does what is needed after changes that could not be applied.
+    /// Handles changes that could not be applied.
     pub(crate) fn handle_unapplied(
         &mut self,
         now: Duration,
@@ -190,7 +192,7 @@
             StepResult::Applied | StepResult::Known => {}
             StepResult::Gap => publisher.report_soon = true,
             StepResult::Mismatch if self.fetch.is_none() => {
-                // No snapshot has such a part, so the publisher answers with an offer.
+                // No snapshot has this part, so the publisher answers with an offer.
                 let wanted = Offer { revision: applied.next(), bytes: 0, digest: 0 };
                 let fetch = SnapshotFetch {
                     next: u32::MAX,
@@ -204,7 +206,7 @@
         }
     }
 
-    /// Begins to fetch an offered snapshot.
+    /// Starts fetching an offered snapshot.
     pub(crate) fn handle_offer(
         &mut self,
         now: Duration,
@@ -223,7 +225,7 @@
         self.fetch = Some(SnapshotFetch { requested_at: now, ..fetch });
     }
 
-    /// Takes the next part of a snapshot; returns the table when it is whole.
+    /// Handles a part of a snapshot; returns the table once the snapshot is complete.
     pub(crate) fn handle_part(
         &mut self,
         now: Duration,
@@ -249,7 +251,7 @@
         fetch.decode()
     }
 
-    /// Asks for the lease.
+    /// Requests the lease.
     fn ask(&mut self, now: Duration, report: FollowerReport, out: &mut Vec<Output>) {
         self.count = self.count.wrapping_add(1);
         let nonce = Nonce { boot: self.boot, count: self.count };
@@ -263,7 +265,7 @@
         out.push(Output::Send { to: publisher.name.clone(), message: Message::Renew(renew) });
     }
 
-    /// Asks again for a part that did not come.
+    /// Requests a part again that did not arrive.
     fn fetch_again(&mut self, now: Duration, out: &mut Vec<Output>) {
         let (Some(fetch), Some(publisher)) = (&mut self.fetch, &self.publisher) else { return };
         if now >= fetch.requested_at.saturating_add(RETRY_INTERVAL) {
@@ -276,8 +278,8 @@
         let Some(publisher) = self.publisher.take() else { return };
         self.fetch = None;
         self.avoided_until.insert(publisher.name, now.saturating_add(avoid_for));
-        // Followers of a lost publisher would otherwise all ask the next one in the same instant,
-        // and while the quorum is away nobody has a lease to pass on, however often one asks.
+        // Otherwise all followers of a lost publisher would ask the next one at the same moment.
+        // While there is no quorum, no instance has a lease to grant, however often it is asked.
         let pause = BASE_PAUSE * (1 << self.leave_count.min(MAX_DOUBLINGS));
         self.leave_count = self.leave_count.saturating_add(1);
         let parts = [self.me.as_str().as_bytes(), &self.count.to_le_bytes()];
@@ -286,8 +288,9 @@
         self.resume_at = now.saturating_add(pause).saturating_add(jitter);
     }
 
-    /// Chooses whom to ask next: first those that a full publisher named, then voters, then any;
-    /// of each the own availability zone first. A voter asks the leader first.
+    /// Chooses the next publisher to ask: first the instances that a full publisher named, then
+    /// voters, then any other; within each group, the same availability zone first. A voter asks
+    /// the leader first.
     fn choose(&self) -> Option<Instance> {
         let voter = self.peers.iter().any(|peer| peer.voter && peer.instance == self.me);
         let rank = |peer: &&Peer| {
@@ -305,28 +308,28 @@
     }
 }
 
-/// Says what a follower has to report.
+/// Holds the state that a follower reports.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FollowerReport {
     pub(crate) applied: Revision,
     pub(crate) floor: Revision,
-    /// Whether others follow this instance.
+    /// Whether other instances follow this one.
     pub(crate) has_followers: bool,
 }
 
-/// Holds the table of a snapshot that was fetched.
+/// Holds the decoded table of a fetched snapshot.
 pub(crate) struct Snapshot {
     pub(crate) revision: Revision,
     pub(crate) table: Table,
 }
 
-/// Holds the state of the conversation with the publisher.
+/// Holds the state of the exchange with the followed publisher.
 #[derive(Clone, Debug)]
 struct FollowedPublisher {
     name: Instance,
-    /// When the oldest request was sent that is not answered.
+    /// The time at which the oldest unanswered request was sent.
     unanswered_since: Option<Duration>,
-    /// The count of the first request.
+    /// The count of the first request to this publisher.
     first_count: u32,
     last: Option<Duration>,
     reported: Revision,
@@ -346,7 +349,7 @@
     }
 }
 
-/// Gathers the parts of a snapshot in order.
+/// Collects the parts of a snapshot in order.
 #[derive(Clone, Debug)]
 struct SnapshotFetch {
     offer: Offer,
@@ -365,7 +368,7 @@
         Output::Send { to, message: Message::Fetch(fetch) }
     }
 
-    /// Takes the part that is due; says whether it was.
+    /// Accepts a part if it is the next one; returns whether it was.
     fn take(&mut self, now: Duration, part: &Part) -> bool {
         let expected = part.revision == self.offer.revision && part.part == self.next;
         let remaining = (self.offer.bytes as usize).saturating_sub(self.bytes.len());
@@ -385,7 +388,7 @@
         self.bytes.len() >= self.offer.bytes as usize
     }
 
-    /// Reads the table, if the bytes are those that were offered.
+    /// Decodes the table if the bytes match the offered digest.
     fn decode(self) -> Option<Snapshot> {
         if hash::wide(&[&self.bytes]) != self.offer.digest {
             return None;
--- a/crates/verbenaslip-state/src/watch/hub.rs
+++ b/crates/verbenaslip-state/src/watch/hub.rs
@@ -1,4 +1,4 @@
-//! The parts of one instance that follow, hold and publish the table.
+//! Combines the parts of one instance that follow, hold and publish the table.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,30 +13,30 @@
 use super::window::StepResult;
 use crate::propagation::{Floor, Propagation};
 
-/// Tells the hub what happened.
+/// Describes an input of the hub.
 #[data]
 pub enum Input {
-    /// Time passes; due at least every 100 ms.
+    /// Time has passed; required at least every 100 ms.
     Tick,
-    /// The instances known now, with or without this one; replaces the list before.
+    /// The known instances, with or without this one; replaces the previous list.
     Peers(Vec<Peer>),
-    /// Who leads, as far as this instance knows; only voters need it.
+    /// The leader as far as this instance knows; needed by voters only.
     Leader(Option<Instance>),
-    /// This instance leads until the given time, or no longer.
+    /// The time until which this instance leads, or `None` if it does not lead.
     ///
-    /// May come only once the leader has applied all that earlier leaders committed, and with a time
-    /// before which no other instance can lead.
+    /// Sent only after the leader has applied everything that earlier leaders committed; no other
+    /// instance can lead before the given time.
     Leading(Option<Duration>),
-    /// The log committed an edit; voters only.
+    /// The log committed an edit; for voters only.
     Committed {
-        /// The revision that it made.
+        /// The revision that the edit created.
         revision: Revision,
-        /// Its changes.
+        /// The changes of the edit.
         changes: Arc<[Change]>,
-        /// The table that they led to.
+        /// The resulting table.
         table: Arc<Table>,
     },
-    /// The log took up a snapshot, or was read at the start; voters only.
+    /// The log restored a snapshot or was read at startup; for voters only.
     Restored {
         /// The newest revision.
         revision: Revision,
@@ -52,26 +52,26 @@
     },
 }
 
-/// Asks for something to be done.
+/// Describes an output of the hub.
 #[data]
 pub enum Output {
-    /// Sends a message; it may be lost, doubled or overtaken.
+    /// Sends a message, which may be lost, duplicated or reordered.
     Send {
         /// The receiver.
         to: Instance,
         /// The message.
         message: Message,
     },
-    /// The table in use is a newer one.
+    /// A newer table is in use.
     Table {
-        /// Its revision.
+        /// The table's revision.
         revision: Revision,
         /// The table.
         table: Arc<Table>,
     },
 }
 
-/// Follows, holds and publishes the table at one instance.
+/// Follows, holds and publishes the table on one instance.
 #[derive(Clone, Debug)]
 pub struct Hub {
     follower: Follower,
@@ -80,7 +80,7 @@
 }
 
 impl Hub {
-    /// Starts without a table; the number must differ at each start of the instance.
+    /// Creates a hub without a table; `boot` must differ at each start of the instance.
     pub fn new(me: Instance, zone: AvailabilityZone, boot: u64) -> Self {
         Self {
             follower: Follower::new(me.clone(), zone, boot),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Takes what happened and adds what is to be done.
+    /// Handles an input and appends the resulting outputs.
     pub fn step(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Tick => {}
@@ -108,13 +108,13 @@
         self.tick(now, out);
     }
 
-    /// Returns when the lease runs out that lets this instance take work; the time may have passed.
+    /// Returns when the lease expires that allows this instance to accept work; may be in the past.
     pub fn lease(&self) -> Option<Duration> {
         let followed = self.follower.lease_expiry(self.publisher.window.revision());
         self.leads_until.max(followed)
     }
 
-    /// Says whether this instance may take work by its table.
+    /// Returns whether this instance may accept work by its table.
     pub fn ready(&self, now: Duration) -> bool {
         self.lease().is_some_and(|until| until > now)
     }
@@ -129,17 +129,17 @@
         self.publisher.window.table()
     }
 
-    /// Returns whom this instance follows; none when it leads or looks for one.
+    /// Returns the followed publisher; `None` if this instance leads or has no publisher yet.
     pub fn followed_publisher(&self) -> Option<&Instance> {
         self.follower.publisher()
     }
 
-    /// Returns who holds a lease of this instance, to see who is behind.
+    /// Returns the lease holders of this instance with their floors, to show which ones lag.
     pub fn floors(&self, now: Duration) -> Vec<Floor> {
         self.publisher.floors(now)
     }
 
-    /// Says whether a revision is in force everywhere; none when this instance does not lead.
+    /// Returns how far a revision is in force; `None` if this instance does not lead or lacks it.
     pub fn propagation(&self, now: Duration, revision: Revision) -> Option<Propagation> {
         let leads = self.leads_until.is_some_and(|until| until > now);
         let has = self.publisher.window.revision() >= revision;
@@ -151,7 +151,8 @@
         self.leads_until = until;
         if until.is_some() {
             self.follower.stop();
-            // Another may have led in a gap, however short, and granted leases unknown here.
+            // Another instance may have led in a gap, however short, and granted leases unknown
+            // here.
             if !led {
                 self.publisher.start_leading(now);
             }
@@ -235,7 +236,7 @@
         self.follower.tick(now, report, out);
     }
 
-    /// Returns what lets this instance grant leases now.
+    /// Returns the current right of this instance to grant leases, if it has one.
     fn authority(&self, now: Duration) -> Option<Authority> {
         if let Some(until) = self.leads_until.filter(|until| *until > now) {
             return Some(Authority { until, leader: true, path: Vec::new() });
--- a/crates/verbenaslip-state/src/watch/message.rs
+++ b/crates/verbenaslip-state/src/watch/message.rs
@@ -1,4 +1,4 @@
-//! What instances say to each other about the table.
+//! Messages between followers and publishers of the table.
 
 use std::sync::Arc;
 
@@ -8,39 +8,39 @@
 
 use crate::lease::Nonce;
 
-/// Bounds the bytes of changes or of a snapshot in one message.
+/// Maximum size of the changes or of the snapshot part in one message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 8 * 1_024;
 
-/// Bounds the bytes of a snapshot.
+/// Maximum size of a snapshot, in bytes.
 pub const MAX_SNAPSHOT_BYTES: u32 = 4 << 20;
 
-/// Travels between a follower and its publisher.
+/// A message between a follower and its publisher.
 #[data]
 pub enum Message {
-    /// Asks for a lease and for the changes after the applied revision.
+    /// Requests a lease and the changes after the applied revision.
     Renew(Renew),
-    /// Asks for one part of a snapshot; for another than the offered one, asks for a new offer.
+    /// Requests one part of a snapshot; if that snapshot is not kept, a new offer is returned.
     Fetch(Fetch),
     /// Grants a lease.
     Granted(Granted),
     /// Refuses to publish to the follower.
     Away(Refusal),
-    /// Carries changes, one revision after the other.
+    /// Carries the changes of consecutive revisions.
     Changes(Vec<Step>),
-    /// Offers a snapshot, because the changes no longer reach back to what the follower has.
+    /// Offers a snapshot, since the kept changes do not reach back to the follower's revision.
     Offer(Offer),
     /// Carries one part of a snapshot.
     Part(Part),
 }
 
-/// Asks for a lease.
+/// Requests a lease.
 #[data]
 pub struct Renew {
     /// Identifies the request.
     pub nonce: Nonce,
     /// The revision that the follower has applied.
     pub applied: Revision,
-    /// The lowest revision by which the follower, or any that it passed a lease on to, may serve.
+    /// The lowest revision by which the follower, or any instance it granted a lease, may serve.
     pub floor: Revision,
 }
 
@@ -49,49 +49,49 @@
 pub struct Granted {
     /// The request that is answered.
     pub nonce: Nonce,
-    /// The revision from which on the lease counts.
+    /// The revision that the follower must have applied for the lease to count.
     pub revision: Revision,
-    /// How long it lasts from when the request was sent, in milliseconds.
+    /// The lease duration from when the request was sent, in milliseconds.
     pub duration_ms: u32,
-    /// The instances through which the lease came, the leader first and the publisher last.
+    /// The instances through which the lease was granted, from the leader to the publisher.
     pub path: Vec<Instance>,
 }
 
-/// Refuses to publish.
+/// Refuses to publish to a follower.
 #[data]
 pub struct Refusal {
     /// The request that is answered.
     pub nonce: Nonce,
-    /// Instances that the follower may ask instead; empty when the publisher has no lease itself.
+    /// Instances to ask instead; empty if the publisher has no lease itself.
     pub others: Vec<Instance>,
 }
 
-/// Holds the changes of one revision, which apply all at once.
+/// Holds the changes of one revision, which apply atomically.
 #[data]
 pub struct Step {
-    /// The revision that they make of the one before.
+    /// The revision that the changes create.
     pub revision: Revision,
     /// The changes.
     pub changes: Arc<[Change]>,
 }
 
-/// Asks for one part of a snapshot.
+/// Requests one part of a snapshot.
 #[data(copy)]
 pub struct Fetch {
     /// The snapshot's revision.
     pub revision: Revision,
-    /// Which part, from 0.
+    /// The index of the part, from 0.
     pub part: u32,
 }
 
 /// Offers a snapshot.
 #[data(copy)]
 pub struct Offer {
-    /// Its revision.
+    /// The snapshot's revision.
     pub revision: Revision,
-    /// Its length in bytes.
+    /// The snapshot's length, in bytes.
     pub bytes: u32,
-    /// The hash of its bytes.
+    /// The hash of the snapshot's bytes.
     pub digest: u128,
 }
 
@@ -100,19 +100,19 @@
 pub struct Part {
     /// The snapshot's revision.
     pub revision: Revision,
-    /// Which part, from 0.
+    /// The index of the part, from 0.
     pub part: u32,
-    /// [`MAX_BYTES`] of the snapshot, or what is left of it.
+    /// The bytes of the part: [`MAX_MESSAGE_BYTES`], or fewer in the last part.
     pub bytes: Vec<u8>,
 }
 
-/// Describes another instance as far as the watch needs it.
+/// Describes another instance.
 #[data]
 pub struct Peer {
-    /// Its name.
+    /// The instance's name.
     pub instance: Instance,
-    /// Where it runs.
+    /// The instance's availability zone.
     pub zone: AvailabilityZone,
-    /// Whether it votes, and so has the table from the log.
+    /// Whether the instance is a voter and so has the table from the log.
     pub voter: bool,
 }
--- a/crates/verbenaslip-state/src/watch/publisher.rs
+++ b/crates/verbenaslip-state/src/watch/publisher.rs
@@ -1,4 +1,4 @@
-//! The side that publishes the table and grants leases.
+//! The publishing side, which sends the table and grants leases.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,31 +12,31 @@
 use crate::lease::MAX_DURATION;
 use crate::propagation::{Floor, Holder, Propagation, Tracker};
 
-/// The most followers of one publisher, besides the voters that follow the leader.
+/// Maximum number of followers of one publisher, not counting voters that follow the leader.
 ///
-/// Twice as many cost a publisher twice the messages and save one level of the tree at most.
+/// Twice as many would double a publisher's messages and save at most one level of the tree.
 pub const MAX_FOLLOWERS: usize = 8;
 
-/// The most instances through which a lease passes, the leader included.
+/// Maximum number of instances through which a lease passes, including the leader.
 pub const MAX_DEPTH: usize = 6;
 
-/// How long a follower that is silent keeps its place.
+/// How long a silent follower is kept.
 const FOLLOWER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long a voter may lack what the log should have brought it.
+/// How long the publisher waits for the log to bring a voter its missing changes.
 const MAX_LOG_LAG: Duration = Duration::from_secs(2);
 
-/// How long sent changes may be on their way before they are sent again.
+/// How long sent changes may be in transit before they are resent.
 const RESEND_INTERVAL: Duration = Duration::from_millis(400);
 
-/// What lets a publisher grant leases.
+/// Describes the right of a publisher to grant leases.
 #[derive(Clone, Debug)]
 pub struct Authority {
-    /// When it ends; the leader's own lease, or the table lease of one that passes it on.
+    /// The end of the leader's lease, or of the table lease of an instance that grants leases.
     pub until: Duration,
-    /// Whether it is the leader's own, so that leases have their full duration.
+    /// Whether this instance leads, so that it grants leases of the full duration.
     pub leader: bool,
-    /// The instances through which it came, this one excluded.
+    /// The instances through which the lease was granted, without this one.
     pub path: Vec<Instance>,
 }
 
@@ -70,7 +70,7 @@
         self.voters = voters.map(|peer| peer.instance.clone()).collect();
     }
 
-    /// Says whether any follower is being served.
+    /// Returns whether there is any follower.
     pub(crate) fn serves(&self) -> bool {
         !self.followers.is_empty()
     }
@@ -93,7 +93,7 @@
             .retain(|_, follower| now < follower.last_seen.saturating_add(FOLLOWER_TIMEOUT));
     }
 
-    /// Answers a request for a lease.
+    /// Answers a lease request.
     pub(crate) fn handle_renew(
         &mut self,
         now: Duration,
@@ -108,7 +108,8 @@
             Some(authority) if authority.until > now => authority,
             _ => return self.refuse(from, renew, Vec::new(), out),
         };
-        // An instance that asks one below itself would be granted the rest of its own lease.
+        // An instance that asked one of its own followers would be granted the rest of its own
+        // lease.
         if answer.path.contains(from) || answer.path.len() + 1 >= MAX_DEPTH {
             return self.refuse(from, renew, Vec::new(), out);
         }
@@ -128,7 +129,7 @@
         self.catch_up(now, from, renew.applied, out);
     }
 
-    /// Sends a part of a snapshot, or offers another when it asks for one that is gone.
+    /// Sends a part of a snapshot, or offers a new snapshot if the requested one is not kept.
     pub(crate) fn handle_fetch(&mut self, from: &Instance, fetch: Fetch, out: &mut Vec<Output>) {
         if !self.followers.contains_key(from) {
             return;
@@ -140,7 +141,7 @@
         send(out, from, message);
     }
 
-    /// Sends the changes of the newest revision to every follower that has the one before.
+    /// Sends the changes of the newest revision to every follower that has the previous one.
     pub(crate) fn push(&mut self, now: Duration, step: &Step, out: &mut Vec<Output>) {
         let changes = self.window.changes_after(Revision(step.revision.0.saturating_sub(1)));
         for (name, follower) in &mut self.followers {
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Sends what a follower lacks, unless it is on its way already.
+    /// Sends the changes that a follower lacks, unless they are in transit.
     fn catch_up(
         &mut self,
         now: Duration,
@@ -178,8 +179,8 @@
             follower.sent = follower.sent.max(applied);
             return;
         }
-        // The log brings a voter its changes, unless it votes no more and this list is old: it would
-        // wait for changes that nobody sends, and never be ready.
+        // A voter gets its changes from the log. If it has left the voter set and this list is
+        // outdated, it would wait for changes that no instance sends and never become ready.
         let behind_since = *follower.behind_since.get_or_insert(now);
         let from_log = self.voters.contains(from) && now < behind_since.saturating_add(MAX_LOG_LAG);
         let in_transit =
@@ -197,9 +198,9 @@
         }
     }
 
-    /// Says whether an instance is, or may become, a follower.
+    /// Returns whether an instance is a follower or may become one.
     ///
-    /// The leader keeps places free for the other voters, which ask it rather than one another.
+    /// The leader reserves places for the other voters, which follow it rather than one another.
     fn admits(&self, from: &Instance, leader: bool) -> bool {
         let others = self.followers.keys().filter(|name| !self.voters.contains(*name)).count();
         let reserved = if leader { self.voters.len().saturating_sub(1) } else { 0 };
@@ -219,13 +220,13 @@
     }
 }
 
-/// Holds what is known of one follower.
+/// Holds the state of one follower.
 #[derive(Clone, Debug)]
 struct FollowerState {
     last_seen: Duration,
     sent: Revision,
     sent_at: Duration,
-    /// Since when its reports have been of older revisions.
+    /// The time since which the follower has reported older revisions.
     behind_since: Option<Duration>,
 }
 
--- a/crates/verbenaslip-state/src/watch/window.rs
+++ b/crates/verbenaslip-state/src/watch/window.rs
@@ -1,4 +1,4 @@
-//! The table with its newest changes.
+//! The table and its newest changes.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -9,16 +9,17 @@
 
 use super::message::{MAX_MESSAGE_BYTES, MAX_SNAPSHOT_BYTES, Offer, Part, Step};
 
-/// Bounds the revisions whose changes are kept.
+/// Maximum number of revisions whose changes are kept.
 pub const MAX_STEPS: usize = 1_024;
 
-/// Bounds the bytes of the changes kept.
+/// Maximum size of the kept changes, in bytes.
 pub const MAX_STEP_BYTES: usize = 512 * 1_024;
 
-/// Bounds the bytes of changes sent at once to a follower that lags; beyond, a snapshot is offered.
+/// Maximum size of the changes sent at once to a lagging follower, in bytes; above it, a snapshot
+/// is offered.
 const MAX_CATCH_UP_BYTES: usize = 4 * MAX_MESSAGE_BYTES;
 
-/// Holds the table in use, the changes that led to it, and a snapshot for those who lag further.
+/// Holds the table in use, its newest changes, and a snapshot for followers that lag further.
 #[derive(Clone, Debug, Default)]
 pub struct Window {
     revision: Revision,
@@ -39,7 +40,7 @@
         &self.table
     }
 
-    /// Takes a whole table; one that is not newer changes nothing.
+    /// Replaces the table if the given one is newer; returns whether it was.
     pub fn replace(&mut self, revision: Revision, table: Arc<Table>) -> bool {
         if revision <= self.revision {
             return false;
@@ -51,7 +52,7 @@
         true
     }
 
-    /// Applies the changes of the next revision, all at once.
+    /// Applies the changes of the next revision atomically.
     pub fn advance(&mut self, step: &Step) -> StepResult {
         if step.revision <= self.revision {
             return StepResult::Known;
@@ -64,9 +65,9 @@
         StepResult::Applied
     }
 
-    /// Takes the next revision with the table that its changes led to.
+    /// Appends the next revision with the resulting table.
     pub(crate) fn push(&mut self, step: &Step, table: Arc<Table>) {
-        // Encoding to memory fails for no value of these types.
+        // Encoding these types to memory cannot fail.
         let bytes = postcard::to_stdvec(step).map(|bytes| bytes.len()).unwrap_or(usize::MAX);
         self.revision = step.revision;
         self.table = table;
@@ -78,14 +79,15 @@
         }
     }
 
-    /// Returns the messages' worth of changes after a revision, or none when a snapshot is due.
+    /// Returns the changes after a revision, grouped by message, or `None` if a snapshot is
+    /// required.
     pub(crate) fn changes_after(&self, revision: Revision) -> Option<Vec<Vec<Step>>> {
         if !self.reaches_back_to(revision) {
             return None;
         }
         let start = self.steps.partition_point(|sized| sized.step.revision <= revision);
         let missing: Vec<&SizedStep> = self.steps.range(start..).collect();
-        // A follower without a table gets a snapshot at once, unless one message brings it all.
+        // A follower without a table gets a snapshot unless one message holds all changes.
         let max_bytes =
             if revision == Revision(0) { MAX_MESSAGE_BYTES } else { MAX_CATCH_UP_BYTES };
         let total = missing.iter().map(|sized| sized.bytes).fold(0, usize::saturating_add);
@@ -107,15 +109,17 @@
         Some(messages)
     }
 
-    /// Returns the snapshot to offer: the last one as long as the changes reach it, unless it is
-    /// older than the least revision that is of use.
+    /// Returns the snapshot to offer.
+    ///
+    /// The last snapshot is reused while the kept changes reach back to it and it is not older than
+    /// `min_revision`.
     pub(crate) fn offer(&mut self, min_revision: Revision) -> Offer {
         let reaches_back_to = |snapshot: &EncodedTable| {
             snapshot.revision >= min_revision && self.changes_after(snapshot.revision).is_some()
         };
         let reusable = self.snapshot.as_ref().is_some_and(reaches_back_to);
         if !reusable {
-            // Encoding to memory fails for no value of these types.
+            // Encoding these types to memory cannot fail.
             let bytes = postcard::to_stdvec(&*self.table).unwrap_or_default();
             self.snapshot = Some(EncodedTable { revision: self.revision, bytes });
         }
@@ -126,14 +130,14 @@
         })
     }
 
-    /// Returns a part of the snapshot last offered, if it is of the given revision.
+    /// Returns a part of the last offered snapshot, if that has the given revision.
     pub(crate) fn part(&self, revision: Revision, part: u32) -> Option<Part> {
         let snapshot = self.snapshot.as_ref().filter(|snapshot| snapshot.revision == revision)?;
         let bytes = snapshot.bytes.chunks(MAX_MESSAGE_BYTES).nth(part as usize)?;
         Some(Part { revision, part, bytes: bytes.to_vec() })
     }
 
-    /// Says whether the changes kept lead on from a revision.
+    /// Returns whether the kept changes reach back to a revision.
     fn reaches_back_to(&self, revision: Revision) -> bool {
         let first = self.steps.front().map(|sized| sized.step.revision);
         revision <= self.revision
@@ -141,16 +145,16 @@
     }
 }
 
-/// Says what became of the changes of one revision.
+/// Describes the result of applying the changes of one revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StepResult {
-    /// They are applied.
+    /// The changes were applied.
     Applied,
-    /// They were applied before.
+    /// The changes had been applied before.
     Known,
-    /// Changes between are missing.
+    /// Changes of earlier revisions are missing.
     Gap,
-    /// They do not fit the table, so it must be fetched whole.
+    /// The changes do not fit the table, so the whole table must be fetched.
     Mismatch,
 }
 
--- a/crates/verbenaslip-state/tests/random.rs
+++ b/crates/verbenaslip-state/tests/random.rs
@@ -18,11 +18,11 @@
 use verbenaslip_state::{Command, Outcome, State};
 use verbenaslip_table::{Change, Key};
 
-/// Draws a command; the fewer keys, bases and numbers there are, the more of them meet.
+/// Generates a command from few keys, bases and numbers, so that commands often conflict.
 fn random_command(rng: &mut Pcg64, clock: &mut u64, state: &State) -> Command {
     let at = *clock + rng.random_range(0..2_000) - 1_000;
     *clock += rng.random_range(0..400);
-    // Each key has one time of first use, and keys of the last 50 s come back.
+    // Each key has one time of first use, and keys of the last 50 s are used again.
     let first = *clock / 10_000 - rng.random_range(0..5);
     let key = rng.random_range(0..4);
     let issued = first * 10_000 + key * 100;
@@ -72,10 +72,10 @@
     }
 }
 
-/// What one claim was granted to: attempt number, instance and nonce.
+/// The holder of a granted claim: attempt number, instance and nonce.
 type Run = (u32, String, u64);
 
-/// Follows from outside which run of each key may have been sent to an upstream.
+/// Tracks, from the outcomes alone, which runs of each key may have been sent to an upstream.
 #[derive(Default)]
 struct RunTracker {
     runs: BTreeMap<u128, Vec<Run>>,
@@ -92,7 +92,7 @@
                 }
                 assert_eq!(runs.len(), 1, "two runs of {}", claim.attempt.request);
             }
-            // The run gave the claim back, so it was none.
+            // The run released the claim, so nothing ran.
             (Command::Settle(settle), Outcome::Closed(_))
                 if outcome.accepted() && settle.ending == Ending::NotRun =>
             {
@@ -106,8 +106,8 @@
     }
 }
 
-/// Symptom: two runs of a key, a falling revision, or voters that differ. Sequence: any commands,
-/// with restarts from a snapshot. Cause: whatever the tables of cases do not think of.
+/// Guards against two runs of a key, a revision that decreases and diverging voters, under random
+/// commands and restarts from a snapshot.
 #[test]
 fn invariants_hold_under_random_commands() {
     let limit = Limits { retention: 20_000, skew: 2_000, count: 10 };
@@ -126,7 +126,7 @@
             assert!(log.state.revision() >= revision && log.state.clock() >= time);
             assert!(log.state.claims() <= 10);
             if rng.random_range(0..50) == 0 {
-                let restored = State::restore(&log.state.snapshot()).expect("snapshot is whole");
+                let restored = State::restore(&log.state.snapshot()).expect("snapshot is valid");
                 assert_eq!(restored, other.state, "seed {seed}, step {step}");
                 log.state = restored;
             }
@@ -152,14 +152,14 @@
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]))
 }
 
-/// Returns bytes with a checksum that fits, so that what comes after the checksum is tried too.
+/// Returns a snapshot with a valid checksum, so that the checks after the checksum are reached.
 fn with_checksum(body: &[u8]) -> Vec<u8> {
     let sum = verbenaslip_base::hash::narrow(&[body]).to_le_bytes();
     [b"VSTA".as_slice(), &1_u16.to_le_bytes(), &sum, body].concat()
 }
 
-/// Symptom: a voter dies or takes up a wrong state. Sequence: a snapshot is damaged on disk or on
-/// its way. Cause: the bytes are believed.
+/// Guards against a voter that crashes or restores a wrong state because a snapshot was damaged on
+/// disk or in transit.
 #[test]
 fn a_damaged_snapshot_is_an_error() {
     let intact = snapshot();
@@ -181,7 +181,7 @@
         prop_assert!(State::restore(&bytes).is_err());
         Ok(())
     };
-    runner().run(&prop_oneof![flip, cut, random_bytes], check).expect("damage is noticed");
+    runner().run(&prop_oneof![flip, cut, random_bytes], check).expect("damage is detected");
     assert_eq!(State::restore(&[intact.as_slice(), &[0]].concat()), Err(Error::Damaged));
 }
 
@@ -219,10 +219,10 @@
         Err(error) => error.to_string(),
     });
     insta::assert_snapshot!(messages.join("\n"), @r#"
-    snapshot of the state: it does not begin as one; check which file or peer it came from
-    snapshot of the state: version 9 is not known here; upgrade this instance
-    snapshot of the state: it is damaged; fetch it again from another voter
-    snapshot of the state: it is damaged; fetch it again from another voter
+    state snapshot: wrong magic bytes; check which file or peer it came from
+    state snapshot: version 9 is not supported; upgrade this instance
+    state snapshot: it is damaged; fetch it again from another voter
+    state snapshot: it is damaged; fetch it again from another voter
     "#);
 }
 
@@ -279,8 +279,8 @@
     assert_eq!(history, ["ann"]);
 }
 
-/// Symptom: one command takes up all memory for as long as the history lasts. Sequence: a name of a
-/// megabyte in any command. Cause: only rows that are put are checked.
+/// Guards against a command with a name of one megabyte that occupies memory for as long as the
+/// history is kept. Names must be checked in every command, not just in rows that are put.
 #[test]
 fn overlong_names_are_refused() {
     let long = "x".repeat(1 << 20);
@@ -309,8 +309,8 @@
     assert!(log.state.snapshot().len() < 100);
 }
 
-/// Symptom: memory grows without end. Sequence: thousands of edits, claims and drains. Cause: the
-/// history, the answers or the audit trail are kept whole.
+/// Guards against unbounded memory after thousands of edits, claims and drains: the history, the
+/// answers and the audit trail must all be bounded.
 #[test]
 fn stored_data_is_bounded() {
     let mut log = Log::default();
