--- a/crates/verbenaslip-state/tests/claims.rs
+++ b/crates/verbenaslip-state/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of non-idempotent requests at every crash point, under resends, skewed clocks and age.
+//! Claims of non-idempotent requests: crashes, resends, clock differences and expiry.
 
 mod common;
 
@@ -12,7 +12,7 @@
 const HOUR: u64 = 60 * 60 * 1_000;
 const MINUTE: u64 = 60 * 1_000;
 
-/// A name, and each command with what it is answered.
+/// The case's name, and each command with its expected answer.
 type Case = (&'static str, Vec<(Command, &'static str)>);
 
 fn run(cases: &[Case]) {
@@ -26,7 +26,7 @@
     }
 }
 
-/// The claim of the first attempt by instance a.
+/// Returns the claim of the first attempt by instance a.
 fn first_claim() -> Command {
     Command::Claim(claim(1, "a", 11))
 }
@@ -35,7 +35,7 @@
     Ending::Done { digest: 5, status: 200 }
 }
 
-/// Returns a claim of another time.
+/// Returns a claim with the given time of first use and time of proposal, in Unix milliseconds.
 fn claim_at(issued: u64, at: u64) -> Command {
     Command::Claim(Claim { issued, at, nonce: at, ..claim(1, "b", 0) })
 }
@@ -44,11 +44,11 @@
 fn one_run_at_every_crash_point() {
     let unknown = Ending::Unknown(Unknown::InstanceLost);
     run(&[
-        // Symptom: a claim's holder never runs it. Sequence: granted, answer lost, sent again.
-        // Cause: the holder is refused its own claim.
+        // Guards against refusing a holder its own claim: the claim was granted, the answer was
+        // lost and the claim is resent.
         ("lost answer", vec![(first_claim(), "granted"), (first_claim(), "granted")]),
-        // Symptom: a second run. Sequence: granted, the caller comes back through another
-        // instance. Cause: each instance decides alone.
+        // Guards against a second run: the caller sends a granted request again through another
+        // instance.
         (
             "two instances",
             vec![
@@ -56,9 +56,9 @@
                 (Command::Claim(claim(1 << 16, "b", 22)), "held by attempt 1 of a"),
             ],
         ),
-        // Symptom: a second run. Sequence: granted and sent, the instance dies and restarts with
-        // nothing in memory, the caller comes back to it. Cause: the claim is told by attempt and
-        // instance alone, and a restarted instance counts from 1 again.
+        // Guards against a second run: after the request was sent, the instance restarts with empty
+        // memory and counts attempts from 1 again, and the caller resends to it. Attempt number and
+        // instance alone do not distinguish the two claims.
         (
             "restarted holder",
             vec![
@@ -69,8 +69,8 @@
                 (Command::Claim(claim(2, "a", 13)), "settled by attempt 1"),
             ],
         ),
-        // Symptom: a second run after the answer. Sequence: done, and the caller, whose connection
-        // broke, asks again. Cause: the claim ends with the run.
+        // Guards against a second run after the answer: the caller's connection broke, and the
+        // caller asks again. The claim must outlive the run.
         (
             "resend after the end",
             vec![
@@ -82,8 +82,8 @@
                 (Command::Claim(claim(2, "b", 22)), "settled by attempt 1"),
             ],
         ),
-        // Symptom: a request is refused for an hour though it never ran. Sequence: the upstream
-        // says that it did not run. Cause: the claim stays.
+        // Guards against refusing a request for an hour although it never ran: the upstream reports
+        // that it did not run, so the claim must be freed.
         (
             "not run",
             vec![
@@ -102,8 +102,8 @@
 #[test]
 fn late_messages_cause_no_second_run() {
     run(&[
-        // Symptom: a key is held by nobody. Sequence: a claim is freed, then a copy of it comes
-        // late. Cause: the copy counts as new.
+        // Guards against a key that no instance holds: a copy of a freed claim arrives late and
+        // must not count as a new claim.
         (
             "late copy of a freed claim",
             vec![
@@ -113,9 +113,8 @@
                 (Command::Claim(claim(2, "a", 12)), "granted"),
             ],
         ),
-        // Symptom: a caller was told "not run", and the key is held or run later. Sequence: the
-        // claim's answer does not come in time, the instance gives up and releases, and the claim
-        // comes after the release. Cause: the release leaves no trace.
+        // Guards against a key that is held or run after its caller was told "not run": the claim's
+        // answer is late, the instance releases the claim, and the claim arrives after the release.
         (
             "release before the claim",
             vec![
@@ -125,8 +124,8 @@
                 (release(claim(1, "a", 11)), "another attempt holds the claim"),
             ],
         ),
-        // Symptom: a run is lost from memory and made again. Sequence: another instance's late
-        // release names the same attempt number. Cause: the number alone is compared.
+        // Guards against losing a run and making it again: a late release of another instance names
+        // the same attempt number, so the number alone is not enough.
         (
             "release by another",
             vec![
@@ -136,8 +135,8 @@
                 (release(claim(1, "a", 11)), "freed"),
             ],
         ),
-        // Symptom: a caller gets the answer to another request. Sequence: the same key with another
-        // body. Cause: the key alone is compared.
+        // Guards against a caller that gets the answer to another request: the same key is used
+        // with a different body.
         (
             "other body",
             vec![
@@ -155,8 +154,8 @@
 #[test]
 fn an_expired_key_is_never_new() {
     run(&[
-        // Symptom: an old key runs a second time. Sequence: a resend after its claim is forgotten.
-        // Cause: a key without a claim counts as new.
+        // Guards against a second run of an old key: the request is resent after its claim was
+        // dropped, and must not count as new.
         (
             "resend after the retention",
             vec![
@@ -165,9 +164,8 @@
                 (claim_at(NOW, NOW + HOUR + MINUTE + 1), "the key is older than the retention"),
             ],
         ),
-        // Symptom: an old key runs a second time. Sequence: the claim is forgotten by the clock of
-        // a fast instance, and the resend comes through a slow one. Cause: each command is judged
-        // by its own time, which falls.
+        // Guards against a second run of an old key: the claim is dropped by the clock of a fast
+        // instance, and the resend comes through a slow one whose time is lower.
         (
             "slow instance after a fast one",
             vec![
@@ -176,9 +174,8 @@
                 (claim_at(NOW, NOW), "the key is older than the retention"),
             ],
         ),
-        // Symptom: a key runs a second time. Sequence: a resend names a later first use, the claim
-        // is forgotten by the earlier one, and a resend comes that is not expired by the later one.
-        // Cause: the claim keeps the time of the first copy.
+        // Guards against a second run: a resend names a later first use, the claim is dropped by
+        // the earlier one, and another resend is not expired by the later one.
         (
             "later first use",
             vec![
@@ -187,8 +184,8 @@
                 (claim_at(NOW + HOUR / 2, NOW + HOUR + HOUR / 4), "held by attempt 1 of b"),
             ],
         ),
-        // Symptom: a claim stays for days, or runs twice. Sequence: a caller's clock is ahead.
-        // Cause: a first use in the future is taken as it is.
+        // Guards against a claim that is kept for days or runs twice because a caller's clock is
+        // ahead and the first use lies in the future.
         (
             "first use ahead",
             vec![
@@ -203,8 +200,8 @@
     ]);
 }
 
-/// Symptom: memory grows, or a key runs twice because its claim made room for another's. Sequence:
-/// more keys than fit, most of one team. Cause: no bound, or one that evicts.
+/// Guards against unbounded memory, and against a second run of a key whose claim was evicted:
+/// there are more keys than fit, most of them from one team.
 #[test]
 fn refuses_beyond_its_bound_and_evicts_nothing() {
     let mut log =
@@ -228,12 +225,16 @@
     assert_eq!(log.state.claims(), 8);
 
     let later_claim = Claim { at: NOW + 2 * HOUR, issued: NOW + 2 * HOUR, ..claim(1, "a", 1) };
-    assert_eq!(log.apply_to_text(&Command::Claim(later_claim)), "granted", "age makes room");
+    assert_eq!(
+        log.apply_to_text(&Command::Claim(later_claim)),
+        "granted",
+        "expired claims make room"
+    );
     assert_eq!(log.state.claims(), 1);
 }
 
-/// Symptom: every key is refused as expired. Sequence: one instance's clock is a year ahead and its
-/// command is committed. Cause: the state's clock takes any time, and it never falls.
+/// Guards against refusing every key as expired: one instance's clock is a year ahead, its command
+/// is committed, and the state's clock never goes backward.
 #[test]
 fn the_leader_rejects_wrong_clocks() {
     let command = claim_at(NOW, NOW + MINUTE);
@@ -242,8 +243,8 @@
     assert!(!command.has_valid_time(NOW + 2 * MINUTE + 1));
 }
 
-/// Symptom: a claim is granted to two. Sequence: after a restart a voter applies commands that its
-/// snapshot holds already. Cause: positions are not compared.
+/// Guards against granting a claim twice: a restarted voter applies commands that its snapshot
+/// already contains, so positions must be compared.
 #[test]
 fn a_command_is_applied_once() {
     let mut log = Log { term: 2, ..Log::default() };
--- a/crates/verbenaslip-state/tests/common/mod.rs
+++ b/crates/verbenaslip-state/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Builds commands and applies them at rising positions.
+//! Builds commands and applies them at consecutive positions.
 
 #![allow(dead_code)]
 
@@ -9,10 +9,10 @@
 use verbenaslip_table::edit::Id;
 use verbenaslip_table::{Change, Edit, Revision, Row};
 
-/// A time in Unix milliseconds, late enough that nothing is before zero.
+/// A time in Unix milliseconds, large enough that no test time is negative.
 pub const NOW: u64 = 1_800_000_000_000;
 
-/// Applies commands to one state, each at the next index.
+/// Applies commands to a state, each at the next index.
 #[derive(Clone, Default)]
 pub struct Log {
     pub state: State,
@@ -26,7 +26,7 @@
         self.state.apply(Fence { term: self.term, index: self.index }, command)
     }
 
-    /// Says in short what the command did.
+    /// Applies a command and returns its outcome as text.
     pub fn apply_to_text(&mut self, command: &Command) -> String {
         self.apply(command).to_string()
     }
@@ -39,7 +39,7 @@
 }
 
 pub fn edit(id: &str, base: u64, by: &str, changes: &[Change]) -> Command {
-    let id = Id::new(id).expect("id is good");
+    let id = Id::new(id).expect("id is valid");
     let changes = changes.to_vec();
     Command::Edit(Edit { id, base: Revision(base), operator: by.into(), unix_ms: NOW, changes })
 }
--- a/crates/verbenaslip-state/tests/counts.rs
+++ b/crates/verbenaslip-state/tests/counts.rs
@@ -1,7 +1,7 @@
-//! What following the table costs, in messages and bytes, at several sizes.
+//! The cost of following the table, in messages and bytes, at several fleet sizes.
 //!
-//! Bytes are those of the encoded message, 8 for the frame's length and checksum, and 40 for the
-//! headers of TCP and IP, as if no two messages shared a packet; sent and received are added up.
+//! Bytes are those of the encoded message plus 8 for the frame's length and checksum and 40 for the
+//! TCP and IP headers, as if each message had its own packet; sent and received bytes are added.
 
 mod net;
 
@@ -11,11 +11,11 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// How long the network idles while it is counted, and how often an edit comes afterwards.
+/// How long the idle network is measured, and the number of edits spread over the same time.
 const IDLE_SECONDS: usize = 20;
 const EDITS: u32 = 10;
 
-/// The bounds of one size, of the busiest instance and of the mean over all.
+/// Upper bounds at one fleet size, for the busiest instance and for the mean, in bytes.
 struct Bound {
     instances: usize,
     voters: usize,
@@ -25,7 +25,7 @@
     edit_mean: usize,
 }
 
-/// The mean over all instances and the greatest of any.
+/// The mean over all instances and the maximum of any instance.
 struct Load {
     mean: Counts,
     max: Counts,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Counts a network of one size and says what it found.
+/// Measures a network of one size and returns a line of results.
 fn measure(bound: &Bound) -> String {
     let mut net = Net::new(bound.instances, bound.voters, 1);
     net.elect(0);
@@ -93,9 +93,8 @@
     )
 }
 
-/// Symptom: control traffic eats the instances' budget of 12 KB a second, or grows with their
-/// number. Sequence: more instances, idle and with edits. Cause: everybody asks the voters, or
-/// whole tables travel.
+/// Guards against control traffic that exceeds the budget of 12 KB per second per instance or grows
+/// with the number of instances, for example if all of them ask the voters or fetch whole tables.
 #[test]
 fn costs_stay_within_their_bounds_at_every_size() {
     let bound = |instances, voters, idle_max, idle_mean, edit_max, edit_mean| Bound {
--- a/crates/verbenaslip-state/tests/edits.rs
+++ b/crates/verbenaslip-state/tests/edits.rs
@@ -5,10 +5,10 @@
 use common::{Log, edit, row};
 use verbenaslip_state::{Command, State};
 
-/// One step of a case: the command and what it is answered.
+/// The command and its expected answer.
 type Step = (Command, &'static str);
 
-/// A name and its steps.
+/// The case's name and steps.
 type Case = (&'static str, Vec<Step>);
 
 fn run(cases: &[Case]) {
@@ -31,8 +31,8 @@
     let early = edit("e5", 1, "bo", &[row("check", 2)]);
     let reused = edit("e1", 1, "ann", &[row("check", 5)]);
     run(&[
-        // Symptom: an edit disappears. Sequence: two operators start from the same revision and
-        // both are accepted. Cause: the base is not compared.
+        // Guards against a lost edit: two operators start from the same revision, and both edits
+        // are accepted because the base is not compared.
         (
             "race with equal base",
             vec![
@@ -40,8 +40,8 @@
                 (heavy, "stale: revision 1 is the newest, by ann; changed since: agents/check"),
             ],
         ),
-        // Symptom: an operator is told that their own edit is stale. Sequence: accepted, answer
-        // lost, sent again, also after another's edit. Cause: the resend is decided anew.
+        // Guards against telling operators that their own edit is stale: the answer to an accepted
+        // edit was lost and the edit is resent, also after another operator's edit.
         (
             "resend after a lost answer",
             vec![
@@ -51,8 +51,8 @@
                 (light.clone(), "accepted as revision 1"),
             ],
         ),
-        // Symptom: the answer "unchanged" turns into "stale" on a resend. Sequence: an edit without
-        // effect, its answer lost, another's edit, the resend. Cause: only accepted ones are kept.
+        // Guards against "unchanged" becoming "stale" on a resend: the answer to an edit without
+        // effect was lost, and another edit follows before the resend.
         (
             "resend of an edit without effect",
             vec![
@@ -62,9 +62,8 @@
                 (again, "unchanged at revision 1"),
             ],
         ),
-        // Symptom: an edit is in force that its operator was told is refused. Sequence: an edit
-        // from a base that is not there yet, then the base comes, then a late copy of the edit.
-        // Cause: the copy is decided anew when its base has become the newest.
+        // Guards against accepting an edit that its operator was told is refused: its base did not
+        // exist yet, is created later, and a delayed copy of the edit arrives then.
         (
             "late copy of an edit from a future base",
             vec![
@@ -73,8 +72,8 @@
                 (early, "stale: revision 1 is the newest, by ann"),
             ],
         ),
-        // Symptom: an operator believes that new changes are in force. Sequence: an edit id is used
-        // again for other changes. Cause: the id alone is compared.
+        // Guards against an operator who believes that new changes are in force: an edit's
+        // identifier is used again for different changes.
         (
             "reused id",
             vec![
--- a/crates/verbenaslip-state/tests/messages.rs
+++ b/crates/verbenaslip-state/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages of the watch from peers that are wrong, late or mad.
+//! Messages about the table and its leases from faulty or delayed peers.
 
 mod net;
 
@@ -18,7 +18,7 @@
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]))
 }
 
-/// Numbers near the edges, where arithmetic overflows.
+/// Generates numbers near the limits, where arithmetic overflows.
 fn boundary_number() -> impl Strategy<Value = u64> {
     prop_oneof![0..4_u64, Just(u64::MAX), Just(u64::MAX - 1), any::<u64>()]
 }
@@ -66,11 +66,11 @@
     ]
 }
 
-/// A message, its sender, and the milliseconds since the one before.
+/// The sender, the message, and the milliseconds since the previous message.
 type Arrival = (Instance, Message, u64);
 
-/// Symptom: a control thread dies, or a lease lasts for ever. Sequence: any messages from any peers.
-/// Cause: arithmetic on what a peer says, or trust in it.
+/// Guards against a panic of the control thread, and against a lease without an end: arithmetic on
+/// values from a peer may overflow, and no peer can be trusted.
 #[test]
 fn no_messages_make_the_hub_panic() {
     let steps = proptest::collection::vec((name(), message(), 0..2_000_u64), 1..60);
@@ -95,11 +95,11 @@
                 prop_assert!(hub.lease().is_none_or(|until| until <= max));
             }
             let sent = out.drain(..).filter(|output| matches!(output, Output::Send { .. })).count();
-            prop_assert!(sent < 16, "{sent} messages for one");
+            prop_assert!(sent < 16, "{sent} messages sent for one received");
         }
         Ok(())
     };
-    runner().run(&(any::<bool>(), steps), check).expect("any messages are borne");
+    runner().run(&(any::<bool>(), steps), check).expect("the hub handles any messages");
 }
 
 #[test]
@@ -125,7 +125,7 @@
 
 const NOW: Duration = Duration::from_secs(50);
 
-/// Starts instance z, which follows a, and returns the nonce of its first request.
+/// Starts instance z, which follows a; returns its hub and the nonce of its first request.
 fn following() -> (Hub, Nonce) {
     let mut hub = Hub::new("z".into(), "arendal".into(), 7);
     let peer =
@@ -151,9 +151,8 @@
     Message::Granted(Granted { nonce, revision: Revision(revision), duration_ms: 4_000, path })
 }
 
-/// Symptom: two instances keep each other's lease alive after all others are lost, or follow each
-/// other until both leases have run out. Sequence: an instance loses its publisher and asks one that
-/// follows it. Cause: the ways by which a lease came are not known.
+/// Guards against two instances that renew each other's lease after all others are lost: an
+/// instance loses its publisher and asks one of its own followers. The path of a lease prevents it.
 #[test]
 fn a_lease_is_not_passed_back_to_where_it_came_from() {
     let (mut hub, nonce) = following();
@@ -179,18 +178,18 @@
     }
 }
 
-/// Symptom: an instance that nobody lets serve takes work. Sequence: a grant is doubled, comes from
-/// an earlier start of the process, comes before the revision that it names, or comes when it has
-/// run out. Cause: each grant is taken as it comes.
+/// Guards against an instance that accepts work without a valid lease: a grant is duplicated,
+/// answers an earlier process lifetime, precedes the revision that it names, or arrives after it
+/// expired.
 #[test]
 fn only_requested_and_unexpired_grants_count() {
     let (mut hub, nonce) = following();
     let earlier = Nonce { boot: 6, ..nonce };
     receive(&mut hub, NOW, "a", granted(earlier, 0, &["a"]));
-    assert!(!hub.ready(NOW), "a grant to an earlier start");
+    assert!(!hub.ready(NOW), "a grant to an earlier process lifetime");
 
     receive(&mut hub, NOW, "a", granted(nonce, 1, &["a"]));
-    assert!(!hub.ready(NOW), "a grant of a revision that is not here yet");
+    assert!(!hub.ready(NOW), "a grant of a revision that is not applied yet");
     let step = Step { revision: Revision(1), changes: [weight("check", 1)].into() };
     receive(&mut hub, NOW, "a", Message::Changes(vec![step]));
     assert!(hub.ready(NOW));
@@ -198,11 +197,11 @@
     let late = end - Duration::from_millis(1);
     receive(&mut hub, late, "a", granted(nonce, 1, &["a"]));
     assert!(hub.ready(late));
-    assert!(!hub.ready(end), "a doubled grant lasts no longer");
+    assert!(!hub.ready(end), "a duplicate grant does not extend the lease");
 }
 
-/// Symptom: an accepted edit reverts. Sequence: a snapshot of an older revision comes, from the disk
-/// of a voter or from a publisher that lags. Cause: whatever comes last is taken.
+/// Guards against an accepted edit that is reverted by a snapshot of an older revision, from a
+/// voter's disk or from a lagging publisher.
 #[test]
 fn revisions_never_fall() {
     let mut hub = Hub::new("a".into(), "arendal".into(), 7);
--- a/crates/verbenaslip-state/tests/net/mod.rs
+++ b/crates/verbenaslip-state/tests/net/mod.rs
@@ -1,4 +1,4 @@
-//! An in-memory network of instances that follow the table, stepped by hand.
+//! A simulated network of instances that follow the table.
 
 #![allow(dead_code)]
 
@@ -14,28 +14,28 @@
 use verbenaslip_table::change::apply;
 use verbenaslip_table::{Change, Revision, Row, Table};
 
-/// How far one step of the network goes.
+/// The duration of one step of the network.
 pub const TICK: Duration = Duration::from_millis(20);
 
-/// What a message costs besides its bytes: length and checksum of the frame, headers of TCP and IP.
+/// The bytes of a message besides its encoding: frame length and checksum, TCP and IP headers.
 pub const OVERHEAD: usize = 8 + 40;
 
-/// How long the leader's own lease lasts after its quorum was last heard.
+/// How long the leader's own lease lasts after its last contact with the quorum.
 pub const QUORUM_LEASE: Duration = Duration::from_secs(1);
 
-/// One instance with its clock and its counts.
+/// One instance with its clock and its message counts.
 pub struct Node {
     pub hub: Hub,
     pub name: Instance,
     pub voter: bool,
-    /// The pace of its clock in thousandths.
+    /// The rate of the instance's clock, in thousandths.
     clock_rate: u32,
     now: Duration,
     paused: bool,
     inbox: Vec<Input>,
     boots: u64,
     pub counts: Counts,
-    /// The revision and when the table came, to see that revisions never fall.
+    /// The last revision that the hub reported, to check that revisions never decrease.
     pub revision: Revision,
 }
 
@@ -45,26 +45,26 @@
     pub bytes: usize,
 }
 
-/// Carries messages with a delay and, where asked, loss, doubles and cuts.
+/// Delivers messages with a delay, and optionally with loss, duplication and partitions.
 pub struct Net {
     pub nodes: Vec<Node>,
     pub now: Duration,
     rng: Pcg64,
     in_transit: BTreeMap<(Duration, u64), TransitMessage>,
     sent: u64,
-    /// Pairs of sender and receiver between which nothing passes.
+    /// Pairs of sender and receiver between which no message passes.
     pub cuts: BTreeSet<(usize, usize)>,
-    /// Losses and doubles in thousandths.
+    /// The rates of lost and of duplicated messages, in thousandths.
     pub loss: u32,
     pub duplicates: u32,
-    /// The greatest delay of a message.
+    /// The maximum delay of a message.
     pub delay: Duration,
     pub leader: Option<usize>,
-    /// The table as the log committed it.
+    /// The last committed table.
     pub table: Arc<Table>,
     pub revision: Revision,
     log: Vec<Arc<[Change]>>,
-    /// The revisions that the leader has told to be in force everywhere.
+    /// The newest revision that a leader reported as in force everywhere.
     pub in_force: Revision,
 }
 
@@ -75,7 +75,7 @@
 }
 
 impl Net {
-    /// Starts so many instances in three availability zones, of which the first few vote.
+    /// Creates `count` instances in three availability zones; the first `voters` of them vote.
     pub fn new(count: usize, voters: usize, seed: u64) -> Self {
         let nodes = (0..count).map(|number| Node::new(number, number < voters)).collect();
         let mut net = Self {
@@ -110,7 +110,7 @@
         self.nodes.iter().enumerate().map(peer).collect()
     }
 
-    /// Makes a voter the leader; the one before keeps its lease until it runs out.
+    /// Makes a voter the leader; the previous leader keeps its lease until it expires.
     pub fn elect(&mut self, leader: usize) {
         self.leader = Some(leader);
         let name = self.nodes[leader].name.clone();
@@ -120,9 +120,9 @@
         self.sync_from_log(leader);
     }
 
-    /// Commits an edit; the voters that the leader reaches have it at once.
+    /// Commits an edit; voters that the leader can reach receive it at once.
     pub fn commit(&mut self, changes: &[Change]) -> Revision {
-        let table = apply(&self.table, changes).expect("changes are good");
+        let table = apply(&self.table, changes).expect("changes are valid");
         self.table = Arc::new(table);
         self.revision = self.revision.next();
         self.log.push(changes.into());
@@ -136,14 +136,14 @@
         self.revision
     }
 
-    /// Commits so many edits of one row at once.
+    /// Commits `count` edits of one row at once.
     pub fn commit_many(&mut self, count: u32) {
         for number in 0..count {
             self.commit(&[weight("check", number % 999 + 1)]);
         }
     }
 
-    /// Hands a voter what the log has committed and it lacks.
+    /// Gives a voter the committed changes that it lacks.
     pub fn sync_from_log(&mut self, voter: usize) {
         let node = &mut self.nodes[voter];
         let restored = Input::Restored { revision: self.revision, table: self.table.clone() };
@@ -159,7 +159,7 @@
         self.step_node(voter, input);
     }
 
-    /// Lets time pass.
+    /// Advances the time.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Lets time pass until a condition holds, and says how long that took.
+    /// Advances the time until a condition holds; returns how long that took.
     pub fn until(&mut self, max: Duration, condition: impl Fn(&Self) -> bool) -> Option<Duration> {
         let start = self.now;
         while self.now < start + max {
@@ -183,7 +183,7 @@
         None
     }
 
-    /// Stops an instance and starts it again with nothing in memory but what voters keep on disk.
+    /// Restarts an instance, which keeps nothing but what voters store on disk.
     pub fn restart(&mut self, number: usize) {
         let peers = self.peers();
         let node = &mut self.nodes[number];
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Freezes an instance; its messages wait, and its clock runs on.
+    /// Pauses an instance; its messages wait and its clock continues.
     pub fn pause(&mut self, number: usize) {
         self.nodes[number].paused = true;
     }
@@ -210,12 +210,12 @@
         self.nodes[number].paused = false;
     }
 
-    /// Sets the pace of an instance's clock in thousandths.
+    /// Sets the rate of an instance's clock, in thousandths.
     pub fn set_clock_rate(&mut self, number: usize, clock_rate: u32) {
         self.nodes[number].clock_rate = clock_rate;
     }
 
-    /// Cuts an instance off, both ways.
+    /// Isolates an instance in both directions.
     pub fn isolate(&mut self, number: usize) {
         for other in (0..self.nodes.len()).filter(|other| *other != number) {
             self.cuts.insert((number, other));
@@ -223,7 +223,7 @@
         }
     }
 
-    /// Cuts two groups of instances off from each other.
+    /// Partitions the instances into two groups.
     pub fn partition(&mut self, inside: impl Fn(usize) -> bool) {
         for from in 0..self.nodes.len() {
             for to in 0..self.nodes.len() {
@@ -243,7 +243,7 @@
         (0..self.nodes.len()).all(|number| self.ready(number))
     }
 
-    /// Says what the leader knows of the newest revision.
+    /// Returns what the leader knows about the newest revision.
     pub fn propagation(&self) -> Option<Propagation> {
         let leader = &self.nodes[self.leader?];
         leader.hub.propagation(leader.now, self.revision)
@@ -257,7 +257,7 @@
         self.nodes.iter().position(|node| node.name == *name).expect("the name is known")
     }
 
-    /// Returns an instance that others follow, and that follows the leader or a voter.
+    /// Returns an instance that has followers and is not a voter.
     pub fn relay(&self) -> usize {
         let followed = self.nodes.iter().filter_map(|node| node.hub.followed_publisher());
         let mut relays = followed.map(|name| self.number(name));
@@ -317,7 +317,7 @@
                 Output::Send { to, message } => self.send(number, &to, &message),
                 Output::Table { revision, .. } => {
                     let node = &mut self.nodes[number];
-                    assert!(revision > node.revision, "{} fell to {revision}", node.name);
+                    assert!(revision > node.revision, "{} went back to {revision}", node.name);
                     node.revision = revision;
                 }
             }
@@ -345,8 +345,8 @@
         }
     }
 
-    /// Checks what must hold at every moment: whoever takes work has every revision that any leader
-    /// said to be in force everywhere, and its table is the one that was committed.
+    /// Checks the invariants: every instance that accepts work has all revisions that any leader
+    /// reported as in force everywhere, and its table is the committed one.
     fn check_invariants(&mut self) {
         if self.is_in_force() {
             self.in_force = self.revision;
@@ -370,7 +370,7 @@
             name,
             voter,
             clock_rate: 1_000,
-            // Clocks of different instances have nothing in common but their pace.
+            // Clocks of different instances share nothing but their rate.
             now: Duration::from_secs(100 + number as u64 * 17),
             paused: false,
             inbox: Vec::new(),
@@ -391,7 +391,7 @@
     Change::Put(row)
 }
 
-/// Returns changes that put so many rows.
+/// Returns changes that put `count` rows.
 pub fn rows(count: usize) -> Vec<Change> {
     (0..count).map(|number| weight(&format!("class-{number}"), 5)).collect()
 }
--- a/crates/verbenaslip-state/tests/orders.rs
+++ b/crates/verbenaslip-state/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to upstreams that check fencing numbers and to such that do not.
+//! Orders to upstreams, some of which check fence numbers.
 
 mod common;
 
@@ -15,13 +15,13 @@
 use verbenaslip_state::order::{Dispatcher, Input, Order, OrderEnd, Output, Pending, Role, Task};
 use verbenaslip_state::{Command, Outcome};
 
-/// The longest lease of a leader.
+/// The maximum duration of a leader's lease.
 const LEASE: Duration = Duration::from_secs(2);
 
-/// When something happens, in milliseconds, what, and what is asked for then.
+/// The time of the input in milliseconds, the input, and the expected outputs.
 type Step = (u64, Input, &'static str);
 
-/// A name and its steps.
+/// The case's name and steps.
 type Case = (&'static str, Vec<Step>);
 
 fn run(cases: &[Case]) {
@@ -93,7 +93,9 @@
     Input::Ended { upstream: "gpu".into(), fence: Fence { term, index } }
 }
 
-/// Leads from 0 on, with the upstream's state read back, when its first order can be proposed.
+/// Returns the steps after which a leader, leading from time 0, can propose the first order.
+///
+/// For an upstream that does not check fence numbers, this includes reading its state back.
 fn ready_to_propose(fenced: bool) -> Vec<Step> {
     if fenced {
         return vec![(0, lead(5, 60_000), ""), (0, upstream(true), "")];
@@ -107,7 +109,7 @@
     ]
 }
 
-/// Returns an order given to an upstream that checks numbers, and what follows.
+/// Returns the steps that send an order to a fenced upstream, followed by the given ones.
 fn after_sending(rest: Vec<Step>) -> Vec<Step> {
     let mut steps = ready_to_propose(true);
     steps.push((100, Input::Want(order()), "propose load m"));
@@ -129,9 +131,8 @@
                 (400, ended(5, 9), "report applied"),
             ]),
         ),
-        // Symptom: the order counts as refused though it is carried out. Sequence: the answer is
-        // lost, the order is sent again with its number, which the upstream holds already. Cause:
-        // every 409 counts as another leader's.
+        // Guards against recording an order as refused although it was carried out: the answer is
+        // lost, and the upstream answers the resend with status 409 and the order's own number.
         (
             "answer lost",
             after_sending(vec![
@@ -145,11 +146,9 @@
             after_sending(vec![(300, held(superseded), "end superseded by 6.1")]),
         ),
         ("came too late", after_sending(vec![(300, answer(5, 9, Answer::Expired), "end expired")])),
-        // Symptom: an order counts for the one after it. Sequence: an answer to an older order comes
-        // late. Cause: answers are matched by upstream alone.
+        // Guards against applying a delayed answer of an earlier order to the current one.
         ("answer to another order", after_sending(vec![(300, answer(5, 8, Answer::Applied), "")])),
-        // Symptom: an order is given up that was carried out. Sequence: no answer ever comes.
-        // Cause: silence counts as failure.
+        // Guards against giving up an order that was carried out because no answer arrived.
         (
             "never answered",
             after_sending(vec![
@@ -160,8 +159,8 @@
                 (6_300, read(1, &["m"], Some(own_fence)), "end applied"),
             ]),
         ),
-        // Symptom: the log never hears of the end, and the upstream takes no more orders. Sequence:
-        // the proposal that tells it is lost. Cause: it is made once.
+        // Guards against an upstream blocked for further orders: the proposal that ends the order
+        // is lost and must be repeated.
         (
             "end lost",
             after_sending(vec![
@@ -176,9 +175,9 @@
 #[test]
 fn proposals_may_fail() {
     run(&[
-        // Symptom: an upstream takes no more orders until the next leader. Sequence: the log numbers
-        // an order, and the answer to who proposed it is lost or too late. Cause: only the answer is
-        // listened to, and the log holds an order that nobody gives or ends.
+        // Guards against an upstream blocked until the next leader: the log numbers an order, but
+        // the answer to the proposal is lost or late. The leader must also send or end the orders
+        // that it finds in the log.
         (
             "number lost",
             vec![
@@ -193,8 +192,8 @@
                 (2_600, lead_with_pending(5, pending(5, 9)), ""),
             ],
         ),
-        // Symptom: an order is given by a leader that is none any more. Sequence: the lease runs out
-        // between proposal and commit. Cause: the lease is looked at only when the order is wanted.
+        // Guards against sending an order after leadership ended: the lease expires between
+        // proposal and commit.
         (
             "lease lost before the commit",
             vec![
@@ -224,8 +223,8 @@
 #[test]
 fn unfenced_upstreams_receive_orders_after_a_wait() {
     run(&[
-        // Symptom: an upstream unloads what the new leader had it load. Sequence: an old leader's
-        // order arrives after the new leader's. Cause: the new leader orders at once.
+        // Guards against an upstream that unloads what the new leader had it load: an old leader's
+        // order arrives after the new leader's, so the new leader has to wait first.
         (
             "new leader",
             vec![
@@ -237,8 +236,8 @@
                 (13_400, read(1, &[], None), "propose load m"),
             ],
         ),
-        // Symptom: as above. Sequence: the upstream checked numbers, restarts as one that does not,
-        // and says so. Cause: what it said first counts for ever.
+        // Guards against the same failure if an upstream that checked fence numbers restarts as one
+        // that does not, and announces that.
         (
             "no longer checking",
             vec![
@@ -249,8 +248,8 @@
                 (13_300, Input::Tick, "read 1"),
             ],
         ),
-        // Symptom: as above, of one leader. Sequence: copies of an order are on their way when the
-        // upstream restarts as one that does not check. Cause: only the leader's start counts.
+        // Guards against the same failure within one term: copies of an order are in transit when
+        // the upstream restarts as one that does not check fence numbers.
         (
             "no longer checking in mid-term",
             vec![
@@ -263,7 +262,8 @@
                 (31_100, read(1, &[], None), "propose load m"),
             ],
         ),
-        // Symptom: as above. Sequence: the upstream is gone in between. Cause: it is forgotten at once.
+        // Guards against the same failure if the upstream is gone in between: it must be
+        // remembered.
         (
             "gone and back without checking",
             vec![
@@ -281,9 +281,8 @@
 #[test]
 fn state_reports_may_be_outdated() {
     run(&[
-        // Symptom: the state before an order counts as the state after it. Sequence: the question is
-        // asked twice, the first answer opens the upstream, the second comes after an order. Cause:
-        // answers are not matched with questions.
+        // Guards against taking the state before an order for the state after it: the question is
+        // resent, the first answer arrives, and the second answer arrives after an order.
         (
             "late answer to an old question",
             vec![
@@ -300,8 +299,8 @@
                 (20_900, read(3, &["m"], None), "end applied"),
             ],
         ),
-        // Symptom: an order is lost, or carried out twice. Sequence: a leader dies between the order
-        // and its answer. Cause: the next leader knows nothing of it.
+        // Guards against losing or repeating an order whose leader failed between sending the order
+        // and receiving the answer: the next leader has to take it over.
         (
             "order left by an older leader",
             vec![
@@ -330,9 +329,8 @@
     ]);
 }
 
-/// Symptom: an upstream is ordered the same twice, or takes no more orders. Sequence: the proposal of
-/// an order is sent again after its answer was lost, and both copies are committed, the second before
-/// or after the first has ended. Cause: the copy counts as another order.
+/// Guards against sending an order twice or blocking its upstream: a proposal is resent after its
+/// answer was lost, and both copies are committed, the second before or after the first has ended.
 #[test]
 fn a_resent_proposal_is_the_same_order() {
     let mut log = Log { term: 5, ..Log::default() };
@@ -360,12 +358,12 @@
     }
 }
 
-/// An upstream that checks numbers or not, and carries out whatever it accepts.
+/// An upstream that carries out every order it accepts and may check fence numbers.
 #[derive(Default)]
 struct Engine {
     fenced: bool,
     held: Fence,
-    /// The orders carried out, by number, in the order in which they were.
+    /// The fence numbers of the orders carried out, in order of execution.
     carried_out: Vec<Fence>,
 }
 
@@ -382,14 +380,14 @@
     }
 }
 
-/// Several leaders in turn, some of which do not know that they are none any more.
+/// A simulation of several successive leaders; an old one may not know that it was replaced.
 struct Simulation {
     now: Duration,
     rng: Pcg64,
     log: Log,
     leaders: Vec<Dispatcher>,
     engines: BTreeMap<&'static str, Engine>,
-    /// Orders on their way, with when they arrive and from whom.
+    /// Orders in transit: the arrival time, the sending leader and the order.
     in_transit: Vec<(Duration, usize, OrderDelivery)>,
     current: usize,
     until: Duration,
@@ -416,7 +414,7 @@
 
     fn step(&mut self) {
         self.now += Duration::from_millis(100);
-        // The lease is renewed each step until the leader is cut off; then another takes over.
+        // The lease is renewed on each step until the leader is cut off; then another one leads.
         if self.now >= self.until {
             self.isolated = false;
             self.log.term += 1;
@@ -451,7 +449,7 @@
         self.leaders[leader].step(self.now, input, &mut out);
         for output in out {
             match output {
-                // An order may be on its way until its expiry.
+                // An order may be in transit until its expiry.
                 Output::Give(delivery) => {
                     let max = delivery.expiry.saturating_sub(self.now).as_millis() as u64;
                     let delay = Duration::from_millis(self.rng.random_range(0..=max));
@@ -479,14 +477,14 @@
         }
     }
 
-    /// Commits what the current leader proposes; others' proposals come to nothing.
+    /// Commits proposals of the current leader and drops those of the others.
     fn propose(&mut self, leader: usize, command: Command) {
         if leader != self.current || self.isolated {
             return;
         }
         let outcome = self.log.apply(&command);
         let fence = self.log.state.position();
-        // The answer may be lost, and the proposal then be committed a second time.
+        // The answer may be lost, and the proposal may then be committed a second time.
         match self.rng.random_range(0..10) {
             0 => return,
             1 => drop(self.log.apply(&command)),
@@ -521,7 +519,7 @@
             assert_eq!(
                 engine.carried_out.last().copied(),
                 last,
-                "{} obeyed late",
+                "{} carried out a late order",
                 delivery.upstream
             );
             if self.rng.random_range(0..3) > 0 {
@@ -533,9 +531,8 @@
     }
 }
 
-/// Symptom: an upstream carries out an old leader's order after a new leader's. Sequence: leaders
-/// are cut off and others follow, orders are late up to their expiry, answers are lost. Cause:
-/// whatever the cases above do not think of.
+/// Guards against an upstream that carries out an old leader's order after a new leader's, under
+/// random leader changes, delays of orders up to their expiry, and lost answers.
 #[test]
 fn no_old_order_is_carried_out_late() {
     let mut plain = 0;
--- a/crates/verbenaslip-state/tests/watch.rs
+++ b/crates/verbenaslip-state/tests/watch.rs
@@ -1,4 +1,4 @@
-//! Following the table through cuts, freezes, restarts, loss and clocks of different pace.
+//! Following the table under partitions, pauses, restarts, message loss and clock drift.
 
 mod net;
 
@@ -9,7 +9,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Starts instances with a leader, a table of a few rows, and everybody ready.
+/// Starts instances with a leader and a table of a few rows, and waits until all are ready.
 fn started(count: usize, seed: u64) -> Net {
     let mut net = Net::new(count, 3, seed);
     net.elect(0);
@@ -19,7 +19,7 @@
     net
 }
 
-/// Commits an edit and says how long it took until the leader knew it to be in force everywhere.
+/// Commits an edit; returns how long it took until the leader knew it was in force everywhere.
 fn commit_until_in_force(net: &mut Net) -> Duration {
     let number = u32::try_from(net.revision.0).expect("small") % 999 + 1;
     net.commit(&[weight("check", number)]);
@@ -37,9 +37,8 @@
     }
 }
 
-/// Symptom: an operator is told that an edit is in force, and an instance serves by the old table.
-/// Sequence: an instance is cut off, the edit comes, time passes. Cause: the lease is not counted,
-/// or outlasts what the leader waits for.
+/// Guards against reporting an edit as in force while an isolated instance serves by the old table.
+/// The leader must wait at least as long as the instance's lease lasts.
 #[test]
 fn an_isolated_instance_stops_within_its_lease() {
     for seed in 0..10 {
@@ -50,38 +49,40 @@
         assert!(elapsed > 2 * SECOND && elapsed < 6 * SECOND, "{elapsed:?}");
         assert!(!net.ready(8));
         net.cuts.clear();
-        let elapsed = net.until(6 * SECOND, Net::all_ready).expect("it comes back");
+        let elapsed =
+            net.until(6 * SECOND, Net::all_ready).expect("the instance becomes ready again");
         assert!(elapsed <= 6 * SECOND);
     }
 }
 
-/// Symptom: as above. Sequence: the process, not the network, stops for longer than a lease, and
-/// goes on where it was. Cause: the lease is counted from when its answer is read.
+/// Guards against the same failure if the process, not the network, stops for longer than a lease:
+/// the lease must not be counted from when its grant is read.
 #[test]
 fn a_paused_instance_does_not_serve_when_it_resumes() {
     for seed in 0..10 {
         let mut net = started(9, seed);
-        // Long delays, so that an answer is on its way when the process freezes, and is read late.
+        // Long delays, so that an answer is in transit when the process is paused, and is read
+        // late.
         net.delay = Duration::from_millis(350);
         net.run(Duration::from_millis(100 * seed));
         net.pause(8);
-        // The answer waits to be read; the edit, which comes later, does not get through.
+        // The answer waits to be read; the later edit does not arrive.
         net.run(SECOND);
         net.isolate(8);
         let elapsed = commit_until_in_force(&mut net);
         assert!(elapsed < 6 * SECOND, "{elapsed:?}");
         net.run(SECOND);
         net.resume(8);
-        // The network checks at every step that whoever is ready has what is in force.
+        // The network checks at every step that each ready instance has the revision in force.
         net.run(10 * SECOND);
         assert!(!net.ready(8));
         net.cuts.clear();
-        net.until(6 * SECOND, Net::all_ready).expect("it comes back");
+        net.until(6 * SECOND, Net::all_ready).expect("the instance becomes ready again");
     }
 }
 
-/// Symptom: as above. Sequence: the holder's clock runs slow and the leader's fast, and the holder is
-/// cut off. Cause: the leader waits for exactly the granted time.
+/// Guards against the same failure with clock drift: the holder's clock is slow, the leader's is
+/// fast, and the holder is isolated. Waiting for exactly the granted duration would be too short.
 #[test]
 fn clocks_with_different_rates_are_tolerated() {
     for seed in 0..10 {
@@ -98,9 +99,8 @@
     }
 }
 
-/// Symptom: as above, below an instance that passes leases on. Sequence: such an instance dies, or is
-/// cut off together with those that follow it. Cause: those below get a lease of their own length
-/// instead of the rest of the one above, or the leader does not wait for them.
+/// Guards against the same failure below a relay: a relay fails or is isolated together with its
+/// followers. They must get the rest of the relay's lease only, and the leader must wait for them.
 #[test]
 fn followers_leases_end_with_a_lost_relay() {
     for seed in 0..10 {
@@ -117,7 +117,7 @@
         let elapsed = commit_until_in_force(&mut net);
         assert!(elapsed < 6 * SECOND, "{elapsed:?}");
         net.cuts.clear();
-        net.until(10 * SECOND, Net::all_ready).expect("all come back");
+        net.until(10 * SECOND, Net::all_ready).expect("all become ready again");
 
         let relay = net.relay();
         net.isolate(relay);
@@ -125,13 +125,12 @@
         assert!(elapsed < 6 * SECOND, "{elapsed:?}");
         net.run(2 * SECOND);
         let lost = (0..net.nodes.len()).filter(|number| !net.ready(*number)).count();
-        assert_eq!(lost, 1, "those below it have found another");
+        assert_eq!(lost, 1, "its followers have found another publisher");
     }
 }
 
-/// Symptom: as above. Sequence: an instance that passes leases on restarts at once, and reports the
-/// newest revision while those that it granted a lease before are cut off. Cause: the restarted
-/// process's word is taken for what it granted before.
+/// Guards against the same failure after a relay restarts: it reports the newest revision while the
+/// instances that it granted a lease before the restart are isolated.
 #[test]
 fn a_restarted_relay_does_not_report_for_earlier_grants() {
     for seed in 0..10 {
@@ -152,9 +151,9 @@
     }
 }
 
-/// Symptom: two tables at once. Sequence: the leader is cut off with some instances, another leads,
-/// an edit is committed there; the old one comes back. Cause: the old leader grants leases without
-/// its quorum, or the new one does not wait for leases that it did not grant.
+/// Guards against two tables in use at once: the leader is isolated with some instances, a new
+/// leader commits an edit, and the old one comes back. An old leader must not grant leases without
+/// its quorum, and a new one must wait for leases that it did not grant.
 #[test]
 fn an_isolated_leader_and_its_return() {
     for seed in 0..10 {
@@ -172,15 +171,14 @@
         net.run(10 * SECOND);
         net.cuts.clear();
         net.sync_from_log(0);
-        net.until(8 * SECOND, Net::all_ready).expect("all come back");
+        net.until(8 * SECOND, Net::all_ready).expect("all become ready again");
         let elapsed = commit_until_in_force(&mut net);
         assert!(elapsed < SECOND, "{elapsed:?}");
     }
 }
 
-/// Symptom: an instance serves by a table from before hundreds of edits, or never gets ready.
-/// Sequence: it restarts, or is cut off, while the edits pass. Cause: a lease without the revision,
-/// or changes that no longer reach back.
+/// Guards against an instance that serves by a table from before hundreds of edits, or never
+/// becomes ready: it restarts or is isolated during the edits, so the changes no longer reach back.
 #[test]
 fn restarts_and_cuts_during_hundreds_of_edits() {
     for edits in [0, 1, 20, 500, 2_000] {
@@ -190,16 +188,17 @@
         net.restart(8);
         net.run(SECOND);
         net.cuts.clear();
-        // The restarted one has no older lease by which it might serve the older table.
-        net.until(6 * SECOND, |net| net.ready(8)).expect("it comes back");
+        // The restarted instance has no older lease that would let it serve by the older table.
+        net.until(6 * SECOND, |net| net.ready(8)).expect("the instance becomes ready again");
         assert_eq!(net.nodes[8].hub.revision(), net.revision);
-        net.until(8 * SECOND, |net| net.all_ready() && net.is_in_force()).expect("both come back");
+        net.until(8 * SECOND, |net| net.all_ready() && net.is_in_force())
+            .expect("both become ready again");
         assert!(net.nodes.iter().all(|node| node.hub.revision() == net.revision));
     }
 }
 
-/// Symptom: a large table never arrives, or holds up everything. Sequence: a table of the greatest
-/// size, put by one edit; a restart. Cause: one message for it all.
+/// Guards against a large table that never arrives or delays everything else: it is put by one
+/// edit, an instance restarts, and one message cannot hold the table.
 #[test]
 fn the_largest_table_arrives_in_parts() {
     let mut net = started(9, 1);
@@ -208,13 +207,13 @@
     net.run(SECOND);
     net.loss = 100;
     net.restart(8);
-    net.until(20 * SECOND, |net| net.ready(8)).expect("it comes back");
+    net.until(20 * SECOND, |net| net.ready(8)).expect("the instance becomes ready again");
     assert_eq!(net.nodes[8].hub.revision(), Revision(2));
 }
 
-/// Symptom: revisions fall, an instance stays behind, or one serves by an old table. Sequence:
-/// messages are lost, doubled and overtaken, instances restart, freeze and are cut off, leaders
-/// change. Cause: whatever the cases above do not think of.
+/// Guards against revisions that decrease, instances that stay behind and instances that serve by
+/// an old table, under random message loss, duplication, reordering, restarts, pauses, partitions
+/// and leader changes.
 #[test]
 fn invariants_hold_under_random_schedules() {
     use rand::{RngExt, SeedableRng};
@@ -257,9 +256,8 @@
     }
 }
 
-/// Symptom: while the quorum is away, instances serve on for longer than a lease, or flood each other
-/// with questions. Sequence: no voter leads for a while; then one does. Cause: leases passed around
-/// among instances without an end, or questions without a pause.
+/// Guards against instances that serve for longer than a lease without a quorum by granting each
+/// other leases, and against a flood of requests: no voter leads for a while, then one does.
 #[test]
 fn nobody_serves_without_the_quorum() {
     let mut net = started(81, 1);
@@ -273,12 +271,12 @@
     println!("{max} bytes a second at the busiest instance without a quorum");
     assert!(max < 12_000, "{max} bytes a second");
     net.elect(1);
-    let elapsed = net.until(5 * SECOND, Net::all_ready).expect("all come back");
+    let elapsed = net.until(5 * SECOND, Net::all_ready).expect("all become ready again");
     println!("all ready {elapsed:?} after the quorum");
 }
 
-/// Symptom: many instances refuse work when one voter is lost. Sequence: a voter that does not lead
-/// is cut off for good. Cause: its followers notice it too late to find another within their leases.
+/// Guards against many instances refusing work when one voter is lost: its followers must notice in
+/// time to find another publisher within their leases.
 #[test]
 fn followers_of_a_lost_voter_recover_quickly() {
     let mut ticks = 0;
@@ -296,8 +294,8 @@
     assert!(unready < 10 * SECOND, "{unready:?}");
 }
 
-/// Symptom: traffic for the table crosses availability zones without need. Sequence: a voter in each
-/// zone, followers in each. Cause: the publisher is chosen without regard to its zone.
+/// Guards against needless traffic between availability zones: with a voter and followers in each
+/// zone, followers must choose a publisher in their own.
 #[test]
 fn followers_prefer_their_own_zone() {
     let net = started(15, 1);
@@ -307,8 +305,8 @@
     }
 }
 
-/// Symptom: an instance that no longer votes never gets ready. Sequence: it left the voter set, and
-/// the others' lists still say that it votes. Cause: nobody sends changes to voters.
+/// Guards against an instance that never becomes ready after leaving the voter set: the others'
+/// lists still call it a voter, and publishers send no changes to voters.
 #[test]
 fn a_voter_without_the_log_is_caught_up() {
     let mut net = started(9, 1);
