--- a/crates/verbenaslip-state/src/history.rs
+++ b/crates/verbenaslip-state/src/history.rs
@@ -120,7 +120,7 @@
     }
 
     /// Decides on an edit and applies it if it is accepted.
-    pub(crate) fn edit(&mut self, edit: &Edit) -> Verdict {
+    pub(crate) fn apply_edit(&mut self, edit: &Edit) -> Verdict {
         let digest = digest(edit);
         if let Some(answer) = self.answers.iter().find(|answer| answer.edit == edit.id) {
             // The operator lost the answer and resent the edit. Deciding on it again would call it
--- a/crates/verbenaslip-state/src/propagation.rs
+++ b/crates/verbenaslip-state/src/propagation.rs
@@ -68,7 +68,7 @@
         self.holders.retain(|_, state| state.drop_expired(now));
         let until = now.saturating_add(with_margin(duration));
         let state = self.holders.entry(holder).or_default();
-        state.add(Grant { revision, until });
+        state.add_grant(Grant { revision, until });
     }
 
     /// Returns the lowest revision by which any holder may serve; `None` without holders.
@@ -121,7 +121,7 @@
         !self.grants.is_empty()
     }
 
-    fn add(&mut self, grant: Grant) {
+    fn add_grant(&mut self, grant: Grant) {
         // Merges with the last grant of the same revision, or merges the two oldest if there are
         // too many. Combining the lower revision with the later expiry waits too long rather than
         // too short.
--- a/crates/verbenaslip-state/src/state.rs
+++ b/crates/verbenaslip-state/src/state.rs
@@ -92,7 +92,7 @@
 
     fn decide(&mut self, position: Fence, command: &Command) -> Outcome {
         match command {
-            Command::Edit(edit) => Outcome::Edit(self.history.edit(edit)),
+            Command::Edit(edit) => Outcome::Edit(self.history.apply_edit(edit)),
             Command::Claim(claim) => Outcome::Claim(self.claims.claim(self.clock, claim)),
             Command::Settle(settle) => Outcome::Closed(self.claims.settle(settle)),
             Command::Release(release) => {
--- a/crates/verbenaslip-state/src/watch/follower.rs
+++ b/crates/verbenaslip-state/src/watch/follower.rs
@@ -44,10 +44,10 @@
 /// Follows one publisher at a time and holds the lease that it grants.
 #[derive(Clone, Debug)]
 pub struct Follower {
-    me: Instance,
+    instance: Instance,
     zone: AvailabilityZone,
     boot: u64,
-    count: u32,
+    request_count: u32,
     peers: Vec<Peer>,
     leader: Option<Instance>,
     suggested: Vec<Instance>,
@@ -62,12 +62,12 @@
 }
 
 impl Follower {
-    pub(crate) fn new(me: Instance, zone: AvailabilityZone, boot: u64) -> Self {
+    pub(crate) fn new(instance: Instance, zone: AvailabilityZone, boot: u64) -> Self {
         Self {
-            me,
+            instance,
             zone,
             boot,
-            count: 0,
+            request_count: 0,
             peers: Vec::new(),
             leader: None,
             suggested: Vec::new(),
@@ -127,17 +127,19 @@
             self.leave(now, AVOID_AFTER_SILENCE);
         }
         if self.publisher.is_none() && now >= self.resume_at {
-            let first_count = self.count.wrapping_add(1);
-            self.publisher = self.choose().map(|name| FollowedPublisher::new(name, first_count));
+            let first_count = self.request_count.wrapping_add(1);
+            self.publisher =
+                self.choose_publisher().map(|name| FollowedPublisher::new(name, first_count));
         }
         let Some(publisher) = &self.publisher else { return };
         let interval = if report.has_followers { RELAY_RENEWAL_INTERVAL } else { RENEWAL_INTERVAL };
         let interval = if publisher.unanswered_since.is_some() { RETRY_INTERVAL } else { interval };
-        let floor_rose = report.floor > publisher.reported && publisher.unanswered_since.is_none();
+        let floor_rose =
+            report.floor > publisher.reported_floor && publisher.unanswered_since.is_none();
         let interval =
             if floor_rose || publisher.report_soon { MIN_REPORT_INTERVAL } else { interval };
-        if publisher.last.is_none_or(|last| now >= last.saturating_add(interval)) {
-            self.ask(now, report, out);
+        if publisher.last_request_at.is_none_or(|at| now >= at.saturating_add(interval)) {
+            self.request_lease(now, report, out);
         }
         self.fetch_again(now, out);
     }
@@ -199,7 +201,7 @@
                     requested_at: now,
                     ..SnapshotFetch::new(wanted)
                 };
-                out.push(fetch.ask(publisher.name.clone()));
+                out.push(fetch.request(publisher.name.clone()));
                 self.fetch = Some(fetch);
             }
             StepResult::Mismatch => {}
@@ -221,7 +223,7 @@
             return;
         }
         let fetch = SnapshotFetch::new(offer);
-        out.push(fetch.ask(from.clone()));
+        out.push(fetch.request(from.clone()));
         self.fetch = Some(SnapshotFetch { requested_at: now, ..fetch });
     }
 
@@ -237,11 +239,11 @@
             return None;
         }
         let fetch = self.fetch.as_mut()?;
-        if !fetch.take(now, part) {
+        if !fetch.accept_part(now, part) {
             return None;
         }
         if !fetch.is_complete() {
-            out.push(fetch.ask(from.clone()));
+            out.push(fetch.request(from.clone()));
             return None;
         }
         let fetch = self.fetch.take()?;
@@ -252,13 +254,13 @@
     }
 
     /// Requests the lease.
-    fn ask(&mut self, now: Duration, report: FollowerReport, out: &mut Vec<Output>) {
-        self.count = self.count.wrapping_add(1);
-        let nonce = Nonce { boot: self.boot, count: self.count };
+    fn request_lease(&mut self, now: Duration, report: FollowerReport, out: &mut Vec<Output>) {
+        self.request_count = self.request_count.wrapping_add(1);
+        let nonce = Nonce { boot: self.boot, count: self.request_count };
         let Some(publisher) = &mut self.publisher else { return };
         publisher.unanswered_since.get_or_insert(now);
-        publisher.last = Some(now);
-        publisher.reported = report.floor;
+        publisher.last_request_at = Some(now);
+        publisher.reported_floor = report.floor;
         publisher.report_soon = false;
         self.lease.record_request(now, nonce);
         let renew = Renew { nonce, applied: report.applied, floor: report.floor };
@@ -270,7 +272,7 @@
         let (Some(fetch), Some(publisher)) = (&mut self.fetch, &self.publisher) else { return };
         if now >= fetch.requested_at.saturating_add(RETRY_INTERVAL) {
             fetch.requested_at = now;
-            out.push(fetch.ask(publisher.name.clone()));
+            out.push(fetch.request(publisher.name.clone()));
         }
     }
 
@@ -282,7 +284,7 @@
         // While there is no quorum, no instance has a lease to grant, however often it is asked.
         let pause = BASE_PAUSE * (1 << self.leave_count.min(MAX_DOUBLINGS));
         self.leave_count = self.leave_count.saturating_add(1);
-        let parts = [self.me.as_str().as_bytes(), &self.count.to_le_bytes()];
+        let parts = [self.instance.as_str().as_bytes(), &self.request_count.to_le_bytes()];
         let jitter_range = (pause.as_millis() as u64).max(1);
         let jitter = Duration::from_millis(hash::narrow(&parts) % jitter_range);
         self.resume_at = now.saturating_add(pause).saturating_add(jitter);
@@ -291,17 +293,17 @@
     /// Chooses the next publisher to ask: first the instances that a full publisher named, then
     /// voters, then any other; within each group, the same availability zone first. A voter asks
     /// the leader first.
-    fn choose(&self) -> Option<Instance> {
-        let voter = self.peers.iter().any(|peer| peer.voter && peer.instance == self.me);
+    fn choose_publisher(&self) -> Option<Instance> {
+        let voter = self.peers.iter().any(|peer| peer.voter && peer.instance == self.instance);
         let rank = |peer: &&Peer| {
             let leader = voter && self.leader.as_ref() == Some(&peer.instance);
             let named = self.suggested.contains(&peer.instance);
             let same_zone = peer.zone == self.zone;
-            let parts = [self.me.as_str().as_bytes(), peer.instance.as_str().as_bytes()];
+            let parts = [self.instance.as_str().as_bytes(), peer.instance.as_str().as_bytes()];
             (!leader, !named, !peer.voter, !same_zone, hash::narrow(&parts))
         };
         let fits = |peer: &&Peer| {
-            peer.instance != self.me && !self.avoided_until.contains_key(&peer.instance)
+            peer.instance != self.instance && !self.avoided_until.contains_key(&peer.instance)
         };
         let chosen = self.peers.iter().filter(fits).min_by_key(rank);
         chosen.map(|peer| peer.instance.clone())
@@ -331,8 +333,8 @@
     unanswered_since: Option<Duration>,
     /// The count of the first request to this publisher.
     first_count: u32,
-    last: Option<Duration>,
-    reported: Revision,
+    last_request_at: Option<Duration>,
+    reported_floor: Revision,
     report_soon: bool,
 }
 
@@ -342,8 +344,8 @@
             name,
             unanswered_since: None,
             first_count,
-            last: None,
-            reported: Revision(0),
+            last_request_at: None,
+            reported_floor: Revision(0),
             report_soon: false,
         }
     }
@@ -363,13 +365,13 @@
         Self { offer, bytes: Vec::new(), next: 0, requested_at: Duration::ZERO }
     }
 
-    fn ask(&self, to: Instance) -> Output {
+    fn request(&self, to: Instance) -> Output {
         let fetch = Fetch { revision: self.offer.revision, part: self.next };
         Output::Send { to, message: Message::Fetch(fetch) }
     }
 
     /// Accepts a part if it is the next one; returns whether it was.
-    fn take(&mut self, now: Duration, part: &Part) -> bool {
+    fn accept_part(&mut self, now: Duration, part: &Part) -> bool {
         let expected = part.revision == self.offer.revision && part.part == self.next;
         let remaining = (self.offer.bytes as usize).saturating_sub(self.bytes.len());
         if !expected
--- a/crates/verbenaslip-state/src/watch/hub.rs
+++ b/crates/verbenaslip-state/src/watch/hub.rs
@@ -81,10 +81,10 @@
 
 impl Hub {
     /// Creates a hub without a table; `boot` must differ at each start of the instance.
-    pub fn new(me: Instance, zone: AvailabilityZone, boot: u64) -> Self {
+    pub fn new(instance: Instance, zone: AvailabilityZone, boot: u64) -> Self {
         Self {
-            follower: Follower::new(me.clone(), zone, boot),
-            publisher: Publisher::new(me),
+            follower: Follower::new(instance.clone(), zone, boot),
+            publisher: Publisher::new(instance),
             leads_until: None,
         }
     }
@@ -204,7 +204,7 @@
     fn commit(&mut self, now: Duration, step: &Step, table: Arc<Table>, out: &mut Vec<Output>) {
         let before = self.publisher.window.revision();
         if step.revision == before.next() {
-            self.publisher.window.push(step, table);
+            self.publisher.window.append(step, table);
             self.publisher.push(now, step, out);
         } else {
             self.publisher.window.replace(step.revision, table);
--- a/crates/verbenaslip-state/src/watch/publisher.rs
+++ b/crates/verbenaslip-state/src/watch/publisher.rs
@@ -43,7 +43,7 @@
 /// Publishes the table to followers and grants them leases.
 #[derive(Clone, Debug)]
 pub struct Publisher {
-    me: Instance,
+    instance: Instance,
     voters: BTreeSet<Instance>,
     followers: BTreeMap<Instance, FollowerState>,
     tracker: Tracker,
@@ -51,9 +51,9 @@
 }
 
 impl Publisher {
-    pub(crate) fn new(me: Instance) -> Self {
+    pub(crate) fn new(instance: Instance) -> Self {
         Self {
-            me,
+            instance,
             voters: BTreeSet::new(),
             followers: BTreeMap::new(),
             tracker: Tracker::default(),
@@ -123,7 +123,7 @@
         let revision = self.window.revision();
         self.tracker.grant(now, holder, revision, duration);
         let mut path = answer.path.clone();
-        path.push(self.me.clone());
+        path.push(self.instance.clone());
         let granted = Granted { nonce: renew.nonce, revision, duration_ms, path };
         send(out, from, Message::Granted(granted));
         self.catch_up(now, from, renew.applied, out);
--- a/crates/verbenaslip-state/src/watch/window.rs
+++ b/crates/verbenaslip-state/src/watch/window.rs
@@ -61,12 +61,12 @@
             return StepResult::Gap;
         }
         let Ok(table) = apply(&self.table, &step.changes) else { return StepResult::Mismatch };
-        self.push(step, Arc::new(table));
+        self.append(step, Arc::new(table));
         StepResult::Applied
     }
 
     /// Appends the next revision with the resulting table.
-    pub(crate) fn push(&mut self, step: &Step, table: Arc<Table>) {
+    pub(crate) fn append(&mut self, step: &Step, table: Arc<Table>) {
         // Encoding these types to memory cannot fail.
         let bytes = postcard::to_stdvec(step).map(|bytes| bytes.len()).unwrap_or(usize::MAX);
         self.revision = step.revision;
