--- a/crates/verbenaslip-state/src/audit.rs
+++ b/crates/verbenaslip-state/src/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail: who asked for what, when, from which base, and what was answered.
+//! The audit trail: who requested each command, when, from which base revision, and the answer.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -12,38 +12,40 @@
 use verbenaslip_table::{Key, Revision};
 
 use crate::claim::Ending;
-use crate::command::{Command, Swap};
-use crate::history::{MAX_NAMED, keep_newest};
+use crate::command::{Command, VoterChange};
+use crate::history::{MAX_LISTED_ROWS, keep_newest};
 use crate::order::{Result, Task};
 use crate::outcome::Outcome;
 
-/// Bounds the entries kept of edits, orders, drains and voter changes.
+/// Maximum number of entries kept for edits, orders, drains and voter changes together.
 pub const MAX_ENTRIES: usize = 4_096;
 
-/// Bounds the entries kept of claims, which are many and would push out all others.
+/// Maximum number of entries kept for claims.
+///
+/// Claims have their own bound because they are frequent and would push out all other entries.
 pub const MAX_CLAIM_ENTRIES: usize = 512;
 
-/// Bounds one page.
+/// Maximum number of entries in one page.
 pub const MAX_PAGE: usize = 256;
 
-/// Notes one command.
+/// Records one command and its answer.
 #[data]
 pub struct Entry {
-    /// Counts the entries from 1.
+    /// The entry's number, counted from 1.
     pub number: u64,
     /// The command's position in the log.
     pub position: Fence,
-    /// When it was proposed, in Unix milliseconds.
+    /// The time at which the command was proposed, in Unix milliseconds.
     pub at: u64,
-    /// The operator or instance that asked.
+    /// The operator or instance that requested it.
     pub by: Arc<str>,
-    /// What was asked.
+    /// The requested action.
     pub action: Action,
-    /// The revision from which an edit was made.
+    /// The revision on which an edit was based; `None` for other actions.
     pub base: Option<Revision>,
-    /// Whether it was accepted.
+    /// Whether the command was accepted.
     pub accepted: bool,
-    /// What was answered; a refusal says why.
+    /// The answer; a refusal states the reason.
     pub answer: Arc<str>,
 }
 
@@ -58,30 +60,30 @@
     }
 }
 
-/// Says what was asked.
+/// Describes the requested action.
 #[data]
 pub enum Action {
-    /// An edit of the table.
+    /// A change of the table.
     Edit {
-        /// Its identity.
+        /// The edit's identifier.
         id: Id,
-        /// The rows, the first [`MAX_NAMED`].
+        /// The keys of the changed rows, at most the first [`MAX_LISTED_ROWS`].
         rows: Vec<Key>,
     },
-    /// A claim of a non-idempotent request.
+    /// A claim for a non-idempotent request.
     Claim(Attempt),
     /// The end of a claimed run.
     Settle(Attempt, Ending),
-    /// A claim given back.
+    /// The release of a claim before anything was sent.
     Release(Attempt),
     /// An order to an upstream.
     Order(Upstream, Task),
-    /// What became of an order.
+    /// The result of an order.
     Ordered(Upstream, Fence, Result),
-    /// A graceful stop.
+    /// A graceful stop of an instance.
     Drain(Instance),
     /// A change of the voter set.
-    Voters(Swap),
+    Voters(VoterChange),
 }
 
 impl fmt::Display for Action {
@@ -106,23 +108,25 @@
                 write!(f, "order {}.{} to {upstream} ended: {result}", fence.term, fence.index)
             }
             Self::Drain(instance) => write!(f, "drain {instance}"),
-            Self::Voters(Swap::Add(new)) => write!(f, "add voter {new}"),
-            Self::Voters(Swap::Remove(old)) => write!(f, "remove voter {old}"),
-            Self::Voters(Swap::Replace { old, new }) => write!(f, "replace voter {old} by {new}"),
+            Self::Voters(VoterChange::Add(new)) => write!(f, "add voter {new}"),
+            Self::Voters(VoterChange::Remove(old)) => write!(f, "remove voter {old}"),
+            Self::Voters(VoterChange::Replace { old, new }) => {
+                write!(f, "replace voter {old} by {new}")
+            }
         }
     }
 }
 
-/// Holds some entries and where to go on.
+/// Holds consecutive entries and the number from which the next page starts.
 #[data]
 pub struct Page {
     /// The number from which the next page starts.
     pub next: u64,
-    /// The entries in order; numbers that are no longer kept are missing.
+    /// The entries in order; entries that are no longer kept are left out.
     pub entries: Vec<Entry>,
 }
 
-/// Keeps the newest entries.
+/// Keeps the newest entries, with separate bounds for claims and for everything else.
 #[data(default)]
 pub(crate) struct Trail {
     count: u64,
@@ -131,64 +135,64 @@
 }
 
 impl Trail {
-    /// Notes a command and its answer.
-    pub(crate) fn note(&mut self, position: Fence, command: &Command, outcome: &Outcome) {
+    /// Records a command and its answer.
+    pub(crate) fn record(&mut self, position: Fence, command: &Command, outcome: &Outcome) {
         self.count = self.count.saturating_add(1);
         let mut answer = outcome.to_string();
-        if answer.len() > MAX_ANSWER {
-            let cut = (0..=MAX_ANSWER).rev().find(|at| answer.is_char_boundary(*at));
+        if answer.len() > MAX_ANSWER_BYTES {
+            let cut = (0..=MAX_ANSWER_BYTES).rev().find(|at| answer.is_char_boundary(*at));
             answer.truncate(cut.unwrap_or_default());
             answer.push('…');
         }
         let entry = Entry {
             number: self.count,
             position,
-            at: command.at(),
-            by: by(command),
+            at: command.proposed_at_ms(),
+            by: requester(command),
             action: action(command),
-            base: base(command),
+            base: base_revision(command),
             accepted: outcome.accepted(),
             answer: answer.into(),
         };
-        let (ring, most) = match command {
+        let (entries, max_entries) = match command {
             Command::Claim(_) | Command::Settle(_) | Command::Release(_) => {
                 (&mut self.claims, MAX_CLAIM_ENTRIES)
             }
             _ => (&mut self.others, MAX_ENTRIES),
         };
-        ring.push_back(entry);
-        keep_newest(ring, most);
+        entries.push_back(entry);
+        keep_newest(entries, max_entries);
     }
 
-    /// Returns entries from a number on.
-    pub(crate) fn page(&self, since: u64, most: usize) -> Page {
-        let from = |ring: &VecDeque<Entry>| {
-            let start = ring.partition_point(|entry| entry.number < since);
-            ring.iter().skip(start).take(MAX_PAGE).cloned().collect::<Vec<_>>()
+    /// Returns entries starting at the given number, at most [`MAX_PAGE`].
+    pub(crate) fn page(&self, since: u64, limit: usize) -> Page {
+        let from = |entries: &VecDeque<Entry>| {
+            let start = entries.partition_point(|entry| entry.number < since);
+            entries.iter().skip(start).take(MAX_PAGE).cloned().collect::<Vec<_>>()
         };
         let mut entries = from(&self.claims);
         entries.extend(from(&self.others));
         entries.sort_by_key(|entry| entry.number);
-        entries.truncate(most.min(MAX_PAGE));
+        entries.truncate(limit.min(MAX_PAGE));
         let next = entries.last().map_or(since.max(1), |entry| entry.number.saturating_add(1));
         Page { next, entries }
     }
 
-    pub(crate) fn is_whole(&self) -> bool {
-        let rising = |ring: &VecDeque<Entry>| {
-            let mut pairs = ring.iter().zip(ring.iter().skip(1));
-            let known = ring.back().is_none_or(|entry| entry.number <= self.count);
-            known && pairs.all(|(older, newer)| older.number < newer.number)
+    pub(crate) fn is_consistent(&self) -> bool {
+        let ascending = |entries: &VecDeque<Entry>| {
+            let mut pairs = entries.iter().zip(entries.iter().skip(1));
+            let counted = entries.back().is_none_or(|entry| entry.number <= self.count);
+            counted && pairs.all(|(older, newer)| older.number < newer.number)
         };
         let bounded = self.claims.len() <= MAX_CLAIM_ENTRIES && self.others.len() <= MAX_ENTRIES;
-        bounded && rising(&self.claims) && rising(&self.others)
+        bounded && ascending(&self.claims) && ascending(&self.others)
     }
 }
 
-/// Bounds an answer's text, in bytes.
-const MAX_ANSWER: usize = 400;
+/// Maximum length of an answer's text, in bytes.
+const MAX_ANSWER_BYTES: usize = 400;
 
-fn by(command: &Command) -> Arc<str> {
+fn requester(command: &Command) -> Arc<str> {
     match command {
         Command::Edit(edit) => edit.operator.as_str(),
         Command::Claim(claim) => claim.instance.as_str(),
@@ -202,7 +206,7 @@
     .into()
 }
 
-fn base(command: &Command) -> Option<Revision> {
+fn base_revision(command: &Command) -> Option<Revision> {
     let Command::Edit(edit) = command else { return None };
     Some(edit.base)
 }
@@ -211,7 +215,7 @@
     match command {
         Command::Edit(edit) => Action::Edit {
             id: edit.id.clone(),
-            rows: edit.changes.iter().map(|change| change.key()).take(MAX_NAMED).collect(),
+            rows: edit.changes.iter().map(|change| change.key()).take(MAX_LISTED_ROWS).collect(),
         },
         Command::Claim(claim) => Action::Claim(claim.attempt),
         Command::Settle(settle) => Action::Settle(settle.attempt, settle.ending.clone()),
--- a/crates/verbenaslip-state/src/history.rs
+++ b/crates/verbenaslip-state/src/history.rs
@@ -1,4 +1,4 @@
-//! The table, its revisions and who made them.
+//! The table, its revisions and their authors.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
@@ -11,30 +11,30 @@
 use verbenaslip_table::edit::Id;
 use verbenaslip_table::{Change, Edit, Key, Problems, Revision, Table};
 
-/// Bounds the edits whose answers are kept for resends, and the history.
+/// Maximum number of history entries, and of answers kept for resent edits.
 pub const MAX_HISTORY: usize = 4_096;
 
-/// Bounds the rows that one history entry or answer names.
-pub const MAX_NAMED: usize = 64;
+/// Maximum number of rows listed in one history entry or answer.
+pub const MAX_LISTED_ROWS: usize = 64;
 
 /// Answers an edit.
 #[data]
 pub enum Verdict {
-    /// The edit is the given revision; so it is for a resend.
+    /// The edit created the given revision; a resend gets the same answer.
     Accepted {
-        /// The revision that the edit made.
+        /// The revision that the edit created.
         revision: Revision,
     },
-    /// The table was so already; no revision was made.
+    /// The table already had these values; no revision was created.
     Unchanged {
-        /// The newest revision then.
+        /// The newest revision at that time.
         revision: Revision,
     },
-    /// Another edit came first, or the base was never a revision.
+    /// Another edit was accepted since the base, or the base does not exist.
     Stale(Newest),
-    /// The identity was used for other changes before.
+    /// The edit's identifier was used for different changes before.
     Reused,
-    /// A changed row is not allowed.
+    /// A changed row is invalid.
     Bad(Problems),
 }
 
@@ -50,16 +50,16 @@
     }
 }
 
-/// Tells an operator whose base is stale what the newest revision is.
+/// Describes the newest revision to an operator whose base is stale.
 #[data]
 pub struct Newest {
     /// The newest revision.
     pub revision: Revision,
-    /// Who made it; none before the first.
+    /// The operator that created it; `None` before the first revision.
     pub by: Option<Operator>,
-    /// The rows changed since the operator's base, in order, the first [`MAX_NAMED`].
+    /// The rows changed since the operator's base, in order, at most the first [`MAX_LISTED_ROWS`].
     pub differs: Vec<Key>,
-    /// Whether more rows may have changed than are named.
+    /// Whether more rows may have changed than are listed.
     pub more: bool,
 }
 
@@ -78,22 +78,22 @@
     }
 }
 
-/// Notes one accepted edit.
+/// Records one accepted edit.
 #[data]
 pub struct Entry {
-    /// The revision that it made.
+    /// The revision that the edit created.
     pub revision: Revision,
-    /// Its identity.
+    /// The edit's identifier.
     pub edit: Id,
-    /// Who made it.
+    /// The operator that made the edit.
     pub by: Operator,
-    /// When, in Unix milliseconds.
+    /// The time of the edit, in Unix milliseconds.
     pub at: u64,
-    /// From which revision.
+    /// The revision on which the edit was based.
     pub base: Revision,
-    /// The rows that it changed, in order, the first [`MAX_NAMED`].
+    /// The changed rows, in order, at most the first [`MAX_LISTED_ROWS`].
     pub rows: Vec<Key>,
-    /// How many rows it changed.
+    /// The number of changed rows.
     pub count: u32,
 }
 
@@ -103,7 +103,7 @@
     revision: Revision,
     table: Arc<Table>,
     entries: VecDeque<Entry>,
-    answers: VecDeque<Answer>,
+    answers: VecDeque<StoredAnswer>,
 }
 
 impl History {
@@ -119,31 +119,31 @@
         self.entries.iter()
     }
 
-    /// Decides an edit.
-    pub(crate) fn edit(&mut self, edit: &Edit) -> Verdict {
+    /// Decides on an edit and applies it if it is accepted.
+    pub(crate) fn apply_edit(&mut self, edit: &Edit) -> Verdict {
         let digest = digest(edit);
         if let Some(answer) = self.answers.iter().find(|answer| answer.edit == edit.id) {
-            // The operator lost the answer and sends the edit again. Deciding it anew would call it
-            // stale, because its own first copy has moved the table on.
+            // The operator lost the answer and resent the edit. Deciding on it again would call it
+            // stale, because its first copy has already changed the table.
             let same = answer.digest == digest;
-            return if same { self.again(edit, &answer.kind) } else { Verdict::Reused };
+            return if same { self.stored_verdict(edit, &answer.kind) } else { Verdict::Reused };
         }
         let verdict = self.decide(edit);
         let kind = match &verdict {
-            Verdict::Accepted { revision } => Kind::Accepted(*revision),
-            Verdict::Unchanged { revision } => Kind::Unchanged(*revision),
-            // A base that is no revision yet becomes one later, and a late copy would be accepted
-            // after its operator was told that it was refused.
-            Verdict::Stale(_) if edit.base > self.revision => Kind::Refused,
+            Verdict::Accepted { revision } => AnswerKind::Accepted(*revision),
+            Verdict::Unchanged { revision } => AnswerKind::Unchanged(*revision),
+            // A base that does not exist yet may be created later. A delayed copy of the edit would
+            // then be accepted after its operator was told that it was refused.
+            Verdict::Stale(_) if edit.base > self.revision => AnswerKind::Refused,
             _ => return verdict,
         };
-        self.answers.push_back(Answer { edit: edit.id.clone(), digest, kind });
+        self.answers.push_back(StoredAnswer { edit: edit.id.clone(), digest, kind });
         keep_newest(&mut self.answers, MAX_HISTORY);
         verdict
     }
 
-    /// Says whether the parts fit together.
-    pub(crate) fn is_whole(&self) -> bool {
+    /// Returns whether the parts are consistent with each other.
+    pub(crate) fn is_consistent(&self) -> bool {
         let last = self.entries.back().map(|entry| entry.revision).unwrap_or_default();
         let mut pairs = self.entries.iter().zip(self.entries.iter().skip(1));
         let rising = pairs.all(|(older, newer)| older.revision.next() == newer.revision);
@@ -151,11 +151,11 @@
         last == self.revision && rising && bounded
     }
 
-    fn again(&self, edit: &Edit, kind: &Kind) -> Verdict {
+    fn stored_verdict(&self, edit: &Edit, kind: &AnswerKind) -> Verdict {
         match *kind {
-            Kind::Accepted(revision) => Verdict::Accepted { revision },
-            Kind::Unchanged(revision) => Verdict::Unchanged { revision },
-            Kind::Refused => Verdict::Stale(self.newest(edit.base)),
+            AnswerKind::Accepted(revision) => Verdict::Accepted { revision },
+            AnswerKind::Unchanged(revision) => Verdict::Unchanged { revision },
+            AnswerKind::Refused => Verdict::Stale(self.newest(edit.base)),
         }
     }
 
@@ -172,7 +172,7 @@
         }
         self.revision = self.revision.next();
         self.table = Arc::new(table);
-        self.entries.push_back(Entry::of(edit, self.revision));
+        self.entries.push_back(Entry::from_edit(edit, self.revision));
         keep_newest(&mut self.entries, MAX_HISTORY);
         Verdict::Accepted { revision: self.revision }
     }
@@ -180,26 +180,26 @@
     fn newest(&self, base: Revision) -> Newest {
         let since = self.entries.iter().filter(|entry| entry.revision > base);
         let mut keys = BTreeSet::new();
-        let mut cut = false;
+        let mut rows_truncated = false;
         for entry in since {
             keys.extend(&entry.rows);
-            cut |= entry.count as usize > entry.rows.len();
+            rows_truncated |= entry.count as usize > entry.rows.len();
         }
-        let reaches = self.entries.front().is_none_or(|entry| entry.revision <= base.next());
+        let covers_base = self.entries.front().is_none_or(|entry| entry.revision <= base.next());
         Newest {
             revision: self.revision,
             by: self.entries.back().map(|entry| entry.by.clone()),
-            more: cut || !reaches || keys.len() > MAX_NAMED,
-            differs: keys.into_iter().take(MAX_NAMED).cloned().collect(),
+            more: rows_truncated || !covers_base || keys.len() > MAX_LISTED_ROWS,
+            differs: keys.into_iter().take(MAX_LISTED_ROWS).cloned().collect(),
         }
     }
 }
 
 impl Entry {
-    fn of(edit: &Edit, revision: Revision) -> Self {
+    fn from_edit(edit: &Edit, revision: Revision) -> Self {
         let mut rows: Vec<Key> = edit.changes.iter().map(Change::key).collect();
         rows.sort();
-        rows.truncate(MAX_NAMED);
+        rows.truncate(MAX_LISTED_ROWS);
         Self {
             revision,
             edit: edit.id.clone(),
@@ -212,32 +212,32 @@
     }
 }
 
-/// Keeps what an edit was answered, for its resends.
+/// Stores the answer to an edit for resends.
 #[data]
-struct Answer {
+struct StoredAnswer {
     edit: Id,
     digest: u128,
-    kind: Kind,
+    kind: AnswerKind,
 }
 
 #[data(copy)]
-enum Kind {
+enum AnswerKind {
     Accepted(Revision),
     Unchanged(Revision),
     Refused,
 }
 
-/// Drops the oldest of what has grown beyond its bound.
-pub(crate) fn keep_newest<T>(ring: &mut VecDeque<T>, most: usize) {
-    let excess = ring.len().saturating_sub(most);
-    ring.drain(..excess);
+/// Drops the oldest elements beyond the maximum length.
+pub(crate) fn keep_newest<T>(queue: &mut VecDeque<T>, max_len: usize) {
+    let excess = queue.len().saturating_sub(max_len);
+    queue.drain(..excess);
 }
 
-/// Returns what tells edits apart that share an identity.
+/// Returns a digest that distinguishes edits with the same identifier.
 fn digest(edit: &Edit) -> u128 {
     let changes: BTreeMap<Key, &Change> =
         edit.changes.iter().map(|change| (change.key(), change)).collect();
-    // Encoding to memory fails for no value of these types.
+    // Encoding these types to memory cannot fail.
     let bytes = postcard::to_stdvec(&(edit.base, changes)).unwrap_or_default();
     hash::wide(&[&bytes])
 }
--- a/crates/verbenaslip-state/src/order/book.rs
+++ b/crates/verbenaslip-state/src/order/registry.rs
@@ -1,4 +1,4 @@
-//! The orders that have not ended.
+//! The orders that have not ended, and the last ended order of each upstream.
 
 use std::collections::BTreeMap;
 
@@ -7,35 +7,36 @@
 use verbenaslip_base::hash;
 use verbenaslip_base::name::Upstream;
 
-use super::{MAX_LIFETIME_MS, Order, Ordered, Pending, Verdict};
+use super::{MAX_LIFETIME_MS, Order, OrderEnd, Pending, Verdict};
 
-/// Bounds the orders that have not ended, and the upstreams whose last order is kept.
-const MAX_PENDING: usize = 16_384;
+/// Maximum number of pending orders, and of upstreams whose last ended order is kept.
+const MAX_PENDING_ORDERS: usize = 16_384;
 
-/// Keeps at most one order for each upstream until its end is told.
+/// Keeps at most one pending order per upstream until its result is reported.
 #[data(default)]
-pub(crate) struct Book {
+pub(crate) struct Registry {
     pending: BTreeMap<Upstream, Pending>,
-    ended: BTreeMap<Upstream, Last>,
+    ended: BTreeMap<Upstream, EndedOrder>,
 }
 
-/// Tells the last order to an upstream from a copy of it.
+/// Identifies the last ended order of an upstream, to detect copies of it.
 #[data(copy)]
-struct Last {
+struct EndedOrder {
     fence: Fence,
     digest: u128,
 }
 
-impl Book {
-    /// Numbers an order, or refuses it.
+impl Registry {
+    /// Numbers an order or refuses it.
     ///
-    /// Only one order is in flight for an upstream, also across leaders: two that pass each other
-    /// on the way would leave an upstream that checks no numbers with the older one.
+    /// Only one order per upstream is in flight, also across leaders. If two orders overtook each
+    /// other on the network, an upstream that does not check fence numbers would end with the older
+    /// one.
     pub(crate) fn order(&mut self, fence: Fence, order: &Order) -> Verdict {
         if !(1..=MAX_LIFETIME_MS).contains(&order.lifetime) {
             return Verdict::Lifetime;
         }
-        // A leader proposes again what it got no answer for, and both copies may be committed.
+        // A leader repeats a proposal that was not answered, and both copies may be committed.
         match self.pending.get(&order.upstream) {
             Some(pending) if pending.order == *order => return Verdict::Numbered(pending.fence),
             Some(pending) => return Verdict::Busy(pending.fence),
@@ -45,7 +46,7 @@
         if let Some(last) = last.filter(|last| last.digest == digest(order)) {
             return Verdict::Repeated(last.fence);
         }
-        if self.pending.len() >= MAX_PENDING {
+        if self.pending.len() >= MAX_PENDING_ORDERS {
             return Verdict::Full;
         }
         let pending = Pending { fence, order: order.clone() };
@@ -53,15 +54,15 @@
         Verdict::Numbered(fence)
     }
 
-    /// Ends an order; says whether it was waiting for its end.
-    pub(crate) fn end(&mut self, ordered: &Ordered) -> bool {
+    /// Ends an order; returns whether the order was pending.
+    pub(crate) fn complete(&mut self, ordered: &OrderEnd) -> bool {
         let fence = ordered.fence;
-        let waiting = self.pending.get(&ordered.upstream);
-        let Some(pending) = waiting.filter(|pending| pending.fence == fence) else { return false };
-        let last = Last { fence, digest: digest(&pending.order) };
+        let found = self.pending.get(&ordered.upstream);
+        let Some(pending) = found.filter(|pending| pending.fence == fence) else { return false };
+        let last = EndedOrder { fence, digest: digest(&pending.order) };
         self.pending.remove(&ordered.upstream);
         self.ended.insert(ordered.upstream.clone(), last);
-        if self.ended.len() > MAX_PENDING {
+        if self.ended.len() > MAX_PENDING_ORDERS {
             let oldest = self.ended.iter().min_by_key(|(_, last)| last.fence);
             let oldest = oldest.map(|(upstream, _)| upstream.clone());
             self.ended.retain(|upstream, _| Some(upstream) != oldest.as_ref());
@@ -73,13 +74,15 @@
         self.pending.values()
     }
 
-    pub(crate) fn is_whole(&self) -> bool {
-        let mut named = self.pending.iter().map(|(name, pending)| *name == pending.order.upstream);
-        self.pending.len().max(self.ended.len()) <= MAX_PENDING && named.all(|same| same)
+    pub(crate) fn is_consistent(&self) -> bool {
+        let mut keys_match =
+            self.pending.iter().map(|(name, pending)| *name == pending.order.upstream);
+        self.pending.len().max(self.ended.len()) <= MAX_PENDING_ORDERS
+            && keys_match.all(|same| same)
     }
 }
 
 fn digest(order: &Order) -> u128 {
-    // Encoding to memory fails for no value of this type.
+    // Encoding this type to memory cannot fail.
     hash::wide(&[&postcard::to_stdvec(order).unwrap_or_default()])
 }
--- a/crates/verbenaslip-state/src/snapshot.rs
+++ b/crates/verbenaslip-state/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The replicated state as bytes.
+//! Encoding of the replicated state as bytes.
 
 use displaydoc::Display;
 use serde::{Deserialize, Serialize};
@@ -6,30 +6,30 @@
 use verbenaslip_base::hash;
 
 use crate::audit::Trail;
-use crate::claim::{Ledger, Limit, Record};
+use crate::claim::{Limits, Record, Store};
 use crate::history::History;
-use crate::order::Book;
+use crate::order::Registry;
 use crate::state::State;
 
-/// Says why bytes are no snapshot; the state is as it was.
+/// Describes why bytes are not a valid snapshot; the current state is not affected.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Error {
-    /// snapshot of the state: it does not begin as one; check which file or peer it came from
+    /// state snapshot: wrong magic bytes; check which file or peer it came from
     Foreign,
-    /// snapshot of the state: version {0} is not known here; upgrade this instance
+    /// state snapshot: version {0} is not supported; upgrade this instance
     Version(u16),
-    /// snapshot of the state: it is damaged; fetch it again from another voter
+    /// state snapshot: it is damaged; fetch it again from another voter
     Damaged,
-    /// snapshot of the state: its parts contradict each other; fetch it again from another voter
+    /// state snapshot: its parts contradict each other; fetch it again from another voter
     Inconsistent,
 }
 
 impl std::error::Error for Error {}
 
 impl State {
-    /// Writes the whole state.
+    /// Returns the encoded state.
     pub fn snapshot(&self) -> Vec<u8> {
-        let image = Image {
+        let encoded = Encoded {
             position: self.position,
             clock: self.clock,
             history: &self.history,
@@ -38,9 +38,9 @@
             orders: &self.orders,
             trail: &self.trail,
         };
-        // Encoding to memory fails for no value of these types.
-        let body = postcard::to_stdvec(&image).unwrap_or_default();
-        let mut bytes = Vec::with_capacity(HEAD + body.len());
+        // Encoding these types to memory cannot fail.
+        let body = postcard::to_stdvec(&encoded).unwrap_or_default();
+        let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
         bytes.extend_from_slice(MAGIC);
         bytes.extend_from_slice(&VERSION.to_le_bytes());
         bytes.extend_from_slice(&hash::narrow(&[&body]).to_le_bytes());
@@ -48,11 +48,11 @@
         bytes
     }
 
-    /// Reads a state that [`snapshot`](Self::snapshot) wrote.
+    /// Decodes a state that [`snapshot`](Self::snapshot) encoded.
     ///
     /// # Errors
     ///
-    /// Returns why the bytes can't be trusted; nothing of them is used then.
+    /// Returns an error if the bytes are not a valid snapshot; none of them is used then.
     pub fn restore(bytes: &[u8]) -> Result<Self, Error> {
         let rest = bytes.strip_prefix(MAGIC).ok_or(Error::Foreign)?;
         let (version, rest) = rest.split_first_chunk().ok_or(Error::Damaged)?;
@@ -64,63 +64,65 @@
         if u64::from_le_bytes(*sum) != hash::narrow(&[body]) {
             return Err(Error::Damaged);
         }
-        let (loaded, left) =
-            postcard::take_from_bytes::<Loaded>(body).map_err(|_| Error::Damaged)?;
+        let (decoded, left) =
+            postcard::take_from_bytes::<Decoded>(body).map_err(|_| Error::Damaged)?;
         if !left.is_empty() {
             return Err(Error::Damaged);
         }
-        loaded.check()
+        decoded.check()
     }
 }
 
-/// Holds the parts of a state that are written.
+/// Holds the parts of a state to be encoded.
 #[derive(Serialize)]
-struct Image<'a> {
+struct Encoded<'a> {
     position: Fence,
     clock: u64,
     history: &'a History,
-    limit: Limit,
+    limit: Limits,
     claims: Vec<&'a Record>,
-    orders: &'a Book,
+    orders: &'a Registry,
     trail: &'a Trail,
 }
 
-/// Holds the parts of a state as they are read.
+/// Holds the decoded parts of a state before they are checked.
 #[derive(Deserialize)]
-struct Loaded {
+struct Decoded {
     position: Fence,
     clock: u64,
     history: History,
-    limit: Limit,
+    limit: Limits,
     claims: Vec<Record>,
-    orders: Book,
+    orders: Registry,
     trail: Trail,
 }
 
-impl Loaded {
+impl Decoded {
     fn check(self) -> Result<State, Error> {
-        let rising = self.claims.is_sorted_by(|a, b| a.request() < b.request());
+        let ascending = self.claims.is_sorted_by(|a, b| a.request() < b.request());
         let bounded = self.claims.len() <= self.limit.count as usize;
-        let whole = self.history.is_whole() && self.orders.is_whole() && self.trail.is_whole();
-        if !(rising && bounded && whole) {
+        let consistent = self.history.is_consistent()
+            && self.orders.is_consistent()
+            && self.trail.is_consistent();
+        if !(ascending && bounded && consistent) {
             return Err(Error::Inconsistent);
         }
         Ok(State {
             position: self.position,
             clock: self.clock,
             history: self.history,
-            claims: Ledger::restore(self.limit, self.claims),
+            claims: Store::restore(self.limit, self.claims),
             orders: self.orders,
             trail: self.trail,
         })
     }
 }
 
-/// Marks a snapshot of this state.
+/// The bytes at the start of every snapshot.
 const MAGIC: &[u8] = b"VSTA";
 
-/// Counts the formats; a reader refuses all but its own.
+/// The version of the format; a reader refuses every other version.
 const VERSION: u16 = 1;
 
-/// The length of mark, version and checksum, in bytes.
-const HEAD: usize = 4 + 2 + 8;
+/// The length of magic bytes, version and checksum, in bytes.
+const HEADER_BYTES: usize = 4 + 2 + 8;
--- a/crates/verbenaslip-state/src/watch/publisher.rs
+++ b/crates/verbenaslip-state/src/watch/publisher.rs
@@ -1,4 +1,4 @@
-//! The side that publishes the table and grants leases.
+//! The publishing side, which sends the table and grants leases.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,53 +7,53 @@
 use verbenaslip_table::Revision;
 
 use super::hub::Output;
-use super::message::{Away, Fetch, Granted, Message, Peer, Renew, Step};
+use super::message::{Fetch, Granted, Message, Peer, Refusal, Renew, Step};
 use super::window::Window;
-use crate::force::{Floor, Force, Holder, Tracker};
-use crate::lease::DURATION;
+use crate::lease::MAX_DURATION;
+use crate::propagation::{Floor, Holder, Propagation, Tracker};
 
-/// The most followers of one publisher, besides the voters that follow the leader.
+/// Maximum number of followers of one publisher, not counting voters that follow the leader.
 ///
-/// Twice as many cost a publisher twice the messages and save one level of the tree at most.
-pub const FAN_OUT: usize = 8;
+/// Twice as many would double a publisher's messages and save at most one level of the tree.
+pub const MAX_FOLLOWERS: usize = 8;
 
-/// The most instances through which a lease passes, the leader included.
+/// Maximum number of instances through which a lease passes, including the leader.
 pub const MAX_DEPTH: usize = 6;
 
-/// How long a follower that is silent keeps its place.
-const PLACE: Duration = Duration::from_secs(3);
+/// How long a silent follower is kept.
+const FOLLOWER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long a voter may lack what the log should have brought it.
-const LOG_LAG: Duration = Duration::from_secs(2);
+/// How long the publisher waits for the log to bring a voter its missing changes.
+const MAX_LOG_LAG: Duration = Duration::from_secs(2);
 
-/// How long sent changes may be on their way before they are sent again.
-const RESEND: Duration = Duration::from_millis(400);
+/// How long sent changes may be in transit before they are resent.
+const RESEND_INTERVAL: Duration = Duration::from_millis(400);
 
-/// What lets a publisher grant leases.
+/// Describes the right of a publisher to grant leases.
 #[derive(Clone, Debug)]
 pub struct Authority {
-    /// When it ends; the leader's own lease, or the table lease of one that passes it on.
+    /// The end of the leader's lease, or of the table lease of an instance that grants leases.
     pub until: Duration,
-    /// Whether it is the leader's own, so that leases have their full duration.
+    /// Whether this instance leads, so that it grants leases of the full duration.
     pub leader: bool,
-    /// The instances through which it came, this one excluded.
+    /// The instances through which the lease was granted, without this one.
     pub path: Vec<Instance>,
 }
 
 /// Publishes the table to followers and grants them leases.
 #[derive(Clone, Debug)]
 pub struct Publisher {
-    me: Instance,
+    instance: Instance,
     voters: BTreeSet<Instance>,
-    followers: BTreeMap<Instance, Place>,
+    followers: BTreeMap<Instance, FollowerState>,
     tracker: Tracker,
     pub(crate) window: Window,
 }
 
 impl Publisher {
-    pub(crate) fn new(me: Instance) -> Self {
+    pub(crate) fn new(instance: Instance) -> Self {
         Self {
-            me,
+            instance,
             voters: BTreeSet::new(),
             followers: BTreeMap::new(),
             tracker: Tracker::default(),
@@ -61,16 +61,16 @@
         }
     }
 
-    pub(crate) fn lead(&mut self, now: Duration) {
-        self.tracker.lead(now);
+    pub(crate) fn start_leading(&mut self, now: Duration) {
+        self.tracker.start_leading(now);
     }
 
-    pub(crate) fn peers(&mut self, peers: &[Peer]) {
+    pub(crate) fn set_peers(&mut self, peers: &[Peer]) {
         let voters = peers.iter().filter(|peer| peer.voter);
         self.voters = voters.map(|peer| peer.instance.clone()).collect();
     }
 
-    /// Says whether any follower is being served.
+    /// Returns whether there is any follower.
     pub(crate) fn serves(&self) -> bool {
         !self.followers.is_empty()
     }
@@ -84,16 +84,17 @@
         self.tracker.floors(now)
     }
 
-    pub(crate) fn force(&self, now: Duration, revision: Revision) -> Force {
-        self.tracker.force(now, revision)
+    pub(crate) fn propagation(&self, now: Duration, revision: Revision) -> Propagation {
+        self.tracker.propagation(now, revision)
     }
 
     pub(crate) fn tick(&mut self, now: Duration) {
-        self.followers.retain(|_, place| now < place.seen.saturating_add(PLACE));
+        self.followers
+            .retain(|_, follower| now < follower.last_seen.saturating_add(FOLLOWER_TIMEOUT));
     }
 
-    /// Answers a request for a lease.
-    pub(crate) fn renew(
+    /// Answers a lease request.
+    pub(crate) fn handle_renew(
         &mut self,
         now: Duration,
         from: &Instance,
@@ -102,12 +103,13 @@
         out: &mut Vec<Output>,
     ) {
         let holder = Holder { instance: from.clone(), boot: renew.nonce.boot };
-        self.tracker.hear(&holder, renew.floor);
+        self.tracker.record_floor(&holder, renew.floor);
         let answer = match authority {
             Some(authority) if authority.until > now => authority,
             _ => return self.refuse(from, renew, Vec::new(), out),
         };
-        // An instance that asks one below itself would be granted the rest of its own lease.
+        // An instance that asked one of its own followers would be granted the rest of its own
+        // lease.
         if answer.path.contains(from) || answer.path.len() + 1 >= MAX_DEPTH {
             return self.refuse(from, renew, Vec::new(), out);
         }
@@ -115,20 +117,20 @@
             let others = self.followers.keys().filter(|name| !self.voters.contains(*name));
             return self.refuse(from, renew, others.cloned().collect(), out);
         }
-        let rest = answer.until.saturating_sub(now);
-        let duration = if answer.leader { DURATION } else { rest.min(DURATION) };
+        let remaining = answer.until.saturating_sub(now);
+        let duration = if answer.leader { MAX_DURATION } else { remaining.min(MAX_DURATION) };
         let duration_ms = u32::try_from(duration.as_millis()).unwrap_or_default();
         let revision = self.window.revision();
         self.tracker.grant(now, holder, revision, duration);
         let mut path = answer.path.clone();
-        path.push(self.me.clone());
+        path.push(self.instance.clone());
         let granted = Granted { nonce: renew.nonce, revision, duration_ms, path };
         send(out, from, Message::Granted(granted));
         self.catch_up(now, from, renew.applied, out);
     }
 
-    /// Sends a part of a snapshot, or offers another when it asks for one that is gone.
-    pub(crate) fn fetch(&mut self, from: &Instance, fetch: Fetch, out: &mut Vec<Output>) {
+    /// Sends a part of a snapshot, or offers a new snapshot if the requested one is not kept.
+    pub(crate) fn handle_fetch(&mut self, from: &Instance, fetch: Fetch, out: &mut Vec<Output>) {
         if !self.followers.contains_key(from) {
             return;
         }
@@ -139,16 +141,16 @@
         send(out, from, message);
     }
 
-    /// Sends the changes of the newest revision to every follower that has the one before.
+    /// Sends the changes of the newest revision to every follower that has the previous one.
     pub(crate) fn push(&mut self, now: Duration, step: &Step, out: &mut Vec<Output>) {
-        let due = self.window.after(Revision(step.revision.0.saturating_sub(1)));
-        for (name, place) in &mut self.followers {
-            if self.voters.contains(name) || place.sent.next() != step.revision {
+        let changes = self.window.changes_after(Revision(step.revision.0.saturating_sub(1)));
+        for (name, follower) in &mut self.followers {
+            if self.voters.contains(name) || follower.sent.next() != step.revision {
                 continue;
             }
-            place.sent = step.revision;
-            place.sent_at = now;
-            let message = match &due {
+            follower.sent = step.revision;
+            follower.sent_at = now;
+            let message = match &changes {
                 Some(_) => Message::Changes(vec![step.clone()]),
                 None => Message::Offer(self.window.offer(step.revision)),
             };
@@ -156,7 +158,7 @@
         }
     }
 
-    /// Sends what a follower lacks, unless it is on its way already.
+    /// Sends the changes that a follower lacks, unless they are in transit.
     fn catch_up(
         &mut self,
         now: Duration,
@@ -164,25 +166,31 @@
         applied: Revision,
         out: &mut Vec<Output>,
     ) {
-        let fresh = Place { seen: now, sent: applied, sent_at: Duration::ZERO, behind: None };
-        let place = self.followers.entry(from.clone()).or_insert(fresh);
-        place.seen = now;
+        let initial = FollowerState {
+            last_seen: now,
+            sent: applied,
+            sent_at: Duration::ZERO,
+            behind_since: None,
+        };
+        let follower = self.followers.entry(from.clone()).or_insert(initial);
+        follower.last_seen = now;
         if applied >= self.window.revision() {
-            place.behind = None;
-            place.sent = place.sent.max(applied);
+            follower.behind_since = None;
+            follower.sent = follower.sent.max(applied);
             return;
         }
-        // The log brings a voter its changes, unless it votes no more and this list is old: it would
-        // wait for changes that nobody sends, and never be ready.
-        let behind = *place.behind.get_or_insert(now);
-        let by_log = self.voters.contains(from) && now < behind.saturating_add(LOG_LAG);
-        let on_its_way = place.sent > applied && now < place.sent_at.saturating_add(RESEND);
-        if by_log || on_its_way {
+        // A voter gets its changes from the log. If it has left the voter set and this list is
+        // outdated, it would wait for changes that no instance sends and never become ready.
+        let behind_since = *follower.behind_since.get_or_insert(now);
+        let from_log = self.voters.contains(from) && now < behind_since.saturating_add(MAX_LOG_LAG);
+        let in_transit =
+            follower.sent > applied && now < follower.sent_at.saturating_add(RESEND_INTERVAL);
+        if from_log || in_transit {
             return;
         }
-        place.sent = self.window.revision();
-        place.sent_at = now;
-        match self.window.after(applied) {
+        follower.sent = self.window.revision();
+        follower.sent_at = now;
+        match self.window.changes_after(applied) {
             Some(messages) => {
                 messages.into_iter().for_each(|steps| send(out, from, Message::Changes(steps)));
             }
@@ -190,14 +198,14 @@
         }
     }
 
-    /// Says whether an instance is, or may become, a follower.
+    /// Returns whether an instance is a follower or may become one.
     ///
-    /// The leader keeps places free for the other voters, which ask it rather than one another.
+    /// The leader reserves places for the other voters, which follow it rather than one another.
     fn admits(&self, from: &Instance, leader: bool) -> bool {
         let others = self.followers.keys().filter(|name| !self.voters.contains(*name)).count();
-        let kept = if leader { self.voters.len().saturating_sub(1) } else { 0 };
+        let reserved = if leader { self.voters.len().saturating_sub(1) } else { 0 };
         let known = self.followers.contains_key(from) || self.voters.contains(from);
-        known || others < FAN_OUT.saturating_sub(kept)
+        known || others < MAX_FOLLOWERS.saturating_sub(reserved)
     }
 
     fn refuse(
@@ -208,18 +216,18 @@
         out: &mut Vec<Output>,
     ) {
         self.followers.remove(from);
-        send(out, from, Message::Away(Away { nonce: renew.nonce, others }));
+        send(out, from, Message::Away(Refusal { nonce: renew.nonce, others }));
     }
 }
 
-/// Holds what is known of one follower.
+/// Holds the state of one follower.
 #[derive(Clone, Debug)]
-struct Place {
-    seen: Duration,
+struct FollowerState {
+    last_seen: Duration,
     sent: Revision,
     sent_at: Duration,
-    /// Since when its reports have been of older revisions.
-    behind: Option<Duration>,
+    /// The time since which the follower has reported older revisions.
+    behind_since: Option<Duration>,
 }
 
 fn send(out: &mut Vec<Output>, to: &Instance, message: Message) {
--- a/crates/verbenaslip-state/tests/net/mod.rs
+++ b/crates/verbenaslip-state/tests/net/mod.rs
@@ -1,4 +1,4 @@
-//! An in-memory network of instances that follow the table, stepped by hand.
+//! A simulated network of instances that follow the table.
 
 #![allow(dead_code)]
 
@@ -9,33 +9,33 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use verbenaslip_base::name::Instance;
-use verbenaslip_state::force::Force;
+use verbenaslip_state::propagation::Propagation;
 use verbenaslip_state::watch::{Hub, Input, Message, Output, Peer};
 use verbenaslip_table::change::apply;
 use verbenaslip_table::{Change, Revision, Row, Table};
 
-/// How far one step of the network goes.
+/// The duration of one step of the network.
 pub const TICK: Duration = Duration::from_millis(20);
 
-/// What a message costs besides its bytes: length and checksum of the frame, headers of TCP and IP.
+/// The bytes of a message besides its encoding: frame length and checksum, TCP and IP headers.
 pub const OVERHEAD: usize = 8 + 40;
 
-/// How long the leader's own lease lasts after its quorum was last heard.
+/// How long the leader's own lease lasts after its last contact with the quorum.
 pub const QUORUM_LEASE: Duration = Duration::from_secs(1);
 
-/// One instance with its clock and its counts.
+/// One instance with its clock and its message counts.
 pub struct Node {
     pub hub: Hub,
     pub name: Instance,
     pub voter: bool,
-    /// The pace of its clock in thousandths.
-    pace: u32,
+    /// The rate of the instance's clock, in thousandths.
+    clock_rate: u32,
     now: Duration,
-    frozen: bool,
+    paused: bool,
     inbox: Vec<Input>,
     boots: u64,
     pub counts: Counts,
-    /// The revision and when the table came, to see that revisions never fall.
+    /// The last revision that the hub reported, to check that revisions never decrease.
     pub revision: Revision,
 }
 
@@ -45,48 +45,48 @@
     pub bytes: usize,
 }
 
-/// Carries messages with a delay and, where asked, loss, doubles and cuts.
+/// Delivers messages with a delay, and optionally with loss, duplication and partitions.
 pub struct Net {
     pub nodes: Vec<Node>,
     pub now: Duration,
     rng: Pcg64,
-    flying: BTreeMap<(Duration, u64), Flight>,
+    in_transit: BTreeMap<(Duration, u64), TransitMessage>,
     sent: u64,
-    /// Pairs of sender and receiver between which nothing passes.
+    /// Pairs of sender and receiver between which no message passes.
     pub cuts: BTreeSet<(usize, usize)>,
-    /// Losses and doubles in thousandths.
+    /// The rates of lost and of duplicated messages, in thousandths.
     pub loss: u32,
-    pub doubles: u32,
-    /// The greatest delay of a message.
+    pub duplicates: u32,
+    /// The maximum delay of a message.
     pub delay: Duration,
     pub leader: Option<usize>,
-    /// The table as the log committed it.
+    /// The last committed table.
     pub table: Arc<Table>,
     pub revision: Revision,
     log: Vec<Arc<[Change]>>,
-    /// The revisions that the leader has told to be in force everywhere.
+    /// The newest revision that a leader reported as in force everywhere.
     pub in_force: Revision,
 }
 
-struct Flight {
+struct TransitMessage {
     from: usize,
     to: usize,
     message: Message,
 }
 
 impl Net {
-    /// Starts so many instances in three availability zones, of which the first few vote.
+    /// Creates `count` instances in three availability zones; the first `voters` of them vote.
     pub fn new(count: usize, voters: usize, seed: u64) -> Self {
         let nodes = (0..count).map(|number| Node::new(number, number < voters)).collect();
         let mut net = Self {
             nodes,
             now: Duration::ZERO,
             rng: Pcg64::seed_from_u64(seed),
-            flying: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
             sent: 0,
             cuts: BTreeSet::new(),
             loss: 0,
-            doubles: 0,
+            duplicates: 0,
             delay: Duration::from_millis(5),
             leader: None,
             table: Arc::default(),
@@ -110,41 +110,41 @@
         self.nodes.iter().enumerate().map(peer).collect()
     }
 
-    /// Makes a voter the leader; the one before keeps its lease until it runs out.
+    /// Makes a voter the leader; the previous leader keeps its lease until it expires.
     pub fn elect(&mut self, leader: usize) {
         self.leader = Some(leader);
         let name = self.nodes[leader].name.clone();
         for node in self.nodes.iter_mut().filter(|node| node.voter) {
             node.inbox.push(Input::Leader(Some(name.clone())));
         }
-        self.sync(leader);
+        self.sync_from_log(leader);
     }
 
-    /// Commits an edit; the voters that the leader reaches have it at once.
+    /// Commits an edit; voters that the leader can reach receive it at once.
     pub fn commit(&mut self, changes: &[Change]) -> Revision {
-        let table = apply(&self.table, changes).expect("changes are good");
+        let table = apply(&self.table, changes).expect("changes are valid");
         self.table = Arc::new(table);
         self.revision = self.revision.next();
         self.log.push(changes.into());
         let leader = self.leader.expect("there is a leader");
         for voter in 0..self.nodes.len() {
             let reached = !self.cuts.contains(&(leader, voter));
-            if self.nodes[voter].voter && reached && !self.nodes[voter].frozen {
-                self.sync(voter);
+            if self.nodes[voter].voter && reached && !self.nodes[voter].paused {
+                self.sync_from_log(voter);
             }
         }
         self.revision
     }
 
-    /// Commits so many edits of one row at once.
+    /// Commits `count` edits of one row at once.
     pub fn commit_many(&mut self, count: u32) {
         for number in 0..count {
             self.commit(&[weight("check", number % 999 + 1)]);
         }
     }
 
-    /// Hands a voter what the log has committed and it lacks.
-    pub fn sync(&mut self, voter: usize) {
+    /// Gives a voter the committed changes that it lacks.
+    pub fn sync_from_log(&mut self, voter: usize) {
         let node = &mut self.nodes[voter];
         let restored = Input::Restored { revision: self.revision, table: self.table.clone() };
         let last = self.log.last().filter(|_| node.revision.next() == self.revision);
@@ -159,23 +159,23 @@
         self.step_node(voter, input);
     }
 
-    /// Lets time pass.
+    /// Advances the time.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now += TICK;
-            self.lead();
+            self.renew_leader_lease();
             self.deliver();
             self.tick();
-            self.check();
+            self.check_invariants();
         }
     }
 
-    /// Lets time pass until a condition holds, and says how long that took.
-    pub fn until(&mut self, most: Duration, holds: impl Fn(&Self) -> bool) -> Option<Duration> {
+    /// Advances the time until a condition holds; returns how long that took.
+    pub fn until(&mut self, max: Duration, condition: impl Fn(&Self) -> bool) -> Option<Duration> {
         let start = self.now;
-        while self.now < start + most {
-            if holds(self) {
+        while self.now < start + max {
+            if condition(self) {
                 return Some(self.now - start);
             }
             self.run(TICK);
@@ -183,7 +183,7 @@
         None
     }
 
-    /// Stops an instance and starts it again with nothing in memory but what voters keep on disk.
+    /// Restarts an instance, which keeps nothing but what voters store on disk.
     pub fn restart(&mut self, number: usize) {
         let peers = self.peers();
         let node = &mut self.nodes[number];
@@ -192,30 +192,30 @@
         node.hub = Hub::new(node.name.clone(), zone(number).into(), boot);
         node.inbox = vec![Input::Peers(peers)];
         node.revision = Revision(0);
-        node.frozen = false;
+        node.paused = false;
         let voter = node.voter;
         let leader = self.leader.map(|leader| self.nodes[leader].name.clone());
         self.nodes[number].inbox.push(Input::Leader(leader));
         if voter {
-            self.sync(number);
+            self.sync_from_log(number);
         }
     }
 
-    /// Freezes an instance; its messages wait, and its clock runs on.
-    pub fn freeze(&mut self, number: usize) {
-        self.nodes[number].frozen = true;
+    /// Pauses an instance; its messages wait and its clock continues.
+    pub fn pause(&mut self, number: usize) {
+        self.nodes[number].paused = true;
     }
 
-    pub fn thaw(&mut self, number: usize) {
-        self.nodes[number].frozen = false;
+    pub fn resume(&mut self, number: usize) {
+        self.nodes[number].paused = false;
     }
 
-    /// Sets the pace of an instance's clock in thousandths.
-    pub fn pace(&mut self, number: usize, pace: u32) {
-        self.nodes[number].pace = pace;
+    /// Sets the rate of an instance's clock, in thousandths.
+    pub fn set_clock_rate(&mut self, number: usize, clock_rate: u32) {
+        self.nodes[number].clock_rate = clock_rate;
     }
 
-    /// Cuts an instance off, both ways.
+    /// Isolates an instance in both directions.
     pub fn isolate(&mut self, number: usize) {
         for other in (0..self.nodes.len()).filter(|other| *other != number) {
             self.cuts.insert((number, other));
@@ -223,8 +223,8 @@
         }
     }
 
-    /// Cuts two groups of instances off from each other.
-    pub fn part(&mut self, inside: impl Fn(usize) -> bool) {
+    /// Partitions the instances into two groups.
+    pub fn partition(&mut self, inside: impl Fn(usize) -> bool) {
         for from in 0..self.nodes.len() {
             for to in 0..self.nodes.len() {
                 if inside(from) != inside(to) {
@@ -236,30 +236,30 @@
 
     pub fn ready(&self, number: usize) -> bool {
         let node = &self.nodes[number];
-        !node.frozen && node.hub.ready(node.now)
+        !node.paused && node.hub.ready(node.now)
     }
 
     pub fn all_ready(&self) -> bool {
         (0..self.nodes.len()).all(|number| self.ready(number))
     }
 
-    /// Says what the leader knows of the newest revision.
-    pub fn force(&self) -> Option<Force> {
+    /// Returns what the leader knows about the newest revision.
+    pub fn propagation(&self) -> Option<Propagation> {
         let leader = &self.nodes[self.leader?];
-        leader.hub.force(leader.now, self.revision)
+        leader.hub.propagation(leader.now, self.revision)
     }
 
-    pub fn everywhere(&self) -> bool {
-        self.force().is_some_and(|force| force.everywhere())
+    pub fn is_in_force(&self) -> bool {
+        self.propagation().is_some_and(|propagation| propagation.is_complete())
     }
 
     pub fn number(&self, name: &Instance) -> usize {
         self.nodes.iter().position(|node| node.name == *name).expect("the name is known")
     }
 
-    /// Returns an instance that others follow, and that follows the leader or a voter.
+    /// Returns an instance that has followers and is not a voter.
     pub fn relay(&self) -> usize {
-        let followed = self.nodes.iter().filter_map(|node| node.hub.follows());
+        let followed = self.nodes.iter().filter_map(|node| node.hub.followed_publisher());
         let mut relays = followed.map(|name| self.number(name));
         relays.find(|number| !self.nodes[*number].voter).expect("there is a relay")
     }
@@ -269,26 +269,26 @@
     }
 
     /// Renews the leader's own lease while it reaches a majority of the voters.
-    fn lead(&mut self) {
+    fn renew_leader_lease(&mut self) {
         let Some(leader) = self.leader else { return };
         let voters: Vec<usize> =
             (0..self.nodes.len()).filter(|number| self.nodes[*number].voter).collect();
         let reached = voters.iter().filter(|voter| {
             let cut =
                 self.cuts.contains(&(leader, **voter)) || self.cuts.contains(&(**voter, leader));
-            **voter == leader || !(cut || self.nodes[**voter].frozen)
+            **voter == leader || !(cut || self.nodes[**voter].paused)
         });
-        if reached.count() * 2 > voters.len() && !self.nodes[leader].frozen {
+        if reached.count() * 2 > voters.len() && !self.nodes[leader].paused {
             let until = self.nodes[leader].now + QUORUM_LEASE;
             self.nodes[leader].inbox.push(Input::Leading(Some(until)));
         }
     }
 
     fn deliver(&mut self) {
-        while let Some(entry) = self.flying.first_entry()
+        while let Some(entry) = self.in_transit.first_entry()
             && entry.key().0 <= self.now
         {
-            let Flight { from, to, message } = entry.remove();
+            let TransitMessage { from, to, message } = entry.remove();
             let from = self.nodes[from].name.clone();
             self.nodes[to].inbox.push(Input::Receive { from, message });
         }
@@ -297,8 +297,8 @@
     fn tick(&mut self) {
         for number in 0..self.nodes.len() {
             let node = &mut self.nodes[number];
-            node.now += TICK * node.pace / 1_000;
-            if node.frozen {
+            node.now += TICK * node.clock_rate / 1_000;
+            if node.paused {
                 continue;
             }
             for input in std::mem::take(&mut node.inbox) {
@@ -317,7 +317,7 @@
                 Output::Send { to, message } => self.send(number, &to, &message),
                 Output::Table { revision, .. } => {
                     let node = &mut self.nodes[number];
-                    assert!(revision > node.revision, "{} fell to {revision}", node.name);
+                    assert!(revision > node.revision, "{} went back to {revision}", node.name);
                     node.revision = revision;
                 }
             }
@@ -335,26 +335,26 @@
         if self.cuts.contains(&(from, to)) || self.rng.random_range(0..1_000) < self.loss {
             return;
         }
-        let copies = if self.rng.random_range(0..1_000) < self.doubles { 2 } else { 1 };
+        let copies = if self.rng.random_range(0..1_000) < self.duplicates { 2 } else { 1 };
         for _ in 0..copies {
             let delay = self.delay.as_millis() as u64;
             let delay = Duration::from_millis(self.rng.random_range(1..=delay));
             self.sent += 1;
-            let flight = Flight { from, to, message: message.clone() };
-            self.flying.insert((self.now + delay, self.sent), flight);
+            let transit_message = TransitMessage { from, to, message: message.clone() };
+            self.in_transit.insert((self.now + delay, self.sent), transit_message);
         }
     }
 
-    /// Checks what must hold at every moment: whoever takes work has every revision that any leader
-    /// said to be in force everywhere, and its table is the one that was committed.
-    fn check(&mut self) {
-        if self.everywhere() {
+    /// Checks the invariants: every instance that accepts work has all revisions that any leader
+    /// reported as in force everywhere, and its table is the committed one.
+    fn check_invariants(&mut self) {
+        if self.is_in_force() {
             self.in_force = self.revision;
         }
-        for node in self.nodes.iter().filter(|node| !node.frozen && node.hub.ready(node.now)) {
+        for node in self.nodes.iter().filter(|node| !node.paused && node.hub.ready(node.now)) {
             let (revision, in_force) = (node.hub.revision(), self.in_force);
-            let late = format!("{} serves by {revision}, {in_force} is in force", node.name);
-            assert!(revision >= in_force, "{late} at {:?}", self.now);
+            let lagging = format!("{} serves by {revision}, {in_force} is in force", node.name);
+            assert!(revision >= in_force, "{lagging} at {:?}", self.now);
             if revision == self.revision {
                 assert_eq!(node.hub.table(), &self.table, "{}", node.name);
             }
@@ -369,10 +369,10 @@
             hub: Hub::new(name.clone(), zone(number).into(), number as u64),
             name,
             voter,
-            pace: 1_000,
-            // Clocks of different instances have nothing in common but their pace.
+            clock_rate: 1_000,
+            // Clocks of different instances share nothing but their rate.
             now: Duration::from_secs(100 + number as u64 * 17),
-            frozen: false,
+            paused: false,
             inbox: Vec::new(),
             boots: 0,
             counts: Counts::default(),
@@ -391,7 +391,7 @@
     Change::Put(row)
 }
 
-/// Returns changes that put so many rows.
+/// Returns changes that put `count` rows.
 pub fn rows(count: usize) -> Vec<Change> {
     (0..count).map(|number| weight(&format!("class-{number}"), 5)).collect()
 }
