--- a/crates/verbenaslip-cli/src/answer.rs
+++ b/crates/verbenaslip-cli/src/answer.rs
@@ -6,14 +6,14 @@
 
 /// Wraps an error.
 #[derive(Debug, Deserialize)]
-pub(crate) struct Failure {
+pub(crate) struct ErrorResponse {
     /// The error in the callers' shape.
-    pub(crate) error: Fault,
+    pub(crate) error: ErrorBody,
 }
 
 /// Holds an error in the callers' shape.
 #[derive(Debug, Deserialize)]
-pub(crate) struct Fault {
+pub(crate) struct ErrorBody {
     pub(crate) message: String,
     #[serde(rename = "type")]
     pub(crate) kind: String,
@@ -47,7 +47,7 @@
 
 /// Lists what is wrong with a table.
 #[derive(Debug, Deserialize)]
-pub(crate) struct Faulty {
+pub(crate) struct InvalidTable {
     pub(crate) problems: Vec<verbenaslip_table::Problem>,
 }
 
--- a/crates/verbenaslip-cli/src/client/call.rs
+++ b/crates/verbenaslip-cli/src/client/call.rs
@@ -7,12 +7,12 @@
 pub(crate) struct Call {
     pub(super) path: String,
     pub(super) body: Option<Vec<u8>>,
-    pub(super) content: &'static str,
+    pub(super) content_type: &'static str,
     pub(super) changes: bool,
     pub(super) resend: bool,
-    pub(super) wait: Duration,
-    pub(super) patience: Duration,
-    pub(super) expects: &'static [u16],
+    pub(super) server_wait: Duration,
+    pub(super) retry_timeout: Duration,
+    pub(super) expected_statuses: &'static [u16],
     pub(super) hint: &'static str,
 }
 
@@ -22,12 +22,12 @@
         Self {
             path: path.into(),
             body: None,
-            content: "application/json",
+            content_type: "application/json",
             changes: false,
             resend: true,
-            wait: Duration::ZERO,
-            patience: Duration::ZERO,
-            expects: &[],
+            server_wait: Duration::ZERO,
+            retry_timeout: Duration::ZERO,
+            expected_statuses: &[],
             hint: "",
         }
     }
@@ -38,28 +38,28 @@
     }
 
     /// Lets the call be sent again after a lost answer, because twice is the same as once.
-    pub(crate) fn again_for(self, patience: Duration) -> Self {
-        Self { resend: true, patience, ..self }
+    pub(crate) fn resend_for(self, retry_timeout: Duration) -> Self {
+        Self { resend: true, retry_timeout, ..self }
     }
 
     /// Says how long the instance itself may wait before it answers.
-    pub(crate) fn waiting(self, wait: Duration) -> Self {
-        Self { wait, ..self }
+    pub(crate) fn with_server_wait(self, server_wait: Duration) -> Self {
+        Self { server_wait, ..self }
     }
 
     /// Sends CSV.
-    pub(crate) fn csv(self) -> Self {
-        Self { content: "text/csv", ..self }
+    pub(crate) fn with_csv_body(self) -> Self {
+        Self { content_type: "text/csv", ..self }
     }
 
     /// Takes these statuses as replies and not as failures.
-    pub(crate) fn expecting(self, expects: &'static [u16]) -> Self {
-        Self { expects, ..self }
+    pub(crate) fn with_expected_statuses(self, expected_statuses: &'static [u16]) -> Self {
+        Self { expected_statuses, ..self }
     }
 }
 
 /// Writes a text so that it can stand in a query.
-pub(crate) fn encode(text: &str) -> String {
+pub(crate) fn percent_encode(text: &str) -> String {
     let mut encoded = String::new();
     for byte in text.bytes() {
         match byte {
--- a/crates/verbenaslip-cli/src/client/key.rs
+++ b/crates/verbenaslip-cli/src/client/key.rs
@@ -5,21 +5,21 @@
 use std::path::Path;
 
 /// Permission bits of group and others.
-const OTHERS: u32 = 0o077;
+const GROUP_AND_OTHERS_MODE: u32 = 0o077;
 
 /// Returns the key in a file that only its owner may read: the last word of its first line that is
 /// no comment, so that a line of the instances' own file of keys serves too.
 pub(super) fn read(path: &Path) -> Result<String, String> {
-    let unread = |error: std::io::Error| format!("the key can't be read: {error}");
-    let file = File::open(path).map_err(unread)?;
-    let mode = file.metadata().map_err(unread)?.permissions().mode() & 0o777;
-    if mode & OTHERS != 0 {
+    let read_error = |error: std::io::Error| format!("the key can't be read: {error}");
+    let file = File::open(path).map_err(read_error)?;
+    let mode = file.metadata().map_err(read_error)?.permissions().mode() & 0o777;
+    if mode & GROUP_AND_OTHERS_MODE != 0 {
         let path = path.display();
         return Err(format!(
             "is readable by group or others (mode {mode:03o}); run `chmod 600 {path}`"
         ));
     }
-    let text = std::io::read_to_string(file).map_err(unread)?;
+    let text = std::io::read_to_string(file).map_err(read_error)?;
     let mut lines = text.lines().map(str::trim);
     let line = lines.find(|line| !line.is_empty() && !line.starts_with('#'));
     let key = line.and_then(|line| line.split_ascii_whitespace().last());
--- a/crates/verbenaslip-cli/src/client/reply.rs
+++ b/crates/verbenaslip-cli/src/client/reply.rs
@@ -6,13 +6,13 @@
 use oxhttp::model::{Body, Response};
 use serde::de::DeserializeOwned;
 
-use crate::answer::Failure;
-use crate::error::{Error, Step, Try};
+use crate::answer::ErrorResponse;
+use crate::error::{Attempt, Error, Step};
 
 /// The largest answer that is read, in bytes.
-const ANSWER_MAX: u64 = 64 << 20;
+const MAX_ANSWER_BYTES: u64 = 64 << 20;
 /// The header that tells a table's revision.
-const REVISION: &str = "verbenaslip-revision";
+const REVISION_HEADER: &str = "verbenaslip-revision";
 
 /// Holds an instance's answer.
 pub(crate) struct Reply {
@@ -25,32 +25,33 @@
 impl Reply {
     pub(super) fn read(peer: SocketAddr, response: Response<Body>) -> std::io::Result<Self> {
         let status = response.status().as_u16();
-        let header = response.headers().get(REVISION).and_then(|value| value.to_str().ok());
+        let header = response.headers().get(REVISION_HEADER).and_then(|value| value.to_str().ok());
         let revision = header.and_then(|value| value.parse().ok());
         let mut body = Vec::new();
-        response.into_body().take(ANSWER_MAX).read_to_end(&mut body)?;
+        response.into_body().take(MAX_ANSWER_BYTES).read_to_end(&mut body)?;
         Ok(Self { peer, status, revision, body })
     }
 
     /// Reads the body as JSON.
     pub(crate) fn json<T: DeserializeOwned>(&self) -> Result<T, Error> {
-        serde_json::from_slice(&self.body).map_err(|error| self.odd(&error.to_string()))
+        serde_json::from_slice(&self.body)
+            .map_err(|error| self.invalid_response(&error.to_string()))
     }
 
     /// Returns the body as text: a value of JSON may hold numbers that only its own type can.
     pub(crate) fn text(&self) -> Result<String, Error> {
-        String::from_utf8(self.body.clone()).map_err(|_| self.odd("not UTF-8"))
+        String::from_utf8(self.body.clone()).map_err(|_| self.invalid_response("not UTF-8"))
     }
 
     /// Says that the answer is not understood.
-    pub(crate) fn odd(&self, cause: &str) -> Error {
+    pub(crate) fn invalid_response(&self, cause: &str) -> Error {
         Error::Answer { peer: self.peer, cause: format!("status {}, {cause}", self.status) }
     }
 
     /// Reads a refusal.
-    pub(crate) fn refused(&self) -> Error {
-        match self.json::<Failure>() {
-            Ok(Failure { error }) => {
+    pub(crate) fn refusal(&self) -> Error {
+        match self.json::<ErrorResponse>() {
+            Ok(ErrorResponse { error }) => {
                 Error::Refused { peer: self.peer, message: error.message, hint: error.hint }
             }
             Err(error) => error,
@@ -58,24 +59,24 @@
     }
 
     /// Reads why an instance could not do it, and whether it may have been done.
-    pub(super) fn failed(&self) -> Failed {
-        let failure = self.json::<Failure>().map(|failure| failure.error);
+    pub(super) fn attempt_error(&self) -> AttemptError {
+        let failure = self.json::<ErrorResponse>().map(|failure| failure.error);
         let not_run = failure.as_ref().is_ok_and(|error| error.kind == "not_run");
         let cause = match failure {
             Ok(error) => error.message,
             Err(_) => format!("status {}", self.status),
         };
-        let one = Try { peer: self.peer, step: Step::Answer, cause };
-        if not_run { Failed::NotDone(one) } else { Failed::Unknown(one) }
+        let attempt = Attempt { peer: self.peer, step: Step::Answer, cause };
+        if not_run { AttemptError::NotDone(attempt) } else { AttemptError::Unknown(attempt) }
     }
 }
 
 /// Says what a failed try lets one conclude.
-pub(super) enum Failed {
+pub(super) enum AttemptError {
     /// Another instance would say the same.
     Final(Error),
     /// It surely was not done.
-    NotDone(Try),
+    NotDone(Attempt),
     /// It may have been done.
-    Unknown(Try),
+    Unknown(Attempt),
 }
--- a/crates/verbenaslip-cli/src/command/audit.rs
+++ b/crates/verbenaslip-cli/src/command/audit.rs
@@ -30,7 +30,8 @@
     loop {
         let page: Page = client.call(&Call::get(format!("/v1/audit?since={since}")))?.json()?;
         for entry in &page.entries {
-            let line = if terminal.wants_json() { entry.get().to_owned() } else { show(entry) };
+            let line =
+                if terminal.wants_json() { entry.get().to_owned() } else { format_entry(entry) };
             terminal.text(&format!("{line}\n"))?;
         }
         // A page that does not get on is the last one.
@@ -41,13 +42,13 @@
     }
 }
 
-fn show(entry: &RawValue) -> String {
+fn format_entry(entry: &RawValue) -> String {
     let Ok(entry) = serde_json::from_str::<Entry>(entry.get()) else {
         // An instance of a later version notes what this one does not know.
         return serde_json::from_str::<Value>(entry.get()).unwrap_or_default().to_string();
     };
     let base = entry.base.map(|base| format!(" from revision {base}")).unwrap_or_default();
-    let word = if entry.accepted { "accepted" } else { "REFUSED" };
+    let verdict = if entry.accepted { "accepted" } else { "REFUSED" };
     let (number, at, by) = (entry.number, time::show(entry.at), &entry.by);
-    format!("{number} {at} {by}: {}{base}; {word}: {}", entry.action, entry.answer)
+    format!("{number} {at} {by}: {}{base}; {verdict}: {}", entry.action, entry.answer)
 }
--- a/crates/verbenaslip-cli/src/command/columns.rs
+++ b/crates/verbenaslip-cli/src/command/columns.rs
@@ -1,7 +1,7 @@
 //! Lines of text with their columns under each other.
 
 /// The blank between two columns.
-const GAP: &str = "  ";
+const COLUMN_GAP: &str = "  ";
 
 /// Collects lines of equally many cells.
 pub(super) struct Columns {
@@ -20,9 +20,9 @@
     }
 
     /// Returns the lines, or a remark in their place if there are none.
-    pub(super) fn show(&self, none: &str) -> String {
+    pub(super) fn render(&self, empty_text: &str) -> String {
         if self.lines.len() == 1 {
-            return none.to_owned();
+            return empty_text.to_owned();
         }
         let count = self.lines[0].len();
         let width = |column: usize| {
@@ -33,7 +33,7 @@
         let pad = |(cell, width): (&String, &usize)| format!("{cell:width$}");
         let line = |cells: &Vec<String>| {
             let cells: Vec<String> = cells.iter().zip(&widths).map(pad).collect();
-            cells.join(GAP).trim_end().to_owned()
+            cells.join(COLUMN_GAP).trim_end().to_owned()
         };
         self.lines.iter().map(line).collect::<Vec<_>>().join("\n")
     }
--- a/crates/verbenaslip-cli/src/command/drain.rs
+++ b/crates/verbenaslip-cli/src/command/drain.rs
@@ -15,9 +15,9 @@
 use crate::terminal::Terminal;
 
 /// How to find out after a lost answer.
-const HINT: &str = "\nRun it again: draining twice is the same as once.";
+const LOST_ANSWER_HINT: &str = "\nRun it again: draining twice is the same as once.";
 /// The time between two looks whether the instance has left.
-const LOOK: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Orders the stop, and waits for it if asked to.
 pub(crate) fn run(
@@ -27,7 +27,7 @@
 ) -> Result<Exit, Error> {
     let name = &args.instance;
     let body = json!({ "instance": name }).to_string().into_bytes();
-    client.call(&Call::post("/v1/drain", body, HINT).again_for(Duration::ZERO))?;
+    client.call(&Call::post("/v1/drain", body, LOST_ANSWER_HINT).resend_for(Duration::ZERO))?;
     if !args.wait {
         let text = format!("{name} drains; `verbenaslip status` shows when it has left");
         terminal.result(&json!({ "draining": name, "left": false }), &text)?;
@@ -41,7 +41,7 @@
                 .result(&json!({ "draining": name, "left": true }), &format!("{name} has left"))?;
             return Ok(Exit::Done);
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
     terminal
         .result(&json!({ "draining": name, "left": false }), &format!("{name} still drains"))?;
--- a/crates/verbenaslip-cli/src/command/explain.rs
+++ b/crates/verbenaslip-cli/src/command/explain.rs
@@ -23,58 +23,58 @@
         return Err(Error::Usage("name at least one file with log lines".into()));
     }
     let mut lines = Vec::new();
-    let mut unread = 0;
+    let mut skipped = 0;
     for file in &args.files {
         let text = read(file)?;
         let origin = file.display().to_string();
         for raw in text.lines().filter(|raw| !raw.trim().is_empty()) {
             match Line::parse(raw, &origin) {
                 Some(line) => lines.push(line),
-                None => unread += 1,
+                None => skipped += 1,
             }
         }
     }
     lines.sort_by_key(|line| line.at);
-    if unread > 0 {
-        terminal.remark(&format!("{unread} lines are no log lines and were passed over"));
+    if skipped > 0 {
+        terminal.remark(&format!("{skipped} lines are no log lines and were passed over"));
     }
     match &args.id {
-        Some(id) => life(id, &lines, terminal),
-        None => summary(&lines, terminal),
+        Some(id) => show_request(id, &lines, terminal),
+        None => show_summary(&lines, terminal),
     }
 }
 
 /// Writes all that the logs say of one request, in order, with what was decided of others that asked for the same,
 /// and what upstreams had asked its entry for: a request that is held back or refused for that met nothing itself.
-fn life(id: &str, lines: &[Line], terminal: &mut Terminal<'_>) -> Result<Exit, Error> {
+fn show_request(id: &str, lines: &[Line], terminal: &mut Terminal<'_>) -> Result<Exit, Error> {
     let mentions: Vec<&Line> = lines.iter().filter(|line| line.mentions(id)).collect();
     let contents: Vec<&str> = mentions.iter().filter_map(|line| line.content()).collect();
-    let is_told = |line: &&Line| {
+    let is_related = |line: &&Line| {
         line.mentions(id)
             || contents.iter().any(|content| line.is_about_content(content))
             || mentions.iter().any(|ended| line.explains(ended))
     };
-    let own: Vec<&Line> = lines.iter().filter(is_told).collect();
-    if own.is_empty() {
+    let related: Vec<&Line> = lines.iter().filter(is_related).collect();
+    if related.is_empty() {
         let cause = format!("no line of these files mentions the request {id}");
         return Err(Error::Usage(cause));
     }
-    let object = json!(own.iter().map(|line| line.object()).collect::<Vec<_>>());
-    let text: Vec<String> = own.iter().map(|line| line.show()).collect();
+    let object = json!(related.iter().map(|line| line.to_json()).collect::<Vec<_>>());
+    let text: Vec<String> = related.iter().map(|line| line.format()).collect();
     terminal.result(&object, &text.join("\n"))?;
     Ok(Exit::Done)
 }
 
-fn summary(lines: &[Line], terminal: &mut Terminal<'_>) -> Result<Exit, Error> {
+fn show_summary(lines: &[Line], terminal: &mut Terminal<'_>) -> Result<Exit, Error> {
     let mut tally = Tally::default();
-    lines.iter().filter_map(Line::ended).for_each(|ended| tally.take(&ended));
-    terminal.result(&tally.object(), &tally.show())?;
+    lines.iter().filter_map(Line::ended).for_each(|ended| tally.add(&ended));
+    terminal.result(&tally.to_json(), &tally.format())?;
     Ok(Exit::Done)
 }
 
 fn read(file: &Path) -> Result<String, Error> {
-    let wrong = |cause: String| Error::File { file: file.display().to_string(), cause };
-    let bytes = fs::read(file).map_err(|error| wrong(error.to_string()))?;
+    let file_error = |cause: String| Error::File { file: file.display().to_string(), cause };
+    let bytes = fs::read(file).map_err(|error| file_error(error.to_string()))?;
     // A log that was cut off may end within a letter.
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
--- a/crates/verbenaslip-cli/src/command/explain/line.rs
+++ b/crates/verbenaslip-cli/src/command/explain/line.rs
@@ -11,16 +11,16 @@
 const REQUEST_ENDED: u64 = 901;
 
 /// The numbers of the lines about contents under which upstreams end.
-const CONTENTS: RangeInclusive<u64> = 936..=940;
+const CRASH_EVENTS: RangeInclusive<u64> = 936..=940;
 
 /// The numbers of the lines about what upstreams ask for in their answers.
-const ASKED: RangeInclusive<u64> = 943..=946;
+const UPSTREAM_LIMIT_EVENTS: RangeInclusive<u64> = 943..=946;
 
 /// Outcomes of requests, and causes of their tries, that follow from that.
-const RESTRICTED: [&str; 2] = ["limited", "resting"];
+const LIMITED_OUTCOMES: [&str; 2] = ["limited", "resting"];
 
 /// How long before such a request an upstream may have asked for it, in milliseconds.
-const BEFORE: u64 = 60_000;
+const MAX_LEAD_MS: u64 = 60_000;
 
 /// Holds one line with where it stands.
 pub(super) struct Line {
@@ -32,7 +32,7 @@
 
 /// Says how one request ended.
 #[derive(Debug, Deserialize)]
-pub(super) struct Ended {
+pub(super) struct RequestEnded {
     /// When, in Unix milliseconds.
     pub(super) at: u64,
     pub(super) route: String,
@@ -54,7 +54,7 @@
 
 /// Says what a caller got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Fate {
+pub(super) enum CallerResult {
     /// An answer within the objective.
     OnTime,
     /// An answer after it.
@@ -79,9 +79,9 @@
 
     /// Tells whether it is about a request.
     pub(super) fn mentions(&self, id: &str) -> bool {
-        let is_it = |value: &Value| value.as_str() == Some(id);
+        let is_id = |value: &Value| value.as_str() == Some(id);
         let among = |name| self.fields.get(name).and_then(Value::as_array).into_iter().flatten();
-        self.fields.get("id").is_some_and(is_it) || among("ids").any(is_it)
+        self.fields.get("id").is_some_and(is_id) || among("ids").any(is_id)
     }
 
     /// Returns the content of the request that it is about.
@@ -94,7 +94,7 @@
         let number = self.fields.get("event").and_then(Value::as_u64);
         let listed = self.fields.get("contents").and_then(Value::as_array);
         let among = listed.into_iter().flatten().any(|it| it.as_str() == Some(content));
-        number.is_some_and(|number| CONTENTS.contains(&number))
+        number.is_some_and(|number| CRASH_EVENTS.contains(&number))
             && (among || self.content() == Some(content))
     }
 
@@ -103,20 +103,22 @@
         let number = self.fields.get("event").and_then(Value::as_u64);
         self.origin == ended.origin
             && self.at <= ended.at
-            && ended.at - self.at <= BEFORE
-            && ended.is_restricted()
-            && number.is_some_and(|number| ASKED.contains(&number))
+            && ended.at - self.at <= MAX_LEAD_MS
+            && ended.is_limited()
+            && number.is_some_and(|number| UPSTREAM_LIMIT_EVENTS.contains(&number))
     }
 
     /// Tells whether a request met upstreams that had asked for less.
-    fn is_restricted(&self) -> bool {
-        let is_so = |value: &Value| value.as_str().is_some_and(|it| RESTRICTED.contains(&it));
+    fn is_limited(&self) -> bool {
+        let is_limited_value =
+            |value: &Value| value.as_str().is_some_and(|it| LIMITED_OUTCOMES.contains(&it));
         let causes = self.fields.get("causes").and_then(Value::as_array);
-        self.fields.get("outcome").is_some_and(is_so) || causes.into_iter().flatten().any(is_so)
+        self.fields.get("outcome").is_some_and(is_limited_value)
+            || causes.into_iter().flatten().any(is_limited_value)
     }
 
     /// Returns how a request ended, if it says that.
-    pub(super) fn ended(&self) -> Option<Ended> {
+    pub(super) fn ended(&self) -> Option<RequestEnded> {
         let number = self.fields.get("event").and_then(Value::as_u64);
         if number != Some(REQUEST_ENDED) {
             return None;
@@ -124,12 +126,12 @@
         serde_json::from_value(self.fields.clone()).ok()
     }
 
-    pub(super) fn object(&self) -> Value {
+    pub(super) fn to_json(&self) -> Value {
         json!({ "file": self.origin, "line": self.fields })
     }
 
     /// Shows it for people.
-    pub(super) fn show(&self) -> String {
+    pub(super) fn format(&self) -> String {
         let text = |name: &str| self.fields.get(name).and_then(Value::as_str).unwrap_or("");
         let fields = self.fields.as_object().into_iter().flatten();
         let rest = fields.filter(|(name, _)| !["at", "event", "what", "id"].contains(&&***name));
@@ -145,32 +147,35 @@
     }
 }
 
-impl Ended {
+impl RequestEnded {
     /// Returns what the caller got.
-    pub(super) fn fate(&self) -> Fate {
+    pub(super) fn caller_result(&self) -> CallerResult {
         match (self.outcome.as_str(), self.status) {
-            ("caller_gone", _) => Fate::Left,
-            ("answered", 200..400) if self.is_late() => Fate::Late,
-            ("answered", 200..400) => Fate::OnTime,
-            (_, 408 | 421 | 429 | 503) => Fate::Refused,
-            (_, 400..500) => Fate::Denied,
-            _ => Fate::Lost,
+            ("caller_gone", _) => CallerResult::Left,
+            ("answered", 200..400) if self.is_late() => CallerResult::Late,
+            ("answered", 200..400) => CallerResult::OnTime,
+            (_, 408 | 421 | 429 | 503) => CallerResult::Refused,
+            (_, 400..500) => CallerResult::Denied,
+            _ => CallerResult::Lost,
         }
     }
 
     /// Returns why, in the words of the log.
     pub(super) fn cause(&self) -> String {
-        let tries = self.causes.join(",");
-        if tries.is_empty() { self.outcome.clone() } else { format!("{}: {tries}", self.outcome) }
+        let causes = self.causes.join(",");
+        if causes.is_empty() { self.outcome.clone() } else { format!("{}: {causes}", self.outcome) }
     }
 
     fn is_late(&self) -> bool {
-        let over = self.first_ms.zip(self.objective_ms).is_some_and(|(first, most)| first > most);
-        self.waited || over
+        let exceeded = self
+            .first_ms
+            .zip(self.objective_ms)
+            .is_some_and(|(first, objective)| first > objective);
+        self.waited || exceeded
     }
 }
 
-impl Fate {
+impl CallerResult {
     /// All of them, the best first.
     pub(super) const ALL: [Self; 6] =
         [Self::OnTime, Self::Late, Self::Refused, Self::Lost, Self::Left, Self::Denied];
--- a/crates/verbenaslip-cli/src/command/status.rs
+++ b/crates/verbenaslip-cli/src/command/status.rs
@@ -15,12 +15,12 @@
 use crate::terminal::Terminal;
 
 /// Stands for an availability zone that is not known.
-const UNKNOWN: &str = "?";
+const UNKNOWN_ZONE: &str = "?";
 
 /// Shows what one instance knows of the deployment.
 pub(crate) fn run(client: &mut Client, terminal: &mut Terminal<'_>) -> Result<Exit, Error> {
     let reply = client.call(&Call::get("/v1/status"))?;
-    let text = if terminal.wants_json() { reply.text()? } else { show(&reply.json()?) };
+    let text = if terminal.wants_json() { reply.text()? } else { format_status(&reply.json()?) };
     terminal.text(&(text + "\n"))?;
     Ok(Exit::Done)
 }
@@ -30,24 +30,24 @@
     client.call(&Call::get("/v1/status"))?.json()
 }
 
-fn show(status: &Status) -> String {
+fn format_status(status: &Status) -> String {
     let parts = [
-        head(status),
-        log(status),
-        behind(status),
+        summary(status),
+        voters(status),
+        outdated_instances(status),
         instances(status),
         upstreams(&status.upstreams),
-        rows(&status.load),
+        load_rows(&status.load),
     ];
     parts.join("\n")
 }
 
-fn part(title: &str, lines: &str) -> String {
+fn section(title: &str, lines: &str) -> String {
     let lines: Vec<String> = lines.lines().map(|line| format!("  {line}")).collect();
     format!("{title}\n{}", lines.join("\n"))
 }
 
-fn head(status: &Status) -> String {
+fn summary(status: &Status) -> String {
     let reasons: Vec<&str> = status.not_ready.iter().map(|reason| &**reason).collect();
     let ready = if reasons.is_empty() {
         "ready".to_owned()
@@ -55,7 +55,8 @@
         format!("NOT READY: {}", reasons.join(", "))
     };
     let isolated = if status.isolated { ", ISOLATED" } else { "" };
-    let lease = status.lease.map_or("NO LEASE".into(), |left| format!("lease {}", time(left)));
+    let lease =
+        status.lease.map_or("NO LEASE".into(), |left| format!("lease {}", format_millis(left)));
     let work = &status.work;
     format!(
         "instance  {} in {}, version {}, {ready}{isolated}\ntable     revision {}, {} rows, {lease}\n\
@@ -73,32 +74,32 @@
 }
 
 /// Shows leader and voters, which only voters know.
-fn log(status: &Status) -> String {
+fn voters(status: &Status) -> String {
     let Some(log) = &status.log else {
         let follows = status.follows.as_ref().map_or("nobody", |instance| instance.as_str());
-        return part("voters", &format!("not known here (follows {follows}): ask a voter"));
+        return section("voters", &format!("not known here (follows {follows}): ask a voter"));
     };
     let leader = log.leader.as_ref().map_or("NO LEADER", |leader| leader.as_str());
     let change = if log.joint { ", the voters are being changed" } else { "" };
     let head = format!("leader {leader}, term {}, committed to {}{change}", log.term, log.commit);
     let mut columns = Columns::new(&["name", "zone", "vote", "behind", "answered"]);
     for voter in &log.voters {
-        columns.push(progress(voter, status, log));
+        columns.push(voter_cells(voter, status, log));
     }
-    let mut lines = vec![head, columns.show("none known")];
-    lines.extend(warning(status));
-    part("voters", &lines.join("\n"))
+    let mut lines = vec![head, columns.render("none known")];
+    lines.extend(quorum_warning(status));
+    section("voters", &lines.join("\n"))
 }
 
 /// Warns of each availability zone whose loss would take the quorum with it.
 ///
 /// A voter replaced in the wrong availability zone works well until that zone is reclaimed; then
 /// nothing can be committed any more, which shows as V3004 on all instances at once.
-pub(super) fn warning(status: &Status) -> Option<String> {
+pub(super) fn quorum_warning(status: &Status) -> Option<String> {
     let voters = status.log.as_ref()?.voters.iter().filter(|voter| voter.votes);
     let mut zones: BTreeMap<String, usize> = BTreeMap::new();
     for voter in voters {
-        *zones.entry(zone(&voter.instance, status)).or_default() += 1;
+        *zones.entry(zone_of(&voter.instance, status)).or_default() += 1;
     }
     let count: usize = zones.values().sum();
     // One voter alone can't be spread.
@@ -106,25 +107,26 @@
         return None;
     }
     let quorum = count / 2 + 1;
-    let fragile = zones.iter().filter(|(zone, held)| *zone != UNKNOWN && count - **held < quorum);
+    let fragile =
+        zones.iter().filter(|(zone, held)| *zone != UNKNOWN_ZONE && count - **held < quorum);
     let names: Vec<&str> = fragile.map(|(zone, _)| zone.as_str()).collect();
     let list = names.join(" or ");
     (!names.is_empty()).then(|| format!("WARNING: losing {list} would lose the quorum"))
 }
 
 /// Returns an instance's availability zone.
-fn zone(instance: &Instance, status: &Status) -> String {
+fn zone_of(instance: &Instance, status: &Status) -> String {
     if *instance == status.instance {
         return status.zone.to_string();
     }
     let peer = status.peers.iter().find(|peer| peer.instance == *instance);
-    peer.map_or(UNKNOWN.to_owned(), |peer| peer.zone.to_string())
+    peer.map_or(UNKNOWN_ZONE.to_owned(), |peer| peer.zone.to_string())
 }
 
-fn progress(voter: &Voter, status: &Status, log: &Log) -> [String; 5] {
+fn voter_cells(voter: &Voter, status: &Status, log: &Log) -> [String; 5] {
     let vote = if voter.votes { "yes" } else { "not yet" };
     let name = voter.instance.to_string();
-    let zone = zone(&voter.instance, status);
+    let zone = zone_of(&voter.instance, status);
     if voter.instance == status.instance {
         return [name, zone, vote.into(), "-".into(), "this one".into()];
     }
@@ -133,18 +135,18 @@
         Some(entries) => format!("{entries} entries"),
         None => "?".into(),
     };
-    let silent = voter.silent.map_or("?".into(), |silent| format!("{} ago", time(silent)));
+    let silent = voter.silent.map_or("?".into(), |silent| format!("{} ago", format_millis(silent)));
     [name, zone, vote.into(), behind, silent]
 }
 
 /// Shows who may still serve by an older table, which only the leader knows.
-fn behind(status: &Status) -> String {
+fn outdated_instances(status: &Status) -> String {
     let text = match &status.behind {
         None => "not known here: ask the leader".to_owned(),
         Some(names) if names.is_empty() => "nobody".to_owned(),
         Some(names) => names.iter().map(ToString::to_string).collect::<Vec<_>>().join(", "),
     };
-    part("behind the newest table", &text)
+    section("behind the newest table", &text)
 }
 
 fn instances(status: &Status) -> String {
@@ -160,11 +162,11 @@
         };
         columns.push([peer.instance.to_string(), peer.zone.to_string(), state.into()]);
     }
-    part("instances", &columns.show("none known"))
+    section("instances", &columns.render("none known"))
 }
 
 /// Shows the work held here by row, and this instance's part of the row's limits.
-fn rows(load: &[Load]) -> String {
+fn load_rows(load: &[Load]) -> String {
     let mut columns = Columns::new(&["team", "class", "waiting", "running", "at once", "a second"]);
     for row in load {
         columns.push([
@@ -176,19 +178,19 @@
             row.rate.map_or("-".into(), |rate| format!("{rate:.1}")),
         ]);
     }
-    part("rows, and the part of their limits here", &columns.show("no table yet"))
+    section("rows, and the part of their limits here", &columns.render("no table yet"))
 }
 
 fn upstreams(upstreams: &[Upstream]) -> String {
     let names = ["name", "zone", "phase", "running", "slots", "market", "price/h", "models"];
     let mut columns = Columns::new(&names);
     for upstream in upstreams {
-        columns.push(line(&upstream.announcement, upstream.standing));
+        columns.push(upstream_cells(&upstream.announcement, upstream.standing));
     }
-    part("upstreams", &columns.show("none has announced itself"))
+    section("upstreams", &columns.render("none has announced itself"))
 }
 
-fn line(announcement: &Announcement, standing: Standing) -> [String; 8] {
+fn upstream_cells(announcement: &Announcement, standing: Standing) -> [String; 8] {
     let phase = match (standing, announcement.phase) {
         (Standing::Lapsed, _) => "LAPSED".into(),
         (Standing::Doubtful, _) => "IN DOUBT".into(),
@@ -209,16 +211,16 @@
         announcement.load.running.to_string(),
         announcement.slots.to_string(),
         market.into(),
-        price(announcement.price),
+        format_price(announcement.price),
         models.join(" "),
     ]
 }
 
-fn time(time: Duration) -> String {
+fn format_millis(time: Duration) -> String {
     format!("{} ms", time.as_millis())
 }
 
 /// Shows millionths of the currency unit.
-fn price(millionths: u64) -> String {
+fn format_price(millionths: u64) -> String {
     format!("{}.{:02}", millionths / 1_000_000, millionths % 1_000_000 / 10_000)
 }
--- a/crates/verbenaslip-cli/src/command/table/apply.rs
+++ b/crates/verbenaslip-cli/src/command/table/apply.rs
@@ -10,10 +10,10 @@
 use verbenaslip_table::{Problems, Table};
 
 use super::file;
-use super::read::{differences, fetch, lines};
-use crate::answer::{Applied, Conflict, Faulty};
+use super::read::{differences, fetch, format_differences};
+use crate::answer::{Applied, Conflict, InvalidTable};
 use crate::args::Apply;
-use crate::client::{Call, Client, PAUSE, Reply, encode};
+use crate::client::{Call, Client, RETRY_PAUSE, Reply, percent_encode};
 use crate::error::Error;
 use crate::exit::Exit;
 use crate::terminal::Terminal;
@@ -21,11 +21,12 @@
 /// How long the first call waits at the instance before it says whom it waits for.
 const FIRST_WAIT: Duration = Duration::from_secs(1);
 /// How long each later call waits; each is a resend, which the audit trail notes.
-const WAIT: Duration = Duration::from_secs(8);
+const RESEND_WAIT: Duration = Duration::from_secs(8);
 /// How to find out after a lost answer.
-const HINT: &str = "\nRun the same command again: it is the same edit and is made once.";
+const LOST_ANSWER_HINT: &str =
+    "\nRun the same command again: it is the same edit and is made once.";
 /// Statuses that say what became of the edit.
-const VERDICTS: &[u16] = &[409, 422];
+const DECISION_STATUSES: &[u16] = &[409, 422];
 
 /// Puts a file in force.
 pub(super) fn run(
@@ -44,7 +45,7 @@
             in_force: false,
             waiting: vec![],
         };
-        return finish(args, &applied, terminal);
+        return report(args, &applied, terminal);
     }
     let base = match args.base.map_or_else(|| file::base(&args.file), |base| Ok(Some(base)))? {
         Some(base) => base,
@@ -56,12 +57,16 @@
     let edit = Edit::new(args, base, &table)?;
     if base == newest.revision {
         let differences = differences(&newest.table, &table);
-        terminal.remark(&format!("edit {} on base {base}:\n{}", edit.id, lines(&differences)));
+        terminal.remark(&format!(
+            "edit {} on base {base}:\n{}",
+            edit.id,
+            format_differences(&differences)
+        ));
     } else {
         terminal.remark(&format!("edit {} on base {base}; newest is {}", edit.id, newest.revision));
     }
     let applied = edit.send(args, end, client, terminal)?;
-    finish(args, &applied, terminal)
+    report(args, &applied, terminal)
 }
 
 /// Holds what is sent, and sent again after a lost answer.
@@ -82,8 +87,8 @@
                 Id::new(&format!("{:032x}", hash::wide(&[&base.to_le_bytes(), csv.as_bytes()])))
             }
         };
-        let wrong = || Error::Usage("--edit must be 1 to 64 visible ASCII characters".into());
-        Ok(Self { id: id.ok_or_else(wrong)?, base, csv })
+        let invalid_id = || Error::Usage("--edit must be 1 to 64 visible ASCII characters".into());
+        Ok(Self { id: id.ok_or_else(invalid_id)?, base, csv })
     }
 
     /// Sends the edit until it is decided, and with `--wait` until it is in force or time is over.
@@ -94,16 +99,16 @@
         client: &mut Client,
         terminal: &mut Terminal<'_>,
     ) -> Result<Applied, Error> {
-        let mut applied = self.once(args, FIRST_WAIT, end, client)?;
-        let mut told = Vec::new();
+        let mut applied = self.send_once(args, FIRST_WAIT, end, client)?;
+        let mut reported = Vec::new();
         while args.wait && !args.dry && !applied.in_force && Instant::now() < end {
-            if applied.waiting != told {
+            if applied.waiting != reported {
                 let names = applied.waiting.join(", ");
                 terminal.remark(&format!("revision {}: waiting for {names}", applied.revision));
-                told = applied.waiting.clone();
+                reported = applied.waiting.clone();
             }
-            thread::sleep(PAUSE.min(end.saturating_duration_since(Instant::now())));
-            match self.once(args, WAIT, end, client) {
+            thread::sleep(RETRY_PAUSE.min(end.saturating_duration_since(Instant::now())));
+            match self.send_once(args, RESEND_WAIT, end, client) {
                 Ok(newer) => applied = newer,
                 // The edit is accepted and stays so; only whether it is in force is not known.
                 Err(error) => {
@@ -116,7 +121,7 @@
     }
 
     /// Sends the edit once, or again where the answer was lost.
-    fn once(
+    fn send_once(
         &self,
         args: &Apply,
         wait: Duration,
@@ -125,21 +130,23 @@
     ) -> Result<Applied, Error> {
         let left = end.saturating_duration_since(Instant::now());
         let wait = if args.wait { wait.min(left) } else { Duration::ZERO };
-        let (id, millis) = (encode(self.id.as_str()), wait.as_millis());
+        let (id, millis) = (percent_encode(self.id.as_str()), wait.as_millis());
         let dry = if args.dry { "&dry=true" } else { "" };
         let path = format!("/v1/table?base={}&edit={id}&wait_ms={millis}{dry}", self.base);
-        let call = Call::post(path, self.csv.clone().into_bytes(), HINT).csv();
-        let call = call.again_for(left).waiting(wait).expecting(VERDICTS);
+        let call =
+            Call::post(path, self.csv.clone().into_bytes(), LOST_ANSWER_HINT).with_csv_body();
+        let call =
+            call.resend_for(left).with_server_wait(wait).with_expected_statuses(DECISION_STATUSES);
         let reply = client.call(&call)?;
         match reply.status {
             409 => Err(self.conflict(&reply)),
-            422 => Err(faulty(args, &reply)),
+            422 => Err(invalid_table(args, &reply)),
             _ => reply.json(),
         }
     }
 
     fn conflict(&self, reply: &Reply) -> Error {
-        let Ok(conflict) = reply.json::<Conflict>() else { return reply.refused() };
+        let Ok(conflict) = reply.json::<Conflict>() else { return reply.refusal() };
         Error::Conflict {
             base: self.base,
             newest: conflict.newest,
@@ -149,9 +156,9 @@
     }
 }
 
-fn faulty(args: &Apply, reply: &Reply) -> Error {
-    match reply.json::<Faulty>() {
-        Ok(Faulty { problems }) => {
+fn invalid_table(args: &Apply, reply: &Reply) -> Error {
+    match reply.json::<InvalidTable>() {
+        Ok(InvalidTable { problems }) => {
             let file = args.file.display().to_string();
             Error::Table { file, problems: Problems(problems) }
         }
@@ -160,7 +167,7 @@
 }
 
 /// Says what became of the edit.
-fn finish(args: &Apply, applied: &Applied, terminal: &mut Terminal<'_>) -> Result<Exit, Error> {
+fn report(args: &Apply, applied: &Applied, terminal: &mut Terminal<'_>) -> Result<Exit, Error> {
     let Applied { revision, unchanged, in_force, waiting } = applied;
     let names = waiting.join(", ");
     let what = match (args.dry, unchanged) {
@@ -182,6 +189,6 @@
         "dry": args.dry,
     });
     terminal.result(&object, &(what + &force))?;
-    let late = args.wait && !args.dry && !in_force;
-    Ok(if late { Exit::NotInForce } else { Exit::Done })
+    let not_in_force = args.wait && !args.dry && !in_force;
+    Ok(if not_in_force { Exit::NotInForce } else { Exit::Done })
 }
--- a/crates/verbenaslip-cli/src/command/table/file.rs
+++ b/crates/verbenaslip-cli/src/command/table/file.rs
@@ -9,7 +9,8 @@
 
 /// Reads and checks a table file.
 pub(super) fn read(path: &Path) -> Result<Table, Error> {
-    let bytes = fs::read(path).map_err(|error| wrong(path, format!("can't be read: {error}")))?;
+    let bytes =
+        fs::read(path).map_err(|error| file_error(path, format!("can't be read: {error}")))?;
     Table::parse(&bytes)
         .map_err(|problems| Error::Table { file: path.display().to_string(), problems })
 }
@@ -18,7 +19,7 @@
 pub(super) fn write(path: &Path, text: &str, revision: u64) -> Result<(), Error> {
     let failed = |path: &Path| {
         let path = path.to_path_buf();
-        move |error: std::io::Error| wrong(&path, format!("can't be written: {error}"))
+        move |error: std::io::Error| file_error(&path, format!("can't be written: {error}"))
     };
     fs::write(path, text).map_err(failed(path))?;
     let base = base_path(path);
@@ -31,7 +32,7 @@
     let Ok(text) = fs::read_to_string(&base) else { return Ok(None) };
     match text.trim().parse() {
         Ok(revision) => Ok(Some(revision)),
-        Err(_) => Err(wrong(&base, "must hold one revision number; or give --base".into())),
+        Err(_) => Err(file_error(&base, "must hold one revision number; or give --base".into())),
     }
 }
 
@@ -42,7 +43,7 @@
         return Ok(());
     }
     fs::write(&base, format!("{revision}\n"))
-        .map_err(|error| wrong(&base, format!("can't be written: {error}")))
+        .map_err(|error| file_error(&base, format!("can't be written: {error}")))
 }
 
 /// Returns `FILE.base` for `FILE`.
@@ -52,6 +53,6 @@
     name.into()
 }
 
-fn wrong(path: &Path, cause: String) -> Error {
+fn file_error(path: &Path, cause: String) -> Error {
     Error::File { file: path.display().to_string(), cause }
 }
--- a/crates/verbenaslip-cli/src/command/table/read.rs
+++ b/crates/verbenaslip-cli/src/command/table/read.rs
@@ -16,20 +16,21 @@
 use crate::terminal::Terminal;
 
 /// Holds a table and its revision.
-pub(super) struct Fetched {
+pub(super) struct FetchedTable {
     pub(super) revision: u64,
     pub(super) table: Table,
     pub(super) text: String,
 }
 
 /// Fetches a revision, the newest if none is given.
-pub(super) fn fetch(client: &mut Client, revision: Option<u64>) -> Result<Fetched, Error> {
+pub(super) fn fetch(client: &mut Client, revision: Option<u64>) -> Result<FetchedTable, Error> {
     let query = revision.map(|revision| format!("?revision={revision}")).unwrap_or_default();
     let reply = client.call(&Call::get(format!("/v1/table{query}")))?;
-    let revision = reply.revision.ok_or_else(|| reply.odd("without a revision"))?;
+    let revision = reply.revision.ok_or_else(|| reply.invalid_response("without a revision"))?;
     let text = reply.text()?;
-    let table = Table::parse(text.as_bytes()).map_err(|error| reply.odd(&error.to_string()))?;
-    Ok(Fetched { revision, table, text })
+    let table = Table::parse(text.as_bytes())
+        .map_err(|error| reply.invalid_response(&error.to_string()))?;
+    Ok(FetchedTable { revision, table, text })
 }
 
 /// Says what the file would change, row by row.
@@ -38,7 +39,7 @@
 }
 
 /// Writes differences one a line.
-pub(super) fn lines(differences: &[Difference]) -> String {
+pub(super) fn format_differences(differences: &[Difference]) -> String {
     let lines: Vec<String> = differences.iter().map(Difference::to_string).collect();
     lines.join("\n")
 }
@@ -85,7 +86,7 @@
     let text = if differences.is_empty() {
         format!("no difference to revision {}", old.revision)
     } else {
-        format!("compared with revision {}:\n{}", old.revision, lines(&differences))
+        format!("compared with revision {}:\n{}", old.revision, format_differences(&differences))
     };
     terminal.result(&json!({ "base": old.revision, "differences": differences }), &text)?;
     let differs = args.exit_code && !differences.is_empty();
@@ -111,6 +112,6 @@
             edit.edit,
         ]);
     }
-    terminal.text(&(columns.show("no edit yet") + "\n"))?;
+    terminal.text(&(columns.render("no edit yet") + "\n"))?;
     Ok(Exit::Done)
 }
--- a/crates/verbenaslip-cli/src/command/voters.rs
+++ b/crates/verbenaslip-cli/src/command/voters.rs
@@ -10,7 +10,7 @@
 use crate::terminal::Terminal;
 
 /// How to find out after a lost answer.
-const HINT: &str = "\n`verbenaslip status` shows whether the voters have changed.";
+const LOST_ANSWER_HINT: &str = "\n`verbenaslip status` shows whether the voters have changed.";
 
 /// Orders the change and says when it is committed.
 pub(crate) fn run(
@@ -32,10 +32,10 @@
         }
     };
     let body = change.to_string().into_bytes();
-    client.call(&Call::post("/v1/voters", body, HINT))?;
+    client.call(&Call::post("/v1/voters", body, LOST_ANSWER_HINT))?;
     terminal.result(&json!({ "committed": change }), &format!("committed: {text}"))?;
     // The change is made whether or not its outcome can be looked at.
-    if let Some(warning) = status::fetch(client).ok().as_ref().and_then(status::warning) {
+    if let Some(warning) = status::fetch(client).ok().as_ref().and_then(status::quorum_warning) {
         terminal.remark(&warning);
     }
     Ok(Exit::Done)
--- a/crates/verbenaslip-cli/src/daemon/check.rs
+++ b/crates/verbenaslip-cli/src/daemon/check.rs
@@ -39,45 +39,45 @@
     let settings =
         Settings::read(path).map_err(|invalid| Findings { problems: vec![invalid.to_string()] })?;
     let mut findings = Findings::default();
-    findings.keys(&settings);
-    findings.table(&settings);
-    findings.folder(&settings);
+    findings.check_keys(&settings);
+    findings.check_table(&settings);
+    findings.check_data_directory(&settings);
     if findings.problems.is_empty() { Ok(settings) } else { Err(findings) }
 }
 
 impl Findings {
-    fn keys(&mut self, settings: &Settings) {
+    fn check_keys(&mut self, settings: &Settings) {
         let files = &settings.files;
         let files = [&files.team_keys, &files.operator_keys, &files.upstream_keys];
         for path in files.into_iter().flatten() {
-            self.note(File::open(path).err());
+            self.add(File::open(path).err());
         }
-        self.note(settings.cluster.secret.as_ref().and_then(|path| word(path).err()));
+        self.add(settings.cluster.secret.as_ref().and_then(|path| word(path).err()));
     }
 
-    fn table(&mut self, settings: &Settings) {
+    fn check_table(&mut self, settings: &Settings) {
         let Some(path) = &settings.files.initial_table else { return };
         let name = path.display();
         match std::fs::read(path) {
             Ok(bytes) => {
-                self.note(Table::parse(&bytes).err().map(|error| format!("{name}: {error}")));
+                self.add(Table::parse(&bytes).err().map(|error| format!("{name}: {error}")));
             }
-            Err(error) => self.note(Some(format!("{name}: can't be read: {error}"))),
+            Err(error) => self.add(Some(format!("{name}: can't be read: {error}"))),
         }
     }
 
     /// Looks whether the data folder, or the one in which it will be made, can be one.
-    fn folder(&mut self, settings: &Settings) {
+    fn check_data_directory(&mut self, settings: &Settings) {
         let Some(path) = &settings.instance.data else { return };
         // The last ancestor of a relative path is the empty one, which stands for this folder.
         let mut ancestors = path.ancestors().filter(|path| !path.as_os_str().is_empty());
-        let there = ancestors.find(|path| path.exists()).unwrap_or(Path::new("."));
-        if !there.is_dir() {
-            self.note(Some(format!("{}: is no folder; correct [instance] data", path.display())));
+        let existing = ancestors.find(|path| path.exists()).unwrap_or(Path::new("."));
+        if !existing.is_dir() {
+            self.add(Some(format!("{}: is no folder; correct [instance] data", path.display())));
         }
     }
 
-    fn note(&mut self, problem: Option<impl fmt::Display>) {
+    fn add(&mut self, problem: Option<impl fmt::Display>) {
         self.problems.extend(problem.map(|problem| problem.to_string()));
     }
 }
--- a/crates/verbenaslip-cli/src/error.rs
+++ b/crates/verbenaslip-cli/src/error.rs
@@ -47,15 +47,15 @@
         /// The rows that changed in between.
         differs: String,
     },
-    /// no instance could do it, nothing was changed:{tried}
+    /// no instance could do it, nothing was changed:{attempts}
     Unreachable {
         /// Each address, step and cause.
-        tried: Tried,
+        attempts: Attempts,
     },
-    /// the answer was lost, so it may have been done:{tried}{hint}
+    /// the answer was lost, so it may have been done:{attempts}{hint}
     Unknown {
         /// Each address, step and cause.
-        tried: Tried,
+        attempts: Attempts,
         /// How to find out.
         hint: &'static str,
     },
@@ -93,18 +93,18 @@
 
 /// Lists what was tried in vain.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Tried(pub Vec<Try>);
+pub struct Attempts(pub Vec<Attempt>);
 
-impl std::fmt::Display for Tried {
+impl std::fmt::Display for Attempts {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        self.0.iter().try_for_each(|one| write!(f, "\n  {one}"))
+        self.0.iter().try_for_each(|attempt| write!(f, "\n  {attempt}"))
     }
 }
 
 /// Tells of one try at one instance.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[displaydoc("{peer}: {step}: {cause}")]
-pub struct Try {
+pub struct Attempt {
     /// The instance's `admin` address.
     pub peer: SocketAddr,
     /// How far it came.
--- a/crates/verbenaslip-cli/src/exit.rs
+++ b/crates/verbenaslip-cli/src/exit.rs
@@ -29,7 +29,7 @@
 
 /// Lists how a daemon ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stop {
+pub enum DaemonExit {
     /// Stopped gracefully, or the check found nothing.
     Graceful = 0,
     /// The drain time was over with requests in progress.
@@ -46,8 +46,8 @@
     Fault = 6,
 }
 
-impl From<Stop> for ExitCode {
-    fn from(stop: Stop) -> Self {
-        Self::from(stop as u8)
+impl From<DaemonExit> for ExitCode {
+    fn from(exit: DaemonExit) -> Self {
+        Self::from(exit as u8)
     }
 }
--- a/crates/verbenaslip-cli/src/lib.rs
+++ b/crates/verbenaslip-cli/src/lib.rs
@@ -22,16 +22,16 @@
 
 /// Does one command and returns how the process ends; errors are written to the terminal.
 pub fn run(args: &Operator, terminal: &mut Terminal<'_>) -> Exit {
-    match act(args, terminal) {
+    match dispatch(args, terminal) {
         Ok(exit) => exit,
         Err(error) => {
-            terminal.fail(&error);
+            terminal.report_error(&error);
             error.exit()
         }
     }
 }
 
-fn act(args: &Operator, terminal: &mut Terminal<'_>) -> Result<Exit, Error> {
+fn dispatch(args: &Operator, terminal: &mut Terminal<'_>) -> Result<Exit, Error> {
     let open = || Client::open(args);
     match &args.action {
         Action::Status(_) => command::status::run(&mut open()?, terminal),
--- a/crates/verbenaslip-cli/src/terminal.rs
+++ b/crates/verbenaslip-cli/src/terminal.rs
@@ -44,7 +44,7 @@
     }
 
     /// Writes why a command was not done.
-    pub(crate) fn fail(&mut self, error: &Error) {
+    pub(crate) fn report_error(&mut self, error: &Error) {
         let exit = error.exit() as u8;
         let text = if self.json {
             json!({ "error": { "message": error.to_string(), "exit": exit } }).to_string()
--- a/crates/verbenaslip-cli/tests/explain.rs
+++ b/crates/verbenaslip-cli/tests/explain.rs
@@ -19,7 +19,7 @@
 {"at":1783618629900,"event":901,"what":"request_ended","id":"a3","route":"reports","team":"blue","outcome":"answered","status":200,"first_ms":80,"objective_ms":1000,"causes":[],"waited":true}
 {"at":1783618629,"event":901,"what":"requ"#;
 
-fn says(name: &str, words: &[&str]) -> (u8, String, String) {
+fn run_explain(name: &str, words: &[&str]) -> (u8, String, String) {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("explain").join(name);
     fs::create_dir_all(&folder).expect("the folder can be made");
     let files = [("one.log", FIRST), ("two.log", SECOND)].map(|(name, text)| {
@@ -38,13 +38,13 @@
     let (mut out, mut remarks) = (Vec::new(), Vec::new());
     let exit = run(&args, &mut Terminal::new(&mut out, &mut remarks, args.json));
     let text = |bytes| String::from_utf8(bytes).expect("text");
-    let place = format!("{}/", folder.display());
-    (exit as u8, text(out).replace(&place, ""), text(remarks).replace(&place, ""))
+    let folder_prefix = format!("{}/", folder.display());
+    (exit as u8, text(out).replace(&folder_prefix, ""), text(remarks).replace(&folder_prefix, ""))
 }
 
 #[test]
 fn requests_that_were_not_answered_on_time_are_counted_by_cause_and_second() {
-    let (exit, out, remarks) = says("summary", &["explain", "ONE", "TWO"]);
+    let (exit, out, remarks) = run_explain("summary", &["explain", "ONE", "TWO"]);
     assert_eq!(exit, 0);
     assert_eq!(remarks, "2 lines are no log lines and were passed over\n");
     insta::assert_snapshot!(out);
@@ -52,14 +52,14 @@
 
 #[test]
 fn one_requests_life_is_told_in_order_across_instances() {
-    let (exit, out, _) = says("life", &["explain", "--id", "a3", "TWO", "ONE"]);
+    let (exit, out, _) = run_explain("life", &["explain", "--id", "a3", "TWO", "ONE"]);
     assert_eq!(exit, 0);
     insta::assert_snapshot!(out);
 }
 
 #[test]
 fn scripts_get_all_counts() {
-    let (_, out, _) = says("json", &["--json", "explain", "ONE", "TWO"]);
+    let (_, out, _) = run_explain("json", &["--json", "explain", "ONE", "TWO"]);
     let object: serde_json::Value = serde_json::from_str(&out).expect("JSON");
     let causes = object["causes"].as_array().expect("a list");
     let count = |fate: &str| {
@@ -72,13 +72,13 @@
 
 #[test]
 fn what_can_not_be_told_is_said() {
-    let (exit, _, remarks) = says("unknown", &["explain", "--id", "zz", "ONE"]);
+    let (exit, _, remarks) = run_explain("unknown", &["explain", "--id", "zz", "ONE"]);
     assert_eq!(exit, 2);
     assert_eq!(remarks, "verbenaslip: no line of these files mentions the request zz\n");
-    let (exit, _, remarks) = says("nothing", &["explain"]);
+    let (exit, _, remarks) = run_explain("nothing", &["explain"]);
     assert_eq!(exit, 2);
     assert!(remarks.contains("name at least one file"), "{remarks}");
-    let (exit, _, remarks) = says("missing", &["explain", "/none/at/all.log"]);
+    let (exit, _, remarks) = run_explain("missing", &["explain", "/none/at/all.log"]);
     assert_eq!(exit, 3);
     assert!(remarks.contains("/none/at/all.log"), "{remarks}");
 }
@@ -91,8 +91,8 @@
 {"at":1783618628900,"event":938,"what":"request_held_back","content":"0c","upstreams":["i-1","i-3","i-4"],"tries":0,"until":1783619228900}
 {"at":1783618629100,"event":901,"what":"request_ended","id":"b5","content":"0c","route":"reports","team":"red","outcome":"held_back","status":503,"back_ms":599800}
 {"at":1783618629200,"event":901,"what":"request_ended","id":"g9","content":"0d","route":"reports","team":"red","outcome":"answered","status":200}"#;
-    let out = life("held", "b5", &[("all.log", logs)]);
-    let upstreams = ["i-1", "i-3"].map(|it| out.contains(&format!("upstream=\"{it}\"")));
+    let out = explain_request("held", "b5", &[("all.log", logs)]);
+    let upstreams = ["i-1", "i-3"].map(|name| out.contains(&format!("upstream=\"{name}\"")));
     assert_eq!(upstreams, [true, true], "{out}");
     assert!(out.contains("request_held_back") && !out.contains("i-2"), "{out}");
     assert_eq!(out.lines().count(), 4, "{out}");
@@ -107,14 +107,14 @@
 {"at":1783618629200,"event":901,"what":"request_ended","id":"c6","route":"reports","outcome":"answered","status":200}
 {"at":1783618629300,"event":943,"what":"upstream_limit","upstream":"i-3","per_second":2.0,"source":"leader"}"#;
     let other = r#"{"at":1783618628200,"event":945,"what":"upstream_rest","upstream":"i-4","rest_ms":3000,"id":"d1"}"#;
-    let out = life("limited", "c5", &[("one.log", entry), ("two.log", other)]);
-    let named = ["i-1", "i-2"].map(|it| out.contains(&format!("upstream=\"{it}\"")));
+    let out = explain_request("limited", "c5", &[("one.log", entry), ("two.log", other)]);
+    let named = ["i-1", "i-2"].map(|name| out.contains(&format!("upstream=\"{name}\"")));
     assert_eq!(named, [true, true], "{out}");
     assert_eq!(out.lines().count(), 3, "{out}");
 }
 
 /// Returns what is said of one request by these files.
-fn life(name: &str, id: &str, logs: &[(&str, &str)]) -> String {
+fn explain_request(name: &str, id: &str, logs: &[(&str, &str)]) -> String {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("explain").join(name);
     fs::create_dir_all(&folder).expect("the folder can be made");
     let files = logs.iter().map(|(name, text)| {
@@ -122,7 +122,7 @@
         folder.join(name).display().to_string()
     });
     let files: Vec<String> = files.collect();
-    let words = ["explain", "--id", id].into_iter().chain(files.iter().map(|it| &**it));
+    let words = ["explain", "--id", id].into_iter().chain(files.iter().map(|name| &**name));
     let words: Vec<&str> = words.collect();
     let args = Operator::from_args(&["verbenaslip"], &words).expect("it is understood");
     let (mut out, mut remarks) = (Vec::new(), Vec::new());
--- a/crates/verbenaslip-cli/tests/help.rs
+++ b/crates/verbenaslip-cli/tests/help.rs
@@ -3,7 +3,7 @@
 use std::process::Command;
 
 /// Runs a program with an empty environment and shows what it says.
-fn says(program: &str, words: &[&str]) -> String {
+fn run_program(program: &str, words: &[&str]) -> String {
     let output = Command::new(program).args(words).env_clear().output().expect("it runs");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     let code = output.status.code().expect("it exits");
@@ -26,7 +26,7 @@
         &["voters", "replace", "--help"],
     ];
     let program = env!("CARGO_BIN_EXE_verbenaslip");
-    insta::assert_snapshot!(lines.map(|line| says(program, line)).concat());
+    insta::assert_snapshot!(lines.map(|line| run_program(program, line)).concat());
 }
 
 #[test]
@@ -40,10 +40,10 @@
         &["--admin", "127.0.0.1:1", "status"],
     ];
     let program = env!("CARGO_BIN_EXE_verbenaslip");
-    insta::assert_snapshot!(lines.map(|line| says(program, line)).concat());
+    insta::assert_snapshot!(lines.map(|line| run_program(program, line)).concat());
 }
 
 #[test]
 fn daemons_help() {
-    insta::assert_snapshot!(says(env!("CARGO_BIN_EXE_verbenaslipd"), &["--help"]));
+    insta::assert_snapshot!(run_program(env!("CARGO_BIN_EXE_verbenaslipd"), &["--help"]));
 }
--- a/crates/verbenaslip-cli/tests/site/mod.rs
+++ b/crates/verbenaslip-cli/tests/instance/mod.rs
@@ -12,48 +12,56 @@
 use verbenaslip_lab::port;
 
 /// The longest that any step may take on a busy machine.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A folder with the files of one instance that is its own only voter.
-pub struct Site {
+pub struct TestInstance {
     pub folder: PathBuf,
     pub callers: SocketAddr,
     pub admin: SocketAddr,
     peers: SocketAddr,
 }
 
-impl Site {
+impl TestInstance {
     /// Makes an instance that is its own only voter.
     pub fn new(name: &str) -> Self {
-        let site = Self::empty(name);
-        let peers = site.peers;
+        let instance = Self::empty(name);
+        let peers = instance.peers;
         let cluster = format!("voters = entry-1@{peers}\nsecond_holder = alone\n");
-        let text = site.settings("entry-1", "arendal", "data = data\n", &cluster);
-        site.write("entry-1.ini", &(text + "initial_table = table.csv\n"), 0o644);
-        site.write("table.csv", include_str!("../../../../examples/table.csv"), 0o644);
-        site
+        let text = instance.settings("entry-1", "arendal", "data = data\n", &cluster);
+        instance.write("entry-1.ini", &(text + "initial_table = table.csv\n"), 0o644);
+        instance.write("table.csv", include_str!("../../../../examples/table.csv"), 0o644);
+        instance
     }
 
     /// Makes an instance of another availability zone that joins through this one.
     pub fn follower(&self, name: &str) -> Self {
-        let site = Self::empty(name);
+        let instance = Self::empty(name);
         let cluster = format!("seeds = {}\n", self.peers);
-        let text = site.settings("entry-2", "skarvik", "", &cluster);
-        site.write("entry-1.ini", &text, 0o644);
-        site
+        let text = instance.settings("entry-2", "skarvik", "", &cluster);
+        instance.write("entry-1.ini", &text, 0o644);
+        instance
     }
 
     fn empty(name: &str) -> Self {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("daemon").join(name);
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(&folder).expect("the folder can be made");
-        let [callers, admin, peers] = free();
-        let site = Self { folder, callers, admin, peers };
-        site.write("teams.keys", include_str!("../../../../examples/teams.keys"), 0o600);
-        site.write("operators.keys", include_str!("../../../../examples/operators.keys"), 0o600);
-        site.write("upstreams.keys", include_str!("../../../../examples/upstreams.keys"), 0o600);
-        site.write("operator.key", include_str!("../../../../examples/operator.key"), 0o600);
-        site
+        let [callers, admin, peers] = free_addresses();
+        let instance = Self { folder, callers, admin, peers };
+        instance.write("teams.keys", include_str!("../../../../examples/teams.keys"), 0o600);
+        instance.write(
+            "operators.keys",
+            include_str!("../../../../examples/operators.keys"),
+            0o600,
+        );
+        instance.write(
+            "upstreams.keys",
+            include_str!("../../../../examples/upstreams.keys"),
+            0o600,
+        );
+        instance.write("operator.key", include_str!("../../../../examples/operator.key"), 0o600);
+        instance
     }
 
     fn settings(&self, name: &str, zone: &str, data: &str, cluster: &str) -> String {
@@ -120,7 +128,7 @@
     }
 
     pub fn await_ready(&self) {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + STEP_TIMEOUT;
         while self.status("/readyz") != 200 {
             assert!(Instant::now() < end, "the instance is not ready:\n{}", self.log());
             thread::sleep(Duration::from_millis(50));
@@ -142,7 +150,7 @@
 
     /// Returns the exit code.
     pub fn wait(&mut self) -> i32 {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + STEP_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().expect("the process can be asked") {
                 return status.code().expect("the process exits by itself");
@@ -161,7 +169,7 @@
 }
 
 /// Returns addresses whose ports nobody else is given.
-pub fn free() -> [SocketAddr; 3] {
+pub fn free_addresses() -> [SocketAddr; 3] {
     [(); 3].map(|()| port::free().expect("a free port"))
 }
 
@@ -173,7 +181,7 @@
 /// Sends a request and returns the whole answer; none if it did not come.
 pub fn exchange(address: SocketAddr, head: &str, body: &str) -> Option<String> {
     let mut stream = TcpStream::connect(address).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(STEP_TIMEOUT)).ok()?;
     let length = body.len();
     let rest = format!("Host: {address}\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n");
     stream.write_all(format!("{head}{rest}{body}").as_bytes()).ok()?;
--- a/crates/verbenaslip-cli/tests/operator.rs
+++ b/crates/verbenaslip-cli/tests/operator.rs
@@ -1,6 +1,6 @@
 //! The operators' command against scripted instances.
 
-mod stand_in;
+mod scripted;
 
 use std::fs::{self, Permissions};
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 use verbenaslip_replica::output::ReplicaRole;
 use verbenaslip_table::{Revision, Row, Table};
 
-use stand_in::{StandIn, Step, json, nobody, table};
+use scripted::{ScriptedInstance, Step, json, table, unused_address};
 
 const ACCEPTED: &str = r#"{"revision":6,"unchanged":false,"in_force":true,"waiting":[]}"#;
 const NO_QUORUM_NOT_RUN: &str = r#"{"error":{"message":"There is no quorum. The change was not made.","type":"not_run","code":"no_quorum","hint":"Send it again later."}}"#;
@@ -33,15 +33,15 @@
 const WRONG_KEY: &str = r#"{"error":{"message":"The bearer key is missing or not the one needed here.","type":"invalid_request_error","code":"key","hint":"Send an operator's key."}}"#;
 
 /// What a command did.
-struct Done {
+struct CommandOutput {
     exit: Exit,
     out: String,
     remarks: String,
 }
 
-impl Done {
+impl CommandOutput {
     /// Shows exit code and both streams, without what differs from run to run.
-    fn shown(&self, names: &[(String, &str)]) -> String {
+    fn normalized(&self, names: &[(String, &str)]) -> String {
         let mut text =
             format!("exit {}\n--- out\n{}--- remarks\n{}", self.exit as u8, self.out, self.remarks);
         for (value, name) in names {
@@ -61,10 +61,10 @@
 /// Returns the good key, written once, since the tests run beside each other.
 fn good_key() -> &'static str {
     static KEY: OnceLock<String> = OnceLock::new();
-    KEY.get_or_init(|| key(0o600).display().to_string())
+    KEY.get_or_init(|| key_file(0o600).display().to_string())
 }
 
-fn key(mode: u32) -> PathBuf {
+fn key_file(mode: u32) -> PathBuf {
     let path = path(&format!("key-{mode:o}"));
     fs::write(&path, "# mine\nanna key-of-anna-00001\n").expect("the key can be written");
     fs::set_permissions(&path, Permissions::from_mode(mode)).expect("the mode can be set");
@@ -72,20 +72,20 @@
 }
 
 /// Runs one command line at the given instances.
-fn at(admins: &[SocketAddr], words: &[&str]) -> Done {
+fn run_at(admins: &[SocketAddr], words: &[&str]) -> CommandOutput {
     let admins: Vec<String> = admins.iter().map(SocketAddr::to_string).collect();
     let admins = admins.join(",");
     let mut line = vec!["--admin", &admins, "--key-file", good_key()];
     line.extend(words);
-    raw(&line)
+    run_args(&line)
 }
 
-fn raw(words: &[&str]) -> Done {
+fn run_args(words: &[&str]) -> CommandOutput {
     let args = Operator::from_args(&["verbenaslip"], words).expect("the line can be read");
     let (mut out, mut remarks) = (Vec::new(), Vec::new());
     let exit = run(&args, &mut Terminal::new(&mut out, &mut remarks, args.json));
     let text = |bytes| String::from_utf8(bytes).expect("output is UTF-8");
-    Done { exit, out: text(out), remarks: text(remarks) }
+    CommandOutput { exit, out: text(out), remarks: text(remarks) }
 }
 
 fn rows(weight: u32) -> Table {
@@ -94,7 +94,7 @@
 }
 
 /// Writes a table file without a note of its base and returns its path.
-fn sheet(name: &str, table: &Table) -> String {
+fn write_table(name: &str, table: &Table) -> String {
     let path = path(name);
     fs::write(&path, table.to_csv()).expect("the table can be written");
     let _ = fs::remove_file(self::path(&format!("{name}.base")));
@@ -102,21 +102,21 @@
 }
 
 /// Returns the identity of the edit in a request.
-fn edit(request: &str) -> &str {
+fn edit_id(request: &str) -> &str {
     let (_, rest) = request.split_once("edit=").expect("the request names an edit");
     rest.split(['&', ' ']).next().expect("the identity ends")
 }
 
 #[test]
 fn file_is_applied_on_the_newest_revision() {
-    let instance = StandIn::spawn([table(5, &rows(100).to_csv()), json(200, ACCEPTED)]);
-    let file = sheet("plain.csv", &rows(300));
-    let done = at(&[instance.address], &["table", "apply", &file]);
-    let seen = instance.seen();
-    let id = edit(&seen[1]).to_owned();
+    let instance = ScriptedInstance::spawn([table(5, &rows(100).to_csv()), json(200, ACCEPTED)]);
+    let file = write_table("plain.csv", &rows(300));
+    let done = run_at(&[instance.address], &["table", "apply", &file]);
+    let seen = instance.requests();
+    let id = edit_id(&seen[1]).to_owned();
     assert!(seen[1].starts_with("POST /v1/table?base=5&edit="), "{}", seen[1]);
     assert!(seen[1].ends_with(&format!("with key {}", rows(300).to_csv().trim_end())));
-    insta::assert_snapshot!(done.shown(&[(id, "ID")]));
+    insta::assert_snapshot!(done.normalized(&[(id, "ID")]));
 }
 
 /// Symptom: an edit is made twice, or a command says "conflict" with its own edit. Sequence: the
@@ -126,24 +126,24 @@
 fn lost_answer_is_asked_for_again_under_the_same_identity() {
     let tables = || table(5, &rows(100).to_csv());
     let cases = [
-        ("closed without an answer", Step::HangUp),
-        ("cut off in its body", Step::Cut),
+        ("closed without an answer", Step::Disconnect),
+        ("cut off in its body", Step::TruncatedBody),
         ("504", json(504, NO_QUORUM_UNKNOWN)),
         ("503, unknown", json(503, NO_QUORUM_UNKNOWN)),
         ("503, not run", json(503, NO_QUORUM_NOT_RUN)),
         ("502 of something between", Step::Answer(502, "", "<html>".into())),
     ];
     for (name, lost) in cases {
-        let first = StandIn::spawn([tables(), lost]);
-        let second = StandIn::spawn([json(200, ACCEPTED), tables(), json(200, ACCEPTED)]);
-        let file = sheet("lost.csv", &rows(300));
-        let done = at(&[first.address, second.address], &["table", "apply", &file]);
+        let first = ScriptedInstance::spawn([tables(), lost]);
+        let second = ScriptedInstance::spawn([json(200, ACCEPTED), tables(), json(200, ACCEPTED)]);
+        let file = write_table("lost.csv", &rows(300));
+        let done = run_at(&[first.address, second.address], &["table", "apply", &file]);
         assert_eq!(done.exit, Exit::Done, "{name}: {}", done.remarks);
-        let again = at(&[second.address], &["table", "apply", &file, "--base", "5"]);
+        let again = run_at(&[second.address], &["table", "apply", &file, "--base", "5"]);
         assert_eq!(again.exit, Exit::Done, "{name}: {}", again.remarks);
-        let (first, second) = (first.seen(), second.seen());
-        assert_eq!(edit(&first[1]), edit(&second[0]), "{name}: next instance");
-        assert_eq!(edit(&first[1]), edit(&second[2]), "{name}: next run");
+        let (first, second) = (first.requests(), second.requests());
+        assert_eq!(edit_id(&first[1]), edit_id(&second[0]), "{name}: next instance");
+        assert_eq!(edit_id(&first[1]), edit_id(&second[2]), "{name}: next run");
     }
 }
 
@@ -151,10 +151,11 @@
 fn another_base_or_content_is_another_edit() {
     let mut identities = std::collections::BTreeSet::new();
     for (base, weight) in [("5", 300), ("4", 300), ("5", 301)] {
-        let instance = StandIn::spawn([table(5, &rows(100).to_csv()), json(200, ACCEPTED)]);
-        let file = sheet("other.csv", &rows(weight));
-        at(&[instance.address], &["table", "apply", &file, "--base", base]);
-        identities.insert(edit(&instance.seen()[1]).to_owned());
+        let instance =
+            ScriptedInstance::spawn([table(5, &rows(100).to_csv()), json(200, ACCEPTED)]);
+        let file = write_table("other.csv", &rows(weight));
+        run_at(&[instance.address], &["table", "apply", &file, "--base", base]);
+        identities.insert(edit_id(&instance.requests()[1]).to_owned());
     }
     assert_eq!(identities.len(), 3);
 }
@@ -172,20 +173,24 @@
         ("conflict", vec![newest(), json(409, CONFLICT)], Exit::Refused),
         ("identity reused", vec![newest(), json(409, REUSED)], Exit::Refused),
         ("wrong key", vec![json(401, WRONG_KEY)], Exit::Refused),
-        ("lost, then wrong key", vec![newest(), Step::HangUp, json(401, WRONG_KEY)], Exit::Unknown),
+        (
+            "lost, then wrong key",
+            vec![newest(), Step::Disconnect, json(401, WRONG_KEY)],
+            Exit::Unknown,
+        ),
         ("no JSON", vec![newest(), json(200, "done")], Exit::Unknown),
         ("table without revision", vec![json(200, "team")], Exit::Unknown),
     ];
     let mut report = String::new();
     for (name, steps, exit) in cases {
-        let instance = StandIn::spawn(steps);
-        let file = sheet("failing.csv", &rows(300));
-        let done = at(&[instance.address], &["table", "apply", &file, "--timeout", "500ms"]);
+        let instance = ScriptedInstance::spawn(steps);
+        let file = write_table("failing.csv", &rows(300));
+        let done = run_at(&[instance.address], &["table", "apply", &file, "--timeout", "500ms"]);
         assert_eq!(done.exit, exit, "{name}: {}", done.remarks);
-        let posts: Vec<String> = instance.seen();
-        let id = posts.get(1).map_or("no edit", |post| edit(post)).to_owned();
+        let posts: Vec<String> = instance.requests();
+        let id = posts.get(1).map_or("no edit", |post| edit_id(post)).to_owned();
         let names = [(instance.address.to_string(), "ADMIN"), (id, "ID"), (file, "FILE")];
-        report += &format!("# {name}\n{}\n", done.shown(&names));
+        report += &format!("# {name}\n{}\n", done.normalized(&names));
     }
     insta::assert_snapshot!(report);
 }
@@ -194,19 +199,19 @@
 fn without_quorum_not_run_is_told_as_nothing_changed() {
     let steps: Vec<Step> = vec![json(503, NO_QUORUM_NOT_RUN); 100];
     let newest = table(5, &rows(100).to_csv());
-    let instance = StandIn::spawn([vec![newest], steps].concat());
-    let file = sheet("quorum.csv", &rows(300));
-    let done = at(&[instance.address], &["table", "apply", &file, "--timeout", "700ms"]);
+    let instance = ScriptedInstance::spawn([vec![newest], steps].concat());
+    let file = write_table("quorum.csv", &rows(300));
+    let done = run_at(&[instance.address], &["table", "apply", &file, "--timeout", "700ms"]);
     assert_eq!(done.exit, Exit::Unreachable, "{}", done.remarks);
-    assert!(instance.seen().len() > 2, "it is tried until the time is over");
+    assert!(instance.requests().len() > 2, "it is tried until the time is over");
 }
 
 #[test]
 fn unreachable_instances_are_named_with_their_step() {
-    let addresses = [nobody(), nobody()];
-    let done = at(&addresses, &["status"]);
+    let addresses = [unused_address(), unused_address()];
+    let done = run_at(&addresses, &["status"]);
     let names = [(addresses[0].to_string(), "FIRST"), (addresses[1].to_string(), "SECOND")];
-    insta::assert_snapshot!(done.shown(&names));
+    insta::assert_snapshot!(done.normalized(&names));
 }
 
 /// Symptom: two voters are added where one was wanted. Sequence: the answer to a change of the
@@ -214,13 +219,15 @@
 /// made twice is sent again.
 #[test]
 fn lost_change_of_voters_is_not_sent_again() {
-    let (first, second) = (StandIn::spawn([Step::HangUp]), StandIn::spawn([]));
-    let done = at(&[first.address, second.address], &["voters", "replace", "entry-3", "entry-4"]);
+    let (first, second) =
+        (ScriptedInstance::spawn([Step::Disconnect]), ScriptedInstance::spawn([]));
+    let done =
+        run_at(&[first.address, second.address], &["voters", "replace", "entry-3", "entry-4"]);
     assert_eq!(done.exit, Exit::Unknown);
-    assert_eq!(first.seen().len(), 1);
-    assert!(second.seen().is_empty(), "{:?}", second.seen());
+    assert_eq!(first.requests().len(), 1);
+    assert!(second.requests().is_empty(), "{:?}", second.requests());
     let names = [(first.address.to_string(), "ADMIN")];
-    insta::assert_snapshot!(format!("{}\n{}", first.seen()[0], done.shown(&names)));
+    insta::assert_snapshot!(format!("{}\n{}", first.requests()[0], done.normalized(&names)));
 }
 
 /// Symptom: the loss of one availability zone stops all edits. Sequence: a voter is replaced by an
@@ -237,12 +244,12 @@
     let committed = || json(200, r#"{"committed":true}"#);
     for (status, warned) in [(&shared, true), (&status(true), false)] {
         let answers = [committed(), json(200, &text(status)), json(200, &text(status))];
-        let instance = StandIn::spawn(answers);
+        let instance = ScriptedInstance::spawn(answers);
         let words = ["voters", "replace", "entry-2", "entry-4"];
-        let change = at(&[instance.address], &words);
+        let change = run_at(&[instance.address], &words);
         assert_eq!(change.exit, Exit::Done);
         assert_eq!(change.remarks.contains(expected), warned, "{}", change.remarks);
-        let shown = at(&[instance.address], &["status"]);
+        let shown = run_at(&[instance.address], &["status"]);
         assert_eq!(shown.out.contains(expected), warned, "{}", shown.out);
     }
 }
@@ -257,21 +264,21 @@
     ];
     let mut report = String::new();
     for words in cases {
-        let instance = StandIn::spawn([committed()]);
-        let done = at(&[nobody(), instance.address], words);
-        report += &format!("{}\n{}\n", instance.seen()[0], done.shown(&[]));
+        let instance = ScriptedInstance::spawn([committed()]);
+        let done = run_at(&[unused_address(), instance.address], words);
+        report += &format!("{}\n{}\n", instance.requests()[0], done.normalized(&[]));
     }
     insta::assert_snapshot!(report);
 }
 
 #[test]
 fn unchanged_file_is_no_edit() {
-    let instance = StandIn::spawn([table(5, &rows(100).to_csv())]);
-    let file = sheet("same.csv", &rows(100));
-    let done = at(&[instance.address], &["table", "apply", &file]);
+    let instance = ScriptedInstance::spawn([table(5, &rows(100).to_csv())]);
+    let file = write_table("same.csv", &rows(100));
+    let done = run_at(&[instance.address], &["table", "apply", &file]);
     assert_eq!(done.exit, Exit::Done);
     assert_eq!(done.out, "no edit: revision 5 is the same table\n");
-    assert_eq!(instance.seen().len(), 1, "nothing is posted");
+    assert_eq!(instance.requests().len(), 1, "nothing is posted");
 }
 
 #[test]
@@ -283,14 +290,14 @@
     let both = || waiting(r#""entry-2","entry-3""#);
     let newest = table(5, &rows(100).to_csv());
     let steps = [newest.clone(), both(), both(), waiting(r#""entry-3""#), json(200, ACCEPTED)];
-    let instance = StandIn::spawn(steps);
-    let file = sheet("wait.csv", &rows(300));
-    let done = at(&[instance.address], &["table", "apply", &file, "--wait"]);
-    let seen = instance.seen();
-    let same = |post: &String| edit(post) == edit(&seen[1]) && post.contains("?base=5&");
+    let instance = ScriptedInstance::spawn(steps);
+    let file = write_table("wait.csv", &rows(300));
+    let done = run_at(&[instance.address], &["table", "apply", &file, "--wait"]);
+    let seen = instance.requests();
+    let same = |post: &String| edit_id(post) == edit_id(&seen[1]) && post.contains("?base=5&");
     assert!(seen[1..].iter().all(same), "each call is the same edit: {seen:?}");
     assert!(seen[1].contains("wait_ms=1000") && seen[2].contains("wait_ms=8000"), "{seen:?}");
-    insta::assert_snapshot!(done.shown(&[(edit(&seen[1]).to_owned(), "ID")]));
+    insta::assert_snapshot!(done.normalized(&[(edit_id(&seen[1]).to_owned(), "ID")]));
 }
 
 /// Symptom: `apply --wait` says that an accepted edit may or may not have been made, or floods the
@@ -299,18 +306,18 @@
 #[test]
 fn accepted_edit_stays_accepted_when_the_wait_ends_badly() {
     let body = r#"{"revision":6,"unchanged":false,"in_force":false,"waiting":["entry-2"]}"#;
-    let file = sheet("late.csv", &rows(300));
+    let file = write_table("late.csv", &rows(300));
     let newest = table(5, &rows(100).to_csv());
     let many = vec![json(200, body); 50];
-    let lost = vec![json(200, body), Step::HangUp];
+    let lost = vec![json(200, body), Step::Disconnect];
     for (name, steps) in [("still waiting", many), ("answers lost", lost)] {
-        let instance = StandIn::spawn([vec![newest.clone()], steps].concat());
+        let instance = ScriptedInstance::spawn([vec![newest.clone()], steps].concat());
         let words = ["table", "apply", &file, "--wait", "--timeout", "700ms"];
-        let done = at(&[instance.address], &words);
+        let done = run_at(&[instance.address], &words);
         assert_eq!(done.exit, Exit::NotInForce, "{name}: {}", done.remarks);
         let expected = "accepted as revision 6, NOT YET in force at entry-2\n";
         assert_eq!(done.out, expected, "{name}");
-        assert!(instance.seen().len() < 10, "{name}: {} calls", instance.seen().len());
+        assert!(instance.requests().len() < 10, "{name}: {} calls", instance.requests().len());
     }
 }
 
@@ -319,31 +326,31 @@
 /// newest revision when it is applied, not the one that was fetched.
 #[test]
 fn base_is_the_revision_that_was_fetched() {
-    let file = sheet("fetched.csv", &rows(100));
-    let instance = StandIn::spawn([
+    let file = write_table("fetched.csv", &rows(100));
+    let instance = ScriptedInstance::spawn([
         table(5, &rows(100).to_csv()),
         table(6, &rows(200).to_csv()),
         json(409, CONFLICT),
     ]);
-    let shown = at(&[instance.address], &["table", "show", "--to", &file]);
+    let shown = run_at(&[instance.address], &["table", "show", "--to", &file]);
     assert_eq!(shown.exit, Exit::Done, "{}", shown.remarks);
     fs::write(&file, rows(300).to_csv()).expect("the table can be written");
-    let done = at(&[instance.address], &["table", "apply", &file]);
+    let done = run_at(&[instance.address], &["table", "apply", &file]);
     assert_eq!(done.exit, Exit::Refused, "{}", done.remarks);
-    assert!(instance.seen()[2].contains("?base=5&"), "{:?}", instance.seen());
+    assert!(instance.requests()[2].contains("?base=5&"), "{:?}", instance.requests());
 }
 
 #[test]
 fn base_of_a_file_goes_on_with_its_edits() {
-    let file = sheet("advanced.csv", &rows(300));
+    let file = write_table("advanced.csv", &rows(300));
     fs::write(format!("{file}.base"), "5\n").expect("the base can be written");
-    let instance = StandIn::spawn([table(5, &rows(100).to_csv()), json(200, ACCEPTED)]);
-    at(&[instance.address], &["table", "apply", &file]);
+    let instance = ScriptedInstance::spawn([table(5, &rows(100).to_csv()), json(200, ACCEPTED)]);
+    run_at(&[instance.address], &["table", "apply", &file]);
     let base = fs::read_to_string(format!("{file}.base")).expect("the base can be read");
     assert_eq!(base, "6\n");
     fs::write(format!("{file}.base"), "six\n").expect("the base can be written");
-    let instance = StandIn::spawn([table(6, &rows(100).to_csv())]);
-    let done = at(&[instance.address], &["table", "apply", &file]);
+    let instance = ScriptedInstance::spawn([table(6, &rows(100).to_csv())]);
+    let done = run_at(&[instance.address], &["table", "apply", &file]);
     assert_eq!(done.exit, Exit::Input, "{}", done.remarks);
 }
 
@@ -357,44 +364,44 @@
     ];
     let mut report = String::new();
     for (name, text) in cases {
-        let file = sheet(name, &rows(100));
+        let file = write_table(name, &rows(100));
         fs::write(&file, text).expect("the table can be written");
-        let done = raw(&["table", "check", &file]);
-        report += &format!("# {name}\n{}\n", done.shown(&[(file, "FILE")]));
+        let done = run_args(&["table", "check", &file]);
+        report += &format!("# {name}\n{}\n", done.normalized(&[(file, "FILE")]));
     }
-    let done = raw(&["table", "check", "/nowhere/table.csv"]);
-    report += &format!("# missing\n{}\n", done.shown(&[]));
+    let done = run_args(&["table", "check", "/nowhere/table.csv"]);
+    report += &format!("# missing\n{}\n", done.normalized(&[]));
     insta::assert_snapshot!(report);
 }
 
 #[test]
 fn faults_that_an_instance_finds_are_listed() {
     let body = r#"{"error":{"message":"m","type":"invalid_request_error","code":"table","hint":"h"},"problems":[{"row":2,"column":"weight","value":"0","allowed":"a whole number from 1 to 1000"}]}"#;
-    let instance = StandIn::spawn([table(5, &rows(100).to_csv()), json(422, body)]);
-    let file = sheet("faulty.csv", &rows(300));
-    let done = at(&[instance.address], &["table", "apply", &file]);
+    let instance = ScriptedInstance::spawn([table(5, &rows(100).to_csv()), json(422, body)]);
+    let file = write_table("faulty.csv", &rows(300));
+    let done = run_at(&[instance.address], &["table", "apply", &file]);
     assert_eq!(done.exit, Exit::Input);
     assert!(done.remarks.contains("row 2, column weight"), "{}", done.remarks);
 }
 
 #[test]
 fn diff_shows_rows_and_cells() {
-    let file = sheet("diff.csv", &rows(300));
-    let newest = || StandIn::spawn([table(5, &rows(100).to_csv())]);
-    let text = at(&[newest().address], &["table", "diff", &file, "--exit-code"]);
+    let file = write_table("diff.csv", &rows(300));
+    let newest = || ScriptedInstance::spawn([table(5, &rows(100).to_csv())]);
+    let text = run_at(&[newest().address], &["table", "diff", &file, "--exit-code"]);
     assert_eq!(text.exit, Exit::Refused);
-    let json = at(&[newest().address], &["--json", "table", "diff", &file]);
+    let json = run_at(&[newest().address], &["--json", "table", "diff", &file]);
     assert_eq!(json.exit, Exit::Done);
-    let same = sheet("diff.csv", &rows(100));
-    let same = at(&[newest().address], &["table", "diff", &same, "--exit-code"]);
-    insta::assert_snapshot!([text, json, same].map(|done| done.shown(&[])).join("\n"));
+    let same = write_table("diff.csv", &rows(100));
+    let same = run_at(&[newest().address], &["table", "diff", &same, "--exit-code"]);
+    insta::assert_snapshot!([text, json, same].map(|done| done.normalized(&[])).join("\n"));
 }
 
 #[test]
 fn history_and_audit_are_readable() {
     let history = r#"{"edits":[{"revision":5,"edit":"a1b2","by":"anna","at":1767225600000,"base":4,"rows":2}]}"#;
-    let instance = StandIn::spawn([json(200, history)]);
-    let history = at(&[instance.address], &["table", "history"]);
+    let instance = ScriptedInstance::spawn([json(200, history)]);
+    let history = run_at(&[instance.address], &["table", "history"]);
     let entry = r#"{"number":7,"position":{"term":2,"index":30},"at":1767225600000,"by":"anna","action":{"Drain":"entry-2"},"base":null,"accepted":true,"answer":"drained"}"#;
     let claim = r#"{"number":8,"position":{"term":2,"index":31},"at":1767225601000,"by":"entry-1","action":{"Claim":{"request":340282366920938463463374607431768211455,"number":1}},"base":null,"accepted":false,"answer":"held"}"#;
     let later = r#"{"number":9,"action":{"Unheard":1}}"#;
@@ -404,12 +411,12 @@
         r#"{"next":10,"entries":[]}"#.to_owned(),
     ];
     let steps = || pages.iter().map(|page| json(200, page)).collect::<Vec<_>>();
-    let instance = StandIn::spawn(steps());
-    let audit = at(&[instance.address], &["audit", "--since", "7"]);
-    let paths = instance.seen();
-    let instance = StandIn::spawn(steps());
-    let json = at(&[instance.address], &["--json", "audit"]);
-    let shown = [history, audit, json].map(|done| done.shown(&[])).join("\n");
+    let instance = ScriptedInstance::spawn(steps());
+    let audit = run_at(&[instance.address], &["audit", "--since", "7"]);
+    let paths = instance.requests();
+    let instance = ScriptedInstance::spawn(steps());
+    let json = run_at(&[instance.address], &["--json", "audit"]);
+    let shown = [history, audit, json].map(|done| done.normalized(&[])).join("\n");
     insta::assert_snapshot!(format!("{}\n{shown}", paths.join("\n")));
 }
 
@@ -507,11 +514,11 @@
 #[test]
 fn status_shows_voters_and_who_is_behind() {
     let text = |leads| serde_json::to_string(&status(leads)).expect("a status can be written");
-    let instance = StandIn::spawn([json(200, &text(true)), json(200, &text(false))]);
-    let shown = [(); 2].map(|()| at(&[instance.address], &["status"]).shown(&[]));
+    let instance = ScriptedInstance::spawn([json(200, &text(true)), json(200, &text(false))]);
+    let shown = [(); 2].map(|()| run_at(&[instance.address], &["status"]).normalized(&[]));
     insta::assert_snapshot!(shown.join("\n"));
-    let instance = StandIn::spawn([json(200, &text(true))]);
-    let script = at(&[instance.address], &["--json", "status"]);
+    let instance = ScriptedInstance::spawn([json(200, &text(true))]);
+    let script = run_at(&[instance.address], &["--json", "status"]);
     assert_eq!(script.out.trim_end(), text(true), "scripts get what the instance says, as it is");
 }
 
@@ -524,10 +531,10 @@
     };
     let draining = json(202, r#"{"draining":true}"#);
     let steps = [draining, seen(State::Leaving), seen(State::Left)];
-    let instance = StandIn::spawn(steps);
-    let done = at(&[instance.address], &["drain", "entry-2", "--wait"]);
+    let instance = ScriptedInstance::spawn(steps);
+    let done = run_at(&[instance.address], &["drain", "entry-2", "--wait"]);
     assert_eq!((done.exit, done.out.as_str()), (Exit::Done, "entry-2 has left\n"));
-    assert!(instance.seen()[0].ends_with(r#"{"instance":"entry-2"}"#));
+    assert!(instance.requests()[0].ends_with(r#"{"instance":"entry-2"}"#));
 }
 
 /// Symptom: a key is read by another user, or stands in a terminal's history or a log. Sequence:
@@ -535,15 +542,15 @@
 /// mode, or an error shows what it could not use.
 #[test]
 fn key_file_must_be_private_and_is_never_shown() {
-    let admin = nobody().to_string();
+    let admin = unused_address().to_string();
     let bad = path("bad-key");
     fs::write(&bad, "anna key-öf-anna-00001\n").expect("the key can be written");
     fs::set_permissions(&bad, Permissions::from_mode(0o600)).expect("the mode can be set");
-    let cases = [key(0o644), key(0o640), bad, PathBuf::from("/nowhere/key")];
+    let cases = [key_file(0o644), key_file(0o640), bad, PathBuf::from("/nowhere/key")];
     for path in cases {
         let path = path.display().to_string();
-        let done = raw(&["--admin", &admin, "--key-file", &path, "status"]);
-        let shown = done.shown(&[]);
+        let done = run_args(&["--admin", &admin, "--key-file", &path, "status"]);
+        let shown = done.normalized(&[]);
         assert_eq!(done.exit, Exit::Input, "{shown}");
         assert!(shown.contains(&path), "{shown}");
         assert!(!shown.contains("-anna-0"), "{shown}");
@@ -552,7 +559,7 @@
 
 #[test]
 fn errors_come_as_json_too() {
-    let done = raw(&["--json", "--admin", "entry-1", "status"]);
+    let done = run_args(&["--json", "--admin", "entry-1", "status"]);
     assert_eq!(done.exit, Exit::Usage);
-    insta::assert_snapshot!(done.shown(&[]));
+    insta::assert_snapshot!(done.normalized(&[]));
 }
--- a/crates/verbenaslip-cli/tests/stand_in/mod.rs
+++ b/crates/verbenaslip-cli/tests/scripted/mod.rs
@@ -11,9 +11,9 @@
     /// Answers with status, headers and body.
     Answer(u16, &'static str, String),
     /// Reads the request and closes the connection.
-    HangUp,
+    Disconnect,
     /// Answers a head that promises more than comes.
-    Cut,
+    TruncatedBody,
 }
 
 /// Answers with JSON.
@@ -32,36 +32,36 @@
 }
 
 /// One scripted instance.
-pub struct StandIn {
+pub struct ScriptedInstance {
     pub address: SocketAddr,
-    seen: Arc<Mutex<Vec<String>>>,
+    requests: Arc<Mutex<Vec<String>>>,
 }
 
-impl StandIn {
+impl ScriptedInstance {
     /// Listens and takes the steps in order; beyond the last it hangs up.
     pub fn spawn(steps: impl Into<Vec<Step>>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
         let address = listener.local_addr().expect("a bound listener has an address");
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let (noted, mut steps) = (seen.clone(), steps.into().into_iter());
+        let requests = Arc::new(Mutex::new(Vec::new()));
+        let (recorded, mut steps) = (requests.clone(), steps.into().into_iter());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let Some(request) = read(&stream) else { continue };
-                noted.lock().expect("no test panics with the lock").push(request);
-                write(&stream, steps.next().unwrap_or(Step::HangUp));
+                recorded.lock().expect("no test panics with the lock").push(request);
+                write(&stream, steps.next().unwrap_or(Step::Disconnect));
             }
         });
-        Self { address, seen }
+        Self { address, requests }
     }
 
     /// Returns method, path and body of each request.
-    pub fn seen(&self) -> Vec<String> {
-        self.seen.lock().expect("no test panics with the lock").clone()
+    pub fn requests(&self) -> Vec<String> {
+        self.requests.lock().expect("no test panics with the lock").clone()
     }
 }
 
 /// Returns an address at which nothing listens.
-pub fn nobody() -> SocketAddr {
+pub fn unused_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
     listener.local_addr().expect("a bound listener has an address")
 }
@@ -97,8 +97,8 @@
         Step::Answer(status, headers, body) => {
             format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
         }
-        Step::HangUp => return,
-        Step::Cut => "HTTP/1.1 200 X\r\nContent-Length: 100\r\n\r\n{\"rev".to_owned(),
+        Step::Disconnect => return,
+        Step::TruncatedBody => "HTTP/1.1 200 X\r\nContent-Length: 100\r\n\r\n{\"rev".to_owned(),
     };
     let _ = stream.write_all(text.as_bytes());
 }
