--- a/crates/verbenaslip-cli/src/answer.rs
+++ b/crates/verbenaslip-cli/src/answer.rs
@@ -1,17 +1,17 @@
-//! What instances answer to operators.
+//! JSON bodies of the responses that instances send to operators.
 
 use serde::Deserialize;
 
 use verbenaslip_base::data;
 
-/// Wraps an error.
+/// Holds the JSON body of an error response.
 #[derive(Debug, Deserialize)]
 pub(crate) struct ErrorResponse {
-    /// The error in the callers' shape.
+    /// The error, in the same format as errors sent to callers.
     pub(crate) error: ErrorBody,
 }
 
-/// Holds an error in the callers' shape.
+/// Holds an error in the same format as errors sent to callers.
 #[derive(Debug, Deserialize)]
 pub(crate) struct ErrorBody {
     pub(crate) message: String,
@@ -21,21 +21,21 @@
     pub(crate) hint: String,
 }
 
-/// Tells what became of an accepted edit.
+/// Holds the result of an accepted edit.
 #[data]
 pub struct Applied {
-    /// The revision that it made.
+    /// The revision that the edit created, or the existing one if the edit changed nothing.
     pub revision: u64,
-    /// Whether the table was the same before.
+    /// Whether the table already had this content.
     pub unchanged: bool,
-    /// Whether it is in force everywhere.
+    /// Whether the revision is in force on all instances.
     pub in_force: bool,
-    /// The instances that have not said so.
+    /// The instances that have not confirmed the revision.
     #[serde(default)]
     pub waiting: Vec<String>,
 }
 
-/// Tells why an edit does not fit.
+/// Holds the reason why an edit conflicts with a newer revision.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Conflict {
     pub(crate) newest: u64,
@@ -45,19 +45,19 @@
     pub(crate) differs: Vec<String>,
 }
 
-/// Lists what is wrong with a table.
+/// Lists the problems of a rejected table.
 #[derive(Debug, Deserialize)]
 pub(crate) struct InvalidTable {
     pub(crate) problems: Vec<verbenaslip_table::Problem>,
 }
 
-/// Lists the accepted edits.
+/// Lists the accepted edits of the table.
 #[derive(Debug, Deserialize)]
 pub(crate) struct History {
     pub(crate) edits: Vec<Edit>,
 }
 
-/// Tells of one accepted edit.
+/// Describes one accepted edit.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Edit {
     pub(crate) revision: u64,
--- a/crates/verbenaslip-cli/src/args.rs
+++ b/crates/verbenaslip-cli/src/args.rs
@@ -1,4 +1,4 @@
-//! What can be typed.
+//! Command-line arguments of both programs.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -42,11 +42,11 @@
     pub action: Action,
 }
 
-/// Names the commands.
+/// Selects the command.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand)]
 pub enum Action {
-    /// Looks at the deployment.
+    /// Shows the deployment.
     Status(Status),
     /// Works with the table.
     Table(Table),
@@ -54,7 +54,7 @@
     Audit(Audit),
     /// Stops an instance gracefully.
     Drain(Drain),
-    /// Says from log lines what became of requests.
+    /// Explains the results of requests from log lines.
     Explain(Explain),
     /// Changes the voters.
     Voters(Voters),
@@ -87,7 +87,7 @@
     pub action: TableAction,
 }
 
-/// Names the commands for the table.
+/// Selects the command on the table.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand)]
 pub enum TableAction {
@@ -205,15 +205,15 @@
     pub action: VotersAction,
 }
 
-/// Names the changes of the voter set.
+/// Selects the change of the voter set.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand)]
 pub enum VotersAction {
-    /// Adds one.
+    /// Adds a voter.
     Add(Add),
-    /// Removes one.
+    /// Removes a voter.
     Remove(Remove),
-    /// Replaces one by another.
+    /// Replaces a voter by another instance.
     Replace(Replace),
 }
 
@@ -274,21 +274,21 @@
     pub version: bool,
 }
 
-/// Reads the admin addresses.
+/// Parses a comma-separated list of admin addresses; returns `None` if any of them is invalid.
 pub(crate) fn addresses(text: &str) -> Option<Vec<SocketAddr>> {
     text.split(',').map(|address| address.trim().parse().ok()).collect()
 }
 
-/// Reads a duration as settings write it.
+/// Parses a duration in the format of the settings file.
 fn duration(text: &str) -> Result<Duration, String> {
     Duration::read(text).ok_or_else(|| format!("it must be {}", Duration::ALLOWED))
 }
 
-/// Reads the process's command line; help goes to standard output, a wrong line to standard error.
+/// Parses the process's command line and prints help to standard output, errors to standard error.
 ///
 /// # Errors
 ///
-/// Returns how the process ends when there is nothing to do.
+/// Returns the exit code if the process must end: after a help request or an invalid command line.
 pub fn parse<T: FromArgs>(name: &str) -> Result<T, Exit> {
     let args: Vec<String> = std::env::args().skip(1).collect();
     let args: Vec<&str> = args.iter().map(String::as_str).collect();
--- a/crates/verbenaslip-cli/src/bin/verbenaslip.rs
+++ b/crates/verbenaslip-cli/src/bin/verbenaslip.rs
@@ -1,4 +1,4 @@
-//! The operators' command.
+//! The operators' command-line program.
 
 use std::io::{stderr, stdout};
 use std::process::ExitCode;
--- a/crates/verbenaslip-cli/src/bin/verbenaslipd.rs
+++ b/crates/verbenaslip-cli/src/bin/verbenaslipd.rs
@@ -1,4 +1,4 @@
-//! One instance as a process.
+//! The daemon, which runs one instance.
 
 use std::process::ExitCode;
 
--- a/crates/verbenaslip-cli/src/client.rs
+++ b/crates/verbenaslip-cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the `admin` addresses of instances.
+//! HTTP client for the `admin` addresses of instances.
 
 mod call;
 mod key;
@@ -19,25 +19,25 @@
 use self::reply::AttemptError;
 pub(crate) use self::reply::Reply;
 
-/// The longest time to open a connection.
+/// The timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest time for an answer, on top of what the call itself waits.
+/// The timeout for an answer, in addition to the time that the instance may wait before it answers.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// The time between two rounds through all instances.
+/// The pause before all instances are tried again.
 pub(crate) const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// Speaks with instances, the next one when one fails.
+/// Calls instances, and tries the next one when a call fails.
 pub struct Client {
     admins: Vec<SocketAddr>,
     authorization: HeaderValue,
 }
 
 impl Client {
-    /// Reads addresses and key from the command line or the environment.
+    /// Creates a client with the addresses and key given on the command line or in the environment.
     ///
     /// # Errors
     ///
-    /// Says which of the two is missing or wrong.
+    /// Returns an error if the addresses or the key file are missing or invalid.
     pub fn open(args: &Operator) -> Result<Self, Error> {
         let admin = args.admin.clone().or_else(|| std::env::var("VERBENASLIP_ADMIN").ok());
         let admin =
@@ -52,11 +52,13 @@
         Ok(Self { admins, authorization: authorization_header(&file)? })
     }
 
-    /// Makes a call at the first instance that can do it.
+    /// Sends a call to the instances in turn until one executes it.
     ///
     /// # Errors
     ///
-    /// Tells apart what was refused, what surely was not done and what may have been done.
+    /// Returns [`Error::Refused`] or another final error from an instance, [`Error::Unreachable`]
+    /// if the
+    /// call was certainly not executed, and [`Error::Unknown`] if it may have been executed.
     pub(crate) fn call(&mut self, call: &Call) -> Result<Reply, Error> {
         let end = Instant::now() + call.retry_timeout;
         let mut unknown = false;
@@ -76,20 +78,21 @@
         }
     }
 
-    /// Tries each instance once; `unknown` remembers whether one may have made the change.
+    /// Tries each instance once and sets `unknown` if an instance may have made the change.
     fn try_each(&mut self, call: &Call, unknown: &mut bool) -> Result<RoundOutcome, Error> {
         let mut attempts = Attempts::default();
         for index in 0..self.admins.len() {
             match self.attempt(self.admins[index], call) {
                 Ok(reply) => {
-                    // The next call begins where this one succeeded.
+                    // The next call starts with the instance that answered.
                     self.admins.rotate_left(index);
                     return Ok(RoundOutcome::Answered(reply));
                 }
                 Err(AttemptError::Final(error)) if !*unknown => return Err(error),
                 Err(AttemptError::Final(error)) => {
-                    // This instance refuses, but one before may have done it: reporting the refusal
-                    // alone would say that nothing was changed.
+                    // An earlier instance may have made the change. Reporting only this refusal
+                    // would
+                    // claim that nothing was changed.
                     attempts.0.push(refusal_attempt(self.admins[index], error));
                     return Err(Error::Unknown { attempts, hint: call.hint });
                 }
@@ -106,12 +109,12 @@
         Ok(RoundOutcome::Exhausted(attempts))
     }
 
-    /// Makes a call at one instance.
+    /// Sends a call to one instance.
     fn attempt(&self, peer: SocketAddr, call: &Call) -> Result<Reply, AttemptError> {
         let failed = |step, cause: String| Attempt { peer, step, cause };
-        // The library does not say whether an error came before or after the request was sent. If
-        // this connection can't be opened, nothing was sent, and the next instance may be asked
-        // even for what must not be done twice.
+        // The HTTP library does not report whether an error occurred before or after the request
+        // was sent. If this test connection fails, nothing was sent, so even a call that must not
+        // be executed twice can go to the next instance.
         TcpStream::connect_timeout(&peer, CONNECT_TIMEOUT)
             .map_err(|error| AttemptError::NotDone(failed(Step::Connect, error.to_string())))?;
         let client = oxhttp::Client::new().with_global_timeout(ANSWER_TIMEOUT + call.server_wait);
@@ -144,15 +147,15 @@
     }
 }
 
-/// Says how a round through all instances ended.
+/// Is the result of trying each instance once.
 enum RoundOutcome {
-    /// One has answered.
+    /// An instance answered.
     Answered(Reply),
-    /// None has.
+    /// No instance executed the call.
     Exhausted(Attempts),
 }
 
-/// Tells of a refusal as one try among others.
+/// Converts a refusal to a failed attempt.
 fn refusal_attempt(peer: SocketAddr, error: Error) -> Attempt {
     let cause = match error {
         Error::Refused { message, .. } => message,
@@ -161,7 +164,7 @@
     Attempt { peer, step: Step::Answer, cause }
 }
 
-/// Reads the key and makes the header that shows it.
+/// Reads the key file and returns the value of the `Authorization` header.
 fn authorization_header(file: &Path) -> Result<HeaderValue, Error> {
     let file_error = |cause: String| Error::File { file: file.display().to_string(), cause };
     let key = key::read(file).map_err(&file_error)?;
--- a/crates/verbenaslip-cli/src/client/call.rs
+++ b/crates/verbenaslip-cli/src/client/call.rs
@@ -1,9 +1,9 @@
-//! One call, and what may be done with it when its answer is lost.
+//! A call to an instance and the rules for sending it again.
 
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Describes one call.
+/// Describes one HTTP call to an instance.
 pub(crate) struct Call {
     pub(super) path: String,
     pub(super) body: Option<Vec<u8>>,
@@ -17,7 +17,7 @@
 }
 
 impl Call {
-    /// Reads something; a lost answer is no harm.
+    /// Creates a call that only reads, so it is safe to send again.
     pub(crate) fn get(path: impl Into<String>) -> Self {
         Self {
             path: path.into(),
@@ -32,40 +32,41 @@
         }
     }
 
-    /// Changes something; `hint` says how to find out after a lost answer.
+    /// Creates a call that makes a change; `hint` tells the operator what to do if the answer is
+    /// lost.
     pub(crate) fn post(path: impl Into<String>, body: Vec<u8>, hint: &'static str) -> Self {
         Self { body: Some(body), changes: true, resend: false, hint, ..Self::get(path) }
     }
 
-    /// Lets the call be sent again after a lost answer, because twice is the same as once.
+    /// Allows the call, which must be idempotent, to be sent again until `retry_timeout` is over.
     pub(crate) fn resend_for(self, retry_timeout: Duration) -> Self {
         Self { resend: true, retry_timeout, ..self }
     }
 
-    /// Says how long the instance itself may wait before it answers.
+    /// Sets how long the instance may wait before it answers.
     pub(crate) fn with_server_wait(self, server_wait: Duration) -> Self {
         Self { server_wait, ..self }
     }
 
-    /// Sends CSV.
+    /// Sets the content type of the body to CSV.
     pub(crate) fn with_csv_body(self) -> Self {
         Self { content_type: "text/csv", ..self }
     }
 
-    /// Takes these statuses as replies and not as failures.
+    /// Sets HTTP statuses that are returned as replies instead of errors.
     pub(crate) fn with_expected_statuses(self, expected_statuses: &'static [u16]) -> Self {
         Self { expected_statuses, ..self }
     }
 }
 
-/// Writes a text so that it can stand in a query.
+/// Percent-encodes a text for use in a URL query.
 pub(crate) fn percent_encode(text: &str) -> String {
     let mut encoded = String::new();
     for byte in text.bytes() {
         match byte {
             b'-' | b'.' | b'_' | b'~' => encoded.push(byte.into()),
             _ if byte.is_ascii_alphanumeric() => encoded.push(byte.into()),
-            // Writing to a string does not fail.
+            // Writing to a string cannot fail.
             _ => _ = write!(encoded, "%{byte:02X}"),
         }
     }
--- a/crates/verbenaslip-cli/src/client/key.rs
+++ b/crates/verbenaslip-cli/src/client/key.rs
@@ -1,14 +1,20 @@
-//! The operator's own key.
+//! The file with the operator's key.
 
 use std::fs::File;
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
 
-/// Permission bits of group and others.
+/// Permission bits of the group and of others.
 const GROUP_AND_OTHERS_MODE: u32 = 0o077;
 
-/// Returns the key in a file that only its owner may read: the last word of its first line that is
-/// no comment, so that a line of the instances' own file of keys serves too.
+/// Reads the key from a file that only its owner may read.
+///
+/// The key is the last word of the first line that is neither empty nor a comment, so a line copied
+/// from the operator key file of an instance is accepted, too.
+///
+/// # Errors
+///
+/// Returns the cause if the file cannot be read, is open to other users, or holds no valid key.
 pub(super) fn read(path: &Path) -> Result<String, String> {
     let read_error = |error: std::io::Error| format!("the key can't be read: {error}");
     let file = File::open(path).map_err(read_error)?;
--- a/crates/verbenaslip-cli/src/client/reply.rs
+++ b/crates/verbenaslip-cli/src/client/reply.rs
@@ -1,4 +1,4 @@
-//! What an instance answers, and what a failed call lets one conclude.
+//! Responses of instances and classification of failed calls.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -9,12 +9,12 @@
 use crate::answer::ErrorResponse;
 use crate::error::{Attempt, Error, Step};
 
-/// The largest answer that is read, in bytes.
+/// The maximum number of bytes read of a response body.
 const MAX_ANSWER_BYTES: u64 = 64 << 20;
-/// The header that tells a table's revision.
+/// The response header with the revision of a table.
 const REVISION_HEADER: &str = "verbenaslip-revision";
 
-/// Holds an instance's answer.
+/// Holds an instance's response.
 pub(crate) struct Reply {
     pub(crate) peer: SocketAddr,
     pub(crate) status: u16,
@@ -32,23 +32,23 @@
         Ok(Self { peer, status, revision, body })
     }
 
-    /// Reads the body as JSON.
+    /// Parses the body as JSON.
     pub(crate) fn json<T: DeserializeOwned>(&self) -> Result<T, Error> {
         serde_json::from_slice(&self.body)
             .map_err(|error| self.invalid_response(&error.to_string()))
     }
 
-    /// Returns the body as text: a value of JSON may hold numbers that only its own type can.
+    /// Returns the body as text, because a generic JSON value cannot hold all of its numbers.
     pub(crate) fn text(&self) -> Result<String, Error> {
         String::from_utf8(self.body.clone()).map_err(|_| self.invalid_response("not UTF-8"))
     }
 
-    /// Says that the answer is not understood.
+    /// Returns the error for a response that cannot be understood.
     pub(crate) fn invalid_response(&self, cause: &str) -> Error {
         Error::Answer { peer: self.peer, cause: format!("status {}, {cause}", self.status) }
     }
 
-    /// Reads a refusal.
+    /// Returns the error for a refused call, as described by the body.
     pub(crate) fn refusal(&self) -> Error {
         match self.json::<ErrorResponse>() {
             Ok(ErrorResponse { error }) => {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Reads why an instance could not do it, and whether it may have been done.
+    /// Returns why the instance could not execute the call and whether it may have been executed.
     pub(super) fn attempt_error(&self) -> AttemptError {
         let failure = self.json::<ErrorResponse>().map(|failure| failure.error);
         let not_run = failure.as_ref().is_ok_and(|error| error.kind == "not_run");
@@ -71,12 +71,12 @@
     }
 }
 
-/// Says what a failed try lets one conclude.
+/// Classifies a failed attempt by whether the call may have been executed.
 pub(super) enum AttemptError {
-    /// Another instance would say the same.
+    /// Another instance would give the same error.
     Final(Error),
-    /// It surely was not done.
+    /// The call was certainly not executed.
     NotDone(Attempt),
-    /// It may have been done.
+    /// The call may have been executed.
     Unknown(Attempt),
 }
--- a/crates/verbenaslip-cli/src/command/audit.rs
+++ b/crates/verbenaslip-cli/src/command/audit.rs
@@ -13,14 +13,15 @@
 use crate::exit::Exit;
 use crate::terminal::Terminal;
 
-/// Holds a part of the trail; entries stay text, since some numbers in them have 128 bits.
+/// Holds a page of the audit trail; entries are raw JSON because some numbers in them have 128
+/// bits.
 #[derive(Deserialize)]
 struct Page {
     next: u64,
     entries: Vec<Box<RawValue>>,
 }
 
-/// Reads the trail page by page to its end.
+/// Prints the audit trail page by page up to its end.
 pub(crate) fn run(
     args: &Audit,
     client: &mut Client,
@@ -34,7 +35,7 @@
                 if terminal.wants_json() { entry.get().to_owned() } else { format_entry(entry) };
             terminal.text(&format!("{line}\n"))?;
         }
-        // A page that does not get on is the last one.
+        // The last page is empty or does not advance the position.
         if page.entries.is_empty() || page.next <= since {
             return Ok(Exit::Done);
         }
@@ -44,7 +45,7 @@
 
 fn format_entry(entry: &RawValue) -> String {
     let Ok(entry) = serde_json::from_str::<Entry>(entry.get()) else {
-        // An instance of a later version notes what this one does not know.
+        // A newer instance may write entries in a format that this version does not know.
         return serde_json::from_str::<Value>(entry.get()).unwrap_or_default().to_string();
     };
     let base = entry.base.map(|base| format!(" from revision {base}")).unwrap_or_default();
--- a/crates/verbenaslip-cli/src/command/columns.rs
+++ b/crates/verbenaslip-cli/src/command/columns.rs
@@ -1,25 +1,25 @@
-//! Lines of text with their columns under each other.
+//! Text tables with aligned columns.
 
-/// The blank between two columns.
+/// The space between two columns.
 const COLUMN_GAP: &str = "  ";
 
-/// Collects lines of equally many cells.
+/// Holds the rows of a text table, each with the same number of cells.
 pub(super) struct Columns {
     lines: Vec<Vec<String>>,
 }
 
 impl Columns {
-    /// Starts with the names of the columns.
+    /// Creates a table with a header row.
     pub(super) fn new(names: &[&str]) -> Self {
         Self { lines: vec![names.iter().map(|name| (*name).to_owned()).collect()] }
     }
 
-    /// Adds a line.
+    /// Adds a row.
     pub(super) fn push(&mut self, cells: impl IntoIterator<Item = String>) {
         self.lines.push(cells.into_iter().collect());
     }
 
-    /// Returns the lines, or a remark in their place if there are none.
+    /// Returns the aligned rows, or `empty_text` if there are none below the header.
     pub(super) fn render(&self, empty_text: &str) -> String {
         if self.lines.len() == 1 {
             return empty_text.to_owned();
--- a/crates/verbenaslip-cli/src/command/drain.rs
+++ b/crates/verbenaslip-cli/src/command/drain.rs
@@ -14,12 +14,12 @@
 use crate::exit::Exit;
 use crate::terminal::Terminal;
 
-/// How to find out after a lost answer.
+/// Advice to the operator after a lost answer.
 const LOST_ANSWER_HINT: &str = "\nRun it again: draining twice is the same as once.";
-/// The time between two looks whether the instance has left.
+/// The interval between checks whether the instance has left.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Orders the stop, and waits for it if asked to.
+/// Requests the drain and, with `--wait`, waits until the instance has left.
 pub(crate) fn run(
     args: &Drain,
     client: &mut Client,
@@ -48,11 +48,11 @@
     Ok(Exit::NotInForce)
 }
 
-/// Asks the others whether the instance is gone; no answer says nothing.
+/// Returns whether another instance reports that the instance has left; a failed call counts as no.
 fn has_left(name: &str, client: &mut Client) -> bool {
     let Ok(status) = status::fetch(client) else { return false };
     let peer = status.peers.iter().find(|peer| peer.instance.as_str() == name);
-    // The instance itself answers until its end.
+    // The draining instance still answers, so its own response must be ignored.
     let gone = peer.is_none_or(|peer| matches!(peer.state, State::Left | State::Dead));
     status.instance.as_str() != name && gone
 }
--- a/crates/verbenaslip-cli/src/command/explain.rs
+++ b/crates/verbenaslip-cli/src/command/explain.rs
@@ -1,6 +1,6 @@
 //! `verbenaslip explain`.
 //!
-//! [`line`] reads log lines, [`tally`] counts what became of requests.
+//! [`line`] parses log lines, [`tally`] counts the results of requests.
 
 mod line;
 mod tally;
@@ -17,7 +17,7 @@
 use crate::exit::Exit;
 use crate::terminal::Terminal;
 
-/// Reads the files and says what became of requests, or of one of them.
+/// Reads log files and prints a summary of all requests, or the log lines of one request.
 pub(crate) fn run(args: &Explain, terminal: &mut Terminal<'_>) -> Result<Exit, Error> {
     if args.files.is_empty() {
         return Err(Error::Usage("name at least one file with log lines".into()));
@@ -44,8 +44,12 @@
     }
 }
 
-/// Writes all that the logs say of one request, in order, with what was decided of others that asked for the same,
-/// and what upstreams had asked its entry for: a request that is held back or refused for that met nothing itself.
+/// Prints all log lines about one request in order of time.
+///
+/// This includes crash and quarantine events of other requests with the same content, and limits
+/// that
+/// upstreams had set at the same entry, since a request refused for these has no such lines of its
+/// own.
 fn show_request(id: &str, lines: &[Line], terminal: &mut Terminal<'_>) -> Result<Exit, Error> {
     let mentions: Vec<&Line> = lines.iter().filter(|line| line.mentions(id)).collect();
     let contents: Vec<&str> = mentions.iter().filter_map(|line| line.content()).collect();
@@ -75,6 +79,6 @@
 fn read(file: &Path) -> Result<String, Error> {
     let file_error = |cause: String| Error::File { file: file.display().to_string(), cause };
     let bytes = fs::read(file).map_err(|error| file_error(error.to_string()))?;
-    // A log that was cut off may end within a letter.
+    // A truncated log may end within a UTF-8 character.
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
--- a/crates/verbenaslip-cli/src/command/explain/line.rs
+++ b/crates/verbenaslip-cli/src/command/explain/line.rs
@@ -1,4 +1,4 @@
-//! One line of an instance's log.
+//! A line of an instance's event log.
 
 use std::ops::RangeInclusive;
 
@@ -7,89 +7,90 @@
 
 use crate::command::time;
 
-/// The number of the line that says how a request ended.
+/// The event number for the end of a request.
 const REQUEST_ENDED: u64 = 901;
 
-/// The numbers of the lines about contents under which upstreams end.
+/// The event numbers for request contents under which upstreams crash.
 const CRASH_EVENTS: RangeInclusive<u64> = 936..=940;
 
-/// The numbers of the lines about what upstreams ask for in their answers.
+/// The event numbers for limits, cooldowns and departures that upstreams announce.
 const UPSTREAM_LIMIT_EVENTS: RangeInclusive<u64> = 943..=946;
 
-/// Outcomes of requests, and causes of their tries, that follow from that.
+/// The request outcomes and attempt causes that result from these events.
 const LIMITED_OUTCOMES: [&str; 2] = ["limited", "resting"];
 
-/// How long before such a request an upstream may have asked for it, in milliseconds.
+/// The maximum time from such an event to a request that it explains, in milliseconds.
 const MAX_LEAD_MS: u64 = 60_000;
 
-/// Holds one line with where it stands.
+/// Holds a log line and the file that it comes from.
 pub(super) struct Line {
-    /// When it was written, in Unix milliseconds.
+    /// When the line was written, in Unix milliseconds.
     pub(super) at: u64,
     origin: String,
     fields: Value,
 }
 
-/// Says how one request ended.
+/// Describes the end of a request.
 #[derive(Debug, Deserialize)]
 pub(super) struct RequestEnded {
-    /// When, in Unix milliseconds.
+    /// When the request ended, in Unix milliseconds.
     pub(super) at: u64,
     pub(super) route: String,
     #[serde(default)]
     pub(super) team: Option<String>,
     pub(super) outcome: String,
     pub(super) status: u16,
-    /// Why tries ended without an answer.
+    /// Why attempts failed to get an answer.
     #[serde(default)]
     pub(super) causes: Vec<String>,
     #[serde(default)]
     first_ms: Option<u64>,
     #[serde(default)]
     objective_ms: Option<u64>,
-    /// Whether its caller had been refused before.
+    /// Whether the caller had been refused before.
     #[serde(default)]
     waited: bool,
 }
 
-/// Says what a caller got.
+/// Classifies what the caller received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum CallerResult {
-    /// An answer within the objective.
+    /// An answer within the latency objective.
     OnTime,
-    /// An answer after it.
+    /// An answer after the latency objective.
     Late,
-    /// The word that it has not run, and when to come back.
+    /// A refusal: the request was not executed and may be retried later.
     Refused,
     /// No answer, or a failure.
     Lost,
-    /// It left before there was an answer.
+    /// Nothing, since the caller disconnected before the answer.
     Left,
-    /// A refusal of what is not allowed.
+    /// A client error: the request is not allowed.
     Denied,
 }
 
 impl Line {
-    /// Reads a line; what stands before its opening brace, as collectors put there, is passed over.
+    /// Parses a line and ignores any prefix before its opening brace, as log collectors add.
     pub(super) fn parse(raw: &str, origin: &str) -> Option<Self> {
         let fields: Value = serde_json::from_str(&raw[raw.find('{')?..]).ok()?;
         let at = fields.get("at")?.as_u64()?;
         Some(Self { at, origin: origin.to_owned(), fields })
     }
 
-    /// Tells whether it is about a request.
+    /// Returns whether the line names the request.
     pub(super) fn mentions(&self, id: &str) -> bool {
         let is_id = |value: &Value| value.as_str() == Some(id);
         let among = |name| self.fields.get(name).and_then(Value::as_array).into_iter().flatten();
         self.fields.get("id").is_some_and(is_id) || among("ids").any(is_id)
     }
 
-    /// Returns the content of the request that it is about.
+    /// Returns the content identifier of the request that the line is about.
     pub(super) fn content(&self) -> Option<&str> {
         self.fields.get("content").and_then(Value::as_str)
     }
 
-    /// Tells whether it says of a content that upstreams ended under it, or what was decided about that.
+    /// Returns whether the line reports upstream crashes under a content or decisions about that
+    /// content.
     pub(super) fn is_about_content(&self, content: &str) -> bool {
         let number = self.fields.get("event").and_then(Value::as_u64);
         let listed = self.fields.get("contents").and_then(Value::as_array);
@@ -98,7 +99,9 @@
             && (among || self.content() == Some(content))
     }
 
-    /// Tells whether it reports a limit, rest or departure that decided about the request of another line.
+    /// Returns whether the line reports an upstream limit, cooldown or departure that explains the
+    /// request end
+    /// in another line of the same file.
     pub(super) fn explains(&self, ended: &Self) -> bool {
         let number = self.fields.get("event").and_then(Value::as_u64);
         self.origin == ended.origin
@@ -108,7 +111,7 @@
             && number.is_some_and(|number| UPSTREAM_LIMIT_EVENTS.contains(&number))
     }
 
-    /// Tells whether a request met upstreams that had asked for less.
+    /// Returns whether the request was affected by limits or cooldowns of upstreams.
     fn is_limited(&self) -> bool {
         let is_limited_value =
             |value: &Value| value.as_str().is_some_and(|it| LIMITED_OUTCOMES.contains(&it));
@@ -117,7 +120,7 @@
             || causes.into_iter().flatten().any(is_limited_value)
     }
 
-    /// Returns how a request ended, if it says that.
+    /// Returns the end of a request if the line reports one.
     pub(super) fn ended(&self) -> Option<RequestEnded> {
         let number = self.fields.get("event").and_then(Value::as_u64);
         if number != Some(REQUEST_ENDED) {
@@ -130,7 +133,7 @@
         json!({ "file": self.origin, "line": self.fields })
     }
 
-    /// Shows it for people.
+    /// Formats the line as text for operators.
     pub(super) fn format(&self) -> String {
         let text = |name: &str| self.fields.get(name).and_then(Value::as_str).unwrap_or("");
         let fields = self.fields.as_object().into_iter().flatten();
@@ -148,7 +151,7 @@
 }
 
 impl RequestEnded {
-    /// Returns what the caller got.
+    /// Returns what the caller received.
     pub(super) fn caller_result(&self) -> CallerResult {
         match (self.outcome.as_str(), self.status) {
             ("caller_gone", _) => CallerResult::Left,
@@ -160,7 +163,7 @@
         }
     }
 
-    /// Returns why, in the words of the log.
+    /// Returns the outcome and the causes of failed attempts, as written in the log.
     pub(super) fn cause(&self) -> String {
         let causes = self.causes.join(",");
         if causes.is_empty() { self.outcome.clone() } else { format!("{}: {causes}", self.outcome) }
@@ -176,7 +179,7 @@
 }
 
 impl CallerResult {
-    /// All of them, the best first.
+    /// All results, from best to worst.
     pub(super) const ALL: [Self; 6] =
         [Self::OnTime, Self::Late, Self::Refused, Self::Lost, Self::Left, Self::Denied];
 
--- a/crates/verbenaslip-cli/src/command/explain/tally.rs
+++ b/crates/verbenaslip-cli/src/command/explain/tally.rs
@@ -1,4 +1,4 @@
-//! Counts of what became of requests.
+//! Counts of requests by result.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use crate::command::columns::Columns;
 use crate::command::time;
 
-/// The most rows of causes that people are shown; scripts get all of them.
+/// The maximum number of cause rows in text output; JSON output has all of them.
 const MAX_SHOWN_CAUSES: usize = 40;
 
 /// Counts requests by cause and by second.
@@ -18,7 +18,7 @@
     seconds: BTreeMap<u64, BTreeMap<CallerResult, u64>>,
 }
 
-/// Names what is counted together.
+/// Identifies the requests that are counted together.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct CauseGroup {
     result: CallerResult,
@@ -79,7 +79,7 @@
         )
     }
 
-    /// Lists the causes, the most frequent first.
+    /// Returns the causes, most frequent first.
     fn by_count(&self) -> Vec<(&CauseGroup, u64)> {
         let mut rows: Vec<_> = self.causes.iter().map(|(cause, count)| (cause, *count)).collect();
         rows.sort_by_key(|(_, count)| std::cmp::Reverse(*count));
--- a/crates/verbenaslip-cli/src/command/status.rs
+++ b/crates/verbenaslip-cli/src/command/status.rs
@@ -14,10 +14,10 @@
 use crate::exit::Exit;
 use crate::terminal::Terminal;
 
-/// Stands for an availability zone that is not known.
+/// The text for an unknown availability zone.
 const UNKNOWN_ZONE: &str = "?";
 
-/// Shows what one instance knows of the deployment.
+/// Prints the status of the deployment as one instance reports it.
 pub(crate) fn run(client: &mut Client, terminal: &mut Terminal<'_>) -> Result<Exit, Error> {
     let reply = client.call(&Call::get("/v1/status"))?;
     let text = if terminal.wants_json() { reply.text()? } else { format_status(&reply.json()?) };
@@ -25,7 +25,7 @@
     Ok(Exit::Done)
 }
 
-/// Fetches the status.
+/// Fetches the status from an instance.
 pub(super) fn fetch(client: &mut Client) -> Result<Status, Error> {
     client.call(&Call::get("/v1/status"))?.json()
 }
@@ -73,7 +73,7 @@
     )
 }
 
-/// Shows leader and voters, which only voters know.
+/// Formats the leader and the voters, which only voters know.
 fn voters(status: &Status) -> String {
     let Some(log) = &status.log else {
         let follows = status.follows.as_ref().map_or("nobody", |instance| instance.as_str());
@@ -91,10 +91,10 @@
     section("voters", &lines.join("\n"))
 }
 
-/// Warns of each availability zone whose loss would take the quorum with it.
+/// Returns a warning that names each availability zone whose loss would lose the quorum.
 ///
-/// A voter replaced in the wrong availability zone works well until that zone is reclaimed; then
-/// nothing can be committed any more, which shows as V3004 on all instances at once.
+/// A voter in the wrong availability zone does no harm until that zone is reclaimed. After that
+/// nothing can be committed, and all instances log V3004 at once.
 pub(super) fn quorum_warning(status: &Status) -> Option<String> {
     let voters = status.log.as_ref()?.voters.iter().filter(|voter| voter.votes);
     let mut zones: BTreeMap<String, usize> = BTreeMap::new();
@@ -102,7 +102,7 @@
         *zones.entry(zone_of(&voter.instance, status)).or_default() += 1;
     }
     let count: usize = zones.values().sum();
-    // One voter alone can't be spread.
+    // Fewer than 3 voters cannot survive the loss of a zone in any placement.
     if count < 3 {
         return None;
     }
@@ -114,7 +114,7 @@
     (!names.is_empty()).then(|| format!("WARNING: losing {list} would lose the quorum"))
 }
 
-/// Returns an instance's availability zone.
+/// Returns the availability zone of an instance, or [`UNKNOWN_ZONE`].
 fn zone_of(instance: &Instance, status: &Status) -> String {
     if *instance == status.instance {
         return status.zone.to_string();
@@ -139,7 +139,7 @@
     [name, zone, vote.into(), behind, silent]
 }
 
-/// Shows who may still serve by an older table, which only the leader knows.
+/// Formats the instances that may still use an older table, which only the leader knows.
 fn outdated_instances(status: &Status) -> String {
     let text = match &status.behind {
         None => "not known here: ask the leader".to_owned(),
@@ -165,7 +165,7 @@
     section("instances", &columns.render("none known"))
 }
 
-/// Shows the work held here by row, and this instance's part of the row's limits.
+/// Formats the requests on this instance by table row, and its share of the row's limits.
 fn load_rows(load: &[Load]) -> String {
     let mut columns = Columns::new(&["team", "class", "waiting", "running", "at once", "a second"]);
     for row in load {
@@ -220,7 +220,7 @@
     format!("{} ms", time.as_millis())
 }
 
-/// Shows millionths of the currency unit.
+/// Formats a price, given in millionths of the currency unit, with two decimals.
 fn format_price(millionths: u64) -> String {
     format!("{}.{:02}", millionths / 1_000_000, millionths % 1_000_000 / 10_000)
 }
--- a/crates/verbenaslip-cli/src/command/table.rs
+++ b/crates/verbenaslip-cli/src/command/table.rs
@@ -10,7 +10,7 @@
 use crate::exit::Exit;
 use crate::terminal::Terminal;
 
-/// Does one command; `open` is called only by those that ask an instance.
+/// Runs one command; `open` is called only by commands that contact an instance.
 pub(crate) fn run(
     args: &Table,
     open: impl FnOnce() -> Result<Client, Error>,
--- a/crates/verbenaslip-cli/src/command/table/apply.rs
+++ b/crates/verbenaslip-cli/src/command/table/apply.rs
@@ -18,17 +18,17 @@
 use crate::exit::Exit;
 use crate::terminal::Terminal;
 
-/// How long the first call waits at the instance before it says whom it waits for.
+/// How long the instance may wait on the first call before it reports which instances it waits for.
 const FIRST_WAIT: Duration = Duration::from_secs(1);
-/// How long each later call waits; each is a resend, which the audit trail notes.
+/// How long the instance may wait on each later call; each one is recorded in the audit trail.
 const RESEND_WAIT: Duration = Duration::from_secs(8);
-/// How to find out after a lost answer.
+/// Advice to the operator after a lost answer.
 const LOST_ANSWER_HINT: &str =
     "\nRun the same command again: it is the same edit and is made once.";
-/// Statuses that say what became of the edit.
+/// HTTP statuses for an edit that was rejected: conflict and invalid table.
 const DECISION_STATUSES: &[u16] = &[409, 422];
 
-/// Puts a file in force.
+/// Applies a table file.
 pub(super) fn run(
     args: &Apply,
     client: &mut Client,
@@ -69,7 +69,7 @@
     report(args, &applied, terminal)
 }
 
-/// Holds what is sent, and sent again after a lost answer.
+/// Holds the content of the call, which is the same when it is sent again after a lost answer.
 struct Edit {
     id: Id,
     base: u64,
@@ -81,8 +81,8 @@
         let csv = table.to_csv();
         let id = match &args.edit {
             Some(id) => Id::new(id),
-            // The same file on the same base is the same edit, also from another terminal after
-            // the answer to the first was lost.
+            // The identifier depends only on base and content. After a lost answer, another run of
+            // the command therefore sends the same edit.
             None => {
                 Id::new(&format!("{:032x}", hash::wide(&[&base.to_le_bytes(), csv.as_bytes()])))
             }
@@ -91,7 +91,8 @@
         Ok(Self { id: id.ok_or_else(invalid_id)?, base, csv })
     }
 
-    /// Sends the edit until it is decided, and with `--wait` until it is in force or time is over.
+    /// Sends the edit until it is accepted or rejected, and with `--wait` until it is in force or
+    /// `end` is reached.
     fn send(
         &self,
         args: &Apply,
@@ -110,7 +111,7 @@
             thread::sleep(RETRY_PAUSE.min(end.saturating_duration_since(Instant::now())));
             match self.send_once(args, RESEND_WAIT, end, client) {
                 Ok(newer) => applied = newer,
-                // The edit is accepted and stays so; only whether it is in force is not known.
+                // The edit remains accepted; only whether it is in force is unknown.
                 Err(error) => {
                     terminal.remark(&error.to_string());
                     break;
@@ -120,7 +121,7 @@
         Ok(applied)
     }
 
-    /// Sends the edit once, or again where the answer was lost.
+    /// Makes one call with the edit, which the client sends again if the answer is lost.
     fn send_once(
         &self,
         args: &Apply,
@@ -166,7 +167,7 @@
     }
 }
 
-/// Says what became of the edit.
+/// Prints the result of the edit and returns the exit code.
 fn report(args: &Apply, applied: &Applied, terminal: &mut Terminal<'_>) -> Result<Exit, Error> {
     let Applied { revision, unchanged, in_force, waiting } = applied;
     let names = waiting.join(", ");
--- a/crates/verbenaslip-cli/src/command/table/file.rs
+++ b/crates/verbenaslip-cli/src/command/table/file.rs
@@ -1,4 +1,4 @@
-//! Table files and the revisions that they were made from.
+//! Table files and the `.base` files with the revisions that they are based on.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -7,7 +7,7 @@
 
 use crate::error::Error;
 
-/// Reads and checks a table file.
+/// Reads and validates a table file.
 pub(super) fn read(path: &Path) -> Result<Table, Error> {
     let bytes =
         fs::read(path).map_err(|error| file_error(path, format!("can't be read: {error}")))?;
@@ -15,7 +15,7 @@
         .map_err(|problems| Error::Table { file: path.display().to_string(), problems })
 }
 
-/// Writes a table file and beside it the revision that it holds.
+/// Writes a table file and its `.base` file with the revision.
 pub(super) fn write(path: &Path, text: &str, revision: u64) -> Result<(), Error> {
     let failed = |path: &Path| {
         let path = path.to_path_buf();
@@ -26,7 +26,7 @@
     fs::write(&base, format!("{revision}\n")).map_err(failed(&base))
 }
 
-/// Returns the revision that a file was made from; none if nothing says so.
+/// Returns the revision that a file is based on, or `None` if its `.base` file cannot be read.
 pub(super) fn base(path: &Path) -> Result<Option<u64>, Error> {
     let base = base_path(path);
     let Ok(text) = fs::read_to_string(&base) else { return Ok(None) };
@@ -36,7 +36,7 @@
     }
 }
 
-/// Notes that a file is now what a revision holds, if it was noted before.
+/// Updates the `.base` file to a new revision if it exists.
 pub(super) fn advance(path: &Path, revision: u64) -> Result<(), Error> {
     let base = base_path(path);
     if !base.exists() {
@@ -46,7 +46,7 @@
         .map_err(|error| file_error(&base, format!("can't be written: {error}")))
 }
 
-/// Returns `FILE.base` for `FILE`.
+/// Returns the path `FILE.base` for `FILE`.
 fn base_path(path: &Path) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
     name.push(".base");
--- a/crates/verbenaslip-cli/src/command/table/read.rs
+++ b/crates/verbenaslip-cli/src/command/table/read.rs
@@ -1,4 +1,4 @@
-//! Commands that change nothing.
+//! Commands that do not change the deployment's table.
 
 use serde_json::json;
 
@@ -15,14 +15,14 @@
 use crate::exit::Exit;
 use crate::terminal::Terminal;
 
-/// Holds a table and its revision.
+/// Holds a fetched table, its revision and its CSV text.
 pub(super) struct FetchedTable {
     pub(super) revision: u64,
     pub(super) table: Table,
     pub(super) text: String,
 }
 
-/// Fetches a revision, the newest if none is given.
+/// Fetches a revision of the table, or the newest if none is given.
 pub(super) fn fetch(client: &mut Client, revision: Option<u64>) -> Result<FetchedTable, Error> {
     let query = revision.map(|revision| format!("?revision={revision}")).unwrap_or_default();
     let reply = client.call(&Call::get(format!("/v1/table{query}")))?;
@@ -33,18 +33,18 @@
     Ok(FetchedTable { revision, table, text })
 }
 
-/// Says what the file would change, row by row.
+/// Returns the differences between two tables, row by row.
 pub(super) fn differences(old: &Table, new: &Table) -> Vec<Difference> {
     changes(old, new).iter().map(|change: &Change| change.difference(old)).collect()
 }
 
-/// Writes differences one a line.
+/// Formats differences, one per line.
 pub(super) fn format_differences(differences: &[Difference]) -> String {
     let lines: Vec<String> = differences.iter().map(Difference::to_string).collect();
     lines.join("\n")
 }
 
-/// Fetches the table and shows it or writes it to a file.
+/// Fetches the table and prints it or writes it to a file.
 pub(super) fn show(
     args: &Show,
     client: &mut Client,
@@ -65,7 +65,7 @@
     Ok(Exit::Done)
 }
 
-/// Checks a file.
+/// Validates a table file.
 pub(super) fn check(args: &Check, terminal: &mut Terminal<'_>) -> Result<Exit, Error> {
     let table = file::read(&args.file)?;
     let rows = table.rows().len();
@@ -74,7 +74,7 @@
     Ok(Exit::Done)
 }
 
-/// Compares a file with a revision.
+/// Compares a table file with a revision.
 pub(super) fn diff(
     args: &Diff,
     client: &mut Client,
@@ -93,7 +93,7 @@
     Ok(if differs { Exit::Refused } else { Exit::Done })
 }
 
-/// Lists the accepted edits.
+/// Prints the accepted edits.
 pub(super) fn history(client: &mut Client, terminal: &mut Terminal<'_>) -> Result<Exit, Error> {
     let reply = client.call(&Call::get("/v1/history"))?;
     if terminal.wants_json() {
--- a/crates/verbenaslip-cli/src/command/voters.rs
+++ b/crates/verbenaslip-cli/src/command/voters.rs
@@ -9,10 +9,10 @@
 use crate::exit::Exit;
 use crate::terminal::Terminal;
 
-/// How to find out after a lost answer.
+/// Advice to the operator after a lost answer.
 const LOST_ANSWER_HINT: &str = "\n`verbenaslip status` shows whether the voters have changed.";
 
-/// Orders the change and says when it is committed.
+/// Requests the change of the voter set and reports when it is committed.
 pub(crate) fn run(
     args: &Voters,
     client: &mut Client,
@@ -34,7 +34,7 @@
     let body = change.to_string().into_bytes();
     client.call(&Call::post("/v1/voters", body, LOST_ANSWER_HINT))?;
     terminal.result(&json!({ "committed": change }), &format!("committed: {text}"))?;
-    // The change is made whether or not its outcome can be looked at.
+    // The change is committed even if the status cannot be fetched.
     if let Some(warning) = status::fetch(client).ok().as_ref().and_then(status::quorum_warning) {
         terminal.remark(&warning);
     }
--- a/crates/verbenaslip-cli/src/daemon.rs
+++ b/crates/verbenaslip-cli/src/daemon.rs
@@ -1,7 +1,7 @@
-//! `verbenaslipd`: one instance as a process.
+//! `verbenaslipd`, the daemon that runs one instance.
 //!
-//! [`run`] reads the settings, starts the instance and waits for its end; [`check`] only looks for
-//! problems. Signals are taken from before the start, so that one that comes early stops it too.
+//! [`run`] reads the settings, starts the instance and waits for its end; [`check`] only validates.
+//! Signal handlers are installed before the start, so that an early signal stops the instance, too.
 
 mod check;
 
@@ -23,10 +23,10 @@
 
 pub use self::check::check;
 
-/// The name of the thread that owns the decisions.
+/// The name of the thread that runs the state machine.
 const CONTROL_THREAD: &str = "control";
 
-/// Does what the command line says and returns how the process ends.
+/// Runs the daemon as the command line says and returns its exit code.
 pub fn run(args: &Daemon) -> DaemonExit {
     if args.version {
         println!("verbenaslipd {}", env!("CARGO_PKG_VERSION"));
@@ -83,7 +83,7 @@
     }
 }
 
-/// Stops the instance at the first signal and the process at the second.
+/// Starts a thread that stops the instance at the first signal and exits the process at the second.
 fn handle_signals(mut signals: Signals, stopper: Stopper) -> io::Result<()> {
     let handle = move || {
         for (count, _) in signals.forever().enumerate() {
@@ -99,10 +99,10 @@
     Ok(())
 }
 
-/// Logs each panic, and ends the process when the control thread is lost.
+/// Installs a panic hook that logs each panic and ends the process if the control thread panics.
 ///
-/// Without its control thread an instance still takes connections and never answers, which shows as
-/// callers that wait for their deadlines; the platform restarts a process that has ended.
+/// Without its control thread an instance would accept connections and never answer, so callers
+/// would wait until their deadlines. The platform restarts a process that has ended.
 fn report_panics() {
     let previous = panic::take_hook();
     panic::set_hook(Box::new(move |info| {
@@ -116,7 +116,7 @@
     }));
 }
 
-/// Says why the instance did not start.
+/// Reports why the instance did not start and returns the exit code.
 fn report_server_error(settings: &Settings, error: &Error) -> DaemonExit {
     let cause = || error.to_string().into();
     let (event, stop) = match error {
@@ -145,7 +145,7 @@
     DaemonExit::NotStarted
 }
 
-/// Tells whoever started the daemon, and the log where that is another place.
+/// Prints an event to standard error, and also writes it to the log if the log goes to a folder.
 fn report(settings: &Settings, event: &Event) {
     if settings.log.folder.is_some() {
         event.log();
--- a/crates/verbenaslip-cli/src/daemon/check.rs
+++ b/crates/verbenaslip-cli/src/daemon/check.rs
@@ -1,4 +1,4 @@
-//! Looks for problems of the settings and of every file that they name.
+//! Validation of the settings and of every file that they name.
 
 use std::fmt;
 use std::path::Path;
@@ -8,14 +8,14 @@
 use verbenaslip::settings::Settings;
 use verbenaslip_table::Table;
 
-/// Lists what is wrong, one problem a line.
+/// Lists the problems found; they are printed one per line.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Findings {
     problems: Vec<String>,
 }
 
 impl Findings {
-    /// Returns each problem as the event that a daemon which does not start tells of.
+    /// Returns an event for each problem, to be printed by a daemon that cannot start.
     pub(super) fn events(&self) -> impl Iterator<Item = Event> {
         let problems = self.problems.iter().flat_map(|problem| problem.lines());
         problems.map(|problem| Event::SettingsRefused { problem: problem.into() })
@@ -30,11 +30,11 @@
 
 impl std::error::Error for Findings {}
 
-/// Reads the settings and looks at each file that they name; changes nothing.
+/// Reads the settings and validates each file that they name, without changing anything.
 ///
 /// # Errors
 ///
-/// Lists all problems of the settings or, if there are none, all of the files.
+/// Returns all problems of the settings or, if there are none, all problems of the files.
 pub fn check(path: &Path) -> Result<Settings, Findings> {
     let settings =
         Settings::read(path).map_err(|invalid| Findings { problems: vec![invalid.to_string()] })?;
@@ -66,10 +66,11 @@
         }
     }
 
-    /// Looks whether the data folder, or the one in which it will be made, can be one.
+    /// Checks that the data directory, or its nearest existing ancestor, is a directory.
     fn check_data_directory(&mut self, settings: &Settings) {
         let Some(path) = &settings.instance.data else { return };
-        // The last ancestor of a relative path is the empty one, which stands for this folder.
+        // The last ancestor of a relative path is the empty path, which means the current
+        // directory.
         let mut ancestors = path.ancestors().filter(|path| !path.as_os_str().is_empty());
         let existing = ancestors.find(|path| path.exists()).unwrap_or(Path::new("."));
         if !existing.is_dir() {
--- a/crates/verbenaslip-cli/src/error.rs
+++ b/crates/verbenaslip-cli/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with a command.
+//! Errors of the operators' commands.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 
 use crate::exit::Exit;
 
-/// Says why a command was not done, and where.
+/// Describes why a command failed and where.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Error {
     /// {0}
@@ -17,34 +17,34 @@
     File {
         /// The file.
         file: String,
-        /// What is wrong with it.
+        /// What is wrong with the file.
         cause: String,
     },
     /// {file}: {problems}
     Table {
         /// The file.
         file: String,
-        /// Everything that is wrong with it.
+        /// All problems of the table.
         problems: Problems,
     },
     /// {peer} refused it, nothing was changed: {message} {hint}
     Refused {
         /// The instance's `admin` address.
         peer: SocketAddr,
-        /// What it said.
+        /// The message of the instance.
         message: String,
-        /// What it advised.
+        /// The advice of the instance.
         hint: String,
     },
     /// conflict, nothing was changed: {by} made revision {newest} after base {base}; rows changed since: {differs}. Fetch the newest table with `verbenaslip table show --to FILE`, edit it and apply it again
     Conflict {
-        /// The revision from which the edit was made.
+        /// The revision that the edit is based on.
         base: u64,
         /// The newest revision.
         newest: u64,
-        /// Who made it.
+        /// The operator who made the newest revision.
         by: String,
-        /// The rows that changed in between.
+        /// The rows that changed after the base.
         differs: String,
     },
     /// no instance could do it, nothing was changed:{attempts}
@@ -56,14 +56,14 @@
     Unknown {
         /// Each address, step and cause.
         attempts: Attempts,
-        /// How to find out.
+        /// Advice on what to do next.
         hint: &'static str,
     },
     /// {peer} gave an answer that is not understood: {cause}
     Answer {
         /// The instance's `admin` address.
         peer: SocketAddr,
-        /// What is wrong with it.
+        /// What is wrong with the answer.
         cause: String,
     },
     /// the output can't be written: {0}
@@ -71,7 +71,7 @@
 }
 
 impl Error {
-    /// Returns the exit code that goes with it.
+    /// Returns the exit code for the error.
     pub fn exit(&self) -> Exit {
         match self {
             Self::Usage(_) => Exit::Usage,
@@ -91,7 +91,7 @@
     }
 }
 
-/// Lists what was tried in vain.
+/// Lists the failed attempts of a call.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Attempts(pub Vec<Attempt>);
 
@@ -101,19 +101,19 @@
     }
 }
 
-/// Tells of one try at one instance.
+/// Describes one failed attempt at one instance.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[displaydoc("{peer}: {step}: {cause}")]
 pub struct Attempt {
     /// The instance's `admin` address.
     pub peer: SocketAddr,
-    /// How far it came.
+    /// The step that failed.
     pub step: Step,
-    /// What was noticed.
+    /// The cause of the failure.
     pub cause: String,
 }
 
-/// Names the steps of a call.
+/// Identifies a step of a call.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Step {
     /// connect
--- a/crates/verbenaslip-cli/src/exit.rs
+++ b/crates/verbenaslip-cli/src/exit.rs
@@ -1,23 +1,23 @@
-//! How a process ends.
+//! Exit codes.
 
 use std::process::ExitCode;
 
-/// Lists the exit codes of both programs.
+/// Lists the exit codes of the operators' command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// It is done.
+    /// The command succeeded.
     Done = 0,
-    /// The instance refused it, or another edit came first; nothing was changed.
+    /// The instance refused the call, or another edit was made first; nothing was changed.
     Refused = 1,
-    /// The command line was not understood; nothing was tried.
+    /// The command line is invalid; nothing was attempted.
     Usage = 2,
-    /// A file that was given has a problem; nothing was changed.
+    /// A given file is invalid; nothing was changed.
     Input = 3,
-    /// No instance could be reached or had a quorum; nothing was changed.
+    /// No instance was reachable and had a quorum; nothing was changed.
     Unreachable = 4,
-    /// The answer was lost: the change may have been made.
+    /// The answer was lost, so the change may have been made.
     Unknown = 5,
-    /// The edit is accepted, but was not in force everywhere in time.
+    /// The edit was accepted, but did not take force on all instances before the timeout.
     NotInForce = 6,
 }
 
@@ -27,22 +27,22 @@
     }
 }
 
-/// Lists how a daemon ends.
+/// Lists the exit codes of the daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DaemonExit {
-    /// Stopped gracefully, or the check found nothing.
+    /// The daemon stopped gracefully, or the check found no problem.
     Graceful = 0,
-    /// The drain time was over with requests in progress.
+    /// The drain timeout expired with requests in progress.
     TimedOut = 1,
-    /// The command line was not understood.
+    /// The command line is invalid.
     Usage = 2,
-    /// The settings, or a file that they name, have a problem; it did not start.
+    /// The settings or a file that they name are invalid; the daemon did not start.
     Settings = 3,
-    /// It could not start: an address is taken or the data folder can't be used.
+    /// The daemon could not start: an address is in use or the data directory is unusable.
     NotStarted = 4,
-    /// Stopped at once by a second signal, with requests in progress.
+    /// A second signal stopped the daemon at once, with requests in progress.
     AtOnce = 5,
-    /// Stopped by a fault: of the program, or of the disk.
+    /// The daemon stopped because of a program or disk failure.
     Fault = 6,
 }
 
--- a/crates/verbenaslip-cli/src/lib.rs
+++ b/crates/verbenaslip-cli/src/lib.rs
@@ -1,9 +1,10 @@
-//! The daemon and the operators' command.
+//! The daemon and the operators' command-line program.
 //!
-//! [`args`] says what can be typed. [`run`] does one command of `verbenaslip`: each lives in
-//! [`command`], speaks with instances through [`client::Client`], reads their [`answer`]s and
-//! writes to the [`terminal::Terminal`]. What goes wrong is an [`error::Error`], which knows its
-//! [`exit::Exit`] code. [`daemon`] is `verbenaslipd`.
+//! [`args`] defines the command lines. [`run`] executes one command of `verbenaslip`. The modules
+//! of
+//! [`command`] implement the commands: they call instances through [`client::Client`], parse their
+//! [`answer`]s and write to the [`terminal::Terminal`]. Each [`error::Error`] has an [`exit::Exit`]
+//! code. [`daemon`] implements `verbenaslipd`.
 
 pub mod answer;
 pub mod args;
@@ -20,7 +21,7 @@
 use crate::exit::Exit;
 use crate::terminal::Terminal;
 
-/// Does one command and returns how the process ends; errors are written to the terminal.
+/// Runs one command, prints any error to the terminal and returns the exit code.
 pub fn run(args: &Operator, terminal: &mut Terminal<'_>) -> Exit {
     match dispatch(args, terminal) {
         Ok(exit) => exit,
--- a/crates/verbenaslip-cli/src/terminal.rs
+++ b/crates/verbenaslip-cli/src/terminal.rs
@@ -1,4 +1,4 @@
-//! Where a command writes.
+//! Output of commands.
 
 use std::io::{self, Write};
 
@@ -6,7 +6,7 @@
 
 use crate::error::Error;
 
-/// Takes results on one stream and remarks on the other.
+/// Writes results to one stream, remarks and errors to another.
 pub struct Terminal<'a> {
     out: &'a mut dyn Write,
     remarks: &'a mut dyn Write,
@@ -14,22 +14,23 @@
 }
 
 impl<'a> Terminal<'a> {
-    /// Writes results to `out` and remarks to `remarks`; with `json` results are one JSON object.
+    /// Creates a terminal that writes results to `out` and remarks to `remarks`, as JSON if `json`
+    /// is set.
     pub fn new(out: &'a mut dyn Write, remarks: &'a mut dyn Write, json: bool) -> Self {
         Self { out, remarks, json }
     }
 
-    /// Tells whether results are wanted as JSON.
+    /// Returns whether results are to be written as JSON.
     pub(crate) fn wants_json(&self) -> bool {
         self.json
     }
 
-    /// Writes a result for people, as is.
+    /// Writes a result unchanged.
     pub(crate) fn text(&mut self, text: &str) -> io::Result<()> {
         self.out.write_all(text.as_bytes())
     }
 
-    /// Writes a result: the object for scripts, or the text and a line end for people.
+    /// Writes a line with the result: the object in JSON mode, otherwise the text.
     pub(crate) fn result(&mut self, object: &Value, text: &str) -> io::Result<()> {
         if self.json {
             return writeln!(self.out, "{object}");
@@ -37,13 +38,13 @@
         writeln!(self.out, "{text}")
     }
 
-    /// Writes what people may want to know meanwhile; it is no part of the result.
+    /// Writes a remark, such as progress, that is not part of the result.
     pub(crate) fn remark(&mut self, text: &str) {
-        // A remark that can't be written must not end a command whose result can.
+        // A failure to write a remark must not fail the command.
         let _ = writeln!(self.remarks, "{text}");
     }
 
-    /// Writes why a command was not done.
+    /// Writes the error of a failed command.
     pub(crate) fn report_error(&mut self, error: &Error) {
         let exit = error.exit() as u8;
         let text = if self.json {
