--- a/crates/verbenaslip-cli/tests/daemon.rs
+++ b/crates/verbenaslip-cli/tests/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon as a process: its check, its start, its stop, and the operators' command against it.
+//! The daemon as a process: check, start, stop, and the operators' command used against it.
 
 mod instance;
 
@@ -22,9 +22,9 @@
     text.replace(&folder.display().to_string(), "SITE")
 }
 
-/// Symptom: a daemon starts on settings that others can read, or stops at each slip in turn.
-/// Sequence: an operator checks settings whose files have problems. Cause: only the settings file
-/// itself is looked at, or only its first problem is told.
+/// Guards against a daemon that starts with key files that other users can read, or that reports
+/// only one problem at a time. This happens if a check covers only the settings file itself, or
+/// stops at its first problem.
 #[test]
 fn check_lists_the_problems_of_all_files() {
     let instance = TestInstance::new("check");
@@ -41,11 +41,12 @@
     insta::assert_snapshot!([valid, files, settings].join("\n"));
 }
 
-/// Symptom: good settings are refused because their data folder is no folder. Sequence: the check
-/// runs in the folder of the settings, and the path given is a bare file name. Cause: the folder of
-/// a bare name is the empty path, which does not exist.
+/// Guards against valid settings being rejected when `--settings` is a bare file name in the
+/// current
+/// directory. The parent of a bare file name is the empty path, which does not exist, so the data
+/// directory seems not to be a directory.
 #[test]
-fn check_takes_a_settings_file_beside_it() {
+fn check_accepts_a_bare_settings_file_name() {
     let instance = TestInstance::new("beside");
     let mut command = Command::new(env!("CARGO_BIN_EXE_verbenaslipd"));
     command.args(["--settings", "entry-1.ini", "--check"]).current_dir(&instance.folder);
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn daemon_without_a_good_start_says_why() {
+fn failed_start_reports_its_cause() {
     let instance = TestInstance::new("start");
     let taken = TcpListener::bind(instance.admin).expect("the address was free");
     let output = instance.daemon().output().expect("the daemon runs");
@@ -83,9 +84,8 @@
     }
 }
 
-/// Symptom: an edit that an operator was told of is gone after a restart. Sequence: the table is
-/// applied, the daemon is stopped by a signal and started again. Cause: what was accepted was not
-/// on the disk.
+/// Guards against an accepted edit that is lost when the daemon is stopped by a signal and started
+/// again, because the edit was not durable.
 #[test]
 fn table_is_applied_and_survives_a_planned_stop() {
     let instance = TestInstance::new("life");
@@ -131,17 +131,20 @@
     assert_eq!(daemon.wait(), DaemonExit::Graceful as i32, "{}", instance.log());
 }
 
-/// Symptom: the alarm for a damaged disk never fires. Sequence: a voter has run, its files are
-/// overwritten, it is started again. Cause: a damaged folder is told of like any other failed start.
+/// Guards against an alarm for a damaged disk that never fires, because a voter whose files were
+/// overwritten reports the damage like any other failed start.
 #[test]
-fn damaged_folder_is_told_of_by_its_own_event() {
+fn damaged_data_directory_has_its_own_event() {
     let instance = TestInstance::new("damage");
     let mut daemon = instance.start();
     instance.await_ready();
     daemon.signal("TERM");
     assert_eq!(daemon.wait(), DaemonExit::Graceful as i32);
     assert!(instance.log().contains(" V1003 "), "{}", instance.log());
-    assert!(!instance.log().contains(" V3017 "), "a founder's new folder is no news");
+    assert!(
+        !instance.log().contains(" V3017 "),
+        "the new data directory of a founding voter is not reported"
+    );
 
     let started = instance.start();
     instance.await_ready();
@@ -159,13 +162,13 @@
     assert!(text.contains("verbenaslipd: V3012 "), "{text}");
 }
 
-/// A plain service that keeps each request until it is told to answer.
+/// Holds the open connections of a test service, which answers only when the test writes to them.
 struct Service {
     held: Receiver<TcpStream>,
 }
 
 impl Service {
-    /// Listens, and announces itself to an instance as long as the test runs.
+    /// Starts a service that announces itself to an instance every 300 ms while the test runs.
     fn spawn(admin: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let address = listener.local_addr().expect("a bound listener has an address");
@@ -180,7 +183,7 @@
         Self { held }
     }
 
-    /// Waits for a request.
+    /// Waits for a request and returns its connection.
     fn take(&self) -> TcpStream {
         self.held.recv_timeout(STEP_TIMEOUT).expect("a request reaches the service")
     }
@@ -207,7 +210,7 @@
     let _ = exchange(admin, head, &body);
 }
 
-/// Sends a request until the instance takes it, and passes its answer on.
+/// Sends a request again while the answer is 503, and passes the final answer to the channel.
 fn call(instance: &TestInstance, answers: Sender<String>) {
     let callers = instance.callers;
     thread::spawn(move || {
@@ -225,7 +228,7 @@
     });
 }
 
-/// Two instances, one of which runs a request at a service that holds it.
+/// Holds two instances, one of which has a request in progress at a test service.
 struct InstanceWithRequest {
     instance: TestInstance,
     daemon: Process,
@@ -251,7 +254,8 @@
         Self { instance, daemon, _other: process, service, held, answers }
     }
 
-    /// Sends a signal and waits until the instance is stopping, with its request in progress.
+    /// Sends a signal, waits until the instance is stopping and asserts that its request is in
+    /// progress.
     fn signal(&self, name: &str) {
         self.daemon.signal(name);
         let end = Instant::now() + STEP_TIMEOUT;
@@ -263,12 +267,12 @@
     }
 }
 
-/// Symptom: a caller's connection is cut off when its instance is replaced, and the service runs the
-/// request twice. Sequence: a request is in progress when the platform sends its signal; its answer
-/// comes only afterwards. Cause: a stop that does not wait for what it has accepted, or a second
-/// holder that takes a leaving owner for one that has left.
+/// Guards against a planned stop that closes a caller's connection or makes the service run the
+/// request twice. The signal arrives while the request is in progress, before its answer. The fault
+/// occurs if the stop does not wait for accepted requests, or if the second holder treats a leaving
+/// owner as one that has left.
 #[test]
-fn planned_stop_cuts_off_no_request_in_progress() {
+fn planned_stop_completes_requests_in_progress() {
     let mut running = InstanceWithRequest::start("graceful");
     running.signal("TERM");
     let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nchecked";
--- a/crates/verbenaslip-cli/tests/explain.rs
+++ b/crates/verbenaslip-cli/tests/explain.rs
@@ -1,4 +1,4 @@
-//! What the operators' command says of log lines.
+//! `verbenaslip explain` on log files.
 
 use std::fs;
 use std::path::PathBuf;
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn scripts_get_all_counts() {
+fn json_output_contains_all_counts() {
     let (_, out, _) = run_explain("json", &["--json", "explain", "ONE", "TWO"]);
     let object: serde_json::Value = serde_json::from_str(&out).expect("JSON");
     let causes = object["causes"].as_array().expect("a list");
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn what_can_not_be_told_is_said() {
+fn missing_requests_and_files_are_reported() {
     let (exit, _, remarks) = run_explain("unknown", &["explain", "--id", "zz", "ONE"]);
     assert_eq!(exit, 2);
     assert_eq!(remarks, "verbenaslip: no line of these files mentions the request zz\n");
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_request_that_is_held_back_is_led_back_to_the_upstreams_that_ended() {
+fn quarantined_request_is_traced_to_crashed_upstreams() {
     let logs = r#"{"at":1783618628100,"event":936,"what":"upstream_broke_off","upstream":"i-1","ended":true,"count":2,"ids":["b1","g7"],"contents":["0c","0d"]}
 {"at":1783618628200,"event":936,"what":"upstream_broke_off","upstream":"i-2","ended":true,"count":1,"ids":["g8"],"contents":["0d"]}
 {"at":1783618628500,"event":936,"what":"upstream_broke_off","upstream":"i-3","ended":true,"count":1,"ids":["b2"],"contents":["0c"]}
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_request_that_is_refused_for_limits_is_led_back_to_the_upstreams_that_named_them() {
+fn limited_request_is_traced_to_upstreams_that_set_limits() {
     let entry = r#"{"at":1783618528100,"event":943,"what":"upstream_limit","upstream":"i-0","per_second":9.0,"source":"leader"}
 {"at":1783618628100,"event":943,"what":"upstream_limit","upstream":"i-1","per_second":1.0,"source":"answer","id":"c1"}
 {"at":1783618628300,"event":945,"what":"upstream_rest","upstream":"i-2","rest_ms":3000,"id":"c2"}
@@ -113,7 +113,7 @@
     assert_eq!(out.lines().count(), 3, "{out}");
 }
 
-/// Returns what is said of one request by these files.
+/// Returns the output of `explain --id` for one request on the given log files.
 fn explain_request(name: &str, id: &str, logs: &[(&str, &str)]) -> String {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("explain").join(name);
     fs::create_dir_all(&folder).expect("the folder can be made");
--- a/crates/verbenaslip-cli/tests/help.rs
+++ b/crates/verbenaslip-cli/tests/help.rs
@@ -1,8 +1,8 @@
-//! The help texts and what a wrong command line is answered.
+//! Help texts and errors for invalid command lines.
 
 use std::process::Command;
 
-/// Runs a program with an empty environment and shows what it says.
+/// Runs a program with an empty environment and returns its output and exit code.
 fn run_program(program: &str, words: &[&str]) -> String {
     let output = Command::new(program).args(words).env_clear().output().expect("it runs");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
--- a/crates/verbenaslip-cli/tests/instance/mod.rs
+++ b/crates/verbenaslip-cli/tests/instance/mod.rs
@@ -1,4 +1,4 @@
-//! Instances as processes, each in a folder with all its files.
+//! Test instances that run as processes, each with its files in its own folder.
 
 use std::fs::{self, Permissions};
 use std::io::{Read, Write};
@@ -11,10 +11,10 @@
 
 use verbenaslip_lab::port;
 
-/// The longest that any step may take on a busy machine.
+/// The timeout of each step, long enough for a busy machine.
 pub const STEP_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A folder with the files of one instance that is its own only voter.
+/// Holds the folder and the addresses of one test instance.
 pub struct TestInstance {
     pub folder: PathBuf,
     pub callers: SocketAddr,
@@ -23,7 +23,7 @@
 }
 
 impl TestInstance {
-    /// Makes an instance that is its own only voter.
+    /// Creates the files of an instance that is the only voter of its cluster.
     pub fn new(name: &str) -> Self {
         let instance = Self::empty(name);
         let peers = instance.peers;
@@ -34,7 +34,7 @@
         instance
     }
 
-    /// Makes an instance of another availability zone that joins through this one.
+    /// Creates the files of an instance in another availability zone that joins through this one.
     pub fn follower(&self, name: &str) -> Self {
         let instance = Self::empty(name);
         let cluster = format!("seeds = {}\n", self.peers);
@@ -84,7 +84,7 @@
         self.folder.join(name).display().to_string()
     }
 
-    /// Replaces a text in the settings.
+    /// Replaces a text in the settings file.
     pub fn edit(&self, from: &str, to: &str) {
         let text = fs::read_to_string(self.folder.join("entry-1.ini")).expect("it can be read");
         assert!(text.contains(from), "the settings hold `{from}`");
@@ -111,7 +111,7 @@
         fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
 
-    /// Runs the operators' command.
+    /// Runs the operators' command and returns its exit code and output.
     pub fn operator(&self, words: &[&str]) -> (i32, String) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_verbenaslip"));
         command.env_clear().args(["--admin", &self.admin.to_string()]);
@@ -122,7 +122,8 @@
         (code, text(&output.stdout) + &text(&output.stderr))
     }
 
-    /// Asks a path of `admin` and returns the status, 0 without an answer.
+    /// Requests a path at the `admin` address and returns the HTTP status, or 0 if there is no
+    /// answer.
     pub fn status(&self, path: &str) -> u16 {
         get(self.admin, path).unwrap_or_default()
     }
@@ -136,7 +137,7 @@
     }
 }
 
-/// A running daemon, which is ended with the test.
+/// Holds a running daemon, which is killed when the test ends.
 pub struct Process {
     child: Child,
 }
@@ -148,7 +149,7 @@
         assert!(done.success(), "the process takes signals");
     }
 
-    /// Returns the exit code.
+    /// Waits for the process to end and returns its exit code.
     pub fn wait(&mut self) -> i32 {
         let end = Instant::now() + STEP_TIMEOUT;
         loop {
@@ -168,17 +169,17 @@
     }
 }
 
-/// Returns addresses whose ports nobody else is given.
+/// Returns addresses with ports that are reserved for this test.
 pub fn free_addresses() -> [SocketAddr; 3] {
     [(); 3].map(|()| port::free().expect("a free port"))
 }
 
-/// Asks for a path and returns the answer's status.
+/// Requests a path and returns the HTTP status.
 fn get(address: SocketAddr, path: &str) -> Option<u16> {
     status(&exchange(address, &format!("GET {path} HTTP/1.1\r\n"), "")?)
 }
 
-/// Sends a request and returns the whole answer; none if it did not come.
+/// Sends a request and returns the complete answer, or `None` if it did not arrive.
 pub fn exchange(address: SocketAddr, head: &str, body: &str) -> Option<String> {
     let mut stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(STEP_TIMEOUT)).ok()?;
@@ -190,7 +191,7 @@
     Some(answer)
 }
 
-/// Returns the status of an answer.
+/// Parses the HTTP status of an answer.
 pub fn status(answer: &str) -> Option<u16> {
     answer.split(' ').nth(1)?.parse().ok()
 }
--- a/crates/verbenaslip-cli/tests/operator.rs
+++ b/crates/verbenaslip-cli/tests/operator.rs
@@ -32,7 +32,7 @@
 const REUSED: &str = r#"{"error":{"message":"The edit id was used for other changes.","type":"invalid_request_error","code":"state","hint":"Draw a new one."}}"#;
 const WRONG_KEY: &str = r#"{"error":{"message":"The bearer key is missing or not the one needed here.","type":"invalid_request_error","code":"key","hint":"Send an operator's key."}}"#;
 
-/// What a command did.
+/// Holds the exit code and the output of a command.
 struct CommandOutput {
     exit: Exit,
     out: String,
@@ -40,7 +40,8 @@
 }
 
 impl CommandOutput {
-    /// Shows exit code and both streams, without what differs from run to run.
+    /// Formats the exit code and both streams, and replaces values that differ between runs by
+    /// names.
     fn normalized(&self, names: &[(String, &str)]) -> String {
         let mut text =
             format!("exit {}\n--- out\n{}--- remarks\n{}", self.exit as u8, self.out, self.remarks);
@@ -51,14 +52,14 @@
     }
 }
 
-/// Returns a file of this test program.
+/// Returns the path of a file in the folder of this test program.
 fn path(name: &str) -> PathBuf {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("operator");
     fs::create_dir_all(&folder).expect("the folder can be made");
     folder.join(name)
 }
 
-/// Returns the good key, written once, since the tests run beside each other.
+/// Returns the path of a valid key file, written only once because tests run in parallel.
 fn good_key() -> &'static str {
     static KEY: OnceLock<String> = OnceLock::new();
     KEY.get_or_init(|| key_file(0o600).display().to_string())
@@ -71,7 +72,7 @@
     path
 }
 
-/// Runs one command line at the given instances.
+/// Runs a command against the given instances.
 fn run_at(admins: &[SocketAddr], words: &[&str]) -> CommandOutput {
     let admins: Vec<String> = admins.iter().map(SocketAddr::to_string).collect();
     let admins = admins.join(",");
@@ -93,7 +94,7 @@
     Table::new([owners, Row::new("charterers", "*")]).expect("the rows are allowed")
 }
 
-/// Writes a table file without a note of its base and returns its path.
+/// Writes a table file without a `.base` file and returns its path.
 fn write_table(name: &str, table: &Table) -> String {
     let path = path(name);
     fs::write(&path, table.to_csv()).expect("the table can be written");
@@ -101,7 +102,7 @@
     path.display().to_string()
 }
 
-/// Returns the identity of the edit in a request.
+/// Returns the edit identifier in a request.
 fn edit_id(request: &str) -> &str {
     let (_, rest) = request.split_once("edit=").expect("the request names an edit");
     rest.split(['&', ' ']).next().expect("the identity ends")
@@ -119,11 +120,13 @@
     insta::assert_snapshot!(done.normalized(&[(id, "ID")]));
 }
 
-/// Symptom: an edit is made twice, or a command says "conflict" with its own edit. Sequence: the
-/// instance commits the edit and dies before it answers; the command asks the next instance, or the
-/// operator runs it again. Cause: a new identity for each try.
+/// Guards against an edit that is made twice, or that conflicts with itself. An instance commits
+/// the
+/// edit and ends before it answers; the command then calls the next instance, or the operator runs
+/// it
+/// again. The fault occurs if each attempt has a new edit identifier.
 #[test]
-fn lost_answer_is_asked_for_again_under_the_same_identity() {
+fn edit_is_sent_again_with_the_same_id_after_a_lost_answer() {
     let tables = || table(5, &rows(100).to_csv());
     let cases = [
         ("closed without an answer", Step::Disconnect),
@@ -160,9 +163,10 @@
     assert_eq!(identities.len(), 3);
 }
 
-/// Symptom: a script that reads "nothing was changed" makes the change a second way, or one that
-/// reads "unknown" never ends. Sequence: instances fail at each step of an apply. Cause: failures
-/// before and after the request was sent are told alike.
+/// Guards against failures before and after the request was sent being reported alike, when
+/// instances
+/// fail at each step of an apply. A script that reads "nothing was changed" would make the change
+/// again in another way, and one that reads "unknown" would never end.
 #[test]
 fn each_failure_of_apply_says_what_is_known() {
     let newest = || table(5, &rows(100).to_csv());
@@ -196,14 +200,14 @@
 }
 
 #[test]
-fn without_quorum_not_run_is_told_as_nothing_changed() {
+fn missing_quorum_is_reported_as_nothing_changed() {
     let steps: Vec<Step> = vec![json(503, NO_QUORUM_NOT_RUN); 100];
     let newest = table(5, &rows(100).to_csv());
     let instance = ScriptedInstance::spawn([vec![newest], steps].concat());
     let file = write_table("quorum.csv", &rows(300));
     let done = run_at(&[instance.address], &["table", "apply", &file, "--timeout", "700ms"]);
     assert_eq!(done.exit, Exit::Unreachable, "{}", done.remarks);
-    assert!(instance.requests().len() > 2, "it is tried until the time is over");
+    assert!(instance.requests().len() > 2, "the call is sent again until the timeout");
 }
 
 #[test]
@@ -214,9 +218,8 @@
     insta::assert_snapshot!(done.normalized(&names));
 }
 
-/// Symptom: two voters are added where one was wanted. Sequence: the answer to a change of the
-/// voters is lost and the command asks the next instance. Cause: a change that is not the same when
-/// made twice is sent again.
+/// Guards against two voters being added instead of one. The answer to a change of the voter set is
+/// lost, and the command sends the change, which is not idempotent, to the next instance.
 #[test]
 fn lost_change_of_voters_is_not_sent_again() {
     let (first, second) =
@@ -230,11 +233,11 @@
     insta::assert_snapshot!(format!("{}\n{}", first.requests()[0], done.normalized(&names)));
 }
 
-/// Symptom: the loss of one availability zone stops all edits. Sequence: a voter is replaced by an
-/// instance in an availability zone that has one already, and that zone is reclaimed. Cause: nobody
-/// told the operator that two of three voters share it.
+/// Guards against the loss of one availability zone stopping all edits. A voter is replaced by an
+/// instance in a zone that already has a voter, the operator is not warned that two of three voters
+/// share the zone, and the zone is reclaimed.
 #[test]
-fn voters_that_share_a_zone_are_warned_of() {
+fn voters_sharing_a_zone_cause_a_warning() {
     let mut shared = status(true);
     let voters = &mut shared.log.as_mut().expect("it is a voter's").voters;
     voters.retain(|progress| progress.instance.as_str() != "entry-2");
@@ -300,11 +303,13 @@
     insta::assert_snapshot!(done.normalized(&[(edit_id(&seen[1]).to_owned(), "ID")]));
 }
 
-/// Symptom: `apply --wait` says that an accepted edit may or may not have been made, or floods the
-/// instance with calls. Sequence: the edit is accepted, then the instance answers at once that it
-/// waits, or does not answer any more, until the time is over. Cause: the last answer counts alone.
+/// Guards against `apply --wait` reporting an accepted edit as unknown, or flooding the instance
+/// with
+/// calls. After the edit is accepted, the instance either answers at once that it is still waiting
+/// or
+/// stops answering until the timeout. The fault occurs if only the last answer counts.
 #[test]
-fn accepted_edit_stays_accepted_when_the_wait_ends_badly() {
+fn accepted_edit_stays_accepted_when_the_wait_fails() {
     let body = r#"{"revision":6,"unchanged":false,"in_force":false,"waiting":["entry-2"]}"#;
     let file = write_table("late.csv", &rows(300));
     let newest = table(5, &rows(100).to_csv());
@@ -321,9 +326,9 @@
     }
 }
 
-/// Symptom: an operator's apply silently takes back a colleague's edit. Sequence: both fetch
-/// revision 5, one applies, the other applies an hour later. Cause: the base is taken to be the
-/// newest revision when it is applied, not the one that was fetched.
+/// Guards against an apply that silently reverts another operator's edit. Both operators fetch
+/// revision 5, and one applies an hour after the other. The fault occurs if the base is the newest
+/// revision at the time of the apply instead of the fetched one.
 #[test]
 fn base_is_the_revision_that_was_fetched() {
     let file = write_table("fetched.csv", &rows(100));
@@ -341,7 +346,7 @@
 }
 
 #[test]
-fn base_of_a_file_goes_on_with_its_edits() {
+fn base_file_is_updated_by_an_edit() {
     let file = write_table("advanced.csv", &rows(300));
     fs::write(format!("{file}.base"), "5\n").expect("the base can be written");
     let instance = ScriptedInstance::spawn([table(5, &rows(100).to_csv()), json(200, ACCEPTED)]);
@@ -375,7 +380,7 @@
 }
 
 #[test]
-fn faults_that_an_instance_finds_are_listed() {
+fn problems_found_by_an_instance_are_listed() {
     let body = r#"{"error":{"message":"m","type":"invalid_request_error","code":"table","hint":"h"},"problems":[{"row":2,"column":"weight","value":"0","allowed":"a whole number from 1 to 1000"}]}"#;
     let instance = ScriptedInstance::spawn([table(5, &rows(100).to_csv()), json(422, body)]);
     let file = write_table("faulty.csv", &rows(300));
@@ -420,7 +425,7 @@
     insta::assert_snapshot!(format!("{}\n{shown}", paths.join("\n")));
 }
 
-/// Returns what a leader or a follower answers.
+/// Returns the status that a leader or a follower reports.
 fn status(leads: bool) -> Status {
     let progress = |name: &str, matched, silent: Option<u64>| Voter {
         instance: name.into(),
@@ -519,11 +524,15 @@
     insta::assert_snapshot!(shown.join("\n"));
     let instance = ScriptedInstance::spawn([json(200, &text(true))]);
     let script = run_at(&[instance.address], &["--json", "status"]);
-    assert_eq!(script.out.trim_end(), text(true), "scripts get what the instance says, as it is");
+    assert_eq!(
+        script.out.trim_end(),
+        text(true),
+        "JSON output is the unchanged answer of the instance"
+    );
 }
 
 #[test]
-fn drain_waits_until_the_others_say_that_it_has_left() {
+fn drain_waits_until_another_instance_reports_departure() {
     let seen = |state| {
         let peers = vec![Peer { instance: "entry-2".into(), zone: "skarvik".into(), state }];
         let status = Status { peers, ..status(false) };
@@ -537,9 +546,10 @@
     assert!(instance.requests()[0].ends_with(r#"{"instance":"entry-2"}"#));
 }
 
-/// Symptom: a key is read by another user, or stands in a terminal's history or a log. Sequence:
-/// the key file has the usual mode, or something goes wrong with it. Cause: nobody looked at the
-/// mode, or an error shows what it could not use.
+/// Guards against a key that another user can read, or that appears in terminal output or a log.
+/// The
+/// key file has the default mode, or its content is invalid. The fault occurs if the mode is not
+/// checked, or if an error message contains the invalid key.
 #[test]
 fn key_file_must_be_private_and_is_never_shown() {
     let admin = unused_address().to_string();
--- a/crates/verbenaslip-cli/tests/scripted/mod.rs
+++ b/crates/verbenaslip-cli/tests/scripted/mod.rs
@@ -1,27 +1,27 @@
-//! A scripted instance on loopback: answers what it is told and remembers what it was asked.
+//! A scripted instance on the loopback interface that gives fixed answers and records its requests.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// What the stand-in does with one request.
+/// Defines what the scripted instance does with one request.
 #[derive(Clone)]
 pub enum Step {
-    /// Answers with status, headers and body.
+    /// Answers with the given status, headers and body.
     Answer(u16, &'static str, String),
     /// Reads the request and closes the connection.
     Disconnect,
-    /// Answers a head that promises more than comes.
+    /// Sends a head whose content length is larger than the body sent.
     TruncatedBody,
 }
 
-/// Answers with JSON.
+/// Returns a step that answers with JSON.
 pub fn json(status: u16, body: &str) -> Step {
     Step::Answer(status, "", body.to_owned())
 }
 
-/// Answers with a table.
+/// Returns a step that answers with a table.
 pub fn table(revision: u64, csv: &str) -> Step {
     let headers = match revision {
         4 => "Verbenaslip-Revision: 4\r\n",
@@ -31,14 +31,14 @@
     Step::Answer(200, headers, csv.to_owned())
 }
 
-/// One scripted instance.
+/// Runs as a scripted instance in a thread.
 pub struct ScriptedInstance {
     pub address: SocketAddr,
     requests: Arc<Mutex<Vec<String>>>,
 }
 
 impl ScriptedInstance {
-    /// Listens and takes the steps in order; beyond the last it hangs up.
+    /// Starts an instance that executes one step per request; after the last step it disconnects.
     pub fn spawn(steps: impl Into<Vec<Step>>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
         let address = listener.local_addr().expect("a bound listener has an address");
@@ -54,19 +54,19 @@
         Self { address, requests }
     }
 
-    /// Returns method, path and body of each request.
+    /// Returns method, path, key state and body of each request.
     pub fn requests(&self) -> Vec<String> {
         self.requests.lock().expect("no test panics with the lock").clone()
     }
 }
 
-/// Returns an address at which nothing listens.
+/// Returns an address on which nothing listens.
 pub fn unused_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
     listener.local_addr().expect("a bound listener has an address")
 }
 
-/// Reads one request; none for a connection that sends nothing.
+/// Reads one request, or returns `None` if the connection sends nothing.
 fn read(stream: &TcpStream) -> Option<String> {
     let mut reader = BufReader::new(stream);
     let mut first = String::new();
