--- a/crates/verbenaslip-cli/src/answer.rs
+++ b/crates/verbenaslip-cli/src/answer.rs
@@ -24,7 +24,7 @@
 /// Holds the result of an accepted edit.
 #[data]
 pub struct Applied {
-    /// The revision that the edit created, or the existing one if the edit changed nothing.
+    /// The revision that the edit created, or the current one if no edit was made.
     pub revision: u64,
     /// Whether the table already had this content.
     pub unchanged: bool,
@@ -38,10 +38,13 @@
 /// Holds the reason why an edit conflicts with a newer revision.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Conflict {
+    /// The newest revision.
     pub(crate) newest: u64,
     #[serde(default)]
+    /// The operator who made the newest revision.
     pub(crate) by: Option<String>,
     #[serde(default)]
+    /// The rows that changed after the base of the edit.
     pub(crate) differs: Vec<String>,
 }
 
@@ -61,9 +64,14 @@
 #[derive(Debug, Deserialize)]
 pub(crate) struct Edit {
     pub(crate) revision: u64,
+    /// The edit identifier.
     pub(crate) edit: String,
+    /// The operator who made the edit.
     pub(crate) by: String,
+    /// When the edit was accepted, in Unix milliseconds.
     pub(crate) at: u64,
+    /// The revision that the edit is based on.
     pub(crate) base: u64,
+    /// The number of rows, as reported by the instance.
     pub(crate) rows: u64,
 }
--- a/crates/verbenaslip-cli/src/client.rs
+++ b/crates/verbenaslip-cli/src/client.rs
@@ -57,8 +57,7 @@
     /// # Errors
     ///
     /// Returns [`Error::Refused`] or another final error from an instance, [`Error::Unreachable`]
-    /// if the
-    /// call was certainly not executed, and [`Error::Unknown`] if it may have been executed.
+    /// if the call was certainly not executed, and [`Error::Unknown`] if it may have been executed.
     pub(crate) fn call(&mut self, call: &Call) -> Result<Reply, Error> {
         let end = Instant::now() + call.retry_timeout;
         let mut unknown = false;
@@ -91,8 +90,7 @@
                 Err(AttemptError::Final(error)) if !*unknown => return Err(error),
                 Err(AttemptError::Final(error)) => {
                     // An earlier instance may have made the change. Reporting only this refusal
-                    // would
-                    // claim that nothing was changed.
+                    // would claim that nothing was changed.
                     attempts.0.push(refusal_attempt(self.admins[index], error));
                     return Err(Error::Unknown { attempts, hint: call.hint });
                 }
@@ -147,7 +145,7 @@
     }
 }
 
-/// Is the result of trying each instance once.
+/// Holds the result of trying each instance once.
 enum RoundOutcome {
     /// An instance answered.
     Answered(Reply),
--- a/crates/verbenaslip-cli/src/client/call.rs
+++ b/crates/verbenaslip-cli/src/client/call.rs
@@ -8,11 +8,17 @@
     pub(super) path: String,
     pub(super) body: Option<Vec<u8>>,
     pub(super) content_type: &'static str,
+    /// Whether the call makes a change.
     pub(super) changes: bool,
+    /// Whether the call may be sent again after a lost answer.
     pub(super) resend: bool,
+    /// How long the instance may wait before it answers.
     pub(super) server_wait: Duration,
+    /// How long the client may keep trying the instances.
     pub(super) retry_timeout: Duration,
+    /// HTTP statuses other than 2xx that are returned as replies.
     pub(super) expected_statuses: &'static [u16],
+    /// Advice to the operator after a lost answer.
     pub(super) hint: &'static str,
 }
 
--- a/crates/verbenaslip-cli/src/command/audit.rs
+++ b/crates/verbenaslip-cli/src/command/audit.rs
@@ -50,6 +50,6 @@
     };
     let base = entry.base.map(|base| format!(" from revision {base}")).unwrap_or_default();
     let verdict = if entry.accepted { "accepted" } else { "REFUSED" };
-    let (number, at, by) = (entry.number, time::show(entry.at), &entry.by);
+    let (number, at, by) = (entry.number, time::format_utc(entry.at), &entry.by);
     format!("{number} {at} {by}: {}{base}; {verdict}: {}", entry.action, entry.answer)
 }
--- a/crates/verbenaslip-cli/src/command/explain.rs
+++ b/crates/verbenaslip-cli/src/command/explain.rs
@@ -26,9 +26,9 @@
     let mut skipped = 0;
     for file in &args.files {
         let text = read(file)?;
-        let origin = file.display().to_string();
+        let file_name = file.display().to_string();
         for raw in text.lines().filter(|raw| !raw.trim().is_empty()) {
-            match Line::parse(raw, &origin) {
+            match Line::parse(raw, &file_name) {
                 Some(line) => lines.push(line),
                 None => skipped += 1,
             }
@@ -47,9 +47,8 @@
 /// Prints all log lines about one request in order of time.
 ///
 /// This includes crash and quarantine events of other requests with the same content, and limits
-/// that
-/// upstreams had set at the same entry, since a request refused for these has no such lines of its
-/// own.
+/// that upstreams had set at the same entry, since a request refused for these has no such lines of
+/// its own.
 fn show_request(id: &str, lines: &[Line], terminal: &mut Terminal<'_>) -> Result<Exit, Error> {
     let mentions: Vec<&Line> = lines.iter().filter(|line| line.mentions(id)).collect();
     let contents: Vec<&str> = mentions.iter().filter_map(|line| line.content()).collect();
--- a/crates/verbenaslip-cli/src/command/explain/line.rs
+++ b/crates/verbenaslip-cli/src/command/explain/line.rs
@@ -26,7 +26,7 @@
 pub(super) struct Line {
     /// When the line was written, in Unix milliseconds.
     pub(super) at: u64,
-    origin: String,
+    file: String,
     fields: Value,
 }
 
@@ -71,17 +71,17 @@
 
 impl Line {
     /// Parses a line and ignores any prefix before its opening brace, as log collectors add.
-    pub(super) fn parse(raw: &str, origin: &str) -> Option<Self> {
+    pub(super) fn parse(raw: &str, file: &str) -> Option<Self> {
         let fields: Value = serde_json::from_str(&raw[raw.find('{')?..]).ok()?;
         let at = fields.get("at")?.as_u64()?;
-        Some(Self { at, origin: origin.to_owned(), fields })
+        Some(Self { at, file: file.to_owned(), fields })
     }
 
     /// Returns whether the line names the request.
     pub(super) fn mentions(&self, id: &str) -> bool {
         let is_id = |value: &Value| value.as_str() == Some(id);
-        let among = |name| self.fields.get(name).and_then(Value::as_array).into_iter().flatten();
-        self.fields.get("id").is_some_and(is_id) || among("ids").any(is_id)
+        let array = |name| self.fields.get(name).and_then(Value::as_array).into_iter().flatten();
+        self.fields.get("id").is_some_and(is_id) || array("ids").any(is_id)
     }
 
     /// Returns the content identifier of the request that the line is about.
@@ -94,17 +94,16 @@
     pub(super) fn is_about_content(&self, content: &str) -> bool {
         let number = self.fields.get("event").and_then(Value::as_u64);
         let listed = self.fields.get("contents").and_then(Value::as_array);
-        let among = listed.into_iter().flatten().any(|it| it.as_str() == Some(content));
+        let is_listed = listed.into_iter().flatten().any(|value| value.as_str() == Some(content));
         number.is_some_and(|number| CRASH_EVENTS.contains(&number))
-            && (among || self.content() == Some(content))
+            && (is_listed || self.content() == Some(content))
     }
 
     /// Returns whether the line reports an upstream limit, cooldown or departure that explains the
-    /// request end
-    /// in another line of the same file.
+    /// request end in another line of the same file.
     pub(super) fn explains(&self, ended: &Self) -> bool {
         let number = self.fields.get("event").and_then(Value::as_u64);
-        self.origin == ended.origin
+        self.file == ended.file
             && self.at <= ended.at
             && ended.at - self.at <= MAX_LEAD_MS
             && ended.is_limited()
@@ -130,7 +129,7 @@
     }
 
     pub(super) fn to_json(&self) -> Value {
-        json!({ "file": self.origin, "line": self.fields })
+        json!({ "file": self.file, "line": self.fields })
     }
 
     /// Formats the line as text for operators.
@@ -142,8 +141,8 @@
         let millis = self.at % 1_000;
         format!(
             "{} +{millis:03} ms  {}  {}  {}",
-            time::show(self.at),
-            self.origin,
+            time::format_utc(self.at),
+            self.file,
             text("what"),
             rest.join(" ")
         )
--- a/crates/verbenaslip-cli/src/command/explain/tally.rs
+++ b/crates/verbenaslip-cli/src/command/explain/tally.rs
@@ -66,8 +66,9 @@
         let mut seconds = Columns::new(&names);
         for (second, counts) in &self.seconds {
             let count = |result| counts.get(&result).copied().unwrap_or(0).to_string();
-            seconds
-                .push([time::show(second * 1_000)].into_iter().chain(CallerResult::ALL.map(count)));
+            seconds.push(
+                [time::format_utc(second * 1_000)].into_iter().chain(CallerResult::ALL.map(count)),
+            );
         }
         let more = rows.len().saturating_sub(MAX_SHOWN_CAUSES);
         let more = if more > 0 { format!("\n(and {more} more)") } else { String::new() };
--- a/crates/verbenaslip-cli/src/command/table/read.rs
+++ b/crates/verbenaslip-cli/src/command/table/read.rs
@@ -102,7 +102,7 @@
     }
     let mut columns = Columns::new(&["revision", "at", "by", "base", "rows", "edit"]);
     for edit in reply.json::<History>()?.edits {
-        let (at, rows) = (time::show(edit.at), edit.rows.to_string());
+        let (at, rows) = (time::format_utc(edit.at), edit.rows.to_string());
         columns.push([
             edit.revision.to_string(),
             at,
--- a/crates/verbenaslip-cli/src/daemon.rs
+++ b/crates/verbenaslip-cli/src/daemon.rs
@@ -119,7 +119,7 @@
 /// Reports why the instance did not start and returns the exit code.
 fn report_server_error(settings: &Settings, error: &Error) -> DaemonExit {
     let cause = || error.to_string().into();
-    let (event, stop) = match error {
+    let (event, exit) = match error {
         Error::Keys(_) | Error::TableFile(..) | Error::Table(..) | Error::Secret(_) => {
             (Event::SettingsRefused { problem: cause() }, DaemonExit::Settings)
         }
@@ -137,7 +137,7 @@
         }
     };
     report(settings, &event);
-    stop
+    exit
 }
 
 fn report_start_failure(settings: &Settings, cause: &str) -> DaemonExit {
--- a/crates/verbenaslip-cli/src/lib.rs
+++ b/crates/verbenaslip-cli/src/lib.rs
@@ -1,10 +1,9 @@
 //! The daemon and the operators' command-line program.
 //!
 //! [`args`] defines the command lines. [`run`] executes one command of `verbenaslip`. The modules
-//! of
-//! [`command`] implement the commands: they call instances through [`client::Client`], parse their
-//! [`answer`]s and write to the [`terminal::Terminal`]. Each [`error::Error`] has an [`exit::Exit`]
-//! code. [`daemon`] implements `verbenaslipd`.
+//! of [`command`] implement the commands: they call instances through [`client::Client`], parse
+//! their [`answer`]s and write to the [`terminal::Terminal`]. Each [`error::Error`] has an
+//! [`exit::Exit`] code. [`daemon`] implements `verbenaslipd`.
 
 pub mod answer;
 pub mod args;
--- a/crates/verbenaslip-cli/src/terminal.rs
+++ b/crates/verbenaslip-cli/src/terminal.rs
@@ -14,8 +14,9 @@
 }
 
 impl<'a> Terminal<'a> {
-    /// Creates a terminal that writes results to `out` and remarks to `remarks`, as JSON if `json`
-    /// is set.
+    /// Creates a terminal that writes results to `out`, remarks and errors to `remarks`.
+    ///
+    /// With `json`, results and errors are written as JSON; remarks are always plain text.
     pub fn new(out: &'a mut dyn Write, remarks: &'a mut dyn Write, json: bool) -> Self {
         Self { out, remarks, json }
     }
--- a/crates/verbenaslip-cli/tests/daemon.rs
+++ b/crates/verbenaslip-cli/tests/daemon.rs
@@ -42,9 +42,8 @@
 }
 
 /// Guards against valid settings being rejected when `--settings` is a bare file name in the
-/// current
-/// directory. The parent of a bare file name is the empty path, which does not exist, so the data
-/// directory seems not to be a directory.
+/// current directory. The parent of a bare file name is the empty path, which does not exist, so
+/// the data directory seems not to be a directory.
 #[test]
 fn check_accepts_a_bare_settings_file_name() {
     let instance = TestInstance::new("beside");
@@ -79,7 +78,8 @@
         (vec!["--version"], DaemonExit::Graceful),
     ];
     for (words, stop) in cases {
-        let output = Command::new(program).args(&words).env_clear().output().expect("it runs");
+        let output =
+            Command::new(program).args(&words).env_clear().output().expect("the daemon runs");
         assert_eq!(output.status.code(), Some(stop as i32), "{words:?}");
     }
 }
@@ -108,7 +108,8 @@
     assert!(text.contains("in force everywhere"), "{text}");
     let (code, text) = instance.operator(&["table", "apply", &file, "--base", "1"]);
     assert_eq!(code, 0, "the same file changes nothing: {text}");
-    fs::write(&file, table.replace("brokers,*,50,", "brokers,*,90,")).expect("it can be written");
+    fs::write(&file, table.replace("brokers,*,50,", "brokers,*,90,"))
+        .expect("the table can be written");
     let (code, text) = instance.operator(&["table", "apply", &file, "--base", "1"]);
     assert_eq!(code, Exit::Refused as i32, "the base is old: {text}");
     assert!(text.contains("brokers/*"), "{text}");
@@ -164,7 +165,7 @@
 
 /// Holds the open connections of a test service, which answers only when the test writes to them.
 struct Service {
-    held: Receiver<TcpStream>,
+    connections: Receiver<TcpStream>,
 }
 
 impl Service {
@@ -172,28 +173,28 @@
     fn spawn(admin: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let address = listener.local_addr().expect("a bound listener has an address");
-        let (hold, held) = channel();
-        thread::spawn(move || accept(&listener, &hold));
+        let (sender, connections) = channel();
+        thread::spawn(move || accept(&listener, &sender));
         thread::spawn(move || {
             for sequence in 1.. {
                 announce(admin, address, sequence);
                 thread::sleep(Duration::from_millis(300));
             }
         });
-        Self { held }
+        Self { connections }
     }
 
     /// Waits for a request and returns its connection.
-    fn take(&self) -> TcpStream {
-        self.held.recv_timeout(STEP_TIMEOUT).expect("a request reaches the service")
+    fn accept_request(&self) -> TcpStream {
+        self.connections.recv_timeout(STEP_TIMEOUT).expect("a request reaches the service")
     }
 }
 
-fn accept(listener: &TcpListener, hold: &Sender<TcpStream>) {
+fn accept(listener: &TcpListener, connections: &Sender<TcpStream>) {
     for mut stream in listener.incoming().flatten() {
         let mut bytes = [0; 4_096];
         if std::io::Read::read(&mut stream, &mut bytes).is_ok_and(|count| count > 0) {
-            let _ = hold.send(stream);
+            let _ = connections.send(stream);
         }
     }
 }
@@ -234,7 +235,7 @@
     daemon: Process,
     _other: Process,
     service: Service,
-    held: TcpStream,
+    connection: TcpStream,
     answers: Receiver<String>,
 }
 
@@ -250,8 +251,8 @@
         let service = Service::spawn(instance.admin);
         let (sender, answers) = channel();
         call(&instance, sender);
-        let held = service.take();
-        Self { instance, daemon, _other: process, service, held, answers }
+        let connection = service.accept_request();
+        Self { instance, daemon, _other: process, service, connection, answers }
     }
 
     /// Sends a signal, waits until the instance is stopping and asserts that its request is in
@@ -272,16 +273,16 @@
 /// occurs if the stop does not wait for accepted requests, or if the second holder treats a leaving
 /// owner as one that has left.
 #[test]
-fn planned_stop_completes_requests_in_progress() {
+fn planned_stop_cuts_off_no_request_in_progress() {
     let mut running = InstanceWithRequest::start("graceful");
     running.signal("TERM");
     let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nchecked";
-    running.held.write_all(answer).expect("the service's connection is open");
+    running.connection.write_all(answer).expect("the service's connection is open");
     let answer = running.answers.recv_timeout(STEP_TIMEOUT).expect("the caller is answered");
     let log = running.instance.log();
-    assert!(running.service.held.try_recv().is_err(), "the service ran it twice\n{log}");
-    let whole = status(&answer) == Some(200) && answer.ends_with("checked");
-    assert!(whole, "the caller got `{answer}`\n{log}");
+    assert!(running.service.connections.try_recv().is_err(), "the service ran it twice\n{log}");
+    let complete = status(&answer) == Some(200) && answer.ends_with("checked");
+    assert!(complete, "the caller got `{answer}`\n{log}");
     assert_eq!(running.daemon.wait(), DaemonExit::Graceful as i32, "{}", running.instance.log());
 }
 
--- a/crates/verbenaslip-cli/tests/explain.rs
+++ b/crates/verbenaslip-cli/tests/explain.rs
@@ -23,7 +23,7 @@
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("explain").join(name);
     fs::create_dir_all(&folder).expect("the folder can be made");
     let files = [("one.log", FIRST), ("two.log", SECOND)].map(|(name, text)| {
-        fs::write(folder.join(name), text).expect("it can be written");
+        fs::write(folder.join(name), text).expect("the log file can be written");
         folder.join(name).display().to_string()
     });
     let words: Vec<&str> = words
@@ -34,7 +34,7 @@
             word => word,
         })
         .collect();
-    let args = Operator::from_args(&["verbenaslip"], &words).expect("it is understood");
+    let args = Operator::from_args(&["verbenaslip"], &words).expect("the command line is valid");
     let (mut out, mut remarks) = (Vec::new(), Vec::new());
     let exit = run(&args, &mut Terminal::new(&mut out, &mut remarks, args.json));
     let text = |bytes| String::from_utf8(bytes).expect("text");
@@ -118,13 +118,13 @@
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("explain").join(name);
     fs::create_dir_all(&folder).expect("the folder can be made");
     let files = logs.iter().map(|(name, text)| {
-        fs::write(folder.join(name), text).expect("it can be written");
+        fs::write(folder.join(name), text).expect("the log file can be written");
         folder.join(name).display().to_string()
     });
     let files: Vec<String> = files.collect();
     let words = ["explain", "--id", id].into_iter().chain(files.iter().map(|name| &**name));
     let words: Vec<&str> = words.collect();
-    let args = Operator::from_args(&["verbenaslip"], &words).expect("it is understood");
+    let args = Operator::from_args(&["verbenaslip"], &words).expect("the command line is valid");
     let (mut out, mut remarks) = (Vec::new(), Vec::new());
     run(&args, &mut Terminal::new(&mut out, &mut remarks, args.json));
     String::from_utf8(out).expect("text")
--- a/crates/verbenaslip-cli/tests/help.rs
+++ b/crates/verbenaslip-cli/tests/help.rs
@@ -4,9 +4,9 @@
 
 /// Runs a program with an empty environment and returns its output and exit code.
 fn run_program(program: &str, words: &[&str]) -> String {
-    let output = Command::new(program).args(words).env_clear().output().expect("it runs");
+    let output = Command::new(program).args(words).env_clear().output().expect("the program runs");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-    let code = output.status.code().expect("it exits");
+    let code = output.status.code().expect("the program exits");
     format!(
         "$ {}\n{}{}exit {code}\n\n",
         words.join(" "),
--- a/crates/verbenaslip-cli/tests/instance/mod.rs
+++ b/crates/verbenaslip-cli/tests/instance/mod.rs
@@ -86,7 +86,8 @@
 
     /// Replaces a text in the settings file.
     pub fn edit(&self, from: &str, to: &str) {
-        let text = fs::read_to_string(self.folder.join("entry-1.ini")).expect("it can be read");
+        let text =
+            fs::read_to_string(self.folder.join("entry-1.ini")).expect("the settings can be read");
         assert!(text.contains(from), "the settings hold `{from}`");
         self.write("entry-1.ini", &text.replace(from, to), 0o644);
     }
--- a/crates/verbenaslip-cli/tests/operator.rs
+++ b/crates/verbenaslip-cli/tests/operator.rs
@@ -121,10 +121,8 @@
 }
 
 /// Guards against an edit that is made twice, or that conflicts with itself. An instance commits
-/// the
-/// edit and ends before it answers; the command then calls the next instance, or the operator runs
-/// it
-/// again. The fault occurs if each attempt has a new edit identifier.
+/// the edit and ends before it answers; the command then calls the next instance, or the operator
+/// runs it again. The fault occurs if each attempt has a new edit identifier.
 #[test]
 fn edit_is_sent_again_with_the_same_id_after_a_lost_answer() {
     let tables = || table(5, &rows(100).to_csv());
@@ -164,9 +162,8 @@
 }
 
 /// Guards against failures before and after the request was sent being reported alike, when
-/// instances
-/// fail at each step of an apply. A script that reads "nothing was changed" would make the change
-/// again in another way, and one that reads "unknown" would never end.
+/// instances fail at each step of an apply. A script that reads "nothing was changed" would make
+/// the change again in another way, and one that reads "unknown" would never end.
 #[test]
 fn each_failure_of_apply_says_what_is_known() {
     let newest = || table(5, &rows(100).to_csv());
@@ -239,10 +236,11 @@
 #[test]
 fn voters_sharing_a_zone_cause_a_warning() {
     let mut shared = status(true);
-    let voters = &mut shared.log.as_mut().expect("it is a voter's").voters;
+    let voters = &mut shared.log.as_mut().expect("a voter's status has a log").voters;
     voters.retain(|progress| progress.instance.as_str() != "entry-2");
     voters.iter_mut().for_each(|progress| progress.votes = true);
-    let text = |status: &Status| serde_json::to_string(status).expect("it can be written");
+    let text =
+        |status: &Status| serde_json::to_string(status).expect("the status can be serialized");
     let expected = "WARNING: losing torshamn would lose the quorum";
     let committed = || json(200, r#"{"committed":true}"#);
     for (status, warned) in [(&shared, true), (&status(true), false)] {
@@ -304,10 +302,8 @@
 }
 
 /// Guards against `apply --wait` reporting an accepted edit as unknown, or flooding the instance
-/// with
-/// calls. After the edit is accepted, the instance either answers at once that it is still waiting
-/// or
-/// stops answering until the timeout. The fault occurs if only the last answer counts.
+/// with calls. After the edit is accepted, the instance either answers at once that it is still
+/// waiting or stops answering until the timeout. The fault occurs if only the last answer counts.
 #[test]
 fn accepted_edit_stays_accepted_when_the_wait_fails() {
     let body = r#"{"revision":6,"unchanged":false,"in_force":false,"waiting":["entry-2"]}"#;
@@ -493,7 +489,7 @@
     let upstream = |name: &str, phase, market, standing| Upstream {
         announcement: Announcement {
             upstream: name.into(),
-            address: "127.0.0.1:9000".parse().expect("it is an address"),
+            address: "127.0.0.1:9000".parse().expect("the address is valid"),
             zone: "arendal".into(),
             kind: Kind::Engine,
             incarnation: 1,
@@ -547,9 +543,8 @@
 }
 
 /// Guards against a key that another user can read, or that appears in terminal output or a log.
-/// The
-/// key file has the default mode, or its content is invalid. The fault occurs if the mode is not
-/// checked, or if an error message contains the invalid key.
+/// The key file has the default mode, or its content is invalid. The fault occurs if the mode is
+/// not checked, or if an error message contains the invalid key.
 #[test]
 fn key_file_must_be_private_and_is_never_shown() {
     let admin = unused_address().to_string();
