--- a/crates/verbenaslip-cli/src/client/call.rs
+++ b/crates/verbenaslip-cli/src/client/call.rs
@@ -1,71 +1,78 @@
-//! One call, and what may be done with it when its answer is lost.
+//! A call to an instance and the rules for sending it again.
 
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Describes one call.
+/// Describes one HTTP call to an instance.
 pub(crate) struct Call {
     pub(super) path: String,
     pub(super) body: Option<Vec<u8>>,
-    pub(super) content: &'static str,
+    pub(super) content_type: &'static str,
+    /// Whether the call makes a change.
     pub(super) changes: bool,
+    /// Whether the call may be sent again after a lost answer.
     pub(super) resend: bool,
-    pub(super) wait: Duration,
-    pub(super) patience: Duration,
-    pub(super) expects: &'static [u16],
+    /// How long the instance may wait before it answers.
+    pub(super) server_wait: Duration,
+    /// How long the client may keep trying the instances.
+    pub(super) retry_timeout: Duration,
+    /// HTTP statuses other than 2xx that are returned as replies.
+    pub(super) expected_statuses: &'static [u16],
+    /// Advice to the operator after a lost answer.
     pub(super) hint: &'static str,
 }
 
 impl Call {
-    /// Reads something; a lost answer is no harm.
+    /// Creates a call that only reads, so it is safe to send again.
     pub(crate) fn get(path: impl Into<String>) -> Self {
         Self {
             path: path.into(),
             body: None,
-            content: "application/json",
+            content_type: "application/json",
             changes: false,
             resend: true,
-            wait: Duration::ZERO,
-            patience: Duration::ZERO,
-            expects: &[],
+            server_wait: Duration::ZERO,
+            retry_timeout: Duration::ZERO,
+            expected_statuses: &[],
             hint: "",
         }
     }
 
-    /// Changes something; `hint` says how to find out after a lost answer.
+    /// Creates a call that makes a change; `hint` tells the operator what to do if the answer is
+    /// lost.
     pub(crate) fn post(path: impl Into<String>, body: Vec<u8>, hint: &'static str) -> Self {
         Self { body: Some(body), changes: true, resend: false, hint, ..Self::get(path) }
     }
 
-    /// Lets the call be sent again after a lost answer, because twice is the same as once.
-    pub(crate) fn again_for(self, patience: Duration) -> Self {
-        Self { resend: true, patience, ..self }
+    /// Allows the call, which must be idempotent, to be sent again until `retry_timeout` is over.
+    pub(crate) fn resend_for(self, retry_timeout: Duration) -> Self {
+        Self { resend: true, retry_timeout, ..self }
     }
 
-    /// Says how long the instance itself may wait before it answers.
-    pub(crate) fn waiting(self, wait: Duration) -> Self {
-        Self { wait, ..self }
+    /// Sets how long the instance may wait before it answers.
+    pub(crate) fn with_server_wait(self, server_wait: Duration) -> Self {
+        Self { server_wait, ..self }
     }
 
-    /// Sends CSV.
-    pub(crate) fn csv(self) -> Self {
-        Self { content: "text/csv", ..self }
+    /// Sets the content type of the body to CSV.
+    pub(crate) fn with_csv_body(self) -> Self {
+        Self { content_type: "text/csv", ..self }
     }
 
-    /// Takes these statuses as replies and not as failures.
-    pub(crate) fn expecting(self, expects: &'static [u16]) -> Self {
-        Self { expects, ..self }
+    /// Sets HTTP statuses that are returned as replies instead of errors.
+    pub(crate) fn with_expected_statuses(self, expected_statuses: &'static [u16]) -> Self {
+        Self { expected_statuses, ..self }
     }
 }
 
-/// Writes a text so that it can stand in a query.
-pub(crate) fn encode(text: &str) -> String {
+/// Percent-encodes a text for use in a URL query.
+pub(crate) fn percent_encode(text: &str) -> String {
     let mut encoded = String::new();
     for byte in text.bytes() {
         match byte {
             b'-' | b'.' | b'_' | b'~' => encoded.push(byte.into()),
             _ if byte.is_ascii_alphanumeric() => encoded.push(byte.into()),
-            // Writing to a string does not fail.
+            // Writing to a string cannot fail.
             _ => _ = write!(encoded, "%{byte:02X}"),
         }
     }
--- a/crates/verbenaslip-cli/src/command/columns.rs
+++ b/crates/verbenaslip-cli/src/command/columns.rs
@@ -1,28 +1,28 @@
-//! Lines of text with their columns under each other.
+//! Text tables with aligned columns.
 
-/// The blank between two columns.
-const GAP: &str = "  ";
+/// The space between two columns.
+const COLUMN_GAP: &str = "  ";
 
-/// Collects lines of equally many cells.
+/// Holds the rows of a text table, each with the same number of cells.
 pub(super) struct Columns {
     lines: Vec<Vec<String>>,
 }
 
 impl Columns {
-    /// Starts with the names of the columns.
+    /// Creates a table with a header row.
     pub(super) fn new(names: &[&str]) -> Self {
         Self { lines: vec![names.iter().map(|name| (*name).to_owned()).collect()] }
     }
 
-    /// Adds a line.
+    /// Adds a row.
     pub(super) fn push(&mut self, cells: impl IntoIterator<Item = String>) {
         self.lines.push(cells.into_iter().collect());
     }
 
-    /// Returns the lines, or a remark in their place if there are none.
-    pub(super) fn show(&self, none: &str) -> String {
+    /// Returns the aligned rows, or `empty_text` if there are none below the header.
+    pub(super) fn render(&self, empty_text: &str) -> String {
         if self.lines.len() == 1 {
-            return none.to_owned();
+            return empty_text.to_owned();
         }
         let count = self.lines[0].len();
         let width = |column: usize| {
@@ -33,7 +33,7 @@
         let pad = |(cell, width): (&String, &usize)| format!("{cell:width$}");
         let line = |cells: &Vec<String>| {
             let cells: Vec<String> = cells.iter().zip(&widths).map(pad).collect();
-            cells.join(GAP).trim_end().to_owned()
+            cells.join(COLUMN_GAP).trim_end().to_owned()
         };
         self.lines.iter().map(line).collect::<Vec<_>>().join("\n")
     }
--- a/crates/verbenaslip-cli/src/command/explain/line.rs
+++ b/crates/verbenaslip-cli/src/command/explain/line.rs
@@ -1,4 +1,4 @@
-//! One line of an instance's log.
+//! A line of an instance's event log.
 
 use std::ops::RangeInclusive;
 
@@ -7,116 +7,120 @@
 
 use crate::command::time;
 
-/// The number of the line that says how a request ended.
+/// The event number for the end of a request.
 const REQUEST_ENDED: u64 = 901;
 
-/// The numbers of the lines about contents under which upstreams end.
-const CONTENTS: RangeInclusive<u64> = 936..=940;
+/// The event numbers for request contents under which upstreams crash.
+const CRASH_EVENTS: RangeInclusive<u64> = 936..=940;
 
-/// The numbers of the lines about what upstreams ask for in their answers.
-const ASKED: RangeInclusive<u64> = 943..=946;
+/// The event numbers for limits, cooldowns and departures that upstreams announce.
+const UPSTREAM_LIMIT_EVENTS: RangeInclusive<u64> = 943..=946;
 
-/// Outcomes of requests, and causes of their tries, that follow from that.
-const RESTRICTED: [&str; 2] = ["limited", "resting"];
+/// The request outcomes and attempt causes that result from these events.
+const LIMITED_OUTCOMES: [&str; 2] = ["limited", "resting"];
 
-/// How long before such a request an upstream may have asked for it, in milliseconds.
-const BEFORE: u64 = 60_000;
+/// The maximum time from such an event to a request that it explains, in milliseconds.
+const MAX_LEAD_MS: u64 = 60_000;
 
-/// Holds one line with where it stands.
+/// Holds a log line and the file that it comes from.
 pub(super) struct Line {
-    /// When it was written, in Unix milliseconds.
+    /// When the line was written, in Unix milliseconds.
     pub(super) at: u64,
-    origin: String,
+    file: String,
     fields: Value,
 }
 
-/// Says how one request ended.
+/// Describes the end of a request.
 #[derive(Debug, Deserialize)]
-pub(super) struct Ended {
-    /// When, in Unix milliseconds.
+pub(super) struct RequestEnded {
+    /// When the request ended, in Unix milliseconds.
     pub(super) at: u64,
     pub(super) route: String,
     #[serde(default)]
     pub(super) team: Option<String>,
     pub(super) outcome: String,
     pub(super) status: u16,
-    /// Why tries ended without an answer.
+    /// Why attempts failed to get an answer.
     #[serde(default)]
     pub(super) causes: Vec<String>,
     #[serde(default)]
     first_ms: Option<u64>,
     #[serde(default)]
     objective_ms: Option<u64>,
-    /// Whether its caller had been refused before.
+    /// Whether the caller had been refused before.
     #[serde(default)]
     waited: bool,
 }
 
-/// Says what a caller got.
+/// Classifies what the caller received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Fate {
-    /// An answer within the objective.
+pub(super) enum CallerResult {
+    /// An answer within the latency objective.
     OnTime,
-    /// An answer after it.
+    /// An answer after the latency objective.
     Late,
-    /// The word that it has not run, and when to come back.
+    /// A refusal: the request was not executed and may be retried later.
     Refused,
     /// No answer, or a failure.
     Lost,
-    /// It left before there was an answer.
+    /// Nothing, since the caller disconnected before the answer.
     Left,
-    /// A refusal of what is not allowed.
+    /// A client error: the request is not allowed.
     Denied,
 }
 
 impl Line {
-    /// Reads a line; what stands before its opening brace, as collectors put there, is passed over.
-    pub(super) fn parse(raw: &str, origin: &str) -> Option<Self> {
+    /// Parses a line and ignores any prefix before its opening brace, as log collectors add.
+    pub(super) fn parse(raw: &str, file: &str) -> Option<Self> {
         let fields: Value = serde_json::from_str(&raw[raw.find('{')?..]).ok()?;
         let at = fields.get("at")?.as_u64()?;
-        Some(Self { at, origin: origin.to_owned(), fields })
+        Some(Self { at, file: file.to_owned(), fields })
     }
 
-    /// Tells whether it is about a request.
+    /// Returns whether the line names the request.
     pub(super) fn mentions(&self, id: &str) -> bool {
-        let is_it = |value: &Value| value.as_str() == Some(id);
-        let among = |name| self.fields.get(name).and_then(Value::as_array).into_iter().flatten();
-        self.fields.get("id").is_some_and(is_it) || among("ids").any(is_it)
+        let is_id = |value: &Value| value.as_str() == Some(id);
+        let array = |name| self.fields.get(name).and_then(Value::as_array).into_iter().flatten();
+        self.fields.get("id").is_some_and(is_id) || array("ids").any(is_id)
     }
 
-    /// Returns the content of the request that it is about.
+    /// Returns the content identifier of the request that the line is about.
     pub(super) fn content(&self) -> Option<&str> {
         self.fields.get("content").and_then(Value::as_str)
     }
 
-    /// Tells whether it says of a content that upstreams ended under it, or what was decided about that.
+    /// Returns whether the line reports upstream crashes under a content or decisions about that
+    /// content.
     pub(super) fn is_about_content(&self, content: &str) -> bool {
         let number = self.fields.get("event").and_then(Value::as_u64);
         let listed = self.fields.get("contents").and_then(Value::as_array);
-        let among = listed.into_iter().flatten().any(|it| it.as_str() == Some(content));
-        number.is_some_and(|number| CONTENTS.contains(&number))
-            && (among || self.content() == Some(content))
+        let is_listed = listed.into_iter().flatten().any(|value| value.as_str() == Some(content));
+        number.is_some_and(|number| CRASH_EVENTS.contains(&number))
+            && (is_listed || self.content() == Some(content))
     }
 
-    /// Tells whether it reports a limit, rest or departure that decided about the request of another line.
+    /// Returns whether the line reports an upstream limit, cooldown or departure that explains the
+    /// request end in another line of the same file.
     pub(super) fn explains(&self, ended: &Self) -> bool {
         let number = self.fields.get("event").and_then(Value::as_u64);
-        self.origin == ended.origin
+        self.file == ended.file
             && self.at <= ended.at
-            && ended.at - self.at <= BEFORE
-            && ended.is_restricted()
-            && number.is_some_and(|number| ASKED.contains(&number))
+            && ended.at - self.at <= MAX_LEAD_MS
+            && ended.is_limited()
+            && number.is_some_and(|number| UPSTREAM_LIMIT_EVENTS.contains(&number))
     }
 
-    /// Tells whether a request met upstreams that had asked for less.
-    fn is_restricted(&self) -> bool {
-        let is_so = |value: &Value| value.as_str().is_some_and(|it| RESTRICTED.contains(&it));
+    /// Returns whether the request was affected by limits or cooldowns of upstreams.
+    fn is_limited(&self) -> bool {
+        let is_limited_value =
+            |value: &Value| value.as_str().is_some_and(|it| LIMITED_OUTCOMES.contains(&it));
         let causes = self.fields.get("causes").and_then(Value::as_array);
-        self.fields.get("outcome").is_some_and(is_so) || causes.into_iter().flatten().any(is_so)
+        self.fields.get("outcome").is_some_and(is_limited_value)
+            || causes.into_iter().flatten().any(is_limited_value)
     }
 
-    /// Returns how a request ended, if it says that.
-    pub(super) fn ended(&self) -> Option<Ended> {
+    /// Returns the end of a request if the line reports one.
+    pub(super) fn ended(&self) -> Option<RequestEnded> {
         let number = self.fields.get("event").and_then(Value::as_u64);
         if number != Some(REQUEST_ENDED) {
             return None;
@@ -124,12 +128,12 @@
         serde_json::from_value(self.fields.clone()).ok()
     }
 
-    pub(super) fn object(&self) -> Value {
-        json!({ "file": self.origin, "line": self.fields })
+    pub(super) fn to_json(&self) -> Value {
+        json!({ "file": self.file, "line": self.fields })
     }
 
-    /// Shows it for people.
-    pub(super) fn show(&self) -> String {
+    /// Formats the line as text for operators.
+    pub(super) fn format(&self) -> String {
         let text = |name: &str| self.fields.get(name).and_then(Value::as_str).unwrap_or("");
         let fields = self.fields.as_object().into_iter().flatten();
         let rest = fields.filter(|(name, _)| !["at", "event", "what", "id"].contains(&&***name));
@@ -137,41 +141,44 @@
         let millis = self.at % 1_000;
         format!(
             "{} +{millis:03} ms  {}  {}  {}",
-            time::show(self.at),
-            self.origin,
+            time::format_utc(self.at),
+            self.file,
             text("what"),
             rest.join(" ")
         )
     }
 }
 
-impl Ended {
-    /// Returns what the caller got.
-    pub(super) fn fate(&self) -> Fate {
+impl RequestEnded {
+    /// Returns what the caller received.
+    pub(super) fn caller_result(&self) -> CallerResult {
         match (self.outcome.as_str(), self.status) {
-            ("caller_gone", _) => Fate::Left,
-            ("answered", 200..400) if self.is_late() => Fate::Late,
-            ("answered", 200..400) => Fate::OnTime,
-            (_, 408 | 421 | 429 | 503) => Fate::Refused,
-            (_, 400..500) => Fate::Denied,
-            _ => Fate::Lost,
+            ("caller_gone", _) => CallerResult::Left,
+            ("answered", 200..400) if self.is_late() => CallerResult::Late,
+            ("answered", 200..400) => CallerResult::OnTime,
+            (_, 408 | 421 | 429 | 503) => CallerResult::Refused,
+            (_, 400..500) => CallerResult::Denied,
+            _ => CallerResult::Lost,
         }
     }
 
-    /// Returns why, in the words of the log.
+    /// Returns the outcome and the causes of failed attempts, as written in the log.
     pub(super) fn cause(&self) -> String {
-        let tries = self.causes.join(",");
-        if tries.is_empty() { self.outcome.clone() } else { format!("{}: {tries}", self.outcome) }
+        let causes = self.causes.join(",");
+        if causes.is_empty() { self.outcome.clone() } else { format!("{}: {causes}", self.outcome) }
     }
 
     fn is_late(&self) -> bool {
-        let over = self.first_ms.zip(self.objective_ms).is_some_and(|(first, most)| first > most);
-        self.waited || over
+        let exceeded = self
+            .first_ms
+            .zip(self.objective_ms)
+            .is_some_and(|(first, objective)| first > objective);
+        self.waited || exceeded
     }
 }
 
-impl Fate {
-    /// All of them, the best first.
+impl CallerResult {
+    /// All results, from best to worst.
     pub(super) const ALL: [Self; 6] =
         [Self::OnTime, Self::Late, Self::Refused, Self::Lost, Self::Left, Self::Denied];
 
--- a/crates/verbenaslip-cli/src/command/table/read.rs
+++ b/crates/verbenaslip-cli/src/command/table/read.rs
@@ -1,4 +1,4 @@
-//! Commands that change nothing.
+//! Commands that do not change the deployment's table.
 
 use serde_json::json;
 
@@ -15,35 +15,36 @@
 use crate::exit::Exit;
 use crate::terminal::Terminal;
 
-/// Holds a table and its revision.
-pub(super) struct Fetched {
+/// Holds a fetched table, its revision and its CSV text.
+pub(super) struct FetchedTable {
     pub(super) revision: u64,
     pub(super) table: Table,
     pub(super) text: String,
 }
 
-/// Fetches a revision, the newest if none is given.
-pub(super) fn fetch(client: &mut Client, revision: Option<u64>) -> Result<Fetched, Error> {
+/// Fetches a revision of the table, or the newest if none is given.
+pub(super) fn fetch(client: &mut Client, revision: Option<u64>) -> Result<FetchedTable, Error> {
     let query = revision.map(|revision| format!("?revision={revision}")).unwrap_or_default();
     let reply = client.call(&Call::get(format!("/v1/table{query}")))?;
-    let revision = reply.revision.ok_or_else(|| reply.odd("without a revision"))?;
+    let revision = reply.revision.ok_or_else(|| reply.invalid_response("without a revision"))?;
     let text = reply.text()?;
-    let table = Table::parse(text.as_bytes()).map_err(|error| reply.odd(&error.to_string()))?;
-    Ok(Fetched { revision, table, text })
+    let table = Table::parse(text.as_bytes())
+        .map_err(|error| reply.invalid_response(&error.to_string()))?;
+    Ok(FetchedTable { revision, table, text })
 }
 
-/// Says what the file would change, row by row.
+/// Returns the differences between two tables, row by row.
 pub(super) fn differences(old: &Table, new: &Table) -> Vec<Difference> {
     changes(old, new).iter().map(|change: &Change| change.difference(old)).collect()
 }
 
-/// Writes differences one a line.
-pub(super) fn lines(differences: &[Difference]) -> String {
+/// Formats differences, one per line.
+pub(super) fn format_differences(differences: &[Difference]) -> String {
     let lines: Vec<String> = differences.iter().map(Difference::to_string).collect();
     lines.join("\n")
 }
 
-/// Fetches the table and shows it or writes it to a file.
+/// Fetches the table and prints it or writes it to a file.
 pub(super) fn show(
     args: &Show,
     client: &mut Client,
@@ -64,7 +65,7 @@
     Ok(Exit::Done)
 }
 
-/// Checks a file.
+/// Validates a table file.
 pub(super) fn check(args: &Check, terminal: &mut Terminal<'_>) -> Result<Exit, Error> {
     let table = file::read(&args.file)?;
     let rows = table.rows().len();
@@ -73,7 +74,7 @@
     Ok(Exit::Done)
 }
 
-/// Compares a file with a revision.
+/// Compares a table file with a revision.
 pub(super) fn diff(
     args: &Diff,
     client: &mut Client,
@@ -85,14 +86,14 @@
     let text = if differences.is_empty() {
         format!("no difference to revision {}", old.revision)
     } else {
-        format!("compared with revision {}:\n{}", old.revision, lines(&differences))
+        format!("compared with revision {}:\n{}", old.revision, format_differences(&differences))
     };
     terminal.result(&json!({ "base": old.revision, "differences": differences }), &text)?;
     let differs = args.exit_code && !differences.is_empty();
     Ok(if differs { Exit::Refused } else { Exit::Done })
 }
 
-/// Lists the accepted edits.
+/// Prints the accepted edits.
 pub(super) fn history(client: &mut Client, terminal: &mut Terminal<'_>) -> Result<Exit, Error> {
     let reply = client.call(&Call::get("/v1/history"))?;
     if terminal.wants_json() {
@@ -101,7 +102,7 @@
     }
     let mut columns = Columns::new(&["revision", "at", "by", "base", "rows", "edit"]);
     for edit in reply.json::<History>()?.edits {
-        let (at, rows) = (time::show(edit.at), edit.rows.to_string());
+        let (at, rows) = (time::format_utc(edit.at), edit.rows.to_string());
         columns.push([
             edit.revision.to_string(),
             at,
@@ -111,6 +112,6 @@
             edit.edit,
         ]);
     }
-    terminal.text(&(columns.show("no edit yet") + "\n"))?;
+    terminal.text(&(columns.render("no edit yet") + "\n"))?;
     Ok(Exit::Done)
 }
--- a/crates/verbenaslip-cli/tests/help.rs
+++ b/crates/verbenaslip-cli/tests/help.rs
@@ -1,12 +1,12 @@
-//! The help texts and what a wrong command line is answered.
+//! Help texts and errors for invalid command lines.
 
 use std::process::Command;
 
-/// Runs a program with an empty environment and shows what it says.
-fn says(program: &str, words: &[&str]) -> String {
-    let output = Command::new(program).args(words).env_clear().output().expect("it runs");
+/// Runs a program with an empty environment and returns its output and exit code.
+fn run_program(program: &str, words: &[&str]) -> String {
+    let output = Command::new(program).args(words).env_clear().output().expect("the program runs");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-    let code = output.status.code().expect("it exits");
+    let code = output.status.code().expect("the program exits");
     format!(
         "$ {}\n{}{}exit {code}\n\n",
         words.join(" "),
@@ -26,7 +26,7 @@
         &["voters", "replace", "--help"],
     ];
     let program = env!("CARGO_BIN_EXE_verbenaslip");
-    insta::assert_snapshot!(lines.map(|line| says(program, line)).concat());
+    insta::assert_snapshot!(lines.map(|line| run_program(program, line)).concat());
 }
 
 #[test]
@@ -40,10 +40,10 @@
         &["--admin", "127.0.0.1:1", "status"],
     ];
     let program = env!("CARGO_BIN_EXE_verbenaslip");
-    insta::assert_snapshot!(lines.map(|line| says(program, line)).concat());
+    insta::assert_snapshot!(lines.map(|line| run_program(program, line)).concat());
 }
 
 #[test]
 fn daemons_help() {
-    insta::assert_snapshot!(says(env!("CARGO_BIN_EXE_verbenaslipd"), &["--help"]));
+    insta::assert_snapshot!(run_program(env!("CARGO_BIN_EXE_verbenaslipd"), &["--help"]));
 }
--- a/crates/verbenaslip-cli/tests/site/mod.rs
+++ b/crates/verbenaslip-cli/tests/instance/mod.rs
@@ -1,4 +1,4 @@
-//! Instances as processes, each in a folder with all its files.
+//! Test instances that run as processes, each with its files in its own folder.
 
 use std::fs::{self, Permissions};
 use std::io::{Read, Write};
@@ -11,49 +11,57 @@
 
 use verbenaslip_lab::port;
 
-/// The longest that any step may take on a busy machine.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+/// The timeout of each step, long enough for a busy machine.
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A folder with the files of one instance that is its own only voter.
-pub struct Site {
+/// Holds the folder and the addresses of one test instance.
+pub struct TestInstance {
     pub folder: PathBuf,
     pub callers: SocketAddr,
     pub admin: SocketAddr,
     peers: SocketAddr,
 }
 
-impl Site {
-    /// Makes an instance that is its own only voter.
+impl TestInstance {
+    /// Creates the files of an instance that is the only voter of its cluster.
     pub fn new(name: &str) -> Self {
-        let site = Self::empty(name);
-        let peers = site.peers;
+        let instance = Self::empty(name);
+        let peers = instance.peers;
         let cluster = format!("voters = entry-1@{peers}\nsecond_holder = alone\n");
-        let text = site.settings("entry-1", "arendal", "data = data\n", &cluster);
-        site.write("entry-1.ini", &(text + "initial_table = table.csv\n"), 0o644);
-        site.write("table.csv", include_str!("../../../../examples/table.csv"), 0o644);
-        site
+        let text = instance.settings("entry-1", "arendal", "data = data\n", &cluster);
+        instance.write("entry-1.ini", &(text + "initial_table = table.csv\n"), 0o644);
+        instance.write("table.csv", include_str!("../../../../examples/table.csv"), 0o644);
+        instance
     }
 
-    /// Makes an instance of another availability zone that joins through this one.
+    /// Creates the files of an instance in another availability zone that joins through this one.
     pub fn follower(&self, name: &str) -> Self {
-        let site = Self::empty(name);
+        let instance = Self::empty(name);
         let cluster = format!("seeds = {}\n", self.peers);
-        let text = site.settings("entry-2", "skarvik", "", &cluster);
-        site.write("entry-1.ini", &text, 0o644);
-        site
+        let text = instance.settings("entry-2", "skarvik", "", &cluster);
+        instance.write("entry-1.ini", &text, 0o644);
+        instance
     }
 
     fn empty(name: &str) -> Self {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("daemon").join(name);
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(&folder).expect("the folder can be made");
-        let [callers, admin, peers] = free();
-        let site = Self { folder, callers, admin, peers };
-        site.write("teams.keys", include_str!("../../../../examples/teams.keys"), 0o600);
-        site.write("operators.keys", include_str!("../../../../examples/operators.keys"), 0o600);
-        site.write("upstreams.keys", include_str!("../../../../examples/upstreams.keys"), 0o600);
-        site.write("operator.key", include_str!("../../../../examples/operator.key"), 0o600);
-        site
+        let [callers, admin, peers] = free_addresses();
+        let instance = Self { folder, callers, admin, peers };
+        instance.write("teams.keys", include_str!("../../../../examples/teams.keys"), 0o600);
+        instance.write(
+            "operators.keys",
+            include_str!("../../../../examples/operators.keys"),
+            0o600,
+        );
+        instance.write(
+            "upstreams.keys",
+            include_str!("../../../../examples/upstreams.keys"),
+            0o600,
+        );
+        instance.write("operator.key", include_str!("../../../../examples/operator.key"), 0o600);
+        instance
     }
 
     fn settings(&self, name: &str, zone: &str, data: &str, cluster: &str) -> String {
@@ -76,9 +84,10 @@
         self.folder.join(name).display().to_string()
     }
 
-    /// Replaces a text in the settings.
+    /// Replaces a text in the settings file.
     pub fn edit(&self, from: &str, to: &str) {
-        let text = fs::read_to_string(self.folder.join("entry-1.ini")).expect("it can be read");
+        let text =
+            fs::read_to_string(self.folder.join("entry-1.ini")).expect("the settings can be read");
         assert!(text.contains(from), "the settings hold `{from}`");
         self.write("entry-1.ini", &text.replace(from, to), 0o644);
     }
@@ -103,7 +112,7 @@
         fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
 
-    /// Runs the operators' command.
+    /// Runs the operators' command and returns its exit code and output.
     pub fn operator(&self, words: &[&str]) -> (i32, String) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_verbenaslip"));
         command.env_clear().args(["--admin", &self.admin.to_string()]);
@@ -114,13 +123,14 @@
         (code, text(&output.stdout) + &text(&output.stderr))
     }
 
-    /// Asks a path of `admin` and returns the status, 0 without an answer.
+    /// Requests a path at the `admin` address and returns the HTTP status, or 0 if there is no
+    /// answer.
     pub fn status(&self, path: &str) -> u16 {
         get(self.admin, path).unwrap_or_default()
     }
 
     pub fn await_ready(&self) {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + STEP_TIMEOUT;
         while self.status("/readyz") != 200 {
             assert!(Instant::now() < end, "the instance is not ready:\n{}", self.log());
             thread::sleep(Duration::from_millis(50));
@@ -128,7 +138,7 @@
     }
 }
 
-/// A running daemon, which is ended with the test.
+/// Holds a running daemon, which is killed when the test ends.
 pub struct Process {
     child: Child,
 }
@@ -140,9 +150,9 @@
         assert!(done.success(), "the process takes signals");
     }
 
-    /// Returns the exit code.
+    /// Waits for the process to end and returns its exit code.
     pub fn wait(&mut self) -> i32 {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + STEP_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().expect("the process can be asked") {
                 return status.code().expect("the process exits by itself");
@@ -160,20 +170,20 @@
     }
 }
 
-/// Returns addresses whose ports nobody else is given.
-pub fn free() -> [SocketAddr; 3] {
+/// Returns addresses with ports that are reserved for this test.
+pub fn free_addresses() -> [SocketAddr; 3] {
     [(); 3].map(|()| port::free().expect("a free port"))
 }
 
-/// Asks for a path and returns the answer's status.
+/// Requests a path and returns the HTTP status.
 fn get(address: SocketAddr, path: &str) -> Option<u16> {
     status(&exchange(address, &format!("GET {path} HTTP/1.1\r\n"), "")?)
 }
 
-/// Sends a request and returns the whole answer; none if it did not come.
+/// Sends a request and returns the complete answer, or `None` if it did not arrive.
 pub fn exchange(address: SocketAddr, head: &str, body: &str) -> Option<String> {
     let mut stream = TcpStream::connect(address).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(STEP_TIMEOUT)).ok()?;
     let length = body.len();
     let rest = format!("Host: {address}\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n");
     stream.write_all(format!("{head}{rest}{body}").as_bytes()).ok()?;
@@ -182,7 +192,7 @@
     Some(answer)
 }
 
-/// Returns the status of an answer.
+/// Parses the HTTP status of an answer.
 pub fn status(answer: &str) -> Option<u16> {
     answer.split(' ').nth(1)?.parse().ok()
 }
