--- a/crates/verbenaslip-fleet/src/core/io.rs
+++ b/crates/verbenaslip-fleet/src/core/io.rs
@@ -90,7 +90,7 @@
         /// The frame.
         frame: Frame,
     },
-    /// Writes and syncs; the sequence number is returned in [`Input::Stored`].
+    /// Writes and syncs; the sequence number is returned in [`Input::WriteDurable`].
     Store {
         /// Sequence number, which rises with each write.
         sequence: u64,
--- a/crates/verbenaslip-node/src/calls.rs
+++ b/crates/verbenaslip-node/src/calls.rs
@@ -9,10 +9,10 @@
 use verbenaslip_state::command::{Drain, VoterChange, Voters};
 
 use crate::lead::outcome;
-use crate::message::{Answer, Message, Query};
+use crate::message::{Message, ProposalAnswer, Query};
 use crate::node::Node;
 use crate::notice::Notice;
-use crate::operator::{Ask, Id, Reply};
+use crate::operator::{CallId, OperatorCall, Reply};
 use crate::output::Output;
 use crate::proposal::{Purpose, Work};
 use crate::query::Waiter;
@@ -24,51 +24,63 @@
 const VOTING: Duration = Duration::from_secs(60);
 
 impl Node {
-    pub(crate) fn called(&mut self, call: Id, ask: Ask) {
+    pub(crate) fn called(&mut self, call: CallId, ask: OperatorCall) {
         match ask {
-            Ask::Table { revision } => {
+            OperatorCall::Table { revision } => {
                 let reply = self.version(revision);
                 self.reply(call, reply);
             }
-            Ask::Apply(apply) => self.apply(call, &apply),
-            Ask::History => self.query(Query::History, Waiter::Operator(call), None, PATIENCE),
-            Ask::Audit { since } => {
+            OperatorCall::Apply(apply) => self.apply(call, &apply),
+            OperatorCall::History => {
+                self.query(Query::History, Waiter::Operator(call), None, PATIENCE)
+            }
+            OperatorCall::Audit { since } => {
                 self.query(Query::Audit { since }, Waiter::Operator(call), None, PATIENCE);
             }
-            Ask::Status => {
+            OperatorCall::Status => {
                 let status = Reply::Status(Box::new(self.status()));
                 self.reply(call, status);
             }
-            Ask::Ready => {
-                let reasons = Reply::Ready(self.unready());
+            OperatorCall::Ready => {
+                let reasons = Reply::Ready(self.readiness_problems());
                 self.reply(call, reasons);
             }
-            Ask::Drain { instance, by } => self.drain_other(call, instance, by),
-            Ask::Voters { swap, by } => self.vote(call, swap, by),
+            OperatorCall::Drain { instance, operator: by } => self.drain_other(call, instance, by),
+            OperatorCall::Voters { change: swap, operator: by } => self.vote(call, swap, by),
         }
     }
 
     /// Takes what became of an operator's drain.
-    pub(crate) fn drained(&mut self, call: Id, instance: &Instance, by: Operator, answer: &Answer) {
+    pub(crate) fn drained(
+        &mut self,
+        call: CallId,
+        instance: &Instance,
+        by: Operator,
+        answer: &ProposalAnswer,
+    ) {
         if outcome(answer).is_none() {
             return self.reply(call, failure(answer));
         }
-        self.note(Notice::DrainOrdered { by: by.clone(), instance: instance.clone() });
+        self.note(Notice::DrainOrdered { operator: by.clone(), instance: instance.clone() });
         if *instance == self.setup.instance {
             self.out.push(Output::Drain);
         } else {
-            self.send(instance, Message::Drain { by });
+            self.send(instance, Message::Drain { operator: by });
         }
         self.reply(call, Reply::Draining);
     }
 
     /// Takes what became of an operator's change of the voter set.
-    pub(crate) fn voted(&mut self, call: Id, answer: &Answer) {
-        let reply = if matches!(answer, Answer::Changed) { Reply::Voted } else { failure(answer) };
+    pub(crate) fn voted(&mut self, call: CallId, answer: &ProposalAnswer) {
+        let reply = if matches!(answer, ProposalAnswer::Changed) {
+            Reply::VotersChanged
+        } else {
+            failure(answer)
+        };
         self.reply(call, reply);
     }
 
-    fn drain_other(&mut self, call: Id, instance: Instance, by: Operator) {
+    fn drain_other(&mut self, call: CallId, instance: Instance, by: Operator) {
         let known = instance == self.setup.instance || self.gossip.member(&instance).is_some();
         if !known {
             let text = "no such instance is known; see the status for their names";
@@ -78,7 +90,7 @@
         self.propose(Command::Drain(drain), Purpose::Drain { call, instance, by }, PATIENCE);
     }
 
-    fn vote(&mut self, call: Id, swap: VoterChange, by: Operator) {
+    fn vote(&mut self, call: CallId, swap: VoterChange, by: Operator) {
         let (old, new) = match swap {
             VoterChange::Remove(old) => {
                 self.note_swap(VoterChange::Remove(old.clone()), by);
@@ -93,13 +105,13 @@
             return self.reply(call, Reply::Refused(text.into()));
         }
         let waiter = Waiter::Joining { call, old, by };
-        self.query(Query::Folder, waiter, Some(new), PATIENCE);
+        self.query(Query::OwnVoter, waiter, Some(new), PATIENCE);
     }
 
     /// Goes on with a change of the voter set once the new voter's folder is known.
     pub(crate) fn join(
         &mut self,
-        call: Id,
+        call: CallId,
         old: Option<Instance>,
         by: Operator,
         voter: Option<Voter>,
@@ -122,23 +134,23 @@
 
     /// Leaves a note of a change of the voter set in the audit trail.
     fn note_swap(&mut self, change: VoterChange, by: Operator) {
-        self.note(Notice::VotersOrdered { by: by.clone(), change: change.clone() });
+        self.note(Notice::VotersOrdered { operator: by.clone(), change: change.clone() });
         let voters = Voters { by, change, at: self.unix() };
         self.propose(Command::Voters(voters), Purpose::Nobody, PATIENCE);
     }
 
     /// Replies to a call.
-    pub(crate) fn reply(&mut self, call: Id, reply: Reply) {
+    pub(crate) fn reply(&mut self, call: CallId, reply: Reply) {
         self.out.push(Output::Reply { call, reply });
     }
 }
 
 /// Says why a command of an operator came to nothing.
-pub(crate) fn failure(answer: &Answer) -> Reply {
+pub(crate) fn failure(answer: &ProposalAnswer) -> Reply {
     match answer {
-        Answer::Elsewhere { .. } => Reply::NoQuorum,
-        Answer::Refused(text) => Reply::Refused(text.clone()),
-        Answer::Done(outcome) => Reply::Refused(outcome.to_string().into()),
-        Answer::Changed | Answer::Unknown => Reply::Unknown,
+        ProposalAnswer::NotLeader { .. } => Reply::NoQuorum,
+        ProposalAnswer::Refused(text) => Reply::Refused(text.clone()),
+        ProposalAnswer::Done(outcome) => Reply::Refused(outcome.to_string().into()),
+        ProposalAnswer::Changed | ProposalAnswer::Unknown => Reply::Unknown,
     }
 }
--- a/crates/verbenaslip-node/src/capacity.rs
+++ b/crates/verbenaslip-node/src/capacity.rs
@@ -35,13 +35,13 @@
 
 /// Tells of a machine that the cloud lists.
 #[data]
-pub struct Listed {
+pub struct ListedMachine {
     /// The name under which the cloud and the registry know it.
     pub name: Upstream,
     /// Where it runs.
     pub zone: AvailabilityZone,
     /// Its class.
-    pub machine: Arc<str>,
+    pub class: Arc<str>,
     /// How it is paid for.
     pub market: Market,
 }
@@ -52,7 +52,7 @@
     /// The prices of the day.
     pub offers: Vec<Offer>,
     /// The machines.
-    pub machines: Vec<Listed>,
+    pub machines: Vec<ListedMachine>,
 }
 
 /// Learns demand and holds what the cloud said last.
@@ -86,7 +86,7 @@
 
     /// Plans, if this instance leads and there is a cloud.
     pub(crate) fn plan(&mut self) {
-        if !self.setup.cloud || self.now < self.capacity.due {
+        if !self.setup.has_cloud || self.now < self.capacity.due {
             return;
         }
         self.capacity.due = self.now + STEP;
@@ -129,7 +129,7 @@
             let record = self.gossip.record(&listed.name);
             let announcement = record.map(gossip::Record::announcement);
             if let Some(announced) = announcement.filter(|it| it.kind == Kind::Engine) {
-                let size = MachineClass { name: listed.machine.clone(), slots: announced.slots };
+                let size = MachineClass { name: listed.class.clone(), slots: announced.slots };
                 self.capacity.planner.set_machine_class(size);
             }
             let state = match announcement.map(|it| it.phase) {
@@ -143,7 +143,7 @@
                 running: announcement.map_or(0, |it| it.load.running),
                 name: listed.name,
                 zone: listed.zone,
-                class: listed.machine,
+                class: listed.class,
                 market: listed.market,
             });
         }
@@ -153,7 +153,7 @@
     }
 
     fn order_capacity(&mut self, order: Order) {
-        self.note(Notice::Plan(order.clone()));
+        self.note(Notice::CapacityOrder(order.clone()));
         match order {
             Order::Start { .. } | Order::Stop { .. } => self.out.push(Output::Cloud(order)),
             // An upstream that will be stopped is told apart by nobody from one that is reclaimed:
--- a/crates/verbenaslip-node/src/edits.rs
+++ b/crates/verbenaslip-node/src/edits.rs
@@ -9,10 +9,10 @@
 
 use crate::calls::{PATIENCE, failure};
 use crate::lead::outcome;
-use crate::message::{Answer, Found, Query, Version};
+use crate::message::{ProposalAnswer, Query, QueryAnswer, TableRevision};
 use crate::node::Node;
-use crate::notice::{Made, Notice};
-use crate::operator::{Apply, Edited, Id, Reply};
+use crate::notice::{Notice, SubmittedEdit};
+use crate::operator::{Apply, CallId, EditResult, Reply};
 use crate::proposal::{Purpose, Wait};
 use crate::query::{RESEND, Waiter};
 
@@ -28,44 +28,50 @@
 
 impl Node {
     /// Proposes an operator's edit, or says at once why it can't be made.
-    pub(crate) fn apply(&mut self, call: Id, apply: &Apply) {
+    pub(crate) fn apply(&mut self, call: CallId, apply: &Apply) {
         let table = match Table::parse(apply.csv.as_bytes()) {
             Ok(table) => table,
-            Err(problems) => return self.reply(call, Reply::Edited(Edited::Bad(problems))),
+            Err(problems) => return self.reply(call, Reply::Edited(EditResult::Invalid(problems))),
         };
         let changes = change::diff(&self.base(apply.base), &table);
         let newest = self.hub.revision();
         if apply.base == newest && changes.is_empty() {
-            return self.reply(call, Reply::Edited(Edited::Unchanged(newest)));
+            return self.reply(call, Reply::Edited(EditResult::Unchanged(newest)));
         }
-        if apply.dry {
+        if apply.dry_run {
             let edited = if apply.base == newest {
-                Edited::Fits(newest)
+                EditResult::Valid(newest)
             } else {
-                Edited::Stale(self.newest(apply.base))
+                EditResult::Stale(self.newest(apply.base))
             };
             return self.reply(call, Reply::Edited(edited));
         }
         let edit = Edit {
             id: apply.id.clone(),
             base: apply.base,
-            operator: apply.by.clone(),
+            operator: apply.operator.clone(),
             unix_ms: self.unix(),
             changes,
         };
-        let made = Made {
+        let made = SubmittedEdit {
             id: apply.id.clone(),
-            by: apply.by.clone(),
+            operator: apply.operator.clone(),
             base: apply.base,
-            rows: edit.changes.len(),
-            at: self.now,
+            changed_rows: edit.changes.len(),
+            arrived_at: self.now,
         };
         let purpose = Purpose::Edit { call, made: Box::new(made), wait: apply.wait };
         self.propose(Command::Edit(edit), purpose, PATIENCE);
     }
 
     /// Takes what became of an operator's edit.
-    pub(crate) fn edited(&mut self, call: Id, made: Made, wait: Duration, answer: &Answer) {
+    pub(crate) fn edited(
+        &mut self,
+        call: CallId,
+        made: SubmittedEdit,
+        wait: Duration,
+        answer: &ProposalAnswer,
+    ) {
         let Some(Outcome::Edit(verdict)) = outcome(answer) else {
             return self.reply(call, failure(answer));
         };
@@ -73,14 +79,14 @@
             Verdict::Accepted { revision } | Verdict::Unchanged { revision } => Some(*revision),
             _ => None,
         };
-        let since = made.at;
-        self.note(Notice::Edit { made, revision, answer: verdict.to_string() });
+        let since = made.arrived_at;
+        self.note(Notice::Edit { edit: made, revision, answer: verdict.to_string() });
         let edited = match verdict.clone() {
             Verdict::Accepted { revision } => return self.await_force(call, revision, since, wait),
-            Verdict::Unchanged { revision } => Edited::Unchanged(revision),
-            Verdict::Stale(newest) => Edited::Stale(newest),
-            Verdict::Reused => Edited::Reused,
-            Verdict::Bad(problems) => Edited::Bad(problems),
+            Verdict::Unchanged { revision } => EditResult::Unchanged(revision),
+            Verdict::Stale(newest) => EditResult::Stale(newest),
+            Verdict::Reused => EditResult::Reused,
+            Verdict::Bad(problems) => EditResult::Invalid(problems),
         };
         self.reply(call, Reply::Edited(edited));
     }
@@ -95,7 +101,7 @@
             }
             if wait.told && wait.since + SLOW <= now {
                 let (revision, awaited) = (wait.revision, wait.awaited);
-                self.note(Notice::Slow { revision, awaited });
+                self.note(Notice::EditDelayed { revision, awaited });
                 continue;
             }
             if wait.due > now {
@@ -103,11 +109,13 @@
                 continue;
             }
             wait.due = now + POLL;
-            match self.find(&Query::Force(wait.revision)) {
-                Some(Found::Force { everywhere: true, .. }) => self.settle_wait(&wait),
-                Some(Found::Force { awaited, .. }) => self.waits.push(Wait { awaited, ..wait }),
+            match self.find(&Query::Propagation(wait.revision)) {
+                Some(QueryAnswer::Propagation { complete: true, .. }) => self.settle_wait(&wait),
+                Some(QueryAnswer::Propagation { awaited, .. }) => {
+                    self.waits.push(Wait { awaited, ..wait })
+                }
                 _ => {
-                    let query = Query::Force(wait.revision);
+                    let query = Query::Propagation(wait.revision);
                     let waiter = Waiter::Force(wait.call);
                     self.waits.push(wait);
                     self.query(query, waiter, None, RESEND);
@@ -121,11 +129,11 @@
         let newest = self.hub.revision();
         let revision = revision.unwrap_or(newest);
         if revision == newest {
-            return Reply::Table(Version { revision, table: self.hub.table().clone() });
+            return Reply::Table(TableRevision { revision, table: self.hub.table().clone() });
         }
         let kept = self.tables.iter().find(|kept| kept.revision == revision);
         kept.map_or_else(
-            || Reply::Missing { oldest: self.oldest(), newest },
+            || Reply::TableNotKept { oldest: self.oldest(), newest },
             |kept| Reply::Table(kept.clone()),
         )
     }
@@ -162,7 +170,7 @@
 
     pub(crate) fn await_force(
         &mut self,
-        call: Id,
+        call: CallId,
         revision: Revision,
         since: Duration,
         wait: Duration,
@@ -175,7 +183,7 @@
     /// Ends the wait for an edit that is in force everywhere.
     pub(crate) fn settle_wait(&mut self, wait: &Wait) {
         let took = self.now.saturating_sub(wait.since);
-        self.note(Notice::InForce { revision: wait.revision, took });
+        self.note(Notice::EditInForce { revision: wait.revision, took });
         if !wait.told {
             self.tell_force(wait, true);
         }
@@ -183,7 +191,7 @@
 
     fn tell_force(&mut self, wait: &Wait, in_force: bool) {
         let awaited = if in_force { Vec::new() } else { wait.awaited.clone() };
-        let edited = Edited::Accepted { revision: wait.revision, in_force, awaited };
+        let edited = EditResult::Accepted { revision: wait.revision, in_force, awaited };
         self.reply(wait.call, Reply::Edited(edited));
     }
 }
--- a/crates/verbenaslip-node/src/input.rs
+++ b/crates/verbenaslip-node/src/input.rs
@@ -43,10 +43,10 @@
         /// The request; its deadline is not looked at.
         arrival: Arrival,
         /// How long after arrival the caller wants the whole answer; none leaves it to the row.
-        due: Option<Duration>,
+        timeout: Option<Duration>,
     },
     /// A caller's, or subscriber's, connection is closed or its answer ended.
-    Gone(Ticket),
+    ConnectionClosed(Ticket),
     /// Another instance wants to pass on this instance's answer to its caller.
     Subscribed {
         /// Stands for the other instance's connection.
@@ -64,7 +64,7 @@
         after: u32,
     },
     /// Something became of a run.
-    Ran {
+    RunEvent {
         /// The run.
         attempt: Attempt,
         /// What became of it.
@@ -77,21 +77,21 @@
         /// The last position held there.
         position: u32,
         /// Whether the end is held there as well.
-        whole: bool,
+        complete: bool,
     },
     /// An upstream has announced itself here; answered by a reply.
     Announced {
         /// Names the call in the reply.
-        call: operator::Id,
+        call: operator::CallId,
         /// What it says.
         announcement: Box<Announcement>,
     },
     /// An operator or a probe asks for something; answered by a reply.
     Called {
         /// Names the call in the reply.
-        call: operator::Id,
+        call: operator::CallId,
         /// What is asked.
-        ask: operator::Ask,
+        request: operator::OperatorCall,
     },
     /// The cloud takes an upstream away.
     Reclaimed {
@@ -101,12 +101,12 @@
         notice: Duration,
     },
     /// All writes up to a mark are durable.
-    Stored {
+    WriteDurable {
         /// The mark of the last one.
-        mark: u64,
+        sequence: u64,
     },
     /// An upstream has answered an order, or did not.
-    Ordered {
+    OrderAnswered {
         /// The upstream.
         upstream: Upstream,
         /// The order's number.
@@ -115,13 +115,13 @@
         answer: order::dispatcher::Answer,
     },
     /// An upstream has told its state.
-    Read {
+    StateRead {
         /// The upstream.
         upstream: Upstream,
         /// The question that it answers.
         question: u64,
         /// The state.
-        holding: order::dispatcher::UpstreamState,
+        state: order::dispatcher::UpstreamState,
     },
     /// The cloud has told what it offers and has given.
     Surveyed(Survey),
@@ -133,7 +133,7 @@
         name: Option<Upstream>,
     },
     /// An engine has told what became of its prefix cache.
-    Cached {
+    CacheEvents {
         /// The engine.
         upstream: Upstream,
         /// What became of it.
--- a/crates/verbenaslip-node/src/lead.rs
+++ b/crates/verbenaslip-node/src/lead.rs
@@ -10,7 +10,7 @@
 use verbenaslip_state::{Command, Outcome, order, watch};
 use verbenaslip_table::{Edit, Revision, change, edit};
 
-use crate::message::{Answer, Message};
+use crate::message::{Message, ProposalAnswer};
 use crate::node::{Node, Todo};
 use crate::notice::Notice;
 use crate::proposal::{NEXT, Proposal, Purpose, RESEND, Work};
@@ -29,8 +29,8 @@
         let founders = self.setup.voters.iter().map(|founder| founder.instance.clone()).collect();
         let mut setup = Setup::new(self.setup.instance.clone(), founders, self.setup.seed);
         setup.timing = Timing {
-            heartbeat_interval: self.setup.timing.heartbeat,
-            election_timeout: self.setup.timing.election,
+            heartbeat_interval: self.setup.timing.heartbeat_interval,
+            election_timeout: self.setup.timing.election_timeout,
             ..Timing::default()
         };
         let mut events = Vec::new();
@@ -69,7 +69,7 @@
         match event {
             Event::Send { to, message } => self.send(&to, Message::Log(message)),
             Event::Store { mark, write } => {
-                self.out.push(crate::output::Output::Store { mark, write });
+                self.out.push(crate::output::Output::Store { sequence: mark, write });
             }
             Event::Committed { revision, command, table } => {
                 let Command::Edit(edit) = command else { return };
@@ -112,8 +112,8 @@
     pub(crate) fn forwarded(&mut self, from: Instance, token: u64, command: Command) {
         if !command.has_valid_time(self.unix()) {
             let text = "the clocks of the two instances differ too much; check both";
-            let answer = Answer::Refused(text.into());
-            return self.send(&from, Message::Proposed { token, answer });
+            let answer = ProposalAnswer::Refused(text.into());
+            return self.send(&from, Message::ProposalResult { token, answer });
         }
         self.forward(from, token, Work::Command(Box::new(command)));
     }
@@ -124,24 +124,26 @@
     }
 
     /// Takes what became of a proposal.
-    pub(crate) fn proposed(&mut self, token: u64, answer: Answer) {
+    pub(crate) fn proposed(&mut self, token: u64, answer: ProposalAnswer) {
         let now = self.now;
         let Some(proposal) = self.proposals.get_mut(token) else { return };
         if matches!(proposal.purpose, Purpose::Forwarded { .. }) {
             return self.conclude(token, answer);
         }
         match answer {
-            Answer::Elsewhere { leader } => {
+            ProposalAnswer::NotLeader { leader } => {
                 proposal.sent = false;
                 proposal.due = now + NEXT;
                 proposal.tries += 1;
                 self.leader = leader;
             }
-            Answer::Unknown => {
+            ProposalAnswer::Unknown => {
                 proposal.doubtful = true;
                 proposal.due = now + NEXT;
             }
-            Answer::Done(_) | Answer::Changed | Answer::Refused(_) => self.conclude(token, answer),
+            ProposalAnswer::Done(_) | ProposalAnswer::Changed | ProposalAnswer::Refused(_) => {
+                self.conclude(token, answer)
+            }
         }
     }
 
@@ -153,8 +155,8 @@
             proposal.doubtful |= std::mem::take(&mut proposal.sent);
             if proposal.deadline <= now {
                 let doubtful = proposal.doubtful;
-                let nobody = Answer::Elsewhere { leader: None };
-                self.conclude(token, if doubtful { Answer::Unknown } else { nobody });
+                let nobody = ProposalAnswer::NotLeader { leader: None };
+                self.conclude(token, if doubtful { ProposalAnswer::Unknown } else { nobody });
                 continue;
             }
             self.launch(token);
@@ -196,7 +198,7 @@
         if !self.leads() {
             return;
         }
-        self.note(Notice::Replacing(voter.instance.clone()));
+        self.note(Notice::ReplacingVoter(voter.instance.clone()));
         let change = Change::Replace { old: voter.instance.clone(), new: voter };
         self.submit(Work::Change(change), Purpose::Nobody, QUIET);
     }
@@ -206,8 +208,8 @@
         if !leads {
             // Asked by the leader this instance believes in, it would send the asker in a circle.
             let leader = self.leader.clone().filter(|leader| *leader != from);
-            let answer = Answer::Elsewhere { leader };
-            return self.send(&from, Message::Proposed { token, answer });
+            let answer = ProposalAnswer::NotLeader { leader };
+            return self.send(&from, Message::ProposalResult { token, answer });
         }
         self.submit(work, Purpose::Forwarded { from, token }, FORWARDED);
     }
@@ -272,7 +274,7 @@
     }
 
     /// Ends a proposal and tells whoever waits.
-    fn conclude(&mut self, token: u64, answer: Answer) {
+    fn conclude(&mut self, token: u64, answer: ProposalAnswer) {
         let Some(proposal) = self.proposals.remove(token) else { return };
         match proposal.purpose {
             Purpose::Edit { call, made, wait } => self.edited(call, *made, wait, &answer),
@@ -288,7 +290,7 @@
                 }
             }
             Purpose::Forwarded { from, token } => {
-                self.send(&from, Message::Proposed { token, answer });
+                self.send(&from, Message::ProposalResult { token, answer });
             }
             Purpose::Nobody => {}
         }
@@ -296,9 +298,9 @@
 }
 
 /// Returns the outcome of a committed command.
-pub(crate) fn outcome(answer: &Answer) -> Option<&Outcome> {
+pub(crate) fn outcome(answer: &ProposalAnswer) -> Option<&Outcome> {
     match answer {
-        Answer::Done(outcome) => Some(outcome),
+        ProposalAnswer::Done(outcome) => Some(outcome),
         _ => None,
     }
 }
--- a/crates/verbenaslip-node/src/members.rs
+++ b/crates/verbenaslip-node/src/members.rs
@@ -12,7 +12,7 @@
 use crate::message::Message;
 use crate::node::{Node, Todo};
 use crate::notice::Notice;
-use crate::operator::{Id, Reply};
+use crate::operator::{CallId, Reply};
 use crate::output::Output;
 use crate::share::Share;
 
@@ -29,7 +29,7 @@
     /// Takes an upstream's announcement and answers it.
     pub(crate) fn announced(
         &mut self,
-        call: Id,
+        call: CallId,
         announcement: Box<verbenaslip_base::announce::Announcement>,
     ) {
         let mut outputs = Vec::new();
@@ -40,7 +40,7 @@
     }
 
     /// Passes on one output; the call is that of the announcement that it may answer.
-    fn gossiped(&mut self, output: gossip::Output, call: Option<Id>) {
+    fn gossiped(&mut self, output: gossip::Output, call: Option<CallId>) {
         match output {
             gossip::Output::Send { to, frame } => self.out.push(Output::Datagram { to, frame }),
             gossip::Output::AnnouncementResult(answer) => {
@@ -124,7 +124,7 @@
                 self.push(Todo::Request(request::Input::Cleared(instance.clone())));
                 let member = self.gossip.member(&instance);
                 let incarnation = member.map_or(0, |member| member.peer().incarnation);
-                self.note(Notice::Back { instance, incarnation });
+                self.note(Notice::Recovered { instance, incarnation });
             }
             // It still ends what it owns; taken for gone, its requests would be run a second time.
             MemberEvent::Leaving(_) => {}
@@ -186,11 +186,11 @@
                 let in_doubt =
                     |record: &&gossip::Record| record.lease_status() != LeaseStatus::Confirmed;
                 let lost = self.upstreams_in(&zone).filter(in_doubt).count();
-                self.note(Notice::Doubted { zone, lost, known });
+                self.note(Notice::ZoneDoubted { zone, lost, known });
             }
             UpstreamEvent::ZoneCleared(zone) => {
                 let known = self.upstreams_in(&zone).count();
-                self.note(Notice::Trusted { zone, known });
+                self.note(Notice::ZoneTrusted { zone, known });
             }
         }
     }
--- a/crates/verbenaslip-node/src/message.rs
+++ b/crates/verbenaslip-node/src/message.rs
@@ -37,44 +37,44 @@
         change: Change,
     },
     /// Answers a proposal or a change.
-    Proposed {
+    ProposalResult {
         /// The token it came with.
         token: u64,
         /// What became of it.
-        answer: Answer,
+        answer: ProposalAnswer,
     },
     /// Asks a voter for something that only voters hold.
-    Ask {
+    Query {
         /// Comes back in the answer.
         token: u64,
         /// What is asked.
         query: Query,
     },
     /// Answers a query.
-    Told {
+    QueryResult {
         /// The token it came with.
         token: u64,
         /// What is known; none when the receiver is no voter or does not lead.
-        found: Option<Found>,
+        answer: Option<QueryAnswer>,
         /// The leader, where known.
         leader: Option<Instance>,
     },
     /// Asks the receiver to drain and exit, as an operator wants it.
     Drain {
         /// Who asks.
-        by: Operator,
+        operator: Operator,
     },
 }
 
 /// Says what became of a proposal.
 #[data]
-pub enum Answer {
+pub enum ProposalAnswer {
     /// It was committed, with this outcome.
     Done(Outcome),
     /// The change of the voter set was committed.
     Changed,
     /// The receiver does not lead and did not take it.
-    Elsewhere {
+    NotLeader {
         /// The leader, where known.
         leader: Option<Instance>,
     },
@@ -88,7 +88,7 @@
 #[data]
 pub enum Query {
     /// Whether a revision is in force everywhere.
-    Force(Revision),
+    Propagation(Revision),
     /// The accepted edits.
     History,
     /// The audit trail from an entry on.
@@ -97,16 +97,16 @@
         since: u64,
     },
     /// The identity of the receiver's own data folder.
-    Folder,
+    OwnVoter,
 }
 
 /// Answers a query.
 #[data]
-pub enum Found {
+pub enum QueryAnswer {
     /// Whether a revision is in force everywhere, and who is awaited where not.
-    Force {
+    Propagation {
         /// Whether it is.
-        everywhere: bool,
+        complete: bool,
         /// The instances that may still serve by an older table.
         awaited: Vec<Instance>,
     },
@@ -115,12 +115,12 @@
     /// A part of the audit trail.
     Audit(audit::Page),
     /// The receiver's voter; none when it has no folder.
-    Folder(Option<verbenaslip_replica::voter::Voter>),
+    OwnVoter(Option<verbenaslip_replica::voter::Voter>),
 }
 
 /// Pairs a table with its revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Version {
+pub struct TableRevision {
     /// The revision.
     pub revision: Revision,
     /// The table.
--- a/crates/verbenaslip-node/src/node.rs
+++ b/crates/verbenaslip-node/src/node.rs
@@ -18,7 +18,7 @@
 
 use crate::capacity::Capacity;
 use crate::input::Input;
-use crate::message::{Message, Version};
+use crate::message::{Message, TableRevision};
 use crate::notice::Notice;
 use crate::output::Output;
 use crate::proposal::{Proposals, Tokens, Wait};
@@ -55,7 +55,7 @@
     pub(crate) queries: BTreeMap<u64, crate::query::Open>,
     pub(crate) waits: Vec<Wait>,
     pub(crate) known: BTreeMap<Request, Known>,
-    pub(crate) tables: VecDeque<Version>,
+    pub(crate) tables: VecDeque<TableRevision>,
     pub(crate) leader: Option<Instance>,
     pub(crate) voters: BTreeSet<Instance>,
     pub(crate) orders: order::Dispatcher,
@@ -91,7 +91,7 @@
             incarnation: setup.incarnation,
         };
         let seeds = setup.seeds.clone();
-        let gossip = gossip::Setup { own, seeds, lease: setup.timing.lease };
+        let gossip = gossip::Setup { own, seeds, lease: setup.timing.upstream_lease };
         let (instance, zone, boot) =
             (setup.instance.clone(), setup.zone.clone(), setup.incarnation);
         let mut node = Self {
@@ -111,7 +111,7 @@
             tables: VecDeque::new(),
             leader: None,
             voters: setup.voters.iter().map(|founder| founder.instance.clone()).collect(),
-            orders: order::Dispatcher::new(setup.timing.election),
+            orders: order::Dispatcher::new(setup.timing.election_timeout),
             capacity: Capacity::new(now),
             instances: 1,
             stop: None,
@@ -141,7 +141,7 @@
     }
 
     /// Returns when the next step is due at the latest.
-    pub fn wake(&self) -> Duration {
+    pub fn next_wakeup(&self) -> Duration {
         let mut wake = self.beat.min(self.gossip.next_wakeup());
         wake = wake.min(self.voter.as_ref().map_or(wake, Voter::wake));
         wake = wake.min(self.requests.next_wakeup().unwrap_or(wake));
@@ -156,16 +156,16 @@
 
     /// Says whether the platform should send callers here.
     pub fn is_ready(&self) -> bool {
-        self.unready().is_empty()
+        self.readiness_problems().is_empty()
     }
 
     /// Says whether this instance takes new work by its table.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         self.closed().is_empty()
     }
 
     /// Counts the claims kept in the replicated state here; none without a data folder.
-    pub fn claims(&self) -> usize {
+    pub fn claim_count(&self) -> usize {
         self.voter.as_ref().map_or(0, |voter| voter.state().claims())
     }
 
@@ -175,7 +175,7 @@
     }
 
     /// Returns why the platform should send no callers here; empty when it should.
-    pub fn unready(&self) -> Vec<Arc<str>> {
+    pub fn readiness_problems(&self) -> Vec<Arc<str>> {
         let mut reasons = self.closed();
         if !self.dispatcher.limiter().has_base_share(self.now) {
             reasons.push("it has no part of the limits yet, so that requests would wait".into());
@@ -238,21 +238,23 @@
                 self.push(Todo::Gossip(gossip::Input::Received { from, frame }));
             }
             Input::Announced { call, announcement } => self.announced(call, announcement),
-            Input::Called { call, ask } => self.called(call, ask),
+            Input::Called { call, request: ask } => self.called(call, ask),
             Input::Reclaimed { upstream, notice } => {
                 let notice = u32::try_from(notice.as_millis()).unwrap_or(u32::MAX);
                 self.push(Todo::Gossip(gossip::Input::Reclaimed { upstream, notice }));
             }
-            Input::Stored { mark } => self.push(Todo::Log(log::Input::Stored { sequence: mark })),
-            Input::Ordered { upstream, fence, answer } => {
+            Input::WriteDurable { sequence: mark } => {
+                self.push(Todo::Log(log::Input::Stored { sequence: mark }))
+            }
+            Input::OrderAnswered { upstream, fence, answer } => {
                 self.step_orders(order::Input::Answer { upstream, fence, answer });
             }
-            Input::Read { upstream, question, holding } => {
+            Input::StateRead { upstream, question, state: holding } => {
                 self.step_orders(order::Input::Read { upstream, question, holding });
             }
             Input::Surveyed(survey) => self.surveyed(survey),
             Input::Started { request, name } => self.started(request, name.as_ref()),
-            Input::Cached { upstream, batch } => {
+            Input::CacheEvents { upstream, batch } => {
                 self.dispatcher.handle_cache_events(&upstream, &batch)
             }
             Input::Stop { remaining } => self.begin_stop(remaining),
@@ -271,9 +273,11 @@
             }
             Message::Propose { token, command } => self.forwarded(from, token, *command),
             Message::Change { token, change } => self.forwarded_change(from, token, change),
-            Message::Proposed { token, answer } => self.proposed(token, answer),
-            Message::Ask { token, query } => self.asked(&from, token, &query),
-            Message::Told { token, found, leader } => self.told(token, found, leader),
+            Message::ProposalResult { token, answer } => self.proposed(token, answer),
+            Message::Query { token, query } => self.asked(&from, token, &query),
+            Message::QueryResult { token, answer: found, leader } => {
+                self.told(token, found, leader)
+            }
             Message::Drain { .. } => self.out.push(Output::Drain),
         }
     }
@@ -344,11 +348,11 @@
 
     fn use_table(&mut self, revision: Revision, table: Arc<Table>) {
         self.dispatcher.set_table(self.now, &table);
-        self.tables.push_back(Version { revision, table });
+        self.tables.push_back(TableRevision { revision, table });
         if self.tables.len() > crate::edits::TABLES {
             self.tables.pop_front();
         }
-        self.note(Notice::Table(revision));
+        self.note(Notice::TableInUse(revision));
     }
 
     fn watch_readiness(&mut self) {
--- a/crates/verbenaslip-node/src/notice.rs
+++ b/crates/verbenaslip-node/src/notice.rs
@@ -29,7 +29,7 @@
         incarnation: u64,
     },
     /// Another instance answers again before it counted as lost.
-    Back {
+    Recovered {
         /// The instance.
         instance: Instance,
         /// Its start.
@@ -81,7 +81,7 @@
         age: Duration,
     },
     /// An availability zone's upstreams are in doubt.
-    Doubted {
+    ZoneDoubted {
         /// The availability zone.
         zone: AvailabilityZone,
         /// How many of its upstreams are in doubt.
@@ -90,7 +90,7 @@
         known: usize,
     },
     /// No upstream of an availability zone is in doubt any more.
-    Trusted {
+    ZoneTrusted {
         /// The availability zone.
         zone: AvailabilityZone,
         /// How many of its upstreams are known.
@@ -104,25 +104,25 @@
         leader: Option<Instance>,
     },
     /// A table came into use here.
-    Table(Revision),
+    TableInUse(Revision),
     /// An operator's edit was answered.
     Edit {
         /// What was asked.
-        made: Made,
+        edit: SubmittedEdit,
         /// The revision that it is, now or from an earlier sending; none when it was refused.
         revision: Option<Revision>,
         /// What was answered.
         answer: String,
     },
     /// An edit made here is in force everywhere.
-    InForce {
+    EditInForce {
         /// The revision.
         revision: Revision,
         /// How long that took from its arrival here.
         took: Duration,
     },
     /// An edit made here is not in force everywhere in the time that it should take.
-    Slow {
+    EditDelayed {
         /// The revision.
         revision: Revision,
         /// Who may still serve by an older table.
@@ -131,33 +131,33 @@
     /// An operator's drain of an instance is committed.
     DrainOrdered {
         /// Who asked.
-        by: Operator,
+        operator: Operator,
         /// The instance.
         instance: Instance,
     },
     /// An operator asked for another voter set.
     VotersOrdered {
         /// Who asked.
-        by: Operator,
+        operator: Operator,
         /// What is changed.
         change: VoterChange,
     },
     /// A request goes to its first upstream.
-    Began {
+    RequestStarted {
         /// The request.
         head: Box<Head>,
         /// How long it was here before.
         waited: Duration,
     },
     /// A failed run was followed by another, or was not.
-    Retried {
+    RetryDecided {
         /// The request.
         head: Box<Head>,
         /// What was decided.
-        verdict: Decision,
+        decision: Decision,
     },
     /// The quorum answered a claim, or did not.
-    Claimed {
+    ClaimDecided {
         /// The request.
         request: Request,
         /// Its team, where it is still known.
@@ -168,33 +168,33 @@
     /// A request that another instance owned goes on here.
     TakenOver(Request),
     /// A request has ended here.
-    Ended {
+    RequestEnded {
         /// The request.
         head: Box<Head>,
         /// How.
         outcome: Outcome,
     },
     /// Something became of an order to an upstream.
-    Order(order::dispatcher::Report),
+    OrderReport(order::dispatcher::Report),
     /// The capacity plan ordered something.
-    Plan(plan::Order),
+    CapacityOrder(plan::Order),
     /// A voter's instance runs another folder and is replaced in the voter set.
-    Replacing(Instance),
+    ReplacingVoter(Instance),
     /// The replicated state could not be read; this voter does not take part.
     Unreadable(String),
 }
 
 /// Describes an operator's edit on its way.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Made {
+pub struct SubmittedEdit {
     /// Its identity.
     pub id: edit::Id,
     /// Who made it.
-    pub by: Operator,
+    pub operator: Operator,
     /// The revision that it was made from.
     pub base: Revision,
     /// How many rows it changes.
-    pub rows: usize,
+    pub changed_rows: usize,
     /// When it arrived here.
-    pub at: Duration,
+    pub arrived_at: Duration,
 }
--- a/crates/verbenaslip-node/src/operator.rs
+++ b/crates/verbenaslip-node/src/operator.rs
@@ -10,16 +10,16 @@
 use verbenaslip_table::edit;
 use verbenaslip_table::{Problems, Revision};
 
-use crate::message::Version;
+use crate::message::TableRevision;
 use crate::status::Status;
 
 /// Names one open call at this instance.
 #[data(copy, ord, hash)]
-pub struct Id(pub u64);
+pub struct CallId(pub u64);
 
 /// Asks for something.
 #[derive(Clone, Debug)]
-pub enum Ask {
+pub enum OperatorCall {
     /// The table.
     Table {
         /// At which revision; the newest when there is none.
@@ -43,14 +43,14 @@
         /// The instance.
         instance: Instance,
         /// Who asks.
-        by: Operator,
+        operator: Operator,
     },
     /// Another voter set.
     Voters {
         /// What is changed.
-        swap: verbenaslip_state::command::VoterChange,
+        change: verbenaslip_state::command::VoterChange,
         /// Who asks.
-        by: Operator,
+        operator: Operator,
     },
 }
 
@@ -66,9 +66,9 @@
     /// How long to wait until it is in force everywhere.
     pub wait: Duration,
     /// Whether it is only checked.
-    pub dry: bool,
+    pub dry_run: bool,
     /// Who asks.
-    pub by: Operator,
+    pub operator: Operator,
 }
 
 /// Replies to a call.
@@ -77,16 +77,16 @@
     /// What became of an announcement.
     Announced(Announced),
     /// A table.
-    Table(Version),
+    Table(TableRevision),
     /// That revision of the table is not kept here, or not there yet.
-    Missing {
+    TableNotKept {
         /// The oldest revision that is kept.
         oldest: Revision,
         /// The newest.
         newest: Revision,
     },
     /// What became of an edit.
-    Edited(Edited),
+    Edited(EditResult),
     /// The accepted edits.
     History(Vec<history::Entry>),
     /// A part of the audit trail.
@@ -98,7 +98,7 @@
     /// The instance drains from now on.
     Draining,
     /// The change of the voter set is committed.
-    Voted,
+    VotersChanged,
     /// What was asked was surely not done.
     Refused(Arc<str>),
     /// There is no quorum; it was surely not done.
@@ -109,7 +109,7 @@
 
 /// Says what became of an edit.
 #[derive(Clone, Debug)]
-pub enum Edited {
+pub enum EditResult {
     /// It is a revision, from now or from an earlier sending.
     Accepted {
         /// The revision.
@@ -122,11 +122,11 @@
     /// The table is so already.
     Unchanged(Revision),
     /// It would be accepted, were it not only checked.
-    Fits(Revision),
+    Valid(Revision),
     /// Another edit came first.
     Stale(history::Newest),
     /// The table has faults.
-    Bad(Problems),
+    Invalid(Problems),
     /// The identity was used for other changes before.
     Reused,
 }
--- a/crates/verbenaslip-node/src/orders.rs
+++ b/crates/verbenaslip-node/src/orders.rs
@@ -6,7 +6,7 @@
 use verbenaslip_state::{Command, Outcome};
 
 use crate::lead::outcome;
-use crate::message::Answer;
+use crate::message::ProposalAnswer;
 use crate::node::Node;
 use crate::notice::Notice;
 use crate::output::Output;
@@ -69,7 +69,7 @@
     }
 
     /// Takes what became of an order's proposal.
-    pub(crate) fn numbered(&mut self, order: Order, answer: &Answer) {
+    pub(crate) fn numbered(&mut self, order: Order, answer: &ProposalAnswer) {
         let input = match outcome(answer) {
             Some(Outcome::Order(Verdict::Numbered(fence))) => {
                 order::Input::Committed(Pending { fence: *fence, order })
@@ -88,13 +88,13 @@
             order::Output::Give(give) => {
                 if let Some(record) = self.gossip.record(&give.upstream) {
                     let address = record.announcement().address;
-                    self.out.push(Output::Order { address, give });
+                    self.out.push(Output::Order { address, delivery: give });
                 }
             }
             order::Output::ReadBack { upstream, question } => {
                 if let Some(record) = self.gossip.record(&upstream) {
                     let address = record.announcement().address;
-                    self.out.push(Output::ReadBack { address, upstream, question });
+                    self.out.push(Output::ReadState { address, upstream, question });
                 }
             }
             order::Output::End(end) => {
@@ -108,7 +108,7 @@
                 let purpose = Purpose::Ordered { upstream: end.upstream, fence: end.ending.fence };
                 self.propose(Command::Ordered(ordered), purpose, crate::calls::PATIENCE);
             }
-            order::Output::Report(report) => self.note(Notice::Order(report)),
+            order::Output::Report(report) => self.note(Notice::OrderReport(report)),
         }
     }
 }
--- a/crates/verbenaslip-node/src/output.rs
+++ b/crates/verbenaslip-node/src/output.rs
@@ -35,10 +35,10 @@
         /// What it says.
         frame: Box<Frame>,
     },
-    /// Writes and syncs; then the mark is given back as `Input::Stored`.
+    /// Writes and syncs; then the mark is given back as `Input::WriteDurable`.
     Store {
         /// Rises by one with each write.
-        mark: u64,
+        sequence: u64,
         /// What to write.
         write: Write,
     },
@@ -50,7 +50,7 @@
         verdict: Verdict,
     },
     /// Tells a subscriber that this instance does not own the request.
-    Absent(Ticket),
+    NotOwner(Ticket),
     /// Runs a request at an upstream.
     Run(Run),
     /// Stops a run at its upstream and drops its late tokens.
@@ -65,7 +65,7 @@
         to: Option<Instance>,
     },
     /// Makes the answer held here this instance's own, in an epoch.
-    Own {
+    TakeOwnership {
         /// The request.
         request: Request,
         /// The epoch.
@@ -83,10 +83,10 @@
         /// Where it is reached.
         address: SocketAddr,
         /// The order; void after its expiry.
-        give: OrderDelivery,
+        delivery: OrderDelivery,
     },
     /// Asks an upstream for its state; answered by `Input::Read`.
-    ReadBack {
+    ReadState {
         /// Where it is reached.
         address: SocketAddr,
         /// The upstream.
@@ -101,7 +101,7 @@
     /// Replies to a call.
     Reply {
         /// The call.
-        call: operator::Id,
+        call: operator::CallId,
         /// The reply.
         reply: operator::Reply,
     },
@@ -112,5 +112,5 @@
     /// Asks the driver to stop this instance gracefully, as an operator wants it.
     Drain,
     /// Tells that nothing is left here after `Stop`.
-    Drained,
+    Stopped,
 }
--- a/crates/verbenaslip-node/src/proposal.rs
+++ b/crates/verbenaslip-node/src/proposal.rs
@@ -16,7 +16,7 @@
 use verbenaslip_state::{Command, claim};
 use verbenaslip_table::Revision;
 
-use crate::notice::Made;
+use crate::notice::SubmittedEdit;
 use crate::operator;
 
 /// Between two sendings of an unanswered proposal.
@@ -38,13 +38,13 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Purpose {
     /// An operator's edit.
-    Edit { call: operator::Id, made: Box<Made>, wait: Duration },
+    Edit { call: operator::CallId, made: Box<SubmittedEdit>, wait: Duration },
     /// The claim of a non-idempotent request, as it was proposed.
     Claim { request: Request, claimant: u128, claim: Box<claim::Claim> },
     /// An operator's drain of an instance.
-    Drain { call: operator::Id, instance: Instance, by: Operator },
+    Drain { call: operator::CallId, instance: Instance, by: Operator },
     /// An operator's change of the voter set.
-    Voters { call: operator::Id },
+    Voters { call: operator::CallId },
     /// An order that waits for its number.
     Order { order: Box<Order> },
     /// The end of an order.
@@ -141,7 +141,7 @@
 /// Waits until an accepted edit is in force everywhere.
 #[derive(Clone, Debug)]
 pub(crate) struct Wait {
-    pub(crate) call: operator::Id,
+    pub(crate) call: operator::CallId,
     pub(crate) revision: Revision,
     /// When the edit arrived.
     pub(crate) since: Duration,
--- a/crates/verbenaslip-node/src/query.rs
+++ b/crates/verbenaslip-node/src/query.rs
@@ -7,9 +7,9 @@
 use verbenaslip_base::name::{Instance, Operator};
 use verbenaslip_state::audit;
 
-use crate::message::{Found, Message, Query};
+use crate::message::{Message, Query, QueryAnswer};
 use crate::node::Node;
-use crate::operator::{Id, Reply};
+use crate::operator::{CallId, Reply};
 
 /// Before a query goes to the next instance after one that could not answer.
 const NEXT: Duration = Duration::from_millis(100);
@@ -34,11 +34,11 @@
 #[derive(Clone)]
 pub(crate) enum Waiter {
     /// An operator's call.
-    Operator(Id),
+    Operator(CallId),
     /// An edit's call that waits until the edit is in force everywhere.
-    Force(Id),
+    Force(CallId),
     /// A change of the voter set that needs the new voter's folder.
-    Joining { call: Id, old: Option<Instance>, by: Operator },
+    Joining { call: CallId, old: Option<Instance>, by: Operator },
 }
 
 impl Node {
@@ -64,11 +64,16 @@
     pub(crate) fn asked(&mut self, from: &Instance, token: u64, query: &Query) {
         let found = self.find(query);
         let leader = self.leader.clone();
-        self.send(from, Message::Told { token, found, leader });
+        self.send(from, Message::QueryResult { token, answer: found, leader });
     }
 
     /// Takes the answer to a query.
-    pub(crate) fn told(&mut self, token: u64, found: Option<Found>, leader: Option<Instance>) {
+    pub(crate) fn told(
+        &mut self,
+        token: u64,
+        found: Option<QueryAnswer>,
+        leader: Option<Instance>,
+    ) {
         let now = self.now;
         let Some(open) = self.queries.get_mut(&token) else { return };
         let Some(found) = found else {
@@ -113,44 +118,46 @@
         let (query, tries) = (open.query.clone(), open.tries - 1);
         let target = open.target.clone().or_else(|| self.likely_leader(tries));
         if let Some(target) = target {
-            self.send(&target, Message::Ask { token, query });
+            self.send(&target, Message::Query { token, query });
         }
     }
 
     /// Answers a query from what is held here.
-    pub(crate) fn find(&self, query: &Query) -> Option<Found> {
-        if let Query::Folder = query {
-            return Some(Found::Folder(self.voter.as_ref().map(|it| it.replica().voter())));
+    pub(crate) fn find(&self, query: &Query) -> Option<QueryAnswer> {
+        if let Query::OwnVoter = query {
+            return Some(QueryAnswer::OwnVoter(self.voter.as_ref().map(|it| it.replica().voter())));
         }
         let voter = self.voter.as_ref().filter(|_| self.leads())?;
         match query {
-            Query::Force(revision) => {
+            Query::Propagation(revision) => {
                 let force = self.hub.propagation(self.now, *revision)?;
                 let everywhere = force.is_complete();
-                Some(Found::Force { everywhere, awaited: force.awaited })
+                Some(QueryAnswer::Propagation { complete: everywhere, awaited: force.awaited })
             }
             Query::History => {
                 let entries: Vec<_> = voter.state().history().cloned().collect();
                 let skip = entries.len().saturating_sub(HISTORY);
-                Some(Found::History(entries.into_iter().skip(skip).collect()))
+                Some(QueryAnswer::History(entries.into_iter().skip(skip).collect()))
             }
             Query::Audit { since } => {
-                Some(Found::Audit(voter.state().audit(*since, audit::MAX_PAGE)))
+                Some(QueryAnswer::Audit(voter.state().audit(*since, audit::MAX_PAGE)))
             }
-            Query::Folder => None,
+            Query::OwnVoter => None,
         }
     }
 
-    fn found(&mut self, waiter: Waiter, found: Found) {
+    fn found(&mut self, waiter: Waiter, found: QueryAnswer) {
         match (waiter, found) {
-            (Waiter::Operator(call), Found::History(entries)) => {
+            (Waiter::Operator(call), QueryAnswer::History(entries)) => {
                 self.reply(call, Reply::History(entries));
             }
-            (Waiter::Operator(call), Found::Audit(page)) => self.reply(call, Reply::Audit(page)),
-            (Waiter::Joining { call, old, by }, Found::Folder(voter)) => {
+            (Waiter::Operator(call), QueryAnswer::Audit(page)) => {
+                self.reply(call, Reply::Audit(page))
+            }
+            (Waiter::Joining { call, old, by }, QueryAnswer::OwnVoter(voter)) => {
                 self.join(call, old, by, voter);
             }
-            (Waiter::Force(call), Found::Force { everywhere, awaited }) => {
+            (Waiter::Force(call), QueryAnswer::Propagation { complete: everywhere, awaited }) => {
                 let Some(at) = self.waits.iter().position(|wait| wait.call == call) else { return };
                 if everywhere {
                     let wait = self.waits.remove(at);
--- a/crates/verbenaslip-node/src/serve.rs
+++ b/crates/verbenaslip-node/src/serve.rs
@@ -21,7 +21,7 @@
 
 use crate::input::Input;
 use crate::lead::outcome;
-use crate::message::Answer;
+use crate::message::ProposalAnswer;
 use crate::node::{Node, Todo};
 use crate::notice::Notice;
 use crate::output::Output;
@@ -65,7 +65,7 @@
     let (instance, zone) = (setup.instance.clone(), setup.zone.clone());
     requests::Setup {
         journal: setup.journal,
-        limit: setup.limit,
+        limit: setup.limits,
         timing: setup.timing.request,
         ..requests::Setup::new(instance, zone, setup.incarnation)
     }
@@ -75,17 +75,17 @@
     /// Takes what the traffic threads tell.
     pub(crate) fn traffic(&mut self, input: Input) {
         let input = match input {
-            Input::Arrived { arrival, due } => return self.arrived(arrival, due),
-            Input::Gone(ticket) => request::Input::Gone(ticket),
+            Input::Arrived { arrival, timeout: due } => return self.arrived(arrival, due),
+            Input::ConnectionClosed(ticket) => request::Input::Gone(ticket),
             Input::Subscribed { ticket, request, after } => {
                 request::Input::Subscribed { ticket, request, after }
             }
             Input::RelayLost { ticket, after } => request::Input::RelayLost { ticket, after },
-            Input::Ran { attempt, event } => {
+            Input::RunEvent { attempt, event } => {
                 self.ran(attempt, &event);
                 request::Input::Ran { attempt, event }
             }
-            Input::Mirrored { request, position, whole } => {
+            Input::Mirrored { request, position, complete: whole } => {
                 self.push(Todo::Request(request::Input::Mirrored { request, position }));
                 if !whole {
                     return;
@@ -121,7 +121,7 @@
         request: Request,
         claimant: u128,
         claim: Claim,
-        answer: &Answer,
+        answer: &ProposalAnswer,
     ) {
         let ruling = match (outcome(answer), answer) {
             (Some(Committed::Claim(Verdict::Stale { last })), _) => {
@@ -131,7 +131,7 @@
                 return self.claim(request, claimant, Claim { attempt, ..claim });
             }
             (Some(Committed::Claim(verdict)), _) => ruling(verdict),
-            (_, Answer::Elsewhere { .. } | Answer::Refused(_)) => Ruling::NoQuorum,
+            (_, ProposalAnswer::NotLeader { .. } | ProposalAnswer::Refused(_)) => Ruling::NoQuorum,
             _ => Ruling::Unknown,
         };
         match (&ruling, self.known.get_mut(&request)) {
@@ -142,7 +142,7 @@
             _ => {}
         }
         let team = self.known.get(&request).map(|known| known.head.team.clone());
-        self.note(Notice::Claimed { request, team, ruling: ruling.clone() });
+        self.note(Notice::ClaimDecided { request, team, ruling: ruling.clone() });
         self.push(Todo::Request(request::Input::Claimed { request, claimant, ruling }));
     }
 
@@ -191,7 +191,7 @@
             Wants::Verdict { ticket, verdict } => {
                 self.out.push(Output::Verdict { ticket, verdict });
             }
-            Wants::Absent(ticket) => self.out.push(Output::Absent(ticket)),
+            Wants::Absent(ticket) => self.out.push(Output::NotOwner(ticket)),
             Wants::Admit(head) => self.admit(head),
             Wants::Claim(claim) => self.want_claim(&claim),
             Wants::Settle { request, claimant: _, outcome } => self.settle(request, &outcome),
@@ -207,7 +207,7 @@
                 if !self.known.contains_key(&request) {
                     self.note(Notice::TakenOver(request));
                 }
-                self.out.push(Output::Own { request, epoch });
+                self.out.push(Output::TakeOwnership { request, epoch });
             }
             Wants::Forget { request, epoch } => self.out.push(Output::Forget { request, epoch }),
             Wants::Send { to, message } => self.say(&to, message),
@@ -338,7 +338,7 @@
         };
         let began = known.began.replace(known.began.unwrap_or(now)).is_none().then(|| {
             let waited = now.saturating_sub(known.arrived);
-            Notice::Began { head: Box::new(known.head.clone()), waited }
+            Notice::RequestStarted { head: Box::new(known.head.clone()), waited }
         });
         if std::mem::take(&mut known.wanted) {
             self.push(Todo::Request(request::Input::Placed { request, place }));
@@ -377,7 +377,7 @@
         let fate = self.known.get(&request).map_or(FailureKind::Lost, |known| known.fate);
         let verdict =
             self.dispatcher.handle_failure(self.now, request, upstream, fate, &mut self.rng);
-        self.note(Notice::Retried { head: Box::new(head.clone()), verdict });
+        self.note(Notice::RetryDecided { head: Box::new(head.clone()), decision: verdict });
         // The queue itself holds the run back for the delay; the request may ask for it at once.
         let granted = matches!(verdict, retry::Decision::RetryAfter(_)).then_some(Duration::ZERO);
         self.push(Todo::Request(request::Input::Retry { request, granted }));
@@ -395,7 +395,7 @@
                 let ran = self.now.saturating_sub(began);
                 self.learn_demand(&known.head, known.arrived, Some(ran));
             }
-            self.note(Notice::Ended { head: Box::new(known.head), outcome });
+            self.note(Notice::RequestEnded { head: Box::new(known.head), outcome });
         }
     }
 }
--- a/crates/verbenaslip-node/src/setup.rs
+++ b/crates/verbenaslip-node/src/setup.rs
@@ -27,24 +27,24 @@
     /// Addresses of some instances to join through.
     pub seeds: Vec<SocketAddr>,
     /// The instances that form the replicated log at its very first start, with their addresses.
-    pub voters: Vec<Founder>,
+    pub voters: Vec<InitialVoter>,
     /// What the data folder holds; none when this instance has no folder and so never votes.
     pub recovered: Option<Recovered>,
     /// The table with which an empty log begins.
     pub table: Option<Arc<Table>>,
     /// Whether there is a cloud to plan capacity with.
-    pub cloud: bool,
+    pub has_cloud: bool,
     /// Where a request must be journalled before it counts as accepted.
     pub journal: Journal,
     /// How much is held for requests.
-    pub limit: Limit,
+    pub limits: Limit,
     /// The times.
     pub timing: Timing,
 }
 
 /// Names a first voter and where it is reached before membership knows it.
 #[derive(Clone, Debug)]
-pub struct Founder {
+pub struct InitialVoter {
     /// The instance.
     pub instance: Instance,
     /// Where other instances reach it.
@@ -55,11 +55,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
     /// Between two rounds of heartbeats of the replicated log's leader.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// The shortest election timeout of the replicated log.
-    pub election: Duration,
+    pub election_timeout: Duration,
     /// How long an upstream counts without a renewal.
-    pub lease: Duration,
+    pub upstream_lease: Duration,
     /// The times of requests.
     pub request: RequestTiming,
 }
@@ -68,9 +68,9 @@
     fn default() -> Self {
         let log = verbenaslip_replica::setup::Timing::default();
         Self {
-            heartbeat: log.heartbeat_interval,
-            election: log.election_timeout,
-            lease: verbenaslip_gossip::MAX_LEASE,
+            heartbeat_interval: log.heartbeat_interval,
+            election_timeout: log.election_timeout,
+            upstream_lease: verbenaslip_gossip::MAX_LEASE,
             request: RequestTiming::default(),
         }
     }
--- a/crates/verbenaslip-node/src/status.rs
+++ b/crates/verbenaslip-node/src/status.rs
@@ -169,7 +169,7 @@
             instance: self.setup.instance.clone(),
             version: env!("CARGO_PKG_VERSION").into(),
             zone: self.setup.zone.clone(),
-            not_ready: self.unready(),
+            not_ready: self.readiness_problems(),
             revision: self.hub.revision(),
             rows: self.hub.table().rows().len(),
             lease: self.lease_left(),
@@ -234,7 +234,7 @@
             owned: count.owned,
             copies: count.copies,
             finished: count.finished,
-            claims: self.claims(),
+            claims: self.claim_count(),
             proposals: self.proposals.len(),
         }
     }
--- a/crates/verbenaslip-node/src/stop.rs
+++ b/crates/verbenaslip-node/src/stop.rs
@@ -60,7 +60,7 @@
         if handed && (settled || waited) && !stop.left {
             stop.left = true;
             self.push(Todo::Gossip(gossip::Input::Stop));
-            self.out.push(Output::Drained);
+            self.out.push(Output::Stopped);
         }
         self.stop = Some(stop);
     }
--- a/crates/verbenaslip-node/src/voter.rs
+++ b/crates/verbenaslip-node/src/voter.rs
@@ -17,7 +17,7 @@
 use verbenaslip_state::{Command, Outcome, State};
 use verbenaslip_table::{Revision, Table};
 
-use crate::message::Answer;
+use crate::message::ProposalAnswer;
 
 /// Bounds the outcomes kept until their proposals are answered.
 const OUTCOMES: usize = 4_096;
@@ -33,7 +33,7 @@
     /// The state was replaced as a whole.
     Restored { revision: Revision, table: Arc<Table> },
     /// A proposal or change was answered.
-    Answered { token: u64, answer: Answer },
+    Answered { token: u64, answer: ProposalAnswer },
     /// The role, term or known leader has changed.
     Role(RoleUpdate),
     /// A voter's instance runs another folder.
@@ -105,7 +105,7 @@
         out: &mut Vec<Event>,
     ) {
         let Ok(bytes) = postcard::to_stdvec(command) else {
-            let answer = Answer::Refused("the command can't be written".into());
+            let answer = ProposalAnswer::Refused("the command can't be written".into());
             return out.push(Event::Answered { token, answer });
         };
         self.step(now, input::Input::Propose { token, command: bytes.into() }, out);
@@ -168,7 +168,7 @@
             out.push(Event::Committed { revision, command, table });
         }
         if let Some(token) = self.waiting.remove(&position.index) {
-            return out.push(Event::Answered { token, answer: Answer::Done(outcome) });
+            return out.push(Event::Answered { token, answer: ProposalAnswer::Done(outcome) });
         }
         if self.replica.is_leader() {
             self.outcomes.insert(position.index, outcome);
@@ -205,23 +205,25 @@
     fn answer(&mut self, token: u64, answer: log::Answer, out: &mut Vec<Event>) {
         let change = self.changes.remove(&token);
         let answer = match answer {
-            log::Answer::Committed(_) if change => Answer::Changed,
+            log::Answer::Committed(_) if change => ProposalAnswer::Changed,
             log::Answer::Committed(position) => match self.outcomes.remove(&position.index) {
-                Some(outcome) => Answer::Done(outcome),
+                Some(outcome) => ProposalAnswer::Done(outcome),
                 None if position.index > self.applied => {
                     self.waiting.insert(position.index, token);
                     return;
                 }
-                None => Answer::Unknown,
+                None => ProposalAnswer::Unknown,
             },
             log::Answer::Rejected(log::Rejection::NotLeader { leader }) => {
-                Answer::Elsewhere { leader }
+                ProposalAnswer::NotLeader { leader }
             }
             log::Answer::Rejected(
                 log::Rejection::TransferInProgress | log::Rejection::Busy { .. },
-            ) => Answer::Elsewhere { leader: None },
-            log::Answer::Rejected(rejection) => Answer::Refused(rejection.to_string().into()),
-            log::Answer::Unknown => Answer::Unknown,
+            ) => ProposalAnswer::NotLeader { leader: None },
+            log::Answer::Rejected(rejection) => {
+                ProposalAnswer::Refused(rejection.to_string().into())
+            }
+            log::Answer::Unknown => ProposalAnswer::Unknown,
         };
         out.push(Event::Answered { token, answer });
     }
--- a/crates/verbenaslip-node/tests/fault.rs
+++ b/crates/verbenaslip-node/tests/fault.rs
@@ -8,7 +8,7 @@
 
 use verbenaslip_base::announce::{Kind, Phase};
 use verbenaslip_base::refusal::Reason;
-use verbenaslip_node::operator::{Ask, Edited, Reply};
+use verbenaslip_node::operator::{EditResult, OperatorCall, Reply};
 use verbenaslip_request::caller::Verdict;
 
 use crate::world::{MS, World, upstream};
@@ -116,7 +116,7 @@
         let again = world.apply(5, 1, "edit-a", 200, MS(1_000));
         world.run(MS(9_000));
         let stale =
-            |call| matches!(world.replies.get(&call), Some(Reply::Edited(Edited::Stale(_))));
+            |call| matches!(world.replies.get(&call), Some(Reply::Edited(EditResult::Stale(_))));
         let won = |call| world.accepted(call).map(|it| it.0) == Some(2);
         assert!(won(first) != won(second), "seed {seed}: {:?}", world.replies);
         assert!(stale(first) || stale(second), "seed {seed}");
@@ -279,7 +279,8 @@
         let key = format!("order-{number}");
         let ticket = world.arrive(at, &key, false);
         world.run(MS(500));
-        let claims = world.places[leader].node.as_ref().map_or(0, verbenaslip_node::Node::claims);
+        let claims =
+            world.places[leader].node.as_ref().map_or(0, verbenaslip_node::Node::claim_count);
         (claims == 1).then_some((world, at, key, ticket))
     });
     let (mut world, at, key, ticket) = tries.flatten().next().expect("a claim gets through");
@@ -315,7 +316,7 @@
         world.start(5);
         let second = world.apply(5, 1, "edit-b", 300, Duration::ZERO);
         world.run(MS(12_000));
-        let call = world.ask(0, Ask::History);
+        let call = world.ask(0, OperatorCall::History);
         world.run(MS(1_000));
         let Some(Reply::History(entries)) = world.replies.get(&call) else { panic!("no history") };
         for (call, id) in [(first, "edit-a"), (second, "edit-b")] {
--- a/crates/verbenaslip-node/tests/hostile.rs
+++ b/crates/verbenaslip-node/tests/hostile.rs
@@ -20,8 +20,8 @@
 use verbenaslip_base::attempt::Request;
 use verbenaslip_base::name::{Instance, Operator};
 use verbenaslip_gossip::Frame;
-use verbenaslip_node::message::{Answer, Query};
-use verbenaslip_node::operator::{Ask, Reply};
+use verbenaslip_node::message::{ProposalAnswer, Query};
+use verbenaslip_node::operator::{OperatorCall, Reply};
 use verbenaslip_node::{Input, Message};
 use verbenaslip_replica::entry::Position;
 use verbenaslip_replica::message as log;
@@ -114,7 +114,7 @@
 /// No instance keeps more than a bound on the word of others.
 fn bounded(world: &mut World) {
     for number in 0..world.places.len() {
-        let call = world.ask(number, Ask::Status);
+        let call = world.ask(number, OperatorCall::Status);
         let Some(Reply::Status(status)) = world.replies.get(&call) else { panic!("no status") };
         let work = &status.work;
         let kept = [work.owned, work.copies, work.finished, work.claims, work.proposals];
@@ -298,11 +298,20 @@
         ("a call to campaign", said(Some(Group(3)), u64::MAX, log::Body::Campaign)),
         ("an end of time", Message::Propose { token: u64::MAX, command: drain(u64::MAX).into() }),
         ("a start of time", Message::Propose { token: 0, command: drain(0).into() }),
-        ("an unasked answer", Message::Proposed { token: u64::MAX, answer: Answer::Unknown }),
-        ("an unasked change", Message::Proposed { token: 1, answer: Answer::Changed }),
-        ("an unasked leader", Message::Told { token: 1, found: None, leader: Some(peer(9)) }),
-        ("a far revision", Message::Ask { token: 1, query: Query::Force(nothing) }),
-        ("a far audit", Message::Ask { token: 1, query: Query::Audit { since: u64::MAX } }),
+        (
+            "an unasked answer",
+            Message::ProposalResult { token: u64::MAX, answer: ProposalAnswer::Unknown },
+        ),
+        (
+            "an unasked change",
+            Message::ProposalResult { token: 1, answer: ProposalAnswer::Changed },
+        ),
+        (
+            "an unasked leader",
+            Message::QueryResult { token: 1, answer: None, leader: Some(peer(9)) },
+        ),
+        ("a far revision", Message::Query { token: 1, query: Query::Propagation(nothing) }),
+        ("a far audit", Message::Query { token: 1, query: Query::Audit { since: u64::MAX } }),
         ("a far part", {
             let fetch = watch::message::Fetch { revision: nothing, part: u32::MAX };
             Message::Watch(watch::Message::Fetch(fetch))
@@ -323,7 +332,7 @@
             let request = Request(9);
             Message::Request(request::Message::Drop { request, epoch: u16::MAX, key: true })
         }),
-        ("a drain", Message::Drain { by: by() }),
+        ("a drain", Message::Drain { operator: by() }),
     ]
 }
 
@@ -353,7 +362,7 @@
     // ever. Cause: nothing bounds what is kept on the word of others.
     let mut world = ready(40);
     let leader = world.leader();
-    let limit = world.places[2].setup.limit.reservations;
+    let limit = world.places[2].setup.limits.reservations;
     world.tape = Some(Vec::new());
     for number in 0..limit as u128 + 1_000 {
         let reserve = request::Reserve {
--- a/crates/verbenaslip-node/tests/random.rs
+++ b/crates/verbenaslip-node/tests/random.rs
@@ -15,7 +15,7 @@
 use verbenaslip_base::announce::{Announcement, Kind, Phase};
 use verbenaslip_base::attempt::Request;
 use verbenaslip_base::name::Team;
-use verbenaslip_node::operator::{Ask, Id, Reply};
+use verbenaslip_node::operator::{CallId, OperatorCall, Reply};
 use verbenaslip_node::{Input, Node};
 use verbenaslip_request::caller::Ticket;
 
@@ -71,7 +71,7 @@
     id: String,
     base: u64,
     weight: u32,
-    calls: Vec<Id>,
+    calls: Vec<CallId>,
 }
 
 /// Draws one schedule of faults, requests and edits.
@@ -431,7 +431,14 @@
             .map(|node| {
                 node.map_or_else(
                     || "gone".to_owned(),
-                    |it| format!("{} leads {} {:?}", it.revision(), it.is_leader(), it.unready()),
+                    |it| {
+                        format!(
+                            "{} leads {} {:?}",
+                            it.revision(),
+                            it.is_leader(),
+                            it.readiness_problems()
+                        )
+                    },
                 )
             })
             .collect();
@@ -502,8 +509,8 @@
     /// accepted edits make.
     fn check_edits(&mut self) {
         let tables: Vec<Reply> =
-            (0..INSTANCES).map(|at| self.ask(at, Ask::Table { revision: None })).collect();
-        let history = self.ask(0, Ask::History);
+            (0..INSTANCES).map(|at| self.ask(at, OperatorCall::Table { revision: None })).collect();
+        let history = self.ask(0, OperatorCall::History);
         let Reply::History(entries) = history else { panic!("no history: {history:?}") };
         let made = |revision: u64| {
             let entry = entries.iter().find(|entry| entry.revision.0 == revision);
@@ -527,7 +534,7 @@
         }
     }
 
-    fn ask(&mut self, at: usize, ask: Ask) -> Reply {
+    fn ask(&mut self, at: usize, ask: OperatorCall) -> Reply {
         let call = self.world.ask(at, ask);
         self.world.run_until(MS(5_000), "an answer", |world| world.replies.contains_key(&call));
         self.world.replies[&call].clone()
--- a/crates/verbenaslip-node/tests/wire.rs
+++ b/crates/verbenaslip-node/tests/wire.rs
@@ -19,7 +19,7 @@
 use verbenaslip_base::refusal::{Reason, Refusal, Unknown};
 use verbenaslip_gossip as gossip;
 use verbenaslip_node::Message;
-use verbenaslip_node::message::{Answer, Found, Query};
+use verbenaslip_node::message::{ProposalAnswer, Query, QueryAnswer};
 use verbenaslip_replica::config::{Change, Config};
 use verbenaslip_replica::entry::{Entry, Payload, Position};
 use verbenaslip_replica::message as log;
@@ -317,19 +317,19 @@
         Outcome::Unasked,
         Outcome::Replayed,
     ];
-    let done = outcomes.into_iter().map(Answer::Done);
+    let done = outcomes.into_iter().map(ProposalAnswer::Done);
     let others = vec![
-        Answer::Changed,
-        Answer::Elsewhere { leader: Some(name("a")) },
-        Answer::Refused("no".into()),
-        Answer::Unknown,
+        ProposalAnswer::Changed,
+        ProposalAnswer::NotLeader { leader: Some(name("a")) },
+        ProposalAnswer::Refused("no".into()),
+        ProposalAnswer::Unknown,
     ];
-    done.chain(others).map(|answer| Message::Proposed { token: 1, answer }).collect()
+    done.chain(others).map(|answer| Message::ProposalResult { token: 1, answer }).collect()
 }
 
 fn calls() -> Vec<Message> {
     let change = |change| Message::Change { token: 1, change };
-    let ask = |query| Message::Ask { token: 1, query };
+    let ask = |query| Message::Query { token: 1, query };
     let at = 1_700_000_000_000;
     let edited = history::Entry {
         revision: Revision(2),
@@ -350,21 +350,21 @@
         accepted: true,
         answer: "noted".into(),
     };
-    let told = |found| Message::Told { token: 1, found, leader: Some(name("a")) };
+    let told = |found| Message::QueryResult { token: 1, answer: found, leader: Some(name("a")) };
     vec![
         change(Change::Add(voter())),
         change(Change::Remove(name("a"))),
         change(Change::Replace { old: name("b"), new: voter() }),
-        ask(Query::Force(Revision(300))),
+        ask(Query::Propagation(Revision(300))),
         ask(Query::History),
         ask(Query::Audit { since: 300 }),
-        ask(Query::Folder),
+        ask(Query::OwnVoter),
         told(None),
-        told(Some(Found::Force { everywhere: false, awaited: vec![name("b")] })),
-        told(Some(Found::History(vec![edited]))),
-        told(Some(Found::Audit(audit::Page { next: 9, entries: vec![noted] }))),
-        told(Some(Found::Folder(Some(voter())))),
-        Message::Drain { by: by() },
+        told(Some(QueryAnswer::Propagation { complete: false, awaited: vec![name("b")] })),
+        told(Some(QueryAnswer::History(vec![edited]))),
+        told(Some(QueryAnswer::Audit(audit::Page { next: 9, entries: vec![noted] }))),
+        told(Some(QueryAnswer::OwnVoter(Some(voter())))),
+        Message::Drain { operator: by() },
     ]
 }
 
--- a/crates/verbenaslip-node/tests/world/mod.rs
+++ b/crates/verbenaslip-node/tests/world/mod.rs
@@ -16,8 +16,8 @@
 use verbenaslip_base::attempt::Request;
 use verbenaslip_base::head::Head;
 use verbenaslip_base::name::{Instance, Operator, Team};
-use verbenaslip_node::operator::{Apply, Ask, Edited, Id, Reply};
-use verbenaslip_node::setup::{Founder, Timing};
+use verbenaslip_node::operator::{Apply, CallId, EditResult, OperatorCall, Reply};
+use verbenaslip_node::setup::{InitialVoter, Timing};
 use verbenaslip_node::{Input, Node, Output, Setup};
 use verbenaslip_request::caller::{Arrival, Body, Ticket, Verdict};
 use verbenaslip_request::run::Event;
@@ -125,7 +125,7 @@
     pub verdicts: BTreeMap<Ticket, Vec<Verdict>>,
     /// When each caller's answer began.
     pub served: BTreeMap<Ticket, Duration>,
-    pub replies: BTreeMap<Id, Reply>,
+    pub replies: BTreeMap<CallId, Reply>,
     pub drained: BTreeSet<usize>,
     pub in_force: Revision,
     /// Pairs of sender and receiver between which nothing passes.
@@ -163,8 +163,8 @@
             ([10, 0, (number / 250) as u8, (number % 250) as u8], 7400).into()
         };
         let name = |number: usize| Instance::new(format!("entry-{number:03}"));
-        let founders: Vec<Founder> = (0..voters)
-            .map(|number| Founder { instance: name(number), address: address(number) })
+        let founders: Vec<InitialVoter> = (0..voters)
+            .map(|number| InitialVoter { instance: name(number), address: address(number) })
             .collect();
         let setup = |number: usize| Setup {
             instance: name(number),
@@ -177,9 +177,9 @@
             voters: founders.clone(),
             recovered: None,
             table: Some(Arc::new(table(100))),
-            cloud: false,
+            has_cloud: false,
             journal: Journal::OtherZone,
-            limit: Limit::default(),
+            limits: Limit::default(),
             timing: Timing::default(),
         };
         let place = |number: usize| Place {
@@ -270,7 +270,7 @@
                 let awake = self.places[number].frozen.is_none_or(|until| until <= self.now);
                 if awake {
                     self.thaw(number);
-                    let due = self.places[number].node.as_ref().map(Node::wake);
+                    let due = self.places[number].node.as_ref().map(Node::next_wakeup);
                     if due.is_some_and(|due| due <= self.now) {
                         self.step(number, Input::Tick);
                     }
@@ -306,31 +306,31 @@
     }
 
     /// Has an operator apply a table in which the row's weight is as given.
-    pub fn apply(&mut self, at: usize, base: u64, id: &str, weight: u32, wait: Duration) -> Id {
+    pub fn apply(&mut self, at: usize, base: u64, id: &str, weight: u32, wait: Duration) -> CallId {
         let call = self.call();
         let apply = Apply {
             base: Revision(base),
             id: edit::Id::new(id).expect("a good identity"),
             csv: table(weight).to_csv().into(),
             wait,
-            dry: false,
-            by: Operator::from("anna"),
+            dry_run: false,
+            operator: Operator::from("anna"),
         };
-        self.hand(at, Input::Called { call, ask: Ask::Apply(apply) });
+        self.hand(at, Input::Called { call, request: OperatorCall::Apply(apply) });
         call
     }
 
     /// Asks an instance for something.
-    pub fn ask(&mut self, at: usize, ask: Ask) -> Id {
+    pub fn ask(&mut self, at: usize, ask: OperatorCall) -> CallId {
         let call = self.call();
-        self.hand(at, Input::Called { call, ask });
+        self.hand(at, Input::Called { call, request: ask });
         call
     }
 
     /// Returns the revision that an edit was accepted as, and whether it is in force everywhere.
-    pub fn accepted(&self, call: Id) -> Option<(u64, bool)> {
+    pub fn accepted(&self, call: CallId) -> Option<(u64, bool)> {
         match self.replies.get(&call) {
-            Some(Reply::Edited(Edited::Accepted { revision, in_force, .. })) => {
+            Some(Reply::Edited(EditResult::Accepted { revision, in_force, .. })) => {
                 Some((revision.0, *in_force))
             }
             _ => None,
@@ -364,7 +364,7 @@
     ) -> Ticket {
         let arrival = self.arrival(at, key, idempotent, model);
         let ticket = arrival.ticket;
-        self.hand(at, Input::Arrived { arrival, due });
+        self.hand(at, Input::Arrived { arrival, timeout: due });
         ticket
     }
 
@@ -373,7 +373,7 @@
         let mut arrival = self.arrival(at, key, true, "assistant");
         let ticket = arrival.ticket;
         (arrival.head.keyed, arrival.head.issued) = (false, None);
-        self.hand(at, Input::Arrived { arrival, due: None });
+        self.hand(at, Input::Arrived { arrival, timeout: None });
         ticket
     }
 
@@ -425,7 +425,7 @@
         let place = &mut self.places[number];
         let Some(node) = &mut place.node else { return };
         let whole = match &input {
-            Input::Ran { attempt, event: Event::Ended { .. } } => Some(attempt.request),
+            Input::RunEvent { attempt, event: Event::Ended { .. } } => Some(attempt.request),
             _ => None,
         };
         if let Input::Arrived { arrival, .. } = &input {
@@ -448,7 +448,7 @@
         let awake = |place: &&Place| place.frozen.is_none();
         let nodes = self.places.iter().filter(awake).filter_map(|place| place.node.as_ref());
         let thaws = self.places.iter().filter_map(|place| place.frozen);
-        let first = nodes.map(Node::wake).chain(thaws).min();
+        let first = nodes.map(Node::next_wakeup).chain(thaws).min();
         [flying, upstreams, first].into_iter().flatten().min().unwrap_or(self.now + MS(10))
     }
 
@@ -467,7 +467,7 @@
                 let whole = matches!(event, Event::Ended { .. });
                 self.mirror(number, attempt.request, *position, whole);
             }
-            self.hand(number, Input::Ran { attempt, event });
+            self.hand(number, Input::RunEvent { attempt, event });
         }
     }
 
@@ -488,14 +488,14 @@
             .collect();
         for (ticket, at) in done {
             self.ended.insert(ticket, (End::Whole, self.now));
-            self.fly(MS(5), at, Input::Gone(ticket));
+            self.fly(MS(5), at, Input::ConnectionClosed(ticket));
         }
     }
 
     /// Gives an input to an instance, or keeps it while the instance is frozen.
     fn hand(&mut self, number: usize, input: Input) {
         let place = &mut self.places[number];
-        if let (Input::Stored { mark }, Some(disk)) = (&input, &mut place.disk) {
+        if let (Input::WriteDurable { sequence: mark }, Some(disk)) = (&input, &mut place.disk) {
             disk.sync(*mark);
         }
         if place.frozen.is_some() {
@@ -525,7 +525,7 @@
         if self.places[home].node.is_none() {
             return;
         }
-        let input = Input::Mirrored { request, position, whole };
+        let input = Input::Mirrored { request, position, complete: whole };
         self.fly(MS(1), home, input.clone());
         self.fly(MS(2), number, input);
     }
@@ -542,11 +542,11 @@
                 let from = self.places[number].setup.address;
                 self.post(number, to, bytes.len(), Input::Datagram { from, frame });
             }
-            Output::Store { mark, write } => {
+            Output::Store { sequence: mark, write } => {
                 if let Some(disk) = &mut self.places[number].disk {
                     disk.write(mark, write);
                 }
-                self.fly(MS(1), number, Input::Stored { mark });
+                self.fly(MS(1), number, Input::WriteDurable { sequence: mark });
             }
             Output::Run(run) => self.upstreams.run(self.now, number, &run),
             Output::Cancel(live) => self.upstreams.cancel(live.attempt),
@@ -559,14 +559,15 @@
             Output::Verdict { ticket, verdict } => {
                 self.tell(number, ticket, verdict);
             }
-            Output::Absent(ticket) => self.lose_relay(ticket),
+            Output::NotOwner(ticket) => self.lose_relay(ticket),
             Output::Reply { call, reply } => {
-                if let Reply::Edited(Edited::Accepted { revision, in_force: true, .. }) = &reply {
+                if let Reply::Edited(EditResult::Accepted { revision, in_force: true, .. }) = &reply
+                {
                     self.in_force = self.in_force.max(*revision);
                 }
                 self.replies.insert(call, reply);
             }
-            Output::Drained => {
+            Output::Stopped => {
                 self.drained.insert(number);
             }
             _ => {}
@@ -583,7 +584,7 @@
             } else if let Some(end) = end {
                 self.ended.entry(caller).or_insert((end, self.now));
                 self.relays.remove(&ticket);
-                self.fly(MS(5), at, Input::Gone(caller));
+                self.fly(MS(5), at, Input::ConnectionClosed(caller));
             }
             return;
         }
@@ -666,9 +667,9 @@
         self.flying.insert((self.now + delay, self.flights), Flight { to, input, life });
     }
 
-    fn call(&mut self) -> Id {
+    fn call(&mut self) -> CallId {
         self.calls += 1;
-        Id(self.calls)
+        CallId(self.calls)
     }
 
     /// Checks what must always hold.
@@ -710,7 +711,7 @@
     /// Says whether an instance serves by a table older than one that is in force everywhere.
     fn serves_old(&self, number: usize) -> bool {
         let place = &self.places[number];
-        let old = |node: &Node| node.takes_work() && node.revision() < self.in_force;
+        let old = |node: &Node| node.accepts_work() && node.revision() < self.in_force;
         place.frozen.is_none() && place.node.as_ref().is_some_and(old)
     }
 }
--- a/crates/verbenaslip-replica/src/lib.rs
+++ b/crates/verbenaslip-replica/src/lib.rs
@@ -22,7 +22,7 @@
 //!    shorter than the election timeout by the allowed clock drift, so at most one replica holds a
 //!    valid lease at any time. A leader without a quorum steps down.
 //! 4. Every write is an [`output::Output::Store`] with an increasing sequence number. Messages that
-//!    depend on a write (votes, acknowledgements) are held until [`input::Input::Stored`] reports
+//!    depend on a write (votes, acknowledgements) are held until [`input::Input::WriteDurable`] reports
 //!    that the write is synced.
 //! 5. A log entry of the leader's own term that a quorum has stored is committed, together with all
 //!    entries before it. Committed entries are applied in order, and each proposal is answered
--- a/crates/verbenaslip-replica/src/output.rs
+++ b/crates/verbenaslip-replica/src/output.rs
@@ -21,7 +21,7 @@
         /// The message.
         message: Message,
     },
-    /// Writes and syncs. Afterwards the driver passes the sequence number to `Input::Stored`.
+    /// Writes and syncs. Afterwards the driver passes the sequence number to `Input::WriteDurable`.
     Store {
         /// The sequence number of the write, which increases by one with each write.
         sequence: u64,
--- a/crates/verbenaslip/src/control.rs
+++ b/crates/verbenaslip/src/control.rs
@@ -28,7 +28,7 @@
 use crossbeam::select;
 use verbenaslip_base::name::{Instance, Upstream};
 use verbenaslip_gossip::Frame;
-use verbenaslip_node::operator::Id;
+use verbenaslip_node::operator::CallId;
 use verbenaslip_node::{Input, Message, Node, Output, Setup};
 
 use crate::admin::{self, Admin, Reply};
@@ -148,7 +148,7 @@
     node: Node,
     own: Instance,
     control: Control,
-    calls: BTreeMap<Id, Sender<Reply>>,
+    calls: BTreeMap<CallId, Sender<Reply>>,
     last_call: u64,
     outputs: Vec<Output>,
     clock: Duration,
@@ -188,7 +188,7 @@
             if let Some(ended) = self.ended {
                 return ended;
             }
-            let wait = self.node.wake().saturating_sub(self.now());
+            let wait = self.node.next_wakeup().saturating_sub(self.now());
             let mut came = self.receive(wait);
             for _ in 0..BATCH {
                 if matches!(came, Came::Nothing) {
@@ -242,7 +242,7 @@
             self.caches = now + CACHES;
             self.ask_caches(now);
         }
-        if now >= self.node.wake() {
+        if now >= self.node.next_wakeup() {
             self.step(Input::Tick);
         }
         if self.deadline.is_some_and(|deadline| now >= deadline) {
@@ -312,7 +312,7 @@
                 if took >= SLOW_SYNC {
                     Event::DiskSlow { step: "sync".into(), took }.log();
                 }
-                self.step(Input::Stored { mark });
+                self.step(Input::WriteDurable { sequence: mark });
             }
             Order::DiskFailed(error) => {
                 disk::failed(error).log();
--- a/crates/verbenaslip/src/control/call.rs
+++ b/crates/verbenaslip/src/control/call.rs
@@ -2,7 +2,7 @@
 
 use verbenaslip_gossip::{AnnouncementResult, Rejection as AnnouncementFault};
 use verbenaslip_node::Input;
-use verbenaslip_node::operator::{Apply, Ask, Edited, Id, Reply as Told};
+use verbenaslip_node::operator::{Apply, CallId, EditResult, OperatorCall, Reply as Told};
 use verbenaslip_state::command::VoterChange;
 use verbenaslip_state::history;
 use verbenaslip_table::{Problems, Revision, edit};
@@ -17,7 +17,7 @@
 impl Running {
     pub(super) fn call(&mut self, report: Report) {
         self.last_call += 1;
-        let id = Id(self.last_call);
+        let id = CallId(self.last_call);
         let input = match report.call {
             Call::Metrics => {
                 self.look();
@@ -28,7 +28,7 @@
                 Input::Announced { call: id, announcement: Box::new(announcement) }
             }
             call => match ask(call) {
-                Ok(ask) => Input::Called { call: id, ask },
+                Ok(ask) => Input::Called { call: id, request: ask },
                 Err(reply) => {
                     let _ = report.reply.try_send(reply);
                     return;
@@ -43,9 +43,9 @@
     }
 }
 
-fn ask(call: Call) -> Result<Ask, Reply> {
+fn ask(call: Call) -> Result<OperatorCall, Reply> {
     Ok(match call {
-        Call::Table { revision } => Ask::Table { revision: revision.map(Revision) },
+        Call::Table { revision } => OperatorCall::Table { revision: revision.map(Revision) },
         Call::Apply { base, edit, csv, wait, dry, operator } => {
             let Some(id) = edit::Id::new(&edit) else {
                 return Err(Reply::Refused {
@@ -53,14 +53,23 @@
                     hint: "Use a commit hash or a UUID.".into(),
                 });
             };
-            Ask::Apply(Apply { base: Revision(base), id, csv, wait, dry, by: operator })
+            OperatorCall::Apply(Apply {
+                base: Revision(base),
+                id,
+                csv,
+                wait,
+                dry_run: dry,
+                operator,
+            })
         }
-        Call::History => Ask::History,
-        Call::Audit { since } => Ask::Audit { since },
-        Call::Drain { instance, operator } => Ask::Drain { instance, by: operator },
-        Call::Voters { change, operator } => Ask::Voters { swap: swap(change), by: operator },
-        Call::Ready => Ask::Ready,
-        Call::Status | Call::Announce(_) | Call::Metrics => Ask::Status,
+        Call::History => OperatorCall::History,
+        Call::Audit { since } => OperatorCall::Audit { since },
+        Call::Drain { instance, operator } => OperatorCall::Drain { instance, operator },
+        Call::Voters { change, operator } => {
+            OperatorCall::Voters { change: swap(change), operator }
+        }
+        Call::Ready => OperatorCall::Ready,
+        Call::Status | Call::Announce(_) | Call::Metrics => OperatorCall::Status,
     })
 }
 
@@ -79,7 +88,9 @@
         Told::Table(version) => {
             Reply::Table { revision: version.revision.0, csv: version.table.to_csv() }
         }
-        Told::Missing { oldest, newest } => Reply::Missing { oldest: oldest.0, newest: newest.0 },
+        Told::TableNotKept { oldest, newest } => {
+            Reply::Missing { oldest: oldest.0, newest: newest.0 }
+        }
         Told::Edited(edited) => edited_reply(edited),
         Told::History(entries) => Reply::History(entries.iter().map(listed).collect()),
         Told::Audit(page) => {
@@ -88,7 +99,7 @@
         Told::Status(status) => Reply::Status(Json::of(&status)),
         Told::Ready(because) => Reply::Ready { because },
         Told::Draining => Reply::Draining,
-        Told::Voted => Reply::Voted,
+        Told::VotersChanged => Reply::Voted,
         Told::Refused(message) => {
             Reply::Refused { message: message.to_string(), hint: "Nothing was changed.".into() }
         }
@@ -119,23 +130,23 @@
     }
 }
 
-fn edited_reply(edited: Edited) -> Reply {
+fn edited_reply(edited: EditResult) -> Reply {
     match edited {
-        Edited::Accepted { revision, in_force, awaited } => Reply::Applied(Applied {
+        EditResult::Accepted { revision, in_force, awaited } => Reply::Applied(Applied {
             revision: revision.0,
             unchanged: false,
             in_force,
             waiting: awaited,
         }),
-        Edited::Unchanged(revision) | Edited::Fits(revision) => Reply::Applied(Applied {
+        EditResult::Unchanged(revision) | EditResult::Valid(revision) => Reply::Applied(Applied {
             revision: revision.0,
-            unchanged: matches!(edited, Edited::Unchanged(_)),
-            in_force: matches!(edited, Edited::Unchanged(_)),
+            unchanged: matches!(edited, EditResult::Unchanged(_)),
+            in_force: matches!(edited, EditResult::Unchanged(_)),
             waiting: Vec::new(),
         }),
-        Edited::Stale(newest) => Reply::Conflict(conflict(&newest)),
-        Edited::Bad(problems) => Reply::Faulty(faults(&problems)),
-        Edited::Reused => Reply::Refused {
+        EditResult::Stale(newest) => Reply::Conflict(conflict(&newest)),
+        EditResult::Invalid(problems) => Reply::Faulty(faults(&problems)),
+        EditResult::Reused => Reply::Refused {
             message: "This edit's identity was used for another edit before.".into(),
             hint: "Draw a new identity, and make the edit from the newest revision.".into(),
         },
--- a/crates/verbenaslip/src/control/carry.rs
+++ b/crates/verbenaslip/src/control/carry.rs
@@ -29,13 +29,13 @@
                     self.control.peers.send(to, Via::Datagram, bytes);
                 }
             }
-            Output::Store { mark, write } => {
+            Output::Store { sequence: mark, write } => {
                 if let Some(disk) = &self.control.disk {
                     disk.write(mark, write);
                 }
             }
             Output::Verdict { ticket, verdict } => traffic.verdict(ticket, verdict),
-            Output::Absent(ticket) => traffic.absent(ticket),
+            Output::NotOwner(ticket) => traffic.absent(ticket),
             Output::Run(run) => {
                 self.runs(&run);
                 if run.kind == Kind::Engine {
@@ -46,9 +46,9 @@
             }
             Output::Cancel(live) => traffic.cancel(&live),
             Output::Mirror { request, epoch, to } => traffic.mirror(request, epoch, to),
-            Output::Own { request, epoch } => traffic.own(request, epoch),
+            Output::TakeOwnership { request, epoch } => traffic.own(request, epoch),
             Output::Forget { request, epoch } => traffic.forget(request, epoch),
-            Output::Order { address, give } => {
+            Output::Order { address, delivery: give } => {
                 let expires = give.expiry.saturating_sub(self.now());
                 let (upstream, fence, task) = (give.upstream, give.fence, give.task);
                 let order = format!("{task:?}").into();
@@ -56,7 +56,7 @@
                 self.control.metric.orders("given", 1);
                 self.control.outside.ask(Ask::Order { address, upstream, fence, expires, task });
             }
-            Output::ReadBack { address, upstream, question } => {
+            Output::ReadState { address, upstream, question } => {
                 self.control.outside.ask(Ask::Read { address, upstream, question });
             }
             Output::Survey => self.ask_cloud(cloud::Ask::Survey),
@@ -65,7 +65,7 @@
             Output::Addresses(addresses) => traffic.peers(addresses.into_iter().collect()),
             Output::Notice(notice) => self.notice(notice),
             Output::Drain => self.stop("an operator", DRAIN),
-            Output::Drained => {
+            Output::Stopped => {
                 self.ended.get_or_insert(Ended::Drained);
             }
         }
@@ -79,7 +79,7 @@
 
     fn reply(
         &mut self,
-        call: verbenaslip_node::operator::Id,
+        call: verbenaslip_node::operator::CallId,
         reply: verbenaslip_node::operator::Reply,
     ) {
         if let Some(sender) = self.calls.remove(&call) {
@@ -92,13 +92,13 @@
 /// Translates what the traffic threads report; none for what decisions need not know.
 pub(super) fn input(report: Report) -> Option<Input> {
     Some(match report {
-        Report::Arrived { arrival, due } => Input::Arrived { arrival, due },
-        Report::Gone { ticket } | Report::Served { ticket } => Input::Gone(ticket),
-        Report::Run { attempt, event } => Input::Ran { attempt, event },
+        Report::Arrived { arrival, due } => Input::Arrived { arrival, timeout: due },
+        Report::Gone { ticket } | Report::Served { ticket } => Input::ConnectionClosed(ticket),
+        Report::Run { attempt, event } => Input::RunEvent { attempt, event },
         Report::RelayLost { ticket, after, .. } => Input::RelayLost { ticket, after },
         Report::Mirrored { request, position, whole, .. }
         | Report::Copied { request, position, whole, .. } => {
-            Input::Mirrored { request, position, whole }
+            Input::Mirrored { request, position, complete: whole }
         }
         Report::Subscribed { ticket, request, after } => {
             Input::Subscribed { ticket, request, after }
--- a/crates/verbenaslip/src/control/cloud.rs
+++ b/crates/verbenaslip/src/control/cloud.rs
@@ -7,7 +7,7 @@
 use crossbeam::channel::{self, Receiver, RecvTimeoutError, Sender};
 use verbenaslip_base::name::Upstream;
 use verbenaslip_node::Input;
-use verbenaslip_node::capacity::{Listed, Survey};
+use verbenaslip_node::capacity::{ListedMachine, Survey};
 use verbenaslip_policy::plan::{self, Offer};
 
 use crate::cloud::{self, Cloud, Http, Started};
@@ -104,10 +104,10 @@
             market: price.market,
             price: price.price,
         };
-        let listed = |machine: cloud::Machine| Listed {
+        let listed = |machine: cloud::Machine| ListedMachine {
             name: Upstream::new(machine.name),
             zone: machine.zone,
-            machine: machine.machine,
+            class: machine.machine,
             market: machine.market,
         };
         let offers = prices.into_iter().map(offer).collect();
--- a/crates/verbenaslip/src/control/notice.rs
+++ b/crates/verbenaslip/src/control/notice.rs
@@ -21,7 +21,7 @@
     pub(super) fn notice(&mut self, notice: Notice) {
         self.measure(&notice);
         match notice {
-            Notice::Began { head, waited } => self.began(head, waited),
+            Notice::RequestStarted { head, waited } => self.began(head, waited),
             Notice::Appeared(said) => {
                 appeared(&said).log();
                 self.said(&said);
@@ -39,7 +39,7 @@
         let metric = &self.control.metric;
         match notice {
             Notice::Ready(ready) => metric.ready(if *ready { 1.0 } else { 0.0 }),
-            Notice::Table(revision) => metric.table_revision(revision.0 as f64),
+            Notice::TableInUse(revision) => metric.table_revision(revision.0 as f64),
             Notice::Leader { term, leader } => {
                 metric.log_term(*term as f64);
                 let leads = leader.as_ref() == Some(&self.own);
@@ -48,20 +48,20 @@
             Notice::Edit { revision, .. } => {
                 metric.edits(if revision.is_some() { "accepted" } else { "refused" }, 1);
             }
-            Notice::InForce { took, .. } => metric.edit_in_force(*took),
-            Notice::Retried { head, verdict } => match verdict {
+            Notice::EditInForce { took, .. } => metric.edit_in_force(*took),
+            Notice::RetryDecided { head, decision: verdict } => match verdict {
                 Decision::RetryAfter(_) => metric.retries(&head.team, &head.class, 1),
                 Decision::Denied(Denial::MayHaveRun) => {}
                 Decision::Denied(_) => metric.retries_denied(&head.team, &head.class, 1),
             },
-            Notice::Claimed { ruling, .. } => metric.claims(ruled(ruling), 1),
+            Notice::ClaimDecided { ruling, .. } => metric.claims(ruled(ruling), 1),
             Notice::TakenOver(_) => metric.takeovers(1),
-            Notice::Order(report) => {
+            Notice::OrderReport(report) => {
                 if let Told::Ended(ending) = &report.event {
                     metric.orders(result(&ending.result), 1);
                 }
             }
-            Notice::Ended { head, outcome } => self.measure_end(head, outcome),
+            Notice::RequestEnded { head, outcome } => self.measure_end(head, outcome),
             _ => {}
         }
     }
@@ -113,26 +113,26 @@
         Some(match notice {
             Notice::Ready(true) => Event::Ready { revision: self.node.revision().0 },
             Notice::Ready(false) => {
-                let reason = self.node.unready().join("; ").into();
+                let reason = self.node.readiness_problems().join("; ").into();
                 Event::NotReady { reason }
             }
-            Notice::Table(revision) => Event::TableInForce { revision: revision.0 },
+            Notice::TableInUse(revision) => Event::TableInForce { revision: revision.0 },
             Notice::Unreadable(what) => {
                 Event::LogDamaged { file: "replicated state".into(), offset: 0, cause: what.into() }
             }
-            Notice::Retried { head, verdict: Decision::Denied(why) } => {
+            Notice::RetryDecided { head, decision: Decision::Denied(why) } => {
                 let (request, team) = (head.request, head.team);
                 Event::RetryDenied { request, team, cause: kebab(&why).into() }
             }
             Notice::TakenOver(request) => Event::TakenOver { request },
-            Notice::Claimed { request, team: Some(team), ruling }
+            Notice::ClaimDecided { request, team: Some(team), ruling }
                 if matches!(ruling, Ruling::NoQuorum | Ruling::Unknown) =>
             {
                 Event::ClaimFailed { request, team, cause: ruled(&ruling).into() }
             }
-            Notice::Ended { head, outcome } => return ended(&head, outcome),
-            Notice::Order(report) => return order(report),
-            Notice::Plan(plan) => return planned(plan),
+            Notice::RequestEnded { head, outcome } => return ended(&head, outcome),
+            Notice::OrderReport(report) => return order(report),
+            Notice::CapacityOrder(plan) => return planned(plan),
             other => return self.member(other).or_else(|other| edited(*other)).ok().flatten(),
         })
     }
@@ -144,7 +144,7 @@
                 self.suspected.remove(&instance);
                 Event::MemberJoined { peer: instance, zone, incarnation }
             }
-            Notice::Back { instance, incarnation } => {
+            Notice::Recovered { instance, incarnation } => {
                 self.suspected.remove(&instance);
                 Event::MemberBack { peer: instance, incarnation }
             }
@@ -190,10 +190,10 @@
                 self.ready.remove(&upstream);
                 Event::UpstreamLapsed { upstream, age }
             }
-            Notice::Doubted { zone, lost, known } => {
+            Notice::ZoneDoubted { zone, lost, known } => {
                 Event::UpstreamsDoubted { zone, lost: lost as u64, known: known as u64 }
             }
-            Notice::Trusted { zone, known } => {
+            Notice::ZoneTrusted { zone, known } => {
                 Event::UpstreamsTrusted { zone, known: known as u64 }
             }
             other => return Err(Box::new(other)),
@@ -204,23 +204,25 @@
 /// Tells of what operators do; gives back what is of something else.
 fn edited(notice: Notice) -> Result<Option<Event>, Box<Notice>> {
     Ok(Some(match notice {
-        Notice::Edit { made, revision, answer } => {
-            let (edit, operator, base) = (made.id.as_str().into(), made.by, made.base.0);
+        Notice::Edit { edit: made, revision, answer } => {
+            let (edit, operator, base) = (made.id.as_str().into(), made.operator, made.base.0);
             match revision {
                 Some(revision) => {
-                    let (revision, rows) = (revision.0, made.rows as u64);
+                    let (revision, rows) = (revision.0, made.changed_rows as u64);
                     Event::EditAccepted { edit, operator, revision, rows, base }
                 }
                 None => Event::EditRefused { edit, operator, base, cause: answer.into() },
             }
         }
-        Notice::InForce { revision, took } => Event::EditInForce { revision: revision.0, took },
-        Notice::Slow { revision, awaited } => {
+        Notice::EditInForce { revision, took } => Event::EditInForce { revision: revision.0, took },
+        Notice::EditDelayed { revision, awaited } => {
             let names: Vec<&str> = awaited.iter().map(Instance::as_str).collect();
             Event::EditSlow { revision: revision.0, waiting: names.join(", ").into() }
         }
-        Notice::DrainOrdered { by, instance } => Event::DrainOrdered { operator: by, instance },
-        Notice::VotersOrdered { by, change } => {
+        Notice::DrainOrdered { operator: by, instance } => {
+            Event::DrainOrdered { operator: by, instance }
+        }
+        Notice::VotersOrdered { operator: by, change } => {
             Event::VotersOrdered { operator: by, change: swap(&change).into() }
         }
         other => return Err(Box::new(other)),
--- a/crates/verbenaslip/src/control/outside.rs
+++ b/crates/verbenaslip/src/control/outside.rs
@@ -90,13 +90,13 @@
         Ask::Order { address, upstream, fence, expires, task } => {
             let engine = Http::new(address, LIMIT.min(expires));
             let answer = engine.order(fence, expires, order(task)).await;
-            Some(Input::Ordered { upstream, fence, answer: ordered(answer) })
+            Some(Input::OrderAnswered { upstream, fence, answer: ordered(answer) })
         }
         Ask::Read { address, upstream, question } => {
             let held = Http::new(address, LIMIT).orders().await.ok()?;
             let fence = (held.held != Fence::default()).then_some(held.held);
             let holding = UpstreamState { fence, models: held.models, role: role(held.role) };
-            Some(Input::Read { upstream, question, holding })
+            Some(Input::StateRead { upstream, question, state: holding })
         }
         Ask::Cache { address, upstream } => cache(address, upstream, places).await,
     }
@@ -119,7 +119,7 @@
     };
     let changes = cache.events.iter().map(change).collect();
     let batch = CacheBatch { next_sequence: cache.next, gap: cache.gap, events: changes };
-    Some(Input::Cached { upstream, batch })
+    Some(Input::CacheEvents { upstream, batch })
 }
 
 fn lock(places: &Places) -> std::sync::MutexGuard<'_, BTreeMap<Upstream, u64>> {
--- a/crates/verbenaslip/src/control/tally.rs
+++ b/crates/verbenaslip/src/control/tally.rs
@@ -75,8 +75,10 @@
         Message::Log(_) => "log",
         Message::Watch(_) => "table",
         Message::Request(_) => "request",
-        Message::Propose { .. } | Message::Change { .. } | Message::Proposed { .. } => "proposal",
-        Message::Ask { .. } | Message::Told { .. } => "query",
+        Message::Propose { .. } | Message::Change { .. } | Message::ProposalResult { .. } => {
+            "proposal"
+        }
+        Message::Query { .. } | Message::QueryResult { .. } => "query",
         Message::Drain { .. } => "drain",
     }
 }
@@ -88,16 +90,16 @@
         Input::Peer { .. } => "message",
         Input::Datagram { .. } => "datagram",
         Input::Arrived { .. } | Input::Subscribed { .. } => "arrival",
-        Input::Gone(_) | Input::RelayLost { .. } => "departure",
-        Input::Ran { .. } => "run",
+        Input::ConnectionClosed(_) | Input::RelayLost { .. } => "departure",
+        Input::RunEvent { .. } => "run",
         Input::Mirrored { .. } => "mirror",
         Input::Announced { .. } => "announcement",
         Input::Called { .. } => "call",
         Input::Reclaimed { .. } => "notice",
-        Input::Stored { .. } => "stored",
-        Input::Ordered { .. } | Input::Read { .. } => "order",
+        Input::WriteDurable { .. } => "stored",
+        Input::OrderAnswered { .. } | Input::StateRead { .. } => "order",
         Input::Surveyed(_) | Input::Started { .. } => "cloud",
-        Input::Cached { .. } => "cache",
+        Input::CacheEvents { .. } => "cache",
         Input::Stop { .. } => "stop",
     }
 }
--- a/crates/verbenaslip/src/server.rs
+++ b/crates/verbenaslip/src/server.rs
@@ -10,7 +10,7 @@
 use displaydoc::Display;
 use verbenaslip_base::hash;
 use verbenaslip_disk::DataDirectory;
-use verbenaslip_node::setup::{Founder, Setup, Timing};
+use verbenaslip_node::setup::{InitialVoter, Setup, Timing};
 use verbenaslip_replica::storage::{self, Recovered, Storage};
 use verbenaslip_request::setup::{Limit, Timing as RequestTiming};
 use verbenaslip_table::{Problems, Table};
@@ -325,7 +325,7 @@
     recovered: Option<Recovered>,
 ) -> Setup {
     let timing = &settings.timing;
-    let founder = |voter: &crate::settings::value::Voter| Founder {
+    let founder = |voter: &crate::settings::value::Voter| InitialVoter {
         instance: voter.name.clone(),
         address: voter.address,
     };
@@ -340,16 +340,16 @@
         voters: settings.cluster.voters.iter().map(founder).collect(),
         recovered,
         table,
-        cloud: settings.cloud.is_some(),
+        has_cloud: settings.cloud.is_some(),
         journal: settings.cluster.second_holder,
-        limit: Limit {
+        limits: Limit {
             bytes: usize::try_from(settings.limits.journal.0).unwrap_or(usize::MAX),
             ..Limit::default()
         },
         timing: Timing {
-            heartbeat: timing.heartbeat,
-            election: timing.election,
-            lease: timing.upstream_lease,
+            heartbeat_interval: timing.heartbeat,
+            election_timeout: timing.election,
+            upstream_lease: timing.upstream_lease,
             request: RequestTiming {
                 stall: timing.stall,
                 absence: timing.absence,
