--- a/crates/verbenaslip-node/benches/size.rs
+++ b/crates/verbenaslip-node/benches/size.rs
@@ -12,7 +12,7 @@
 
 use crate::world::{MS, World, upstream};
 
-const SECONDS: u64 = 10;
+const MEASURED_SECONDS: u64 = 10;
 
 fn main() {
     println!(
@@ -31,32 +31,32 @@
     );
     work("edit", 10, |world, number| {
         let leader = world.leader().unwrap_or(0);
-        let base = world.places[leader].node.as_ref().map_or(0, |node| node.revision().0);
+        let base = world.instances[leader].node.as_ref().map_or(0, |node| node.revision().0);
         let weight = 200 + number as u32 % 2;
         world.apply(leader, base, &format!("edit-{number}"), weight, MS(0));
     });
     work("request", 100, |world, number| {
-        world.arrive(number as usize % 9, &format!("chat-{number}"), true);
+        world.send_request(number as usize % 9, &format!("chat-{number}"), true);
     });
     work("claimed request", 100, |world, number| {
-        world.arrive(number as usize % 9, &format!("order-{number}"), false);
+        world.send_request(number as usize % 9, &format!("order-{number}"), false);
     });
 }
 
 /// Measures what one piece of work costs all of nine instances together, above idling.
 fn work(name: &str, rate: u64, each: impl Fn(&mut World, u64)) {
     let mut world = World::open(9, 3, 1);
-    world.checked = false;
-    world.settle();
+    world.check_invariants = false;
+    world.wait_until_ready();
     let mut number = 0;
     let mut costs = [Cost::default(); 2];
     for (phase, cost) in costs.iter_mut().enumerate() {
         let (before, begun) = (Cost::of(&world), Instant::now());
-        for second in 0..SECONDS {
-            renew(&mut world, 48, phase as u64 * SECONDS + second);
+        for second in 0..MEASURED_SECONDS {
+            renew(&mut world, 48, phase as u64 * MEASURED_SECONDS + second);
             for service in 0..4 {
                 let name = format!("service-{service}");
-                let sequence = phase as u64 * SECONDS + second + 1;
+                let sequence = phase as u64 * MEASURED_SECONDS + second + 1;
                 world.announce(service, &upstream(&name, Kind::Service, sequence));
             }
             for _ in 0..rate {
@@ -71,13 +71,13 @@
         cost.micros = begun.elapsed().as_micros() as f64;
     }
     let [idle, busy] = costs;
-    let count = (rate * SECONDS) as f64;
+    let count = (rate * MEASURED_SECONDS) as f64;
     println!(
         "{name:>14} {rate:>9} {:>12.1} {:>12.0} {:>12.0} {:>14.0}",
         (busy.messages - idle.messages) / count,
         (busy.bytes - idle.bytes) / count,
         (busy.micros - idle.micros) / count,
-        busy.most / SECONDS as f64,
+        busy.most / MEASURED_SECONDS as f64,
     );
 }
 
@@ -92,7 +92,7 @@
 
 impl Cost {
     fn of(world: &World) -> Self {
-        let sent = || world.places.iter().map(|place| place.sent);
+        let sent = || world.instances.iter().map(|instance| instance.sent);
         Self {
             messages: sent().map(|sent| sent.messages).sum::<u64>() as f64,
             bytes: sent().map(|sent| sent.bytes).sum::<u64>() as f64,
@@ -114,33 +114,37 @@
 fn measure(instances: usize, upstreams: usize) {
     let before = resident();
     let mut world = World::open(instances, 3, 1);
-    world.checked = false;
-    world.settle();
+    world.check_invariants = false;
+    world.wait_until_ready();
     for second in 0..3 {
         renew(&mut world, upstreams, second);
         world.run(MS(1_000));
     }
-    let sent: Vec<u64> = world.places.iter().map(|place| place.sent.bytes).collect();
+    let sent: Vec<u64> = world.instances.iter().map(|instance| instance.sent.bytes).collect();
     let begun = Instant::now();
-    for second in 3..3 + SECONDS {
+    for second in 3..3 + MEASURED_SECONDS {
         renew(&mut world, upstreams, second);
         world.run(MS(1_000));
     }
     let spent = begun.elapsed();
-    let after: Vec<u64> =
-        world.places.iter().zip(&sent).map(|(place, sent)| place.sent.bytes - sent).collect();
+    let after: Vec<u64> = world
+        .instances
+        .iter()
+        .zip(&sent)
+        .map(|(instance, sent)| instance.sent.bytes - sent)
+        .collect();
     let count = instances as u64;
     println!(
         "{instances:>9} {upstreams:>9} {:>14} {:>14} {:>12} {:>12}",
-        spent.as_micros() as u64 / SECONDS / count,
+        spent.as_micros() as u64 / MEASURED_SECONDS / count,
         resident().saturating_sub(before) / count,
-        after.iter().sum::<u64>() / SECONDS / count,
-        after.iter().max().copied().unwrap_or(0) / SECONDS,
+        after.iter().sum::<u64>() / MEASURED_SECONDS / count,
+        after.iter().max().copied().unwrap_or(0) / MEASURED_SECONDS,
     );
 }
 
 fn renew(world: &mut World, upstreams: usize, second: u64) {
-    let instances = world.places.len();
+    let instances = world.instances.len();
     for number in 0..upstreams {
         let at = (number * 13 + second as usize * 7) % instances;
         let announcement = upstream(&format!("engine-{number}"), Kind::Engine, second + 1);
--- a/crates/verbenaslip-node/src/calls.rs
+++ b/crates/verbenaslip-node/src/calls.rs
@@ -8,34 +8,39 @@
 use verbenaslip_state::Command;
 use verbenaslip_state::command::{Drain, VoterChange, Voters};
 
-use crate::lead::outcome;
+use crate::lead::committed_outcome;
 use crate::message::{Message, ProposalAnswer, Query};
 use crate::node::Node;
 use crate::notice::Notice;
 use crate::operator::{CallId, OperatorCall, Reply};
 use crate::output::Output;
-use crate::proposal::{Purpose, Work};
+use crate::proposal::{Content, Purpose};
 use crate::query::Waiter;
 
 /// How long an operator's change is tried.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(5);
+pub(crate) const CHANGE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How long a change of the voter set is tried, in which a new voter catches up.
-const VOTING: Duration = Duration::from_secs(60);
+const VOTER_CHANGE_TIMEOUT: Duration = Duration::from_secs(60);
 
 impl Node {
-    pub(crate) fn called(&mut self, call: CallId, ask: OperatorCall) {
+    pub(crate) fn handle_call(&mut self, call: CallId, ask: OperatorCall) {
         match ask {
             OperatorCall::Table { revision } => {
-                let reply = self.version(revision);
+                let reply = self.table_reply(revision);
                 self.reply(call, reply);
             }
-            OperatorCall::Apply(apply) => self.apply(call, &apply),
+            OperatorCall::Apply(apply) => self.propose_edit(call, &apply),
             OperatorCall::History => {
-                self.query(Query::History, Waiter::Operator(call), None, PATIENCE)
+                self.start_query(Query::History, Waiter::Operator(call), None, CHANGE_TIMEOUT)
             }
             OperatorCall::Audit { since } => {
-                self.query(Query::Audit { since }, Waiter::Operator(call), None, PATIENCE);
+                self.start_query(
+                    Query::Audit { since },
+                    Waiter::Operator(call),
+                    None,
+                    CHANGE_TIMEOUT,
+                );
             }
             OperatorCall::Status => {
                 let status = Reply::Status(Box::new(self.status()));
@@ -45,57 +50,70 @@
                 let reasons = Reply::Ready(self.readiness_problems());
                 self.reply(call, reasons);
             }
-            OperatorCall::Drain { instance, operator: by } => self.drain_other(call, instance, by),
-            OperatorCall::Voters { change: swap, operator: by } => self.vote(call, swap, by),
+            OperatorCall::Drain { instance, operator } => {
+                self.drain_instance(call, instance, operator)
+            }
+            OperatorCall::Voters { change, operator } => self.change_voters(call, change, operator),
         }
     }
 
     /// Takes what became of an operator's drain.
-    pub(crate) fn drained(
+    pub(crate) fn handle_drain_answer(
         &mut self,
         call: CallId,
         instance: &Instance,
-        by: Operator,
+        operator: Operator,
         answer: &ProposalAnswer,
     ) {
-        if outcome(answer).is_none() {
-            return self.reply(call, failure(answer));
+        if committed_outcome(answer).is_none() {
+            return self.reply(call, failure_reply(answer));
         }
-        self.note(Notice::DrainOrdered { operator: by.clone(), instance: instance.clone() });
+        self.notify(Notice::DrainOrdered {
+            operator: operator.clone(),
+            instance: instance.clone(),
+        });
         if *instance == self.setup.instance {
             self.out.push(Output::Drain);
         } else {
-            self.send(instance, Message::Drain { operator: by });
+            self.send(instance, Message::Drain { operator });
         }
         self.reply(call, Reply::Draining);
     }
 
     /// Takes what became of an operator's change of the voter set.
-    pub(crate) fn voted(&mut self, call: CallId, answer: &ProposalAnswer) {
+    pub(crate) fn handle_voter_change_answer(&mut self, call: CallId, answer: &ProposalAnswer) {
         let reply = if matches!(answer, ProposalAnswer::Changed) {
             Reply::VotersChanged
         } else {
-            failure(answer)
+            failure_reply(answer)
         };
         self.reply(call, reply);
     }
 
-    fn drain_other(&mut self, call: CallId, instance: Instance, by: Operator) {
+    fn drain_instance(&mut self, call: CallId, instance: Instance, operator: Operator) {
         let known = instance == self.setup.instance || self.gossip.member(&instance).is_some();
         if !known {
             let text = "no such instance is known; see the status for their names";
             return self.reply(call, Reply::Refused(text.into()));
         }
-        let drain = Drain { by: by.clone(), instance: instance.clone(), at: self.unix() };
-        self.propose(Command::Drain(drain), Purpose::Drain { call, instance, by }, PATIENCE);
+        let drain = Drain { by: operator.clone(), instance: instance.clone(), at: self.unix_ms() };
+        self.propose(
+            Command::Drain(drain),
+            Purpose::Drain { call, instance, operator },
+            CHANGE_TIMEOUT,
+        );
     }
 
-    fn vote(&mut self, call: CallId, swap: VoterChange, by: Operator) {
-        let (old, new) = match swap {
+    fn change_voters(&mut self, call: CallId, change: VoterChange, operator: Operator) {
+        let (old, new) = match change {
             VoterChange::Remove(old) => {
-                self.note_swap(VoterChange::Remove(old.clone()), by);
+                self.record_voter_change(VoterChange::Remove(old.clone()), operator);
                 let purpose = Purpose::Voters { call };
-                return self.submit(Work::Change(Change::Remove(old)), purpose, VOTING);
+                return self.submit(
+                    Content::Change(Change::Remove(old)),
+                    purpose,
+                    VOTER_CHANGE_TIMEOUT,
+                );
             }
             VoterChange::Add(new) => (None, new),
             VoterChange::Replace { old, new } => (Some(old), new),
@@ -104,16 +122,16 @@
             let text = "no such instance is known; see the status for their names";
             return self.reply(call, Reply::Refused(text.into()));
         }
-        let waiter = Waiter::Joining { call, old, by };
-        self.query(Query::OwnVoter, waiter, Some(new), PATIENCE);
+        let waiter = Waiter::VoterChange { call, old, operator };
+        self.start_query(Query::OwnVoter, waiter, Some(new), CHANGE_TIMEOUT);
     }
 
     /// Goes on with a change of the voter set once the new voter's folder is known.
-    pub(crate) fn join(
+    pub(crate) fn continue_voter_change(
         &mut self,
         call: CallId,
         old: Option<Instance>,
-        by: Operator,
+        operator: Operator,
         voter: Option<Voter>,
     ) {
         let Some(voter) = voter else {
@@ -121,22 +139,22 @@
             return self.reply(call, Reply::Refused(text.into()));
         };
         let new = voter.instance.clone();
-        let (swap, change) = match old {
+        let (audited, change) = match old {
             Some(old) => (
                 VoterChange::Replace { old: old.clone(), new },
                 Change::Replace { old, new: voter },
             ),
             None => (VoterChange::Add(new), Change::Add(voter)),
         };
-        self.note_swap(swap, by);
-        self.submit(Work::Change(change), Purpose::Voters { call }, VOTING);
+        self.record_voter_change(audited, operator);
+        self.submit(Content::Change(change), Purpose::Voters { call }, VOTER_CHANGE_TIMEOUT);
     }
 
     /// Leaves a note of a change of the voter set in the audit trail.
-    fn note_swap(&mut self, change: VoterChange, by: Operator) {
-        self.note(Notice::VotersOrdered { operator: by.clone(), change: change.clone() });
-        let voters = Voters { by, change, at: self.unix() };
-        self.propose(Command::Voters(voters), Purpose::Nobody, PATIENCE);
+    fn record_voter_change(&mut self, change: VoterChange, operator: Operator) {
+        self.notify(Notice::VotersOrdered { operator: operator.clone(), change: change.clone() });
+        let voters = Voters { by: operator, change, at: self.unix_ms() };
+        self.propose(Command::Voters(voters), Purpose::Unattended, CHANGE_TIMEOUT);
     }
 
     /// Replies to a call.
@@ -146,7 +164,7 @@
 }
 
 /// Says why a command of an operator came to nothing.
-pub(crate) fn failure(answer: &ProposalAnswer) -> Reply {
+pub(crate) fn failure_reply(answer: &ProposalAnswer) -> Reply {
     match answer {
         ProposalAnswer::NotLeader { .. } => Reply::NoQuorum,
         ProposalAnswer::Refused(text) => Reply::Refused(text.clone()),
--- a/crates/verbenaslip-node/src/edits.rs
+++ b/crates/verbenaslip-node/src/edits.rs
@@ -7,155 +7,157 @@
 use verbenaslip_state::{Command, Outcome};
 use verbenaslip_table::{Edit, Revision, Table, change};
 
-use crate::calls::{PATIENCE, failure};
-use crate::lead::outcome;
+use crate::calls::{CHANGE_TIMEOUT, failure_reply};
+use crate::lead::committed_outcome;
 use crate::message::{ProposalAnswer, Query, QueryAnswer, TableRevision};
 use crate::node::Node;
 use crate::notice::{Notice, SubmittedEdit};
 use crate::operator::{Apply, CallId, EditResult, Reply};
-use crate::proposal::{Purpose, Wait};
-use crate::query::{RESEND, Waiter};
+use crate::proposal::{EditWait, Purpose};
+use crate::query::{RESEND_INTERVAL, Waiter};
 
 /// How many revisions of the table are kept to tell what a resent edit changes.
-pub(crate) const TABLES: usize = 32;
+pub(crate) const MAX_KEPT_TABLES: usize = 32;
 
 /// After this an edit that is not in force everywhere is told of: longer than the lease of whoever
 /// was cut off at its arrival.
-const SLOW: Duration = Duration::from_secs(6);
+const DELAY_NOTICE_AFTER: Duration = Duration::from_secs(6);
 
 /// Between two looks whether an edit is in force everywhere.
-const POLL: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Node {
     /// Proposes an operator's edit, or says at once why it can't be made.
-    pub(crate) fn apply(&mut self, call: CallId, apply: &Apply) {
+    pub(crate) fn propose_edit(&mut self, call: CallId, apply: &Apply) {
         let table = match Table::parse(apply.csv.as_bytes()) {
             Ok(table) => table,
             Err(problems) => return self.reply(call, Reply::Edited(EditResult::Invalid(problems))),
         };
-        let changes = change::diff(&self.base(apply.base), &table);
+        let changes = change::diff(&self.base_table(apply.base), &table);
         let newest = self.hub.revision();
         if apply.base == newest && changes.is_empty() {
             return self.reply(call, Reply::Edited(EditResult::Unchanged(newest)));
         }
         if apply.dry_run {
-            let edited = if apply.base == newest {
+            let result = if apply.base == newest {
                 EditResult::Valid(newest)
             } else {
-                EditResult::Stale(self.newest(apply.base))
+                EditResult::Stale(self.newest_since(apply.base))
             };
-            return self.reply(call, Reply::Edited(edited));
+            return self.reply(call, Reply::Edited(result));
         }
         let edit = Edit {
             id: apply.id.clone(),
             base: apply.base,
             operator: apply.operator.clone(),
-            unix_ms: self.unix(),
+            unix_ms: self.unix_ms(),
             changes,
         };
-        let made = SubmittedEdit {
+        let submitted = SubmittedEdit {
             id: apply.id.clone(),
             operator: apply.operator.clone(),
             base: apply.base,
             changed_rows: edit.changes.len(),
             arrived_at: self.now,
         };
-        let purpose = Purpose::Edit { call, made: Box::new(made), wait: apply.wait };
-        self.propose(Command::Edit(edit), purpose, PATIENCE);
+        let purpose = Purpose::Edit { call, edit: Box::new(submitted), wait: apply.wait };
+        self.propose(Command::Edit(edit), purpose, CHANGE_TIMEOUT);
     }
 
     /// Takes what became of an operator's edit.
-    pub(crate) fn edited(
+    pub(crate) fn handle_edit_answer(
         &mut self,
         call: CallId,
-        made: SubmittedEdit,
+        edit: SubmittedEdit,
         wait: Duration,
         answer: &ProposalAnswer,
     ) {
-        let Some(Outcome::Edit(verdict)) = outcome(answer) else {
-            return self.reply(call, failure(answer));
+        let Some(Outcome::Edit(verdict)) = committed_outcome(answer) else {
+            return self.reply(call, failure_reply(answer));
         };
         let revision = match verdict {
             Verdict::Accepted { revision } | Verdict::Unchanged { revision } => Some(*revision),
             _ => None,
         };
-        let since = made.arrived_at;
-        self.note(Notice::Edit { edit: made, revision, answer: verdict.to_string() });
-        let edited = match verdict.clone() {
-            Verdict::Accepted { revision } => return self.await_force(call, revision, since, wait),
+        let arrived_at = edit.arrived_at;
+        self.notify(Notice::Edit { edit, revision, answer: verdict.to_string() });
+        let result = match verdict.clone() {
+            Verdict::Accepted { revision } => {
+                return self.wait_for_propagation(call, revision, arrived_at, wait);
+            }
             Verdict::Unchanged { revision } => EditResult::Unchanged(revision),
             Verdict::Stale(newest) => EditResult::Stale(newest),
             Verdict::Reused => EditResult::Reused,
             Verdict::Bad(problems) => EditResult::Invalid(problems),
         };
-        self.reply(call, Reply::Edited(edited));
+        self.reply(call, Reply::Edited(result));
     }
 
     /// Looks whether awaited edits are in force everywhere.
-    pub(crate) fn poll_waits(&mut self) {
+    pub(crate) fn poll_edit_waits(&mut self) {
         let now = self.now;
-        for mut wait in std::mem::take(&mut self.waits) {
-            if wait.deadline <= now && !wait.told {
-                wait.told = true;
-                self.tell_force(&wait, false);
+        for mut wait in std::mem::take(&mut self.edit_waits) {
+            if wait.deadline <= now && !wait.replied {
+                wait.replied = true;
+                self.reply_accepted(&wait, false);
             }
-            if wait.told && wait.since + SLOW <= now {
+            if wait.replied && wait.arrived_at + DELAY_NOTICE_AFTER <= now {
                 let (revision, awaited) = (wait.revision, wait.awaited);
-                self.note(Notice::EditDelayed { revision, awaited });
+                self.notify(Notice::EditDelayed { revision, awaited });
                 continue;
             }
-            if wait.due > now {
-                self.waits.push(wait);
+            if wait.next_poll > now {
+                self.edit_waits.push(wait);
                 continue;
             }
-            wait.due = now + POLL;
-            match self.find(&Query::Propagation(wait.revision)) {
-                Some(QueryAnswer::Propagation { complete: true, .. }) => self.settle_wait(&wait),
+            wait.next_poll = now + POLL_INTERVAL;
+            match self.answer_locally(&Query::Propagation(wait.revision)) {
+                Some(QueryAnswer::Propagation { complete: true, .. }) => self.finish_wait(&wait),
                 Some(QueryAnswer::Propagation { awaited, .. }) => {
-                    self.waits.push(Wait { awaited, ..wait })
+                    self.edit_waits.push(EditWait { awaited, ..wait })
                 }
                 _ => {
                     let query = Query::Propagation(wait.revision);
-                    let waiter = Waiter::Force(wait.call);
-                    self.waits.push(wait);
-                    self.query(query, waiter, None, RESEND);
+                    let waiter = Waiter::Propagation(wait.call);
+                    self.edit_waits.push(wait);
+                    self.start_query(query, waiter, None, RESEND_INTERVAL);
                 }
             }
         }
     }
 
     /// Returns the newest table, or the one at a revision as far as it is kept.
-    pub(crate) fn version(&self, revision: Option<Revision>) -> Reply {
+    pub(crate) fn table_reply(&self, revision: Option<Revision>) -> Reply {
         let newest = self.hub.revision();
         let revision = revision.unwrap_or(newest);
         if revision == newest {
             return Reply::Table(TableRevision { revision, table: self.hub.table().clone() });
         }
-        let kept = self.tables.iter().find(|kept| kept.revision == revision);
+        let kept = self.recent_tables.iter().find(|kept| kept.revision == revision);
         kept.map_or_else(
-            || Reply::TableNotKept { oldest: self.oldest(), newest },
+            || Reply::TableNotKept { oldest: self.oldest_kept_revision(), newest },
             |kept| Reply::Table(kept.clone()),
         )
     }
 
     /// Returns the oldest revision of the table that is kept.
-    fn oldest(&self) -> Revision {
-        self.tables.iter().map(|kept| kept.revision).min().unwrap_or(self.hub.revision())
+    fn oldest_kept_revision(&self) -> Revision {
+        self.recent_tables.iter().map(|kept| kept.revision).min().unwrap_or(self.hub.revision())
     }
 
     /// Returns the table at a revision; one that is too old to be kept leads to a stale edit, so
     /// that it matters little that the newest stands in for it.
-    fn base(&self, revision: Revision) -> Arc<Table> {
+    fn base_table(&self, revision: Revision) -> Arc<Table> {
         if revision == Revision::default() {
             return Arc::default();
         }
-        let kept = self.tables.iter().find(|kept| kept.revision == revision);
+        let kept = self.recent_tables.iter().find(|kept| kept.revision == revision);
         kept.map_or_else(|| self.hub.table().clone(), |kept| kept.table.clone())
     }
 
     /// Returns what differs here from a base, for an edit that is only checked.
-    fn newest(&self, base: Revision) -> history::Newest {
-        let changes = change::diff(&self.base(base), self.hub.table());
+    fn newest_since(&self, base: Revision) -> history::Newest {
+        let changes = change::diff(&self.base_table(base), self.hub.table());
         history::Newest {
             revision: self.hub.revision(),
             by: None,
@@ -168,30 +170,38 @@
         }
     }
 
-    pub(crate) fn await_force(
+    pub(crate) fn wait_for_propagation(
         &mut self,
         call: CallId,
         revision: Revision,
-        since: Duration,
+        arrived_at: Duration,
         wait: Duration,
     ) {
-        let (deadline, due) = (self.now + wait, self.now);
-        let (told, awaited) = (false, Vec::new());
-        self.waits.push(Wait { call, revision, since, deadline, told, due, awaited });
+        let (deadline, next_poll) = (self.now + wait, self.now);
+        let (replied, awaited) = (false, Vec::new());
+        self.edit_waits.push(EditWait {
+            call,
+            revision,
+            arrived_at,
+            deadline,
+            replied,
+            next_poll,
+            awaited,
+        });
     }
 
     /// Ends the wait for an edit that is in force everywhere.
-    pub(crate) fn settle_wait(&mut self, wait: &Wait) {
-        let took = self.now.saturating_sub(wait.since);
-        self.note(Notice::EditInForce { revision: wait.revision, took });
-        if !wait.told {
-            self.tell_force(wait, true);
+    pub(crate) fn finish_wait(&mut self, wait: &EditWait) {
+        let took = self.now.saturating_sub(wait.arrived_at);
+        self.notify(Notice::EditInForce { revision: wait.revision, took });
+        if !wait.replied {
+            self.reply_accepted(wait, true);
         }
     }
 
-    fn tell_force(&mut self, wait: &Wait, in_force: bool) {
+    fn reply_accepted(&mut self, wait: &EditWait, in_force: bool) {
         let awaited = if in_force { Vec::new() } else { wait.awaited.clone() };
-        let edited = EditResult::Accepted { revision: wait.revision, in_force, awaited };
-        self.reply(wait.call, Reply::Edited(edited));
+        let result = EditResult::Accepted { revision: wait.revision, in_force, awaited };
+        self.reply(wait.call, Reply::Edited(result));
     }
 }
--- a/crates/verbenaslip-node/src/lead.rs
+++ b/crates/verbenaslip-node/src/lead.rs
@@ -11,16 +11,16 @@
 use verbenaslip_table::{Edit, Revision, change, edit};
 
 use crate::message::{Message, ProposalAnswer};
-use crate::node::{Node, Todo};
+use crate::node::{Node, Pending};
 use crate::notice::Notice;
-use crate::proposal::{NEXT, Proposal, Purpose, RESEND, Work};
+use crate::proposal::{Content, Proposal, Purpose, RESEND_INTERVAL, RETRY_DELAY};
 use crate::voter::{Event, Voter};
 
 /// How long a proposal that nobody waits for is tried.
-const QUIET: Duration = Duration::from_secs(10);
+const UNATTENDED_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How long another instance's proposal may take; its sender asks again.
-const FORWARDED: Duration = Duration::from_secs(5);
+const FORWARDED_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Node {
     /// Opens the log where there is a data folder.
@@ -35,7 +35,7 @@
         };
         let mut events = Vec::new();
         self.voter = Some(Voter::open(setup, recovered, self.now, &mut events));
-        self.todo.extend(events.into_iter().map(Todo::Logged));
+        self.pending.extend(events.into_iter().map(Pending::LogEvent));
     }
 
     /// Says whether this instance counts in the voter set.
@@ -46,120 +46,128 @@
 
     /// Says whether this instance leads the log under a lease.
     pub(crate) fn leads(&self) -> bool {
-        self.lease().is_some_and(|until| until > self.now)
+        self.leader_lease().is_some_and(|until| until > self.now)
     }
 
     /// Tells the watch whether, and until when, this instance leads.
-    pub(crate) fn lead(&mut self) {
+    pub(crate) fn update_watch_leadership(&mut self) {
         if self.voter.is_none() {
             return;
         }
-        let until = self.lease().filter(|until| *until > self.now);
-        self.push(Todo::Watch(watch::Input::Leading(until)));
+        let until = self.leader_lease().filter(|until| *until > self.now);
+        self.enqueue(Pending::Watch(watch::Input::Leading(until)));
     }
 
     pub(crate) fn step_log(&mut self, input: log::Input) {
         let Some(voter) = &mut self.voter else { return };
         let mut events = Vec::new();
         voter.step(self.now, input, &mut events);
-        self.todo.extend(events.into_iter().map(Todo::Logged));
+        self.pending.extend(events.into_iter().map(Pending::LogEvent));
     }
 
-    pub(crate) fn logged(&mut self, event: Event) {
+    pub(crate) fn handle_log_event(&mut self, event: Event) {
         match event {
             Event::Send { to, message } => self.send(&to, Message::Log(message)),
-            Event::Store { mark, write } => {
-                self.out.push(crate::output::Output::Store { sequence: mark, write });
+            Event::Store { sequence, write } => {
+                self.out.push(crate::output::Output::Store { sequence, write });
             }
             Event::Committed { revision, command, table } => {
                 let Command::Edit(edit) = command else { return };
                 let changes = edit.changes.into();
-                self.push(Todo::Watch(watch::Input::Committed { revision, changes, table }));
+                self.enqueue(Pending::Watch(watch::Input::Committed { revision, changes, table }));
             }
             Event::Restored { revision, table } => {
-                self.push(Todo::Watch(watch::Input::Restored { revision, table }));
+                self.enqueue(Pending::Watch(watch::Input::Restored { revision, table }));
             }
-            Event::Answered { token, answer } => self.proposed(token, answer),
-            Event::Role(role) => self.role(role),
-            Event::Stranger(voter) => self.replace(voter),
-            Event::Unreadable(what) => self.note(Notice::Unreadable(what)),
+            Event::Answered { token, answer } => self.handle_proposal_answer(token, answer),
+            Event::Role(role) => self.handle_role_change(role),
+            Event::IdentityChanged(voter) => self.replace_voter(voter),
+            Event::Unreadable(what) => self.notify(Notice::Unreadable(what)),
         }
     }
 
     /// Has a command committed, however long its patience lasts.
     pub(crate) fn propose(&mut self, command: Command, purpose: Purpose, patience: Duration) {
-        self.submit(Work::Command(Box::new(command)), purpose, patience);
+        self.submit(Content::Command(Box::new(command)), purpose, patience);
     }
 
     /// Has work committed, however long its patience lasts.
-    pub(crate) fn submit(&mut self, work: Work, purpose: Purpose, patience: Duration) {
+    pub(crate) fn submit(&mut self, content: Content, purpose: Purpose, patience: Duration) {
         let deadline = self.now + patience;
         let proposal = Proposal {
-            work,
+            content,
             purpose,
             deadline,
-            due: self.now,
+            resend_at: self.now,
             sent: false,
-            doubtful: false,
+            maybe_accepted: false,
             tries: 0,
         };
-        let token = self.tokens.draw();
+        let token = self.tokens.next();
         self.proposals.insert(token, proposal);
-        self.launch(token);
+        self.send_proposal(token);
     }
 
     /// Takes another instance's command, if this one leads.
-    pub(crate) fn forwarded(&mut self, from: Instance, token: u64, command: Command) {
-        if !command.has_valid_time(self.unix()) {
+    pub(crate) fn handle_forwarded_command(
+        &mut self,
+        from: Instance,
+        token: u64,
+        command: Command,
+    ) {
+        if !command.has_valid_time(self.unix_ms()) {
             let text = "the clocks of the two instances differ too much; check both";
             let answer = ProposalAnswer::Refused(text.into());
             return self.send(&from, Message::ProposalResult { token, answer });
         }
-        self.forward(from, token, Work::Command(Box::new(command)));
+        self.accept_forwarded(from, token, Content::Command(Box::new(command)));
     }
 
     /// Takes another instance's change of the voter set, if this one leads.
-    pub(crate) fn forwarded_change(&mut self, from: Instance, token: u64, change: Change) {
-        self.forward(from, token, Work::Change(change));
+    pub(crate) fn handle_forwarded_change(&mut self, from: Instance, token: u64, change: Change) {
+        self.accept_forwarded(from, token, Content::Change(change));
     }
 
     /// Takes what became of a proposal.
-    pub(crate) fn proposed(&mut self, token: u64, answer: ProposalAnswer) {
+    pub(crate) fn handle_proposal_answer(&mut self, token: u64, answer: ProposalAnswer) {
         let now = self.now;
         let Some(proposal) = self.proposals.get_mut(token) else { return };
         if matches!(proposal.purpose, Purpose::Forwarded { .. }) {
-            return self.conclude(token, answer);
+            return self.finish_proposal(token, answer);
         }
         match answer {
             ProposalAnswer::NotLeader { leader } => {
                 proposal.sent = false;
-                proposal.due = now + NEXT;
+                proposal.resend_at = now + RETRY_DELAY;
                 proposal.tries += 1;
                 self.leader = leader;
             }
             ProposalAnswer::Unknown => {
-                proposal.doubtful = true;
-                proposal.due = now + NEXT;
+                proposal.maybe_accepted = true;
+                proposal.resend_at = now + RETRY_DELAY;
             }
             ProposalAnswer::Done(_) | ProposalAnswer::Changed | ProposalAnswer::Refused(_) => {
-                self.conclude(token, answer)
+                self.finish_proposal(token, answer)
             }
         }
     }
 
     /// Sends again, or gives up, what has waited long enough.
-    pub(crate) fn resend(&mut self) {
-        for token in self.proposals.due(self.now) {
+    pub(crate) fn resend_proposals(&mut self) {
+        for token in self.proposals.due_tokens(self.now) {
             let now = self.now;
             let Some(proposal) = self.proposals.get_mut(token) else { continue };
-            proposal.doubtful |= std::mem::take(&mut proposal.sent);
+            proposal.maybe_accepted |= std::mem::take(&mut proposal.sent);
             if proposal.deadline <= now {
-                let doubtful = proposal.doubtful;
+                let doubtful = proposal.maybe_accepted;
                 let nobody = ProposalAnswer::NotLeader { leader: None };
-                self.conclude(token, if doubtful { ProposalAnswer::Unknown } else { nobody });
+                self.finish_proposal(
+                    token,
+                    if doubtful { ProposalAnswer::Unknown } else { nobody },
+                );
                 continue;
             }
-            self.launch(token);
+            self.send_proposal(token);
         }
     }
 
@@ -176,34 +184,34 @@
             id,
             base: Revision::default(),
             operator: Operator::from("settings"),
-            unix_ms: self.unix(),
+            unix_ms: self.unix_ms(),
             changes,
         };
-        self.propose(Command::Edit(edit), Purpose::Nobody, QUIET);
+        self.propose(Command::Edit(edit), Purpose::Unattended, UNATTENDED_TIMEOUT);
     }
 
-    fn role(&mut self, role: RoleUpdate) {
+    fn handle_role_change(&mut self, role: RoleUpdate) {
         self.leader.clone_from(&role.leader);
-        self.push(Todo::Watch(watch::Input::Leader(role.leader.clone())));
+        self.enqueue(Pending::Watch(watch::Input::Leader(role.leader.clone())));
         // A leadership that ended must not serve until the next beat.
-        self.lead();
+        self.update_watch_leadership();
         if role.role == ReplicaRole::Leader {
             self.bootstrap();
         }
-        self.note(Notice::Leader { term: role.term, leader: role.leader });
+        self.notify(Notice::Leader { term: role.term, leader: role.leader });
     }
 
     /// Replaces a voter whose disk was lost: its instance already runs another folder.
-    fn replace(&mut self, voter: verbenaslip_replica::voter::Voter) {
+    fn replace_voter(&mut self, voter: verbenaslip_replica::voter::Voter) {
         if !self.leads() {
             return;
         }
-        self.note(Notice::ReplacingVoter(voter.instance.clone()));
+        self.notify(Notice::ReplacingVoter(voter.instance.clone()));
         let change = Change::Replace { old: voter.instance.clone(), new: voter };
-        self.submit(Work::Change(change), Purpose::Nobody, QUIET);
+        self.submit(Content::Change(change), Purpose::Unattended, UNATTENDED_TIMEOUT);
     }
 
-    fn forward(&mut self, from: Instance, token: u64, work: Work) {
+    fn accept_forwarded(&mut self, from: Instance, token: u64, content: Content) {
         let leads = self.voter.as_ref().is_some_and(|voter| voter.replica().is_leader());
         if !leads {
             // Asked by the leader this instance believes in, it would send the asker in a circle.
@@ -211,43 +219,43 @@
             let answer = ProposalAnswer::NotLeader { leader };
             return self.send(&from, Message::ProposalResult { token, answer });
         }
-        self.submit(work, Purpose::Forwarded { from, token }, FORWARDED);
+        self.submit(content, Purpose::Forwarded { from, token }, FORWARDED_TIMEOUT);
     }
 
     /// Gives a proposal to the log here, or to whoever is likely to lead.
-    fn launch(&mut self, token: u64) {
+    fn send_proposal(&mut self, token: u64) {
         let now = self.now;
-        let target = self.target(token);
+        let target = self.proposal_target(token);
         let Some(proposal) = self.proposals.get_mut(token) else { return };
-        proposal.due = now + RESEND;
-        let work = proposal.work.clone();
+        proposal.resend_at = now + RESEND_INTERVAL;
+        let content = proposal.content.clone();
         match (&mut self.voter, target) {
             (Some(voter), None) if voter.replica().is_leader() => {
                 // The log answers each proposal once; the deadline bounds the wait for it.
-                proposal.due = proposal.deadline;
+                proposal.resend_at = proposal.deadline;
                 let mut events = Vec::new();
-                match work {
-                    Work::Command(command) => voter.propose(now, token, &command, &mut events),
-                    Work::Change(change) => voter.change(now, token, change, &mut events),
+                match content {
+                    Content::Command(command) => voter.propose(now, token, &command, &mut events),
+                    Content::Change(change) => voter.change_voters(now, token, change, &mut events),
                 }
                 proposal.sent = true;
-                self.todo.extend(events.into_iter().map(Todo::Logged));
+                self.pending.extend(events.into_iter().map(Pending::LogEvent));
             }
             (_, Some(target)) => {
                 proposal.sent = true;
                 proposal.tries += 1;
-                let message = match work {
-                    Work::Command(command) => Message::Propose { token, command },
-                    Work::Change(change) => Message::Change { token, change },
+                let message = match content {
+                    Content::Command(command) => Message::Propose { token, command },
+                    Content::Change(change) => Message::Change { token, change },
                 };
                 self.send(&target, message);
             }
-            _ => proposal.due = now + NEXT,
+            _ => proposal.resend_at = now + RETRY_DELAY,
         }
     }
 
     /// Chooses whom to give a proposal: none means the log here.
-    fn target(&mut self, token: u64) -> Option<Instance> {
+    fn proposal_target(&mut self, token: u64) -> Option<Instance> {
         if self.voter.as_ref().is_some_and(|voter| voter.replica().is_leader()) {
             return None;
         }
@@ -269,36 +277,40 @@
         others.get(index).map(|instance| (*instance).clone())
     }
 
-    fn lease(&self) -> Option<Duration> {
+    fn leader_lease(&self) -> Option<Duration> {
         self.voter.as_ref()?.replica().lease_until(self.now)
     }
 
     /// Ends a proposal and tells whoever waits.
-    fn conclude(&mut self, token: u64, answer: ProposalAnswer) {
+    fn finish_proposal(&mut self, token: u64, answer: ProposalAnswer) {
         let Some(proposal) = self.proposals.remove(token) else { return };
         match proposal.purpose {
-            Purpose::Edit { call, made, wait } => self.edited(call, *made, wait, &answer),
+            Purpose::Edit { call, edit, wait } => {
+                self.handle_edit_answer(call, *edit, wait, &answer)
+            }
             Purpose::Claim { request, claimant, claim } => {
-                self.claimed(request, claimant, *claim, &answer);
+                self.handle_claim_answer(request, claimant, *claim, &answer);
+            }
+            Purpose::Drain { call, instance, operator } => {
+                self.handle_drain_answer(call, &instance, operator, &answer)
             }
-            Purpose::Drain { call, instance, by } => self.drained(call, &instance, by, &answer),
-            Purpose::Voters { call } => self.voted(call, &answer),
-            Purpose::Order { order } => self.numbered(*order, &answer),
-            Purpose::Ordered { upstream, fence } => {
-                if outcome(&answer).is_some() {
+            Purpose::Voters { call } => self.handle_voter_change_answer(call, &answer),
+            Purpose::OrderNumber { order } => self.handle_order_number(*order, &answer),
+            Purpose::OrderEnd { upstream, fence } => {
+                if committed_outcome(&answer).is_some() {
                     self.step_orders(order::Input::Ended { upstream, fence });
                 }
             }
             Purpose::Forwarded { from, token } => {
                 self.send(&from, Message::ProposalResult { token, answer });
             }
-            Purpose::Nobody => {}
+            Purpose::Unattended => {}
         }
     }
 }
 
 /// Returns the outcome of a committed command.
-pub(crate) fn outcome(answer: &ProposalAnswer) -> Option<&Outcome> {
+pub(crate) fn committed_outcome(answer: &ProposalAnswer) -> Option<&Outcome> {
     match answer {
         ProposalAnswer::Done(outcome) => Some(outcome),
         _ => None,
--- a/crates/verbenaslip-node/src/lib.rs
+++ b/crates/verbenaslip-node/src/lib.rs
@@ -15,7 +15,7 @@
 //! - `calls` answers operators, `edits` follows an edit until it is in force everywhere, `query` asks
 //!   voters for what only they hold, and `status` is what operators are shown.
 //! - `stop` ends the instance without cutting off anything.
-//! - `share` is what an instance tells its neighbours once a second.
+//! - `report` is what an instance tells its neighbours once a second.
 
 pub mod capacity;
 pub mod input;
@@ -35,8 +35,8 @@
 mod orders;
 mod proposal;
 mod query;
+mod report;
 mod serve;
-mod share;
 mod stop;
 mod voter;
 
--- a/crates/verbenaslip-node/src/members.rs
+++ b/crates/verbenaslip-node/src/members.rs
@@ -10,11 +10,11 @@
 use verbenaslip_state::{order, watch};
 
 use crate::message::Message;
-use crate::node::{Node, Todo};
+use crate::node::{Node, Pending};
 use crate::notice::Notice;
 use crate::operator::{CallId, Reply};
 use crate::output::Output;
-use crate::share::Share;
+use crate::report::InstanceReport;
 
 impl Node {
     /// Gives membership and registry an input, and passes on what follows.
@@ -22,12 +22,12 @@
         let mut outputs = Vec::new();
         self.gossip.step(self.now, input, &mut outputs);
         for output in outputs {
-            self.gossiped(output, None);
+            self.handle_gossip_output(output, None);
         }
     }
 
     /// Takes an upstream's announcement and answers it.
-    pub(crate) fn announced(
+    pub(crate) fn handle_announcement(
         &mut self,
         call: CallId,
         announcement: Box<verbenaslip_base::announce::Announcement>,
@@ -35,12 +35,12 @@
         let mut outputs = Vec::new();
         self.gossip.step(self.now, gossip::Input::Announced(announcement), &mut outputs);
         for output in outputs {
-            self.gossiped(output, Some(call));
+            self.handle_gossip_output(output, Some(call));
         }
     }
 
     /// Passes on one output; the call is that of the announcement that it may answer.
-    fn gossiped(&mut self, output: gossip::Output, call: Option<CallId>) {
+    fn handle_gossip_output(&mut self, output: gossip::Output, call: Option<CallId>) {
         match output {
             gossip::Output::Send { to, frame } => self.out.push(Output::Datagram { to, frame }),
             gossip::Output::AnnouncementResult(answer) => {
@@ -49,15 +49,15 @@
                     self.out.push(Output::Reply { call, reply });
                 }
             }
-            gossip::Output::Member(event) => self.member(event),
-            gossip::Output::Upstream(event) => self.upstream(event),
-            gossip::Output::ReportReceived(instance) => self.reported(&instance),
-            gossip::Output::Isolated(isolated) => self.isolated(isolated),
+            gossip::Output::Member(event) => self.handle_member_event(event),
+            gossip::Output::Upstream(event) => self.handle_upstream_event(event),
+            gossip::Output::ReportReceived(instance) => self.handle_report(&instance),
+            gossip::Output::Isolated(isolated) => self.handle_isolation(isolated),
         }
     }
 
     /// Passes the live instances on to the parts that share work between them.
-    pub(crate) fn tell_members(&mut self) {
+    pub(crate) fn update_members(&mut self) {
         let own = self.gossip.own().clone();
         let alive =
             |member: &&gossip::Member| matches!(member.state(), State::Alive | State::Suspect);
@@ -67,21 +67,21 @@
         let mut instances: Vec<Instance> = here.map(|peer| peer.instance.clone()).collect();
         instances.push(own.instance);
         instances.sort();
-        self.instances = instances.len();
+        self.region_instances = instances.len();
         self.dispatcher.set_members(self.now, &instances);
-        self.tell_publishers(&others);
+        self.update_publishers(&others);
         let addresses: Vec<(Instance, SocketAddr)> =
             others.into_iter().map(|peer| (peer.instance, peer.address)).collect();
         self.out.push(Output::Addresses(addresses));
     }
 
     /// Tells the neighbours about this instance.
-    pub(crate) fn share(&mut self) {
+    pub(crate) fn send_report(&mut self) {
         let limits = self.dispatcher.tick_limits(self.now);
         let voter = self.is_voter();
         let leads = self.leads();
-        let share = Share { voter, leads, limits };
-        self.push(Todo::Gossip(gossip::Input::Report(share.encode())));
+        let share = InstanceReport { voter, leads, limits };
+        self.enqueue(Pending::Gossip(gossip::Input::Report(share.encode())));
     }
 
     /// Takes over the newest loads of all usable upstreams.
@@ -94,17 +94,17 @@
         }
     }
 
-    fn tell_publishers(&mut self, others: &[gossip::Peer]) {
+    fn update_publishers(&mut self, others: &[gossip::Peer]) {
         let peer = |peer: &gossip::Peer| watch::Peer {
             instance: peer.instance.clone(),
             zone: peer.zone.clone(),
             voter: self.voters.contains(&peer.instance),
         };
         let peers = others.iter().map(peer).collect();
-        self.push(Todo::Watch(watch::Input::Peers(peers)));
+        self.enqueue(Pending::Watch(watch::Input::Peers(peers)));
     }
 
-    fn member(&mut self, event: MemberEvent) {
+    fn handle_member_event(&mut self, event: MemberEvent) {
         match event {
             MemberEvent::Joined(peer) => {
                 let member = request::Member {
@@ -113,54 +113,54 @@
                     boot: peer.incarnation,
                 };
                 let (zone, incarnation) = (member.zone.clone(), member.boot);
-                self.push(Todo::Request(request::Input::Joined(member)));
-                self.note(Notice::Joined { instance: peer.instance, zone, incarnation });
+                self.enqueue(Pending::Request(request::Input::Joined(member)));
+                self.notify(Notice::Joined { instance: peer.instance, zone, incarnation });
             }
             MemberEvent::Suspected(instance) => {
-                self.push(Todo::Request(request::Input::Suspected(instance.clone())));
-                self.note(Notice::Suspected(instance));
+                self.enqueue(Pending::Request(request::Input::Suspected(instance.clone())));
+                self.notify(Notice::Suspected(instance));
             }
             MemberEvent::Cleared(instance) => {
-                self.push(Todo::Request(request::Input::Cleared(instance.clone())));
+                self.enqueue(Pending::Request(request::Input::Cleared(instance.clone())));
                 let member = self.gossip.member(&instance);
                 let incarnation = member.map_or(0, |member| member.peer().incarnation);
-                self.note(Notice::Recovered { instance, incarnation });
+                self.notify(Notice::Recovered { instance, incarnation });
             }
             // It still ends what it owns; taken for gone, its requests would be run a second time.
             MemberEvent::Leaving(_) => {}
             MemberEvent::Left(instance) => {
-                self.push(Todo::Request(request::Input::Left(instance.clone())));
-                self.note(Notice::Left(instance));
+                self.enqueue(Pending::Request(request::Input::Left(instance.clone())));
+                self.notify(Notice::Left(instance));
             }
             MemberEvent::Lost(instance) => {
-                self.push(Todo::Request(request::Input::Lost(instance.clone())));
+                self.enqueue(Pending::Request(request::Input::Lost(instance.clone())));
                 let zone = self.gossip.member(&instance).map(|member| member.peer().zone.clone());
-                self.note(Notice::Lost { instance, zone });
+                self.notify(Notice::Lost { instance, zone });
             }
-            MemberEvent::ZoneLost(zone) => self.note(Notice::ZoneLost(zone)),
+            MemberEvent::ZoneLost(zone) => self.notify(Notice::ZoneLost(zone)),
             MemberEvent::ZoneRecovered(_)
             | MemberEvent::RegionUnreachable(_)
             | MemberEvent::RegionRecovered(_) => {}
             MemberEvent::Replaced { incarnation } => {
-                self.note(Notice::Replaced { incarnation });
+                self.notify(Notice::Replaced { incarnation });
                 self.out.push(Output::Drain);
             }
         }
-        self.tell_members();
+        self.update_members();
     }
 
-    fn upstream(&mut self, event: UpstreamEvent) {
+    fn handle_upstream_event(&mut self, event: UpstreamEvent) {
         match event {
             UpstreamEvent::Appeared(upstream) => {
-                self.usable(&upstream);
+                self.handle_usable_upstream(&upstream);
                 if let Some(record) = self.gossip.record(&upstream) {
-                    self.note(Notice::Appeared(Box::new(record.announcement().clone())));
+                    self.notify(Notice::Appeared(Box::new(record.announcement().clone())));
                 }
             }
             UpstreamEvent::Changed(upstream) => {
-                self.usable(&upstream);
+                self.handle_usable_upstream(&upstream);
                 if let Some(record) = self.gossip.record(&upstream) {
-                    self.note(Notice::Changed(Box::new(record.announcement().clone())));
+                    self.notify(Notice::Changed(Box::new(record.announcement().clone())));
                 }
             }
             UpstreamEvent::Leaving { upstream, notice } => {
@@ -168,47 +168,49 @@
                     self.dispatcher.handle_announcement(self.now, record.announcement());
                 }
                 let leaving = request::Input::Leaving { upstream: upstream.clone(), notice };
-                self.push(Todo::Request(leaving));
-                self.note(Notice::Leaving { upstream, notice });
+                self.enqueue(Pending::Request(leaving));
+                self.notify(Notice::Leaving { upstream, notice });
             }
             UpstreamEvent::Lapsed(upstream) => {
                 // What ran there is told to the policy one by one, when the requests ask to retry.
                 let _ = self.dispatcher.remove_upstream(self.now, &upstream);
-                self.push(Todo::Request(request::Input::Lapsed(upstream.clone())));
+                self.enqueue(Pending::Request(request::Input::Lapsed(upstream.clone())));
                 self.step_orders(order::Input::Gone(upstream.clone()));
                 let record = self.gossip.record(&upstream);
                 let age = record.map_or(0, |record| record.load(self.now).age);
                 let age = Duration::from_millis(u64::from(age));
-                self.note(Notice::Lapsed { upstream, age });
+                self.notify(Notice::Lapsed { upstream, age });
             }
             UpstreamEvent::ZoneDoubtful(zone) => {
                 let known = self.upstreams_in(&zone).count();
                 let in_doubt =
                     |record: &&gossip::Record| record.lease_status() != LeaseStatus::Confirmed;
                 let lost = self.upstreams_in(&zone).filter(in_doubt).count();
-                self.note(Notice::ZoneDoubted { zone, lost, known });
+                self.notify(Notice::ZoneDoubted { zone, lost, known });
             }
             UpstreamEvent::ZoneCleared(zone) => {
                 let known = self.upstreams_in(&zone).count();
-                self.note(Notice::ZoneTrusted { zone, known });
+                self.notify(Notice::ZoneTrusted { zone, known });
             }
         }
     }
 
-    fn usable(&mut self, upstream: &Upstream) {
+    fn handle_usable_upstream(&mut self, upstream: &Upstream) {
         let Some(record) = self.gossip.record(upstream) else { return };
         let announcement = record.announcement();
         self.dispatcher.handle_announcement(self.now, announcement);
         if announcement.phase == Phase::Ready {
-            self.push(Todo::Request(request::Input::Ready(upstream.clone())));
+            self.enqueue(Pending::Request(request::Input::Ready(upstream.clone())));
         }
-        self.orderable(upstream);
+        self.update_orderable_upstream(upstream);
     }
 
-    fn reported(&mut self, instance: &Instance) {
+    fn handle_report(&mut self, instance: &Instance) {
         let reports = self.gossip.reports(self.now);
         let found = reports.into_iter().find(|report| report.instance == instance);
-        let Some(share) = found.and_then(|report| Share::decode(report.bytes)) else { return };
+        let Some(share) = found.and_then(|report| InstanceReport::decode(report.bytes)) else {
+            return;
+        };
         self.dispatcher.handle_report(self.now, instance, &share.limits);
         if share.leads {
             self.leader = Some(instance.clone());
@@ -221,11 +223,11 @@
             self.voters.remove(instance);
         }
         if share.voter != known {
-            self.tell_members();
+            self.update_members();
         }
     }
 
-    fn isolated(&mut self, isolated: bool) {
+    fn handle_isolation(&mut self, isolated: bool) {
         if isolated {
             self.dispatcher.reset_shares(self.now);
         }
@@ -233,7 +235,7 @@
         let known = self.gossip.members().filter(stays).count() + 1;
         let alive = |member: &&gossip::Member| member.state() == State::Alive;
         let heard = self.gossip.members().filter(alive).count() + 1;
-        self.note(Notice::Isolated { isolated, heard, known });
+        self.notify(Notice::Isolated { isolated, heard, known });
     }
 
     fn upstreams_in<'a>(
@@ -244,7 +246,11 @@
     }
 
     /// Passes a request's message on.
-    pub(crate) fn say(&mut self, to: &Instance, message: verbenaslip_request::message::Message) {
+    pub(crate) fn send_request_message(
+        &mut self,
+        to: &Instance,
+        message: verbenaslip_request::message::Message,
+    ) {
         self.send(to, Message::Request(message));
     }
 }
--- a/crates/verbenaslip-node/src/node.rs
+++ b/crates/verbenaslip-node/src/node.rs
@@ -21,19 +21,19 @@
 use crate::message::{Message, TableRevision};
 use crate::notice::Notice;
 use crate::output::Output;
-use crate::proposal::{Proposals, Tokens, Wait};
-use crate::serve::Known;
+use crate::proposal::{EditWait, Proposals, Tokens};
+use crate::serve::RequestRecord;
 use crate::setup::Setup;
 use crate::voter::{self, Voter};
 
 /// The longest time between two ticks; the table's follower needs as much.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Between two looks at the loads of upstreams.
-const REFRESH: Duration = Duration::from_millis(250);
+const LOAD_REFRESH_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Between two reports to the neighbours.
-const SHARE: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Composes all decisions of one instance.
 ///
@@ -43,7 +43,7 @@
     pub(crate) setup: Setup,
     pub(crate) now: Duration,
     /// Unix milliseconds at the monotonic time zero, by the last word of the wall clock.
-    pub(crate) epoch: u64,
+    pub(crate) epoch_unix_ms: u64,
     pub(crate) rng: Pcg64,
     pub(crate) gossip: Gossip,
     pub(crate) voter: Option<Voter>,
@@ -52,37 +52,37 @@
     pub(crate) dispatcher: Dispatcher,
     pub(crate) tokens: Tokens,
     pub(crate) proposals: Proposals,
-    pub(crate) queries: BTreeMap<u64, crate::query::Open>,
-    pub(crate) waits: Vec<Wait>,
-    pub(crate) known: BTreeMap<Request, Known>,
-    pub(crate) tables: VecDeque<TableRevision>,
+    pub(crate) queries: BTreeMap<u64, crate::query::OpenQuery>,
+    pub(crate) edit_waits: Vec<EditWait>,
+    pub(crate) records: BTreeMap<Request, RequestRecord>,
+    pub(crate) recent_tables: VecDeque<TableRevision>,
     pub(crate) leader: Option<Instance>,
     pub(crate) voters: BTreeSet<Instance>,
     pub(crate) orders: order::Dispatcher,
     pub(crate) capacity: Capacity,
     /// How many instances of the region share the work, this one counted.
-    pub(crate) instances: usize,
-    pub(crate) stop: Option<crate::stop::Stop>,
+    pub(crate) region_instances: usize,
+    pub(crate) stop: Option<crate::stop::StopProgress>,
     pub(crate) ready: bool,
-    pub(crate) todo: VecDeque<Todo>,
+    pub(crate) pending: VecDeque<Pending>,
     pub(crate) out: Vec<Output>,
-    beat: Duration,
-    refresh: Duration,
-    share: Duration,
+    next_tick: Duration,
+    next_load_refresh: Duration,
+    next_report: Duration,
 }
 
 /// Holds what one part has said and another has not yet taken.
-pub(crate) enum Todo {
+pub(crate) enum Pending {
     Gossip(gossip::Input),
     Log(log::Input),
-    Logged(voter::Event),
+    LogEvent(voter::Event),
     Watch(watch::Input),
     Request(request::Input),
 }
 
 impl Node {
     /// Starts an instance; its first outputs come with the first step.
-    pub fn open(setup: Setup, now: Duration, unix: u64) -> Self {
+    pub fn open(setup: Setup, now: Duration, unix_ms: u64) -> Self {
         let own = Peer {
             instance: setup.instance.clone(),
             zone: setup.zone.clone(),
@@ -96,57 +96,57 @@
             (setup.instance.clone(), setup.zone.clone(), setup.incarnation);
         let mut node = Self {
             now,
-            epoch: unix.saturating_sub(now.as_millis() as u64),
+            epoch_unix_ms: unix_ms.saturating_sub(now.as_millis() as u64),
             rng: Pcg64::seed_from_u64(setup.seed),
             gossip: Gossip::new(gossip, setup.seed, now),
             voter: None,
             hub: watch::Hub::new(instance.clone(), zone.clone(), boot),
-            requests: Requests::open(crate::serve::setup(&setup)),
+            requests: Requests::open(crate::serve::requests_setup(&setup)),
             dispatcher: Dispatcher::new(now, instance, zone, boot),
             tokens: Tokens::new(setup.incarnation),
             proposals: Proposals::default(),
             queries: BTreeMap::new(),
-            waits: Vec::new(),
-            known: BTreeMap::new(),
-            tables: VecDeque::new(),
+            edit_waits: Vec::new(),
+            records: BTreeMap::new(),
+            recent_tables: VecDeque::new(),
             leader: None,
             voters: setup.voters.iter().map(|founder| founder.instance.clone()).collect(),
             orders: order::Dispatcher::new(setup.timing.election_timeout),
             capacity: Capacity::new(now),
-            instances: 1,
+            region_instances: 1,
             stop: None,
             ready: false,
-            todo: VecDeque::new(),
+            pending: VecDeque::new(),
             out: Vec::new(),
-            beat: now,
-            refresh: now,
-            share: now,
+            next_tick: now,
+            next_load_refresh: now,
+            next_report: now,
             setup,
         };
         node.open_voter();
-        node.tell_members();
+        node.update_members();
         node
     }
 
     /// Takes one input at a monotonic time and appends what is to be done to `out`.
     pub fn step(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
-        self.take(input);
-        self.turn();
-        self.drain();
-        self.pump();
-        self.drain();
-        self.watch_readiness();
+        self.handle_input(input);
+        self.tick_due_parts();
+        self.process_pending();
+        self.dispatch_requests();
+        self.process_pending();
+        self.update_readiness();
         out.append(&mut self.out);
     }
 
     /// Returns when the next step is due at the latest.
     pub fn next_wakeup(&self) -> Duration {
-        let mut wake = self.beat.min(self.gossip.next_wakeup());
-        wake = wake.min(self.voter.as_ref().map_or(wake, Voter::wake));
-        wake = wake.min(self.requests.next_wakeup().unwrap_or(wake));
-        wake = wake.min(self.proposals.wake().unwrap_or(wake));
-        wake.max(self.now)
+        let mut wakeup = self.next_tick.min(self.gossip.next_wakeup());
+        wakeup = wakeup.min(self.voter.as_ref().map_or(wakeup, Voter::next_wakeup));
+        wakeup = wakeup.min(self.requests.next_wakeup().unwrap_or(wakeup));
+        wakeup = wakeup.min(self.proposals.next_wakeup().unwrap_or(wakeup));
+        wakeup.max(self.now)
     }
 
     /// Returns the revision of the table in use.
@@ -161,7 +161,7 @@
 
     /// Says whether this instance takes new work by its table.
     pub fn accepts_work(&self) -> bool {
-        self.closed().is_empty()
+        self.work_refusal_reasons().is_empty()
     }
 
     /// Counts the claims kept in the replicated state here; none without a data folder.
@@ -176,7 +176,7 @@
 
     /// Returns why the platform should send no callers here; empty when it should.
     pub fn readiness_problems(&self) -> Vec<Arc<str>> {
-        let mut reasons = self.closed();
+        let mut reasons = self.work_refusal_reasons();
         if !self.dispatcher.limiter().has_base_share(self.now) {
             reasons.push("it has no part of the limits yet, so that requests would wait".into());
         }
@@ -184,7 +184,7 @@
     }
 
     /// Returns why this instance takes no new work; empty when it does.
-    pub(crate) fn closed(&self) -> Vec<Arc<str>> {
+    pub(crate) fn work_refusal_reasons(&self) -> Vec<Arc<str>> {
         let mut reasons: Vec<Arc<str>> = Vec::new();
         if self.stop.is_some() {
             reasons.push("it is stopping".into());
@@ -199,17 +199,17 @@
     }
 
     /// Returns the wall clock's time in Unix milliseconds.
-    pub(crate) fn unix(&self) -> u64 {
-        self.epoch.saturating_add(self.now.as_millis() as u64)
+    pub(crate) fn unix_ms(&self) -> u64 {
+        self.epoch_unix_ms.saturating_add(self.now.as_millis() as u64)
     }
 
     /// Puts something before another part.
-    pub(crate) fn push(&mut self, todo: Todo) {
-        self.todo.push_back(todo);
+    pub(crate) fn enqueue(&mut self, pending: Pending) {
+        self.pending.push_back(pending);
     }
 
     /// Tells what happened, for logs and metrics.
-    pub(crate) fn note(&mut self, notice: Notice) {
+    pub(crate) fn notify(&mut self, notice: Notice) {
         self.out.push(Output::Notice(notice));
     }
 
@@ -229,54 +229,60 @@
         founder.map(|founder| founder.address)
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::Tick => {}
-            Input::Clock(unix) => self.epoch = unix.saturating_sub(self.now.as_millis() as u64),
-            Input::Peer { from, message } => self.hear(from, message),
+            Input::Clock(unix_ms) => {
+                self.epoch_unix_ms = unix_ms.saturating_sub(self.now.as_millis() as u64)
+            }
+            Input::Peer { from, message } => self.handle_message(from, message),
             Input::Datagram { from, frame } => {
-                self.push(Todo::Gossip(gossip::Input::Received { from, frame }));
+                self.enqueue(Pending::Gossip(gossip::Input::Received { from, frame }));
             }
-            Input::Announced { call, announcement } => self.announced(call, announcement),
-            Input::Called { call, request: ask } => self.called(call, ask),
+            Input::Announced { call, announcement } => self.handle_announcement(call, announcement),
+            Input::Called { call, request } => self.handle_call(call, request),
             Input::Reclaimed { upstream, notice } => {
                 let notice = u32::try_from(notice.as_millis()).unwrap_or(u32::MAX);
-                self.push(Todo::Gossip(gossip::Input::Reclaimed { upstream, notice }));
+                self.enqueue(Pending::Gossip(gossip::Input::Reclaimed { upstream, notice }));
             }
-            Input::WriteDurable { sequence: mark } => {
-                self.push(Todo::Log(log::Input::Stored { sequence: mark }))
+            Input::WriteDurable { sequence } => {
+                self.enqueue(Pending::Log(log::Input::Stored { sequence }))
             }
             Input::OrderAnswered { upstream, fence, answer } => {
                 self.step_orders(order::Input::Answer { upstream, fence, answer });
             }
-            Input::StateRead { upstream, question, state: holding } => {
-                self.step_orders(order::Input::Read { upstream, question, holding });
+            Input::StateRead { upstream, question, state } => {
+                self.step_orders(order::Input::Read { upstream, question, holding: state });
             }
-            Input::Surveyed(survey) => self.surveyed(survey),
-            Input::Started { request, name } => self.started(request, name.as_ref()),
+            Input::Surveyed(survey) => self.handle_survey(survey),
+            Input::Started { request, name } => self.handle_start_result(request, name.as_ref()),
             Input::CacheEvents { upstream, batch } => {
                 self.dispatcher.handle_cache_events(&upstream, &batch)
             }
             Input::Stop { remaining } => self.begin_stop(remaining),
-            other => self.traffic(other),
+            other => self.handle_traffic(other),
         }
     }
 
-    fn hear(&mut self, from: Instance, message: Message) {
+    fn handle_message(&mut self, from: Instance, message: Message) {
         match message {
-            Message::Log(message) => self.push(Todo::Log(log::Input::Message { from, message })),
+            Message::Log(message) => {
+                self.enqueue(Pending::Log(log::Input::Message { from, message }))
+            }
             Message::Watch(message) => {
-                self.push(Todo::Watch(watch::Input::Receive { from, message }));
+                self.enqueue(Pending::Watch(watch::Input::Receive { from, message }));
             }
             Message::Request(message) => {
-                self.push(Todo::Request(request::Input::Heard { from, message }));
+                self.enqueue(Pending::Request(request::Input::Heard { from, message }));
+            }
+            Message::Propose { token, command } => {
+                self.handle_forwarded_command(from, token, *command)
             }
-            Message::Propose { token, command } => self.forwarded(from, token, *command),
-            Message::Change { token, change } => self.forwarded_change(from, token, change),
-            Message::ProposalResult { token, answer } => self.proposed(token, answer),
-            Message::Query { token, query } => self.asked(&from, token, &query),
-            Message::QueryResult { token, answer: found, leader } => {
-                self.told(token, found, leader)
+            Message::Change { token, change } => self.handle_forwarded_change(from, token, change),
+            Message::ProposalResult { token, answer } => self.handle_proposal_answer(token, answer),
+            Message::Query { token, query } => self.handle_query(&from, token, &query),
+            Message::QueryResult { token, answer, leader } => {
+                self.handle_query_result(token, answer, leader)
             }
             Message::Drain { .. } => self.out.push(Output::Drain),
         }
@@ -286,51 +292,51 @@
     ///
     /// A step for each message of each request must not walk through everything that only time
     /// moves, so each part is asked when it is due.
-    fn turn(&mut self) {
+    fn tick_due_parts(&mut self) {
         if self.now >= self.gossip.next_wakeup() {
-            self.push(Todo::Gossip(gossip::Input::Tick));
+            self.enqueue(Pending::Gossip(gossip::Input::Tick));
         }
-        if self.voter.as_ref().is_some_and(|voter| self.now >= voter.wake()) {
-            self.push(Todo::Log(log::Input::Tick));
+        if self.voter.as_ref().is_some_and(|voter| self.now >= voter.next_wakeup()) {
+            self.enqueue(Pending::Log(log::Input::Tick));
         }
-        if self.requests.next_wakeup().is_some_and(|wake| self.now >= wake) {
-            self.push(Todo::Request(request::Input::Tick));
+        if self.requests.next_wakeup().is_some_and(|wakeup| self.now >= wakeup) {
+            self.enqueue(Pending::Request(request::Input::Tick));
         }
-        if self.now >= self.beat {
-            self.beat = self.now + TICK;
-            self.beat();
+        if self.now >= self.next_tick {
+            self.next_tick = self.now + TICK_INTERVAL;
+            self.tick();
         }
-        self.resend();
+        self.resend_proposals();
     }
 
     /// Does what is due ten times a second.
-    fn beat(&mut self) {
-        self.lead();
-        self.push(Todo::Watch(watch::Input::Tick));
-        self.lead_orders();
-        self.plan();
-        if self.now >= self.refresh {
-            self.refresh = self.now + REFRESH;
+    fn tick(&mut self) {
+        self.update_watch_leadership();
+        self.enqueue(Pending::Watch(watch::Input::Tick));
+        self.update_order_leadership();
+        self.plan_capacity();
+        if self.now >= self.next_load_refresh {
+            self.next_load_refresh = self.now + LOAD_REFRESH_INTERVAL;
             self.refresh_loads();
         }
-        if self.now >= self.share {
-            self.share = self.now + SHARE;
-            self.share();
+        if self.now >= self.next_report {
+            self.next_report = self.now + REPORT_INTERVAL;
+            self.send_report();
         }
-        self.poll_waits();
+        self.poll_edit_waits();
         self.poll_queries();
-        self.drive_stop();
+        self.advance_stop();
     }
 
     /// Hands on what the parts say until none says more.
-    fn drain(&mut self) {
-        while let Some(todo) = self.todo.pop_front() {
-            match todo {
-                Todo::Gossip(input) => self.step_gossip(input),
-                Todo::Log(input) => self.step_log(input),
-                Todo::Logged(event) => self.logged(event),
-                Todo::Watch(input) => self.step_watch(input),
-                Todo::Request(input) => self.step_requests(input),
+    fn process_pending(&mut self) {
+        while let Some(pending) = self.pending.pop_front() {
+            match pending {
+                Pending::Gossip(input) => self.step_gossip(input),
+                Pending::Log(input) => self.step_log(input),
+                Pending::LogEvent(event) => self.handle_log_event(event),
+                Pending::Watch(input) => self.step_watch(input),
+                Pending::Request(input) => self.step_requests(input),
             }
         }
     }
@@ -348,18 +354,18 @@
 
     fn use_table(&mut self, revision: Revision, table: Arc<Table>) {
         self.dispatcher.set_table(self.now, &table);
-        self.tables.push_back(TableRevision { revision, table });
-        if self.tables.len() > crate::edits::TABLES {
-            self.tables.pop_front();
+        self.recent_tables.push_back(TableRevision { revision, table });
+        if self.recent_tables.len() > crate::edits::MAX_KEPT_TABLES {
+            self.recent_tables.pop_front();
         }
-        self.note(Notice::TableInUse(revision));
+        self.notify(Notice::TableInUse(revision));
     }
 
-    fn watch_readiness(&mut self) {
+    fn update_readiness(&mut self) {
         let ready = self.is_ready();
         if ready != self.ready {
             self.ready = ready;
-            self.note(Notice::Ready(ready));
+            self.notify(Notice::Ready(ready));
         }
     }
 }
--- a/crates/verbenaslip-node/src/orders.rs
+++ b/crates/verbenaslip-node/src/orders.rs
@@ -5,7 +5,7 @@
 use verbenaslip_state::order::{self, Order, OrderEnd, Pending, Task, Verdict};
 use verbenaslip_state::{Command, Outcome};
 
-use crate::lead::outcome;
+use crate::lead::committed_outcome;
 use crate::message::ProposalAnswer;
 use crate::node::Node;
 use crate::notice::Notice;
@@ -13,14 +13,14 @@
 use crate::proposal::Purpose;
 
 /// How long an order may be carried out, in milliseconds.
-const LIFETIME_MS: u64 = 5_000;
+const ORDER_LIFETIME_MS: u64 = 5_000;
 
 /// Who the audit trail names for orders of the capacity plan.
-const PLAN: &str = "plan";
+const PLAN_OPERATOR: &str = "plan";
 
 impl Node {
     /// Tells the orders' dispatcher whether, and until when, this instance leads.
-    pub(crate) fn lead_orders(&mut self) {
+    pub(crate) fn update_order_leadership(&mut self) {
         let Some(voter) = &self.voter else { return };
         let until = voter.replica().lease_until(self.now).filter(|until| *until > self.now);
         let input = match until {
@@ -39,19 +39,19 @@
     }
 
     /// Wants a model loaded at an upstream.
-    pub(crate) fn want_load(&mut self, upstream: Upstream, model: Model) {
+    pub(crate) fn order_model_load(&mut self, upstream: Upstream, model: Model) {
         let order = Order {
-            by: Operator::from(PLAN),
+            by: Operator::from(PLAN_OPERATOR),
             upstream,
             task: Task::Load(model),
-            lifetime: LIFETIME_MS,
-            at: self.unix(),
+            lifetime: ORDER_LIFETIME_MS,
+            at: self.unix_ms(),
         };
         self.step_orders(order::Input::Want(order));
     }
 
     /// Tells the orders' dispatcher of an upstream that has announced itself.
-    pub(crate) fn orderable(&mut self, upstream: &Upstream) {
+    pub(crate) fn update_orderable_upstream(&mut self, upstream: &Upstream) {
         let Some(record) = self.gossip.record(upstream) else { return };
         let announcement = record.announcement();
         if announcement.kind == Kind::Engine {
@@ -64,13 +64,13 @@
         let mut outputs = Vec::new();
         self.orders.step(self.now, input, &mut outputs);
         for output in outputs {
-            self.order_output(output);
+            self.handle_order_output(output);
         }
     }
 
     /// Takes what became of an order's proposal.
-    pub(crate) fn numbered(&mut self, order: Order, answer: &ProposalAnswer) {
-        let input = match outcome(answer) {
+    pub(crate) fn handle_order_number(&mut self, order: Order, answer: &ProposalAnswer) {
+        let input = match committed_outcome(answer) {
             Some(Outcome::Order(Verdict::Numbered(fence))) => {
                 order::Input::Committed(Pending { fence: *fence, order })
             }
@@ -79,16 +79,16 @@
         self.step_orders(input);
     }
 
-    fn order_output(&mut self, output: order::Output) {
+    fn handle_order_output(&mut self, output: order::Output) {
         match output {
             order::Output::Propose(order) => {
-                let purpose = Purpose::Order { order: Box::new(order.clone()) };
-                self.propose(Command::Order(order), purpose, crate::calls::PATIENCE);
+                let purpose = Purpose::OrderNumber { order: Box::new(order.clone()) };
+                self.propose(Command::Order(order), purpose, crate::calls::CHANGE_TIMEOUT);
             }
-            order::Output::Give(give) => {
-                if let Some(record) = self.gossip.record(&give.upstream) {
+            order::Output::Give(delivery) => {
+                if let Some(record) = self.gossip.record(&delivery.upstream) {
                     let address = record.announcement().address;
-                    self.out.push(Output::Order { address, delivery: give });
+                    self.out.push(Output::Order { address, delivery });
                 }
             }
             order::Output::ReadBack { upstream, question } => {
@@ -103,12 +103,12 @@
                     upstream: end.upstream.clone(),
                     fence: end.ending.fence,
                     result: end.ending.result,
-                    at: self.unix(),
+                    at: self.unix_ms(),
                 };
-                let purpose = Purpose::Ordered { upstream: end.upstream, fence: end.ending.fence };
-                self.propose(Command::Ordered(ordered), purpose, crate::calls::PATIENCE);
+                let purpose = Purpose::OrderEnd { upstream: end.upstream, fence: end.ending.fence };
+                self.propose(Command::Ordered(ordered), purpose, crate::calls::CHANGE_TIMEOUT);
             }
-            order::Output::Report(report) => self.note(Notice::OrderReport(report)),
+            order::Output::Report(report) => self.notify(Notice::OrderReport(report)),
         }
     }
 }
--- a/crates/verbenaslip-node/src/proposal.rs
+++ b/crates/verbenaslip-node/src/proposal.rs
@@ -20,14 +20,14 @@
 use crate::operator;
 
 /// Between two sendings of an unanswered proposal.
-pub(crate) const RESEND: Duration = Duration::from_millis(400);
+pub(crate) const RESEND_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Before a proposal goes to the next voter after one that does not lead.
-pub(crate) const NEXT: Duration = Duration::from_millis(50);
+pub(crate) const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Says what is proposed.
 #[derive(Clone, Debug)]
-pub(crate) enum Work {
+pub(crate) enum Content {
     /// A command of the replicated state.
     Command(Box<Command>),
     /// Another voter set.
@@ -38,36 +38,36 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Purpose {
     /// An operator's edit.
-    Edit { call: operator::CallId, made: Box<SubmittedEdit>, wait: Duration },
+    Edit { call: operator::CallId, edit: Box<SubmittedEdit>, wait: Duration },
     /// The claim of a non-idempotent request, as it was proposed.
     Claim { request: Request, claimant: u128, claim: Box<claim::Claim> },
     /// An operator's drain of an instance.
-    Drain { call: operator::CallId, instance: Instance, by: Operator },
+    Drain { call: operator::CallId, instance: Instance, operator: Operator },
     /// An operator's change of the voter set.
     Voters { call: operator::CallId },
     /// An order that waits for its number.
-    Order { order: Box<Order> },
+    OrderNumber { order: Box<Order> },
     /// The end of an order.
-    Ordered { upstream: Upstream, fence: Fence },
+    OrderEnd { upstream: Upstream, fence: Fence },
     /// Another instance's proposal.
     Forwarded { from: Instance, token: u64 },
     /// Nobody; it matters only that it is done.
-    Nobody,
+    Unattended,
 }
 
 /// Holds one proposal on its way.
 #[derive(Clone, Debug)]
 pub(crate) struct Proposal {
-    pub(crate) work: Work,
+    pub(crate) content: Content,
     pub(crate) purpose: Purpose,
     /// When it is given up.
     pub(crate) deadline: Duration,
     /// When it is sent again.
-    pub(crate) due: Duration,
+    pub(crate) resend_at: Duration,
     /// Whether it was sent and not answered yet.
     pub(crate) sent: bool,
     /// Whether a voter may have taken it without answering.
-    pub(crate) doubtful: bool,
+    pub(crate) maybe_accepted: bool,
     /// How many voters were tried.
     pub(crate) tries: u32,
 }
@@ -93,7 +93,7 @@
     }
 
     /// Returns a token that was never used before.
-    pub(crate) fn draw(&mut self) -> u64 {
+    pub(crate) fn next(&mut self) -> u64 {
         self.last = self.last.wrapping_add(1);
         self.last
     }
@@ -102,53 +102,53 @@
 /// Holds the proposals on their way.
 #[derive(Debug, Default)]
 pub(crate) struct Proposals {
-    open: BTreeMap<u64, Proposal>,
+    by_token: BTreeMap<u64, Proposal>,
 }
 
 impl Proposals {
     /// Takes a proposal under its token.
     pub(crate) fn insert(&mut self, token: u64, proposal: Proposal) {
-        self.open.insert(token, proposal);
+        self.by_token.insert(token, proposal);
     }
 
     /// Finds a proposal.
     pub(crate) fn get_mut(&mut self, token: u64) -> Option<&mut Proposal> {
-        self.open.get_mut(&token)
+        self.by_token.get_mut(&token)
     }
 
     /// Ends a proposal.
     pub(crate) fn remove(&mut self, token: u64) -> Option<Proposal> {
-        self.open.remove(&token)
+        self.by_token.remove(&token)
     }
 
     /// Returns the proposals that are due to be sent again or given up.
-    pub(crate) fn due(&self, now: Duration) -> Vec<u64> {
-        let due = |proposal: &Proposal| proposal.due.min(proposal.deadline) <= now;
-        self.open.iter().filter(|(_, it)| due(it)).map(|(token, _)| *token).collect()
+    pub(crate) fn due_tokens(&self, now: Duration) -> Vec<u64> {
+        let due = |proposal: &Proposal| proposal.resend_at.min(proposal.deadline) <= now;
+        self.by_token.iter().filter(|(_, it)| due(it)).map(|(token, _)| *token).collect()
     }
 
     /// Returns when the next one is due.
-    pub(crate) fn wake(&self) -> Option<Duration> {
-        self.open.values().map(|proposal| proposal.due.min(proposal.deadline)).min()
+    pub(crate) fn next_wakeup(&self) -> Option<Duration> {
+        self.by_token.values().map(|proposal| proposal.resend_at.min(proposal.deadline)).min()
     }
 
     /// Returns how many wait.
     pub(crate) fn len(&self) -> usize {
-        self.open.len()
+        self.by_token.len()
     }
 }
 
 /// Waits until an accepted edit is in force everywhere.
 #[derive(Clone, Debug)]
-pub(crate) struct Wait {
+pub(crate) struct EditWait {
     pub(crate) call: operator::CallId,
     pub(crate) revision: Revision,
     /// When the edit arrived.
-    pub(crate) since: Duration,
+    pub(crate) arrived_at: Duration,
     /// When the operator is told at the latest.
     pub(crate) deadline: Duration,
     /// Whether the operator was told.
-    pub(crate) told: bool,
-    pub(crate) due: Duration,
+    pub(crate) replied: bool,
+    pub(crate) next_poll: Duration,
     pub(crate) awaited: Vec<Instance>,
 }
--- a/crates/verbenaslip-node/src/share.rs
+++ b/crates/verbenaslip-node/src/report.rs
@@ -6,7 +6,7 @@
 
 /// Tells the neighbours what they need to share the work.
 #[data(default)]
-pub(crate) struct Share {
+pub(crate) struct InstanceReport {
     /// Whether this instance votes, and so has the table from the log.
     pub(crate) voter: bool,
     /// Whether this instance leads the log.
@@ -15,7 +15,7 @@
     pub(crate) limits: limit::Report,
 }
 
-impl Share {
+impl InstanceReport {
     /// Writes it so that it fits; rows with the least demand are left out where it does not.
     pub(crate) fn encode(mut self) -> Vec<u8> {
         loop {
--- a/crates/verbenaslip-node/src/status.rs
+++ b/crates/verbenaslip-node/src/status.rs
@@ -164,7 +164,7 @@
 impl Node {
     /// Shows how this instance stands.
     pub fn status(&self) -> Status {
-        let force = self.hub.propagation(self.now, self.hub.revision());
+        let propagation = self.hub.propagation(self.now, self.hub.revision());
         Status {
             instance: self.setup.instance.clone(),
             version: env!("CARGO_PKG_VERSION").into(),
@@ -175,7 +175,7 @@
             lease: self.lease_left(),
             follows: self.hub.followed_publisher().cloned(),
             log: self.log(),
-            behind: force.map(|force| force.awaited),
+            behind: propagation.map(|propagation| propagation.awaited),
             isolated: self.gossip.isolated(),
             peers: self.gossip.members().map(Peer::of).collect(),
             upstreams: self.gossip.records().map(Upstream::of).collect(),
@@ -208,10 +208,11 @@
     pub fn load(&self) -> Vec<Load> {
         let table = self.hub.table();
         let mut counts: BTreeMap<row::Key, Count> = BTreeMap::new();
-        for known in self.known.values() {
-            let Some(row) = table.row(&known.head.team, &known.head.class) else { continue };
+        for record in self.records.values() {
+            let Some(row) = table.row(&record.head.team, &record.head.class) else { continue };
             let count = counts.entry(row.key()).or_default();
-            let part = if known.began.is_none() { &mut count.waiting } else { &mut count.running };
+            let part =
+                if record.started.is_none() { &mut count.waiting } else { &mut count.running };
             *part += 1;
         }
         let limiter = self.dispatcher.limiter();
--- a/crates/verbenaslip-node/src/stop.rs
+++ b/crates/verbenaslip-node/src/stop.rs
@@ -10,56 +10,58 @@
 use verbenaslip_replica::input as log;
 use verbenaslip_request::input as request;
 
-use crate::node::{Node, Todo};
+use crate::node::{Node, Pending};
 use crate::output::Output;
 
 /// Between two tries to hand over the log.
-const TRANSFER: Duration = Duration::from_millis(200);
+const TRANSFER_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How long a leader tries to hand over the log after its requests are done.
-const PATIENCE: Duration = Duration::from_secs(3);
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Holds how far a stop has got.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Stop {
+pub(crate) struct StopProgress {
     /// When the log is handed over next.
-    transfer: Duration,
+    next_transfer: Duration,
     /// When the requests were done.
-    idle: Option<Duration>,
+    idle_since: Option<Duration>,
     /// Whether the instance has left.
-    left: bool,
+    has_left: bool,
 }
 
 impl Node {
     pub(crate) fn begin_stop(&mut self, remaining: Duration) {
         if self.stop.is_none() {
-            self.stop = Some(Stop { transfer: self.now, idle: None, left: false });
-            self.push(Todo::Gossip(gossip::Input::Leave));
+            self.stop =
+                Some(StopProgress { next_transfer: self.now, idle_since: None, has_left: false });
+            self.enqueue(Pending::Gossip(gossip::Input::Leave));
         }
-        self.push(Todo::Request(request::Input::Stop { remaining }));
+        self.enqueue(Pending::Request(request::Input::Stop { remaining }));
     }
 
     pub(crate) fn requests_drained(&mut self) {
         let now = self.now;
         if let Some(stop) = &mut self.stop {
-            stop.idle.get_or_insert(now);
+            stop.idle_since.get_or_insert(now);
         }
     }
 
     /// Goes on with a stop.
-    pub(crate) fn drive_stop(&mut self) {
+    pub(crate) fn advance_stop(&mut self) {
         let Some(mut stop) = self.stop else { return };
-        let leads = self.leads_others();
-        if leads && self.now >= stop.transfer {
-            stop.transfer = self.now + TRANSFER;
-            self.push(Todo::Log(log::Input::TransferLeadership));
+        let leads = self.can_transfer_leadership();
+        if leads && self.now >= stop.next_transfer {
+            stop.next_transfer = self.now + TRANSFER_INTERVAL;
+            self.enqueue(Pending::Log(log::Input::TransferLeadership));
         }
-        let handed = stop.idle.is_some_and(|idle| !leads || self.now >= idle + PATIENCE);
+        let handed =
+            stop.idle_since.is_some_and(|idle| !leads || self.now >= idle + TRANSFER_TIMEOUT);
         let settled = self.proposals.len() == 0;
-        let waited = stop.idle.is_some_and(|idle| self.now >= idle + PATIENCE);
-        if handed && (settled || waited) && !stop.left {
-            stop.left = true;
-            self.push(Todo::Gossip(gossip::Input::Stop));
+        let waited = stop.idle_since.is_some_and(|idle| self.now >= idle + TRANSFER_TIMEOUT);
+        if handed && (settled || waited) && !stop.has_left {
+            stop.has_left = true;
+            self.enqueue(Pending::Gossip(gossip::Input::Stop));
             self.out.push(Output::Stopped);
         }
         self.stop = Some(stop);
@@ -69,7 +71,7 @@
     ///
     /// A voter alone that waited for a successor would hold each planned stop up for the whole
     /// patience, which shows as a restart of a small deployment that takes seconds without work.
-    fn leads_others(&self) -> bool {
+    fn can_transfer_leadership(&self) -> bool {
         self.voter.as_ref().is_some_and(|voter| {
             let replica = voter.replica();
             let own = replica.identity();
--- a/crates/verbenaslip-node/src/voter.rs
+++ b/crates/verbenaslip-node/src/voter.rs
@@ -20,14 +20,14 @@
 use crate::message::ProposalAnswer;
 
 /// Bounds the outcomes kept until their proposals are answered.
-const OUTCOMES: usize = 4_096;
+const MAX_KEPT_OUTCOMES: usize = 4_096;
 
 /// Tells what a voter's step led to.
 pub(crate) enum Event {
     /// Sends a message to another voter.
     Send { to: Instance, message: message::Message },
     /// Writes and syncs.
-    Store { mark: u64, write: Write },
+    Store { sequence: u64, write: Write },
     /// An edit was committed.
     Committed { revision: Revision, command: Command, table: Arc<Table> },
     /// The state was replaced as a whole.
@@ -37,7 +37,7 @@
     /// The role, term or known leader has changed.
     Role(RoleUpdate),
     /// A voter's instance runs another folder.
-    Stranger(voter::Voter),
+    IdentityChanged(voter::Voter),
     /// The state could not be read.
     Unreadable(String),
 }
@@ -47,11 +47,11 @@
     replica: Replica,
     state: State,
     applied: u64,
-    changes: BTreeSet<u64>,
+    change_tokens: BTreeSet<u64>,
     outcomes: BTreeMap<u64, Outcome>,
-    waiting: BTreeMap<u64, u64>,
+    waiting_tokens: BTreeMap<u64, u64>,
     outputs: Vec<log::Output>,
-    broken: bool,
+    is_unreadable: bool,
 }
 
 impl Voter {
@@ -67,11 +67,11 @@
             replica: Replica::open(setup, recovered, now),
             state: State::new(Limits::default()),
             applied: 0,
-            changes: BTreeSet::new(),
+            change_tokens: BTreeSet::new(),
             outcomes: BTreeMap::new(),
-            waiting: BTreeMap::new(),
+            waiting_tokens: BTreeMap::new(),
             outputs: Vec::new(),
-            broken: false,
+            is_unreadable: false,
         };
         if let Some(snapshot) = snapshot {
             voter.install(&snapshot, out);
@@ -82,16 +82,16 @@
     /// Takes what happened.
     pub(crate) fn step(&mut self, now: Duration, input: input::Input, out: &mut Vec<Event>) {
         // A state that can't be read must not vote on: it would acknowledge what it can't apply.
-        if self.broken {
+        if self.is_unreadable {
             return;
         }
         if let input::Input::ChangeVoters { token, .. } = &input {
-            self.changes.insert(*token);
+            self.change_tokens.insert(*token);
         }
         let mut outputs = std::mem::take(&mut self.outputs);
         self.replica.step(now, input, &mut outputs);
         for output in outputs.drain(..) {
-            self.take(now, output, out);
+            self.handle_output(now, output, out);
         }
         self.outputs = outputs;
     }
@@ -112,7 +112,7 @@
     }
 
     /// Proposes another voter set.
-    pub(crate) fn change(
+    pub(crate) fn change_voters(
         &mut self,
         now: Duration,
         token: u64,
@@ -123,7 +123,7 @@
     }
 
     /// Returns when the next tick is due.
-    pub(crate) fn wake(&self) -> Duration {
+    pub(crate) fn next_wakeup(&self) -> Duration {
         self.replica.next_tick()
     }
 
@@ -137,16 +137,16 @@
         &self.state
     }
 
-    fn take(&mut self, now: Duration, output: log::Output, out: &mut Vec<Event>) {
+    fn handle_output(&mut self, now: Duration, output: log::Output, out: &mut Vec<Event>) {
         match output {
             log::Output::Send { to, message } => out.push(Event::Send { to, message }),
-            log::Output::Store { sequence: mark, write } => out.push(Event::Store { mark, write }),
+            log::Output::Store { sequence, write } => out.push(Event::Store { sequence, write }),
             log::Output::Apply { position, command } => self.apply(position, &command, out),
             log::Output::Install(snapshot) => self.install(&snapshot, out),
             log::Output::Answer { token, answer } => self.answer(token, answer, out),
             log::Output::RoleChanged(role) => out.push(Event::Role(role)),
             log::Output::RequestSnapshot { .. } => self.compact(now, out),
-            log::Output::IdentityChanged(voter) => out.push(Event::Stranger(voter)),
+            log::Output::IdentityChanged(voter) => out.push(Event::IdentityChanged(voter)),
             log::Output::ReadIndex { .. } | log::Output::ReadRejected { .. } => {}
         }
     }
@@ -155,7 +155,7 @@
         self.applied = position.index;
         let Ok(command) = postcard::from_bytes::<Command>(bytes) else {
             // Skipping it would let this voter's state differ from the others' without a sign.
-            self.broken = true;
+            self.is_unreadable = true;
             let what = format!("entry {} can't be read by this version", position.index);
             return out.push(Event::Unreadable(what));
         };
@@ -167,13 +167,13 @@
             let table = self.state.table().clone();
             out.push(Event::Committed { revision, command, table });
         }
-        if let Some(token) = self.waiting.remove(&position.index) {
+        if let Some(token) = self.waiting_tokens.remove(&position.index) {
             return out.push(Event::Answered { token, answer: ProposalAnswer::Done(outcome) });
         }
         if self.replica.is_leader() {
             self.outcomes.insert(position.index, outcome);
         }
-        while self.outcomes.len() > OUTCOMES {
+        while self.outcomes.len() > MAX_KEPT_OUTCOMES {
             self.outcomes.pop_first();
         }
     }
@@ -187,7 +187,7 @@
                 out.push(Event::Restored { revision, table });
             }
             Err(error) => {
-                self.broken = true;
+                self.is_unreadable = true;
                 out.push(Event::Unreadable(format!("snapshot at {}: {error}", self.applied)));
             }
         }
@@ -198,18 +198,18 @@
         let mut outputs = Vec::new();
         self.replica.step(now, input::Input::Snapshot { index, state }, &mut outputs);
         for output in outputs {
-            self.take(now, output, out);
+            self.handle_output(now, output, out);
         }
     }
 
     fn answer(&mut self, token: u64, answer: log::Answer, out: &mut Vec<Event>) {
-        let change = self.changes.remove(&token);
+        let change = self.change_tokens.remove(&token);
         let answer = match answer {
             log::Answer::Committed(_) if change => ProposalAnswer::Changed,
             log::Answer::Committed(position) => match self.outcomes.remove(&position.index) {
                 Some(outcome) => ProposalAnswer::Done(outcome),
                 None if position.index > self.applied => {
-                    self.waiting.insert(position.index, token);
+                    self.waiting_tokens.insert(position.index, token);
                     return;
                 }
                 None => ProposalAnswer::Unknown,
--- a/crates/verbenaslip-node/tests/count.rs
+++ b/crates/verbenaslip-node/tests/count.rs
@@ -10,7 +10,7 @@
 use crate::world::{MS, Sent, World, upstream};
 
 /// The bytes a second that an instance may spend on control.
-const BUDGET: f64 = 12_000.0;
+const MAX_BYTES_PER_SECOND: f64 = 12_000.0;
 
 /// Holds what one instance sends in a second.
 #[derive(Clone, Copy, Debug, Default)]
@@ -21,7 +21,7 @@
 
 /// Returns the mean and the greatest rate of all instances over a time.
 fn rates(world: &mut World, time: Duration, mut each: impl FnMut(&mut World, u64)) -> (Rate, Rate) {
-    let before: Vec<Sent> = world.places.iter().map(|place| place.sent).collect();
+    let before: Vec<Sent> = world.instances.iter().map(|instance| instance.sent).collect();
     for second in 0..time.as_secs() {
         each(world, second);
         world.run(MS(1_000));
@@ -31,8 +31,12 @@
         messages: (after.messages - before.messages) as f64 / seconds,
         bytes: (after.bytes - before.bytes) as f64 / seconds,
     };
-    let all: Vec<Rate> =
-        world.places.iter().zip(&before).map(|(place, before)| rate(&place.sent, before)).collect();
+    let all: Vec<Rate> = world
+        .instances
+        .iter()
+        .zip(&before)
+        .map(|(instance, before)| rate(&instance.sent, before))
+        .collect();
     let count = all.len() as f64;
     let mean = Rate {
         messages: all.iter().map(|rate| rate.messages).sum::<f64>() / count,
@@ -60,7 +64,7 @@
         (81, 3_500.0, 6_500.0),
     ] {
         let mut world = World::open(size, 3, 1);
-        world.settle();
+        world.wait_until_ready();
         world.run(MS(3_000));
         let rate = rates(&mut world, Duration::from_secs(5), |_, _| {});
         show(size, "idle", rate);
@@ -73,7 +77,7 @@
 fn an_edit_costs_each_instance_a_few_messages() {
     for size in [3, 9, 27] {
         let mut world = World::open(size, 3, 2);
-        world.settle();
+        world.wait_until_ready();
         world.run(MS(3_000));
         let idle = rates(&mut world, Duration::from_secs(5), |_, _| {}).0;
         let mut revision = 1;
@@ -82,7 +86,7 @@
             let id = format!("edit-{second}");
             let call = world.apply(leader, revision, &id, 200 + second as u32, Duration::ZERO);
             world.run(MS(100));
-            revision = world.accepted(call).map_or(revision, |it| it.0);
+            revision = world.accepted_revision(call).map_or(revision, |it| it.0);
         });
         show(size, "one edit a second", edits);
         assert_eq!(revision, 6, "{size}: all edits are accepted");
@@ -96,7 +100,7 @@
     let mut rows = Vec::new();
     for upstreams in [6, 24, 96] {
         let mut world = World::open(9, 3, 3);
-        world.settle();
+        world.wait_until_ready();
         let rate = rates(&mut world, Duration::from_secs(8), |world, second| {
             for number in 0..upstreams {
                 let name = format!("engine-{number}");
@@ -106,7 +110,7 @@
         });
         show(upstreams, "upstreams at 9 instances", rate);
         rows.push(rate.0.bytes);
-        assert!(rate.1.bytes < BUDGET, "{upstreams}: {:?}", rate.1);
+        assert!(rate.1.bytes < MAX_BYTES_PER_SECOND, "{upstreams}: {:?}", rate.1);
     }
     let slope = (rows[2] - rows[1]) / 72.0;
     println!("{slope:.1} B/s an upstream and instance");
--- a/crates/verbenaslip-node/tests/fault.rs
+++ b/crates/verbenaslip-node/tests/fault.rs
@@ -14,11 +14,11 @@
 use crate::world::{MS, World, upstream};
 
 /// The time in which an edit must be in force everywhere.
-const FORCE: Duration = Duration::from_secs(6);
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(6);
 
-fn ready(seed: u64) -> World {
+fn ready_world(seed: u64) -> World {
     let mut world = World::open(6, 3, seed);
-    world.settle();
+    world.wait_until_ready();
     for number in 0..3 {
         let engine = upstream(&format!("engine-{number}"), Kind::Engine, 1);
         world.announce(number, &engine);
@@ -41,11 +41,13 @@
 
 #[test]
 fn an_edit_is_in_force_everywhere_within_its_time() {
-    let mut world = ready(1);
+    let mut world = ready_world(1);
     let begun = world.now;
-    let call = world.apply(5, 1, "edit-1", 200, FORCE);
-    world.run_until(FORCE, "the edit is in force", |world| world.accepted(call).is_some());
-    assert_eq!(world.accepted(call), Some((2, true)));
+    let call = world.apply(5, 1, "edit-1", 200, PROPAGATION_LIMIT);
+    world.run_until(PROPAGATION_LIMIT, "the edit is in force", |world| {
+        world.accepted_revision(call).is_some()
+    });
+    assert_eq!(world.accepted_revision(call), Some((2, true)));
     assert!(world.now - begun < MS(1_500), "in force after {:?}", world.now - begun);
 }
 
@@ -55,21 +57,25 @@
     // cut off from all others, an edit is made, its callers still reach it. Cause: it goes on by
     // the table it has.
     for apart in 3..6 {
-        let mut world = ready(apart as u64);
+        let mut world = ready_world(apart as u64);
         world.isolate(&[apart]);
         let call = world.apply(0, 1, "edit-1", 200, MS(8_000));
-        world.run_until(MS(9_000), "an answer", |world| world.accepted(call).is_some());
-        assert_eq!(world.accepted(call), Some((2, true)), "waits for the lease to run out");
-        let ticket = world.arrive(apart, "late", true);
+        world.run_until(MS(9_000), "an answer", |world| world.accepted_revision(call).is_some());
+        assert_eq!(
+            world.accepted_revision(call),
+            Some((2, true)),
+            "waits for the lease to run out"
+        );
+        let ticket = world.send_request(apart, "late", true);
         world.run(MS(6_000));
-        match world.last(ticket) {
+        match world.last_verdict(ticket) {
             Some(Verdict::Refused(refusal)) => assert_eq!(refusal.reason, Reason::NoLease),
             Some(Verdict::Unknown(_)) => {}
             other => panic!("an isolated instance must not serve: {other:?}"),
         }
         world.cuts.clear();
-        world.settle();
-        let revision = world.places[apart].node.as_ref().map(verbenaslip_node::Node::revision);
+        world.wait_until_ready();
+        let revision = world.instances[apart].node.as_ref().map(verbenaslip_node::Node::revision);
         assert_eq!(revision.map(|revision| revision.0), Some(2), "it catches up before it serves");
     }
 }
@@ -79,12 +85,12 @@
     // Symptom: an accepted edit is gone. Sequence: the leader is cut off, or frozen longer than its
     // lease; the others elect and edit; the old leader comes back and takes an edit. Cause: it
     // believes that it still leads.
-    for frozen in [false, true] {
-        let mut world = ready(7);
+    for paused in [false, true] {
+        let mut world = ready_world(7);
         let old = world.leader().expect("a leader");
         let other = (old + 1) % 3;
-        if frozen {
-            world.places[old].frozen = Some(world.now + MS(8_000));
+        if paused {
+            world.instances[old].paused_until = Some(world.now + MS(8_000));
         } else {
             world.isolate(&[old]);
         }
@@ -92,14 +98,18 @@
         let lost = world.apply(old, 1, "edit-2", 300, MS(1_000));
         world.run_until(MS(9_000), "an answer", |world| world.replies.contains_key(&first));
         let answer = world.replies.get(&first);
-        assert_eq!(world.accepted(first).map(|it| it.0), Some(2), "frozen: {frozen} {answer:?}");
+        assert_eq!(
+            world.accepted_revision(first).map(|it| it.0),
+            Some(2),
+            "paused: {paused} {answer:?}"
+        );
         world.cuts.clear();
         world.run(MS(10_000));
-        world.settle();
-        assert_eq!(world.accepted(lost), None, "frozen: {frozen}");
-        for place in &world.places {
-            let revision = place.node.as_ref().map(|node| node.revision().0);
-            assert_eq!(revision, Some(2), "frozen: {frozen}");
+        world.wait_until_ready();
+        assert_eq!(world.accepted_revision(lost), None, "paused: {paused}");
+        for instance in &world.instances {
+            let revision = instance.node.as_ref().map(|node| node.revision().0);
+            assert_eq!(revision, Some(2), "paused: {paused}");
         }
     }
 }
@@ -109,15 +119,15 @@
     // Symptom: one operator's edit silently undoes another's. Sequence: both start from revision 1
     // and apply through different instances at once; both resend. Cause: the last write counts.
     for seed in 0..10 {
-        let mut world = ready(20 + seed);
-        world.loss = 0.1;
+        let mut world = ready_world(20 + seed);
+        world.loss_rate = 0.1;
         let first = world.apply(3, 1, "edit-a", 200, MS(1_000));
         let second = world.apply(4, 1, "edit-b", 300, MS(1_000));
         let again = world.apply(5, 1, "edit-a", 200, MS(1_000));
         world.run(MS(9_000));
         let stale =
             |call| matches!(world.replies.get(&call), Some(Reply::Edited(EditResult::Stale(_))));
-        let won = |call| world.accepted(call).map(|it| it.0) == Some(2);
+        let won = |call| world.accepted_revision(call).map(|it| it.0) == Some(2);
         assert!(won(first) != won(second), "seed {seed}: {:?}", world.replies);
         assert!(stale(first) || stale(second), "seed {seed}");
         assert_eq!(won(first), won(again), "seed {seed}: a resend is the same edit");
@@ -128,7 +138,7 @@
 fn a_restart_after_five_hundred_edits_catches_up_before_it_serves() {
     // Symptom: a restarted instance serves by a table of hours ago. Sequence: one follower and one
     // voter are down for 500 edits. Cause: they serve before they have the changes or a snapshot.
-    let mut world = ready(3);
+    let mut world = ready_world(3);
     world.kill(2);
     world.kill(5);
     world.run(MS(3_000));
@@ -138,16 +148,16 @@
         let id = format!("edit-{number}");
         let call = world.apply(leader, revision, &id, 200 + number % 2, Duration::ZERO);
         world.run_until(MS(6_000), "an answer", |world| world.replies.contains_key(&call));
-        revision = world.accepted(call).map_or(revision, |it| it.0);
+        revision = world.accepted_revision(call).map_or(revision, |it| it.0);
     }
     assert_eq!(revision, 501);
     world.start(2);
     world.start(5);
     let begun = world.now;
-    world.settle();
+    world.wait_until_ready();
     assert!(world.now - begun < MS(8_000), "ready after {:?}", world.now - begun);
     for number in [2, 5] {
-        let node = world.places[number].node.as_ref().expect("it runs");
+        let node = world.instances[number].node.as_ref().expect("it runs");
         assert_eq!(node.revision().0, 501);
     }
 }
@@ -158,12 +168,12 @@
     // other instances at once and later, while messages are lost and its owner, the leader or the
     // second holder dies at any moment. Cause: two instances each believe that they hold the claim.
     for step in 0..40_u64 {
-        let mut world = ready(100 + step);
-        world.loss = 0.05;
+        let mut world = ready_world(100 + step);
+        world.loss_rate = 0.05;
         let at = (step % 6) as usize;
-        world.arrive(at, "order", false);
+        world.send_request(at, "order", false);
         world.run(MS(step));
-        world.arrive((at + 1) % 6, "order", false);
+        world.send_request((at + 1) % 6, "order", false);
         let victim = match step % 3 {
             0 => at,
             1 => world.leader().unwrap_or(0),
@@ -171,14 +181,14 @@
         };
         world.kill(victim);
         world.run(MS(300));
-        world.arrive((at + 3) % 6, "order", false);
+        world.send_request((at + 3) % 6, "order", false);
         world.run(MS(1_000));
         world.start(victim);
         world.run(MS(4_000));
-        let late = world.arrive((at + 4) % 6, "order", false);
+        let late = world.send_request((at + 4) % 6, "order", false);
         renew(&mut world, 3);
         world.run(MS(12_000));
-        assert!(world.last(late).is_some(), "step {step}: the caller gets an answer");
+        assert!(world.last_verdict(late).is_some(), "step {step}: the caller gets an answer");
     }
 }
 
@@ -188,16 +198,16 @@
     // run. Sequence: losses and kills at each moment of a request's life. Cause: a refusal that is
     // given after the upstream was asked, or without looking whether the key runs elsewhere.
     for step in 0..30_u64 {
-        let mut world = ready(200 + step);
-        world.loss = 0.05;
+        let mut world = ready_world(200 + step);
+        world.loss_rate = 0.05;
         let at = (step % 6) as usize;
-        let ticket = world.arrive(at, "once", false);
+        let ticket = world.send_request(at, "once", false);
         world.run(MS(step));
         world.upstreams.dead.insert("service".into());
         world.run(MS(15_000));
-        let ran = world.upstreams.counted.iter().any(|it| it.kind == Kind::Service);
-        let refused = matches!(world.last(ticket), Some(Verdict::Refused(_)));
-        assert!(!(ran && refused), "step {step}: {:?}", world.last(ticket));
+        let ran = world.upstreams.recorded_runs.iter().any(|it| it.kind == Kind::Service);
+        let refused = matches!(world.last_verdict(ticket), Some(Verdict::Refused(_)));
+        assert!(!(ran && refused), "step {step}: {:?}", world.last_verdict(ticket));
     }
 }
 
@@ -206,13 +216,13 @@
     // Symptom: work is sent to an engine that is being taken away. Sequence: it announces its
     // leaving to one instance, an old announcement of it arrives late at another. Cause: the news
     // spreads slowly or is undone.
-    let mut world = ready(9);
+    let mut world = ready_world(9);
     let mut leaving = upstream("engine-0", Kind::Engine, 5);
     leaving.phase = Phase::Leaving { notice: Some(30_000) };
     let at = world.now;
     world.announce(4, &leaving);
     for number in 0..60 {
-        world.arrive(number % 6, &format!("chat-{number}"), true);
+        world.send_request(number % 6, &format!("chat-{number}"), true);
         if number == 10 {
             world.announce(2, &upstream("engine-0", Kind::Engine, 4));
         }
@@ -225,11 +235,11 @@
         }
         world.run(MS(100));
     }
-    let late = |it: &&world::upstream::Counted| {
+    let late = |it: &&world::upstream::RecordedRun| {
         it.upstream.as_str() == "engine-0" && it.at > at + MS(2_000)
     };
-    assert_eq!(world.upstreams.counted.iter().filter(late).count(), 0);
-    assert!(world.upstreams.counted.len() >= 60);
+    assert_eq!(world.upstreams.recorded_runs.iter().filter(late).count(), 0);
+    assert!(world.upstreams.recorded_runs.len() >= 60);
 }
 
 #[test]
@@ -238,29 +248,30 @@
     // serves, the leader too. Cause: it leaves before its requests ended or were handed over, or
     // its second holders take them for orphans as soon as it says that it is leaving.
     for number in 0..6 {
-        let mut world = ready(30 + number as u64);
+        let mut world = ready_world(30 + number as u64);
         let model = |key: u32| if key.is_multiple_of(2) { "assistant" } else { "orders" };
-        let arrive = |key| world.arrive_for(number, &format!("key-{key}"), true, model(key));
+        let arrive =
+            |key| world.send_request_for_model(number, &format!("key-{key}"), true, model(key));
         let tickets: Vec<_> = (0..8).map(arrive).collect();
         world.run(MS(60));
         let remaining = MS(10_000);
         world.step(number, verbenaslip_node::Input::Stop { remaining });
-        let refused = world.arrive(number, "late", true);
-        world.run_until(remaining, "drained", |world| world.drained.contains(&number));
+        let refused = world.send_request(number, "late", true);
+        world.run_until(remaining, "drained", |world| world.stopped.contains(&number));
         for ticket in tickets {
-            let verdict = world.last(ticket);
+            let verdict = world.last_verdict(ticket);
             assert!(
                 matches!(verdict, Some(Verdict::Serve { .. } | Verdict::Relay { .. })),
                 "{number}: {verdict:?}"
             );
         }
-        let verdict = world.last(refused);
+        let verdict = world.last_verdict(refused);
         assert!(
             matches!(verdict, Some(Verdict::Refused(it)) if it.reason == Reason::Stopping),
             "{number}: {verdict:?}"
         );
         // There was time for all to end where they ran; a takeover would compute them again.
-        assert_eq!(world.upstreams.counted.len(), 8, "{number}");
+        assert_eq!(world.upstreams.recorded_runs.len(), 8, "{number}");
     }
 }
 
@@ -272,33 +283,33 @@
     // that nobody will use.
     // Not every key has its homes where they still answer; one whose claim gets through is found.
     let tries = (0..20).map(|number| {
-        let mut world = ready(40);
+        let mut world = ready_world(40);
         let leader = world.leader().expect("a leader");
         let at = (leader + 1) % 3;
         world.cuts.insert((leader, at));
         let key = format!("order-{number}");
-        let ticket = world.arrive(at, &key, false);
+        let ticket = world.send_request(at, &key, false);
         world.run(MS(500));
         let claims =
-            world.places[leader].node.as_ref().map_or(0, verbenaslip_node::Node::claim_count);
+            world.instances[leader].node.as_ref().map_or(0, verbenaslip_node::Node::claim_count);
         (claims == 1).then_some((world, at, key, ticket))
     });
     let (mut world, at, key, ticket) = tries.flatten().next().expect("a claim gets through");
     world.run(MS(8_000));
-    let verdict = world.last(ticket);
+    let verdict = world.last_verdict(ticket);
     assert!(matches!(verdict, Some(Verdict::Refused(_) | Verdict::Unknown(_))), "{verdict:?}");
     world.cuts.clear();
     world.run(MS(2_000));
     renew(&mut world, 4);
-    world.settle();
+    world.wait_until_ready();
     world.run(MS(1_000));
     renew(&mut world, 5);
     world.run(MS(1_000));
-    let again = world.arrive((at + 3) % 6, &key, false);
+    let again = world.send_request((at + 3) % 6, &key, false);
     world.run(MS(3_000));
-    let verdict = world.last(again);
+    let verdict = world.last_verdict(again);
     assert!(matches!(verdict, Some(Verdict::Serve { .. })), "{verdict:?}");
-    let ran = world.upstreams.counted.iter().filter(|it| it.kind == Kind::Service).count();
+    let ran = world.upstreams.recorded_runs.iter().filter(|it| it.kind == Kind::Service).count();
     assert_eq!(ran, 1);
 }
 
@@ -309,18 +320,18 @@
     // first arrives. Cause: both lives name their proposals alike.
     let mut wrong = Vec::new();
     for step in 0..40_u64 {
-        let mut world = ready(300 + step);
+        let mut world = ready_world(300 + step);
         let first = world.apply(5, 1, "edit-a", 200, Duration::ZERO);
         world.run(Duration::from_micros(step * 250));
         world.kill(5);
         world.start(5);
         let second = world.apply(5, 1, "edit-b", 300, Duration::ZERO);
         world.run(MS(12_000));
-        let call = world.ask(0, OperatorCall::History);
+        let call = world.call(0, OperatorCall::History);
         world.run(MS(1_000));
         let Some(Reply::History(entries)) = world.replies.get(&call) else { panic!("no history") };
         for (call, id) in [(first, "edit-a"), (second, "edit-b")] {
-            let Some((revision, _)) = world.accepted(call) else { continue };
+            let Some((revision, _)) = world.accepted_revision(call) else { continue };
             let kept = entries.iter().find(|entry| entry.revision.0 == revision);
             if kept.is_none_or(|entry| entry.edit.to_string() != id) {
                 wrong.push(format!("step {step}: {id} as {revision}"));
@@ -336,12 +347,12 @@
     // second and more, and some end as unknown. Sequence: their keys' homes or second holders are
     // the lost instance, which is asked in vain until it is called dead. Cause: suspicion, which
     // comes seconds earlier, changed nothing.
-    let mut world = ready(50);
+    let mut world = ready_world(50);
     world.kill(4);
     let mut arrivals = Vec::new();
     for number in 0..40 {
         let at = [0, 1, 2, 3, 5][number % 5];
-        let ticket = world.arrive(at, &format!("chat-{number}"), true);
+        let ticket = world.send_request(at, &format!("chat-{number}"), true);
         arrivals.push((world.now, ticket));
         if number % 4 == 0 {
             renew(&mut world, 10 + number as u64);
@@ -351,9 +362,9 @@
     world.run(MS(6_000));
     let mut slow = 0;
     for (at, ticket) in arrivals {
-        let verdict = world.last(ticket);
+        let verdict = world.last_verdict(ticket);
         assert!(matches!(verdict, Some(Verdict::Serve { .. })), "{at:?}: {verdict:?}");
-        let waited = world.served.get(&ticket).map(|served| *served - at);
+        let waited = world.served_at.get(&ticket).map(|served| *served - at);
         slow += u32::from(waited.is_none_or(|waited| waited > MS(100)));
     }
     println!("{slow} of 40 waited longer than 100 ms");
@@ -366,7 +377,7 @@
     // without a voter are cut off together with an engine that announces itself to them; an edit
     // comes into force among the others. Cause: the three can hold each other's requests and reach
     // the engine, so that nothing but the table lease keeps them from serving.
-    let mut world = ready(50);
+    let mut world = ready_world(50);
     world.isolate(&[3, 4, 5]);
     let call = world.apply(0, 1, "edit-1", 200, MS(8_000));
     for sequence in 3..11 {
@@ -375,16 +386,16 @@
         }
         world.run(MS(1_000));
     }
-    assert_eq!(world.accepted(call), Some((2, true)));
+    assert_eq!(world.accepted_revision(call), Some((2, true)));
     let tickets: Vec<_> =
-        (3..6).map(|at| world.arrive_unkeyed(at, &format!("chat-{at}"))).collect();
+        (3..6).map(|at| world.send_request_without_key(at, &format!("chat-{at}"))).collect();
     world.run(MS(2_000));
     for ticket in tickets {
-        let verdict = world.last(ticket);
+        let verdict = world.last_verdict(ticket);
         let refused = matches!(verdict, Some(Verdict::Refused(it)) if it.reason == Reason::NoLease);
         assert!(refused, "{verdict:?}");
     }
-    assert_eq!(world.upstreams.counted.len(), 0);
+    assert_eq!(world.upstreams.recorded_runs.len(), 0);
 }
 
 #[test]
@@ -393,14 +404,14 @@
     // the proposal reaches the leader, and all of the leader's messages to the sender are lost.
     // Cause: a proposal that was sent counts as not taken.
     for seed in 0..6 {
-        let mut world = ready(60 + seed);
+        let mut world = ready_world(60 + seed);
         let leader = world.leader().expect("a leader");
         world.cuts.insert((leader, 5));
         let call = world.apply(5, 1, "edit-1", 200, MS(0));
         let limit = MS(20_000);
         world.run_until(limit, "a reply", |world| world.replies.contains_key(&call));
         let reply = world.replies[&call].clone();
-        let newest = world.places[leader].node.as_ref().map_or(0, |node| node.revision().0);
+        let newest = world.instances[leader].node.as_ref().map_or(0, |node| node.revision().0);
         let denied = matches!(reply, Reply::NoQuorum | Reply::Refused(_));
         assert!(!(denied && newest > 1), "seed {seed}: {reply:?} at revision {newest}");
     }
--- a/crates/verbenaslip-node/tests/hostile.rs
+++ b/crates/verbenaslip-node/tests/hostile.rs
@@ -31,20 +31,20 @@
 use verbenaslip_state::watch;
 use verbenaslip_table::Revision;
 
-use crate::world::{End, MS, Said, World, upstream};
+use crate::world::{End, MS, SentMessage, World, upstream};
 
 /// Cases of arbitrary bytes; few of them are a message.
-const ARBITRARY: u32 = 20_000;
+const ARBITRARY_CASES: u32 = 20_000;
 /// Cases of damaged messages.
-const DAMAGED: u32 = 2_000;
+const DAMAGED_CASES: u32 = 2_000;
 /// The fewest of them that must decode, so that the trial is one.
-const DECODED: usize = 100;
+const MIN_DECODED: usize = 100;
 /// The most that an instance keeps open on the word of others after such a trial.
-const KEPT: usize = 2_000;
+const MAX_KEPT: usize = 2_000;
 
-fn ready(seed: u64) -> World {
+fn ready_world(seed: u64) -> World {
     let mut world = World::open(6, 3, seed);
-    world.settle();
+    world.wait_until_ready();
     for sequence in 1..3 {
         renew(&mut world, sequence);
         world.run(MS(1_000));
@@ -61,12 +61,12 @@
 }
 
 /// Records what instances say while they serve requests, claims and edits.
-fn recorded(seed: u64) -> (World, Vec<Said>) {
-    let mut world = ready(seed);
-    world.tape = Some(Vec::new());
+fn recorded(seed: u64) -> (World, Vec<SentMessage>) {
+    let mut world = ready_world(seed);
+    world.recording = Some(Vec::new());
     for number in 0..6 {
-        world.arrive(number, &format!("chat-{number}"), true);
-        world.arrive(number, &format!("order-{number}"), false);
+        world.send_request(number, &format!("chat-{number}"), true);
+        world.send_request(number, &format!("order-{number}"), false);
         world.apply(
             number,
             number as u64 + 1,
@@ -78,11 +78,11 @@
     }
     renew(&mut world, 3);
     world.run(MS(1_000));
-    let tape = world.tape.take().expect("a tape");
-    (world, tape)
+    let recording = world.recording.take().expect("a recording");
+    (world, recording)
 }
 
-fn runner(cases: u32) -> TestRunner {
+fn test_runner(cases: u32) -> TestRunner {
     let config = Config { cases, failure_persistence: None, ..Config::default() };
     TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha))
 }
@@ -98,7 +98,7 @@
 /// Hands bytes over as a message and as a datagram, where they are one.
 ///
 /// Returns how many of the two they are.
-fn hand(world: &mut World, to: usize, from: usize, bytes: &[u8]) -> usize {
+fn deliver_bytes(world: &mut World, to: usize, from: usize, bytes: &[u8]) -> usize {
     let message = postcard::from_bytes::<Message>(bytes).ok();
     let frame = Frame::decode(bytes).map(Box::new);
     let decoded = usize::from(message.is_some()) + usize::from(frame.is_some());
@@ -112,43 +112,48 @@
 }
 
 /// No instance keeps more than a bound on the word of others.
-fn bounded(world: &mut World) {
-    for number in 0..world.places.len() {
-        let call = world.ask(number, OperatorCall::Status);
+fn assert_bounded(world: &mut World) {
+    for number in 0..world.instances.len() {
+        let call = world.call(number, OperatorCall::Status);
         let Some(Reply::Status(status)) = world.replies.get(&call) else { panic!("no status") };
         let work = &status.work;
         let kept = [work.owned, work.copies, work.finished, work.claims, work.proposals];
-        assert!(kept.iter().all(|count| *count < KEPT), "{number}: {work:?}");
+        assert!(kept.iter().all(|count| *count < MAX_KEPT), "{number}: {work:?}");
         let known = status.peers.len() + status.upstreams.len();
-        assert!(known < KEPT, "{number}: knows {known}");
+        assert!(known < MAX_KEPT, "{number}: knows {known}");
     }
 }
 
 /// The deployment does what it is there for, under the same leader.
-fn undisturbed(world: &mut World, leader: Option<usize>, case: &str) {
+fn assert_undisturbed(world: &mut World, leader: Option<usize>, case: &str) {
     assert_eq!(world.leader(), leader, "{case}: the leader's lease");
-    let ready = |place: &world::Place| place.node.as_ref().is_some_and(|node| node.is_ready());
-    assert!(world.places.iter().all(ready), "{case}: all take callers");
-    let base = world.places[0].node.as_ref().map_or(0, |node| node.revision().0);
+    let ready =
+        |instance: &world::TestInstance| instance.node.as_ref().is_some_and(|node| node.is_ready());
+    assert!(world.instances.iter().all(ready), "{case}: all take callers");
+    let base = world.instances[0].node.as_ref().map_or(0, |node| node.revision().0);
     let edit = world.apply(4, base, &format!("after-{base}"), 500 + base as u32, MS(6_000));
-    let call = world.arrive(5, &format!("after-{base}"), false);
+    let call = world.send_request(5, &format!("after-{base}"), false);
     let limit = Duration::from_secs(6);
-    world.run_until(limit, case, |world| world.accepted(edit).is_some());
-    assert_eq!(world.accepted(edit), Some((base + 1, true)), "{case}: an edit is accepted");
+    world.run_until(limit, case, |world| world.accepted_revision(edit).is_some());
+    assert_eq!(
+        world.accepted_revision(edit),
+        Some((base + 1, true)),
+        "{case}: an edit is accepted"
+    );
     world.run_until(limit, case, |world| world.ended.contains_key(&call));
-    assert_eq!(world.ended[&call].0, End::Whole, "{case}: a request is answered");
+    assert_eq!(world.ended[&call].0, End::Completed, "{case}: a request is answered");
 }
 
 #[test]
 fn arbitrary_bytes_stop_no_instance() {
     // Symptom: one odd message ends a process. Sequence: bytes that happen to decode. Cause: a
     // number or a length is taken at its word.
-    let (world, decoded) = (RefCell::new(ready(1)), Cell::new(0));
-    world.borrow_mut().checked = false;
+    let (world, decoded) = (RefCell::new(ready_world(1)), Cell::new(0));
+    world.borrow_mut().check_invariants = false;
     let small = || vec(proptest::prop_oneof![0_u8..12, any::<u8>()], 0..160);
     let case = (0_usize..6, 0_usize..8, small());
-    let outcome = runner(ARBITRARY).run(&case, |(to, from, bytes)| {
-        let found = hand(&mut world.borrow_mut(), to, from, &bytes);
+    let outcome = test_runner(ARBITRARY_CASES).run(&case, |(to, from, bytes)| {
+        let found = deliver_bytes(&mut world.borrow_mut(), to, from, &bytes);
         decoded.set(decoded.get() + found);
         if found > 0 {
             world.borrow_mut().run(MS(2));
@@ -157,28 +162,28 @@
     });
     outcome.expect("no panic");
     println!("{} decoded", decoded.get());
-    assert!(decoded.get() >= DECODED, "only {} are anything", decoded.get());
-    bounded(&mut world.borrow_mut());
+    assert!(decoded.get() >= MIN_DECODED, "only {} are anything", decoded.get());
+    assert_bounded(&mut world.borrow_mut());
 }
 
 #[test]
 fn damaged_messages_stop_no_instance() {
     // Symptom and cause as above. Sequence: what instances really say, with some bytes changed,
     // from anybody to anybody.
-    let (mut world, tape) = recorded(2);
-    world.checked = false;
-    let bytes: Vec<Vec<u8>> = tape.iter().map(|said| encoded(&said.input)).collect();
+    let (mut world, recording) = recorded(2);
+    world.check_invariants = false;
+    let bytes: Vec<Vec<u8>> = recording.iter().map(|sent| encoded(&sent.input)).collect();
     let (world, decoded) = (RefCell::new(world), Cell::new(0));
-    let damage = vec((any::<proptest::sample::Index>(), extreme()), 1..4);
+    let damage = vec((any::<proptest::sample::Index>(), extreme_bytes()), 1..4);
     let which = any::<proptest::sample::Index>();
     let case = (which, damage, 0_usize..6, 0_usize..8);
-    let outcome = runner(DAMAGED).run(&case, |(which, damage, to, from)| {
+    let outcome = test_runner(DAMAGED_CASES).run(&case, |(which, damage, to, from)| {
         let mut bytes = which.get(&bytes).clone();
         for (at, value) in damage {
             let at = at.index(bytes.len());
             bytes.splice(at..=at, value);
         }
-        let found = hand(&mut world.borrow_mut(), to, from, &bytes);
+        let found = deliver_bytes(&mut world.borrow_mut(), to, from, &bytes);
         decoded.set(decoded.get() + found);
         if found > 0 {
             world.borrow_mut().run(MS(2));
@@ -187,13 +192,13 @@
     });
     outcome.expect("no panic");
     println!("{} decoded", decoded.get());
-    assert!(decoded.get() >= DECODED, "only {} are anything", decoded.get());
+    assert!(decoded.get() >= MIN_DECODED, "only {} are anything", decoded.get());
     world.borrow_mut().run(MS(2_000));
-    bounded(&mut world.borrow_mut());
+    assert_bounded(&mut world.borrow_mut());
 }
 
 /// Gives one byte, or the longest number, in a byte's place.
-fn extreme() -> impl Strategy<Value = Vec<u8>> {
+fn extreme_bytes() -> impl Strategy<Value = Vec<u8>> {
     let mut longest = vec![0xff; 9];
     longest.push(0x01);
     proptest::prop_oneof![
@@ -217,12 +222,12 @@
     // Symptom: an order runs twice, or a table falls back. Sequence: everything that instances said
     // arrives again, in any order, some of it many times. Cause: a message is taken for news.
     for seed in 0..4 {
-        let (mut world, mut tape) = recorded(10 + seed);
+        let (mut world, mut recording) = recorded(10 + seed);
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        tape.shuffle(&mut rng);
-        let (leader, revision) = (world.leader(), newest(&world));
-        let runs = world.upstreams.counted.len();
-        for (number, Said { to, input }) in tape.into_iter().enumerate() {
+        recording.shuffle(&mut rng);
+        let (leader, revision) = (world.leader(), revisions(&world));
+        let runs = world.upstreams.recorded_runs.len();
+        for (number, SentMessage { to, input }) in recording.into_iter().enumerate() {
             for _ in 0..rng.random_range(1..4) {
                 world.step(to, input.clone());
             }
@@ -236,24 +241,25 @@
         renew(&mut world, 100_000);
         world.run(MS(2_000));
         renew(&mut world, 100_001);
-        assert_eq!(newest(&world), revision, "seed {seed}");
-        assert_eq!(world.upstreams.counted.len(), runs, "seed {seed}: nothing ran again");
-        undisturbed(&mut world, leader, &format!("seed {seed}"));
-        bounded(&mut world);
+        assert_eq!(revisions(&world), revision, "seed {seed}");
+        assert_eq!(world.upstreams.recorded_runs.len(), runs, "seed {seed}: nothing ran again");
+        assert_undisturbed(&mut world, leader, &format!("seed {seed}"));
+        assert_bounded(&mut world);
     }
 }
 
-fn newest(world: &World) -> Vec<u64> {
-    let revision = |place: &world::Place| place.node.as_ref().map_or(0, |it| it.revision().0);
-    world.places.iter().map(revision).collect()
+fn revisions(world: &World) -> Vec<u64> {
+    let revision =
+        |instance: &world::TestInstance| instance.node.as_ref().map_or(0, |it| it.revision().0);
+    world.instances.iter().map(revision).collect()
 }
 
-fn said(group: Option<Group>, term: u64, body: log::Body) -> Message {
+fn wrap(group: Option<Group>, term: u64, body: log::Body) -> Message {
     let sender = Identity(u128::MAX);
     Message::Log(log::Message { group, sender, target: None, term, body })
 }
 
-fn absurd() -> Vec<(&'static str, Message)> {
+fn absurd_messages() -> Vec<(&'static str, Message)> {
     let last = Position { term: u64::MAX, index: u64::MAX };
     let append = |entries| log::Body::Append {
         previous: last,
@@ -286,16 +292,16 @@
     vec![
         (
             "a vote of no group",
-            said(None, u64::MAX, log::Body::Vote { last_position: last, transfer: true }),
+            wrap(None, u64::MAX, log::Body::Vote { last_position: last, transfer: true }),
         ),
         ("a vote of another group", {
             let body = log::Body::Vote { last_position: last, transfer: true };
-            said(Some(Group(3)), u64::MAX, body)
+            wrap(Some(Group(3)), u64::MAX, body)
         }),
-        ("a pre-vote", said(Some(Group(3)), u64::MAX, log::Body::PreVote { last_position: last })),
-        ("a heartbeat", said(Some(Group(3)), u64::MAX, append(Vec::new()))),
-        ("a heartbeat of no group", said(None, u64::MAX, append(Vec::new()))),
-        ("a call to campaign", said(Some(Group(3)), u64::MAX, log::Body::Campaign)),
+        ("a pre-vote", wrap(Some(Group(3)), u64::MAX, log::Body::PreVote { last_position: last })),
+        ("a heartbeat", wrap(Some(Group(3)), u64::MAX, append(Vec::new()))),
+        ("a heartbeat of no group", wrap(None, u64::MAX, append(Vec::new()))),
+        ("a call to campaign", wrap(Some(Group(3)), u64::MAX, log::Body::Campaign)),
         ("an end of time", Message::Propose { token: u64::MAX, command: drain(u64::MAX).into() }),
         ("a start of time", Message::Propose { token: 0, command: drain(0).into() }),
         (
@@ -341,8 +347,8 @@
     // Symptom: a stray process of another deployment, or a peer with a damaged memory, stops
     // elections, edits or requests. Sequence: each absurd message, from a stranger, a follower and
     // a voter, to all. Cause: the greatest term, index, revision, epoch or duration is believed.
-    for (what, message) in absurd() {
-        let mut world = ready(30);
+    for (what, message) in absurd_messages() {
+        let mut world = ready_world(30);
         let leader = world.leader();
         for from in [9, 4, 1] {
             for to in (0..6).filter(|to| *to != from) {
@@ -351,8 +357,8 @@
             }
             world.run(MS(300));
         }
-        undisturbed(&mut world, leader, what);
-        bounded(&mut world);
+        assert_undisturbed(&mut world, leader, what);
+        assert_bounded(&mut world);
     }
 }
 
@@ -360,10 +366,10 @@
 fn a_flood_of_reservations_fills_no_memory() {
     // Symptom: an instance grows until it is killed. Sequence: a peer reserves key after key, for
     // ever. Cause: nothing bounds what is kept on the word of others.
-    let mut world = ready(40);
+    let mut world = ready_world(40);
     let leader = world.leader();
-    let limit = world.places[2].setup.limits.reservations;
-    world.tape = Some(Vec::new());
+    let limit = world.instances[2].setup.limits.reservations;
+    world.recording = Some(Vec::new());
     for number in 0..limit as u128 + 1_000 {
         let reserve = request::Reserve {
             request: Request(number),
@@ -375,16 +381,16 @@
         let message = Message::Request(request::Message::Reserve(reserve));
         world.step(2, Input::Peer { from: peer(4), message });
     }
-    let full = |said: &&Said| {
+    let full = |sent: &&SentMessage| {
         use request::KeyStatus::Full;
-        let Input::Peer { message: Message::Request(message), .. } = &said.input else {
+        let Input::Peer { message: Message::Request(message), .. } = &sent.input else {
             return false;
         };
         matches!(message, request::Message::Reserved { found: Full, .. })
     };
-    let tape = world.tape.take().expect("a tape");
-    assert!(tape.iter().filter(full).count() >= 1_000, "what is beyond the bound is not kept");
+    let recording = world.recording.take().expect("a recording");
+    assert!(recording.iter().filter(full).count() >= 1_000, "what is beyond the bound is not kept");
     world.run(MS(500));
-    undisturbed(&mut world, leader, "flood");
-    bounded(&mut world);
+    assert_undisturbed(&mut world, leader, "flood");
+    assert_bounded(&mut world);
 }
--- a/crates/verbenaslip-node/tests/random.rs
+++ b/crates/verbenaslip-node/tests/random.rs
@@ -25,40 +25,40 @@
 const INSTANCES: usize = 6;
 const VOTERS: usize = 3;
 /// The seeds of each of the tests that CI runs side by side.
-const EACH: u64 = 25;
+const SEEDS_PER_TEST: u64 = 25;
 /// How long faults are drawn.
-const STORM: Duration = Duration::from_secs(8);
+const FAULT_DURATION: Duration = Duration::from_secs(8);
 /// Within which everything must heal after the last fault.
-const HEAL: Duration = Duration::from_secs(60);
+const RECOVERY_LIMIT: Duration = Duration::from_secs(60);
 /// The longest a caller waits beyond its deadline: a relaying instance notices an owner that fell
 /// silent just before only after the world's silence of a second.
-const MARGIN: Duration = Duration::from_millis(1_500);
+const DEADLINE_MARGIN: Duration = Duration::from_millis(1_500);
 /// Within which a leaving is known to all connected instances.
-const LEAVING: Duration = Duration::from_secs(2);
+const DEPARTURE_LIMIT: Duration = Duration::from_secs(2);
 /// Before all instances know each other again after a fault.
-const CALM: Duration = Duration::from_secs(3);
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 /// The fewest steps of a schedule.
-const STEPS: u64 = 1_000;
+const MIN_STEPS: u64 = 1_000;
 
 /// Holds one upstream's standing.
-struct Back {
+struct TestUpstream {
     name: String,
     kind: Kind,
     incarnation: u64,
     sequence: u64,
-    left: Option<Left>,
+    departure: Option<Departure>,
     dead: bool,
 }
 
 /// Says when and where an upstream announced its leaving.
 #[derive(Clone, Copy)]
-struct Left {
+struct Departure {
     at: Duration,
     calm: bool,
 }
 
 /// Holds one caller's sending of a request.
-struct Call {
+struct SentRequest {
     ticket: Ticket,
     key: String,
     at: usize,
@@ -67,7 +67,7 @@
 }
 
 /// Holds one edit with all its sendings.
-struct Sending {
+struct SentEdit {
     id: String,
     base: u64,
     weight: u32,
@@ -75,87 +75,88 @@
 }
 
 /// Draws one schedule of faults, requests and edits.
-struct Storm {
+struct Schedule {
     world: World,
     rng: Pcg64Mcg,
-    backs: Vec<Back>,
-    calls: Vec<Call>,
-    edits: Vec<Sending>,
+    upstreams: Vec<TestUpstream>,
+    calls: Vec<SentRequest>,
+    edits: Vec<SentEdit>,
     restarts: BTreeMap<usize, Duration>,
     stopping: BTreeSet<usize>,
-    heal: Option<Duration>,
-    quiet: Duration,
+    heal_at: Option<Duration>,
+    quiet_until: Duration,
     /// The last moment at which a fault held.
-    faulty: Duration,
-    disk: bool,
-    counted: usize,
-    renewed: Duration,
+    last_fault: Duration,
+    may_lose_disk: bool,
+    checked_runs: usize,
+    last_renewal: Duration,
 }
 
-impl Storm {
+impl Schedule {
     fn open(seed: u64) -> Self {
         let mut world = World::open(INSTANCES, VOTERS, seed);
-        world.settle();
-        let back = |name: &str, kind| Back {
+        world.wait_until_ready();
+        let test_upstream = |name: &str, kind| TestUpstream {
             name: name.to_owned(),
             kind,
             incarnation: 1,
             sequence: 0,
-            left: None,
+            departure: None,
             dead: false,
         };
-        let engines = ["engine-0", "engine-1", "engine-2"].map(|name| back(name, Kind::Engine));
-        let services = ["service-0", "service-1"].map(|name| back(name, Kind::Service));
-        let mut storm = Self {
+        let engines =
+            ["engine-0", "engine-1", "engine-2"].map(|name| test_upstream(name, Kind::Engine));
+        let services = ["service-0", "service-1"].map(|name| test_upstream(name, Kind::Service));
+        let mut schedule = Self {
             world,
             rng: Pcg64Mcg::seed_from_u64(seed ^ 0x5eed),
-            backs: engines.into_iter().chain(services).collect(),
+            upstreams: engines.into_iter().chain(services).collect(),
             calls: Vec::new(),
             edits: Vec::new(),
             restarts: BTreeMap::new(),
             stopping: BTreeSet::new(),
-            heal: None,
-            quiet: Duration::ZERO,
-            faulty: Duration::ZERO,
-            disk: seed.is_multiple_of(2),
-            counted: 0,
-            renewed: Duration::ZERO,
+            heal_at: None,
+            quiet_until: Duration::ZERO,
+            last_fault: Duration::ZERO,
+            may_lose_disk: seed.is_multiple_of(2),
+            checked_runs: 0,
+            last_renewal: Duration::ZERO,
         };
-        (0..storm.backs.len()).for_each(|number| storm.renew(number));
-        storm.world.run(MS(1_000));
-        storm
+        (0..schedule.upstreams.len()).for_each(|number| schedule.renew(number));
+        schedule.world.run(MS(1_000));
+        schedule
     }
 
     /// Runs the whole schedule.
     fn run(&mut self) {
-        let end = self.world.now + STORM;
+        let end = self.world.now + FAULT_DURATION;
         while self.world.now < end {
-            self.draw();
-            self.pass();
+            self.draw_action();
+            self.advance();
         }
-        self.calm();
-        let end = self.world.now + HEAL;
+        self.end_faults();
+        let end = self.world.now + RECOVERY_LIMIT;
         while !self.healed() {
-            assert!(self.world.now < end, "not healed: {}", self.standing());
-            self.pass();
+            assert!(self.world.now < end, "not healed: {}", self.describe_instances());
+            self.advance();
         }
         self.finish();
     }
 
     /// Lets a little time pass, with what goes on beside the faults.
-    fn pass(&mut self) {
+    fn advance(&mut self) {
         let time = MS(self.rng.random_range(5..120));
         self.world.run(time);
         let now = self.world.now;
-        if self.heal.is_some_and(|heal| heal <= now) {
-            self.heal = None;
+        if self.heal_at.is_some_and(|heal| heal <= now) {
+            self.heal_at = None;
             self.world.cuts.clear();
-            self.world.loss = 0.0;
+            self.world.loss_rate = 0.0;
         }
         for number in std::mem::take(&mut self.stopping) {
-            if self.world.drained.contains(&number) {
+            if self.world.stopped.contains(&number) {
                 self.kill(number);
-            } else if self.world.places[number].node.is_some() {
+            } else if self.world.instances[number].node.is_some() {
                 self.stopping.insert(number);
             }
         }
@@ -165,43 +166,45 @@
             self.restarts.remove(&number);
             self.world.start(number);
         }
-        if now >= self.renewed + MS(800) {
-            self.renewed = now;
-            (0..self.backs.len()).for_each(|number| self.renew(number));
+        if now >= self.last_renewal + MS(800) {
+            self.last_renewal = now;
+            (0..self.upstreams.len()).for_each(|number| self.renew(number));
         }
-        self.note_faults();
+        self.record_faults();
         self.check_runs();
         self.check_callers();
     }
 
-    fn note_faults(&mut self) {
-        let place = |place: &world::Place| place.frozen.is_some() || place.node.is_none();
-        let faulty = self.world.places.iter().any(place)
+    fn record_faults(&mut self) {
+        let instance = |instance: &world::TestInstance| {
+            instance.paused_until.is_some() || instance.node.is_none()
+        };
+        let has_fault = self.world.instances.iter().any(instance)
             || !self.world.cuts.is_empty()
-            || self.world.loss > 0.0;
-        if faulty || !self.stopping.is_empty() {
-            self.faulty = self.world.now;
+            || self.world.loss_rate > 0.0;
+        if has_fault || !self.stopping.is_empty() {
+            self.last_fault = self.world.now;
         }
     }
 
     /// Draws what happens next.
-    fn draw(&mut self) {
-        let busy = self.world.now >= self.quiet;
+    fn draw_action(&mut self) {
+        let busy = self.world.now >= self.quiet_until;
         match self.rng.random_range(0..100) {
             0..4 if busy => self.cut(),
             4..8 if busy => self.isolate(),
-            8..11 if busy => self.lose(),
-            11..15 if busy => self.freeze(),
+            8..11 if busy => self.drop_messages(),
+            11..15 if busy => self.pause(),
             15..20 if busy => self.crash(),
             20..22 if busy => self.stop(),
             22..24 if busy => self.lose_disk(),
             24..26 if busy => {
-                self.calm();
-                self.quiet = self.world.now + MS(5_500);
+                self.end_faults();
+                self.quiet_until = self.world.now + MS(5_500);
             }
-            26..30 => self.leave(),
-            30..33 => self.die(),
-            33..38 => self.reappear(),
+            26..30 => self.announce_departure(),
+            30..33 => self.crash_upstream(),
+            33..38 => self.restart_upstreams(),
             38..48 => self.edit(),
             48..54 => self.resend_edit(),
             54..70 => self.resend(),
@@ -209,18 +212,18 @@
         }
     }
 
-    fn any(&mut self) -> usize {
+    fn random_instance(&mut self) -> usize {
         self.rng.random_range(0..INSTANCES)
     }
 
     fn heal_later(&mut self) {
         let later = self.world.now + MS(self.rng.random_range(50..5_000));
-        self.heal = Some(self.heal.map_or(later, |heal| heal.min(later)));
+        self.heal_at = Some(self.heal_at.map_or(later, |heal| heal.min(later)));
     }
 
     fn cut(&mut self) {
         for _ in 0..self.rng.random_range(1..5) {
-            let (from, to) = (self.any(), self.any());
+            let (from, to) = (self.random_instance(), self.random_instance());
             self.world.cuts.insert((from, to));
             if self.rng.random_bool(0.3) {
                 self.world.cuts.insert((to, from));
@@ -230,7 +233,7 @@
     }
 
     fn isolate(&mut self) {
-        let first = self.any();
+        let first = self.random_instance();
         let apart = match self.rng.random_range(0..3) {
             0 => vec![first],
             1 => vec![first, (first + 3) % INSTANCES],
@@ -240,22 +243,22 @@
         self.heal_later();
     }
 
-    fn lose(&mut self) {
-        self.world.loss = self.rng.random_range(0.01..0.3);
+    fn drop_messages(&mut self) {
+        self.world.loss_rate = self.rng.random_range(0.01..0.3);
         self.heal_later();
     }
 
-    fn freeze(&mut self) {
-        let number = self.any();
-        if self.world.places[number].node.is_some() {
+    fn pause(&mut self) {
+        let number = self.random_instance();
+        if self.world.instances[number].node.is_some() {
             let time = MS(self.rng.random_range(100..6_000));
-            self.world.places[number].frozen = Some(self.world.now + time);
+            self.world.instances[number].paused_until = Some(self.world.now + time);
         }
     }
 
     fn crash(&mut self) {
-        let number = self.any();
-        if self.world.places[number].node.is_some() {
+        let number = self.random_instance();
+        if self.world.instances[number].node.is_some() {
             self.kill(number);
         }
     }
@@ -267,13 +270,16 @@
         let most = if self.rng.random_bool(0.5) { 60 } else { 4_000 };
         let at = self.world.now + MS(self.rng.random_range(1..most));
         self.restarts.insert(number, at);
-        self.faulty = self.world.now;
+        self.last_fault = self.world.now;
     }
 
     fn stop(&mut self) {
-        let number = self.any();
-        let place = &self.world.places[number];
-        if place.node.is_some() && place.frozen.is_none() && self.stopping.insert(number) {
+        let number = self.random_instance();
+        let instance = &self.world.instances[number];
+        if instance.node.is_some()
+            && instance.paused_until.is_none()
+            && self.stopping.insert(number)
+        {
             let remaining = MS(self.rng.random_range(500..8_000));
             self.world.step(number, Input::Stop { remaining });
         }
@@ -281,42 +287,46 @@
 
     /// Loses one voter's disk; a second one lost as well would be no minority.
     fn lose_disk(&mut self) {
-        if std::mem::take(&mut self.disk) {
+        if std::mem::take(&mut self.may_lose_disk) {
             let number = self.rng.random_range(0..VOTERS);
             self.kill(number);
-            self.world.places[number].disk = Some(Disk::new(100 + number));
+            self.world.instances[number].disk = Some(Disk::new(100 + number));
         }
     }
 
-    fn leave(&mut self) {
-        let number = self.rng.random_range(0..self.backs.len());
-        let at = self.any();
-        let place = &self.world.places[at];
-        let back = &mut self.backs[number];
-        if back.dead || back.left.is_some() || place.node.is_none() || place.frozen.is_some() {
+    fn announce_departure(&mut self) {
+        let number = self.rng.random_range(0..self.upstreams.len());
+        let at = self.random_instance();
+        let instance = &self.world.instances[at];
+        let test_upstream = &mut self.upstreams[number];
+        if test_upstream.dead
+            || test_upstream.departure.is_some()
+            || instance.node.is_none()
+            || instance.paused_until.is_some()
+        {
             return;
         }
-        let calm = self.world.now >= self.faulty + CALM;
-        back.left = Some(Left { at: self.world.now, calm });
-        back.sequence += 1;
-        let mut announcement = back.announcement();
+        let calm = self.world.now >= self.last_fault + SETTLE_TIME;
+        test_upstream.departure = Some(Departure { at: self.world.now, calm });
+        test_upstream.sequence += 1;
+        let mut announcement = test_upstream.announcement();
         announcement.phase = Phase::Leaving { notice: Some(10_000) };
         self.world.announce(at, &announcement);
     }
 
-    fn die(&mut self) {
-        let number = self.rng.random_range(0..self.backs.len());
-        let back = &mut self.backs[number];
-        back.dead = true;
-        self.world.upstreams.die(&back.name.as_str().into());
+    fn crash_upstream(&mut self) {
+        let number = self.rng.random_range(0..self.upstreams.len());
+        let test_upstream = &mut self.upstreams[number];
+        test_upstream.dead = true;
+        self.world.upstreams.crash(&test_upstream.name.as_str().into());
     }
 
-    fn reappear(&mut self) {
-        for number in 0..self.backs.len() {
-            let back = &mut self.backs[number];
-            if back.dead || back.left.is_some() {
-                back.reappear();
-                self.world.upstreams.dead.remove(back.name.as_str());
+    fn restart_upstreams(&mut self) {
+        for number in 0..self.upstreams.len() {
+            let test_upstream = &mut self.upstreams[number];
+            if test_upstream.dead || test_upstream.departure.is_some() {
+                test_upstream.restart();
+                self.world.upstreams.dead.remove(test_upstream.name.as_str());
                 self.renew(number);
             }
         }
@@ -325,15 +335,15 @@
     /// Has an upstream announce itself through any instance, sometimes with an old announcement
     /// that was on its way for long.
     fn renew(&mut self, number: usize) {
-        let (at, late) = (self.any(), self.rng.random_bool(0.1));
-        let back = &mut self.backs[number];
-        if back.dead || (back.left.is_some() && !late) {
+        let (at, late) = (self.random_instance(), self.rng.random_bool(0.1));
+        let test_upstream = &mut self.upstreams[number];
+        if test_upstream.dead || (test_upstream.departure.is_some() && !late) {
             return;
         }
         if !late {
-            back.sequence += 1;
+            test_upstream.sequence += 1;
         }
-        let mut announcement = back.announcement();
+        let mut announcement = test_upstream.announcement();
         if late {
             announcement.sequence = announcement.sequence.saturating_sub(1);
             announcement.incarnation = 1;
@@ -360,13 +370,13 @@
     }
 
     fn send(&mut self, key: String) {
-        let at = self.any();
-        if self.world.places[at].node.is_none() {
+        let at = self.random_instance();
+        if self.world.instances[at].node.is_none() {
             return;
         }
         let due = MS(self.rng.random_range(1_000..5_000));
-        let ticket = self.world.arrive_by(at, &key, key.starts_with("chat"), due);
-        self.calls.push(Call { ticket, key, at, due, sent: self.world.now });
+        let ticket = self.world.send_request_with_timeout(at, &key, key.starts_with("chat"), due);
+        self.calls.push(SentRequest { ticket, key, at, due, sent: self.world.now });
     }
 
     fn edit(&mut self) {
@@ -374,7 +384,7 @@
         for _ in 0..self.rng.random_range(1..4) {
             let number = self.edits.len();
             let (id, weight) = (format!("edit-{number}"), 200 + number as u32);
-            self.edits.push(Sending { id, base, weight, calls: Vec::new() });
+            self.edits.push(SentEdit { id, base, weight, calls: Vec::new() });
             self.send_edit(number);
         }
     }
@@ -387,7 +397,7 @@
     }
 
     fn send_edit(&mut self, number: usize) {
-        let at = self.any();
+        let at = self.random_instance();
         let edit = &mut self.edits[number];
         let wait = MS(self.rng.random_range(0..6_000));
         let call = self.world.apply(at, edit.base, &edit.id, edit.weight, wait);
@@ -396,37 +406,38 @@
 
     /// Returns the newest revision that any instance has.
     fn revision(&self) -> u64 {
-        let nodes = self.world.places.iter().filter_map(|place| place.node.as_ref());
+        let nodes = self.world.instances.iter().filter_map(|instance| instance.node.as_ref());
         nodes.map(|node| node.revision().0).max().unwrap_or_default()
     }
 
     /// Ends all faults.
-    fn calm(&mut self) {
+    fn end_faults(&mut self) {
         self.world.cuts.clear();
-        self.world.loss = 0.0;
-        self.heal = None;
+        self.world.loss_rate = 0.0;
+        self.heal_at = None;
         for number in std::mem::take(&mut self.stopping) {
             self.kill(number);
         }
         for number in std::mem::take(&mut self.restarts).into_keys() {
             self.world.start(number);
         }
-        for place in &mut self.world.places {
-            place.frozen = place.frozen.map(|until| until.min(self.world.now + MS(1)));
+        for instance in &mut self.world.instances {
+            instance.paused_until =
+                instance.paused_until.map(|until| until.min(self.world.now + MS(1)));
         }
-        self.reappear();
+        self.restart_upstreams();
     }
 
     fn healed(&self) -> bool {
         let newest = self.revision();
         let whole = |node: &Node| node.is_ready() && node.revision().0 == newest;
-        let open = |call: &Call| !self.world.ended.contains_key(&call.ticket);
-        self.world.places.iter().all(|place| place.node.as_ref().is_some_and(whole))
+        let open = |call: &SentRequest| !self.world.ended.contains_key(&call.ticket);
+        self.world.instances.iter().all(|instance| instance.node.as_ref().is_some_and(whole))
             && !self.calls.iter().any(open)
     }
 
-    fn standing(&self) -> String {
-        let nodes = self.world.places.iter().map(|place| place.node.as_ref());
+    fn describe_instances(&self) -> String {
+        let nodes = self.world.instances.iter().map(|instance| instance.node.as_ref());
         let lines: Vec<String> = nodes
             .map(|node| {
                 node.map_or_else(
@@ -447,21 +458,27 @@
 
     /// No upstream is given work after its leaving was known to all.
     fn check_runs(&mut self) {
-        let new = &self.world.upstreams.counted[self.counted..];
+        let new = &self.world.upstreams.recorded_runs[self.checked_runs..];
         for run in new {
-            let back = self.backs.iter().find(|back| back.name == run.upstream.as_str());
-            let Some(left) = back.and_then(|back| back.left) else { continue };
-            let calm = left.calm && self.faulty <= left.at;
+            let test_upstream = self
+                .upstreams
+                .iter()
+                .find(|test_upstream| test_upstream.name == run.upstream.as_str());
+            let Some(departure) = test_upstream.and_then(|test_upstream| test_upstream.departure)
+            else {
+                continue;
+            };
+            let calm = departure.calm && self.last_fault <= departure.at;
             assert!(
-                !calm || run.at <= left.at + LEAVING,
+                !calm || run.at <= departure.at + DEPARTURE_LIMIT,
                 "instance {} runs at {} at {:?}, which left at {:?}",
                 run.instance,
                 run.upstream,
                 run.at,
-                left.at,
+                departure.at,
             );
         }
-        self.counted = self.world.upstreams.counted.len();
+        self.checked_runs = self.world.upstreams.recorded_runs.len();
     }
 
     /// No caller waits beyond the latest deadline that its key was ever sent with: one that joins a
@@ -469,18 +486,18 @@
     fn check_callers(&self) {
         let now = self.world.now;
         for call in self.calls.iter().filter(|call| !self.world.ended.contains_key(&call.ticket)) {
-            let place = &self.world.places[call.at];
+            let instance = &self.world.instances[call.at];
             let alike = self.calls.iter().filter(|other| other.key == call.key);
-            let due = alike.filter_map(|it| Some(*self.world.arrived.get(&it.ticket)? + it.due));
-            let due = due.max().unwrap_or(now).max(place.thawed);
+            let due = alike.filter_map(|it| Some(*self.world.arrived_at.get(&it.ticket)? + it.due));
+            let due = due.max().unwrap_or(now).max(instance.resumed_at);
             assert!(
-                place.frozen.is_some() || now <= due + MARGIN,
+                instance.paused_until.is_some() || now <= due + DEADLINE_MARGIN,
                 "{:?} with key {} of {} has waited from {:?} to {now:?}, due {due:?}, told {:?}",
                 call.ticket,
                 call.key,
                 call.at,
                 call.sent,
-                self.world.last(call.ticket),
+                self.world.last_verdict(call.ticket),
             );
         }
     }
@@ -488,7 +505,7 @@
     fn finish(&mut self) {
         self.check_refusals();
         self.check_edits();
-        assert!(self.world.steps >= STEPS, "only {} steps", self.world.steps);
+        assert!(self.world.steps >= MIN_STEPS, "only {} steps", self.world.steps);
     }
 
     /// What was refused in all its answers has not run.
@@ -508,9 +525,10 @@
     /// Every accepted edit is in the history at its revision, and every table is the one that the
     /// accepted edits make.
     fn check_edits(&mut self) {
-        let tables: Vec<Reply> =
-            (0..INSTANCES).map(|at| self.ask(at, OperatorCall::Table { revision: None })).collect();
-        let history = self.ask(0, OperatorCall::History);
+        let tables: Vec<Reply> = (0..INSTANCES)
+            .map(|at| self.call_and_wait(at, OperatorCall::Table { revision: None }))
+            .collect();
+        let history = self.call_and_wait(0, OperatorCall::History);
         let Reply::History(entries) = history else { panic!("no history: {history:?}") };
         let made = |revision: u64| {
             let entry = entries.iter().find(|entry| entry.revision.0 == revision);
@@ -518,7 +536,9 @@
         };
         let mut newest = 1;
         for edit in &self.edits {
-            for (revision, _) in edit.calls.iter().filter_map(|call| self.world.accepted(*call)) {
+            for (revision, _) in
+                edit.calls.iter().filter_map(|call| self.world.accepted_revision(*call))
+            {
                 assert_eq!(made(revision).as_ref(), Some(&edit.id), "accepted as {revision}");
                 newest = newest.max(revision);
             }
@@ -534,24 +554,24 @@
         }
     }
 
-    fn ask(&mut self, at: usize, ask: OperatorCall) -> Reply {
-        let call = self.world.ask(at, ask);
+    fn call_and_wait(&mut self, at: usize, request: OperatorCall) -> Reply {
+        let call = self.world.call(at, request);
         self.world.run_until(MS(5_000), "an answer", |world| world.replies.contains_key(&call));
         self.world.replies[&call].clone()
     }
 }
 
-impl Back {
+impl TestUpstream {
     fn announcement(&self) -> Announcement {
         let mut announcement = upstream(&self.name, self.kind, self.sequence);
         announcement.incarnation = self.incarnation;
         announcement
     }
 
-    fn reappear(&mut self) {
+    fn restart(&mut self) {
         self.incarnation += 1;
         self.sequence = 0;
-        self.left = None;
+        self.departure = None;
         self.dead = false;
     }
 }
@@ -562,9 +582,9 @@
     let (mut steps, mut runs) = (0, 0);
     for seed in seeds.clone() {
         let outcome = panic::catch_unwind(AssertUnwindSafe(|| {
-            let mut storm = Storm::open(seed);
-            storm.run();
-            (storm.world.steps, storm.world.upstreams.counted.len())
+            let mut schedule = Schedule::open(seed);
+            schedule.run();
+            (schedule.world.steps, schedule.world.upstreams.recorded_runs.len())
         }));
         match outcome {
             Ok(counts) => (steps, runs) = (steps + counts.0, runs + counts.1),
@@ -579,13 +599,15 @@
 }
 
 /// Returns the seeds of one part: of CI, or of those that the environment names.
-fn part(number: u64) -> Range<u64> {
-    let Some((from, to)) = named() else { return number * EACH..(number + 1) * EACH };
+fn seed_range(number: u64) -> Range<u64> {
+    let Some((from, to)) = seeds_from_environment() else {
+        return number * SEEDS_PER_TEST..(number + 1) * SEEDS_PER_TEST;
+    };
     let each = (to - from).div_ceil(4);
     (from + number * each).min(to)..(from + (number + 1) * each).min(to)
 }
 
-fn named() -> Option<(u64, u64)> {
+fn seeds_from_environment() -> Option<(u64, u64)> {
     let text = std::env::var("VERBENASLIP_SEEDS").ok()?;
     let (from, to) = text.split_once("..")?;
     Some((from.parse().ok()?, to.parse().ok()?))
@@ -597,20 +619,20 @@
 
 #[test]
 fn nothing_is_broken_by_random_faults_1() {
-    run(part(0));
+    run(seed_range(0));
 }
 
 #[test]
 fn nothing_is_broken_by_random_faults_2() {
-    run(part(1));
+    run(seed_range(1));
 }
 
 #[test]
 fn nothing_is_broken_by_random_faults_3() {
-    run(part(2));
+    run(seed_range(2));
 }
 
 #[test]
 fn nothing_is_broken_by_random_faults_4() {
-    run(part(3));
+    run(seed_range(3));
 }
--- a/crates/verbenaslip-node/tests/stop.rs
+++ b/crates/verbenaslip-node/tests/stop.rs
@@ -14,10 +14,10 @@
     for (instances, voters) in [(1, 1), (2, 1), (3, 3), (6, 3)] {
         for number in 0..instances {
             let mut world = World::open(instances, voters, 5);
-            world.settle();
+            world.wait_until_ready();
             let (leads, begun) = (world.leader() == Some(number), world.now);
             world.step(number, Input::Stop { remaining: MS(10_000) });
-            world.run_until(MS(10_000), "drained", |world| world.drained.contains(&number));
+            world.run_until(MS(10_000), "drained", |world| world.stopped.contains(&number));
             let took = world.now - begun;
             let case = format!("{number} of {instances}, {voters} vote, leads {leads}: {took:?}");
             assert!(took <= MS(200), "{case}");
@@ -31,11 +31,11 @@
     // Sequence: all instances are told to stop, each after the one before has gone. Cause: it waits
     // for a quorum that will not come back.
     let mut world = World::open(3, 3, 6);
-    world.settle();
+    world.wait_until_ready();
     for number in 0..3 {
         let begun = world.now;
         world.step(number, Input::Stop { remaining: MS(10_000) });
-        world.run_until(MS(10_000), "drained", |world| world.drained.contains(&number));
+        world.run_until(MS(10_000), "drained", |world| world.stopped.contains(&number));
         assert!(world.now - begun <= MS(3_200), "{number}: {:?}", world.now - begun);
         world.run(MS(100));
         world.kill(number);
--- a/crates/verbenaslip-node/tests/wire.rs
+++ b/crates/verbenaslip-node/tests/wire.rs
@@ -130,7 +130,7 @@
     messages.into_iter().map(Message::Watch).collect()
 }
 
-fn note(outcome: Option<output::Outcome>) -> request::Progress {
+fn progress(outcome: Option<output::Outcome>) -> request::Progress {
     let live = request::ActiveRun {
         attempt: attempt(),
         upstream: Upstream::from("u"),
@@ -173,7 +173,7 @@
         body: Some(Arc::new(body)),
         digest: 7,
         boot: 8,
-        note: note(Some(output::Outcome::Whole { position: 20 })),
+        note: progress(Some(output::Outcome::Whole { position: 20 })),
     };
     let remaining = Duration::from_millis(2_500);
     let reserve = request::Reserve { request, digest: 7, boot: 8, epoch: 1, remaining };
@@ -190,15 +190,15 @@
         found(request::KeyStatus::Doubtful),
         found(request::KeyStatus::Full),
         request::Message::Put(Box::new(copy)),
-        request::Message::Note(note(Some(output::Outcome::Refused(refused)))),
-        request::Message::Note(note(Some(output::Outcome::Unknown(Unknown::Deadline)))),
-        request::Message::Note(note(Some(output::Outcome::Abandoned))),
-        request::Message::Note(note(Some(output::Outcome::Moved { owner: name("b") }))),
+        request::Message::Note(progress(Some(output::Outcome::Refused(refused)))),
+        request::Message::Note(progress(Some(output::Outcome::Unknown(Unknown::Deadline)))),
+        request::Message::Note(progress(Some(output::Outcome::Abandoned))),
+        request::Message::Note(progress(Some(output::Outcome::Moved { owner: name("b") }))),
         request::Message::Kept(request::Ack { request, epoch: 1, sequence: 2 }),
         request::Message::Full { request, epoch: 1 },
         request::Message::Taken(taken),
         request::Message::Yielded { request, epoch: 2 },
-        request::Message::HandOver(note(None)),
+        request::Message::HandOver(progress(None)),
         request::Message::Drop { request, epoch: 1, key: true },
     ];
     messages.into_iter().map(Message::Request).collect()
@@ -368,7 +368,7 @@
     ]
 }
 
-fn spread() -> gossip::Updates {
+fn updates() -> gossip::Updates {
     let (key, voucher) = (gossip::Key([1, 2, 3, 4, 5, 6]), gossip::Handle([1, 2, 3, 4]));
     let announcement = Announcement {
         upstream: "u".into(),
@@ -410,7 +410,7 @@
             version: 2,
             age: gossip::Age(3),
         }],
-        members: vec![rumor()],
+        members: vec![member_status()],
         announcements: vec![gossip::ForwardedAnnouncement {
             announcement,
             age: gossip::Age(1),
@@ -420,7 +420,7 @@
     }
 }
 
-fn rumor() -> gossip::MemberStatus {
+fn member_status() -> gossip::MemberStatus {
     let peer = gossip::Peer {
         instance: name("a"),
         zone: "z".into(),
@@ -449,11 +449,11 @@
     let check = gossip::ContentHash([7, 8, 9]);
     let renewal = gossip::Renewal { key, content_hash: check, sequence: 300, age: gossip::Age(1) };
     let bodies = vec![
-        gossip::Body::Join(rumor()),
+        gossip::Body::Join(member_status()),
         gossip::Body::Ping { target: handle, probe: 300 },
         gossip::Body::Ack { probe: 300 },
         gossip::Body::IndirectPing { target: handle, probe: 300 },
-        gossip::Body::Updates(spread()),
+        gossip::Body::Updates(updates()),
         gossip::Body::PullResponse(gossip::Updates::default()),
         gossip::Body::Digest(sync),
         gossip::Body::MemberList(gossip::MemberList {
--- a/crates/verbenaslip-node/tests/world/disk.rs
+++ b/crates/verbenaslip-node/tests/world/disk.rs
@@ -8,12 +8,12 @@
 /// Holds a folder's content, synced and not.
 pub struct Disk {
     synced: Recovered,
-    pending: Vec<Marked>,
+    pending: Vec<PendingWrite>,
 }
 
 /// Holds a write that does not last yet.
-struct Marked {
-    mark: u64,
+struct PendingWrite {
+    sequence: u64,
     write: Write,
 }
 
@@ -25,23 +25,23 @@
     }
 
     /// Takes a write that does not last yet.
-    pub fn write(&mut self, mark: u64, write: Write) {
-        self.pending.push(Marked { mark, write });
+    pub fn write(&mut self, sequence: u64, write: Write) {
+        self.pending.push(PendingWrite { sequence, write });
     }
 
     /// Makes all writes up to a mark last.
-    pub fn sync(&mut self, mark: u64) {
-        for marked in std::mem::take(&mut self.pending) {
-            if marked.mark <= mark {
-                apply(&mut self.synced, marked.write);
+    pub fn sync(&mut self, sequence: u64) {
+        for pending in std::mem::take(&mut self.pending) {
+            if pending.sequence <= sequence {
+                apply(&mut self.synced, pending.write);
             } else {
-                self.pending.push(marked);
+                self.pending.push(pending);
             }
         }
     }
 
     /// Loses what does not last.
-    pub fn lose(&mut self) {
+    pub fn discard_pending(&mut self) {
         self.pending.clear();
     }
 
