--- a/crates/verbenaslip-node/tests/world/mod.rs
+++ b/crates/verbenaslip-node/tests/world/mod.rs
@@ -36,36 +36,36 @@
 pub const MS: fn(u64) -> Duration = Duration::from_millis;
 
 /// Holds one instance with what outlives it.
-pub struct Place {
+pub struct TestInstance {
     pub setup: Setup,
     pub node: Option<Node>,
     pub disk: Option<Disk>,
-    pub frozen: Option<Duration>,
+    pub paused_until: Option<Duration>,
     /// When it last went on after a freeze.
-    pub thawed: Duration,
+    pub resumed_at: Duration,
     pub sent: Sent,
     pub zone: usize,
-    parked: Vec<Input>,
+    held_inputs: Vec<Input>,
     /// Rises with each start; what an earlier life awaited does not reach a later one.
-    life: u64,
+    generation: u64,
     /// The highest revision that was seen in this life.
-    seen: Revision,
+    highest_revision: Revision,
 }
 
 /// Orders what is on its way: by arrival, then by sending.
 type Order = (Duration, u64);
 
 /// Holds an input on its way to an instance.
-struct Flight {
+struct Delivery {
     to: usize,
     input: Input,
     /// The life that alone may have it; none for what comes over the network.
-    life: Option<u64>,
+    generation: Option<u64>,
 }
 
 /// Holds what one instance said to another.
 #[derive(Clone, Debug)]
-pub struct Said {
+pub struct SentMessage {
     pub to: usize,
     pub input: Input,
 }
@@ -74,7 +74,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     /// The whole answer came.
-    Whole,
+    Completed,
     /// It was refused as not run.
     Refused,
     /// It may have run.
@@ -90,18 +90,18 @@
     caller: Ticket,
     at: usize,
     owner: usize,
-    life: u64,
+    generation: u64,
     /// Since when nothing passes between the two.
-    silent: Option<Duration>,
+    silent_since: Option<Duration>,
     /// Whether what opens the connection was lost on its way.
-    unheard: bool,
+    subscription_lost: bool,
 }
 
 /// From here on tickets stand for connections between instances.
-const RELAYS: u64 = 1 << 32;
+const FIRST_RELAY_TICKET: u64 = 1 << 32;
 
 /// How long a relay waits for an instance that nothing comes from.
-const SILENCE: Duration = Duration::from_secs(1);
+const RELAY_SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Holds who copies an answer to whom.
 #[derive(Clone)]
@@ -120,38 +120,38 @@
 /// Holds all instances, the network between them, upstreams and callers.
 pub struct World {
     pub now: Duration,
-    pub places: Vec<Place>,
+    pub instances: Vec<TestInstance>,
     pub upstreams: Upstreams,
     pub verdicts: BTreeMap<Ticket, Vec<Verdict>>,
     /// When each caller's answer began.
-    pub served: BTreeMap<Ticket, Duration>,
+    pub served_at: BTreeMap<Ticket, Duration>,
     pub replies: BTreeMap<CallId, Reply>,
-    pub drained: BTreeSet<usize>,
+    pub stopped: BTreeSet<usize>,
     pub in_force: Revision,
     /// Pairs of sender and receiver between which nothing passes.
     pub cuts: BTreeSet<(usize, usize)>,
-    pub loss: f64,
+    pub loss_rate: f64,
     /// Whether what must always hold is checked after every step; benches measure without.
-    pub checked: bool,
+    pub check_invariants: bool,
     rng: Pcg64Mcg,
-    flying: BTreeMap<Order, Flight>,
-    flights: u64,
+    in_flight: BTreeMap<Order, Delivery>,
+    scheduled: u64,
     addresses: BTreeMap<SocketAddr, usize>,
-    names: BTreeMap<Instance, usize>,
+    numbers: BTreeMap<Instance, usize>,
     mirrors: BTreeMap<Request, Mirror>,
-    calls: u64,
+    last_call: u64,
     callers: BTreeMap<Ticket, usize>,
     /// When each caller's request was read; one sent to a frozen instance is read when it goes on.
-    pub arrived: BTreeMap<Ticket, Duration>,
+    pub arrived_at: BTreeMap<Ticket, Duration>,
     /// How each caller's request ended, and when.
     pub ended: BTreeMap<Ticket, (End, Duration)>,
     /// The steps that were checked.
     pub steps: u64,
     /// What was sent between instances, with its receiver, when it is recorded.
-    pub tape: Option<Vec<Said>>,
+    pub recording: Option<Vec<SentMessage>>,
     relays: BTreeMap<Ticket, Relay>,
-    relayed: u64,
-    whole: BTreeSet<Request>,
+    last_relay_ticket: u64,
+    completed: BTreeSet<Request>,
 }
 
 impl World {
@@ -163,7 +163,7 @@
             ([10, 0, (number / 250) as u8, (number % 250) as u8], 7400).into()
         };
         let name = |number: usize| Instance::new(format!("entry-{number:03}"));
-        let founders: Vec<InitialVoter> = (0..voters)
+        let initial_voters: Vec<InitialVoter> = (0..voters)
             .map(|number| InitialVoter { instance: name(number), address: address(number) })
             .collect();
         let setup = |number: usize| Setup {
@@ -174,7 +174,7 @@
             incarnation: EPOCH,
             seed: seed * 1_000 + number as u64,
             seeds: (0..voters).map(address).collect(),
-            voters: founders.clone(),
+            voters: initial_voters.clone(),
             recovered: None,
             table: Some(Arc::new(table(100))),
             has_cloud: false,
@@ -182,45 +182,45 @@
             limits: Limit::default(),
             timing: Timing::default(),
         };
-        let place = |number: usize| Place {
+        let instance = |number: usize| TestInstance {
             setup: setup(number),
             node: None,
             disk: (number < voters).then(|| Disk::new(number)),
-            frozen: None,
-            thawed: Duration::ZERO,
+            paused_until: None,
+            resumed_at: Duration::ZERO,
             sent: Sent::default(),
             zone: number % 3,
-            parked: Vec::new(),
-            life: 0,
-            seen: Revision::default(),
+            held_inputs: Vec::new(),
+            generation: 0,
+            highest_revision: Revision::default(),
         };
         let mut world = Self {
             now: Duration::ZERO,
-            places: (0..instances).map(place).collect(),
+            instances: (0..instances).map(instance).collect(),
             upstreams: Upstreams::default(),
             verdicts: BTreeMap::new(),
-            served: BTreeMap::new(),
+            served_at: BTreeMap::new(),
             replies: BTreeMap::new(),
-            drained: BTreeSet::new(),
+            stopped: BTreeSet::new(),
             in_force: Revision::default(),
             cuts: BTreeSet::new(),
-            loss: 0.0,
-            checked: true,
+            loss_rate: 0.0,
+            check_invariants: true,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            flying: BTreeMap::new(),
-            flights: 0,
+            in_flight: BTreeMap::new(),
+            scheduled: 0,
             addresses: (0..instances).map(|number| (address(number), number)).collect(),
-            names: (0..instances).map(|number| (name(number), number)).collect(),
+            numbers: (0..instances).map(|number| (name(number), number)).collect(),
             mirrors: BTreeMap::new(),
-            calls: 0,
+            last_call: 0,
             callers: BTreeMap::new(),
-            arrived: BTreeMap::new(),
+            arrived_at: BTreeMap::new(),
             ended: BTreeMap::new(),
             steps: 0,
-            tape: None,
+            recording: None,
             relays: BTreeMap::new(),
-            relayed: RELAYS,
-            whole: BTreeSet::new(),
+            last_relay_ticket: FIRST_RELAY_TICKET,
+            completed: BTreeSet::new(),
         };
         (0..instances).for_each(|number| world.start(number));
         world
@@ -228,28 +228,28 @@
 
     /// Starts an instance from what its disk holds.
     pub fn start(&mut self, number: usize) {
-        let place = &mut self.places[number];
-        place.life += 1;
-        place.seen = Revision::default();
-        let mut setup = place.setup.clone();
+        let instance = &mut self.instances[number];
+        instance.generation += 1;
+        instance.highest_revision = Revision::default();
+        let mut setup = instance.setup.clone();
         setup.incarnation = EPOCH + self.now.as_millis() as u64;
-        setup.recovered = place.disk.as_ref().map(Disk::recovered);
+        setup.recovered = instance.disk.as_ref().map(Disk::recovered);
         let node = Node::open(setup, self.now, EPOCH + self.now.as_millis() as u64);
-        place.node = Some(node);
+        instance.node = Some(node);
         self.step(number, Input::Tick);
     }
 
     /// Kills an instance; what was not synced is lost, and callers' connections with it.
     pub fn kill(&mut self, number: usize) {
-        let place = &mut self.places[number];
-        place.node = None;
-        place.parked.clear();
-        place.frozen = None;
-        if let Some(disk) = &mut place.disk {
-            disk.lose();
+        let instance = &mut self.instances[number];
+        instance.node = None;
+        instance.held_inputs.clear();
+        instance.paused_until = None;
+        if let Some(disk) = &mut instance.disk {
+            disk.discard_pending();
         }
         self.upstreams.forget(number);
-        self.drained.remove(&number);
+        self.stopped.remove(&number);
         self.relays.retain(|_, relay| relay.at != number);
         let open: Vec<Ticket> =
             self.callers.iter().filter(|(_, at)| **at == number).map(|(it, _)| *it).collect();
@@ -262,21 +262,22 @@
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
-            let due = self.due().max(self.now).min(end);
+            let due = self.next_event().max(self.now).min(end);
             self.now = due;
             self.deliver();
             self.watch_relays();
-            for number in 0..self.places.len() {
-                let awake = self.places[number].frozen.is_none_or(|until| until <= self.now);
+            for number in 0..self.instances.len() {
+                let awake =
+                    self.instances[number].paused_until.is_none_or(|until| until <= self.now);
                 if awake {
-                    self.thaw(number);
-                    let due = self.places[number].node.as_ref().map(Node::next_wakeup);
+                    self.resume(number);
+                    let due = self.instances[number].node.as_ref().map(Node::next_wakeup);
                     if due.is_some_and(|due| due <= self.now) {
                         self.step(number, Input::Tick);
                     }
                 }
             }
-            if self.checked {
+            if self.check_invariants {
                 self.check();
             }
         }
@@ -292,22 +293,22 @@
     }
 
     /// Waits until all running instances take callers.
-    pub fn settle(&mut self) {
+    pub fn wait_until_ready(&mut self) {
         self.run_until(MS(20_000), "all instances take callers", |world| {
-            world.places.iter().all(|place| place.node.as_ref().is_none_or(Node::is_ready))
+            world.instances.iter().all(|instance| instance.node.as_ref().is_none_or(Node::is_ready))
         });
     }
 
     /// Announces an upstream at an instance, as the platform's balancer would pick it.
     pub fn announce(&mut self, at: usize, announcement: &Announcement) {
-        let call = self.call();
+        let call = self.next_call_id();
         let announcement = Box::new(announcement.clone());
-        self.hand(at, Input::Announced { call, announcement });
+        self.deliver_input(at, Input::Announced { call, announcement });
     }
 
     /// Has an operator apply a table in which the row's weight is as given.
     pub fn apply(&mut self, at: usize, base: u64, id: &str, weight: u32, wait: Duration) -> CallId {
-        let call = self.call();
+        let call = self.next_call_id();
         let apply = Apply {
             base: Revision(base),
             id: edit::Id::new(id).expect("a good identity"),
@@ -316,19 +317,19 @@
             dry_run: false,
             operator: Operator::from("anna"),
         };
-        self.hand(at, Input::Called { call, request: OperatorCall::Apply(apply) });
+        self.deliver_input(at, Input::Called { call, request: OperatorCall::Apply(apply) });
         call
     }
 
     /// Asks an instance for something.
-    pub fn ask(&mut self, at: usize, ask: OperatorCall) -> CallId {
-        let call = self.call();
-        self.hand(at, Input::Called { call, request: ask });
+    pub fn call(&mut self, at: usize, request: OperatorCall) -> CallId {
+        let call = self.next_call_id();
+        self.deliver_input(at, Input::Called { call, request });
         call
     }
 
     /// Returns the revision that an edit was accepted as, and whether it is in force everywhere.
-    pub fn accepted(&self, call: CallId) -> Option<(u64, bool)> {
+    pub fn accepted_revision(&self, call: CallId) -> Option<(u64, bool)> {
         match self.replies.get(&call) {
             Some(Reply::Edited(EditResult::Accepted { revision, in_force, .. })) => {
                 Some((revision.0, *in_force))
@@ -338,19 +339,31 @@
     }
 
     /// Has a caller send a request with a key; the ticket names its connection.
-    pub fn arrive(&mut self, at: usize, key: &str, idempotent: bool) -> Ticket {
+    pub fn send_request(&mut self, at: usize, key: &str, idempotent: bool) -> Ticket {
         let model = if idempotent { "assistant" } else { "orders" };
-        self.arrive_for(at, key, idempotent, model)
+        self.send_request_for_model(at, key, idempotent, model)
     }
 
     /// Has a caller send a request with a key that wants its whole answer within a time.
-    pub fn arrive_by(&mut self, at: usize, key: &str, idempotent: bool, due: Duration) -> Ticket {
+    pub fn send_request_with_timeout(
+        &mut self,
+        at: usize,
+        key: &str,
+        idempotent: bool,
+        timeout: Duration,
+    ) -> Ticket {
         let model = if idempotent { "assistant" } else { "orders" };
-        self.request(at, key, idempotent, model, Some(due))
+        self.request(at, key, idempotent, model, Some(timeout))
     }
 
     /// Has a caller send a request with a key for a model or service.
-    pub fn arrive_for(&mut self, at: usize, key: &str, idempotent: bool, model: &str) -> Ticket {
+    pub fn send_request_for_model(
+        &mut self,
+        at: usize,
+        key: &str,
+        idempotent: bool,
+        model: &str,
+    ) -> Ticket {
         self.request(at, key, idempotent, model, None)
     }
 
@@ -360,20 +373,20 @@
         key: &str,
         idempotent: bool,
         model: &str,
-        due: Option<Duration>,
+        timeout: Option<Duration>,
     ) -> Ticket {
         let arrival = self.arrival(at, key, idempotent, model);
         let ticket = arrival.ticket;
-        self.hand(at, Input::Arrived { arrival, timeout: due });
+        self.deliver_input(at, Input::Arrived { arrival, timeout });
         ticket
     }
 
     /// Has a caller send a request that can be sent again, without a key.
-    pub fn arrive_unkeyed(&mut self, at: usize, key: &str) -> Ticket {
+    pub fn send_request_without_key(&mut self, at: usize, key: &str) -> Ticket {
         let mut arrival = self.arrival(at, key, true, "assistant");
         let ticket = arrival.ticket;
         (arrival.head.keyed, arrival.head.issued) = (false, None);
-        self.hand(at, Input::Arrived { arrival, timeout: None });
+        self.deliver_input(at, Input::Arrived { arrival, timeout: None });
         ticket
     }
 
@@ -400,8 +413,8 @@
 
     /// Cuts a set of instances off from all others, in both directions.
     pub fn isolate(&mut self, apart: &[usize]) {
-        for left in 0..self.places.len() {
-            for right in 0..self.places.len() {
+        for left in 0..self.instances.len() {
+            for right in 0..self.instances.len() {
                 if apart.contains(&left) != apart.contains(&right) {
                     self.cuts.insert((left, right));
                 }
@@ -411,71 +424,72 @@
 
     /// Returns the instance that leads under a lease, if one does.
     pub fn leader(&self) -> Option<usize> {
-        let leads = |place: &Place| place.node.as_ref().is_some_and(Node::is_leader);
-        self.places.iter().position(leads)
+        let leads = |instance: &TestInstance| instance.node.as_ref().is_some_and(Node::is_leader);
+        self.instances.iter().position(leads)
     }
 
     /// Returns how much longer a request's last verdict leaves it open; refusals and unknown end it.
-    pub fn last(&self, ticket: Ticket) -> Option<&Verdict> {
+    pub fn last_verdict(&self, ticket: Ticket) -> Option<&Verdict> {
         self.verdicts.get(&ticket)?.last()
     }
 
     /// Gives an instance one input and carries out what it wants.
     pub fn step(&mut self, number: usize, input: Input) {
-        let place = &mut self.places[number];
-        let Some(node) = &mut place.node else { return };
+        let instance = &mut self.instances[number];
+        let Some(node) = &mut instance.node else { return };
         let whole = match &input {
             Input::RunEvent { attempt, event: Event::Ended { .. } } => Some(attempt.request),
             _ => None,
         };
         if let Input::Arrived { arrival, .. } = &input {
-            self.arrived.insert(arrival.ticket, self.now);
+            self.arrived_at.insert(arrival.ticket, self.now);
         }
         let mut outputs = Vec::new();
         node.step(self.now, input, &mut outputs);
         for output in outputs {
-            self.carry(number, output);
+            self.execute(number, output);
         }
         if let Some(request) = whole {
-            self.whole.insert(request);
-            self.answered(request);
+            self.completed.insert(request);
+            self.close_served_callers(request);
         }
     }
 
-    fn due(&self) -> Duration {
-        let flying = self.flying.first_key_value().map(|((at, _), _)| *at);
-        let upstreams = self.upstreams.wake();
-        let awake = |place: &&Place| place.frozen.is_none();
-        let nodes = self.places.iter().filter(awake).filter_map(|place| place.node.as_ref());
-        let thaws = self.places.iter().filter_map(|place| place.frozen);
-        let first = nodes.map(Node::next_wakeup).chain(thaws).min();
-        [flying, upstreams, first].into_iter().flatten().min().unwrap_or(self.now + MS(10))
+    fn next_event(&self) -> Duration {
+        let in_flight = self.in_flight.first_key_value().map(|((at, _), _)| *at);
+        let upstreams = self.upstreams.next_event();
+        let awake = |instance: &&TestInstance| instance.paused_until.is_none();
+        let nodes =
+            self.instances.iter().filter(awake).filter_map(|instance| instance.node.as_ref());
+        let resumes = self.instances.iter().filter_map(|instance| instance.paused_until);
+        let first = nodes.map(Node::next_wakeup).chain(resumes).min();
+        [in_flight, upstreams, first].into_iter().flatten().min().unwrap_or(self.now + MS(10))
     }
 
     fn deliver(&mut self) {
-        while let Some(entry) = self.flying.first_entry() {
+        while let Some(entry) = self.in_flight.first_entry() {
             if entry.key().0 > self.now {
                 break;
             }
-            let Flight { to, input, life } = entry.remove();
-            if life.is_none_or(|life| life == self.places[to].life) {
-                self.hand(to, input);
+            let Delivery { to, input, generation } = entry.remove();
+            if generation.is_none_or(|generation| generation == self.instances[to].generation) {
+                self.deliver_input(to, input);
             }
         }
         for (number, attempt, event) in self.upstreams.step(self.now) {
             if let Event::Tokens { position } | Event::Ended { position } = &event {
-                let whole = matches!(event, Event::Ended { .. });
-                self.mirror(number, attempt.request, *position, whole);
+                let complete = matches!(event, Event::Ended { .. });
+                self.mirror(number, attempt.request, *position, complete);
             }
-            self.hand(number, Input::RunEvent { attempt, event });
+            self.deliver_input(number, Input::RunEvent { attempt, event });
         }
     }
 
     /// Has the callers of a whole answer close their connections.
-    fn answered(&mut self, request: Request) {
+    fn close_served_callers(&mut self, request: Request) {
         let served = |verdict: &Verdict| match verdict {
-            Verdict::Serve { request: of, .. } | Verdict::Relay { request: of, .. } => {
-                *of == request
+            Verdict::Serve { request: served, .. } | Verdict::Relay { request: served, .. } => {
+                *served == request
             }
             _ => false,
         };
@@ -483,70 +497,70 @@
             .callers
             .iter()
             .filter(|(ticket, _)| !self.ended.contains_key(*ticket))
-            .filter(|(ticket, _)| self.last(**ticket).is_some_and(served))
+            .filter(|(ticket, _)| self.last_verdict(**ticket).is_some_and(served))
             .map(|(ticket, at)| (*ticket, *at))
             .collect();
         for (ticket, at) in done {
-            self.ended.insert(ticket, (End::Whole, self.now));
-            self.fly(MS(5), at, Input::ConnectionClosed(ticket));
+            self.ended.insert(ticket, (End::Completed, self.now));
+            self.schedule(MS(5), at, Input::ConnectionClosed(ticket));
         }
     }
 
     /// Gives an input to an instance, or keeps it while the instance is frozen.
-    fn hand(&mut self, number: usize, input: Input) {
-        let place = &mut self.places[number];
-        if let (Input::WriteDurable { sequence: mark }, Some(disk)) = (&input, &mut place.disk) {
-            disk.sync(*mark);
+    fn deliver_input(&mut self, number: usize, input: Input) {
+        let instance = &mut self.instances[number];
+        if let (Input::WriteDurable { sequence }, Some(disk)) = (&input, &mut instance.disk) {
+            disk.sync(*sequence);
         }
-        if place.frozen.is_some() {
-            place.parked.push(input);
+        if instance.paused_until.is_some() {
+            instance.held_inputs.push(input);
         } else {
             self.step(number, input);
         }
     }
 
-    fn thaw(&mut self, number: usize) {
-        if self.places[number].frozen.take().is_some() {
-            self.places[number].thawed = self.now;
+    fn resume(&mut self, number: usize) {
+        if self.instances[number].paused_until.take().is_some() {
+            self.instances[number].resumed_at = self.now;
         }
-        for input in std::mem::take(&mut self.places[number].parked) {
+        for input in std::mem::take(&mut self.instances[number].held_inputs) {
             self.step(number, input);
         }
     }
 
-    fn mirror(&mut self, number: usize, request: Request, position: u32, whole: bool) {
+    fn mirror(&mut self, number: usize, request: Request, position: u32, complete: bool) {
         let Some(Mirror { owner, to: Some(to) }) = self.mirrors.get(&request).cloned() else {
             return;
         };
-        let Some(home) = self.names.get(&to).copied() else { return };
+        let Some(home) = self.numbers.get(&to).copied() else { return };
         if owner != number || self.cuts.contains(&(number, home)) {
             return;
         }
-        if self.places[home].node.is_none() {
+        if self.instances[home].node.is_none() {
             return;
         }
-        let input = Input::Mirrored { request, position, complete: whole };
-        self.fly(MS(1), home, input.clone());
-        self.fly(MS(2), number, input);
+        let input = Input::Mirrored { request, position, complete };
+        self.schedule(MS(1), home, input.clone());
+        self.schedule(MS(2), number, input);
     }
 
-    fn carry(&mut self, number: usize, output: Output) {
+    fn execute(&mut self, number: usize, output: Output) {
         match output {
             Output::Send { address, message, .. } => {
                 let bytes = postcard::to_stdvec(&message).expect("a message can be written");
-                let from = self.places[number].setup.instance.clone();
-                self.post(number, address, bytes.len(), Input::Peer { from, message });
+                let from = self.instances[number].setup.instance.clone();
+                self.transmit(number, address, bytes.len(), Input::Peer { from, message });
             }
             Output::Datagram { to, frame } => {
                 let bytes = frame.encode().expect("a frame fits a datagram");
-                let from = self.places[number].setup.address;
-                self.post(number, to, bytes.len(), Input::Datagram { from, frame });
+                let from = self.instances[number].setup.address;
+                self.transmit(number, to, bytes.len(), Input::Datagram { from, frame });
             }
-            Output::Store { sequence: mark, write } => {
-                if let Some(disk) = &mut self.places[number].disk {
-                    disk.write(mark, write);
+            Output::Store { sequence, write } => {
+                if let Some(disk) = &mut self.instances[number].disk {
+                    disk.write(sequence, write);
                 }
-                self.fly(MS(1), number, Input::WriteDurable { sequence: mark });
+                self.schedule(MS(1), number, Input::WriteDurable { sequence });
             }
             Output::Run(run) => self.upstreams.run(self.now, number, &run),
             Output::Cancel(live) => self.upstreams.cancel(live.attempt),
@@ -557,7 +571,7 @@
                 }
             }
             Output::Verdict { ticket, verdict } => {
-                self.tell(number, ticket, verdict);
+                self.handle_verdict(number, ticket, verdict);
             }
             Output::NotOwner(ticket) => self.lose_relay(ticket),
             Output::Reply { call, reply } => {
@@ -568,14 +582,14 @@
                 self.replies.insert(call, reply);
             }
             Output::Stopped => {
-                self.drained.insert(number);
+                self.stopped.insert(number);
             }
             _ => {}
         }
     }
 
     /// Tells a caller, or the instance that relays to it, what it gets.
-    fn tell(&mut self, number: usize, ticket: Ticket, verdict: Verdict) {
+    fn handle_verdict(&mut self, number: usize, ticket: Ticket, verdict: Verdict) {
         if let Some(relay) = self.relays.get(&ticket) {
             let (caller, at) = (relay.caller, relay.at);
             let end = end(&verdict);
@@ -584,7 +598,7 @@
             } else if let Some(end) = end {
                 self.ended.entry(caller).or_insert((end, self.now));
                 self.relays.remove(&ticket);
-                self.fly(MS(5), at, Input::ConnectionClosed(caller));
+                self.schedule(MS(5), at, Input::ConnectionClosed(caller));
             }
             return;
         }
@@ -601,75 +615,81 @@
             self.ended.entry(ticket).or_insert((end, self.now));
         }
         if matches!(verdict, Verdict::Serve { .. } | Verdict::Relay { .. }) {
-            self.served.entry(ticket).or_insert(self.now);
+            self.served_at.entry(ticket).or_insert(self.now);
         }
         self.verdicts.entry(ticket).or_default().push(verdict);
-        if let Some(request) = request.filter(|request| self.whole.contains(request)) {
-            self.answered(request);
+        if let Some(request) = request.filter(|request| self.completed.contains(request)) {
+            self.close_served_callers(request);
         }
     }
 
     /// Opens a connection to the instance that assembles a caller's answer.
     fn relay(&mut self, at: usize, caller: Ticket, request: Request, after: u32, to: &Instance) {
-        let Some(owner) = self.names.get(to).copied() else { return };
-        self.relayed += 1;
-        let ticket = Ticket(self.relayed);
-        let life = self.places[owner].life;
-        let unheard = self.cuts.contains(&(at, owner));
-        self.relays.insert(ticket, Relay { caller, at, owner, life, silent: None, unheard });
-        if !unheard {
-            self.fly(MS(1), owner, Input::Subscribed { ticket, request, after });
+        let Some(owner) = self.numbers.get(to).copied() else { return };
+        self.last_relay_ticket += 1;
+        let ticket = Ticket(self.last_relay_ticket);
+        let generation = self.instances[owner].generation;
+        let subscription_lost = self.cuts.contains(&(at, owner));
+        self.relays.insert(
+            ticket,
+            Relay { caller, at, owner, generation, silent_since: None, subscription_lost },
+        );
+        if !subscription_lost {
+            self.schedule(MS(1), owner, Input::Subscribed { ticket, request, after });
         }
     }
 
     fn lose_relay(&mut self, ticket: Ticket) {
         let Some(relay) = self.relays.remove(&ticket) else { return };
-        self.fly(MS(1), relay.at, Input::RelayLost { ticket: relay.caller, after: 0 });
+        self.schedule(MS(1), relay.at, Input::RelayLost { ticket: relay.caller, after: 0 });
     }
 
     /// Gives up relays to instances that are gone, or from which nothing comes any more.
     fn watch_relays(&mut self) {
         let mut lost = Vec::new();
         for (ticket, relay) in &mut self.relays {
-            let place = &self.places[relay.owner];
+            let instance = &self.instances[relay.owner];
             let cut = self.cuts.contains(&(relay.at, relay.owner))
                 || self.cuts.contains(&(relay.owner, relay.at));
-            let silent = relay.unheard || cut || place.frozen.is_some();
-            relay.silent = silent.then(|| relay.silent.unwrap_or(self.now));
-            let gone = place.node.is_none() || place.life != relay.life;
-            if gone || relay.silent.is_some_and(|since| self.now >= since + SILENCE) {
+            let silent_since = relay.subscription_lost || cut || instance.paused_until.is_some();
+            relay.silent_since = silent_since.then(|| relay.silent_since.unwrap_or(self.now));
+            let gone = instance.node.is_none() || instance.generation != relay.generation;
+            if gone
+                || relay.silent_since.is_some_and(|since| self.now >= since + RELAY_SILENCE_TIMEOUT)
+            {
                 lost.push(*ticket);
             }
         }
         lost.into_iter().for_each(|ticket| self.lose_relay(ticket));
     }
 
-    fn post(&mut self, from: usize, to: SocketAddr, bytes: usize, input: Input) {
-        let sent = &mut self.places[from].sent;
+    fn transmit(&mut self, from: usize, to: SocketAddr, bytes: usize, input: Input) {
+        let sent = &mut self.instances[from].sent;
         sent.messages += 1;
         sent.bytes += bytes as u64 + OVERHEAD;
         let Some(to) = self.addresses.get(&to).copied() else { return };
-        if let Some(tape) = &mut self.tape {
-            tape.push(Said { to, input: input.clone() });
+        if let Some(recording) = &mut self.recording {
+            recording.push(SentMessage { to, input: input.clone() });
         }
-        let lost = self.loss > 0.0 && self.rng.random_bool(self.loss);
-        if lost || self.cuts.contains(&(from, to)) || self.places[to].node.is_none() {
+        let lost = self.loss_rate > 0.0 && self.rng.random_bool(self.loss_rate);
+        if lost || self.cuts.contains(&(from, to)) || self.instances[to].node.is_none() {
             return;
         }
         let delay = Duration::from_micros(self.rng.random_range(500..3_000));
-        self.fly(delay, to, input);
+        self.schedule(delay, to, input);
     }
 
-    fn fly(&mut self, delay: Duration, to: usize, input: Input) {
-        self.flights += 1;
+    fn schedule(&mut self, delay: Duration, to: usize, input: Input) {
+        self.scheduled += 1;
         let network = matches!(input, Input::Peer { .. } | Input::Datagram { .. });
-        let life = (!network).then_some(self.places[to].life);
-        self.flying.insert((self.now + delay, self.flights), Flight { to, input, life });
+        let generation = (!network).then_some(self.instances[to].generation);
+        self.in_flight
+            .insert((self.now + delay, self.scheduled), Delivery { to, input, generation });
     }
 
-    fn call(&mut self) -> CallId {
-        self.calls += 1;
-        CallId(self.calls)
+    fn next_call_id(&mut self) -> CallId {
+        self.last_call += 1;
+        CallId(self.last_call)
     }
 
     /// Checks what must always hold.
@@ -677,7 +697,7 @@
         self.steps += 1;
         self.check_leaders();
         self.check_revisions();
-        if let Some((request, runs)) = self.upstreams.doubled() {
+        if let Some((request, runs)) = self.upstreams.repeated_service_run() {
             panic!("the non-idempotent request {request} ran {runs} times");
         }
     }
@@ -688,31 +708,35 @@
     }
 
     fn leaders(&self) -> Vec<usize> {
-        (0..self.places.len())
-            .filter(|number| self.places[*number].frozen.is_none())
-            .filter(|number| self.places[*number].node.as_ref().is_some_and(Node::is_leader))
+        (0..self.instances.len())
+            .filter(|number| self.instances[*number].paused_until.is_none())
+            .filter(|number| self.instances[*number].node.as_ref().is_some_and(Node::is_leader))
             .collect()
     }
 
     fn check_revisions(&mut self) {
-        for number in 0..self.places.len() {
-            let place = &mut self.places[number];
-            let Some(revision) = place.node.as_ref().map(Node::revision) else { continue };
-            let (seen, now, force) = (place.seen, self.now, self.in_force);
-            assert!(revision >= seen, "{number} fell from {seen} to {revision} at {now:?}");
-            place.seen = revision;
+        for number in 0..self.instances.len() {
+            let instance = &mut self.instances[number];
+            let Some(revision) = instance.node.as_ref().map(Node::revision) else { continue };
+            let (highest_revision, now, force) =
+                (instance.highest_revision, self.now, self.in_force);
+            assert!(
+                revision >= highest_revision,
+                "{number} fell from {highest_revision} to {revision} at {now:?}"
+            );
+            instance.highest_revision = revision;
             assert!(
-                !self.serves_old(number),
+                !self.serves_outdated_table(number),
                 "{number} serves by revision {revision} at {now:?}, {force} is in force everywhere",
             );
         }
     }
 
     /// Says whether an instance serves by a table older than one that is in force everywhere.
-    fn serves_old(&self, number: usize) -> bool {
-        let place = &self.places[number];
+    fn serves_outdated_table(&self, number: usize) -> bool {
+        let instance = &self.instances[number];
         let old = |node: &Node| node.accepts_work() && node.revision() < self.in_force;
-        place.frozen.is_none() && place.node.as_ref().is_some_and(old)
+        instance.paused_until.is_none() && instance.node.as_ref().is_some_and(old)
     }
 }
 
--- a/crates/verbenaslip-node/tests/world/upstream.rs
+++ b/crates/verbenaslip-node/tests/world/upstream.rs
@@ -9,12 +9,12 @@
 use verbenaslip_request::run::{Cause, Event, Failure, Run, Start, Step};
 
 /// The tokens of every answer.
-pub const TOKENS: u32 = 20;
+pub const ANSWER_TOKENS: u32 = 20;
 
-const TOKEN: Duration = Duration::from_millis(10);
+const TOKEN_INTERVAL: Duration = Duration::from_millis(10);
 /// How long a plain service takes.
-const SERVICE: Duration = Duration::from_millis(150);
-const CALL: Duration = Duration::from_millis(5);
+const SERVICE_TIME: Duration = Duration::from_millis(150);
+const CONNECT_TIME: Duration = Duration::from_millis(5);
 
 /// Holds one run in progress.
 struct Stream {
@@ -32,7 +32,7 @@
 
 /// Holds one run as an upstream counted it.
 #[derive(Clone, Debug)]
-pub struct Counted {
+pub struct RecordedRun {
     pub request: Request,
     pub upstream: Upstream,
     pub instance: usize,
@@ -43,7 +43,7 @@
 /// Runs what instances send.
 #[derive(Default)]
 pub struct Upstreams {
-    pub counted: Vec<Counted>,
+    pub recorded_runs: Vec<RecordedRun>,
     pub dead: BTreeSet<Upstream>,
     streams: BTreeMap<Attempt, Stream>,
     positions: BTreeMap<Request, u32>,
@@ -63,7 +63,7 @@
         let rejoins = matches!(run.start, Start::Rejoin);
         if !rejoins && reached {
             self.known.insert(run.attempt, run.upstream.clone());
-            self.counted.push(Counted {
+            self.recorded_runs.push(RecordedRun {
                 request: run.attempt.request,
                 upstream: run.upstream.clone(),
                 instance,
@@ -76,7 +76,7 @@
             upstream: run.upstream.clone(),
             kind: run.kind,
             position,
-            due: now + CALL,
+            due: now + CONNECT_TIME,
             sent: false,
             reached,
             known: !rejoins || self.known.get(&run.attempt) == Some(&run.upstream),
@@ -90,7 +90,7 @@
     }
 
     /// Loses an upstream with all that it knows.
-    pub fn die(&mut self, upstream: &Upstream) {
+    pub fn crash(&mut self, upstream: &Upstream) {
         self.dead.insert(upstream.clone());
         self.known.retain(|_, at| at != upstream);
     }
@@ -102,7 +102,7 @@
 
     /// Counts the runs of a request.
     pub fn runs(&self, request: Request) -> usize {
-        self.counted.iter().filter(|counted| counted.request == request).count()
+        self.recorded_runs.iter().filter(|recorded| recorded.request == request).count()
     }
 
     /// Returns the last token that was given of an answer.
@@ -111,7 +111,7 @@
     }
 
     /// Returns when something happens next.
-    pub fn wake(&self) -> Option<Duration> {
+    pub fn next_event(&self) -> Option<Duration> {
         self.streams.values().map(|stream| stream.due).min()
     }
 
@@ -135,17 +135,18 @@
     }
 
     /// Returns a plain service's request that ran more than once, if there is one.
-    pub fn doubled(&self) -> Option<(Request, usize)> {
+    pub fn repeated_service_run(&self) -> Option<(Request, usize)> {
         let mut runs: BTreeMap<Request, usize> = BTreeMap::new();
-        for counted in self.counted.iter().filter(|counted| counted.kind == Kind::Service) {
-            *runs.entry(counted.request).or_default() += 1;
+        for recorded in self.recorded_runs.iter().filter(|recorded| recorded.kind == Kind::Service)
+        {
+            *runs.entry(recorded.request).or_default() += 1;
         }
         runs.into_iter().find(|(_, runs)| *runs > 1)
     }
 }
 
 fn advance(stream: &mut Stream, now: Duration, dead: bool) -> Event {
-    stream.due = now + TOKEN;
+    stream.due = now + TOKEN_INTERVAL;
     if dead && stream.reached && !stream.sent {
         // It was written before the loss, so that it may have run.
         stream.sent = true;
@@ -162,14 +163,14 @@
     if !stream.sent {
         stream.sent = true;
         if stream.kind == Kind::Service {
-            stream.due = now + SERVICE;
+            stream.due = now + SERVICE_TIME;
         }
         return Event::Sent;
     }
     if stream.kind == Kind::Service {
         return Event::Ended { position: 0 };
     }
-    if stream.position >= TOKENS {
+    if stream.position >= ANSWER_TOKENS {
         return Event::Ended { position: stream.position };
     }
     stream.position += 1;
