--- a/crates/verbenaslip-node/src/calls.rs
+++ b/crates/verbenaslip-node/src/calls.rs
@@ -1,4 +1,4 @@
-//! What operators and probes ask.
+//! Handles calls of operators and of readiness probes.
 
 use std::time::Duration;
 
@@ -17,10 +17,10 @@
 use crate::proposal::{Content, Purpose};
 use crate::query::Waiter;
 
-/// How long an operator's change is tried.
+/// Time limit for committing a change that an operator requested.
 pub(crate) const CHANGE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a change of the voter set is tried, in which a new voter catches up.
+/// Time limit for a change of the voter set, which includes the time a new voter needs to catch up.
 const VOTER_CHANGE_TIMEOUT: Duration = Duration::from_secs(60);
 
 impl Node {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Takes what became of an operator's drain.
+    /// Handles the result of a proposed drain and replies to the operator.
     pub(crate) fn handle_drain_answer(
         &mut self,
         call: CallId,
@@ -80,7 +80,7 @@
         self.reply(call, Reply::Draining);
     }
 
-    /// Takes what became of an operator's change of the voter set.
+    /// Handles the result of a proposed change of the voter set and replies to the operator.
     pub(crate) fn handle_voter_change_answer(&mut self, call: CallId, answer: &ProposalAnswer) {
         let reply = if matches!(answer, ProposalAnswer::Changed) {
             Reply::VotersChanged
@@ -126,7 +126,8 @@
         self.start_query(Query::OwnVoter, waiter, Some(new), CHANGE_TIMEOUT);
     }
 
-    /// Goes on with a change of the voter set once the new voter's folder is known.
+    /// Continues a change of the voter set once the identity of the new voter's data directory is
+    /// known.
     pub(crate) fn continue_voter_change(
         &mut self,
         call: CallId,
@@ -150,20 +151,20 @@
         self.submit(Content::Change(change), Purpose::Voters { call }, VOTER_CHANGE_TIMEOUT);
     }
 
-    /// Leaves a note of a change of the voter set in the audit trail.
+    /// Records a change of the voter set in the audit trail.
     fn record_voter_change(&mut self, change: VoterChange, operator: Operator) {
         self.notify(Notice::VotersOrdered { operator: operator.clone(), change: change.clone() });
         let voters = Voters { by: operator, change, at: self.unix_ms() };
         self.propose(Command::Voters(voters), Purpose::Unattended, CHANGE_TIMEOUT);
     }
 
-    /// Replies to a call.
+    /// Sends the reply to a call.
     pub(crate) fn reply(&mut self, call: CallId, reply: Reply) {
         self.out.push(Output::Reply { call, reply });
     }
 }
 
-/// Says why a command of an operator came to nothing.
+/// Returns the reply for a command that was not carried out.
 pub(crate) fn failure_reply(answer: &ProposalAnswer) -> Reply {
     match answer {
         ProposalAnswer::NotLeader { .. } => Reply::NoQuorum,
--- a/crates/verbenaslip-node/src/capacity.rs
+++ b/crates/verbenaslip-node/src/capacity.rs
@@ -1,7 +1,7 @@
-//! The capacity plan within the instance: what it learns everywhere and orders on the leader.
+//! Plans capacity: every instance learns the demand, and the leader orders machines.
 //!
-//! Every instance learns the demand of its own callers, scaled by the number of instances, so that
-//! whoever leads next can plan at once. Only the leader asks the cloud and orders.
+//! Each instance learns the demand of its own callers and scales it by the number of instances, so
+//! that any new leader can plan at once. Only the leader asks the cloud and orders machines.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -21,41 +21,41 @@
 use crate::notice::Notice;
 use crate::output::Output;
 
-/// Between two steps of the plan.
+/// Interval between two steps of the plan.
 const PLAN_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How long a drained machine's streams get to end or move.
+/// Time that the streams of a drained machine have to end or move to another upstream.
 const DRAIN_NOTICE: Duration = Duration::from_secs(60);
 
-/// Milliseconds in an hour.
+/// Number of milliseconds in an hour.
 const HOUR_MS: u64 = 3_600_000;
 
-/// The weight of the newest run in the mean work of a model's requests.
+/// Weight of the newest run in the mean work per request of a model.
 const NEWEST_RUN_WEIGHT: f64 = 0.1;
 
-/// Tells of a machine that the cloud lists.
+/// Describes a machine that the cloud lists.
 #[data]
 pub struct ListedMachine {
-    /// The name under which the cloud and the registry know it.
+    /// Name of the machine in the cloud and in the registry of upstreams.
     pub name: Upstream,
-    /// Where it runs.
+    /// Availability zone in which the machine runs.
     pub zone: AvailabilityZone,
-    /// Its class.
+    /// Machine class.
     pub class: Arc<str>,
-    /// How it is paid for.
+    /// Market on which the machine was bought.
     pub market: Market,
 }
 
-/// Tells what the cloud offers and has given.
+/// Lists the offers of the cloud and the machines that are running.
 #[data(default)]
 pub struct Survey {
-    /// The prices of the day.
+    /// Current prices.
     pub offers: Vec<Offer>,
-    /// The machines.
+    /// Machines that the cloud has started.
     pub machines: Vec<ListedMachine>,
 }
 
-/// Learns demand and holds what the cloud said last.
+/// Holds the learned demand and the last answer of the cloud.
 pub(crate) struct Capacity {
     planner: Planner,
     survey: Option<Survey>,
@@ -71,7 +71,7 @@
 }
 
 impl Node {
-    /// Learns from a request that ran so long, or that was refused for want of capacity.
+    /// Learns from a request that ran for the given time or was refused for lack of capacity.
     pub(crate) fn learn_demand(&mut self, head: &Head, arrived: Duration, ran: Option<Duration>) {
         let mean = self.capacity.mean_work_seconds.entry(head.model.clone()).or_insert(0.0);
         let work = ran.map_or(*mean, |ran| ran.as_secs_f64());
@@ -84,14 +84,14 @@
         self.capacity.planner.record_work(hour, second, &head.model, scaled, reserve);
     }
 
-    /// Plans, if this instance leads and there is a cloud.
+    /// Runs a step of the capacity plan if this instance leads and a cloud is configured.
     pub(crate) fn plan_capacity(&mut self) {
         if !self.setup.has_cloud || self.now < self.capacity.next_plan {
             return;
         }
         self.capacity.next_plan = self.now + PLAN_INTERVAL;
         if !self.leads() {
-            // What the cloud said while another led is old when this instance leads.
+            // A survey from the time of another leader is outdated once this instance leads.
             self.capacity.survey = None;
             return;
         }
@@ -103,12 +103,12 @@
         }
     }
 
-    /// Takes what the cloud offers and has given.
+    /// Stores the offers and machines that the cloud reported.
     pub(crate) fn handle_survey(&mut self, survey: Survey) {
         self.capacity.survey = Some(survey);
     }
 
-    /// Takes the cloud's answer to a start.
+    /// Handles the cloud's answer to a start order.
     pub(crate) fn handle_start_result(&mut self, request: u128, name: Option<&Upstream>) {
         match name {
             Some(name) => self.capacity.planner.record_started(request, name),
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Learns from a request that was refused for want of capacity.
+    /// Learns from a request that was refused for lack of capacity.
     pub(crate) fn learn_refused_demand(&mut self, request: Request) {
         let Some(record) = self.records.get(&request) else { return };
         let (head, arrived) = (record.head.clone(), record.arrived);
@@ -156,8 +156,8 @@
         self.notify(Notice::CapacityOrder(order.clone()));
         match order {
             Order::Start { .. } | Order::Stop { .. } => self.out.push(Output::Cloud(order)),
-            // An upstream that will be stopped is told apart by nobody from one that is reclaimed:
-            // it gets no new work anywhere, and its streams end or move in time.
+            // An upstream that will be stopped is treated like one that the cloud reclaims: it gets
+            // no new work, and its streams end or move in time.
             Order::Drain { name } => {
                 let notice = DRAIN_NOTICE.as_millis() as u32;
                 let input = gossip::Input::Reclaimed { upstream: name, notice };
--- a/crates/verbenaslip-node/src/edits.rs
+++ b/crates/verbenaslip-node/src/edits.rs
@@ -1,4 +1,4 @@
-//! Operators' edits of the table, from the file to being in force everywhere.
+//! Handles operators' edits of the route table until they are in force everywhere.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,18 +16,20 @@
 use crate::proposal::{EditWait, Purpose};
 use crate::query::{RESEND_INTERVAL, Waiter};
 
-/// How many revisions of the table are kept to tell what a resent edit changes.
+/// Number of table revisions that are kept to compute the changes of an edit that is sent again.
 pub(crate) const MAX_KEPT_TABLES: usize = 32;
 
-/// After this an edit that is not in force everywhere is told of: longer than the lease of whoever
-/// was cut off at its arrival.
+/// Time after which an edit that is not in force everywhere is reported.
+///
+/// It exceeds the table lease of an instance that was cut off when the edit arrived.
 const DELAY_NOTICE_AFTER: Duration = Duration::from_secs(6);
 
-/// Between two looks whether an edit is in force everywhere.
+/// Interval between two checks whether an edit is in force everywhere.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Node {
-    /// Proposes an operator's edit, or says at once why it can't be made.
+    /// Proposes an operator's edit, or replies at once if the edit is invalid, stale or only
+    /// checked.
     pub(crate) fn propose_edit(&mut self, call: CallId, apply: &Apply) {
         let table = match Table::parse(apply.csv.as_bytes()) {
             Ok(table) => table,
@@ -64,7 +66,7 @@
         self.propose(Command::Edit(edit), purpose, CHANGE_TIMEOUT);
     }
 
-    /// Takes what became of an operator's edit.
+    /// Handles the result of a proposed edit.
     pub(crate) fn handle_edit_answer(
         &mut self,
         call: CallId,
@@ -93,7 +95,7 @@
         self.reply(call, Reply::Edited(result));
     }
 
-    /// Looks whether awaited edits are in force everywhere.
+    /// Checks whether the edits that calls wait for are in force everywhere.
     pub(crate) fn poll_edit_waits(&mut self) {
         let now = self.now;
         for mut wait in std::mem::take(&mut self.edit_waits) {
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Returns the newest table, or the one at a revision as far as it is kept.
+    /// Returns the reply with the table at a revision, or with the newest table if none is given.
     pub(crate) fn table_reply(&self, revision: Option<Revision>) -> Reply {
         let newest = self.hub.revision();
         let revision = revision.unwrap_or(newest);
@@ -145,8 +147,9 @@
         self.recent_tables.iter().map(|kept| kept.revision).min().unwrap_or(self.hub.revision())
     }
 
-    /// Returns the table at a revision; one that is too old to be kept leads to a stale edit, so
-    /// that it matters little that the newest stands in for it.
+    /// Returns the table at a revision, or the newest table if the revision is no longer kept.
+    ///
+    /// The substitute does no harm, since an edit of so old a revision is rejected as stale.
     fn base_table(&self, revision: Revision) -> Arc<Table> {
         if revision == Revision::default() {
             return Arc::default();
@@ -155,7 +158,7 @@
         kept.map_or_else(|| self.hub.table().clone(), |kept| kept.table.clone())
     }
 
-    /// Returns what differs here from a base, for an edit that is only checked.
+    /// Returns the rows that changed since a base revision, for an edit that is only checked.
     fn newest_since(&self, base: Revision) -> history::Newest {
         let changes = change::diff(&self.base_table(base), self.hub.table());
         history::Newest {
--- a/crates/verbenaslip-node/src/input.rs
+++ b/crates/verbenaslip-node/src/input.rs
@@ -1,4 +1,4 @@
-//! What an instance is told.
+//! Inputs of an instance.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,131 +17,131 @@
 use crate::message::Message;
 use crate::operator;
 
-/// Tells of one thing that happened.
+/// Describes one event for an instance.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Only time has passed.
+    /// Reports that time has passed.
     Tick,
-    /// The wall clock shows this, in Unix milliseconds.
+    /// Sets the wall-clock time, in Unix milliseconds.
     Clock(u64),
-    /// Another instance's message has come.
+    /// Delivers a message of another instance.
     Peer {
-        /// The instance.
+        /// Sender of the message.
         from: Instance,
-        /// The message.
+        /// Content of the message.
         message: Message,
     },
-    /// A datagram has come.
+    /// Delivers a datagram.
     Datagram {
-        /// The address it came from.
+        /// Address of the sender.
         from: SocketAddr,
-        /// What it says.
+        /// Decoded content of the datagram.
         frame: Box<Frame>,
     },
-    /// A caller has sent a whole request.
+    /// Delivers a complete request of a caller.
     Arrived {
-        /// The request; its deadline is not looked at.
+        /// Request; its deadline is ignored.
         arrival: Arrival,
-        /// How long after arrival the caller wants the whole answer; none leaves it to the row.
+        /// Time after arrival within which the caller wants the whole answer; none uses the row's.
         timeout: Option<Duration>,
     },
-    /// A caller's, or subscriber's, connection is closed or its answer ended.
+    /// Reports that the connection of a caller or subscriber was closed, or that its answer ended.
     ConnectionClosed(Ticket),
-    /// Another instance wants to pass on this instance's answer to its caller.
+    /// Reports that another instance wants to relay this instance's answer to its caller.
     Subscribed {
-        /// Stands for the other instance's connection.
+        /// Ticket of the connection of the other instance.
         ticket: Ticket,
-        /// The request.
+        /// Request whose answer is relayed.
         request: Request,
-        /// The last position that the caller has.
+        /// Last position that the caller has received.
         after: u32,
     },
-    /// The instance that a caller was relayed to does not own the request, or can't be reached.
+    /// Reports that the instance from which an answer is relayed is not the owner or unreachable.
     RelayLost {
-        /// The caller.
+        /// Ticket of the caller.
         ticket: Ticket,
-        /// The last position that the caller has by now.
+        /// Last position that the caller has received so far.
         after: u32,
     },
-    /// Something became of a run.
+    /// Reports an event of a run.
     RunEvent {
-        /// The run.
+        /// Attempt to which the run belongs.
         attempt: Attempt,
-        /// What became of it.
+        /// Event of the run.
         event: run::Event,
     },
-    /// The second holder has the answer up to here: told at both ends.
+    /// Reports how much of an answer the second holder has; the owner and the holder both get it.
     Mirrored {
-        /// The request.
+        /// Request whose answer is copied.
         request: Request,
-        /// The last position held there.
+        /// Last position that the second holder has.
         position: u32,
-        /// Whether the end is held there as well.
+        /// Whether the second holder also has the end of the answer.
         complete: bool,
     },
-    /// An upstream has announced itself here; answered by a reply.
+    /// Delivers the announcement of an upstream, which is answered by a reply.
     Announced {
-        /// Names the call in the reply.
+        /// Identifies the call in the reply.
         call: operator::CallId,
-        /// What it says.
+        /// Content of the announcement.
         announcement: Box<Announcement>,
     },
-    /// An operator or a probe asks for something; answered by a reply.
+    /// Delivers a call of an operator or a probe, which is answered by a reply.
     Called {
-        /// Names the call in the reply.
+        /// Identifies the call in the reply.
         call: operator::CallId,
-        /// What is asked.
+        /// Content of the call.
         request: operator::OperatorCall,
     },
-    /// The cloud takes an upstream away.
+    /// Reports that the cloud reclaims an upstream.
     Reclaimed {
-        /// The upstream.
+        /// Upstream that is reclaimed.
         upstream: Upstream,
-        /// In how long.
+        /// Time until the upstream is gone.
         notice: Duration,
     },
-    /// All writes up to a mark are durable.
+    /// Reports that all writes up to a sequence number are durable.
     WriteDurable {
-        /// The mark of the last one.
+        /// Sequence number of the last durable write.
         sequence: u64,
     },
-    /// An upstream has answered an order, or did not.
+    /// Reports an upstream's answer to an order, or that no answer came.
     OrderAnswered {
-        /// The upstream.
+        /// Upstream that received the order.
         upstream: Upstream,
-        /// The order's number.
+        /// Fence number of the order.
         fence: Fence,
-        /// What it answered.
+        /// Answer of the upstream.
         answer: order::dispatcher::Answer,
     },
-    /// An upstream has told its state.
+    /// Reports the state that an upstream was asked for.
     StateRead {
-        /// The upstream.
+        /// Upstream that answered.
         upstream: Upstream,
-        /// The question that it answers.
+        /// Number of the question that is answered.
         question: u64,
-        /// The state.
+        /// State of the upstream.
         state: order::dispatcher::UpstreamState,
     },
-    /// The cloud has told what it offers and has given.
+    /// Reports the offers of the cloud and the machines it has started.
     Surveyed(Survey),
-    /// The cloud has answered a start.
+    /// Reports the cloud's answer to a start order.
     Started {
-        /// The start's identity.
+        /// Identifier of the start order.
         request: u128,
-        /// The machine's name; none when it was refused.
+        /// Name of the machine; none if the order was refused.
         name: Option<Upstream>,
     },
-    /// An engine has told what became of its prefix cache.
+    /// Reports changes of an engine's prefix cache.
     CacheEvents {
-        /// The engine.
+        /// Engine whose cache changed.
         upstream: Upstream,
-        /// What became of it.
+        /// Changes of the cache.
         batch: CacheBatch,
     },
-    /// This instance stops within the time given.
+    /// Starts a planned stop of this instance.
     Stop {
-        /// Time until it must be gone.
+        /// Time until the instance must have stopped.
         remaining: Duration,
     },
 }
--- a/crates/verbenaslip-node/src/lead.rs
+++ b/crates/verbenaslip-node/src/lead.rs
@@ -1,4 +1,4 @@
-//! The replicated log within the instance: its events, and proposals of every instance.
+//! Connects the replicated log to the instance and sends the proposals of all instances to it.
 
 use std::time::Duration;
 
@@ -16,14 +16,14 @@
 use crate::proposal::{Content, Proposal, Purpose, RESEND_INTERVAL, RETRY_DELAY};
 use crate::voter::{Event, Voter};
 
-/// How long a proposal that nobody waits for is tried.
+/// Time limit for a proposal that no call waits for.
 const UNATTENDED_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long another instance's proposal may take; its sender asks again.
+/// Time limit for a proposal of another instance, which sends the proposal again itself.
 const FORWARDED_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Node {
-    /// Opens the log where there is a data folder.
+    /// Opens the replicated log if this instance has a data directory.
     pub(crate) fn open_voter(&mut self) {
         let Some(recovered) = self.setup.recovered.take() else { return };
         let founders = self.setup.voters.iter().map(|founder| founder.instance.clone()).collect();
@@ -38,18 +38,18 @@
         self.pending.extend(events.into_iter().map(Pending::LogEvent));
     }
 
-    /// Says whether this instance counts in the voter set.
+    /// Returns whether this instance is a member of the voter set.
     pub(crate) fn is_voter(&self) -> bool {
         let Some(voter) = &self.voter else { return false };
         voter.replica().voters().contains(voter.replica().identity())
     }
 
-    /// Says whether this instance leads the log under a lease.
+    /// Returns whether this instance leads the log and holds the leader's lease.
     pub(crate) fn leads(&self) -> bool {
         self.leader_lease().is_some_and(|until| until > self.now)
     }
 
-    /// Tells the watch whether, and until when, this instance leads.
+    /// Tells the watch hub whether this instance leads, and until when its lease lasts.
     pub(crate) fn update_watch_leadership(&mut self) {
         if self.voter.is_none() {
             return;
@@ -86,12 +86,12 @@
         }
     }
 
-    /// Has a command committed, however long its patience lasts.
+    /// Proposes a command and retries it until the timeout.
     pub(crate) fn propose(&mut self, command: Command, purpose: Purpose, patience: Duration) {
         self.submit(Content::Command(Box::new(command)), purpose, patience);
     }
 
-    /// Has work committed, however long its patience lasts.
+    /// Proposes a command or a change of the voter set and retries it until the timeout.
     pub(crate) fn submit(&mut self, content: Content, purpose: Purpose, patience: Duration) {
         let deadline = self.now + patience;
         let proposal = Proposal {
@@ -108,7 +108,7 @@
         self.send_proposal(token);
     }
 
-    /// Takes another instance's command, if this one leads.
+    /// Handles a command that another instance sent to this one as the leader.
     pub(crate) fn handle_forwarded_command(
         &mut self,
         from: Instance,
@@ -123,12 +123,12 @@
         self.accept_forwarded(from, token, Content::Command(Box::new(command)));
     }
 
-    /// Takes another instance's change of the voter set, if this one leads.
+    /// Handles a change of the voter set that another instance sent to this one as the leader.
     pub(crate) fn handle_forwarded_change(&mut self, from: Instance, token: u64, change: Change) {
         self.accept_forwarded(from, token, Content::Change(change));
     }
 
-    /// Takes what became of a proposal.
+    /// Handles the answer to a proposal.
     pub(crate) fn handle_proposal_answer(&mut self, token: u64, answer: ProposalAnswer) {
         let now = self.now;
         let Some(proposal) = self.proposals.get_mut(token) else { return };
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Sends again, or gives up, what has waited long enough.
+    /// Sends unanswered proposals again, and gives up those whose time limit has passed.
     pub(crate) fn resend_proposals(&mut self) {
         for token in self.proposals.due_tokens(self.now) {
             let now = self.now;
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Makes the first table of an empty log.
+    /// Proposes the initial table if the log is empty.
     fn bootstrap(&mut self) {
         let empty = self.voter.as_ref().is_some_and(|voter| {
             let state = voter.state();
@@ -193,7 +193,7 @@
     fn handle_role_change(&mut self, role: RoleUpdate) {
         self.leader.clone_from(&role.leader);
         self.enqueue(Pending::Watch(watch::Input::Leader(role.leader.clone())));
-        // A leadership that ended must not serve until the next beat.
+        // A leadership that has ended must not be used until the next tick.
         self.update_watch_leadership();
         if role.role == ReplicaRole::Leader {
             self.bootstrap();
@@ -201,7 +201,7 @@
         self.notify(Notice::Leader { term: role.term, leader: role.leader });
     }
 
-    /// Replaces a voter whose disk was lost: its instance already runs another folder.
+    /// Replaces a voter that lost its disk and whose instance now runs with a new data directory.
     fn replace_voter(&mut self, voter: verbenaslip_replica::voter::Voter) {
         if !self.leads() {
             return;
@@ -214,7 +214,8 @@
     fn accept_forwarded(&mut self, from: Instance, token: u64, content: Content) {
         let leads = self.voter.as_ref().is_some_and(|voter| voter.replica().is_leader());
         if !leads {
-            // Asked by the leader this instance believes in, it would send the asker in a circle.
+            // Without the filter, the sender would be redirected to itself if this instance takes
+            // it for the leader.
             let leader = self.leader.clone().filter(|leader| *leader != from);
             let answer = ProposalAnswer::NotLeader { leader };
             return self.send(&from, Message::ProposalResult { token, answer });
@@ -222,7 +223,7 @@
         self.submit(content, Purpose::Forwarded { from, token }, FORWARDED_TIMEOUT);
     }
 
-    /// Gives a proposal to the log here, or to whoever is likely to lead.
+    /// Gives a proposal to the local log, or sends it to the instance that probably leads.
     fn send_proposal(&mut self, token: u64) {
         let now = self.now;
         let target = self.proposal_target(token);
@@ -231,7 +232,7 @@
         let content = proposal.content.clone();
         match (&mut self.voter, target) {
             (Some(voter), None) if voter.replica().is_leader() => {
-                // The log answers each proposal once; the deadline bounds the wait for it.
+                // The log answers each proposal exactly once, so only the deadline limits the wait.
                 proposal.resend_at = proposal.deadline;
                 let mut events = Vec::new();
                 match content {
@@ -254,7 +255,7 @@
         }
     }
 
-    /// Chooses whom to give a proposal: none means the log here.
+    /// Returns the instance to which a proposal is sent, or none for the local log.
     fn proposal_target(&mut self, token: u64) -> Option<Instance> {
         if self.voter.as_ref().is_some_and(|voter| voter.replica().is_leader()) {
             return None;
@@ -263,10 +264,10 @@
         self.likely_leader(tries)
     }
 
-    /// Returns the leader as far as it is known, else one voter after the other.
+    /// Returns the known leader, or else the voters in turn.
     pub(crate) fn likely_leader(&self, tries: u32) -> Option<Instance> {
         let own = &self.setup.instance;
-        // A believed leader that does not answer may be lost; every other try goes elsewhere.
+        // The known leader may be lost if it does not answer, so every other attempt uses a voter.
         if let Some(leader) =
             self.leader.as_ref().filter(|it| *it != own && tries.is_multiple_of(2))
         {
@@ -281,7 +282,7 @@
         self.voter.as_ref()?.replica().lease_until(self.now)
     }
 
-    /// Ends a proposal and tells whoever waits.
+    /// Removes a proposal and delivers its answer to the component that waits for it.
     fn finish_proposal(&mut self, token: u64, answer: ProposalAnswer) {
         let Some(proposal) = self.proposals.remove(token) else { return };
         match proposal.purpose {
@@ -309,7 +310,7 @@
     }
 }
 
-/// Returns the outcome of a committed command.
+/// Returns the outcome of a committed command, or none if the command was not committed.
 pub(crate) fn committed_outcome(answer: &ProposalAnswer) -> Option<&Outcome> {
     match answer {
         ProposalAnswer::Done(outcome) => Some(outcome),
--- a/crates/verbenaslip-node/src/lib.rs
+++ b/crates/verbenaslip-node/src/lib.rs
@@ -1,21 +1,20 @@
-//! All decisions of one instance, composed to one state machine.
+//! One instance as a single state machine.
 //!
-//! [`Node`] holds the parts and hands on what one says to the others; it is the single public face
-//! of the decisions. A driver gives it the time and an [`input::Input`] and carries out its
-//! [`output::Output`]s; any driver will do, a daemon or a test that steps several instances by hand.
+//! [`Node`] combines the components of an instance and passes the outputs of each to the others. A
+//! driver gives it the time and an [`input::Input`] and carries out its [`output::Output`]s. The
+//! driver can be a daemon or a test that steps several instances by hand.
 //!
-//! The parts follow each other like this:
+//! The modules have these tasks:
 //!
-//! - `members` has the membership and the registry of upstreams tell requests, policy and watch who
-//!   is there.
-//! - `lead` has the replicated log (`voter`) commit commands of every instance (`proposal`), and
-//!   the watch publish the table that they lead to.
-//! - `serve` leads one request through admission, journal, claim, routing, retries and moves.
-//! - `orders` gives upstreams the leader's orders, and `capacity` plans for the hour to come.
-//! - `calls` answers operators, `edits` follows an edit until it is in force everywhere, `query` asks
-//!   voters for what only they hold, and `status` is what operators are shown.
-//! - `stop` ends the instance without cutting off anything.
-//! - `report` is what an instance tells its neighbours once a second.
+//! - `members` reports instances and upstreams to the request, policy and watch components.
+//! - `lead` commits the commands of every instance (`proposal`) through the replicated log
+//!   (`voter`) and lets the watch component publish the resulting table.
+//! - `serve` takes a request through admission, journal, claim, routing, retries and moves.
+//! - `orders` sends the leader's orders to upstreams, and `capacity` plans for the next hour.
+//! - `calls` answers operators, `edits` follows an edit until it is in force everywhere, `query`
+//!   asks voters for data that only they have, and `status` is the status for operators.
+//! - `stop` stops the instance without interrupting requests.
+//! - `report` is the report that an instance sends to the others once per second.
 
 pub mod capacity;
 pub mod input;
--- a/crates/verbenaslip-node/src/members.rs
+++ b/crates/verbenaslip-node/src/members.rs
@@ -1,4 +1,4 @@
-//! Membership and the registry of upstreams, as the other parts need them.
+//! Connects membership and the registry of upstreams to the other components.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 use crate::report::InstanceReport;
 
 impl Node {
-    /// Gives membership and registry an input, and passes on what follows.
+    /// Passes an input to the gossip component and handles its outputs.
     pub(crate) fn step_gossip(&mut self, input: gossip::Input) {
         let mut outputs = Vec::new();
         self.gossip.step(self.now, input, &mut outputs);
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Takes an upstream's announcement and answers it.
+    /// Handles an upstream's announcement and replies to the call.
     pub(crate) fn handle_announcement(
         &mut self,
         call: CallId,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Passes on one output; the call is that of the announcement that it may answer.
+    /// Handles one output of the gossip component; `call` is the call that an announcement answers.
     fn handle_gossip_output(&mut self, output: gossip::Output, call: Option<CallId>) {
         match output {
             gossip::Output::Send { to, frame } => self.out.push(Output::Datagram { to, frame }),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Passes the live instances on to the parts that share work between them.
+    /// Passes the list of live instances to the components that share work with them.
     pub(crate) fn update_members(&mut self) {
         let own = self.gossip.own().clone();
         let alive =
@@ -75,7 +75,7 @@
         self.out.push(Output::Addresses(addresses));
     }
 
-    /// Tells the neighbours about this instance.
+    /// Sends this instance's report to the other instances.
     pub(crate) fn send_report(&mut self) {
         let limits = self.dispatcher.tick_limits(self.now);
         let voter = self.is_voter();
@@ -84,7 +84,7 @@
         self.enqueue(Pending::Gossip(gossip::Input::Report(share.encode())));
     }
 
-    /// Takes over the newest loads of all usable upstreams.
+    /// Passes the newest loads of all usable upstreams to the dispatcher.
     pub(crate) fn refresh_loads(&mut self) {
         let now = self.now;
         for record in self.gossip.usable(now) {
@@ -126,7 +126,8 @@
                 let incarnation = member.map_or(0, |member| member.peer().incarnation);
                 self.notify(Notice::Recovered { instance, incarnation });
             }
-            // It still ends what it owns; taken for gone, its requests would be run a second time.
+            // A leaving instance still finishes its requests; treated as gone, they would run
+            // twice.
             MemberEvent::Leaving(_) => {}
             MemberEvent::Left(instance) => {
                 self.enqueue(Pending::Request(request::Input::Left(instance.clone())));
@@ -172,7 +173,8 @@
                 self.notify(Notice::Leaving { upstream, notice });
             }
             UpstreamEvent::Lapsed(upstream) => {
-                // What ran there is told to the policy one by one, when the requests ask to retry.
+                // The dispatcher learns of each failed run later, when its request asks for a
+                // retry.
                 let _ = self.dispatcher.remove_upstream(self.now, &upstream);
                 self.enqueue(Pending::Request(request::Input::Lapsed(upstream.clone())));
                 self.step_orders(order::Input::Gone(upstream.clone()));
@@ -245,7 +247,7 @@
         self.gossip.records().filter(move |record| record.announcement().zone == *zone)
     }
 
-    /// Passes a request's message on.
+    /// Sends a message about a request to another instance.
     pub(crate) fn send_request_message(
         &mut self,
         to: &Instance,
--- a/crates/verbenaslip-node/src/message.rs
+++ b/crates/verbenaslip-node/src/message.rs
@@ -1,4 +1,4 @@
-//! What instances say to each other over their connections.
+//! Messages that instances send to each other over their connections.
 
 use std::sync::Arc;
 
@@ -10,119 +10,121 @@
 use verbenaslip_state::{Command, Outcome, audit, history, watch};
 use verbenaslip_table::{Revision, Table};
 
-/// Says something to another instance.
+/// Represents a message to another instance.
 ///
-/// Every message may be lost, late, doubled or overtaken; heartbeats and the registry's news go as
-/// datagrams of their own ([`verbenaslip_gossip::Frame`]).
+/// A message may be lost, delayed, duplicated or reordered. Membership and registry updates are
+/// sent as datagrams instead ([`verbenaslip_gossip::Frame`]).
 #[data]
 pub enum Message {
-    /// Between voters.
+    /// Carries a message between voters.
     Log(log::Message),
-    /// Follows the table.
+    /// Carries a message about the propagation of the table.
     Watch(watch::Message),
-    /// About one request.
+    /// Carries a message about one request.
     Request(request::Message),
-    /// Asks a voter to have a command committed.
+    /// Asks a voter to get a command committed.
     Propose {
-        /// Comes back in the answer.
+        /// Token that is repeated in the answer.
         token: u64,
-        /// The command.
+        /// Command to commit.
         command: Box<Command>,
     },
     /// Asks a voter to change the voter set.
     Change {
-        /// Comes back in the answer.
+        /// Token that is repeated in the answer.
         token: u64,
-        /// The change.
+        /// Change of the voter set.
         change: Change,
     },
-    /// Answers a proposal or a change.
+    /// Answers a proposal or a change of the voter set.
     ProposalResult {
-        /// The token it came with.
+        /// Token of the proposal.
         token: u64,
-        /// What became of it.
+        /// Result of the proposal.
         answer: ProposalAnswer,
     },
-    /// Asks a voter for something that only voters hold.
+    /// Asks a voter for data that only voters have.
     Query {
-        /// Comes back in the answer.
+        /// Token that is repeated in the answer.
         token: u64,
-        /// What is asked.
+        /// Content of the query.
         query: Query,
     },
     /// Answers a query.
     QueryResult {
-        /// The token it came with.
+        /// Token of the query.
         token: u64,
-        /// What is known; none when the receiver is no voter or does not lead.
+        /// Answer to the query; none if the receiver can't answer it.
         answer: Option<QueryAnswer>,
-        /// The leader, where known.
+        /// Leader, if known.
         leader: Option<Instance>,
     },
-    /// Asks the receiver to drain and exit, as an operator wants it.
+    /// Asks the receiver to drain and exit, on behalf of an operator.
     Drain {
-        /// Who asks.
+        /// Operator that requested the drain.
         operator: Operator,
     },
 }
 
-/// Says what became of a proposal.
+/// Describes the result of a proposal.
 #[data]
 pub enum ProposalAnswer {
-    /// It was committed, with this outcome.
+    /// The command was committed with this outcome.
     Done(Outcome),
     /// The change of the voter set was committed.
     Changed,
-    /// The receiver does not lead and did not take it.
+    /// The receiver does not lead and did not accept the proposal.
     NotLeader {
-        /// The leader, where known.
+        /// Leader, if known.
         leader: Option<Instance>,
     },
-    /// The leader did not take it.
+    /// The leader rejected the proposal.
     Refused(Arc<str>),
-    /// It may or may not be committed.
+    /// The proposal may or may not be committed.
     Unknown,
 }
 
-/// Asks for something that only voters hold; only the leader under its lease answers.
+/// Asks for data that only voters have.
+///
+/// Only a leader that holds its lease answers, except for [`Query::OwnVoter`].
 #[data]
 pub enum Query {
-    /// Whether a revision is in force everywhere.
+    /// Asks whether a revision is in force everywhere.
     Propagation(Revision),
-    /// The accepted edits.
+    /// Asks for the accepted edits.
     History,
-    /// The audit trail from an entry on.
+    /// Asks for the audit trail from an entry on.
     Audit {
-        /// The first entry's number.
+        /// Number of the first entry.
         since: u64,
     },
-    /// The identity of the receiver's own data folder.
+    /// Asks for the identity of the receiver's own data directory.
     OwnVoter,
 }
 
 /// Answers a query.
 #[data]
 pub enum QueryAnswer {
-    /// Whether a revision is in force everywhere, and who is awaited where not.
+    /// Tells whether a revision is in force everywhere, and which instances are still missing.
     Propagation {
-        /// Whether it is.
+        /// Whether the revision is in force everywhere.
         complete: bool,
-        /// The instances that may still serve by an older table.
+        /// Instances that may still use an older table.
         awaited: Vec<Instance>,
     },
-    /// The accepted edits, the newest of them.
+    /// Lists the newest of the accepted edits.
     History(Vec<history::Entry>),
-    /// A part of the audit trail.
+    /// Returns a part of the audit trail.
     Audit(audit::Page),
-    /// The receiver's voter; none when it has no folder.
+    /// Returns the voter that the receiver runs; none if it has no data directory.
     OwnVoter(Option<verbenaslip_replica::voter::Voter>),
 }
 
-/// Pairs a table with its revision.
+/// Holds a table and its revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TableRevision {
-    /// The revision.
+    /// Revision of the table.
     pub revision: Revision,
-    /// The table.
+    /// Content of the table.
     pub table: Arc<Table>,
 }
--- a/crates/verbenaslip-node/src/millis.rs
+++ b/crates/verbenaslip-node/src/millis.rs
@@ -1,10 +1,10 @@
-//! Times in the JSON of a status: whole milliseconds, as in all JSON of the interfaces.
+//! Serializes durations in the JSON status as whole milliseconds, as all JSON interfaces do.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Writes a time as milliseconds, and none as null.
+/// Serializes a duration as milliseconds, or none as null.
 pub(crate) fn serialize<S>(time: &Option<Duration>, serializer: S) -> Result<S::Ok, S::Error>
 where
     S: Serializer,
@@ -13,7 +13,7 @@
     millis.serialize(serializer)
 }
 
-/// Reads what [`serialize`] has written.
+/// Deserializes a duration that [`serialize`] has written.
 pub(crate) fn deserialize<'de, D>(deserializer: D) -> Result<Option<Duration>, D::Error>
 where
     D: Deserializer<'de>,
--- a/crates/verbenaslip-node/src/node.rs
+++ b/crates/verbenaslip-node/src/node.rs
@@ -1,4 +1,4 @@
-//! One instance: its parts, and how what one says reaches the others.
+//! Combines the components of one instance and passes the outputs of each to the others.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -26,23 +26,23 @@
 use crate::setup::Setup;
 use crate::voter::{self, Voter};
 
-/// The longest time between two ticks; the table's follower needs as much.
+/// Longest interval between two ticks, which the table's watch hub requires.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Between two looks at the loads of upstreams.
+/// Interval at which the loads of upstreams are passed to the dispatcher.
 const LOAD_REFRESH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Between two reports to the neighbours.
+/// Interval between two reports to the other instances.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Composes all decisions of one instance.
+/// Combines all components of one instance into one state machine.
 ///
-/// It takes the monotonic time and one [`Input`] and gives [`Output`]s; the same inputs give the
-/// same outputs.
+/// It takes the monotonic time and one [`Input`] and returns [`Output`]s. The same inputs always
+/// produce the same outputs.
 pub struct Node {
     pub(crate) setup: Setup,
     pub(crate) now: Duration,
-    /// Unix milliseconds at the monotonic time zero, by the last word of the wall clock.
+    /// Unix milliseconds at monotonic time zero, from the last reading of the wall clock.
     pub(crate) epoch_unix_ms: u64,
     pub(crate) rng: Pcg64,
     pub(crate) gossip: Gossip,
@@ -60,7 +60,7 @@
     pub(crate) voters: BTreeSet<Instance>,
     pub(crate) orders: order::Dispatcher,
     pub(crate) capacity: Capacity,
-    /// How many instances of the region share the work, this one counted.
+    /// Number of instances of the region that share the work, including this one.
     pub(crate) region_instances: usize,
     pub(crate) stop: Option<crate::stop::StopProgress>,
     pub(crate) ready: bool,
@@ -71,7 +71,7 @@
     next_report: Duration,
 }
 
-/// Holds what one part has said and another has not yet taken.
+/// Holds an output of one component that another component has not handled yet.
 pub(crate) enum Pending {
     Gossip(gossip::Input),
     Log(log::Input),
@@ -81,7 +81,9 @@
 }
 
 impl Node {
-    /// Starts an instance; its first outputs come with the first step.
+    /// Starts an instance at a monotonic time and a wall-clock time in Unix milliseconds.
+    ///
+    /// The first outputs are returned by the first step.
     pub fn open(setup: Setup, now: Duration, unix_ms: u64) -> Self {
         let own = Peer {
             instance: setup.instance.clone(),
@@ -128,7 +130,7 @@
         node
     }
 
-    /// Takes one input at a monotonic time and appends what is to be done to `out`.
+    /// Handles one input at a monotonic time and appends the resulting actions to `out`.
     pub fn step(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         self.handle_input(input);
@@ -140,7 +142,7 @@
         out.append(&mut self.out);
     }
 
-    /// Returns when the next step is due at the latest.
+    /// Returns the latest monotonic time of the next step.
     pub fn next_wakeup(&self) -> Duration {
         let mut wakeup = self.next_tick.min(self.gossip.next_wakeup());
         wakeup = wakeup.min(self.voter.as_ref().map_or(wakeup, Voter::next_wakeup));
@@ -154,27 +156,28 @@
         self.hub.revision()
     }
 
-    /// Says whether the platform should send callers here.
+    /// Returns whether the platform should send callers to this instance.
     pub fn is_ready(&self) -> bool {
         self.readiness_problems().is_empty()
     }
 
-    /// Says whether this instance takes new work by its table.
+    /// Returns whether this instance accepts new work under its current table.
     pub fn accepts_work(&self) -> bool {
         self.work_refusal_reasons().is_empty()
     }
 
-    /// Counts the claims kept in the replicated state here; none without a data folder.
+    /// Returns the number of claims in the local replicated state, or zero without a data
+    /// directory.
     pub fn claim_count(&self) -> usize {
         self.voter.as_ref().map_or(0, |voter| voter.state().claims())
     }
 
-    /// Says whether this instance leads the replicated log under a lease.
+    /// Returns whether this instance leads the replicated log and holds the leader's lease.
     pub fn is_leader(&self) -> bool {
         self.leads()
     }
 
-    /// Returns why the platform should send no callers here; empty when it should.
+    /// Returns the reasons why the platform should not send callers here; empty if it should.
     pub fn readiness_problems(&self) -> Vec<Arc<str>> {
         let mut reasons = self.work_refusal_reasons();
         if !self.dispatcher.limiter().has_base_share(self.now) {
@@ -183,7 +186,7 @@
         reasons
     }
 
-    /// Returns why this instance takes no new work; empty when it does.
+    /// Returns the reasons why this instance accepts no new work; empty if it does.
     pub(crate) fn work_refusal_reasons(&self) -> Vec<Arc<str>> {
         let mut reasons: Vec<Arc<str>> = Vec::new();
         if self.stop.is_some() {
@@ -198,29 +201,29 @@
         reasons
     }
 
-    /// Returns the wall clock's time in Unix milliseconds.
+    /// Returns the wall-clock time in Unix milliseconds.
     pub(crate) fn unix_ms(&self) -> u64 {
         self.epoch_unix_ms.saturating_add(self.now.as_millis() as u64)
     }
 
-    /// Puts something before another part.
+    /// Queues an output of one component for another one.
     pub(crate) fn enqueue(&mut self, pending: Pending) {
         self.pending.push_back(pending);
     }
 
-    /// Tells what happened, for logs and metrics.
+    /// Emits a notice for logs and metrics.
     pub(crate) fn notify(&mut self, notice: Notice) {
         self.out.push(Output::Notice(notice));
     }
 
-    /// Says something to another instance, if it is known where it is.
+    /// Sends a message to another instance if its address is known.
     pub(crate) fn send(&mut self, to: &Instance, message: Message) {
         if let Some(address) = self.address(to) {
             self.out.push(Output::Send { to: to.clone(), address, message });
         }
     }
 
-    /// Returns where an instance is reached.
+    /// Returns the address of an instance, if known.
     pub(crate) fn address(&self, instance: &Instance) -> Option<SocketAddr> {
         if let Some(member) = self.gossip.member(instance) {
             return Some(member.peer().address);
@@ -288,10 +291,9 @@
         }
     }
 
-    /// Lets time pass in the parts that are due.
+    /// Queues a tick for each component whose wakeup time has come.
     ///
-    /// A step for each message of each request must not walk through everything that only time
-    /// moves, so each part is asked when it is due.
+    /// A step runs for each message of each request, so it must not scan all timers.
     fn tick_due_parts(&mut self) {
         if self.now >= self.gossip.next_wakeup() {
             self.enqueue(Pending::Gossip(gossip::Input::Tick));
@@ -309,7 +311,7 @@
         self.resend_proposals();
     }
 
-    /// Does what is due ten times a second.
+    /// Runs the regular work of the instance, ten times per second.
     fn tick(&mut self) {
         self.update_watch_leadership();
         self.enqueue(Pending::Watch(watch::Input::Tick));
@@ -328,7 +330,7 @@
         self.advance_stop();
     }
 
-    /// Hands on what the parts say until none says more.
+    /// Passes the outputs of all components on until none are left.
     fn process_pending(&mut self) {
         while let Some(pending) = self.pending.pop_front() {
             match pending {
--- a/crates/verbenaslip-node/src/notice.rs
+++ b/crates/verbenaslip-node/src/notice.rs
@@ -1,4 +1,4 @@
-//! What happened at an instance, for logs and metrics.
+//! Events of an instance, for logs and metrics.
 
 use std::time::Duration;
 
@@ -14,187 +14,187 @@
 use verbenaslip_state::order;
 use verbenaslip_table::{Revision, edit};
 
-/// Tells what happened.
+/// Describes an event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// This instance takes work, or no longer does because it has no table lease.
+    /// This instance became ready for callers, or stopped being ready.
     Ready(bool),
-    /// Another instance has joined, or come back from the dead.
+    /// Another instance has joined, or has returned after it was lost.
     Joined {
-        /// The instance.
+        /// Name of the instance.
         instance: Instance,
-        /// Its availability zone.
+        /// Availability zone of the instance.
         zone: AvailabilityZone,
-        /// Its start.
+        /// Incarnation of the instance.
         incarnation: u64,
     },
-    /// Another instance answers again before it counted as lost.
+    /// A suspected instance answers again before it was considered lost.
     Recovered {
-        /// The instance.
+        /// Name of the instance.
         instance: Instance,
-        /// Its start.
+        /// Incarnation of the instance.
         incarnation: u64,
     },
     /// Another instance does not answer.
     Suspected(Instance),
-    /// Another instance is lost.
+    /// Another instance is considered lost.
     Lost {
-        /// The instance.
+        /// Name of the instance.
         instance: Instance,
-        /// Its availability zone, where it is still known.
+        /// Availability zone of the instance, if still known.
         zone: Option<AvailabilityZone>,
     },
-    /// Another instance has left as it meant to.
+    /// Another instance has left after a planned stop.
     Left(Instance),
-    /// A whole availability zone's instances are in doubt or lost.
+    /// All instances of an availability zone are suspected or lost.
     ZoneLost(AvailabilityZone),
-    /// This instance doubts its own links, or no longer does.
+    /// This instance started or stopped suspecting its own network links.
     Isolated {
-        /// Whether it does.
+        /// Whether this instance considers itself isolated.
         isolated: bool,
-        /// How many instances it hears, itself with them.
+        /// Number of instances that answer, including this one.
         heard: usize,
-        /// How many it knows that did not leave, itself with them.
+        /// Number of known instances that have not left, including this one.
         known: usize,
     },
     /// Another process runs under this instance's name.
     Replaced {
-        /// That process's start.
+        /// Incarnation of the other process.
         incarnation: u64,
     },
-    /// An upstream is new, or confirmed again after it had lapsed.
+    /// An upstream is new, or was confirmed again after its lease had lapsed.
     Appeared(Box<Announcement>),
-    /// An upstream says something else of itself than before.
+    /// An upstream has changed its announcement.
     Changed(Box<Announcement>),
-    /// An upstream leaves.
+    /// An upstream has announced its departure.
     Leaving {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: Upstream,
-        /// Until it is taken away; none when it leaves on its own.
+        /// Time until the upstream is reclaimed; none if it leaves on its own.
         notice: Option<Duration>,
     },
     /// An upstream did not renew its lease.
     Lapsed {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: Upstream,
-        /// How long ago it measured its last load.
+        /// Age of its last load measurement.
         age: Duration,
     },
-    /// An availability zone's upstreams are in doubt.
+    /// Upstreams of an availability zone are in doubt.
     ZoneDoubted {
-        /// The availability zone.
+        /// Availability zone of the upstreams.
         zone: AvailabilityZone,
-        /// How many of its upstreams are in doubt.
+        /// Number of upstreams of the zone that are in doubt.
         lost: usize,
-        /// How many of its upstreams are known.
+        /// Number of known upstreams of the zone.
         known: usize,
     },
-    /// No upstream of an availability zone is in doubt any more.
+    /// The upstreams of an availability zone are no longer in doubt.
     ZoneTrusted {
-        /// The availability zone.
+        /// Availability zone of the upstreams.
         zone: AvailabilityZone,
-        /// How many of its upstreams are known.
+        /// Number of known upstreams of the zone.
         known: usize,
     },
-    /// The replicated log has another leader or term.
+    /// The replicated log has a new leader or term.
     Leader {
-        /// The term.
+        /// New term.
         term: u64,
-        /// The leader, where known.
+        /// Leader, if known.
         leader: Option<Instance>,
     },
-    /// A table came into use here.
+    /// A new table is in use on this instance.
     TableInUse(Revision),
-    /// An operator's edit was answered.
+    /// An edit of an operator was answered.
     Edit {
-        /// What was asked.
+        /// Edit that was answered.
         edit: SubmittedEdit,
-        /// The revision that it is, now or from an earlier sending; none when it was refused.
+        /// Revision of the accepted or repeated edit; none if the edit was rejected.
         revision: Option<Revision>,
-        /// What was answered.
+        /// Text of the answer.
         answer: String,
     },
-    /// An edit made here is in force everywhere.
+    /// An edit that was made on this instance is in force everywhere.
     EditInForce {
-        /// The revision.
+        /// Revision of the edit.
         revision: Revision,
-        /// How long that took from its arrival here.
+        /// Time since the edit arrived on this instance.
         took: Duration,
     },
-    /// An edit made here is not in force everywhere in the time that it should take.
+    /// An edit that was made on this instance is not in force everywhere within the expected time.
     EditDelayed {
-        /// The revision.
+        /// Revision of the edit.
         revision: Revision,
-        /// Who may still serve by an older table.
+        /// Instances that may still use an older table.
         awaited: Vec<Instance>,
     },
-    /// An operator's drain of an instance is committed.
+    /// An operator's drain of an instance was committed.
     DrainOrdered {
-        /// Who asked.
+        /// Operator that requested the drain.
         operator: Operator,
-        /// The instance.
+        /// Instance to drain.
         instance: Instance,
     },
-    /// An operator asked for another voter set.
+    /// An operator requested a change of the voter set.
     VotersOrdered {
-        /// Who asked.
+        /// Operator that requested the change.
         operator: Operator,
-        /// What is changed.
+        /// Change of the voter set.
         change: VoterChange,
     },
-    /// A request goes to its first upstream.
+    /// A request is sent to its first upstream.
     RequestStarted {
-        /// The request.
+        /// Head of the request.
         head: Box<Head>,
-        /// How long it was here before.
+        /// Time that the request spent on this instance before.
         waited: Duration,
     },
-    /// A failed run was followed by another, or was not.
+    /// A retry of a failed run was granted or denied.
     RetryDecided {
-        /// The request.
+        /// Head of the request.
         head: Box<Head>,
-        /// What was decided.
+        /// Decision about the retry.
         decision: Decision,
     },
-    /// The quorum answered a claim, or did not.
+    /// The quorum has answered a claim, or the claim's time limit has passed.
     ClaimDecided {
-        /// The request.
+        /// Request that was claimed.
         request: Request,
-        /// Its team, where it is still known.
+        /// Team of the request, if still known.
         team: Option<Team>,
-        /// The answer.
+        /// Answer to the claim.
         ruling: Ruling,
     },
-    /// A request that another instance owned goes on here.
+    /// This instance has taken over a request from its former owner.
     TakenOver(Request),
-    /// A request has ended here.
+    /// A request has ended on this instance.
     RequestEnded {
-        /// The request.
+        /// Head of the request.
         head: Box<Head>,
-        /// How.
+        /// Outcome of the request.
         outcome: Outcome,
     },
-    /// Something became of an order to an upstream.
+    /// The order dispatcher reports about an order to an upstream.
     OrderReport(order::dispatcher::Report),
-    /// The capacity plan ordered something.
+    /// The capacity plan has issued an order.
     CapacityOrder(plan::Order),
-    /// A voter's instance runs another folder and is replaced in the voter set.
+    /// A voter's instance runs with another data directory and is replaced in the voter set.
     ReplacingVoter(Instance),
-    /// The replicated state could not be read; this voter does not take part.
+    /// The replicated state can't be read, so this voter does not take part.
     Unreadable(String),
 }
 
-/// Describes an operator's edit on its way.
+/// Describes an operator's edit that was proposed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SubmittedEdit {
-    /// Its identity.
+    /// Identifier of the edit.
     pub id: edit::Id,
-    /// Who made it.
+    /// Operator that made the edit.
     pub operator: Operator,
-    /// The revision that it was made from.
+    /// Revision on which the edit is based.
     pub base: Revision,
-    /// How many rows it changes.
+    /// Number of rows that the edit changes.
     pub changed_rows: usize,
-    /// When it arrived here.
+    /// Time at which the edit arrived on this instance.
     pub arrived_at: Duration,
 }
--- a/crates/verbenaslip-node/src/operator.rs
+++ b/crates/verbenaslip-node/src/operator.rs
@@ -1,4 +1,4 @@
-//! What operators and probes ask an instance, and what they are told.
+//! Calls of operators and probes to an instance, and the replies.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,120 +13,120 @@
 use crate::message::TableRevision;
 use crate::status::Status;
 
-/// Names one open call at this instance.
+/// Identifies an open call on this instance.
 #[data(copy, ord, hash)]
 pub struct CallId(pub u64);
 
-/// Asks for something.
+/// Describes a call.
 #[derive(Clone, Debug)]
 pub enum OperatorCall {
-    /// The table.
+    /// Asks for the table.
     Table {
-        /// At which revision; the newest when there is none.
+        /// Revision of the table; none asks for the newest one.
         revision: Option<Revision>,
     },
-    /// An edit of the table.
+    /// Asks for an edit of the table.
     Apply(Apply),
-    /// The accepted edits.
+    /// Asks for the accepted edits.
     History,
-    /// The audit trail.
+    /// Asks for the audit trail.
     Audit {
-        /// The first entry's number.
+        /// Number of the first entry.
         since: u64,
     },
-    /// How this instance stands.
+    /// Asks for the status of this instance.
     Status,
-    /// Whether this instance takes new work.
+    /// Asks whether this instance is ready for callers.
     Ready,
-    /// That an instance drains and exits.
+    /// Asks an instance to drain and exit.
     Drain {
-        /// The instance.
+        /// Instance to drain.
         instance: Instance,
-        /// Who asks.
+        /// Operator that makes the call.
         operator: Operator,
     },
-    /// Another voter set.
+    /// Asks for a change of the voter set.
     Voters {
-        /// What is changed.
+        /// Change of the voter set.
         change: verbenaslip_state::command::VoterChange,
-        /// Who asks.
+        /// Operator that makes the call.
         operator: Operator,
     },
 }
 
-/// Asks for an edit.
+/// Describes an edit that an operator asks for.
 #[derive(Clone, Debug)]
 pub struct Apply {
-    /// The revision from which it was made.
+    /// Revision on which the edit is based.
     pub base: Revision,
-    /// Its identity, the same for a resend.
+    /// Identifier of the edit, which stays the same when the edit is sent again.
     pub id: edit::Id,
-    /// The whole table as CSV.
+    /// Whole table as CSV.
     pub csv: Arc<str>,
-    /// How long to wait until it is in force everywhere.
+    /// Longest time to wait until the edit is in force everywhere.
     pub wait: Duration,
-    /// Whether it is only checked.
+    /// Whether the edit is only checked and not applied.
     pub dry_run: bool,
-    /// Who asks.
+    /// Operator that makes the edit.
     pub operator: Operator,
 }
 
 /// Replies to a call.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// What became of an announcement.
+    /// Result of an announcement.
     Announced(Announced),
-    /// A table.
+    /// Table at the requested revision.
     Table(TableRevision),
-    /// That revision of the table is not kept here, or not there yet.
+    /// The requested revision of the table is not kept here, or does not exist yet.
     TableNotKept {
-        /// The oldest revision that is kept.
+        /// Oldest revision that is kept.
         oldest: Revision,
-        /// The newest.
+        /// Newest revision.
         newest: Revision,
     },
-    /// What became of an edit.
+    /// Result of an edit.
     Edited(EditResult),
-    /// The accepted edits.
+    /// Accepted edits.
     History(Vec<history::Entry>),
-    /// A part of the audit trail.
+    /// Part of the audit trail.
     Audit(audit::Page),
-    /// How this instance stands.
+    /// Status of this instance.
     Status(Box<Status>),
-    /// Why this instance takes no new work; empty when it does.
+    /// Reasons why this instance is not ready for callers; empty if it is ready.
     Ready(Vec<Arc<str>>),
-    /// The instance drains from now on.
+    /// The instance is draining.
     Draining,
-    /// The change of the voter set is committed.
+    /// The change of the voter set was committed.
     VotersChanged,
-    /// What was asked was surely not done.
+    /// The call was rejected and certainly not carried out.
     Refused(Arc<str>),
-    /// There is no quorum; it was surely not done.
+    /// There is no quorum, and the call was certainly not carried out.
     NoQuorum,
-    /// It may or may not have been done.
+    /// The call may or may not have been carried out.
     Unknown,
 }
 
-/// Says what became of an edit.
+/// Describes the result of an edit.
 #[derive(Clone, Debug)]
 pub enum EditResult {
-    /// It is a revision, from now or from an earlier sending.
+    /// The edit was accepted, now or when it was sent before.
     Accepted {
-        /// The revision.
+        /// Revision of the edit.
         revision: Revision,
-        /// Whether it is in force everywhere.
+        /// Whether the edit is in force everywhere.
         in_force: bool,
-        /// The instances that may still serve by an older table.
+        /// Instances that may still use an older table.
         awaited: Vec<Instance>,
     },
-    /// The table is so already.
+    /// The table already has this content.
     Unchanged(Revision),
-    /// It would be accepted, were it not only checked.
+    /// The edit would be accepted if it were not only checked.
     Valid(Revision),
-    /// Another edit came first.
+    /// Another edit was accepted first.
     Stale(history::Newest),
-    /// The table has faults.
+    /// The table is invalid.
     Invalid(Problems),
-    /// The identity was used for other changes before.
+    /// The identifier was already used for other changes.
     Reused,
 }
--- a/crates/verbenaslip-node/src/orders.rs
+++ b/crates/verbenaslip-node/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to upstreams, which the leader gives under fencing numbers.
+//! Sends the leader's orders to upstreams, guarded by fencing tokens.
 
 use verbenaslip_base::announce::Kind;
 use verbenaslip_base::name::{Model, Operator, Upstream};
@@ -12,14 +12,14 @@
 use crate::output::Output;
 use crate::proposal::Purpose;
 
-/// How long an order may be carried out, in milliseconds.
+/// Time within which an upstream may carry out an order.
 const ORDER_LIFETIME_MS: u64 = 5_000;
 
-/// Who the audit trail names for orders of the capacity plan.
+/// Name of the operator that the audit trail shows for orders of the capacity plan.
 const PLAN_OPERATOR: &str = "plan";
 
 impl Node {
-    /// Tells the orders' dispatcher whether, and until when, this instance leads.
+    /// Tells the order dispatcher whether this instance leads, and until when its lease lasts.
     pub(crate) fn update_order_leadership(&mut self) {
         let Some(voter) = &self.voter else { return };
         let until = voter.replica().lease_until(self.now).filter(|until| *until > self.now);
@@ -38,7 +38,7 @@
         self.step_orders(order::Input::Tick);
     }
 
-    /// Wants a model loaded at an upstream.
+    /// Orders an upstream to load a model.
     pub(crate) fn order_model_load(&mut self, upstream: Upstream, model: Model) {
         let order = Order {
             by: Operator::from(PLAN_OPERATOR),
@@ -50,7 +50,7 @@
         self.step_orders(order::Input::Want(order));
     }
 
-    /// Tells the orders' dispatcher of an upstream that has announced itself.
+    /// Tells the order dispatcher about an upstream that has announced itself.
     pub(crate) fn update_orderable_upstream(&mut self, upstream: &Upstream) {
         let Some(record) = self.gossip.record(upstream) else { return };
         let announcement = record.announcement();
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Takes what became of an order's proposal.
+    /// Handles the result of the proposal that assigns an order its fence number.
     pub(crate) fn handle_order_number(&mut self, order: Order, answer: &ProposalAnswer) {
         let input = match committed_outcome(answer) {
             Some(Outcome::Order(Verdict::Numbered(fence))) => {
--- a/crates/verbenaslip-node/src/output.rs
+++ b/crates/verbenaslip-node/src/output.rs
@@ -1,4 +1,4 @@
-//! What an instance wants done.
+//! Actions that an instance requests from its driver.
 
 use std::net::SocketAddr;
 
@@ -16,101 +16,102 @@
 use crate::notice::Notice;
 use crate::operator;
 
-/// Wants one thing done; outputs are taken in order.
+/// Describes one action; the driver carries the actions out in order.
 #[derive(Clone, Debug)]
 pub enum Output {
     /// Sends a message over the connection to another instance.
     Send {
-        /// The instance.
+        /// Receiver of the message.
         to: Instance,
-        /// Where it is reached.
+        /// Address of the receiver.
         address: SocketAddr,
-        /// The message.
+        /// Content of the message.
         message: Message,
     },
     /// Sends a datagram.
     Datagram {
-        /// Where to.
+        /// Address of the receiver.
         to: SocketAddr,
-        /// What it says.
+        /// Content of the datagram.
         frame: Box<Frame>,
     },
-    /// Writes and syncs; then the mark is given back as `Input::WriteDurable`.
+    /// Writes to storage and syncs, then reports the sequence number by `Input::WriteDurable`.
     Store {
-        /// Rises by one with each write.
+        /// Sequence number, which rises by one with each write.
         sequence: u64,
-        /// What to write.
+        /// Content of the write.
         write: Write,
     },
-    /// Tells a caller what it gets; a later one for the same ticket replaces an earlier.
+    /// Tells a caller the result of its request; a later verdict for a ticket replaces an earlier
+    /// one.
     Verdict {
-        /// The caller.
+        /// Ticket of the caller.
         ticket: Ticket,
-        /// What it gets.
+        /// Result for the caller.
         verdict: Verdict,
     },
     /// Tells a subscriber that this instance does not own the request.
     NotOwner(Ticket),
-    /// Runs a request at an upstream.
+    /// Runs a request on an upstream.
     Run(Run),
-    /// Stops a run at its upstream and drops its late tokens.
+    /// Stops a run on its upstream and drops tokens that arrive later.
     Cancel(ActiveRun),
-    /// Copies the answer, and all that is added to it, to the second holder; none stops it.
+    /// Copies the answer and everything appended to it to the second holder; none ends the copying.
     Mirror {
-        /// The request.
+        /// Request whose answer is copied.
         request: Request,
-        /// The epoch under which it is copied.
+        /// Epoch of the owner that copies the answer.
         epoch: u16,
-        /// The second holder; its address is among those told.
+        /// Second holder, whose address is in the last `Output::Addresses`.
         to: Option<Instance>,
     },
-    /// Makes the answer held here this instance's own, in an epoch.
+    /// Makes this instance the owner of an answer that it holds a copy of.
     TakeOwnership {
-        /// The request.
+        /// Request whose answer is taken over.
         request: Request,
-        /// The epoch.
+        /// Epoch of the ownership.
         epoch: u16,
     },
-    /// Frees the answer held here, unless it is of a later epoch by now.
+    /// Discards the answer held here, unless it belongs to a later epoch by now.
     Forget {
-        /// The request.
+        /// Request whose answer is discarded.
         request: Request,
-        /// The epoch.
+        /// Latest epoch that is discarded.
         epoch: u16,
     },
-    /// Gives an order to an upstream; answered by `Input::Ordered`.
+    /// Sends an order to an upstream, which is answered by `Input::OrderAnswered`.
     Order {
-        /// Where it is reached.
+        /// Address of the upstream.
         address: SocketAddr,
-        /// The order; void after its expiry.
+        /// Order, which is void after its expiry.
         delivery: OrderDelivery,
     },
-    /// Asks an upstream for its state; answered by `Input::Read`.
+    /// Asks an upstream for its state, which is answered by `Input::StateRead`.
     ReadState {
-        /// Where it is reached.
+        /// Address of the upstream.
         address: SocketAddr,
-        /// The upstream.
+        /// Upstream that is asked.
         upstream: Upstream,
-        /// Comes back in the answer.
+        /// Number that is repeated in the answer.
         question: u64,
     },
-    /// Asks the cloud what it offers and has given; answered by `Input::Surveyed`.
+    /// Asks the cloud for its offers and machines, which is answered by `Input::Surveyed`.
     Survey,
     /// Starts or stops a machine; a start is answered by `Input::Started`.
     Cloud(plan::Order),
     /// Replies to a call.
     Reply {
-        /// The call.
+        /// Identifier of the call.
         call: operator::CallId,
-        /// The reply.
+        /// Content of the reply.
         reply: operator::Reply,
     },
-    /// Says where the other instances are reached.
+    /// Lists the addresses of the other instances.
     Addresses(Vec<(Instance, SocketAddr)>),
-    /// Tells what happened, for logs and metrics.
+    /// Reports an event for logs and metrics.
     Notice(Notice),
-    /// Asks the driver to stop this instance gracefully, as an operator wants it.
+    /// Asks the driver to start a planned stop of this instance.
     Drain,
-    /// Tells that nothing is left here after `Stop`.
+    /// Reports that a planned stop has ended and nothing is left to do.
     Stopped,
 }
--- a/crates/verbenaslip-node/src/proposal.rs
+++ b/crates/verbenaslip-node/src/proposal.rs
@@ -1,9 +1,9 @@
-//! Commands on their way to the leader and back, from any instance.
+//! Proposals of any instance on their way to the leader.
 //!
-//! A command is sent again until it is answered or its patience ends. That is safe because every
-//! command is idempotent: an edit by its identity, a claim by its claimant, the rest by what they
-//! say. A command that was ever sent without an answer may be committed later, so it is then given
-//! up as unknown and never as not done.
+//! A command is sent again until it is answered or its time limit has passed. This is safe because
+//! every command is idempotent: an edit by its identifier, a claim by its claimant, the others by
+//! their content. A command that was sent and not answered may still be committed later, so its
+//! result is reported as unknown and never as not done.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,75 +19,75 @@
 use crate::notice::SubmittedEdit;
 use crate::operator;
 
-/// Between two sendings of an unanswered proposal.
+/// Interval at which an unanswered proposal is sent again.
 pub(crate) const RESEND_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Before a proposal goes to the next voter after one that does not lead.
+/// Delay before a proposal that was not accepted is sent to the next voter.
 pub(crate) const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Says what is proposed.
+/// Holds the content of a proposal.
 #[derive(Clone, Debug)]
 pub(crate) enum Content {
-    /// A command of the replicated state.
+    /// Command for the replicated state.
     Command(Box<Command>),
-    /// Another voter set.
+    /// Change of the voter set.
     Change(Change),
 }
 
-/// Says who waits for the answer.
+/// Names the component or call that waits for the answer.
 #[derive(Clone, Debug)]
 pub(crate) enum Purpose {
-    /// An operator's edit.
+    /// Edit of an operator.
     Edit { call: operator::CallId, edit: Box<SubmittedEdit>, wait: Duration },
-    /// The claim of a non-idempotent request, as it was proposed.
+    /// Claim of a non-idempotent request, as proposed.
     Claim { request: Request, claimant: u128, claim: Box<claim::Claim> },
-    /// An operator's drain of an instance.
+    /// Drain of an instance, requested by an operator.
     Drain { call: operator::CallId, instance: Instance, operator: Operator },
-    /// An operator's change of the voter set.
+    /// Change of the voter set, requested by an operator.
     Voters { call: operator::CallId },
-    /// An order that waits for its number.
+    /// Order that waits for its fence number.
     OrderNumber { order: Box<Order> },
-    /// The end of an order.
+    /// End of an order.
     OrderEnd { upstream: Upstream, fence: Fence },
-    /// Another instance's proposal.
+    /// Proposal of another instance.
     Forwarded { from: Instance, token: u64 },
-    /// Nobody; it matters only that it is done.
+    /// Proposal whose answer nobody needs.
     Unattended,
 }
 
-/// Holds one proposal on its way.
+/// Holds a proposal that has not been answered.
 #[derive(Clone, Debug)]
 pub(crate) struct Proposal {
     pub(crate) content: Content,
     pub(crate) purpose: Purpose,
-    /// When it is given up.
+    /// Time at which the proposal is given up.
     pub(crate) deadline: Duration,
-    /// When it is sent again.
+    /// Time at which the proposal is sent again.
     pub(crate) resend_at: Duration,
-    /// Whether it was sent and not answered yet.
+    /// Whether the proposal was sent and has not been answered yet.
     pub(crate) sent: bool,
-    /// Whether a voter may have taken it without answering.
+    /// Whether a voter may have accepted the proposal without answering.
     pub(crate) maybe_accepted: bool,
-    /// How many voters were tried.
+    /// Number of attempts to reach a voter.
     pub(crate) tries: u32,
 }
 
-/// Bits of a token that count within a millisecond of an instance's life.
+/// Number of low bits of a token that count within one millisecond of the incarnation.
 const COUNT_BITS: u32 = 20;
 
-/// Draws the tokens by which answers of other instances find what was asked.
+/// Generates the tokens that match the answers of other instances to proposals and queries.
 ///
-/// An answer may arrive after the asker was restarted, or after it has given the question up. If it
-/// found another question under its token, an operator would be told that an edit is accepted which
-/// no table has, or a request would run on the claim of another. So no token is used twice: not in
-/// one life, and not in the next, which begins with a greater incarnation.
+/// An answer may arrive after the sender has restarted or has given up waiting. If the token had
+/// been reused, an operator could be told that an edit is accepted although it is in no table, or a
+/// request could run under the claim of another one. Therefore no token is used twice, neither in
+/// one incarnation nor in the next one, which has a greater number.
 #[derive(Debug)]
 pub(crate) struct Tokens {
     last: u64,
 }
 
 impl Tokens {
-    /// Begins after all tokens of earlier lives; an incarnation is in Unix milliseconds.
+    /// Starts after all tokens of earlier incarnations; the incarnation is in Unix milliseconds.
     pub(crate) fn new(incarnation: u64) -> Self {
         Self { last: incarnation.wrapping_shl(COUNT_BITS) }
     }
@@ -99,55 +99,55 @@
     }
 }
 
-/// Holds the proposals on their way.
+/// Holds the unanswered proposals by token.
 #[derive(Debug, Default)]
 pub(crate) struct Proposals {
     by_token: BTreeMap<u64, Proposal>,
 }
 
 impl Proposals {
-    /// Takes a proposal under its token.
+    /// Adds a proposal under its token.
     pub(crate) fn insert(&mut self, token: u64, proposal: Proposal) {
         self.by_token.insert(token, proposal);
     }
 
-    /// Finds a proposal.
+    /// Returns the proposal with a token.
     pub(crate) fn get_mut(&mut self, token: u64) -> Option<&mut Proposal> {
         self.by_token.get_mut(&token)
     }
 
-    /// Ends a proposal.
+    /// Removes the proposal with a token.
     pub(crate) fn remove(&mut self, token: u64) -> Option<Proposal> {
         self.by_token.remove(&token)
     }
 
-    /// Returns the proposals that are due to be sent again or given up.
+    /// Returns the tokens of the proposals that must be sent again or given up.
     pub(crate) fn due_tokens(&self, now: Duration) -> Vec<u64> {
         let due = |proposal: &Proposal| proposal.resend_at.min(proposal.deadline) <= now;
         self.by_token.iter().filter(|(_, it)| due(it)).map(|(token, _)| *token).collect()
     }
 
-    /// Returns when the next one is due.
+    /// Returns the earliest time at which a proposal must be sent again or given up.
     pub(crate) fn next_wakeup(&self) -> Option<Duration> {
         self.by_token.values().map(|proposal| proposal.resend_at.min(proposal.deadline)).min()
     }
 
-    /// Returns how many wait.
+    /// Returns the number of unanswered proposals.
     pub(crate) fn len(&self) -> usize {
         self.by_token.len()
     }
 }
 
-/// Waits until an accepted edit is in force everywhere.
+/// Holds a call that waits until an accepted edit is in force everywhere.
 #[derive(Clone, Debug)]
 pub(crate) struct EditWait {
     pub(crate) call: operator::CallId,
     pub(crate) revision: Revision,
-    /// When the edit arrived.
+    /// Time at which the edit arrived.
     pub(crate) arrived_at: Duration,
-    /// When the operator is told at the latest.
+    /// Latest time of the reply to the operator.
     pub(crate) deadline: Duration,
-    /// Whether the operator was told.
+    /// Whether the reply was sent.
     pub(crate) replied: bool,
     pub(crate) next_poll: Duration,
     pub(crate) awaited: Vec<Instance>,
--- a/crates/verbenaslip-node/src/query.rs
+++ b/crates/verbenaslip-node/src/query.rs
@@ -1,6 +1,6 @@
-//! What instances ask voters, because only voters hold it.
+//! Queries of any instance for data that only voters have.
 //!
-//! Only the leader under its lease answers, so an answer is never older than the question.
+//! Only a leader that holds its lease answers, so an answer is never older than the query.
 
 use std::time::Duration;
 
@@ -11,16 +11,16 @@
 use crate::node::Node;
 use crate::operator::{CallId, Reply};
 
-/// Before a query goes to the next instance after one that could not answer.
+/// Delay before a query that was not answered is sent to the next instance.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Between two sendings of an unanswered query.
+/// Interval at which an unanswered query is sent again.
 pub(crate) const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The newest edits that one answer lists.
+/// Largest number of edits in one answer; the newest are listed.
 const MAX_HISTORY_ENTRIES: usize = 512;
 
-/// Holds a query that other instances answer.
+/// Holds a query that waits for the answer of another instance.
 pub(crate) struct OpenQuery {
     query: Query,
     waiter: Waiter,
@@ -30,19 +30,19 @@
     tries: u32,
 }
 
-/// Says who waits for a query's answer.
+/// Names what waits for the answer to a query.
 #[derive(Clone)]
 pub(crate) enum Waiter {
-    /// An operator's call.
+    /// Call of an operator.
     Operator(CallId),
-    /// An edit's call that waits until the edit is in force everywhere.
+    /// Call that waits until its edit is in force everywhere.
     Propagation(CallId),
-    /// A change of the voter set that needs the new voter's folder.
+    /// Change of the voter set that needs the identity of the new voter's data directory.
     VoterChange { call: CallId, old: Option<Instance>, operator: Operator },
 }
 
 impl Node {
-    /// Answers a query here, or asks the instance that can.
+    /// Answers a query locally, or sends it to an instance that can answer it.
     pub(crate) fn start_query(
         &mut self,
         query: Query,
@@ -61,14 +61,14 @@
         self.send_query(token);
     }
 
-    /// Answers another instance's query, if this one can.
+    /// Handles a query of another instance and answers it if this instance can.
     pub(crate) fn handle_query(&mut self, from: &Instance, token: u64, query: &Query) {
         let answer = self.answer_locally(query);
         let leader = self.leader.clone();
         self.send(from, Message::QueryResult { token, answer, leader });
     }
 
-    /// Takes the answer to a query.
+    /// Handles the answer of another instance to a query.
     pub(crate) fn handle_query_result(
         &mut self,
         token: u64,
@@ -87,7 +87,7 @@
         self.handle_query_answer(open.waiter, answer);
     }
 
-    /// Sends unanswered queries again, or gives them up.
+    /// Sends unanswered queries again, and gives up those whose time limit has passed.
     pub(crate) fn poll_queries(&mut self) {
         let now = self.now;
         let due = |open: &OpenQuery| open.resend_at.min(open.deadline) <= now;
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Answers a query from what is held here.
+    /// Returns the answer to a query from local data, or none if this instance can't answer it.
     pub(crate) fn answer_locally(&self, query: &Query) -> Option<QueryAnswer> {
         if let Query::OwnVoter = query {
             return Some(QueryAnswer::OwnVoter(self.voter.as_ref().map(|it| it.replica().voter())));
@@ -169,7 +169,7 @@
                     wait.awaited = awaited;
                 }
             }
-            // Another answer than was asked for comes only from a faulty peer.
+            // Only a faulty peer sends an answer of another kind than the query asked for.
             _ => {}
         }
     }
--- a/crates/verbenaslip-node/src/serve.rs
+++ b/crates/verbenaslip-node/src/serve.rs
@@ -1,4 +1,4 @@
-//! One request's way through admission, claim, routing and retries.
+//! Handles a request from admission and claim to routing and retries.
 
 use std::time::Duration;
 
@@ -28,39 +28,39 @@
 use crate::proposal::Purpose;
 use crate::setup::Setup;
 
-/// How long a whole answer may take when neither caller nor row says so.
+/// Time limit for a whole answer if neither the caller nor the table row sets one.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Before a request that found no upstream to move to asks again.
+/// Delay before a request that found no upstream to move to asks for one again.
 const PLACEMENT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// How long the outcome of a claimed request is tried to be kept.
+/// Time limit for proposing the outcome or the release of a claim.
 const CLAIM_UPDATE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// When a caller should come back to an instance that has no table lease.
+/// Retry time that a caller is told by an instance without a table lease.
 const NO_LEASE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Holds what this instance knows of a request beside its life.
+/// Holds what the routing side of this instance knows about a request.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestRecord {
     pub(crate) head: Head,
     pub(crate) arrived: Duration,
-    /// When its first run began.
+    /// Time at which the first run started.
     pub(crate) started: Option<Duration>,
     digest: u128,
-    /// Whether it waits for an upstream that the queue shall give it.
+    /// Whether the request waits for a placement from the queue.
     awaits_placement: bool,
-    /// What the queue gave it before it asked.
+    /// Placement that the queue returned before the request asked for it.
     early_placement: Option<Placement>,
-    /// Why the queue gave it up before it asked.
+    /// Refusal that the queue returned before the request asked for a placement.
     early_refusal: Option<Refusal>,
-    /// What became of its last run.
+    /// Failure kind of the last run.
     last_failure: FailureKind,
-    /// The claim that was granted.
+    /// Claim that was granted.
     claim: Option<Claim>,
 }
 
-/// Sets the requests up.
+/// Returns the setup of the request component.
 pub(crate) fn requests_setup(setup: &Setup) -> requests::Setup {
     let (instance, zone) = (setup.instance.clone(), setup.zone.clone());
     requests::Setup {
@@ -72,7 +72,7 @@
 }
 
 impl Node {
-    /// Takes what the traffic threads tell.
+    /// Handles an input from the traffic threads.
     pub(crate) fn handle_traffic(&mut self, input: Input) {
         let input = match input {
             Input::Arrived { arrival, timeout } => return self.handle_arrival(arrival, timeout),
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Starts what can start now and gives up what waits in vain.
+    /// Dispatches queued requests that can start, and refuses those that waited too long.
     pub(crate) fn dispatch_requests(&mut self) {
         for given in self.dispatcher.expire(self.now, &mut self.rng) {
             self.handle_queue_refusal(given.head.request, given.refusal);
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Takes the quorum's answer to a claim.
+    /// Handles the quorum's answer to a claim.
     pub(crate) fn handle_claim_answer(
         &mut self,
         request: Request,
@@ -125,7 +125,7 @@
     ) {
         let ruling = match (committed_outcome(answer), answer) {
             (Some(Committed::Claim(Verdict::Stale { last })), _) => {
-                // An earlier claim of the key came to nothing; the next number may run.
+                // An earlier claim of the key ended without a run, so the next number may run.
                 let number = last.number.saturating_add(1);
                 let attempt = Attempt { request, number };
                 return self.propose_claim(request, claimant, Claim { attempt, ..claim });
@@ -136,8 +136,8 @@
         };
         match (&ruling, self.records.get_mut(&request)) {
             (Ruling::Granted, Some(record)) => record.claim = Some(claim),
-            // Nobody will run it: left as it is, the claim would answer "unknown" to every resend
-            // until the retention ends, for a request that never ran.
+            // The claim must be released, since nobody will run it. Otherwise every resend would be
+            // answered "unknown" until the retention ends, for a request that never ran.
             (Ruling::Granted | Ruling::Unknown, _) => self.release_claim(claim),
             _ => {}
         }
@@ -205,7 +205,7 @@
                 self.out.push(Output::Mirror { request, epoch, to });
             }
             RequestOutput::Own { request, epoch } => {
-                // Own requests are known from their admission on.
+                // Requests of this instance are recorded from their admission on.
                 if !self.records.contains_key(&request) {
                     self.notify(Notice::TakenOver(request));
                 }
@@ -229,7 +229,7 @@
                 Admission::Refused(refusal) => Some(refusal),
             }
         } else {
-            // Without the lease an edit may be in force elsewhere that this instance can't see.
+            // Without a lease, an edit may be in force elsewhere that this instance can't see.
             Some(Refusal { reason: Reason::NoLease, retry: Some(NO_LEASE_RETRY_AFTER) })
         };
         let input = match refusal {
@@ -267,7 +267,7 @@
         self.propose(command, purpose, self.setup.timing.request.claim);
     }
 
-    /// Gives a claim back, or bars it if it is still on its way into the log.
+    /// Releases a claim, or blocks it if it has not reached the log yet.
     fn release_claim(&mut self, claim: Claim) {
         let release = Release { claim, at: self.unix_ms() };
         self.propose(Command::Release(release), Purpose::Unattended, CLAIM_UPDATE_TIMEOUT);
@@ -315,7 +315,7 @@
         }
     }
 
-    /// Chooses where a running request goes on while it still runs where it was.
+    /// Chooses another upstream for a request while it still runs on its present one.
     fn place_move(&mut self, request: Request) {
         let choice = self.dispatcher.choose_alternative(self.now, request, &mut self.rng);
         let place = choice.as_ref().and_then(|choice| self.placement(choice, 0));
@@ -384,7 +384,7 @@
         let decision =
             self.dispatcher.handle_failure(self.now, request, upstream, failure, &mut self.rng);
         self.notify(Notice::RetryDecided { head: Box::new(head.clone()), decision });
-        // The queue itself holds the run back for the delay; the request may ask for it at once.
+        // The queue applies the retry delay itself, so the request may ask for a placement at once.
         let granted = matches!(decision, retry::Decision::RetryAfter(_)).then_some(Duration::ZERO);
         self.enqueue(Pending::Request(request::Input::Retry { request, granted }));
     }
@@ -406,7 +406,7 @@
     }
 }
 
-/// Says what a failure means for another run.
+/// Returns the failure kind on which the retry decision is based.
 fn failure_kind(failure: &Failure) -> FailureKind {
     match failure.cause {
         Cause::Refused => FailureKind::Refused,
@@ -420,7 +420,7 @@
     match verdict {
         Verdict::Granted => Ruling::Granted,
         Verdict::Held { instance, .. } => Ruling::Held { owner: Some(instance.clone()) },
-        // A stale claim is asked for again under the next number before it comes here.
+        // A stale claim is proposed again under the next number before this point.
         Verdict::Settled { .. } | Verdict::Conflict | Verdict::Stale { .. } => Ruling::Settled,
         Verdict::Expired | Verdict::Ahead => Ruling::Expired,
         Verdict::Full => Ruling::NoQuorum,
--- a/crates/verbenaslip-node/src/setup.rs
+++ b/crates/verbenaslip-node/src/setup.rs
@@ -1,4 +1,4 @@
-//! What one instance is set up with.
+//! The setup of one instance.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,58 +9,58 @@
 use verbenaslip_request::setup::{Journal, Limit, Timing as RequestTiming};
 use verbenaslip_table::Table;
 
-/// Sets an instance up.
+/// Holds the setup of an instance.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// This instance.
+    /// Name of this instance.
     pub instance: Instance,
-    /// Where it runs.
+    /// Availability zone in which the instance runs.
     pub zone: AvailabilityZone,
-    /// The region of that availability zone.
+    /// Region of the availability zone.
     pub region: Region,
-    /// Where other instances reach it.
+    /// Address at which other instances reach this one.
     pub address: SocketAddr,
-    /// Rises at each start of the instance; Unix milliseconds will do.
+    /// Number that rises with each start of the instance, such as the time in Unix milliseconds.
     pub incarnation: u64,
-    /// Seeds every random choice; differs between instances and starts.
+    /// Seed of all random choices, which must differ between instances and between starts.
     pub seed: u64,
-    /// Addresses of some instances to join through.
+    /// Addresses of some instances through which this one joins.
     pub seeds: Vec<SocketAddr>,
-    /// The instances that form the replicated log at its very first start, with their addresses.
+    /// Instances that form the replicated log at its very first start, with their addresses.
     pub voters: Vec<InitialVoter>,
-    /// What the data folder holds; none when this instance has no folder and so never votes.
+    /// Content of the data directory; none if the instance has none and thus never votes.
     pub recovered: Option<Recovered>,
-    /// The table with which an empty log begins.
+    /// Initial table of an empty log.
     pub table: Option<Arc<Table>>,
-    /// Whether there is a cloud to plan capacity with.
+    /// Whether a cloud is configured for which capacity is planned.
     pub has_cloud: bool,
-    /// Where a request must be journalled before it counts as accepted.
+    /// Where a request must be journaled before it counts as accepted.
     pub journal: Journal,
-    /// How much is held for requests.
+    /// Limits on what is kept for requests.
     pub limits: Limit,
-    /// The times.
+    /// Intervals and timeouts.
     pub timing: Timing,
 }
 
-/// Names a first voter and where it is reached before membership knows it.
+/// Describes an initial voter, whose address is needed before the membership knows it.
 #[derive(Clone, Debug)]
 pub struct InitialVoter {
-    /// The instance.
+    /// Name of the instance.
     pub instance: Instance,
-    /// Where other instances reach it.
+    /// Address at which other instances reach it.
     pub address: SocketAddr,
 }
 
-/// Holds the times.
+/// Holds intervals and timeouts.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Between two rounds of heartbeats of the replicated log's leader.
+    /// Interval between two rounds of heartbeats of the replicated log's leader.
     pub heartbeat_interval: Duration,
-    /// The shortest election timeout of the replicated log.
+    /// Shortest election timeout of the replicated log.
     pub election_timeout: Duration,
-    /// How long an upstream counts without a renewal.
+    /// Time for which an upstream is usable without a renewal.
     pub upstream_lease: Duration,
-    /// The times of requests.
+    /// Intervals and timeouts of requests.
     pub request: RequestTiming,
 }
 
--- a/crates/verbenaslip-node/src/status.rs
+++ b/crates/verbenaslip-node/src/status.rs
@@ -1,4 +1,4 @@
-//! How an instance stands, for operators.
+//! The status of an instance, as shown to operators.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,155 +14,155 @@
 
 use crate::node::Node;
 
-/// Shows how an instance stands.
+/// Describes the status of an instance.
 #[data(float)]
 pub struct Status {
-    /// This instance.
+    /// Name of this instance.
     pub instance: Instance,
-    /// The version of its program.
+    /// Version of the program.
     pub version: Arc<str>,
-    /// Its availability zone.
+    /// Availability zone of this instance.
     pub zone: AvailabilityZone,
-    /// Why it takes no new work; empty when it does.
+    /// Reasons why the platform should not send callers here; empty if it should.
     pub not_ready: Vec<Arc<str>>,
-    /// The revision of the table in use.
+    /// Revision of the table in use.
     pub revision: Revision,
-    /// How many rows the table has.
+    /// Number of rows of the table.
     pub rows: usize,
-    /// How much longer the table lease lasts.
+    /// Remaining time of the table lease.
     #[serde(with = "crate::millis")]
     pub lease: Option<Duration>,
-    /// Whom this instance follows for the table.
+    /// Instance from which this one gets the table.
     pub follows: Option<Instance>,
-    /// How the replicated log stands here; none without a data folder.
+    /// Status of the replicated log; none without a data directory.
     pub log: Option<Log>,
-    /// Who may still serve by an older table; known to the leader alone.
+    /// Instances that may still use an older table; known only to the leader.
     pub behind: Option<Vec<Instance>>,
-    /// Whether this instance doubts its own links.
+    /// Whether this instance suspects that its own network links have failed.
     pub isolated: bool,
-    /// The other instances.
+    /// Other instances.
     pub peers: Vec<Peer>,
-    /// The upstreams.
+    /// Known upstreams.
     pub upstreams: Vec<Upstream>,
-    /// The work held here.
+    /// Number of requests, copies, claims and proposals held here.
     pub work: Work,
-    /// The work held here by row of the table, in its order.
+    /// Requests held here per row of the table, in table order.
     pub load: Vec<Load>,
 }
 
-/// Shows how the replicated log stands at an instance.
+/// Describes the status of the replicated log on an instance.
 #[data]
 pub struct Log {
-    /// The identity of the data folder, in hexadecimal digits.
+    /// Identity of the data directory, in hexadecimal digits.
     pub identity: Arc<str>,
-    /// The group of voters, in hexadecimal digits; none before the first contact with it.
+    /// Group of the voters, in hexadecimal digits; none before the first contact with the group.
     pub group: Option<Arc<str>>,
-    /// The term.
+    /// Current term.
     pub term: u64,
-    /// The leader, where known.
+    /// Leader, if known.
     pub leader: Option<Instance>,
-    /// What this instance does.
+    /// Role of this instance in the log.
     pub duty: ReplicaRole,
-    /// The last entry.
+    /// Index of the last log entry.
     pub last: u64,
-    /// The last committed index that it knows.
+    /// Last index that this instance knows to be committed.
     pub commit: u64,
-    /// The last index that the snapshot covers.
+    /// Last index that the snapshot covers.
     pub snapshot: u64,
-    /// How much longer the leader's lease lasts, on the leader alone.
+    /// Remaining time of the leader's lease; present only on the leader.
     #[serde(with = "crate::millis")]
     pub lease: Option<Duration>,
     /// Whether the voter set is being changed.
     pub joint: bool,
-    /// The voters, and those that catch up; the progress is known to the leader alone.
+    /// Voters and instances that catch up to become voters; only the leader knows their progress.
     pub voters: Vec<Voter>,
 }
 
-/// Shows how one voter stands.
+/// Describes one voter.
 #[data]
 pub struct Voter {
-    /// The instance.
+    /// Name of the instance.
     pub instance: Instance,
-    /// The identity of its data folder, in hexadecimal digits.
+    /// Identity of its data directory, in hexadecimal digits.
     pub identity: Arc<str>,
     /// Whether its vote counts already.
     pub votes: bool,
-    /// How far its log is known to be equal to the leader's.
+    /// Index up to which its log is known to match the leader's.
     pub matched: Option<u64>,
-    /// How long ago it last answered.
+    /// Time since its last answer.
     #[serde(with = "crate::millis")]
     pub silent: Option<Duration>,
 }
 
-/// Shows the work held here of one row, and this instance's part of the row's limits.
+/// Describes the requests of one row held here and this instance's share of the row's limits.
 #[data(float)]
 pub struct Load {
-    /// The row's team.
+    /// Team of the row.
     pub team: Team,
-    /// The row's class; `*` is every class of the team without a row of its own.
+    /// Class of the row; `*` stands for every class of the team without its own row.
     pub class: Class,
-    /// Requests that wait for an upstream.
+    /// Number of requests that wait for an upstream.
     pub waiting: usize,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: usize,
-    /// How many may run at once here now; none without a part.
+    /// Number of requests that may run here at once now; none if this instance has no share.
     pub concurrency: Option<u32>,
-    /// How many may be let in here within a second; none without a limit or a part.
+    /// Requests that may be admitted here per second; none without a limit or a share.
     pub rate: Option<f64>,
 }
 
-/// Shows another instance.
+/// Describes another instance.
 #[data]
 pub struct Peer {
-    /// The instance.
+    /// Name of the instance.
     pub instance: Instance,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: AvailabilityZone,
-    /// What is believed of it.
+    /// Membership state that this instance assumes for the other one.
     pub state: State,
 }
 
-/// Shows an upstream.
+/// Describes an upstream.
 #[data]
 pub struct Upstream {
-    /// What it last said.
+    /// Last announcement of the upstream.
     pub announcement: Announcement,
-    /// How far it is confirmed.
+    /// Lease status of the upstream.
     pub standing: Standing,
 }
 
-/// Says how far an upstream is confirmed.
+/// Lease status of an upstream.
 #[data(copy)]
 pub enum Standing {
-    /// It was renewed within its lease.
+    /// The lease was renewed in time.
     Confirmed,
-    /// It was not, but this instance itself may be cut off.
+    /// The lease was not renewed, but this instance itself may be cut off.
     Doubtful,
-    /// It was not.
+    /// The lease was not renewed.
     Lapsed,
 }
 
-/// Counts the work held at an instance.
+/// Counts what an instance holds.
 #[data(copy, default)]
 pub struct Work {
     /// Requests that wait for an upstream.
     pub waiting: usize,
-    /// Requests that run.
+    /// Running requests.
     pub running: usize,
-    /// Requests owned and not finished.
+    /// Requests that this instance owns and has not finished.
     pub owned: usize,
-    /// Copies held for other owners and not finished.
+    /// Unfinished copies held for other owners.
     pub copies: usize,
-    /// Finished answers kept.
+    /// Finished answers that are kept.
     pub finished: usize,
-    /// Claims kept in the replicated state.
+    /// Claims in the local replicated state.
     pub claims: usize,
-    /// Proposals on their way.
+    /// Unanswered proposals.
     pub proposals: usize,
 }
 
 impl Node {
-    /// Shows how this instance stands.
+    /// Returns the status of this instance.
     pub fn status(&self) -> Status {
         let propagation = self.hub.propagation(self.now, self.hub.revision());
         Status {
@@ -184,27 +184,27 @@
         }
     }
 
-    /// Returns how much longer the table lease lasts; none when it has run out.
+    /// Returns the remaining time of the table lease, or none if it has expired.
     pub fn lease_left(&self) -> Option<Duration> {
         self.hub.lease().and_then(|until| until.checked_sub(self.now))
     }
 
-    /// Shows how the replicated log stands here; none without a data folder.
+    /// Returns the status of the replicated log, or none without a data directory.
     pub fn log(&self) -> Option<Log> {
         self.voter.as_ref().map(|voter| Log::of(voter.replica().status(self.now)))
     }
 
-    /// Returns what each other instance is believed to be.
+    /// Returns the other instances and their membership states.
     pub fn peers(&self) -> impl Iterator<Item = (&Instance, State)> {
         self.gossip.members().map(|member| (&member.peer().instance, member.state()))
     }
 
-    /// Returns what each upstream last said, with how far it is confirmed.
+    /// Returns the last announcement of each upstream and its lease status.
     pub fn upstreams(&self) -> impl Iterator<Item = (&Announcement, Standing)> {
         self.gossip.records().map(|record| (record.announcement(), record.lease_status().into()))
     }
 
-    /// Shows the work held here by row of the table, in its order.
+    /// Returns the requests held here per row of the table, in table order.
     pub fn load(&self) -> Vec<Load> {
         let table = self.hub.table();
         let mut counts: BTreeMap<row::Key, Count> = BTreeMap::new();
--- a/crates/verbenaslip-node/src/stop.rs
+++ b/crates/verbenaslip-node/src/stop.rs
@@ -1,8 +1,8 @@
 //! The planned stop of an instance.
 //!
-//! New work is refused at once, what runs ends or is handed over, a leader hands over the log, and
-//! only then does the instance leave the membership. So nothing in progress is cut off, and nobody
-//! waits for an election.
+//! New work is refused at once. Running requests end or are handed over, a leader transfers its
+//! leadership, and only then does the instance leave the membership. Therefore no request in
+//! progress is interrupted, and no instance has to wait for an election.
 
 use std::time::Duration;
 
@@ -13,20 +13,20 @@
 use crate::node::{Node, Pending};
 use crate::output::Output;
 
-/// Between two tries to hand over the log.
+/// Interval between two attempts to transfer the leadership.
 const TRANSFER_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long a leader tries to hand over the log after its requests are done.
+/// Time for which a leader tries to transfer its leadership after its requests have ended.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Holds how far a stop has got.
+/// Holds the progress of a planned stop.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StopProgress {
-    /// When the log is handed over next.
+    /// Time of the next attempt to transfer the leadership.
     next_transfer: Duration,
-    /// When the requests were done.
+    /// Time at which the last request ended.
     idle_since: Option<Duration>,
-    /// Whether the instance has left.
+    /// Whether the instance has left the membership.
     has_left: bool,
 }
 
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Goes on with a stop.
+    /// Advances a planned stop.
     pub(crate) fn advance_stop(&mut self) {
         let Some(mut stop) = self.stop else { return };
         let leads = self.can_transfer_leadership();
@@ -67,10 +67,10 @@
         self.stop = Some(stop);
     }
 
-    /// Says whether there is a log to hand over, and another voter to take it.
+    /// Returns whether this instance leads the log and another voter can take over.
     ///
-    /// A voter alone that waited for a successor would hold each planned stop up for the whole
-    /// patience, which shows as a restart of a small deployment that takes seconds without work.
+    /// A single voter that waited for a successor would delay each planned stop by the whole
+    /// timeout, so restarting a small deployment would take seconds even without any requests.
     fn can_transfer_leadership(&self) -> bool {
         self.voter.as_ref().is_some_and(|voter| {
             let replica = voter.replica();
--- a/crates/verbenaslip-node/src/voter.rs
+++ b/crates/verbenaslip-node/src/voter.rs
@@ -1,4 +1,4 @@
-//! The replicated log and the state that it leads to, on an instance with a data folder.
+//! The replicated log and its state on an instance with a data directory.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -19,30 +19,30 @@
 
 use crate::message::ProposalAnswer;
 
-/// Bounds the outcomes kept until their proposals are answered.
+/// Largest number of outcomes that are kept until their proposals are answered.
 const MAX_KEPT_OUTCOMES: usize = 4_096;
 
-/// Tells what a voter's step led to.
+/// Holds a result of a voter's step.
 pub(crate) enum Event {
     /// Sends a message to another voter.
     Send { to: Instance, message: message::Message },
-    /// Writes and syncs.
+    /// Writes to storage and syncs.
     Store { sequence: u64, write: Write },
-    /// An edit was committed.
+    /// Reports a committed edit.
     Committed { revision: Revision, command: Command, table: Arc<Table> },
-    /// The state was replaced as a whole.
+    /// Reports that the whole state was replaced by a snapshot.
     Restored { revision: Revision, table: Arc<Table> },
-    /// A proposal or change was answered.
+    /// Answers a proposal or a change of the voter set.
     Answered { token: u64, answer: ProposalAnswer },
-    /// The role, term or known leader has changed.
+    /// Reports a change of role, term or known leader.
     Role(RoleUpdate),
-    /// A voter's instance runs another folder.
+    /// Reports that a voter's instance runs with another data directory.
     IdentityChanged(voter::Voter),
-    /// The state could not be read.
+    /// Reports that the state can't be read.
     Unreadable(String),
 }
 
-/// Runs the log and applies it.
+/// Runs the replicated log and applies its entries to the state.
 pub(crate) struct Voter {
     replica: Replica,
     state: State,
@@ -55,7 +55,7 @@
 }
 
 impl Voter {
-    /// Starts from what the data folder held.
+    /// Starts from the recovered content of the data directory.
     pub(crate) fn open(
         setup: Setup,
         recovered: Recovered,
@@ -79,9 +79,10 @@
         voter
     }
 
-    /// Takes what happened.
+    /// Handles one input of the log.
     pub(crate) fn step(&mut self, now: Duration, input: input::Input, out: &mut Vec<Event>) {
-        // A state that can't be read must not vote on: it would acknowledge what it can't apply.
+        // A voter that can't read the state must not vote: it would acknowledge entries it can't
+        // apply.
         if self.is_unreadable {
             return;
         }
@@ -111,7 +112,7 @@
         self.step(now, input::Input::Propose { token, command: bytes.into() }, out);
     }
 
-    /// Proposes another voter set.
+    /// Proposes a change of the voter set.
     pub(crate) fn change_voters(
         &mut self,
         now: Duration,
@@ -122,17 +123,17 @@
         self.step(now, input::Input::ChangeVoters { token, change }, out);
     }
 
-    /// Returns when the next tick is due.
+    /// Returns the time of the next tick.
     pub(crate) fn next_wakeup(&self) -> Duration {
         self.replica.next_tick()
     }
 
-    /// Returns the log, for its status.
+    /// Returns the replica, for its status.
     pub(crate) fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// Returns the state.
+    /// Returns the replicated state.
     pub(crate) fn state(&self) -> &State {
         &self.state
     }
@@ -154,7 +155,7 @@
     fn apply(&mut self, position: Position, bytes: &[u8], out: &mut Vec<Event>) {
         self.applied = position.index;
         let Ok(command) = postcard::from_bytes::<Command>(bytes) else {
-            // Skipping it would let this voter's state differ from the others' without a sign.
+            // Skipping the entry would let this voter's state silently diverge from the others.
             self.is_unreadable = true;
             let what = format!("entry {} can't be read by this version", position.index);
             return out.push(Event::Unreadable(what));
