--- a/crates/verbenaslip-node/benches/size.rs
+++ b/crates/verbenaslip-node/benches/size.rs
@@ -1,7 +1,7 @@
-//! Processor time and memory of whole instances at several sizes, for docs/CAPACITY.md.
+//! Processor time and memory of instances at several deployment sizes, for docs/CAPACITY.md.
 //!
-//! Steps all instances of a deployment in one process. Run with
-//! `cargo bench -p verbenaslip-node --bench size`; it prints one line a size and gates nothing.
+//! Steps all instances of a deployment in one process. Run it with
+//! `cargo bench -p verbenaslip-node --bench size`; it prints one line per size and checks nothing.
 
 #[path = "../tests/world/mod.rs"]
 mod world;
@@ -43,7 +43,7 @@
     });
 }
 
-/// Measures what one piece of work costs all of nine instances together, above idling.
+/// Measures the cost of one operation for nine instances together, compared with idle instances.
 fn work(name: &str, rate: u64, each: impl Fn(&mut World, u64)) {
     let mut world = World::open(9, 3, 1);
     world.check_invariants = false;
@@ -81,7 +81,7 @@
     );
 }
 
-/// Sums up what all instances have sent.
+/// Holds the totals of what all instances have sent.
 #[derive(Clone, Copy, Default)]
 struct Cost {
     messages: f64,
@@ -152,7 +152,7 @@
     }
 }
 
-/// Returns this process's memory in KiB.
+/// Returns the memory of this process in KiB.
 fn resident() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
--- a/crates/verbenaslip-node/tests/count.rs
+++ b/crates/verbenaslip-node/tests/count.rs
@@ -1,5 +1,6 @@
-//! What instances send each other at several sizes: counts, which gate, and slopes for
-//! docs/CAPACITY.md (`cargo test -p verbenaslip-node --test count -- --nocapture`).
+//! Messages and bytes between instances at several deployment sizes: the counts are checked, the
+//! slopes are printed for docs/CAPACITY.md
+//! (`cargo test -p verbenaslip-node --test count -- --nocapture`).
 
 mod world;
 
@@ -9,17 +10,17 @@
 
 use crate::world::{MS, Sent, World, upstream};
 
-/// The bytes a second that an instance may spend on control.
+/// Bytes per second that an instance may send to other instances.
 const MAX_BYTES_PER_SECOND: f64 = 12_000.0;
 
-/// Holds what one instance sends in a second.
+/// Holds what one instance sends per second.
 #[derive(Clone, Copy, Debug, Default)]
 struct Rate {
     messages: f64,
     bytes: f64,
 }
 
-/// Returns the mean and the greatest rate of all instances over a time.
+/// Returns the mean rate of all instances and the rate of the busiest one over a time span.
 fn rates(world: &mut World, time: Duration, mut each: impl FnMut(&mut World, u64)) -> (Rate, Rate) {
     let before: Vec<Sent> = world.instances.iter().map(|instance| instance.sent).collect();
     for second in 0..time.as_secs() {
@@ -55,8 +56,8 @@
 
 #[test]
 fn instances_stay_within_their_bytes_when_idle() {
-    // Bounds in bytes a second of the mean and of the busiest instance, a little above what was
-    // measured, so that a change that makes instances talk more is seen.
+    // Bounds in bytes per second of the mean and of the busiest instance. They are tight, so that a
+    // change that makes instances send more is noticed.
     for (size, mean_bound, most_bound) in [
         (3, 3_000.0, 3_500.0),
         (9, 3_500.0, 4_500.0),
--- a/crates/verbenaslip-node/tests/fault.rs
+++ b/crates/verbenaslip-node/tests/fault.rs
@@ -1,6 +1,8 @@
-//! Whole instances through cuts, freezes, kills and races, with what must hold checked after every
-//! step: one lease of a leader, nothing served by a table older than one in force everywhere, one
-//! run of each non-idempotent request.
+//! Instances under network partitions, pauses, kills and races.
+//!
+//! After every step the tests check that at most one instance holds the leader's lease, that no
+//! instance serves by a table older than the one in force everywhere, and that each non-idempotent
+//! request runs at most once.
 
 mod world;
 
@@ -13,7 +15,7 @@
 
 use crate::world::{MS, World, upstream};
 
-/// The time in which an edit must be in force everywhere.
+/// Time within which an edit must be in force everywhere.
 const PROPAGATION_LIMIT: Duration = Duration::from_secs(6);
 
 fn ready_world(seed: u64) -> World {
@@ -30,7 +32,7 @@
     world
 }
 
-/// Renews all upstreams' leases through another instance each time.
+/// Renews the leases of all upstreams, each time through other instances.
 fn renew(world: &mut World, sequence: u64) {
     for number in 0..3 {
         let engine = upstream(&format!("engine-{number}"), Kind::Engine, sequence);
@@ -53,9 +55,9 @@
 
 #[test]
 fn an_isolated_instance_stops_before_an_edit_is_in_force() {
-    // Symptom: a caller is served by a limit that was lifted minutes ago. Sequence: an instance is
-    // cut off from all others, an edit is made, its callers still reach it. Cause: it goes on by
-    // the table it has.
+    // Failure: a caller is served under a limit that was lifted minutes ago. An instance is cut off
+    // from all others while an edit is made, its callers still reach it, and it keeps using its old
+    // table.
     for apart in 3..6 {
         let mut world = ready_world(apart as u64);
         world.isolate(&[apart]);
@@ -82,9 +84,9 @@
 
 #[test]
 fn a_leader_that_was_cut_off_or_frozen_changes_nothing_when_it_is_back() {
-    // Symptom: an accepted edit is gone. Sequence: the leader is cut off, or frozen longer than its
-    // lease; the others elect and edit; the old leader comes back and takes an edit. Cause: it
-    // believes that it still leads.
+    // Failure: an accepted edit is lost. The leader is cut off or paused for longer than its lease,
+    // and the others elect a new leader and accept an edit. The old leader then returns, believes
+    // that it still leads and accepts an edit as well.
     for paused in [false, true] {
         let mut world = ready_world(7);
         let old = world.leader().expect("a leader");
@@ -116,8 +118,8 @@
 
 #[test]
 fn of_two_operators_with_one_base_exactly_one_wins() {
-    // Symptom: one operator's edit silently undoes another's. Sequence: both start from revision 1
-    // and apply through different instances at once; both resend. Cause: the last write counts.
+    // Failure: one operator's edit silently undoes another's. Both start from revision 1 and apply
+    // their edits through different instances at once, one sends it again, and the last write wins.
     for seed in 0..10 {
         let mut world = ready_world(20 + seed);
         world.loss_rate = 0.1;
@@ -136,8 +138,8 @@
 
 #[test]
 fn a_restart_after_five_hundred_edits_catches_up_before_it_serves() {
-    // Symptom: a restarted instance serves by a table of hours ago. Sequence: one follower and one
-    // voter are down for 500 edits. Cause: they serve before they have the changes or a snapshot.
+    // Failure: a restarted instance serves by a table that is hours old. A follower and a voter are
+    // down for 500 edits and serve before they have received the changes or a snapshot.
     let mut world = ready_world(3);
     world.kill(2);
     world.kill(5);
@@ -164,9 +166,9 @@
 
 #[test]
 fn a_claimed_request_runs_once_whatever_is_lost() {
-    // Symptom: a workshop is billed twice. Sequence: a non-idempotent request is sent again through
-    // other instances at once and later, while messages are lost and its owner, the leader or the
-    // second holder dies at any moment. Cause: two instances each believe that they hold the claim.
+    // Failure: a workshop is billed twice. A non-idempotent request is sent again through other
+    // instances, at once and later, while messages are lost and its owner, the leader or the second
+    // holder is killed at any moment. Two instances then each believe that they hold the claim.
     for step in 0..40_u64 {
         let mut world = ready_world(100 + step);
         world.loss_rate = 0.05;
@@ -194,9 +196,10 @@
 
 #[test]
 fn not_run_is_only_said_of_what_did_not_run() {
-    // Symptom: a caller sends a claim again elsewhere because it was told "not run", and it had
-    // run. Sequence: losses and kills at each moment of a request's life. Cause: a refusal that is
-    // given after the upstream was asked, or without looking whether the key runs elsewhere.
+    // Failure: a caller sends a request again elsewhere because it was told "not run", although the
+    // request had run. Upstreams fail and messages are lost at any moment of the request. The
+    // refusal was sent after the upstream was asked, or without checking whether the key runs
+    // elsewhere.
     for step in 0..30_u64 {
         let mut world = ready_world(200 + step);
         world.loss_rate = 0.05;
@@ -213,9 +216,9 @@
 
 #[test]
 fn a_leaving_upstream_gets_no_new_work_after_two_seconds() {
-    // Symptom: work is sent to an engine that is being taken away. Sequence: it announces its
-    // leaving to one instance, an old announcement of it arrives late at another. Cause: the news
-    // spreads slowly or is undone.
+    // Failure: work is sent to an engine that is being reclaimed. The engine announces its
+    // departure to one instance while an old announcement of it arrives late at another one. The
+    // departure propagates slowly or is undone.
     let mut world = ready_world(9);
     let mut leaving = upstream("engine-0", Kind::Engine, 5);
     leaving.phase = Phase::Leaving { notice: Some(30_000) };
@@ -244,9 +247,9 @@
 
 #[test]
 fn a_planned_stop_of_any_instance_cuts_nothing_off() {
-    // Symptom: streams break at each deployment. Sequence: an instance is told to stop while it
-    // serves, the leader too. Cause: it leaves before its requests ended or were handed over, or
-    // its second holders take them for orphans as soon as it says that it is leaving.
+    // Failure: streams break at each deployment. An instance, possibly the leader, is told to stop
+    // while it serves. It leaves before its requests have ended or were handed over, or its second
+    // holders treat them as orphaned as soon as it announces that it is leaving.
     for number in 0..6 {
         let mut world = ready_world(30 + number as u64);
         let model = |key: u32| if key.is_multiple_of(2) { "assistant" } else { "orders" };
@@ -270,18 +273,18 @@
             matches!(verdict, Some(Verdict::Refused(it)) if it.reason == Reason::Stopping),
             "{number}: {verdict:?}"
         );
-        // There was time for all to end where they ran; a takeover would compute them again.
+        // All requests had time to end where they ran; a takeover would compute them again.
         assert_eq!(world.upstreams.recorded_runs.len(), 8, "{number}");
     }
 }
 
 #[test]
 fn a_claim_whose_answer_was_lost_does_not_bar_its_key() {
-    // Symptom: an order that never ran is answered "unknown" for an hour. Sequence: the claim
-    // reaches the log, its answer is lost with every message from the leader; the request is given
-    // up; once the cut is over the caller sends the same key again. Cause: nobody gives back a claim
-    // that nobody will use.
-    // Not every key has its homes where they still answer; one whose claim gets through is found.
+    // Failure: an order that never ran is answered "unknown" for an hour. The claim reaches the
+    // log, its answer is lost like every message from the leader, and the request is given up.
+    // After the partition the caller sends the same key again, and nobody has released the unused
+    // claim. Not every key has reachable home instances, so the test uses a key whose claim gets
+    // through.
     let tries = (0..20).map(|number| {
         let mut world = ready_world(40);
         let leader = world.leader().expect("a leader");
@@ -315,9 +318,9 @@
 
 #[test]
 fn an_answer_to_an_earlier_life_is_not_taken_for_another_edits() {
-    // Symptom: an operator is told that an edit is accepted that no table has. Sequence: an
-    // instance proposes an edit, dies, is back at once and proposes another one; the answer to the
-    // first arrives. Cause: both lives name their proposals alike.
+    // Failure: an operator is told that an edit is accepted which is in no table. An instance
+    // proposes an edit, is killed, restarts at once and proposes another edit before the answer to
+    // the first one arrives. Both proposals have the same token.
     let mut wrong = Vec::new();
     for step in 0..40_u64 {
         let mut world = ready_world(300 + step);
@@ -343,10 +346,10 @@
 
 #[test]
 fn a_lost_instance_holds_up_the_others_only_until_it_is_suspected() {
-    // Symptom: for eight seconds after an instance is lost, requests at all others wait up to a
-    // second and more, and some end as unknown. Sequence: their keys' homes or second holders are
-    // the lost instance, which is asked in vain until it is called dead. Cause: suspicion, which
-    // comes seconds earlier, changed nothing.
+    // Failure: for eight seconds after an instance is lost, requests on all others wait for a
+    // second or longer, and some end as unknown. Their home instance or second holder is the lost
+    // instance, which is asked in vain until it is considered lost. The suspicion, which comes
+    // seconds earlier, had no effect.
     let mut world = ready_world(50);
     world.kill(4);
     let mut arrivals = Vec::new();
@@ -373,10 +376,10 @@
 
 #[test]
 fn a_group_that_is_cut_off_serves_nothing_by_its_old_table() {
-    // Symptom: callers are served by a limit that was lifted minutes ago. Sequence: three instances
-    // without a voter are cut off together with an engine that announces itself to them; an edit
-    // comes into force among the others. Cause: the three can hold each other's requests and reach
-    // the engine, so that nothing but the table lease keeps them from serving.
+    // Failure: callers are served under a limit that was lifted minutes ago. Three instances
+    // without a voter are cut off together with an engine that announces itself to them, and an
+    // edit comes into force on the others. The three can hold each other's requests and reach the
+    // engine, so only the table lease prevents them from serving.
     let mut world = ready_world(50);
     world.isolate(&[3, 4, 5]);
     let call = world.apply(0, 1, "edit-1", 200, MS(8_000));
@@ -400,9 +403,9 @@
 
 #[test]
 fn an_edit_whose_answer_was_lost_is_not_said_to_be_undone() {
-    // Symptom: an operator is told that an edit was surely not done, and it is in force. Sequence:
-    // the proposal reaches the leader, and all of the leader's messages to the sender are lost.
-    // Cause: a proposal that was sent counts as not taken.
+    // Failure: an operator is told that an edit was certainly not made, although it is in force.
+    // The proposal reaches the leader, but all messages from the leader to the sender are lost. A
+    // proposal that was sent is wrongly counted as not accepted.
     for seed in 0..6 {
         let mut world = ready_world(60 + seed);
         let leader = world.leader().expect("a leader");
--- a/crates/verbenaslip-node/tests/hostile.rs
+++ b/crates/verbenaslip-node/tests/hostile.rs
@@ -1,7 +1,7 @@
-//! Whole instances under messages that no healthy peer sends: damaged, forged, absurd, repeated.
+//! Instances that receive messages no healthy peer sends: damaged, forged, absurd or repeated.
 //!
-//! Whoever holds the deployment's secret is trusted not to forge votes; but no message may stop an
-//! instance or fill its memory, and what is merely late, repeated or of a stranger changes nothing.
+//! A process that has the deployment's secret is trusted not to forge votes. Still, no message may
+//! stop an instance or fill its memory, and a late, repeated or foreign message changes nothing.
 
 mod world;
 
@@ -33,13 +33,13 @@
 
 use crate::world::{End, MS, SentMessage, World, upstream};
 
-/// Cases of arbitrary bytes; few of them are a message.
+/// Number of cases with arbitrary bytes, few of which decode to a message.
 const ARBITRARY_CASES: u32 = 20_000;
-/// Cases of damaged messages.
+/// Number of cases with damaged messages.
 const DAMAGED_CASES: u32 = 2_000;
-/// The fewest of them that must decode, so that the trial is one.
+/// Smallest number of cases that must decode for the test to be meaningful.
 const MIN_DECODED: usize = 100;
-/// The most that an instance keeps open on the word of others after such a trial.
+/// Upper bound on what an instance keeps because of messages from others during such a test.
 const MAX_KEPT: usize = 2_000;
 
 fn ready_world(seed: u64) -> World {
@@ -60,7 +60,7 @@
     world.announce(sequence as usize % 3, &upstream("service", Kind::Service, sequence));
 }
 
-/// Records what instances say while they serve requests, claims and edits.
+/// Records the messages of instances while they serve requests, claims and edits.
 fn recorded(seed: u64) -> (World, Vec<SentMessage>) {
     let mut world = ready_world(seed);
     world.recording = Some(Vec::new());
@@ -95,9 +95,9 @@
     ([10, 0, 0, number as u8], 7400).into()
 }
 
-/// Hands bytes over as a message and as a datagram, where they are one.
+/// Delivers bytes as a message and as a datagram if they decode.
 ///
-/// Returns how many of the two they are.
+/// Returns how many of the two decoded.
 fn deliver_bytes(world: &mut World, to: usize, from: usize, bytes: &[u8]) -> usize {
     let message = postcard::from_bytes::<Message>(bytes).ok();
     let frame = Frame::decode(bytes).map(Box::new);
@@ -111,7 +111,7 @@
     decoded
 }
 
-/// No instance keeps more than a bound on the word of others.
+/// Checks that messages of others did not make any instance keep more than the bound.
 fn assert_bounded(world: &mut World) {
     for number in 0..world.instances.len() {
         let call = world.call(number, OperatorCall::Status);
@@ -124,7 +124,7 @@
     }
 }
 
-/// The deployment does what it is there for, under the same leader.
+/// Checks that the deployment still serves requests and edits under the same leader.
 fn assert_undisturbed(world: &mut World, leader: Option<usize>, case: &str) {
     assert_eq!(world.leader(), leader, "{case}: the leader's lease");
     let ready =
@@ -146,8 +146,8 @@
 
 #[test]
 fn arbitrary_bytes_stop_no_instance() {
-    // Symptom: one odd message ends a process. Sequence: bytes that happen to decode. Cause: a
-    // number or a length is taken at its word.
+    // Failure: one unusual message ends a process. Arbitrary bytes decode to a message, and a
+    // number or length in it is trusted.
     let (world, decoded) = (RefCell::new(ready_world(1)), Cell::new(0));
     world.borrow_mut().check_invariants = false;
     let small = || vec(proptest::prop_oneof![0_u8..12, any::<u8>()], 0..160);
@@ -168,8 +168,8 @@
 
 #[test]
 fn damaged_messages_stop_no_instance() {
-    // Symptom and cause as above. Sequence: what instances really say, with some bytes changed,
-    // from anybody to anybody.
+    // Failure and cause are the same as for arbitrary bytes. Recorded messages are delivered with
+    // some bytes changed, from any instance to any other.
     let (mut world, recording) = recorded(2);
     world.check_invariants = false;
     let bytes: Vec<Vec<u8>> = recording.iter().map(|sent| encoded(&sent.input)).collect();
@@ -197,7 +197,7 @@
     assert_bounded(&mut world.borrow_mut());
 }
 
-/// Gives one byte, or the longest number, in a byte's place.
+/// Generates the replacement of one byte: another byte, the longest integer, or nothing.
 fn extreme_bytes() -> impl Strategy<Value = Vec<u8>> {
     let mut longest = vec![0xff; 9];
     longest.push(0x01);
@@ -219,8 +219,8 @@
 
 #[test]
 fn repeated_and_reordered_messages_change_nothing() {
-    // Symptom: an order runs twice, or a table falls back. Sequence: everything that instances said
-    // arrives again, in any order, some of it many times. Cause: a message is taken for news.
+    // Failure: an order runs twice, or a table returns to an older revision. All recorded messages
+    // arrive again in any order, some of them several times, and are treated as new.
     for seed in 0..4 {
         let (mut world, mut recording) = recorded(10 + seed);
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -344,9 +344,9 @@
 
 #[test]
 fn absurd_messages_disturb_nobody() {
-    // Symptom: a stray process of another deployment, or a peer with a damaged memory, stops
-    // elections, edits or requests. Sequence: each absurd message, from a stranger, a follower and
-    // a voter, to all. Cause: the greatest term, index, revision, epoch or duration is believed.
+    // Failure: a process of another deployment, or a peer with corrupted memory, stops elections,
+    // edits or requests. Each absurd message is sent to all instances by a stranger, a follower and
+    // a voter, and the largest term, index, revision, epoch or duration is trusted.
     for (what, message) in absurd_messages() {
         let mut world = ready_world(30);
         let leader = world.leader();
@@ -364,8 +364,8 @@
 
 #[test]
 fn a_flood_of_reservations_fills_no_memory() {
-    // Symptom: an instance grows until it is killed. Sequence: a peer reserves key after key, for
-    // ever. Cause: nothing bounds what is kept on the word of others.
+    // Failure: an instance grows until it is killed. A peer reserves one key after another without
+    // end, and the number of entries kept for others is not bounded.
     let mut world = ready_world(40);
     let leader = world.leader();
     let limit = world.instances[2].setup.limits.reservations;
--- a/crates/verbenaslip-node/tests/random.rs
+++ b/crates/verbenaslip-node/tests/random.rs
@@ -1,7 +1,7 @@
-//! Whole instances under faults drawn at random from fixed seeds, with what must always hold
-//! checked after every step and at the end.
+//! Instances under random faults from fixed seeds.
 //!
-//! `VERBENASLIP_SEEDS=1000..3000` runs other seeds than CI does.
+//! The invariants are checked after every step and at the end. `VERBENASLIP_SEEDS=1000..3000` runs
+//! other seeds than CI does.
 
 mod world;
 
@@ -24,23 +24,24 @@
 
 const INSTANCES: usize = 6;
 const VOTERS: usize = 3;
-/// The seeds of each of the tests that CI runs side by side.
+/// Number of seeds of each of the tests that CI runs in parallel.
 const SEEDS_PER_TEST: u64 = 25;
-/// How long faults are drawn.
+/// Time during which faults are injected.
 const FAULT_DURATION: Duration = Duration::from_secs(8);
-/// Within which everything must heal after the last fault.
+/// Time within which all instances must recover after the last fault.
 const RECOVERY_LIMIT: Duration = Duration::from_secs(60);
-/// The longest a caller waits beyond its deadline: a relaying instance notices an owner that fell
-/// silent just before only after the world's silence of a second.
+/// Longest time that a caller may wait beyond its deadline.
+///
+/// A relaying instance notices an unresponsive owner only after the relay timeout of one second.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(1_500);
-/// Within which a leaving is known to all connected instances.
+/// Time within which a departure is known to all connected instances.
 const DEPARTURE_LIMIT: Duration = Duration::from_secs(2);
-/// Before all instances know each other again after a fault.
+/// Time after a fault until all instances know each other again.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
-/// The fewest steps of a schedule.
+/// Smallest number of steps of a schedule.
 const MIN_STEPS: u64 = 1_000;
 
-/// Holds one upstream's standing.
+/// Holds the state of one upstream.
 struct TestUpstream {
     name: String,
     kind: Kind,
@@ -50,14 +51,14 @@
     dead: bool,
 }
 
-/// Says when and where an upstream announced its leaving.
+/// Describes when an upstream announced its departure, and whether the network was then healthy.
 #[derive(Clone, Copy)]
 struct Departure {
     at: Duration,
     calm: bool,
 }
 
-/// Holds one caller's sending of a request.
+/// Holds a request as it was sent by a caller.
 struct SentRequest {
     ticket: Ticket,
     key: String,
@@ -66,7 +67,7 @@
     sent: Duration,
 }
 
-/// Holds one edit with all its sendings.
+/// Holds an edit and the calls that sent it.
 struct SentEdit {
     id: String,
     base: u64,
@@ -74,7 +75,7 @@
     calls: Vec<CallId>,
 }
 
-/// Draws one schedule of faults, requests and edits.
+/// Generates and runs one schedule of faults, requests and edits.
 struct Schedule {
     world: World,
     rng: Pcg64Mcg,
@@ -85,7 +86,7 @@
     stopping: BTreeSet<usize>,
     heal_at: Option<Duration>,
     quiet_until: Duration,
-    /// The last moment at which a fault held.
+    /// Last time at which a fault was present.
     last_fault: Duration,
     may_lose_disk: bool,
     checked_runs: usize,
@@ -143,7 +144,7 @@
         self.finish();
     }
 
-    /// Lets a little time pass, with what goes on beside the faults.
+    /// Advances the time a little, with renewals, restarts and checks.
     fn advance(&mut self) {
         let time = MS(self.rng.random_range(5..120));
         self.world.run(time);
@@ -187,7 +188,7 @@
         }
     }
 
-    /// Draws what happens next.
+    /// Performs a random action.
     fn draw_action(&mut self) {
         let busy = self.world.now >= self.quiet_until;
         match self.rng.random_range(0..100) {
@@ -266,7 +267,7 @@
     fn kill(&mut self, number: usize) {
         self.world.kill(number);
         self.stopping.remove(&number);
-        // Soon after as often as late: the others may not have noticed that it was gone.
+        // Half of the restarts come so soon that the others may not have noticed the failure.
         let most = if self.rng.random_bool(0.5) { 60 } else { 4_000 };
         let at = self.world.now + MS(self.rng.random_range(1..most));
         self.restarts.insert(number, at);
@@ -285,7 +286,7 @@
         }
     }
 
-    /// Loses one voter's disk; a second one lost as well would be no minority.
+    /// Loses the disk of one voter, at most once: two lost disks would not be a minority of voters.
     fn lose_disk(&mut self) {
         if std::mem::take(&mut self.may_lose_disk) {
             let number = self.rng.random_range(0..VOTERS);
@@ -332,8 +333,7 @@
         }
     }
 
-    /// Has an upstream announce itself through any instance, sometimes with an old announcement
-    /// that was on its way for long.
+    /// Announces an upstream through a random instance, sometimes with a stale announcement.
     fn renew(&mut self, number: usize) {
         let (at, late) = (self.random_instance(), self.rng.random_bool(0.1));
         let test_upstream = &mut self.upstreams[number];
@@ -456,7 +456,7 @@
         lines.join("; ")
     }
 
-    /// No upstream is given work after its leaving was known to all.
+    /// Checks that no upstream gets work after its departure is known to all.
     fn check_runs(&mut self) {
         let new = &self.world.upstreams.recorded_runs[self.checked_runs..];
         for run in new {
@@ -481,8 +481,9 @@
         self.checked_runs = self.world.upstreams.recorded_runs.len();
     }
 
-    /// No caller waits beyond the latest deadline that its key was ever sent with: one that joins a
-    /// request in progress gets that request's answer.
+    /// Checks that no caller waits beyond the latest deadline of all requests with its key.
+    ///
+    /// A request that joins another one in progress gets the answer of that request.
     fn check_callers(&self) {
         let now = self.world.now;
         for call in self.calls.iter().filter(|call| !self.world.ended.contains_key(&call.ticket)) {
@@ -508,7 +509,7 @@
         assert!(self.world.steps >= MIN_STEPS, "only {} steps", self.world.steps);
     }
 
-    /// What was refused in all its answers has not run.
+    /// Checks that a request did not run if all its answers were refusals.
     fn check_refusals(&self) {
         let mut keys: BTreeMap<&str, Vec<End>> = BTreeMap::new();
         for call in &self.calls {
@@ -522,8 +523,10 @@
         }
     }
 
-    /// Every accepted edit is in the history at its revision, and every table is the one that the
-    /// accepted edits make.
+    /// Checks the history and the tables against the accepted edits.
+    ///
+    /// Every accepted edit must be in the history at its revision, and every table must be the one
+    /// that the accepted edits produce.
     fn check_edits(&mut self) {
         let tables: Vec<Reply> = (0..INSTANCES)
             .map(|at| self.call_and_wait(at, OperatorCall::Table { revision: None }))
@@ -576,7 +579,7 @@
     }
 }
 
-/// Runs schedules and names every seed that fails.
+/// Runs schedules and reports every seed that fails.
 fn run(seeds: Range<u64>) {
     let mut failed = Vec::new();
     let (mut steps, mut runs) = (0, 0);
@@ -598,7 +601,7 @@
     assert!(failed.is_empty(), "failed seeds: {failed:?}");
 }
 
-/// Returns the seeds of one part: of CI, or of those that the environment names.
+/// Returns the seeds of one test, which are those of CI or those that the environment sets.
 fn seed_range(number: u64) -> Range<u64> {
     let Some((from, to)) = seeds_from_environment() else {
         return number * SEEDS_PER_TEST..(number + 1) * SEEDS_PER_TEST;
@@ -613,9 +616,9 @@
     Some((from.parse().ok()?, to.parse().ok()?))
 }
 
-// Symptom: any breach of what must always hold. Sequence: cuts, losses, freezes, kills, lost disks,
-// stops, leaving and dying upstreams, racing edits and resent keys in any order. Cause: an order of
-// events that nobody thought of. Four parts, so that they run side by side.
+// These tests guard against any violated invariant. Partitions, lost messages, pauses, kills, lost
+// disks, stops, departures and crashes of upstreams, racing edits and repeated keys come in random
+// order. The four tests run in parallel.
 
 #[test]
 fn nothing_is_broken_by_random_faults_1() {
--- a/crates/verbenaslip-node/tests/stop.rs
+++ b/crates/verbenaslip-node/tests/stop.rs
@@ -1,4 +1,4 @@
-//! The planned stop of whole instances.
+//! The planned stop of instances.
 
 mod world;
 
@@ -8,9 +8,9 @@
 
 #[test]
 fn a_stop_without_work_waits_for_nobody_who_can_not_come() {
-    // Symptom: a restart without any request in progress takes seconds. Sequence: each instance of
-    // deployments of each size is told to stop, the leader and a voter alone too. Cause: the leader
-    // waits for a successor where there is no other voter.
+    // Failure: a restart takes seconds although no request is in progress. Each instance of
+    // deployments of several sizes is told to stop, including the leader and a single voter. The
+    // leader waits for a successor although there is no other voter.
     for (instances, voters) in [(1, 1), (2, 1), (3, 3), (6, 3)] {
         for number in 0..instances {
             let mut world = World::open(instances, voters, 5);
@@ -27,9 +27,9 @@
 
 #[test]
 fn the_last_instance_of_a_deployment_stops_within_its_patience() {
-    // Symptom: the last process of a deployment that is shut down is killed by the platform.
-    // Sequence: all instances are told to stop, each after the one before has gone. Cause: it waits
-    // for a quorum that will not come back.
+    // Failure: the last process of a deployment that is shut down is killed by the platform. All
+    // instances are told to stop, each after the one before has ended. The last one waits for a
+    // quorum that will not return.
     let mut world = World::open(3, 3, 6);
     world.wait_until_ready();
     for number in 0..3 {
--- a/crates/verbenaslip-node/tests/wire.rs
+++ b/crates/verbenaslip-node/tests/wire.rs
@@ -1,8 +1,8 @@
-//! The contract for what instances say to each other: the bytes of one message of each kind.
+//! The wire format of the messages between instances: the bytes of one message of each kind.
 //!
-//! Instances of two versions run side by side while a new one is rolled out. A line that changes
-//! here means that they would not understand each other, so that such a roll-out would cut requests
-//! off; new kinds of messages go to the end of their enum.
+//! Instances of two versions run side by side during a rollout. If a line here changes, they no
+//! longer understand each other, and the rollout would interrupt requests. New kinds of messages
+//! are appended to the end of their enum.
 
 use std::fmt::Debug;
 use std::net::SocketAddr;
@@ -58,7 +58,7 @@
     Position { term: 3, index: 200 }
 }
 
-/// Shows a value's bytes, after checking that they are read back as the same value.
+/// Returns a line with a value's bytes, after checking that they decode to the same value.
 fn line<T: Serialize + DeserializeOwned + PartialEq + Debug>(what: &str, value: &T) -> String {
     let bytes = postcard::to_stdvec(value).expect("it can be written");
     let (read, rest): (T, _) = postcard::take_from_bytes(&bytes).expect("it can be read");
@@ -68,7 +68,7 @@
     format!("{what}: {hex}")
 }
 
-/// Shows many values, each under its number.
+/// Returns one line per value, each with the value's number.
 fn lines<T: Serialize + DeserializeOwned + PartialEq + Debug>(
     what: &str,
     values: impl IntoIterator<Item = T>,
--- a/crates/verbenaslip-node/tests/world/disk.rs
+++ b/crates/verbenaslip-node/tests/world/disk.rs
@@ -1,35 +1,35 @@
-//! A voter's data folder in memory: what is synced survives.
+//! A voter's data directory in memory; synced writes survive a crash.
 
 use std::sync::Arc;
 
 use verbenaslip_replica::storage::{Recovered, Write};
 use verbenaslip_replica::voter::Identity;
 
-/// Holds a folder's content, synced and not.
+/// Holds the synced content and the pending writes.
 pub struct Disk {
     synced: Recovered,
     pending: Vec<PendingWrite>,
 }
 
-/// Holds a write that does not last yet.
+/// Holds a write that is not synced yet.
 struct PendingWrite {
     sequence: u64,
     write: Write,
 }
 
 impl Disk {
-    /// Creates a folder with an identity of its own.
+    /// Creates a data directory with its own identity.
     pub fn new(number: usize) -> Self {
         let synced = Recovered::empty(Identity(number as u128 + 1));
         Self { synced, pending: Vec::new() }
     }
 
-    /// Takes a write that does not last yet.
+    /// Adds a write that is not synced yet.
     pub fn write(&mut self, sequence: u64, write: Write) {
         self.pending.push(PendingWrite { sequence, write });
     }
 
-    /// Makes all writes up to a mark last.
+    /// Syncs all writes up to a sequence number.
     pub fn sync(&mut self, sequence: u64) {
         for pending in std::mem::take(&mut self.pending) {
             if pending.sequence <= sequence {
@@ -40,12 +40,12 @@
         }
     }
 
-    /// Loses what does not last.
+    /// Discards the writes that are not synced.
     pub fn discard_pending(&mut self) {
         self.pending.clear();
     }
 
-    /// Returns what a start finds.
+    /// Returns the content that a start recovers.
     pub fn recovered(&self) -> Recovered {
         self.synced.clone().without_stale_entries()
     }
--- a/crates/verbenaslip-node/tests/world/mod.rs
+++ b/crates/verbenaslip-node/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! Several instances stepped by hand through an in-memory network, with fake upstreams and callers.
+//! Simulates several instances with an in-memory network, test upstreams and callers.
 
 #![allow(dead_code, reason = "each test file uses its own part of the world")]
 
@@ -27,111 +27,111 @@
 use self::disk::Disk;
 use self::upstream::Upstreams;
 
-/// Unix milliseconds at the world's time zero.
+/// Wall-clock time at simulated time zero, in Unix milliseconds.
 pub const EPOCH: u64 = 1_700_000_000_000;
 
-/// Bytes that each message costs beside its content: stamp or frame, and the headers below.
+/// Bytes that each message costs in addition to its content: framing and lower protocol headers.
 pub const OVERHEAD: u64 = 80;
 
 pub const MS: fn(u64) -> Duration = Duration::from_millis;
 
-/// Holds one instance with what outlives it.
+/// Holds one instance and what survives its restarts.
 pub struct TestInstance {
     pub setup: Setup,
     pub node: Option<Node>,
     pub disk: Option<Disk>,
     pub paused_until: Option<Duration>,
-    /// When it last went on after a freeze.
+    /// Time at which the instance last resumed after a pause.
     pub resumed_at: Duration,
     pub sent: Sent,
     pub zone: usize,
     held_inputs: Vec<Input>,
-    /// Rises with each start; what an earlier life awaited does not reach a later one.
+    /// Number of the current start; local events for an earlier start are discarded.
     generation: u64,
-    /// The highest revision that was seen in this life.
+    /// Highest revision that was seen since the last start.
     highest_revision: Revision,
 }
 
-/// Orders what is on its way: by arrival, then by sending.
+/// Orders deliveries by arrival time, then by sending order.
 type Order = (Duration, u64);
 
 /// Holds an input on its way to an instance.
 struct Delivery {
     to: usize,
     input: Input,
-    /// The life that alone may have it; none for what comes over the network.
+    /// Start of the instance that may receive the input; none for inputs from the network.
     generation: Option<u64>,
 }
 
-/// Holds what one instance said to another.
+/// Holds a message that one instance sent to another.
 #[derive(Clone, Debug)]
 pub struct SentMessage {
     pub to: usize,
     pub input: Input,
 }
 
-/// Says how a caller's request ended.
+/// Describes how a caller's request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// The whole answer came.
+    /// The whole answer arrived.
     Completed,
-    /// It was refused as not run.
+    /// The request was refused as not run.
     Refused,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// The key belongs to another body.
+    /// The key belongs to a request with another body.
     Conflict,
-    /// The caller's own instance was lost.
+    /// The instance to which the caller was connected was lost.
     Broken,
 }
 
-/// Holds a caller's answer that another instance assembles.
+/// Holds a connection over which an instance relays an answer that another instance owns.
 struct Relay {
     caller: Ticket,
     at: usize,
     owner: usize,
     generation: u64,
-    /// Since when nothing passes between the two.
+    /// Time since which no data passes between the two instances.
     silent_since: Option<Duration>,
-    /// Whether what opens the connection was lost on its way.
+    /// Whether the subscription that opens the connection was lost.
     subscription_lost: bool,
 }
 
-/// From here on tickets stand for connections between instances.
+/// First ticket number of connections between instances.
 const FIRST_RELAY_TICKET: u64 = 1 << 32;
 
-/// How long a relay waits for an instance that nothing comes from.
+/// Time after which a relay from an unresponsive instance is given up.
 const RELAY_SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Holds who copies an answer to whom.
+/// Holds the owner of an answer and the second holder to which it is copied.
 #[derive(Clone)]
 struct Mirror {
     owner: usize,
     to: Option<Instance>,
 }
 
-/// Counts what an instance has sent to others.
+/// Counts the messages and bytes that an instance has sent to others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sent {
     pub messages: u64,
     pub bytes: u64,
 }
 
-/// Holds all instances, the network between them, upstreams and callers.
+/// Holds all instances, the network between them, the upstreams and the callers.
 pub struct World {
     pub now: Duration,
     pub instances: Vec<TestInstance>,
     pub upstreams: Upstreams,
     pub verdicts: BTreeMap<Ticket, Vec<Verdict>>,
-    /// When each caller's answer began.
+    /// Time at which each caller's answer began.
     pub served_at: BTreeMap<Ticket, Duration>,
     pub replies: BTreeMap<CallId, Reply>,
     pub stopped: BTreeSet<usize>,
     pub in_force: Revision,
-    /// Pairs of sender and receiver between which nothing passes.
+    /// Pairs of sender and receiver between which messages are lost.
     pub cuts: BTreeSet<(usize, usize)>,
     pub loss_rate: f64,
-    /// Whether what must always hold is checked after every step; benches measure without.
+    /// Whether the invariants are checked after every step; benches switch this off.
     pub check_invariants: bool,
     rng: Pcg64Mcg,
     in_flight: BTreeMap<Order, Delivery>,
@@ -141,13 +141,13 @@
     mirrors: BTreeMap<Request, Mirror>,
     last_call: u64,
     callers: BTreeMap<Ticket, usize>,
-    /// When each caller's request was read; one sent to a frozen instance is read when it goes on.
+    /// Time at which each request was read; a paused instance reads it when it resumes.
     pub arrived_at: BTreeMap<Ticket, Duration>,
-    /// How each caller's request ended, and when.
+    /// End of each caller's request and the time of it.
     pub ended: BTreeMap<Ticket, (End, Duration)>,
-    /// The steps that were checked.
+    /// Number of steps after which the invariants were checked.
     pub steps: u64,
-    /// What was sent between instances, with its receiver, when it is recorded.
+    /// Messages between instances with their receivers, if recording is on.
     pub recording: Option<Vec<SentMessage>>,
     relays: BTreeMap<Ticket, Relay>,
     last_relay_ticket: u64,
@@ -155,8 +155,7 @@
 }
 
 impl World {
-    /// Opens so many instances over three availability zones a region, of which the first `voters`
-    /// vote.
+    /// Starts instances in three availability zones per region; the first `voters` of them vote.
     pub fn open(instances: usize, voters: usize, seed: u64) -> Self {
         let region = 40;
         let address = |number: usize| -> SocketAddr {
@@ -226,7 +225,7 @@
         world
     }
 
-    /// Starts an instance from what its disk holds.
+    /// Starts an instance from the content of its disk.
     pub fn start(&mut self, number: usize) {
         let instance = &mut self.instances[number];
         instance.generation += 1;
@@ -239,7 +238,7 @@
         self.step(number, Input::Tick);
     }
 
-    /// Kills an instance; what was not synced is lost, and callers' connections with it.
+    /// Kills an instance, which loses unsynced writes and the connections of its callers.
     pub fn kill(&mut self, number: usize) {
         let instance = &mut self.instances[number];
         instance.node = None;
@@ -258,7 +257,7 @@
         }
     }
 
-    /// Lets time pass, checking what must always hold after every step.
+    /// Advances the time and checks the invariants after every step.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -283,7 +282,7 @@
         }
     }
 
-    /// Lets time pass until something holds; fails after the limit.
+    /// Advances the time until a condition holds, and fails after the limit.
     pub fn run_until(&mut self, limit: Duration, what: &str, holds: impl Fn(&Self) -> bool) {
         let end = self.now + limit;
         while !holds(self) {
@@ -292,21 +291,21 @@
         }
     }
 
-    /// Waits until all running instances take callers.
+    /// Advances the time until all running instances are ready for callers.
     pub fn wait_until_ready(&mut self) {
         self.run_until(MS(20_000), "all instances take callers", |world| {
             world.instances.iter().all(|instance| instance.node.as_ref().is_none_or(Node::is_ready))
         });
     }
 
-    /// Announces an upstream at an instance, as the platform's balancer would pick it.
+    /// Announces an upstream to an instance, as the platform's load balancer would.
     pub fn announce(&mut self, at: usize, announcement: &Announcement) {
         let call = self.next_call_id();
         let announcement = Box::new(announcement.clone());
         self.deliver_input(at, Input::Announced { call, announcement });
     }
 
-    /// Has an operator apply a table in which the row's weight is as given.
+    /// Sends an operator's edit that sets the weight of the only row.
     pub fn apply(&mut self, at: usize, base: u64, id: &str, weight: u32, wait: Duration) -> CallId {
         let call = self.next_call_id();
         let apply = Apply {
@@ -321,14 +320,14 @@
         call
     }
 
-    /// Asks an instance for something.
+    /// Sends a call of an operator to an instance.
     pub fn call(&mut self, at: usize, request: OperatorCall) -> CallId {
         let call = self.next_call_id();
         self.deliver_input(at, Input::Called { call, request });
         call
     }
 
-    /// Returns the revision that an edit was accepted as, and whether it is in force everywhere.
+    /// Returns the revision of an accepted edit and whether it is in force everywhere.
     pub fn accepted_revision(&self, call: CallId) -> Option<(u64, bool)> {
         match self.replies.get(&call) {
             Some(Reply::Edited(EditResult::Accepted { revision, in_force, .. })) => {
@@ -338,13 +337,13 @@
         }
     }
 
-    /// Has a caller send a request with a key; the ticket names its connection.
+    /// Sends a caller's request with a key and returns the ticket of its connection.
     pub fn send_request(&mut self, at: usize, key: &str, idempotent: bool) -> Ticket {
         let model = if idempotent { "assistant" } else { "orders" };
         self.send_request_for_model(at, key, idempotent, model)
     }
 
-    /// Has a caller send a request with a key that wants its whole answer within a time.
+    /// Sends a caller's request with a key and a caller timeout.
     pub fn send_request_with_timeout(
         &mut self,
         at: usize,
@@ -356,7 +355,7 @@
         self.request(at, key, idempotent, model, Some(timeout))
     }
 
-    /// Has a caller send a request with a key for a model or service.
+    /// Sends a caller's request with a key for a model or service.
     pub fn send_request_for_model(
         &mut self,
         at: usize,
@@ -381,7 +380,7 @@
         ticket
     }
 
-    /// Has a caller send a request that can be sent again, without a key.
+    /// Sends an idempotent request of a caller without a key.
     pub fn send_request_without_key(&mut self, at: usize, key: &str) -> Ticket {
         let mut arrival = self.arrival(at, key, true, "assistant");
         let ticket = arrival.ticket;
@@ -422,18 +421,18 @@
         }
     }
 
-    /// Returns the instance that leads under a lease, if one does.
+    /// Returns the instance that holds the leader's lease, if any.
     pub fn leader(&self) -> Option<usize> {
         let leads = |instance: &TestInstance| instance.node.as_ref().is_some_and(Node::is_leader);
         self.instances.iter().position(leads)
     }
 
-    /// Returns how much longer a request's last verdict leaves it open; refusals and unknown end it.
+    /// Returns the last verdict that a caller received.
     pub fn last_verdict(&self, ticket: Ticket) -> Option<&Verdict> {
         self.verdicts.get(&ticket)?.last()
     }
 
-    /// Gives an instance one input and carries out what it wants.
+    /// Passes an input to an instance and executes its outputs.
     pub fn step(&mut self, number: usize, input: Input) {
         let instance = &mut self.instances[number];
         let Some(node) = &mut instance.node else { return };
@@ -485,7 +484,7 @@
         }
     }
 
-    /// Has the callers of a whole answer close their connections.
+    /// Closes the connections of the callers that have received a whole answer.
     fn close_served_callers(&mut self, request: Request) {
         let served = |verdict: &Verdict| match verdict {
             Verdict::Serve { request: served, .. } | Verdict::Relay { request: served, .. } => {
@@ -506,7 +505,7 @@
         }
     }
 
-    /// Gives an input to an instance, or keeps it while the instance is frozen.
+    /// Passes an input to an instance, or holds it while the instance is paused.
     fn deliver_input(&mut self, number: usize, input: Input) {
         let instance = &mut self.instances[number];
         if let (Input::WriteDurable { sequence }, Some(disk)) = (&input, &mut instance.disk) {
@@ -588,7 +587,7 @@
         }
     }
 
-    /// Tells a caller, or the instance that relays to it, what it gets.
+    /// Delivers a verdict to a caller, or to the instance that relays to it.
     fn handle_verdict(&mut self, number: usize, ticket: Ticket, verdict: Verdict) {
         if let Some(relay) = self.relays.get(&ticket) {
             let (caller, at) = (relay.caller, relay.at);
@@ -623,7 +622,7 @@
         }
     }
 
-    /// Opens a connection to the instance that assembles a caller's answer.
+    /// Opens a connection to the instance that owns the answer for a caller.
     fn relay(&mut self, at: usize, caller: Ticket, request: Request, after: u32, to: &Instance) {
         let Some(owner) = self.numbers.get(to).copied() else { return };
         self.last_relay_ticket += 1;
@@ -644,7 +643,7 @@
         self.schedule(MS(1), relay.at, Input::RelayLost { ticket: relay.caller, after: 0 });
     }
 
-    /// Gives up relays to instances that are gone, or from which nothing comes any more.
+    /// Gives up relays from instances that have stopped or are unresponsive.
     fn watch_relays(&mut self) {
         let mut lost = Vec::new();
         for (ticket, relay) in &mut self.relays {
@@ -692,7 +691,7 @@
         CallId(self.last_call)
     }
 
-    /// Checks what must always hold.
+    /// Checks the invariants.
     fn check(&mut self) {
         self.steps += 1;
         self.check_leaders();
@@ -732,7 +731,8 @@
         }
     }
 
-    /// Says whether an instance serves by a table older than one that is in force everywhere.
+    /// Returns whether an instance accepts work under a table older than the one in force
+    /// everywhere.
     fn serves_outdated_table(&self, number: usize) -> bool {
         let instance = &self.instances[number];
         let old = |node: &Node| node.accepts_work() && node.revision() < self.in_force;
@@ -740,7 +740,7 @@
     }
 }
 
-/// Returns how a verdict ends a request; none when the answer follows.
+/// Returns how a verdict ends a request, or none if the answer follows.
 fn end(verdict: &Verdict) -> Option<End> {
     match verdict {
         Verdict::Serve { .. } | Verdict::Relay { .. } => None,
@@ -750,7 +750,7 @@
     }
 }
 
-/// Returns a table of one row for the team `office`.
+/// Returns a table with one row for the team `office`.
 pub fn table(weight: u32) -> Table {
     let mut row = Row::new("office", "*");
     row.weight = weight;
--- a/crates/verbenaslip-node/tests/world/upstream.rs
+++ b/crates/verbenaslip-node/tests/world/upstream.rs
@@ -1,4 +1,4 @@
-//! Fake upstreams: they count every run and give one token each 10 ms.
+//! Test upstreams, which record every run and emit one token per 10 ms.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,15 +8,15 @@
 use verbenaslip_base::name::Upstream;
 use verbenaslip_request::run::{Cause, Event, Failure, Run, Start, Step};
 
-/// The tokens of every answer.
+/// Number of tokens of every answer.
 pub const ANSWER_TOKENS: u32 = 20;
 
 const TOKEN_INTERVAL: Duration = Duration::from_millis(10);
-/// How long a plain service takes.
+/// Time that a plain service takes to answer.
 const SERVICE_TIME: Duration = Duration::from_millis(150);
 const CONNECT_TIME: Duration = Duration::from_millis(5);
 
-/// Holds one run in progress.
+/// Holds a run in progress.
 struct Stream {
     instance: usize,
     upstream: Upstream,
@@ -24,13 +24,13 @@
     position: u32,
     due: Duration,
     sent: bool,
-    /// Whether the upstream was there when the run was sent to it.
+    /// Whether the upstream was alive when the run was sent to it.
     reached: bool,
-    /// Whether it knows the run that it is asked to go on with.
+    /// Whether the upstream knows the run that it should continue.
     known: bool,
 }
 
-/// Holds one run as an upstream counted it.
+/// Records one run on an upstream.
 #[derive(Clone, Debug)]
 pub struct RecordedRun {
     pub request: Request,
@@ -40,7 +40,7 @@
     pub kind: Kind,
 }
 
-/// Runs what instances send.
+/// Executes the runs that instances send.
 #[derive(Default)]
 pub struct Upstreams {
     pub recorded_runs: Vec<RecordedRun>,
@@ -51,7 +51,7 @@
 }
 
 impl Upstreams {
-    /// Begins a run, or goes on with one.
+    /// Starts or continues a run.
     pub fn run(&mut self, now: Duration, instance: usize, run: &Run) {
         let position = match run.start {
             Start::Fresh => 0,
@@ -89,33 +89,33 @@
         self.streams.remove(&attempt);
     }
 
-    /// Loses an upstream with all that it knows.
+    /// Ends an upstream, which loses its state.
     pub fn crash(&mut self, upstream: &Upstream) {
         self.dead.insert(upstream.clone());
         self.known.retain(|_, at| at != upstream);
     }
 
-    /// Closes the connections of an instance that is gone.
+    /// Closes the connections of an instance that has stopped.
     pub fn forget(&mut self, instance: usize) {
         self.streams.retain(|_, stream| stream.instance != instance);
     }
 
-    /// Counts the runs of a request.
+    /// Returns the number of runs of a request.
     pub fn runs(&self, request: Request) -> usize {
         self.recorded_runs.iter().filter(|recorded| recorded.request == request).count()
     }
 
-    /// Returns the last token that was given of an answer.
+    /// Returns the last token position that was emitted for a request.
     pub fn position(&self, request: Request) -> Option<u32> {
         self.positions.get(&request).copied()
     }
 
-    /// Returns when something happens next.
+    /// Returns the time of the next event.
     pub fn next_event(&self) -> Option<Duration> {
         self.streams.values().map(|stream| stream.due).min()
     }
 
-    /// Lets time pass; returns what is told to which instance.
+    /// Advances the time and returns the events with the instances that receive them.
     pub fn step(&mut self, now: Duration) -> Vec<(usize, Attempt, Event)> {
         let mut events = Vec::new();
         let due = self.streams.iter().filter(|(_, stream)| stream.due <= now);
@@ -134,7 +134,8 @@
         events
     }
 
-    /// Returns a plain service's request that ran more than once, if there is one.
+    /// Returns a request to a plain service that ran more than once, if any, and its number of
+    /// runs.
     pub fn repeated_service_run(&self) -> Option<(Request, usize)> {
         let mut runs: BTreeMap<Request, usize> = BTreeMap::new();
         for recorded in self.recorded_runs.iter().filter(|recorded| recorded.kind == Kind::Service)
@@ -148,7 +149,7 @@
 fn advance(stream: &mut Stream, now: Duration, dead: bool) -> Event {
     stream.due = now + TOKEN_INTERVAL;
     if dead && stream.reached && !stream.sent {
-        // It was written before the loss, so that it may have run.
+        // The request was written before the crash, so it may have run.
         stream.sent = true;
         return Event::Sent;
     }
