--- a/crates/verbenaslip-node/src/lead.rs
+++ b/crates/verbenaslip-node/src/lead.rs
@@ -82,18 +82,18 @@
             Event::Answered { token, answer } => self.handle_proposal_answer(token, answer),
             Event::Role(role) => self.handle_role_change(role),
             Event::IdentityChanged(voter) => self.replace_voter(voter),
-            Event::Unreadable(what) => self.notify(Notice::Unreadable(what)),
+            Event::Unreadable(reason) => self.notify(Notice::Unreadable(reason)),
         }
     }
 
     /// Proposes a command and retries it until the timeout.
-    pub(crate) fn propose(&mut self, command: Command, purpose: Purpose, patience: Duration) {
-        self.submit(Content::Command(Box::new(command)), purpose, patience);
+    pub(crate) fn propose(&mut self, command: Command, purpose: Purpose, timeout: Duration) {
+        self.submit(Content::Command(Box::new(command)), purpose, timeout);
     }
 
     /// Proposes a command or a change of the voter set and retries it until the timeout.
-    pub(crate) fn submit(&mut self, content: Content, purpose: Purpose, patience: Duration) {
-        let deadline = self.now + patience;
+    pub(crate) fn submit(&mut self, content: Content, purpose: Purpose, timeout: Duration) {
+        let deadline = self.now + timeout;
         let proposal = Proposal {
             content,
             purpose,
@@ -159,11 +159,11 @@
             let Some(proposal) = self.proposals.get_mut(token) else { continue };
             proposal.maybe_accepted |= std::mem::take(&mut proposal.sent);
             if proposal.deadline <= now {
-                let doubtful = proposal.maybe_accepted;
-                let nobody = ProposalAnswer::NotLeader { leader: None };
+                let maybe_accepted = proposal.maybe_accepted;
+                let not_leader = ProposalAnswer::NotLeader { leader: None };
                 self.finish_proposal(
                     token,
-                    if doubtful { ProposalAnswer::Unknown } else { nobody },
+                    if maybe_accepted { ProposalAnswer::Unknown } else { not_leader },
                 );
                 continue;
             }
--- a/crates/verbenaslip-node/src/query.rs
+++ b/crates/verbenaslip-node/src/query.rs
@@ -48,14 +48,14 @@
         query: Query,
         waiter: Waiter,
         target: Option<Instance>,
-        patience: Duration,
+        timeout: Duration,
     ) {
         let here = target.as_ref().is_none_or(|target| *target == self.setup.instance);
         if let Some(answer) = here.then(|| self.answer_locally(&query)).flatten() {
             return self.handle_query_answer(waiter, answer);
         }
         let token = self.tokens.next();
-        let (deadline, resend_at) = (self.now + patience, self.now);
+        let (deadline, resend_at) = (self.now + timeout, self.now);
         self.queries
             .insert(token, OpenQuery { query, waiter, target, deadline, resend_at, tries: 0 });
         self.send_query(token);
--- a/crates/verbenaslip-node/src/serve.rs
+++ b/crates/verbenaslip-node/src/serve.rs
@@ -107,8 +107,8 @@
 
     /// Dispatches queued requests that can start, and refuses those that waited too long.
     pub(crate) fn dispatch_requests(&mut self) {
-        for given in self.dispatcher.expire(self.now, &mut self.rng) {
-            self.handle_queue_refusal(given.head.request, given.refusal);
+        for expired in self.dispatcher.expire(self.now, &mut self.rng) {
+            self.handle_queue_refusal(expired.head.request, expired.refusal);
         }
         for dispatch in self.dispatcher.next_dispatches(self.now, &mut self.rng) {
             self.handle_dispatch(&dispatch);
--- a/crates/verbenaslip-node/src/voter.rs
+++ b/crates/verbenaslip-node/src/voter.rs
@@ -157,8 +157,8 @@
         let Ok(command) = postcard::from_bytes::<Command>(bytes) else {
             // Skipping the entry would let this voter's state silently diverge from the others.
             self.is_unreadable = true;
-            let what = format!("entry {} can't be read by this version", position.index);
-            return out.push(Event::Unreadable(what));
+            let reason = format!("entry {} can't be read by this version", position.index);
+            return out.push(Event::Unreadable(reason));
         };
         let before = self.state.revision();
         let at = Fence { term: position.term, index: position.index };
--- a/crates/verbenaslip-node/tests/count.rs
+++ b/crates/verbenaslip-node/tests/count.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn instances_stay_within_their_bytes_when_idle() {
+fn idle_instances_stay_within_their_byte_limits() {
     // Bounds in bytes per second of the mean and of the busiest instance. They are tight, so that a
     // change that makes instances send more is noticed.
     for (size, mean_bound, most_bound) in [
--- a/crates/verbenaslip-node/tests/hostile.rs
+++ b/crates/verbenaslip-node/tests/hostile.rs
@@ -162,7 +162,7 @@
     });
     outcome.expect("no panic");
     println!("{} decoded", decoded.get());
-    assert!(decoded.get() >= MIN_DECODED, "only {} are anything", decoded.get());
+    assert!(decoded.get() >= MIN_DECODED, "only {} decoded", decoded.get());
     assert_bounded(&mut world.borrow_mut());
 }
 
@@ -192,7 +192,7 @@
     });
     outcome.expect("no panic");
     println!("{} decoded", decoded.get());
-    assert!(decoded.get() >= MIN_DECODED, "only {} are anything", decoded.get());
+    assert!(decoded.get() >= MIN_DECODED, "only {} decoded", decoded.get());
     world.borrow_mut().run(MS(2_000));
     assert_bounded(&mut world.borrow_mut());
 }
@@ -286,8 +286,8 @@
         lineage: u64::MAX,
         outcome: None,
     };
-    let by = || Operator::from("mallory");
-    let drain = |at| Command::Drain(Drain { by: by(), instance: peer(0), at });
+    let operator = || Operator::from("mallory");
+    let drain = |at| Command::Drain(Drain { by: operator(), instance: peer(0), at });
     let nothing = Revision(u64::MAX);
     vec![
         (
@@ -338,7 +338,7 @@
             let request = Request(9);
             Message::Request(request::Message::Drop { request, epoch: u16::MAX, key: true })
         }),
-        ("a drain", Message::Drain { operator: by() }),
+        ("a drain", Message::Drain { operator: operator() }),
     ]
 }
 
--- a/crates/verbenaslip-node/tests/random.rs
+++ b/crates/verbenaslip-node/tests/random.rs
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy)]
 struct Departure {
     at: Duration,
-    calm: bool,
+    no_recent_fault: bool,
 }
 
 /// Holds a request as it was sent by a caller.
@@ -307,8 +307,8 @@
         {
             return;
         }
-        let calm = self.world.now >= self.last_fault + SETTLE_TIME;
-        test_upstream.departure = Some(Departure { at: self.world.now, calm });
+        let no_recent_fault = self.world.now >= self.last_fault + SETTLE_TIME;
+        test_upstream.departure = Some(Departure { at: self.world.now, no_recent_fault });
         test_upstream.sequence += 1;
         let mut announcement = test_upstream.announcement();
         announcement.phase = Phase::Leaving { notice: Some(10_000) };
@@ -468,9 +468,9 @@
             else {
                 continue;
             };
-            let calm = departure.calm && self.last_fault <= departure.at;
+            let no_recent_fault = departure.no_recent_fault && self.last_fault <= departure.at;
             assert!(
-                !calm || run.at <= departure.at + DEPARTURE_LIMIT,
+                !no_recent_fault || run.at <= departure.at + DEPARTURE_LIMIT,
                 "instance {} runs at {} at {:?}, which left at {:?}",
                 run.instance,
                 run.upstream,
--- a/crates/verbenaslip-node/tests/stop.rs
+++ b/crates/verbenaslip-node/tests/stop.rs
@@ -7,7 +7,7 @@
 use crate::world::{MS, World};
 
 #[test]
-fn a_stop_without_work_waits_for_nobody_who_can_not_come() {
+fn a_stop_without_work_waits_for_no_missing_successor() {
     // Failure: a restart takes seconds although no request is in progress. Each instance of
     // deployments of several sizes is told to stop, including the leader and a single voter. The
     // leader waits for a successor although there is no other voter.
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn the_last_instance_of_a_deployment_stops_within_its_patience() {
+fn the_last_instance_of_a_deployment_stops_within_its_timeout() {
     // Failure: the last process of a deployment that is shut down is killed by the platform. All
     // instances are told to stop, each after the one before has ended. The last one waits for a
     // quorum that will not return.
--- a/crates/verbenaslip-node/tests/wire.rs
+++ b/crates/verbenaslip-node/tests/wire.rs
@@ -38,7 +38,7 @@
     Instance::from(text)
 }
 
-fn by() -> Operator {
+fn operator() -> Operator {
     Operator::from("anna")
 }
 
@@ -87,7 +87,7 @@
         entry(Payload::Command(Arc::from([1, 2, 3]))),
         entry(Payload::Config(config.clone())),
     ];
-    let head = log::SnapshotHeader { position: last, config, total_bytes: 9 };
+    let header = log::SnapshotHeader { position: last, config, total_bytes: 9 };
     let bodies = vec![
         log::Body::PreVote { last_position: last },
         log::Body::PreVoteResponse { granted: true },
@@ -96,7 +96,7 @@
         log::Body::Append { previous: last, entries, commit_index: 199, round: 7 },
         log::Body::AppendResponse { match_index: 200, round: 7 },
         log::Body::AppendConflict { previous_index: 200, hint: last, round: 7 },
-        log::Body::SnapshotChunk { header: head, offset: 4, bytes: Arc::from([9]), round: 7 },
+        log::Body::SnapshotChunk { header, offset: 4, bytes: Arc::from([9]), round: 7 },
         log::Body::SnapshotChunkResponse { position: last, received_bytes: 5, round: 7 },
         log::Body::Campaign,
         log::Body::FoundingQuery,
@@ -222,11 +222,11 @@
     let edit = Edit {
         id: edit::Id::new("edit-1").expect("a good identity"),
         base: Revision(1),
-        operator: by(),
+        operator: operator(),
         unix_ms: at,
         changes: vec![change::Change::Put(Row::new("office", "*"))],
     };
-    let swap = |change| Command::Voters(Voters { by: by(), change, at });
+    let swap = |change| Command::Voters(Voters { by: operator(), change, at });
     let commands = vec![
         Command::Edit(edit),
         Command::Claim(claim.clone()),
@@ -234,7 +234,7 @@
         settle(claim::Ending::NotRun),
         settle(claim::Ending::Unknown(Unknown::InstanceLost)),
         Command::Release(claim::Release { claim, at }),
-        Command::Drain(Drain { by: by(), instance: name("a"), at }),
+        Command::Drain(Drain { by: operator(), instance: name("a"), at }),
         swap(VoterChange::Add(name("a"))),
         swap(VoterChange::Remove(name("a"))),
         swap(VoterChange::Replace { old: name("a"), new: name("b") }),
@@ -242,7 +242,7 @@
     let fence = Fence { term: 3, index: 200 };
     let order = |task| {
         let upstream = "u".into();
-        Command::Order(order::Order { by: by(), upstream, task, lifetime: 5_000, at })
+        Command::Order(order::Order { by: operator(), upstream, task, lifetime: 5_000, at })
     };
     let tasks = [
         order::Task::Load("m".into()),
@@ -274,7 +274,7 @@
     let revision = Revision(300);
     let newest = history::Newest {
         revision,
-        by: Some(by()),
+        by: Some(operator()),
         differs: vec![Key { team: "office".into(), class: "*".into() }],
         more: true,
     };
@@ -334,7 +334,7 @@
     let edited = history::Entry {
         revision: Revision(2),
         edit: edit::Id::new("edit-1").expect("a good identity"),
-        by: by(),
+        by: operator(),
         at,
         base: Revision(1),
         rows: vec![Key { team: "office".into(), class: "*".into() }],
@@ -350,7 +350,8 @@
         accepted: true,
         answer: "noted".into(),
     };
-    let told = |found| Message::QueryResult { token: 1, answer: found, leader: Some(name("a")) };
+    let query_result =
+        |found| Message::QueryResult { token: 1, answer: found, leader: Some(name("a")) };
     vec![
         change(Change::Add(voter())),
         change(Change::Remove(name("a"))),
@@ -359,12 +360,12 @@
         ask(Query::History),
         ask(Query::Audit { since: 300 }),
         ask(Query::OwnVoter),
-        told(None),
-        told(Some(QueryAnswer::Propagation { complete: false, awaited: vec![name("b")] })),
-        told(Some(QueryAnswer::History(vec![edited]))),
-        told(Some(QueryAnswer::Audit(audit::Page { next: 9, entries: vec![noted] }))),
-        told(Some(QueryAnswer::OwnVoter(Some(voter())))),
-        Message::Drain { operator: by() },
+        query_result(None),
+        query_result(Some(QueryAnswer::Propagation { complete: false, awaited: vec![name("b")] })),
+        query_result(Some(QueryAnswer::History(vec![edited]))),
+        query_result(Some(QueryAnswer::Audit(audit::Page { next: 9, entries: vec![noted] }))),
+        query_result(Some(QueryAnswer::OwnVoter(Some(voter())))),
+        Message::Drain { operator: operator() },
     ]
 }
 
@@ -432,13 +433,13 @@
 }
 
 fn frames() -> Vec<gossip::Frame> {
-    let (handle, area) = (gossip::Handle([1, 2, 3, 4]), gossip::RegionId([4, 3, 2, 1]));
+    let (handle, region_id) = (gossip::Handle([1, 2, 3, 4]), gossip::RegionId([4, 3, 2, 1]));
     let key = gossip::Key([1, 2, 3, 4, 5, 6]);
     let state = gossip::State::Left;
-    let seats = vec![gossip::MemberSummary { handle, refutations: 1, state }];
+    let members = vec![gossip::MemberSummary { handle, refutations: 1, state }];
     let sync = gossip::Digest {
-        checksums: vec![gossip::RegionChecksum { region_id: area, checksum: 300 }],
-        contacts: vec![gossip::RegionContact { region_id: area, age_tenths: 7 }],
+        checksums: vec![gossip::RegionChecksum { region_id, checksum: 300 }],
+        contacts: vec![gossip::RegionContact { region_id, age_tenths: 7 }],
         marks: Vec::new(),
     };
     let pull = gossip::Pull {
@@ -446,8 +447,8 @@
         announcements: vec![key],
         members: vec![handle],
     };
-    let check = gossip::ContentHash([7, 8, 9]);
-    let renewal = gossip::Renewal { key, content_hash: check, sequence: 300, age: gossip::Age(1) };
+    let content_hash = gossip::ContentHash([7, 8, 9]);
+    let renewal = gossip::Renewal { key, content_hash, sequence: 300, age: gossip::Age(1) };
     let bodies = vec![
         gossip::Body::Join(member_status()),
         gossip::Body::Ping { target: handle, probe: 300 },
@@ -457,10 +458,10 @@
         gossip::Body::PullResponse(gossip::Updates::default()),
         gossip::Body::Digest(sync),
         gossip::Body::MemberList(gossip::MemberList {
-            region_id: area,
+            region_id,
             first: handle,
             end: Some(handle),
-            members: seats,
+            members,
         }),
         gossip::Body::Pull(pull),
         gossip::Body::Renewals(vec![renewal]),
--- a/crates/verbenaslip-node/tests/world/mod.rs
+++ b/crates/verbenaslip-node/tests/world/mod.rs
@@ -650,8 +650,8 @@
             let instance = &self.instances[relay.owner];
             let cut = self.cuts.contains(&(relay.at, relay.owner))
                 || self.cuts.contains(&(relay.owner, relay.at));
-            let silent_since = relay.subscription_lost || cut || instance.paused_until.is_some();
-            relay.silent_since = silent_since.then(|| relay.silent_since.unwrap_or(self.now));
+            let is_silent = relay.subscription_lost || cut || instance.paused_until.is_some();
+            relay.silent_since = is_silent.then(|| relay.silent_since.unwrap_or(self.now));
             let gone = instance.node.is_none() || instance.generation != relay.generation;
             if gone
                 || relay.silent_since.is_some_and(|since| self.now >= since + RELAY_SILENCE_TIMEOUT)
