--- a/crates/verbenaslip-node/src/lead.rs
+++ b/crates/verbenaslip-node/src/lead.rs
@@ -1,4 +1,4 @@
-//! The replicated log within the instance: its events, and proposals of every instance.
+//! Connects the replicated log to the instance and sends the proposals of all instances to it.
 
 use std::time::Duration;
 
@@ -10,158 +10,168 @@
 use verbenaslip_state::{Command, Outcome, order, watch};
 use verbenaslip_table::{Edit, Revision, change, edit};
 
-use crate::message::{Answer, Message};
-use crate::node::{Node, Todo};
+use crate::message::{Message, ProposalAnswer};
+use crate::node::{Node, Pending};
 use crate::notice::Notice;
-use crate::proposal::{NEXT, Proposal, Purpose, RESEND, Work};
+use crate::proposal::{Content, Proposal, Purpose, RESEND_INTERVAL, RETRY_DELAY};
 use crate::voter::{Event, Voter};
 
-/// How long a proposal that nobody waits for is tried.
-const QUIET: Duration = Duration::from_secs(10);
+/// Time limit for a proposal that no call waits for.
+const UNATTENDED_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long another instance's proposal may take; its sender asks again.
-const FORWARDED: Duration = Duration::from_secs(5);
+/// Time limit for a proposal of another instance, which sends the proposal again itself.
+const FORWARDED_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Node {
-    /// Opens the log where there is a data folder.
+    /// Opens the replicated log if this instance has a data directory.
     pub(crate) fn open_voter(&mut self) {
         let Some(recovered) = self.setup.recovered.take() else { return };
         let founders = self.setup.voters.iter().map(|founder| founder.instance.clone()).collect();
         let mut setup = Setup::new(self.setup.instance.clone(), founders, self.setup.seed);
         setup.timing = Timing {
-            heartbeat_interval: self.setup.timing.heartbeat,
-            election_timeout: self.setup.timing.election,
+            heartbeat_interval: self.setup.timing.heartbeat_interval,
+            election_timeout: self.setup.timing.election_timeout,
             ..Timing::default()
         };
         let mut events = Vec::new();
         self.voter = Some(Voter::open(setup, recovered, self.now, &mut events));
-        self.todo.extend(events.into_iter().map(Todo::Logged));
+        self.pending.extend(events.into_iter().map(Pending::LogEvent));
     }
 
-    /// Says whether this instance counts in the voter set.
+    /// Returns whether this instance is a member of the voter set.
     pub(crate) fn is_voter(&self) -> bool {
         let Some(voter) = &self.voter else { return false };
         voter.replica().voters().contains(voter.replica().identity())
     }
 
-    /// Says whether this instance leads the log under a lease.
+    /// Returns whether this instance leads the log and holds the leader's lease.
     pub(crate) fn leads(&self) -> bool {
-        self.lease().is_some_and(|until| until > self.now)
+        self.leader_lease().is_some_and(|until| until > self.now)
     }
 
-    /// Tells the watch whether, and until when, this instance leads.
-    pub(crate) fn lead(&mut self) {
+    /// Tells the watch hub whether this instance leads, and until when its lease lasts.
+    pub(crate) fn update_watch_leadership(&mut self) {
         if self.voter.is_none() {
             return;
         }
-        let until = self.lease().filter(|until| *until > self.now);
-        self.push(Todo::Watch(watch::Input::Leading(until)));
+        let until = self.leader_lease().filter(|until| *until > self.now);
+        self.enqueue(Pending::Watch(watch::Input::Leading(until)));
     }
 
     pub(crate) fn step_log(&mut self, input: log::Input) {
         let Some(voter) = &mut self.voter else { return };
         let mut events = Vec::new();
         voter.step(self.now, input, &mut events);
-        self.todo.extend(events.into_iter().map(Todo::Logged));
+        self.pending.extend(events.into_iter().map(Pending::LogEvent));
     }
 
-    pub(crate) fn logged(&mut self, event: Event) {
+    pub(crate) fn handle_log_event(&mut self, event: Event) {
         match event {
             Event::Send { to, message } => self.send(&to, Message::Log(message)),
-            Event::Store { mark, write } => {
-                self.out.push(crate::output::Output::Store { mark, write });
+            Event::Store { sequence, write } => {
+                self.out.push(crate::output::Output::Store { sequence, write });
             }
             Event::Committed { revision, command, table } => {
                 let Command::Edit(edit) = command else { return };
                 let changes = edit.changes.into();
-                self.push(Todo::Watch(watch::Input::Committed { revision, changes, table }));
+                self.enqueue(Pending::Watch(watch::Input::Committed { revision, changes, table }));
             }
             Event::Restored { revision, table } => {
-                self.push(Todo::Watch(watch::Input::Restored { revision, table }));
+                self.enqueue(Pending::Watch(watch::Input::Restored { revision, table }));
             }
-            Event::Answered { token, answer } => self.proposed(token, answer),
-            Event::Role(role) => self.role(role),
-            Event::Stranger(voter) => self.replace(voter),
-            Event::Unreadable(what) => self.note(Notice::Unreadable(what)),
+            Event::Answered { token, answer } => self.handle_proposal_answer(token, answer),
+            Event::Role(role) => self.handle_role_change(role),
+            Event::IdentityChanged(voter) => self.replace_voter(voter),
+            Event::Unreadable(reason) => self.notify(Notice::Unreadable(reason)),
         }
     }
 
-    /// Has a command committed, however long its patience lasts.
-    pub(crate) fn propose(&mut self, command: Command, purpose: Purpose, patience: Duration) {
-        self.submit(Work::Command(Box::new(command)), purpose, patience);
+    /// Proposes a command and retries it until the timeout.
+    pub(crate) fn propose(&mut self, command: Command, purpose: Purpose, timeout: Duration) {
+        self.submit(Content::Command(Box::new(command)), purpose, timeout);
     }
 
-    /// Has work committed, however long its patience lasts.
-    pub(crate) fn submit(&mut self, work: Work, purpose: Purpose, patience: Duration) {
-        let deadline = self.now + patience;
+    /// Proposes a command or a change of the voter set and retries it until the timeout.
+    pub(crate) fn submit(&mut self, content: Content, purpose: Purpose, timeout: Duration) {
+        let deadline = self.now + timeout;
         let proposal = Proposal {
-            work,
+            content,
             purpose,
             deadline,
-            due: self.now,
+            resend_at: self.now,
             sent: false,
-            doubtful: false,
+            maybe_accepted: false,
             tries: 0,
         };
-        let token = self.tokens.draw();
+        let token = self.tokens.next();
         self.proposals.insert(token, proposal);
-        self.launch(token);
+        self.send_proposal(token);
     }
 
-    /// Takes another instance's command, if this one leads.
-    pub(crate) fn forwarded(&mut self, from: Instance, token: u64, command: Command) {
-        if !command.has_valid_time(self.unix()) {
+    /// Handles a command that another instance sent to this one as the leader.
+    pub(crate) fn handle_forwarded_command(
+        &mut self,
+        from: Instance,
+        token: u64,
+        command: Command,
+    ) {
+        if !command.has_valid_time(self.unix_ms()) {
             let text = "the clocks of the two instances differ too much; check both";
-            let answer = Answer::Refused(text.into());
-            return self.send(&from, Message::Proposed { token, answer });
+            let answer = ProposalAnswer::Refused(text.into());
+            return self.send(&from, Message::ProposalResult { token, answer });
         }
-        self.forward(from, token, Work::Command(Box::new(command)));
+        self.accept_forwarded(from, token, Content::Command(Box::new(command)));
     }
 
-    /// Takes another instance's change of the voter set, if this one leads.
-    pub(crate) fn forwarded_change(&mut self, from: Instance, token: u64, change: Change) {
-        self.forward(from, token, Work::Change(change));
+    /// Handles a change of the voter set that another instance sent to this one as the leader.
+    pub(crate) fn handle_forwarded_change(&mut self, from: Instance, token: u64, change: Change) {
+        self.accept_forwarded(from, token, Content::Change(change));
     }
 
-    /// Takes what became of a proposal.
-    pub(crate) fn proposed(&mut self, token: u64, answer: Answer) {
+    /// Handles the answer to a proposal.
+    pub(crate) fn handle_proposal_answer(&mut self, token: u64, answer: ProposalAnswer) {
         let now = self.now;
         let Some(proposal) = self.proposals.get_mut(token) else { return };
         if matches!(proposal.purpose, Purpose::Forwarded { .. }) {
-            return self.conclude(token, answer);
+            return self.finish_proposal(token, answer);
         }
         match answer {
-            Answer::Elsewhere { leader } => {
+            ProposalAnswer::NotLeader { leader } => {
                 proposal.sent = false;
-                proposal.due = now + NEXT;
+                proposal.resend_at = now + RETRY_DELAY;
                 proposal.tries += 1;
                 self.leader = leader;
             }
-            Answer::Unknown => {
-                proposal.doubtful = true;
-                proposal.due = now + NEXT;
+            ProposalAnswer::Unknown => {
+                proposal.maybe_accepted = true;
+                proposal.resend_at = now + RETRY_DELAY;
+            }
+            ProposalAnswer::Done(_) | ProposalAnswer::Changed | ProposalAnswer::Refused(_) => {
+                self.finish_proposal(token, answer)
             }
-            Answer::Done(_) | Answer::Changed | Answer::Refused(_) => self.conclude(token, answer),
         }
     }
 
-    /// Sends again, or gives up, what has waited long enough.
-    pub(crate) fn resend(&mut self) {
-        for token in self.proposals.due(self.now) {
+    /// Sends unanswered proposals again, and gives up those whose time limit has passed.
+    pub(crate) fn resend_proposals(&mut self) {
+        for token in self.proposals.due_tokens(self.now) {
             let now = self.now;
             let Some(proposal) = self.proposals.get_mut(token) else { continue };
-            proposal.doubtful |= std::mem::take(&mut proposal.sent);
+            proposal.maybe_accepted |= std::mem::take(&mut proposal.sent);
             if proposal.deadline <= now {
-                let doubtful = proposal.doubtful;
-                let nobody = Answer::Elsewhere { leader: None };
-                self.conclude(token, if doubtful { Answer::Unknown } else { nobody });
+                let maybe_accepted = proposal.maybe_accepted;
+                let not_leader = ProposalAnswer::NotLeader { leader: None };
+                self.finish_proposal(
+                    token,
+                    if maybe_accepted { ProposalAnswer::Unknown } else { not_leader },
+                );
                 continue;
             }
-            self.launch(token);
+            self.send_proposal(token);
         }
     }
 
-    /// Makes the first table of an empty log.
+    /// Proposes the initial table if the log is empty.
     fn bootstrap(&mut self) {
         let empty = self.voter.as_ref().is_some_and(|voter| {
             let state = voter.state();
@@ -174,78 +184,79 @@
             id,
             base: Revision::default(),
             operator: Operator::from("settings"),
-            unix_ms: self.unix(),
+            unix_ms: self.unix_ms(),
             changes,
         };
-        self.propose(Command::Edit(edit), Purpose::Nobody, QUIET);
+        self.propose(Command::Edit(edit), Purpose::Unattended, UNATTENDED_TIMEOUT);
     }
 
-    fn role(&mut self, role: RoleUpdate) {
+    fn handle_role_change(&mut self, role: RoleUpdate) {
         self.leader.clone_from(&role.leader);
-        self.push(Todo::Watch(watch::Input::Leader(role.leader.clone())));
-        // A leadership that ended must not serve until the next beat.
-        self.lead();
+        self.enqueue(Pending::Watch(watch::Input::Leader(role.leader.clone())));
+        // A leadership that has ended must not be used until the next tick.
+        self.update_watch_leadership();
         if role.role == ReplicaRole::Leader {
             self.bootstrap();
         }
-        self.note(Notice::Leader { term: role.term, leader: role.leader });
+        self.notify(Notice::Leader { term: role.term, leader: role.leader });
     }
 
-    /// Replaces a voter whose disk was lost: its instance already runs another folder.
-    fn replace(&mut self, voter: verbenaslip_replica::voter::Voter) {
+    /// Replaces a voter that lost its disk and whose instance now runs with a new data directory.
+    fn replace_voter(&mut self, voter: verbenaslip_replica::voter::Voter) {
         if !self.leads() {
             return;
         }
-        self.note(Notice::Replacing(voter.instance.clone()));
+        self.notify(Notice::ReplacingVoter(voter.instance.clone()));
         let change = Change::Replace { old: voter.instance.clone(), new: voter };
-        self.submit(Work::Change(change), Purpose::Nobody, QUIET);
+        self.submit(Content::Change(change), Purpose::Unattended, UNATTENDED_TIMEOUT);
     }
 
-    fn forward(&mut self, from: Instance, token: u64, work: Work) {
+    fn accept_forwarded(&mut self, from: Instance, token: u64, content: Content) {
         let leads = self.voter.as_ref().is_some_and(|voter| voter.replica().is_leader());
         if !leads {
-            // Asked by the leader this instance believes in, it would send the asker in a circle.
+            // Without the filter, the sender would be redirected to itself if this instance takes
+            // it for the leader.
             let leader = self.leader.clone().filter(|leader| *leader != from);
-            let answer = Answer::Elsewhere { leader };
-            return self.send(&from, Message::Proposed { token, answer });
+            let answer = ProposalAnswer::NotLeader { leader };
+            return self.send(&from, Message::ProposalResult { token, answer });
         }
-        self.submit(work, Purpose::Forwarded { from, token }, FORWARDED);
+        self.submit(content, Purpose::Forwarded { from, token }, FORWARDED_TIMEOUT);
     }
 
-    /// Gives a proposal to the log here, or to whoever is likely to lead.
-    fn launch(&mut self, token: u64) {
+    /// Gives a proposal to the local log, or sends it to the instance that probably leads.
+    fn send_proposal(&mut self, token: u64) {
         let now = self.now;
-        let target = self.target(token);
+        let target = self.proposal_target(token);
         let Some(proposal) = self.proposals.get_mut(token) else { return };
-        proposal.due = now + RESEND;
-        let work = proposal.work.clone();
+        proposal.resend_at = now + RESEND_INTERVAL;
+        let content = proposal.content.clone();
         match (&mut self.voter, target) {
             (Some(voter), None) if voter.replica().is_leader() => {
-                // The log answers each proposal once; the deadline bounds the wait for it.
-                proposal.due = proposal.deadline;
+                // The log answers each proposal exactly once, so only the deadline limits the wait.
+                proposal.resend_at = proposal.deadline;
                 let mut events = Vec::new();
-                match work {
-                    Work::Command(command) => voter.propose(now, token, &command, &mut events),
-                    Work::Change(change) => voter.change(now, token, change, &mut events),
+                match content {
+                    Content::Command(command) => voter.propose(now, token, &command, &mut events),
+                    Content::Change(change) => voter.change_voters(now, token, change, &mut events),
                 }
                 proposal.sent = true;
-                self.todo.extend(events.into_iter().map(Todo::Logged));
+                self.pending.extend(events.into_iter().map(Pending::LogEvent));
             }
             (_, Some(target)) => {
                 proposal.sent = true;
                 proposal.tries += 1;
-                let message = match work {
-                    Work::Command(command) => Message::Propose { token, command },
-                    Work::Change(change) => Message::Change { token, change },
+                let message = match content {
+                    Content::Command(command) => Message::Propose { token, command },
+                    Content::Change(change) => Message::Change { token, change },
                 };
                 self.send(&target, message);
             }
-            _ => proposal.due = now + NEXT,
+            _ => proposal.resend_at = now + RETRY_DELAY,
         }
     }
 
-    /// Chooses whom to give a proposal: none means the log here.
-    fn target(&mut self, token: u64) -> Option<Instance> {
+    /// Returns the instance to which a proposal is sent, or none for the local log.
+    fn proposal_target(&mut self, token: u64) -> Option<Instance> {
         if self.voter.as_ref().is_some_and(|voter| voter.replica().is_leader()) {
             return None;
         }
@@ -253,10 +264,10 @@
         self.likely_leader(tries)
     }
 
-    /// Returns the leader as far as it is known, else one voter after the other.
+    /// Returns the known leader, or else the voters in turn.
     pub(crate) fn likely_leader(&self, tries: u32) -> Option<Instance> {
         let own = &self.setup.instance;
-        // A believed leader that does not answer may be lost; every other try goes elsewhere.
+        // The known leader may be lost if it does not answer, so every other attempt uses a voter.
         if let Some(leader) =
             self.leader.as_ref().filter(|it| *it != own && tries.is_multiple_of(2))
         {
@@ -267,38 +278,42 @@
         others.get(index).map(|instance| (*instance).clone())
     }
 
-    fn lease(&self) -> Option<Duration> {
+    fn leader_lease(&self) -> Option<Duration> {
         self.voter.as_ref()?.replica().lease_until(self.now)
     }
 
-    /// Ends a proposal and tells whoever waits.
-    fn conclude(&mut self, token: u64, answer: Answer) {
+    /// Removes a proposal and delivers its answer to the component that waits for it.
+    fn finish_proposal(&mut self, token: u64, answer: ProposalAnswer) {
         let Some(proposal) = self.proposals.remove(token) else { return };
         match proposal.purpose {
-            Purpose::Edit { call, made, wait } => self.edited(call, *made, wait, &answer),
+            Purpose::Edit { call, edit, wait } => {
+                self.handle_edit_answer(call, *edit, wait, &answer)
+            }
             Purpose::Claim { request, claimant, claim } => {
-                self.claimed(request, claimant, *claim, &answer);
+                self.handle_claim_answer(request, claimant, *claim, &answer);
+            }
+            Purpose::Drain { call, instance, operator } => {
+                self.handle_drain_answer(call, &instance, operator, &answer)
             }
-            Purpose::Drain { call, instance, by } => self.drained(call, &instance, by, &answer),
-            Purpose::Voters { call } => self.voted(call, &answer),
-            Purpose::Order { order } => self.numbered(*order, &answer),
-            Purpose::Ordered { upstream, fence } => {
-                if outcome(&answer).is_some() {
+            Purpose::Voters { call } => self.handle_voter_change_answer(call, &answer),
+            Purpose::OrderNumber { order } => self.handle_order_number(*order, &answer),
+            Purpose::OrderEnd { upstream, fence } => {
+                if committed_outcome(&answer).is_some() {
                     self.step_orders(order::Input::Ended { upstream, fence });
                 }
             }
             Purpose::Forwarded { from, token } => {
-                self.send(&from, Message::Proposed { token, answer });
+                self.send(&from, Message::ProposalResult { token, answer });
             }
-            Purpose::Nobody => {}
+            Purpose::Unattended => {}
         }
     }
 }
 
-/// Returns the outcome of a committed command.
-pub(crate) fn outcome(answer: &Answer) -> Option<&Outcome> {
+/// Returns the outcome of a committed command, or none if the command was not committed.
+pub(crate) fn committed_outcome(answer: &ProposalAnswer) -> Option<&Outcome> {
     match answer {
-        Answer::Done(outcome) => Some(outcome),
+        ProposalAnswer::Done(outcome) => Some(outcome),
         _ => None,
     }
 }
--- a/crates/verbenaslip-node/src/node.rs
+++ b/crates/verbenaslip-node/src/node.rs
@@ -1,4 +1,4 @@
-//! One instance: its parts, and how what one says reaches the others.
+//! Combines the components of one instance and passes the outputs of each to the others.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -18,32 +18,32 @@
 
 use crate::capacity::Capacity;
 use crate::input::Input;
-use crate::message::{Message, Version};
+use crate::message::{Message, TableRevision};
 use crate::notice::Notice;
 use crate::output::Output;
-use crate::proposal::{Proposals, Tokens, Wait};
-use crate::serve::Known;
+use crate::proposal::{EditWait, Proposals, Tokens};
+use crate::serve::RequestRecord;
 use crate::setup::Setup;
 use crate::voter::{self, Voter};
 
-/// The longest time between two ticks; the table's follower needs as much.
-const TICK: Duration = Duration::from_millis(100);
+/// Longest interval between two ticks, which the table's watch hub requires.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Between two looks at the loads of upstreams.
-const REFRESH: Duration = Duration::from_millis(250);
+/// Interval at which the loads of upstreams are passed to the dispatcher.
+const LOAD_REFRESH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Between two reports to the neighbours.
-const SHARE: Duration = Duration::from_secs(1);
+/// Interval between two reports to the other instances.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Composes all decisions of one instance.
+/// Combines all components of one instance into one state machine.
 ///
-/// It takes the monotonic time and one [`Input`] and gives [`Output`]s; the same inputs give the
-/// same outputs.
+/// It takes the monotonic time and one [`Input`] and returns [`Output`]s. The same inputs always
+/// produce the same outputs.
 pub struct Node {
     pub(crate) setup: Setup,
     pub(crate) now: Duration,
-    /// Unix milliseconds at the monotonic time zero, by the last word of the wall clock.
-    pub(crate) epoch: u64,
+    /// Unix milliseconds at monotonic time zero, from the last reading of the wall clock.
+    pub(crate) epoch_unix_ms: u64,
     pub(crate) rng: Pcg64,
     pub(crate) gossip: Gossip,
     pub(crate) voter: Option<Voter>,
@@ -52,37 +52,39 @@
     pub(crate) dispatcher: Dispatcher,
     pub(crate) tokens: Tokens,
     pub(crate) proposals: Proposals,
-    pub(crate) queries: BTreeMap<u64, crate::query::Open>,
-    pub(crate) waits: Vec<Wait>,
-    pub(crate) known: BTreeMap<Request, Known>,
-    pub(crate) tables: VecDeque<Version>,
+    pub(crate) queries: BTreeMap<u64, crate::query::OpenQuery>,
+    pub(crate) edit_waits: Vec<EditWait>,
+    pub(crate) records: BTreeMap<Request, RequestRecord>,
+    pub(crate) recent_tables: VecDeque<TableRevision>,
     pub(crate) leader: Option<Instance>,
     pub(crate) voters: BTreeSet<Instance>,
     pub(crate) orders: order::Dispatcher,
     pub(crate) capacity: Capacity,
-    /// How many instances of the region share the work, this one counted.
-    pub(crate) instances: usize,
-    pub(crate) stop: Option<crate::stop::Stop>,
+    /// Number of instances of the region that share the work, including this one.
+    pub(crate) region_instances: usize,
+    pub(crate) stop: Option<crate::stop::StopProgress>,
     pub(crate) ready: bool,
-    pub(crate) todo: VecDeque<Todo>,
+    pub(crate) pending: VecDeque<Pending>,
     pub(crate) out: Vec<Output>,
-    beat: Duration,
-    refresh: Duration,
-    share: Duration,
+    next_tick: Duration,
+    next_load_refresh: Duration,
+    next_report: Duration,
 }
 
-/// Holds what one part has said and another has not yet taken.
-pub(crate) enum Todo {
+/// Holds an output of one component that another component has not handled yet.
+pub(crate) enum Pending {
     Gossip(gossip::Input),
     Log(log::Input),
-    Logged(voter::Event),
+    LogEvent(voter::Event),
     Watch(watch::Input),
     Request(request::Input),
 }
 
 impl Node {
-    /// Starts an instance; its first outputs come with the first step.
-    pub fn open(setup: Setup, now: Duration, unix: u64) -> Self {
+    /// Starts an instance at a monotonic time and a wall-clock time in Unix milliseconds.
+    ///
+    /// The first outputs are returned by the first step.
+    pub fn open(setup: Setup, now: Duration, unix_ms: u64) -> Self {
         let own = Peer {
             instance: setup.instance.clone(),
             zone: setup.zone.clone(),
@@ -91,62 +93,62 @@
             incarnation: setup.incarnation,
         };
         let seeds = setup.seeds.clone();
-        let gossip = gossip::Setup { own, seeds, lease: setup.timing.lease };
+        let gossip = gossip::Setup { own, seeds, lease: setup.timing.upstream_lease };
         let (instance, zone, boot) =
             (setup.instance.clone(), setup.zone.clone(), setup.incarnation);
         let mut node = Self {
             now,
-            epoch: unix.saturating_sub(now.as_millis() as u64),
+            epoch_unix_ms: unix_ms.saturating_sub(now.as_millis() as u64),
             rng: Pcg64::seed_from_u64(setup.seed),
             gossip: Gossip::new(gossip, setup.seed, now),
             voter: None,
             hub: watch::Hub::new(instance.clone(), zone.clone(), boot),
-            requests: Requests::open(crate::serve::setup(&setup)),
+            requests: Requests::open(crate::serve::requests_setup(&setup)),
             dispatcher: Dispatcher::new(now, instance, zone, boot),
             tokens: Tokens::new(setup.incarnation),
             proposals: Proposals::default(),
             queries: BTreeMap::new(),
-            waits: Vec::new(),
-            known: BTreeMap::new(),
-            tables: VecDeque::new(),
+            edit_waits: Vec::new(),
+            records: BTreeMap::new(),
+            recent_tables: VecDeque::new(),
             leader: None,
             voters: setup.voters.iter().map(|founder| founder.instance.clone()).collect(),
-            orders: order::Dispatcher::new(setup.timing.election),
+            orders: order::Dispatcher::new(setup.timing.election_timeout),
             capacity: Capacity::new(now),
-            instances: 1,
+            region_instances: 1,
             stop: None,
             ready: false,
-            todo: VecDeque::new(),
+            pending: VecDeque::new(),
             out: Vec::new(),
-            beat: now,
-            refresh: now,
-            share: now,
+            next_tick: now,
+            next_load_refresh: now,
+            next_report: now,
             setup,
         };
         node.open_voter();
-        node.tell_members();
+        node.update_members();
         node
     }
 
-    /// Takes one input at a monotonic time and appends what is to be done to `out`.
+    /// Handles one input at a monotonic time and appends the resulting actions to `out`.
     pub fn step(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
-        self.take(input);
-        self.turn();
-        self.drain();
-        self.pump();
-        self.drain();
-        self.watch_readiness();
+        self.handle_input(input);
+        self.tick_due_parts();
+        self.process_pending();
+        self.dispatch_requests();
+        self.process_pending();
+        self.update_readiness();
         out.append(&mut self.out);
     }
 
-    /// Returns when the next step is due at the latest.
-    pub fn wake(&self) -> Duration {
-        let mut wake = self.beat.min(self.gossip.next_wakeup());
-        wake = wake.min(self.voter.as_ref().map_or(wake, Voter::wake));
-        wake = wake.min(self.requests.next_wakeup().unwrap_or(wake));
-        wake = wake.min(self.proposals.wake().unwrap_or(wake));
-        wake.max(self.now)
+    /// Returns the latest monotonic time of the next step.
+    pub fn next_wakeup(&self) -> Duration {
+        let mut wakeup = self.next_tick.min(self.gossip.next_wakeup());
+        wakeup = wakeup.min(self.voter.as_ref().map_or(wakeup, Voter::next_wakeup));
+        wakeup = wakeup.min(self.requests.next_wakeup().unwrap_or(wakeup));
+        wakeup = wakeup.min(self.proposals.next_wakeup().unwrap_or(wakeup));
+        wakeup.max(self.now)
     }
 
     /// Returns the revision of the table in use.
@@ -154,37 +156,38 @@
         self.hub.revision()
     }
 
-    /// Says whether the platform should send callers here.
+    /// Returns whether the platform should send callers to this instance.
     pub fn is_ready(&self) -> bool {
-        self.unready().is_empty()
+        self.readiness_problems().is_empty()
     }
 
-    /// Says whether this instance takes new work by its table.
-    pub fn takes_work(&self) -> bool {
-        self.closed().is_empty()
+    /// Returns whether this instance accepts new work under its current table.
+    pub fn accepts_work(&self) -> bool {
+        self.work_refusal_reasons().is_empty()
     }
 
-    /// Counts the claims kept in the replicated state here; none without a data folder.
-    pub fn claims(&self) -> usize {
+    /// Returns the number of claims in the local replicated state, or zero without a data
+    /// directory.
+    pub fn claim_count(&self) -> usize {
         self.voter.as_ref().map_or(0, |voter| voter.state().claims())
     }
 
-    /// Says whether this instance leads the replicated log under a lease.
+    /// Returns whether this instance leads the replicated log and holds the leader's lease.
     pub fn is_leader(&self) -> bool {
         self.leads()
     }
 
-    /// Returns why the platform should send no callers here; empty when it should.
-    pub fn unready(&self) -> Vec<Arc<str>> {
-        let mut reasons = self.closed();
+    /// Returns the reasons why the platform should not send callers here; empty if it should.
+    pub fn readiness_problems(&self) -> Vec<Arc<str>> {
+        let mut reasons = self.work_refusal_reasons();
         if !self.dispatcher.limiter().has_base_share(self.now) {
             reasons.push("it has no part of the limits yet, so that requests would wait".into());
         }
         reasons
     }
 
-    /// Returns why this instance takes no new work; empty when it does.
-    pub(crate) fn closed(&self) -> Vec<Arc<str>> {
+    /// Returns the reasons why this instance accepts no new work; empty if it does.
+    pub(crate) fn work_refusal_reasons(&self) -> Vec<Arc<str>> {
         let mut reasons: Vec<Arc<str>> = Vec::new();
         if self.stop.is_some() {
             reasons.push("it is stopping".into());
@@ -198,29 +201,29 @@
         reasons
     }
 
-    /// Returns the wall clock's time in Unix milliseconds.
-    pub(crate) fn unix(&self) -> u64 {
-        self.epoch.saturating_add(self.now.as_millis() as u64)
+    /// Returns the wall-clock time in Unix milliseconds.
+    pub(crate) fn unix_ms(&self) -> u64 {
+        self.epoch_unix_ms.saturating_add(self.now.as_millis() as u64)
     }
 
-    /// Puts something before another part.
-    pub(crate) fn push(&mut self, todo: Todo) {
-        self.todo.push_back(todo);
+    /// Queues an output of one component for another one.
+    pub(crate) fn enqueue(&mut self, pending: Pending) {
+        self.pending.push_back(pending);
     }
 
-    /// Tells what happened, for logs and metrics.
-    pub(crate) fn note(&mut self, notice: Notice) {
+    /// Emits a notice for logs and metrics.
+    pub(crate) fn notify(&mut self, notice: Notice) {
         self.out.push(Output::Notice(notice));
     }
 
-    /// Says something to another instance, if it is known where it is.
+    /// Sends a message to another instance if its address is known.
     pub(crate) fn send(&mut self, to: &Instance, message: Message) {
         if let Some(address) = self.address(to) {
             self.out.push(Output::Send { to: to.clone(), address, message });
         }
     }
 
-    /// Returns where an instance is reached.
+    /// Returns the address of an instance, if known.
     pub(crate) fn address(&self, instance: &Instance) -> Option<SocketAddr> {
         if let Some(member) = self.gossip.member(instance) {
             return Some(member.peer().address);
@@ -229,104 +232,113 @@
         founder.map(|founder| founder.address)
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::Tick => {}
-            Input::Clock(unix) => self.epoch = unix.saturating_sub(self.now.as_millis() as u64),
-            Input::Peer { from, message } => self.hear(from, message),
+            Input::Clock(unix_ms) => {
+                self.epoch_unix_ms = unix_ms.saturating_sub(self.now.as_millis() as u64)
+            }
+            Input::Peer { from, message } => self.handle_message(from, message),
             Input::Datagram { from, frame } => {
-                self.push(Todo::Gossip(gossip::Input::Received { from, frame }));
+                self.enqueue(Pending::Gossip(gossip::Input::Received { from, frame }));
             }
-            Input::Announced { call, announcement } => self.announced(call, announcement),
-            Input::Called { call, ask } => self.called(call, ask),
+            Input::Announced { call, announcement } => self.handle_announcement(call, announcement),
+            Input::Called { call, request } => self.handle_call(call, request),
             Input::Reclaimed { upstream, notice } => {
                 let notice = u32::try_from(notice.as_millis()).unwrap_or(u32::MAX);
-                self.push(Todo::Gossip(gossip::Input::Reclaimed { upstream, notice }));
+                self.enqueue(Pending::Gossip(gossip::Input::Reclaimed { upstream, notice }));
+            }
+            Input::WriteDurable { sequence } => {
+                self.enqueue(Pending::Log(log::Input::Stored { sequence }))
             }
-            Input::Stored { mark } => self.push(Todo::Log(log::Input::Stored { sequence: mark })),
-            Input::Ordered { upstream, fence, answer } => {
+            Input::OrderAnswered { upstream, fence, answer } => {
                 self.step_orders(order::Input::Answer { upstream, fence, answer });
             }
-            Input::Read { upstream, question, holding } => {
-                self.step_orders(order::Input::Read { upstream, question, holding });
+            Input::StateRead { upstream, question, state } => {
+                self.step_orders(order::Input::Read { upstream, question, holding: state });
             }
-            Input::Surveyed(survey) => self.surveyed(survey),
-            Input::Started { request, name } => self.started(request, name.as_ref()),
-            Input::Cached { upstream, batch } => {
+            Input::Surveyed(survey) => self.handle_survey(survey),
+            Input::Started { request, name } => self.handle_start_result(request, name.as_ref()),
+            Input::CacheEvents { upstream, batch } => {
                 self.dispatcher.handle_cache_events(&upstream, &batch)
             }
             Input::Stop { remaining } => self.begin_stop(remaining),
-            other => self.traffic(other),
+            other => self.handle_traffic(other),
         }
     }
 
-    fn hear(&mut self, from: Instance, message: Message) {
+    fn handle_message(&mut self, from: Instance, message: Message) {
         match message {
-            Message::Log(message) => self.push(Todo::Log(log::Input::Message { from, message })),
+            Message::Log(message) => {
+                self.enqueue(Pending::Log(log::Input::Message { from, message }))
+            }
             Message::Watch(message) => {
-                self.push(Todo::Watch(watch::Input::Receive { from, message }));
+                self.enqueue(Pending::Watch(watch::Input::Receive { from, message }));
             }
             Message::Request(message) => {
-                self.push(Todo::Request(request::Input::Heard { from, message }));
+                self.enqueue(Pending::Request(request::Input::Heard { from, message }));
+            }
+            Message::Propose { token, command } => {
+                self.handle_forwarded_command(from, token, *command)
+            }
+            Message::Change { token, change } => self.handle_forwarded_change(from, token, change),
+            Message::ProposalResult { token, answer } => self.handle_proposal_answer(token, answer),
+            Message::Query { token, query } => self.handle_query(&from, token, &query),
+            Message::QueryResult { token, answer, leader } => {
+                self.handle_query_result(token, answer, leader)
             }
-            Message::Propose { token, command } => self.forwarded(from, token, *command),
-            Message::Change { token, change } => self.forwarded_change(from, token, change),
-            Message::Proposed { token, answer } => self.proposed(token, answer),
-            Message::Ask { token, query } => self.asked(&from, token, &query),
-            Message::Told { token, found, leader } => self.told(token, found, leader),
             Message::Drain { .. } => self.out.push(Output::Drain),
         }
     }
 
-    /// Lets time pass in the parts that are due.
+    /// Queues a tick for each component whose wakeup time has come.
     ///
-    /// A step for each message of each request must not walk through everything that only time
-    /// moves, so each part is asked when it is due.
-    fn turn(&mut self) {
+    /// A step runs for each message of each request, so it must not scan all timers.
+    fn tick_due_parts(&mut self) {
         if self.now >= self.gossip.next_wakeup() {
-            self.push(Todo::Gossip(gossip::Input::Tick));
+            self.enqueue(Pending::Gossip(gossip::Input::Tick));
         }
-        if self.voter.as_ref().is_some_and(|voter| self.now >= voter.wake()) {
-            self.push(Todo::Log(log::Input::Tick));
+        if self.voter.as_ref().is_some_and(|voter| self.now >= voter.next_wakeup()) {
+            self.enqueue(Pending::Log(log::Input::Tick));
         }
-        if self.requests.next_wakeup().is_some_and(|wake| self.now >= wake) {
-            self.push(Todo::Request(request::Input::Tick));
+        if self.requests.next_wakeup().is_some_and(|wakeup| self.now >= wakeup) {
+            self.enqueue(Pending::Request(request::Input::Tick));
         }
-        if self.now >= self.beat {
-            self.beat = self.now + TICK;
-            self.beat();
+        if self.now >= self.next_tick {
+            self.next_tick = self.now + TICK_INTERVAL;
+            self.tick();
         }
-        self.resend();
+        self.resend_proposals();
     }
 
-    /// Does what is due ten times a second.
-    fn beat(&mut self) {
-        self.lead();
-        self.push(Todo::Watch(watch::Input::Tick));
-        self.lead_orders();
-        self.plan();
-        if self.now >= self.refresh {
-            self.refresh = self.now + REFRESH;
+    /// Runs the regular work of the instance, ten times per second.
+    fn tick(&mut self) {
+        self.update_watch_leadership();
+        self.enqueue(Pending::Watch(watch::Input::Tick));
+        self.update_order_leadership();
+        self.plan_capacity();
+        if self.now >= self.next_load_refresh {
+            self.next_load_refresh = self.now + LOAD_REFRESH_INTERVAL;
             self.refresh_loads();
         }
-        if self.now >= self.share {
-            self.share = self.now + SHARE;
-            self.share();
+        if self.now >= self.next_report {
+            self.next_report = self.now + REPORT_INTERVAL;
+            self.send_report();
         }
-        self.poll_waits();
+        self.poll_edit_waits();
         self.poll_queries();
-        self.drive_stop();
+        self.advance_stop();
     }
 
-    /// Hands on what the parts say until none says more.
-    fn drain(&mut self) {
-        while let Some(todo) = self.todo.pop_front() {
-            match todo {
-                Todo::Gossip(input) => self.step_gossip(input),
-                Todo::Log(input) => self.step_log(input),
-                Todo::Logged(event) => self.logged(event),
-                Todo::Watch(input) => self.step_watch(input),
-                Todo::Request(input) => self.step_requests(input),
+    /// Passes the outputs of all components on until none are left.
+    fn process_pending(&mut self) {
+        while let Some(pending) = self.pending.pop_front() {
+            match pending {
+                Pending::Gossip(input) => self.step_gossip(input),
+                Pending::Log(input) => self.step_log(input),
+                Pending::LogEvent(event) => self.handle_log_event(event),
+                Pending::Watch(input) => self.step_watch(input),
+                Pending::Request(input) => self.step_requests(input),
             }
         }
     }
@@ -344,18 +356,18 @@
 
     fn use_table(&mut self, revision: Revision, table: Arc<Table>) {
         self.dispatcher.set_table(self.now, &table);
-        self.tables.push_back(Version { revision, table });
-        if self.tables.len() > crate::edits::TABLES {
-            self.tables.pop_front();
+        self.recent_tables.push_back(TableRevision { revision, table });
+        if self.recent_tables.len() > crate::edits::MAX_KEPT_TABLES {
+            self.recent_tables.pop_front();
         }
-        self.note(Notice::Table(revision));
+        self.notify(Notice::TableInUse(revision));
     }
 
-    fn watch_readiness(&mut self) {
+    fn update_readiness(&mut self) {
         let ready = self.is_ready();
         if ready != self.ready {
             self.ready = ready;
-            self.note(Notice::Ready(ready));
+            self.notify(Notice::Ready(ready));
         }
     }
 }
--- a/crates/verbenaslip-node/src/voter.rs
+++ b/crates/verbenaslip-node/src/voter.rs
@@ -1,4 +1,4 @@
-//! The replicated log and the state that it leads to, on an instance with a data folder.
+//! The replicated log and its state on an instance with a data directory.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -17,45 +17,45 @@
 use verbenaslip_state::{Command, Outcome, State};
 use verbenaslip_table::{Revision, Table};
 
-use crate::message::Answer;
+use crate::message::ProposalAnswer;
 
-/// Bounds the outcomes kept until their proposals are answered.
-const OUTCOMES: usize = 4_096;
+/// Largest number of outcomes that are kept until their proposals are answered.
+const MAX_KEPT_OUTCOMES: usize = 4_096;
 
-/// Tells what a voter's step led to.
+/// Holds a result of a voter's step.
 pub(crate) enum Event {
     /// Sends a message to another voter.
     Send { to: Instance, message: message::Message },
-    /// Writes and syncs.
-    Store { mark: u64, write: Write },
-    /// An edit was committed.
+    /// Writes to storage and syncs.
+    Store { sequence: u64, write: Write },
+    /// Reports a committed edit.
     Committed { revision: Revision, command: Command, table: Arc<Table> },
-    /// The state was replaced as a whole.
+    /// Reports that the whole state was replaced by a snapshot.
     Restored { revision: Revision, table: Arc<Table> },
-    /// A proposal or change was answered.
-    Answered { token: u64, answer: Answer },
-    /// The role, term or known leader has changed.
+    /// Answers a proposal or a change of the voter set.
+    Answered { token: u64, answer: ProposalAnswer },
+    /// Reports a change of role, term or known leader.
     Role(RoleUpdate),
-    /// A voter's instance runs another folder.
-    Stranger(voter::Voter),
-    /// The state could not be read.
+    /// Reports that a voter's instance runs with another data directory.
+    IdentityChanged(voter::Voter),
+    /// Reports that the state can't be read.
     Unreadable(String),
 }
 
-/// Runs the log and applies it.
+/// Runs the replicated log and applies its entries to the state.
 pub(crate) struct Voter {
     replica: Replica,
     state: State,
     applied: u64,
-    changes: BTreeSet<u64>,
+    change_tokens: BTreeSet<u64>,
     outcomes: BTreeMap<u64, Outcome>,
-    waiting: BTreeMap<u64, u64>,
+    waiting_tokens: BTreeMap<u64, u64>,
     outputs: Vec<log::Output>,
-    broken: bool,
+    is_unreadable: bool,
 }
 
 impl Voter {
-    /// Starts from what the data folder held.
+    /// Starts from the recovered content of the data directory.
     pub(crate) fn open(
         setup: Setup,
         recovered: Recovered,
@@ -67,11 +67,11 @@
             replica: Replica::open(setup, recovered, now),
             state: State::new(Limits::default()),
             applied: 0,
-            changes: BTreeSet::new(),
+            change_tokens: BTreeSet::new(),
             outcomes: BTreeMap::new(),
-            waiting: BTreeMap::new(),
+            waiting_tokens: BTreeMap::new(),
             outputs: Vec::new(),
-            broken: false,
+            is_unreadable: false,
         };
         if let Some(snapshot) = snapshot {
             voter.install(&snapshot, out);
@@ -79,19 +79,20 @@
         voter
     }
 
-    /// Takes what happened.
+    /// Handles one input of the log.
     pub(crate) fn step(&mut self, now: Duration, input: input::Input, out: &mut Vec<Event>) {
-        // A state that can't be read must not vote on: it would acknowledge what it can't apply.
-        if self.broken {
+        // A voter that can't read the state must not vote: it would acknowledge entries it can't
+        // apply.
+        if self.is_unreadable {
             return;
         }
         if let input::Input::ChangeVoters { token, .. } = &input {
-            self.changes.insert(*token);
+            self.change_tokens.insert(*token);
         }
         let mut outputs = std::mem::take(&mut self.outputs);
         self.replica.step(now, input, &mut outputs);
         for output in outputs.drain(..) {
-            self.take(now, output, out);
+            self.handle_output(now, output, out);
         }
         self.outputs = outputs;
     }
@@ -105,14 +106,14 @@
         out: &mut Vec<Event>,
     ) {
         let Ok(bytes) = postcard::to_stdvec(command) else {
-            let answer = Answer::Refused("the command can't be written".into());
+            let answer = ProposalAnswer::Refused("the command can't be written".into());
             return out.push(Event::Answered { token, answer });
         };
         self.step(now, input::Input::Propose { token, command: bytes.into() }, out);
     }
 
-    /// Proposes another voter set.
-    pub(crate) fn change(
+    /// Proposes a change of the voter set.
+    pub(crate) fn change_voters(
         &mut self,
         now: Duration,
         token: u64,
@@ -122,31 +123,31 @@
         self.step(now, input::Input::ChangeVoters { token, change }, out);
     }
 
-    /// Returns when the next tick is due.
-    pub(crate) fn wake(&self) -> Duration {
+    /// Returns the time of the next tick.
+    pub(crate) fn next_wakeup(&self) -> Duration {
         self.replica.next_tick()
     }
 
-    /// Returns the log, for its status.
+    /// Returns the replica, for its status.
     pub(crate) fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// Returns the state.
+    /// Returns the replicated state.
     pub(crate) fn state(&self) -> &State {
         &self.state
     }
 
-    fn take(&mut self, now: Duration, output: log::Output, out: &mut Vec<Event>) {
+    fn handle_output(&mut self, now: Duration, output: log::Output, out: &mut Vec<Event>) {
         match output {
             log::Output::Send { to, message } => out.push(Event::Send { to, message }),
-            log::Output::Store { sequence: mark, write } => out.push(Event::Store { mark, write }),
+            log::Output::Store { sequence, write } => out.push(Event::Store { sequence, write }),
             log::Output::Apply { position, command } => self.apply(position, &command, out),
             log::Output::Install(snapshot) => self.install(&snapshot, out),
             log::Output::Answer { token, answer } => self.answer(token, answer, out),
             log::Output::RoleChanged(role) => out.push(Event::Role(role)),
             log::Output::RequestSnapshot { .. } => self.compact(now, out),
-            log::Output::IdentityChanged(voter) => out.push(Event::Stranger(voter)),
+            log::Output::IdentityChanged(voter) => out.push(Event::IdentityChanged(voter)),
             log::Output::ReadIndex { .. } | log::Output::ReadRejected { .. } => {}
         }
     }
@@ -154,10 +155,10 @@
     fn apply(&mut self, position: Position, bytes: &[u8], out: &mut Vec<Event>) {
         self.applied = position.index;
         let Ok(command) = postcard::from_bytes::<Command>(bytes) else {
-            // Skipping it would let this voter's state differ from the others' without a sign.
-            self.broken = true;
-            let what = format!("entry {} can't be read by this version", position.index);
-            return out.push(Event::Unreadable(what));
+            // Skipping the entry would let this voter's state silently diverge from the others.
+            self.is_unreadable = true;
+            let reason = format!("entry {} can't be read by this version", position.index);
+            return out.push(Event::Unreadable(reason));
         };
         let before = self.state.revision();
         let at = Fence { term: position.term, index: position.index };
@@ -167,13 +168,13 @@
             let table = self.state.table().clone();
             out.push(Event::Committed { revision, command, table });
         }
-        if let Some(token) = self.waiting.remove(&position.index) {
-            return out.push(Event::Answered { token, answer: Answer::Done(outcome) });
+        if let Some(token) = self.waiting_tokens.remove(&position.index) {
+            return out.push(Event::Answered { token, answer: ProposalAnswer::Done(outcome) });
         }
         if self.replica.is_leader() {
             self.outcomes.insert(position.index, outcome);
         }
-        while self.outcomes.len() > OUTCOMES {
+        while self.outcomes.len() > MAX_KEPT_OUTCOMES {
             self.outcomes.pop_first();
         }
     }
@@ -187,7 +188,7 @@
                 out.push(Event::Restored { revision, table });
             }
             Err(error) => {
-                self.broken = true;
+                self.is_unreadable = true;
                 out.push(Event::Unreadable(format!("snapshot at {}: {error}", self.applied)));
             }
         }
@@ -198,30 +199,32 @@
         let mut outputs = Vec::new();
         self.replica.step(now, input::Input::Snapshot { index, state }, &mut outputs);
         for output in outputs {
-            self.take(now, output, out);
+            self.handle_output(now, output, out);
         }
     }
 
     fn answer(&mut self, token: u64, answer: log::Answer, out: &mut Vec<Event>) {
-        let change = self.changes.remove(&token);
+        let change = self.change_tokens.remove(&token);
         let answer = match answer {
-            log::Answer::Committed(_) if change => Answer::Changed,
+            log::Answer::Committed(_) if change => ProposalAnswer::Changed,
             log::Answer::Committed(position) => match self.outcomes.remove(&position.index) {
-                Some(outcome) => Answer::Done(outcome),
+                Some(outcome) => ProposalAnswer::Done(outcome),
                 None if position.index > self.applied => {
-                    self.waiting.insert(position.index, token);
+                    self.waiting_tokens.insert(position.index, token);
                     return;
                 }
-                None => Answer::Unknown,
+                None => ProposalAnswer::Unknown,
             },
             log::Answer::Rejected(log::Rejection::NotLeader { leader }) => {
-                Answer::Elsewhere { leader }
+                ProposalAnswer::NotLeader { leader }
             }
             log::Answer::Rejected(
                 log::Rejection::TransferInProgress | log::Rejection::Busy { .. },
-            ) => Answer::Elsewhere { leader: None },
-            log::Answer::Rejected(rejection) => Answer::Refused(rejection.to_string().into()),
-            log::Answer::Unknown => Answer::Unknown,
+            ) => ProposalAnswer::NotLeader { leader: None },
+            log::Answer::Rejected(rejection) => {
+                ProposalAnswer::Refused(rejection.to_string().into())
+            }
+            log::Answer::Unknown => ProposalAnswer::Unknown,
         };
         out.push(Event::Answered { token, answer });
     }
--- a/crates/verbenaslip-node/tests/wire.rs
+++ b/crates/verbenaslip-node/tests/wire.rs
@@ -1,8 +1,8 @@
-//! The contract for what instances say to each other: the bytes of one message of each kind.
+//! The wire format of the messages between instances: the bytes of one message of each kind.
 //!
-//! Instances of two versions run side by side while a new one is rolled out. A line that changes
-//! here means that they would not understand each other, so that such a roll-out would cut requests
-//! off; new kinds of messages go to the end of their enum.
+//! Instances of two versions run side by side during a rollout. If a line here changes, they no
+//! longer understand each other, and the rollout would interrupt requests. New kinds of messages
+//! are appended to the end of their enum.
 
 use std::fmt::Debug;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 use verbenaslip_base::refusal::{Reason, Refusal, Unknown};
 use verbenaslip_gossip as gossip;
 use verbenaslip_node::Message;
-use verbenaslip_node::message::{Answer, Found, Query};
+use verbenaslip_node::message::{ProposalAnswer, Query, QueryAnswer};
 use verbenaslip_replica::config::{Change, Config};
 use verbenaslip_replica::entry::{Entry, Payload, Position};
 use verbenaslip_replica::message as log;
@@ -38,7 +38,7 @@
     Instance::from(text)
 }
 
-fn by() -> Operator {
+fn operator() -> Operator {
     Operator::from("anna")
 }
 
@@ -58,7 +58,7 @@
     Position { term: 3, index: 200 }
 }
 
-/// Shows a value's bytes, after checking that they are read back as the same value.
+/// Returns a line with a value's bytes, after checking that they decode to the same value.
 fn line<T: Serialize + DeserializeOwned + PartialEq + Debug>(what: &str, value: &T) -> String {
     let bytes = postcard::to_stdvec(value).expect("it can be written");
     let (read, rest): (T, _) = postcard::take_from_bytes(&bytes).expect("it can be read");
@@ -68,7 +68,7 @@
     format!("{what}: {hex}")
 }
 
-/// Shows many values, each under its number.
+/// Returns one line per value, each with the value's number.
 fn lines<T: Serialize + DeserializeOwned + PartialEq + Debug>(
     what: &str,
     values: impl IntoIterator<Item = T>,
@@ -87,7 +87,7 @@
         entry(Payload::Command(Arc::from([1, 2, 3]))),
         entry(Payload::Config(config.clone())),
     ];
-    let head = log::SnapshotHeader { position: last, config, total_bytes: 9 };
+    let header = log::SnapshotHeader { position: last, config, total_bytes: 9 };
     let bodies = vec![
         log::Body::PreVote { last_position: last },
         log::Body::PreVoteResponse { granted: true },
@@ -96,7 +96,7 @@
         log::Body::Append { previous: last, entries, commit_index: 199, round: 7 },
         log::Body::AppendResponse { match_index: 200, round: 7 },
         log::Body::AppendConflict { previous_index: 200, hint: last, round: 7 },
-        log::Body::SnapshotChunk { header: head, offset: 4, bytes: Arc::from([9]), round: 7 },
+        log::Body::SnapshotChunk { header, offset: 4, bytes: Arc::from([9]), round: 7 },
         log::Body::SnapshotChunkResponse { position: last, received_bytes: 5, round: 7 },
         log::Body::Campaign,
         log::Body::FoundingQuery,
@@ -130,7 +130,7 @@
     messages.into_iter().map(Message::Watch).collect()
 }
 
-fn note(outcome: Option<output::Outcome>) -> request::Progress {
+fn progress(outcome: Option<output::Outcome>) -> request::Progress {
     let live = request::ActiveRun {
         attempt: attempt(),
         upstream: Upstream::from("u"),
@@ -173,7 +173,7 @@
         body: Some(Arc::new(body)),
         digest: 7,
         boot: 8,
-        note: note(Some(output::Outcome::Whole { position: 20 })),
+        note: progress(Some(output::Outcome::Whole { position: 20 })),
     };
     let remaining = Duration::from_millis(2_500);
     let reserve = request::Reserve { request, digest: 7, boot: 8, epoch: 1, remaining };
@@ -190,15 +190,15 @@
         found(request::KeyStatus::Doubtful),
         found(request::KeyStatus::Full),
         request::Message::Put(Box::new(copy)),
-        request::Message::Note(note(Some(output::Outcome::Refused(refused)))),
-        request::Message::Note(note(Some(output::Outcome::Unknown(Unknown::Deadline)))),
-        request::Message::Note(note(Some(output::Outcome::Abandoned))),
-        request::Message::Note(note(Some(output::Outcome::Moved { owner: name("b") }))),
+        request::Message::Note(progress(Some(output::Outcome::Refused(refused)))),
+        request::Message::Note(progress(Some(output::Outcome::Unknown(Unknown::Deadline)))),
+        request::Message::Note(progress(Some(output::Outcome::Abandoned))),
+        request::Message::Note(progress(Some(output::Outcome::Moved { owner: name("b") }))),
         request::Message::Kept(request::Ack { request, epoch: 1, sequence: 2 }),
         request::Message::Full { request, epoch: 1 },
         request::Message::Taken(taken),
         request::Message::Yielded { request, epoch: 2 },
-        request::Message::HandOver(note(None)),
+        request::Message::HandOver(progress(None)),
         request::Message::Drop { request, epoch: 1, key: true },
     ];
     messages.into_iter().map(Message::Request).collect()
@@ -222,11 +222,11 @@
     let edit = Edit {
         id: edit::Id::new("edit-1").expect("a good identity"),
         base: Revision(1),
-        operator: by(),
+        operator: operator(),
         unix_ms: at,
         changes: vec![change::Change::Put(Row::new("office", "*"))],
     };
-    let swap = |change| Command::Voters(Voters { by: by(), change, at });
+    let swap = |change| Command::Voters(Voters { by: operator(), change, at });
     let commands = vec![
         Command::Edit(edit),
         Command::Claim(claim.clone()),
@@ -234,7 +234,7 @@
         settle(claim::Ending::NotRun),
         settle(claim::Ending::Unknown(Unknown::InstanceLost)),
         Command::Release(claim::Release { claim, at }),
-        Command::Drain(Drain { by: by(), instance: name("a"), at }),
+        Command::Drain(Drain { by: operator(), instance: name("a"), at }),
         swap(VoterChange::Add(name("a"))),
         swap(VoterChange::Remove(name("a"))),
         swap(VoterChange::Replace { old: name("a"), new: name("b") }),
@@ -242,7 +242,7 @@
     let fence = Fence { term: 3, index: 200 };
     let order = |task| {
         let upstream = "u".into();
-        Command::Order(order::Order { by: by(), upstream, task, lifetime: 5_000, at })
+        Command::Order(order::Order { by: operator(), upstream, task, lifetime: 5_000, at })
     };
     let tasks = [
         order::Task::Load("m".into()),
@@ -274,7 +274,7 @@
     let revision = Revision(300);
     let newest = history::Newest {
         revision,
-        by: Some(by()),
+        by: Some(operator()),
         differs: vec![Key { team: "office".into(), class: "*".into() }],
         more: true,
     };
@@ -317,24 +317,24 @@
         Outcome::Unasked,
         Outcome::Replayed,
     ];
-    let done = outcomes.into_iter().map(Answer::Done);
+    let done = outcomes.into_iter().map(ProposalAnswer::Done);
     let others = vec![
-        Answer::Changed,
-        Answer::Elsewhere { leader: Some(name("a")) },
-        Answer::Refused("no".into()),
-        Answer::Unknown,
+        ProposalAnswer::Changed,
+        ProposalAnswer::NotLeader { leader: Some(name("a")) },
+        ProposalAnswer::Refused("no".into()),
+        ProposalAnswer::Unknown,
     ];
-    done.chain(others).map(|answer| Message::Proposed { token: 1, answer }).collect()
+    done.chain(others).map(|answer| Message::ProposalResult { token: 1, answer }).collect()
 }
 
 fn calls() -> Vec<Message> {
     let change = |change| Message::Change { token: 1, change };
-    let ask = |query| Message::Ask { token: 1, query };
+    let ask = |query| Message::Query { token: 1, query };
     let at = 1_700_000_000_000;
     let edited = history::Entry {
         revision: Revision(2),
         edit: edit::Id::new("edit-1").expect("a good identity"),
-        by: by(),
+        by: operator(),
         at,
         base: Revision(1),
         rows: vec![Key { team: "office".into(), class: "*".into() }],
@@ -350,25 +350,26 @@
         accepted: true,
         answer: "noted".into(),
     };
-    let told = |found| Message::Told { token: 1, found, leader: Some(name("a")) };
+    let query_result =
+        |found| Message::QueryResult { token: 1, answer: found, leader: Some(name("a")) };
     vec![
         change(Change::Add(voter())),
         change(Change::Remove(name("a"))),
         change(Change::Replace { old: name("b"), new: voter() }),
-        ask(Query::Force(Revision(300))),
+        ask(Query::Propagation(Revision(300))),
         ask(Query::History),
         ask(Query::Audit { since: 300 }),
-        ask(Query::Folder),
-        told(None),
-        told(Some(Found::Force { everywhere: false, awaited: vec![name("b")] })),
-        told(Some(Found::History(vec![edited]))),
-        told(Some(Found::Audit(audit::Page { next: 9, entries: vec![noted] }))),
-        told(Some(Found::Folder(Some(voter())))),
-        Message::Drain { by: by() },
+        ask(Query::OwnVoter),
+        query_result(None),
+        query_result(Some(QueryAnswer::Propagation { complete: false, awaited: vec![name("b")] })),
+        query_result(Some(QueryAnswer::History(vec![edited]))),
+        query_result(Some(QueryAnswer::Audit(audit::Page { next: 9, entries: vec![noted] }))),
+        query_result(Some(QueryAnswer::OwnVoter(Some(voter())))),
+        Message::Drain { operator: operator() },
     ]
 }
 
-fn spread() -> gossip::Updates {
+fn updates() -> gossip::Updates {
     let (key, voucher) = (gossip::Key([1, 2, 3, 4, 5, 6]), gossip::Handle([1, 2, 3, 4]));
     let announcement = Announcement {
         upstream: "u".into(),
@@ -410,7 +411,7 @@
             version: 2,
             age: gossip::Age(3),
         }],
-        members: vec![rumor()],
+        members: vec![member_status()],
         announcements: vec![gossip::ForwardedAnnouncement {
             announcement,
             age: gossip::Age(1),
@@ -420,7 +421,7 @@
     }
 }
 
-fn rumor() -> gossip::MemberStatus {
+fn member_status() -> gossip::MemberStatus {
     let peer = gossip::Peer {
         instance: name("a"),
         zone: "z".into(),
@@ -432,13 +433,13 @@
 }
 
 fn frames() -> Vec<gossip::Frame> {
-    let (handle, area) = (gossip::Handle([1, 2, 3, 4]), gossip::RegionId([4, 3, 2, 1]));
+    let (handle, region_id) = (gossip::Handle([1, 2, 3, 4]), gossip::RegionId([4, 3, 2, 1]));
     let key = gossip::Key([1, 2, 3, 4, 5, 6]);
     let state = gossip::State::Left;
-    let seats = vec![gossip::MemberSummary { handle, refutations: 1, state }];
+    let members = vec![gossip::MemberSummary { handle, refutations: 1, state }];
     let sync = gossip::Digest {
-        checksums: vec![gossip::RegionChecksum { region_id: area, checksum: 300 }],
-        contacts: vec![gossip::RegionContact { region_id: area, age_tenths: 7 }],
+        checksums: vec![gossip::RegionChecksum { region_id, checksum: 300 }],
+        contacts: vec![gossip::RegionContact { region_id, age_tenths: 7 }],
         marks: Vec::new(),
     };
     let pull = gossip::Pull {
@@ -446,21 +447,21 @@
         announcements: vec![key],
         members: vec![handle],
     };
-    let check = gossip::ContentHash([7, 8, 9]);
-    let renewal = gossip::Renewal { key, content_hash: check, sequence: 300, age: gossip::Age(1) };
+    let content_hash = gossip::ContentHash([7, 8, 9]);
+    let renewal = gossip::Renewal { key, content_hash, sequence: 300, age: gossip::Age(1) };
     let bodies = vec![
-        gossip::Body::Join(rumor()),
+        gossip::Body::Join(member_status()),
         gossip::Body::Ping { target: handle, probe: 300 },
         gossip::Body::Ack { probe: 300 },
         gossip::Body::IndirectPing { target: handle, probe: 300 },
-        gossip::Body::Updates(spread()),
+        gossip::Body::Updates(updates()),
         gossip::Body::PullResponse(gossip::Updates::default()),
         gossip::Body::Digest(sync),
         gossip::Body::MemberList(gossip::MemberList {
-            region_id: area,
+            region_id,
             first: handle,
             end: Some(handle),
-            members: seats,
+            members,
         }),
         gossip::Body::Pull(pull),
         gossip::Body::Renewals(vec![renewal]),
